--- a/decide/api.go
+++ b/decide/api.go
@@ -92,17 +92,17 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Aim       time.Duration // full worth inside Aim + Stretch x own work
-	Stretch   float64
-	Deadline  time.Duration
-	Worth     float64
-	LateWorth float64
-	Effect    Effect
-	Scope     Scope
-	Window    time.Duration // how long repeats of a Keyed request are dropped
-	Kind      int           // the kind of worker it needs, or Any
-	Stream    bool
-	Left      bool // the settings have it no more; requests under way may be of it
+	Aim       time.Duration `json:"Aim"` // full worth inside Aim + Stretch x own work
+	Stretch   float64       `json:"Stretch"`
+	Deadline  time.Duration `json:"Deadline"`
+	Worth     float64       `json:"Worth"`
+	LateWorth float64       `json:"LateWorth"`
+	Effect    Effect        `json:"Effect"`
+	Scope     Scope         `json:"Scope"`
+	Window    time.Duration `json:"Window"` // how long repeats of a Keyed request are dropped
+	Kind      int           `json:"Kind"`   // the kind of worker it needs, or Any
+	Stream    bool          `json:"Stream"`
+	Left      bool          `json:"Left"` // the settings have it no more; requests under way may be of it
 }
 
 // Tenant is a customer with an agreed rate across all dispatchers.
@@ -192,15 +192,22 @@
 
 // Worker is one line of the worker list.
 type Worker struct {
-	ID               uint32
-	Zone, Kind, Cell int
-	Rating           float64
-	Started          time.Duration // 0: long ago
-	State            WorkerState
+	ID      uint32        `json:"ID"`
+	Zone    int           `json:"Zone"`
+	Kind    int           `json:"Kind"`
+	Cell    int           `json:"Cell"`
+	Rating  float64       `json:"Rating"`
+	Started time.Duration `json:"Started"` // 0: long ago
+	State   WorkerState   `json:"State"`
 }
 
 // Report is a worker's own load figures; a negative value was not told.
-type Report struct{ Active, Waiting, FreeSlots, FreeMemory float64 }
+type Report struct {
+	Active     float64 `json:"Active"`
+	Waiting    float64 `json:"Waiting"`
+	FreeSlots  float64 `json:"FreeSlots"`
+	FreeMemory float64 `json:"FreeMemory"`
+}
 
 // Span is slots that are held for a while.
 type Span struct {
@@ -247,22 +254,24 @@
 	}
 	// Request has arrived and is owed one final answer.
 	Request struct {
-		ID            uint32
-		Class, Tenant int
-		Key           uint64
-		Budget        time.Duration
-		Work          time.Duration // expected work, 0 when not told
-		Slots, Memory float64
-		Repeat        bool // a client's later try, where clients mark them
+		ID     uint32        `json:"ID"`
+		Class  int           `json:"Class"`
+		Tenant int           `json:"Tenant"`
+		Key    uint64        `json:"Key"`
+		Budget time.Duration `json:"Budget"`
+		Work   time.Duration `json:"Work"` // expected work, 0 when not told
+		Slots  float64       `json:"Slots"`
+		Memory float64       `json:"Memory"`
+		Repeat bool          `json:"Repeat"` // a client's later try, where clients mark them
 		// Order, where there is one, is the only workers that it may go to, the first before the next: a route's
 		// rotation or hash. It takes the place of the class's blocks.
-		Order []uint32
+		Order []uint32 `json:"Order"`
 		// Held: it is what slots are held for, by Holds.
-		Held bool
+		Held bool `json:"Held"`
 		// Patient: whoever sent it waits for its end until the deadline, so it is not called off for being late.
-		Patient bool
+		Patient bool `json:"Patient"`
 		// Gated: each of its attempts waits for leave before it goes out, and Passed tells of that.
-		Gated bool
+		Gated bool `json:"Gated"`
 	}
 	// StreamStarted: the attempt's answer has begun and belongs to the client.
 	StreamStarted struct {
--- a/decide/estimate.go
+++ b/decide/estimate.go
@@ -9,7 +9,10 @@
 // Estimators: what the events so far tell of classes, workers, zones and connections. They choose nothing.
 
 // tally is the share of bad events among the last few.
-type tally struct{ N, Share float64 }
+type tally struct {
+	N     float64 `json:"N"`
+	Share float64 `json:"Share"`
+}
 
 func (t *tally) add(bad bool, memory float64) {
 	t.N = min(t.N+1, memory)
@@ -21,8 +24,8 @@
 
 // demand is how often a key or a tenant was asked for lately, fading.
 type demand struct {
-	N    float64
-	Last time.Duration
+	N    float64       `json:"N"`
+	Last time.Duration `json:"Last"`
 }
 
 func (k demand) at(now, memory time.Duration) float64 {
@@ -46,7 +49,12 @@
 }
 
 // kindStat is what is known of a kind of worker: run times against the mean, size, and the common ceiling.
-type kindStat struct{ Dev, N, Slots, Ceiling float64 }
+type kindStat struct {
+	Dev     float64 `json:"Dev"`
+	N       float64 `json:"N"`
+	Slots   float64 `json:"Slots"`
+	Ceiling float64 `json:"Ceiling"`
+}
 
 // fared takes whether an attempt was started promptly, for its zone. One dispatcher meets a
 // worker too seldom to learn of it; what strikes a zone (loss, cut, shifted traffic) it can tell.
--- a/decide/memory.go
+++ b/decide/memory.go
@@ -10,59 +10,90 @@
 // Memory is what a dispatcher knows, for the process that takes over from it: what it has learned,
 // and the requests in hand with their attempts. What the list tells is told anew.
 type Memory struct {
-	Workers       []WorkerMemory
-	Classes       []ClassMemory // one for each class
-	Kinds         map[int]kindStat
-	Zones         map[int]tally // of attempts that fared badly
-	Keys          map[uint64]demand
-	Tenants       []demand
-	Requests      []RequestMemory
-	Taken, Extras []time.Duration // inside the budget's window
+	Workers  []WorkerMemory    `json:"Workers"`
+	Classes  []ClassMemory     `json:"Classes"` // one for each class
+	Kinds    map[int]kindStat  `json:"Kinds"`
+	Zones    map[int]tally     `json:"Zones"` // of attempts that fared badly
+	Keys     map[uint64]demand `json:"Keys"`
+	Tenants  []demand          `json:"Tenants"`
+	Requests []RequestMemory   `json:"Requests"`
+	// Taken and Extras are those inside the budget's window.
+	Taken  []time.Duration `json:"Taken"`
+	Extras []time.Duration `json:"Extras"`
 
-	Admitted, Tokens float64
-	Fresh, Bad       tally
-	MostIdle, IdleAt time.Duration
-	Silent           time.Duration
-	Ages             [8]tally
-	Setups           [4]time.Duration
-	Served, Confirms bool
+	Admitted float64          `json:"Admitted"`
+	Tokens   float64          `json:"Tokens"`
+	Fresh    tally            `json:"Fresh"`
+	Bad      tally            `json:"Bad"`
+	MostIdle time.Duration    `json:"MostIdle"`
+	IdleAt   time.Duration    `json:"IdleAt"`
+	Silent   time.Duration    `json:"Silent"`
+	Ages     [8]tally         `json:"Ages"`
+	Setups   [4]time.Duration `json:"Setups"`
+	Served   bool             `json:"Served"`
+	Confirms bool             `json:"Confirms"`
 }
 
 // WorkerMemory is what is known of a worker's process.
 type WorkerMemory struct {
 	Worker
-	Ceiling, Slots, Ghost          float64
-	Dev, N                         float64
-	Strikes, Probes                int
-	Owed                           bool
-	RetryAt, Lived, ColdNext, Lead time.Duration
-	Late, Bad                      tally
-	Wary                           time.Duration
-	Errs                           []tally // of each class
-	Refusals                       []refusal
+	Ceiling  float64       `json:"Ceiling"`
+	Slots    float64       `json:"Slots"`
+	Ghost    float64       `json:"Ghost"`
+	Dev      float64       `json:"Dev"`
+	N        float64       `json:"N"`
+	Strikes  int           `json:"Strikes"`
+	Probes   int           `json:"Probes"`
+	Owed     bool          `json:"Owed"`
+	RetryAt  time.Duration `json:"RetryAt"`
+	Lived    time.Duration `json:"Lived"`
+	ColdNext time.Duration `json:"ColdNext"`
+	Lead     time.Duration `json:"Lead"`
+	Late     tally         `json:"Late"`
+	Bad      tally         `json:"Bad"`
+	Wary     time.Duration `json:"Wary"`
+	Errs     []tally       `json:"Errs"` // of each class
+	Refusals []refusal     `json:"Refusals"`
 }
 
 // ClassMemory is what was learned of a class.
 type ClassMemory struct {
-	Run, LogRun, Jobs float64
-	Budget            time.Duration
-	Errs              tally
+	Run    float64       `json:"Run"`
+	LogRun float64       `json:"LogRun"`
+	Jobs   float64       `json:"Jobs"`
+	Budget time.Duration `json:"Budget"`
+	Errs   tally         `json:"Errs"`
 }
 
 // RequestMemory is a request that is owed its answer.
 type RequestMemory struct {
 	Request
-	Arrived, Due, Limit time.Duration
-	Late, Over          bool
-	Errs, Unsent        int
-	Attempts            []AttemptMemory
+	Arrived  time.Duration   `json:"Arrived"`
+	Due      time.Duration   `json:"Due"`
+	Limit    time.Duration   `json:"Limit"`
+	Late     bool            `json:"Late"`
+	Over     bool            `json:"Over"`
+	Errs     int             `json:"Errs"`
+	Unsent   int             `json:"Unsent"`
+	Attempts []AttemptMemory `json:"Attempts"`
 }
 
 // AttemptMemory is one attempt of it.
 type AttemptMemory struct {
-	Worker                                                           Worker
-	Sent, Note, Begun, Idle                                          time.Duration
-	Ended, NeverRan, Erred, Started, Queued, Taken, Lost, Fared, New bool
+	Worker   Worker        `json:"Worker"`
+	Sent     time.Duration `json:"Sent"`
+	Note     time.Duration `json:"Note"`
+	Begun    time.Duration `json:"Begun"`
+	Idle     time.Duration `json:"Idle"`
+	Ended    bool          `json:"Ended"`
+	NeverRan bool          `json:"NeverRan"`
+	Erred    bool          `json:"Erred"`
+	Started  bool          `json:"Started"`
+	Queued   bool          `json:"Queued"`
+	Taken    bool          `json:"Taken"`
+	Lost     bool          `json:"Lost"`
+	Fared    bool          `json:"Fared"`
+	New      bool          `json:"New"`
 }
 
 // mostKeys is of how many keys the demand is handed over: it is learned anew within seconds.
--- a/decide/state.go
+++ b/decide/state.go
@@ -73,8 +73,8 @@
 
 // refusal is a worker's word that it takes no more of a class.
 type refusal struct {
-	N     int // doublings of the backoff
-	Until time.Duration
+	N     int           `json:"N"` // doublings of the backoff
+	Until time.Duration `json:"Until"`
 }
 
 type attempt struct {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -60,15 +60,18 @@
 
 // file is PROXY_CONFIG as it is written.
 type file struct {
-	Name, Listen, Discovery, Seed string
-	Admin                         string `json:"admin_addr"`
-	Limits                        struct {
+	Name      string `json:"Name"`
+	Listen    string `json:"Listen"`
+	Discovery string `json:"Discovery"`
+	Seed      string `json:"Seed"`
+	Admin     string `json:"admin_addr"`
+	Limits    struct {
 		Cores    *float64 `json:"cores"`
 		MemoryMB *int     `json:"memory_mb"`
 		Sockets  *int     `json:"sockets"`
-	}
-	Known    json.RawMessage
-	Settings json.RawMessage
+	} `json:"Limits"`
+	Known    json.RawMessage `json:"Known"`
+	Settings json.RawMessage `json:"Settings"`
 }
 
 // Load reads the PROXY_* variables through getenv and the file that PROXY_CONFIG
--- a/internal/dispatch/beside.go
+++ b/internal/dispatch/beside.go
@@ -38,38 +38,40 @@
 
 // Fate is what becomes of an attempt that went out from an older process.
 type Fate struct {
-	ID       string // the command's
-	N        int
-	Taken    bool // by the instance, else it has ended:
-	Unusable bool
-	Leaving  bool // it has ended here, and the encoder may have it yet
-	Outcome  decide.Outcome
-	Kept     time.Duration
-	Report   *decide.Report `json:",omitempty"`
+	ID       string         `json:"ID"` // the command's
+	N        int            `json:"N"`
+	Taken    bool           `json:"Taken"` // by the instance, else it has ended:
+	Unusable bool           `json:"Unusable"`
+	Leaving  bool           `json:"Leaving"` // it has ended here, and the encoder may have it yet
+	Outcome  decide.Outcome `json:"Outcome"`
+	Kept     time.Duration  `json:"Kept"`
+	Report   *decide.Report `json:"Report,omitempty"`
 }
 
 // Handed is all that one loop hands to another.
 type Handed struct {
-	Module   decide.Memory
-	Numbers  map[uint32]string // of instances, as the module knows them
-	Commands []*HandedCommand  `json:"-"` // each a message of its own
-	Names    wire.Names
-	Classes  []decide.Class // by their numbers
+	Module   decide.Memory     `json:"Module"`
+	Numbers  map[uint32]string `json:"Numbers"` // of instances, as the module knows them
+	Commands []*HandedCommand  `json:"-"`       // each a message of its own
+	Names    wire.Names        `json:"Names"`
+	Classes  []decide.Class    `json:"Classes"` // by their numbers
 }
 
 // HandedCommand is a command that changes hands.
 type HandedCommand struct {
 	Command
-	Payload  json.RawMessage
-	Memory   decide.RequestMemory // the module's, which Handed.Module leaves out
-	Attempts []HandedAttempt
+	Payload  json.RawMessage      `json:"Payload"`
+	Memory   decide.RequestMemory `json:"Memory"` // the module's, which Handed.Module leaves out
+	Attempts []HandedAttempt      `json:"Attempts"`
 }
 
 // HandedAttempt is one attempt of it.
 type HandedAttempt struct {
-	Instance             string
-	Deadline             time.Time
-	Over, Taken, Leaving bool
+	Instance string    `json:"Instance"`
+	Deadline time.Time `json:"Deadline"`
+	Over     bool      `json:"Over"`
+	Taken    bool      `json:"Taken"`
+	Leaving  bool      `json:"Leaving"`
 }
 
 // Yield hands all that is in hand to another process, by way of to, which is called from the
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -20,21 +20,21 @@
 
 // Command is one request of a service client.
 type Command struct {
-	ID       string // correlation id, unique among the commands in hand
-	Class    string
-	Tenant   string
-	Key      uint64        // 0: none
-	Work     time.Duration // expected, 0: not told
-	Slots    float64
-	Memory   float64
-	Repeat   bool
-	Order    []string  // the only instances that it may go to, the first before the next; nil: as its class says
-	Held     bool      // it is what slots are held for
-	Patient  bool      // its client waits for its end until the deadline, however late
-	Deadline time.Time // when the service client stops waiting
-	Payload  any       `json:"-"` // what the instances' side needs to send it
-	Client   Client    `json:"-"`
-	Gate     Gate      `json:"-"` // nil: its attempts wait for nothing; else it stays with this process
+	ID       string        `json:"ID"` // correlation id, unique among the commands in hand
+	Class    string        `json:"Class"`
+	Tenant   string        `json:"Tenant"`
+	Key      uint64        `json:"Key"`  // 0: none
+	Work     time.Duration `json:"Work"` // expected, 0: not told
+	Slots    float64       `json:"Slots"`
+	Memory   float64       `json:"Memory"`
+	Repeat   bool          `json:"Repeat"`
+	Order    []string      `json:"Order"`    // the only instances that it may go to, the first before the next; nil: as its class says
+	Held     bool          `json:"Held"`     // it is what slots are held for
+	Patient  bool          `json:"Patient"`  // its client waits for its end until the deadline, however late
+	Deadline time.Time     `json:"Deadline"` // when the service client stops waiting
+	Payload  any           `json:"-"`        // what the instances' side needs to send it
+	Client   Client        `json:"-"`
+	Gate     Gate          `json:"-"` // nil: its attempts wait for nothing; else it stays with this process
 
 	left atomic.Bool // its client has gone: no attempt of it begins any more
 }
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -87,12 +87,14 @@
 
 // News is what an instance tells of a job by call-back.
 type News struct {
-	ID, From string // the command's and the instance's
-	State    NewsState
-	Share    float64        // of a running job
-	Result   []byte         // of one that is done
-	Report   *decide.Report `json:",omitempty"` // of the instance, with word that ends an attempt
-	Via      Process        `json:"-"`
+	// ID is the command's, From the instance's.
+	ID     string         `json:"ID"`
+	From   string         `json:"From"`
+	State  NewsState      `json:"State"`
+	Share  float64        `json:"Share"`            // of a running job
+	Result []byte         `json:"Result"`           // of one that is done
+	Report *decide.Report `json:"Report,omitempty"` // of the instance, with word that ends an attempt
+	Via    Process        `json:"-"`
 }
 
 // Process is where word of an instance came from.
--- a/internal/dispatch/takein.go
+++ b/internal/dispatch/takein.go
@@ -56,22 +56,22 @@
 
 // List is what the name table tells: the whole table or what has changed of it.
 type List struct {
-	Revision int64
-	Complete bool
-	Members  []Member
+	Revision int64    `json:"Revision"`
+	Complete bool     `json:"Complete"`
+	Members  []Member `json:"Members"`
 }
 
 // Member is one line of the name table.
 type Member struct {
-	ID      string
-	Address string
-	GRPC    string // where it serves gRPC; empty: it does not
-	Zone    string
-	Kind    string
-	Cell    int
-	State   decide.WorkerState
-	Size    float64
-	Started time.Time // zero: long ago
+	ID      string             `json:"ID"`
+	Address string             `json:"Address"`
+	GRPC    string             `json:"GRPC"` // where it serves gRPC; empty: it does not
+	Zone    string             `json:"Zone"`
+	Kind    string             `json:"Kind"`
+	Cell    int                `json:"Cell"`
+	State   decide.WorkerState `json:"State"`
+	Size    float64            `json:"Size"`
+	Started time.Time          `json:"Started"` // zero: long ago
 }
 
 // line is one line of the name table in the settings' terms.
--- a/internal/net/clients/server.go
+++ b/internal/net/clients/server.go
@@ -101,13 +101,13 @@
 
 // Passed is what goes with a connection that is passed.
 type Passed struct {
-	Answered bool           `json:",omitempty"` // something was asked on it before
-	Instance bool           `json:",omitempty"` // by an instance
-	Rest     []byte         `json:",omitempty"` // what was read from it and not used
-	Flood    bool           `json:",omitempty"` // what came behind that was dropped
-	ID       string         `json:",omitempty"` // the command that its client waits for,
-	Request  *http1.Request `json:",omitempty"` // as it was read, unless it was handed over before
-	Deadline time.Time      `json:",omitzero"`  // of that
+	Answered bool           `json:"Answered,omitempty"` // something was asked on it before
+	Instance bool           `json:"Instance,omitempty"` // by an instance
+	Rest     []byte         `json:"Rest,omitempty"`     // what was read from it and not used
+	Flood    bool           `json:"Flood,omitempty"`    // what came behind that was dropped
+	ID       string         `json:"ID,omitempty"`       // the command that its client waits for,
+	Request  *http1.Request `json:"Request,omitempty"`  // as it was read, unless it was handed over before
+	Deadline time.Time      `json:"Deadline,omitzero"`  // of that
 }
 
 // New returns a server for at most so many connections.
--- a/internal/net/handover/link.go
+++ b/internal/net/handover/link.go
@@ -15,9 +15,9 @@
 
 // Message is one line.
 type Message struct {
-	Kind string
-	Body json.RawMessage `json:",omitempty"`
-	File bool            `json:",omitempty"` // an open socket goes with it
+	Kind string          `json:"Kind"`
+	Body json.RawMessage `json:"Body,omitempty"`
+	File bool            `json:"File,omitempty"` // an open socket goes with it
 }
 
 // Read reads what a message is about.
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -40,8 +40,9 @@
 
 // fieldText is a field between two processes. JSON holds no bytes that are not UTF-8, which a value may.
 type fieldText struct {
-	Name, Value string
-	Raw         []byte `json:",omitempty"` // the value, where JSON cannot hold it
+	Name  string `json:"Name"`
+	Value string `json:"Value"`
+	Raw   []byte `json:"Raw,omitempty"` // the value, where JSON cannot hold it
 }
 
 // MarshalJSON writes a field whole, whatever its bytes.
@@ -105,10 +106,11 @@
 
 // Request is a request whole.
 type Request struct {
-	Method, Target string
-	Header         Header
-	Body           []byte
-	Close          bool // the sender wants the connection closed after the answer
+	Method string `json:"Method"`
+	Target string `json:"Target"`
+	Header Header `json:"Header"`
+	Body   []byte `json:"Body"`
+	Close  bool   `json:"Close"` // the sender wants the connection closed after the answer
 }
 
 // Response is a response whole.
--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -34,8 +34,8 @@
 
 // cordoning is what processes tell each other of one.
 type cordoning struct {
-	ID  string
-	Out bool
+	ID  string `json:"ID"`
+	Out bool   `json:"Out"`
 }
 
 // Keeper is where cordons are kept that are not this dispatcher's alone. Its part's LeftOut tells them at the start.
--- a/internal/program/relief.go
+++ b/internal/program/relief.go
@@ -48,11 +48,11 @@
 
 // standing is what the older process goes by.
 type standing struct {
-	List       *dispatch.List
-	Discovery  string // where its list comes from
-	Configured string // where its configuration had it come from when it started; empty: an older version, which does not tell
-	Quiesced   bool   // clients are sent away
-	Cordons    []string
+	List       *dispatch.List `json:"List"`
+	Discovery  string         `json:"Discovery"`  // where its list comes from
+	Configured string         `json:"Configured"` // where its configuration had it come from when it started; empty: an older version, which does not tell
+	Quiesced   bool           `json:"Quiesced"`   // clients are sent away
+	Cordons    []string       `json:"Cordons"`
 }
 
 // listsFor tells whether its list is the one of a process whose configuration has discovery at an address. It may have been moved
@@ -65,13 +65,13 @@
 // listing is the whole list, and whose revision it has.
 type listing struct {
 	dispatch.List
-	Discovery string
+	Discovery string `json:"Discovery"`
 }
 
 // handed is all that it hands over, but for commands.
 type handed struct {
 	dispatch.Handed
-	Places int // connections that it has yet
+	Places int `json:"Places"` // connections that it has yet
 }
 
 // meet calls at the door of a process that serves the address, and returns the list to begin with: that process's is at
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -149,9 +149,12 @@
 
 // class is one request class of a settings document.
 type class struct {
-	Name, Effect, KeyScope string
-	DeadlineUs, AimUs      float64
-	LateWorth              float64
+	Name       string  `json:"Name"`
+	Effect     string  `json:"Effect"`
+	KeyScope   string  `json:"KeyScope"`
+	DeadlineUs float64 `json:"DeadlineUs"`
+	AimUs      float64 `json:"AimUs"`
+	LateWorth  float64 `json:"LateWorth"`
 }
 
 func classesOf(t *testing.T, settings object) (all []class) {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -32,12 +32,12 @@
 
 // Content is one snapshot.
 type Content struct {
-	Format  int
-	Node    string // whose it is
-	Written time.Time
-	List    dispatch.List
-	Cordons []string
-	Learned dispatch.Handed // without commands
+	Format  int             `json:"Format"`
+	Node    string          `json:"Node"` // whose it is
+	Written time.Time       `json:"Written"`
+	List    dispatch.List   `json:"List"`
+	Cordons []string        `json:"Cordons"`
+	Learned dispatch.Handed `json:"Learned"` // without commands
 }
 
 // ErrNone says that nothing was written yet.
@@ -84,8 +84,8 @@
 		return nil, errors.New("its sum is wrong: torn")
 	}
 	var head struct {
-		Format int
-		Node   string
+		Format int    `json:"Format"`
+		Node   string `json:"Node"`
 	}
 	if err := json.Unmarshal(body, &head); err != nil {
 		return nil, err
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -12,53 +12,93 @@
 
 // profile is the part of the settings text that the module uses.
 type profile struct {
-	Balancers, SlotNo, Zone int
-	GranularityUs           int64
-	Discovery, Weights      string
-	OverShareWorth          float64
-	Deductions              struct{ CrossZone, Waste, LateFail, Probe, Peer float64 }
-	ObjectiveMix            struct{ Whole, WorstWindow, WorstClass, WorstTenant, Punctual, MissAllowed float64 }
-	Domain                  struct {
-		ClassKind    []int
-		ClassStretch []float64
-		ProgressUs   int64
-		TellsStart   bool
-	}
+	Balancers      int     `json:"Balancers"`
+	SlotNo         int     `json:"SlotNo"`
+	Zone           int     `json:"Zone"`
+	GranularityUs  int64   `json:"GranularityUs"`
+	Discovery      string  `json:"Discovery"`
+	Weights        string  `json:"Weights"`
+	OverShareWorth float64 `json:"OverShareWorth"`
+	Deductions     struct {
+		CrossZone float64 `json:"CrossZone"`
+		Waste     float64 `json:"Waste"`
+		LateFail  float64 `json:"LateFail"`
+		Probe     float64 `json:"Probe"`
+		Peer      float64 `json:"Peer"`
+	} `json:"Deductions"`
+	ObjectiveMix struct {
+		Whole       float64 `json:"Whole"`
+		WorstWindow float64 `json:"WorstWindow"`
+		WorstClass  float64 `json:"WorstClass"`
+		WorstTenant float64 `json:"WorstTenant"`
+		Punctual    float64 `json:"Punctual"`
+		MissAllowed float64 `json:"MissAllowed"`
+	} `json:"ObjectiveMix"`
+	Domain struct {
+		ClassKind    []int     `json:"ClassKind"`
+		ClassStretch []float64 `json:"ClassStretch"`
+		ProgressUs   int64     `json:"ProgressUs"`
+		TellsStart   bool      `json:"TellsStart"`
+	} `json:"Domain"`
 	LoadReport struct {
-		Fields []string
-		Via    string
-	}
+		Fields []string `json:"Fields"`
+		Via    string   `json:"Via"`
+	} `json:"LoadReport"`
 	Permissions struct {
-		AttemptsCap, OpenCap                                        int
-		Cancelling, ParallelTries, Probes, PeerMessages, RetryAfter bool
-		MaxRetryAfterUs, ConnIdleUs, ConnectTimeoutUs               int64
-	}
+		AttemptsCap      int   `json:"AttemptsCap"`
+		OpenCap          int   `json:"OpenCap"`
+		Cancelling       bool  `json:"Cancelling"`
+		ParallelTries    bool  `json:"ParallelTries"`
+		Probes           bool  `json:"Probes"`
+		PeerMessages     bool  `json:"PeerMessages"`
+		RetryAfter       bool  `json:"RetryAfter"`
+		MaxRetryAfterUs  int64 `json:"MaxRetryAfterUs"`
+		ConnIdleUs       int64 `json:"ConnIdleUs"`
+		ConnectTimeoutUs int64 `json:"ConnectTimeoutUs"`
+	} `json:"Permissions"`
 	RequestClasses []struct {
-		Name                            string
-		AimUs, DeadlineUs, MemorySpanUs int64
-		AimStretch, LateWorth, Points   float64
-		Effect, KeyScope                string
-		Stream                          bool
-	}
+		Name         string  `json:"Name"`
+		AimUs        int64   `json:"AimUs"`
+		DeadlineUs   int64   `json:"DeadlineUs"`
+		MemorySpanUs int64   `json:"MemorySpanUs"`
+		AimStretch   float64 `json:"AimStretch"`
+		LateWorth    float64 `json:"LateWorth"`
+		Points       float64 `json:"Points"`
+		Effect       string  `json:"Effect"`
+		KeyScope     string  `json:"KeyScope"`
+		Stream       bool    `json:"Stream"`
+	} `json:"RequestClasses"`
 	Rules struct {
-		AnswerSlackUs, DrainGraceUs, ColdUs, FallUs, MustAskInUs int64
-		ColdFrom, FallMultiple                                   float64
-		SpareAttempts, ExtraPerRequest                           *float64
-		BudgetSpanUs                                             *int64
-		GoneIsAdvice                                             bool
-	}
-	Clients struct{ MarksRetry bool }
+		AnswerSlackUs   int64    `json:"AnswerSlackUs"`
+		DrainGraceUs    int64    `json:"DrainGraceUs"`
+		ColdUs          int64    `json:"ColdUs"`
+		FallUs          int64    `json:"FallUs"`
+		MustAskInUs     int64    `json:"MustAskInUs"`
+		ColdFrom        float64  `json:"ColdFrom"`
+		FallMultiple    float64  `json:"FallMultiple"`
+		SpareAttempts   *float64 `json:"SpareAttempts"`
+		ExtraPerRequest *float64 `json:"ExtraPerRequest"`
+		BudgetSpanUs    *int64   `json:"BudgetSpanUs"`
+		GoneIsAdvice    bool     `json:"GoneIsAdvice"`
+	} `json:"Rules"`
+	Clients struct {
+		MarksRetry bool `json:"MarksRetry"`
+	} `json:"Clients"`
 	Tenants []struct {
-		Name      string
-		QuotaPerS float64
-	}
-	Zones, Skus []string
+		Name      string  `json:"Name"`
+		QuotaPerS float64 `json:"QuotaPerS"`
+	} `json:"Tenants"`
+	Zones []string `json:"Zones"`
+	Skus  []string `json:"Skus"`
 }
 
 // Names gives the names that the settings use, each at its number.
 type Names struct {
-	Classes, Tenants, Zones, Kinds []string
-	Reports                        []string // the fields of load reports; none: there are no reports
+	Classes []string `json:"Classes"`
+	Tenants []string `json:"Tenants"`
+	Zones   []string `json:"Zones"`
+	Kinds   []string `json:"Kinds"`
+	Reports []string `json:"Reports"` // the fields of load reports; none: there are no reports
 }
 
 // ParseSettings reads the settings text. It is the one reader of settings: the
