--- a/internal/net/handover/door.go
+++ b/internal/net/handover/door.go
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// maxPath is the longest path that the address of a Unix socket holds.
+// maxPath is the length of the longest path that a Unix socket address holds.
 const maxPath = len(syscall.RawSockaddrUnix{}.Path) - 1
 
 const callPatience = time.Second
 
-// Path is where the process that serves an address has its door.
+// Path returns the path of the handover socket of the process that serves an address.
 func Path(dir, address string) string {
 	return filepath.Join(dir, "winglb-"+url.PathEscape(address)+".sock")
 }
 
-// short calls f with a path that fits into an address: what is too long goes by way of the folder.
+// withShortPath calls f with a form of path that fits into a socket address: a longer one is opened through a file
+// descriptor of its directory.
 func short(path string, f func(string) error) error {
 	if len(path) <= maxPath {
 		return f(path)
@@ -33,27 +34,27 @@
 	return f(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)))
 }
 
-// Door is where a newer process calls.
+// Listener accepts connections from newer processes.
 type Door struct{ l *net.UnixListener }
 
-// Open opens the door at a path, in place of whatever is there: an older process's, or what one
-// that died has left.
+// Open opens a handover socket at a path, replacing whatever is there, such as the socket of an older process or
+// one left by a process that died.
 func Open(path string) (*Door, error) {
-	fresh := path + ".new"
-	if err := os.RemoveAll(fresh); err != nil {
+	temp := path + ".new"
+	if err := os.RemoveAll(temp); err != nil {
 		return nil, err
 	}
 	d := &Door{}
-	err := short(fresh, func(name string) (err error) {
+	err := short(temp, func(name string) (err error) {
 		d.l, err = net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	d.l.SetUnlinkOnClose(false) // by then it may be another's
-	if err = os.Chmod(fresh, 0o600); err == nil {
-		err = os.Rename(fresh, path)
+	d.l.SetUnlinkOnClose(false) // by then it may belong to another process
+	if err = os.Chmod(temp, 0o600); err == nil {
+		err = os.Rename(temp, path)
 	}
 	if err != nil {
 		d.l.Close()
@@ -71,10 +72,10 @@
 	return newLink(nc), nil
 }
 
-// Close closes the door. Its path stays: it may be another's.
+// Close stops listening. The path stays: it may belong to another process.
 func (d *Door) Close() { d.l.Close() }
 
-// Call calls at the door of an older process. An error says that none answers.
+// Call connects to an older process's handover socket. An error means that no process answers.
 func Call(path string) (*Link, error) {
 	var nc net.Conn
 	err := short(path, func(name string) (err error) {
--- a/internal/net/handover/link.go
+++ b/internal/net/handover/link.go
@@ -1,5 +1,5 @@
-// Package handover speaks to the other process of the same dispatcher, while a new one takes over
-// from one that serves: by lines of JSON on a Unix socket, with open connections beside them.
+// Package handover is the link between two processes at the same address while the newer one takes over from the
+// older: lines of JSON on a Unix socket, along with open connections as file descriptors.
 package handover
 
 import (
@@ -13,40 +13,40 @@
 	"time"
 )
 
-// Message is one line.
+// Message is one line of JSON.
 type Message struct {
 	Kind string          `json:"Kind"`
 	Body json.RawMessage `json:"Body,omitempty"`
-	File bool            `json:"File,omitempty"` // an open socket goes with it
+	File bool            `json:"File,omitempty"` // an open socket is sent with it
 }
 
-// Read reads what a message is about.
+// Read decodes the body of a message.
 func (m Message) Read(body any) error { return json.Unmarshal(m.Body, body) }
 
 const (
 	maxLine       = 4 << 20
-	maxQueue      = 8192                   // messages that wait to be written
-	writePatience = 500 * time.Millisecond // with a process that does not read
+	maxQueue      = 8192                   // messages waiting to be written
+	writePatience = 500 * time.Millisecond // for a process that does not read
 )
 
 // Link is the connection to the other process.
 type Link struct {
 	nc    *net.UnixConn
-	files []*os.File // that have come, for the messages that they go with
+	files []*os.File // received and not yet assigned to their messages
 
 	mu    sync.Mutex
-	queue chan outgoing // closed: nothing more is told
+	queue chan outgoing // closed: nothing more is sent
 	ended bool
-	done  chan struct{} // closed once nothing more is written
+	done  chan struct{} // closed once the writer has ended
 }
 
-// outgoing is a message to be written; the socket that goes with it is closed here after that.
+// outgoing is a message to be written; its socket, if any, is closed here afterwards.
 type outgoing struct {
 	text   []byte
 	socket Socket
 }
 
-// Socket is what can go with a message.
+// Socket is a socket that can be sent with a message.
 type Socket interface {
 	syscall.Conn
 	Close() error
@@ -58,11 +58,11 @@
 	return l
 }
 
-// Tell sends a message; false: the link has ended. It never waits: whoever lets so much pile up
-// is taken for dead.
+// Send queues a message; false: the link has ended. It never blocks: a process that lets the queue fill up is
+// considered dead, and the link is closed.
 func (l *Link) Tell(kind string, body any) bool { return l.Pass(kind, body, nil) }
 
-// Pass sends a message and a socket, which is the other process's from now on.
+// SendSocket queues a message and a socket, which then belongs to the other process.
 func (l *Link) Pass(kind string, body any, s Socket) bool {
 	text, err := json.Marshal(body)
 	if err == nil {
@@ -77,14 +77,14 @@
 		default:
 		}
 	}
-	l.nc.Close() // its reader finds out
+	l.nc.Close() // Run returns
 	if s != nil {
 		s.Close()
 	}
 	return false
 }
 
-// Close ends the link once what was told is written.
+// Close ends the link once all queued messages are written.
 func (l *Link) Close() {
 	l.mu.Lock()
 	if !l.ended {
@@ -106,7 +106,7 @@
 	}
 }
 
-// send writes one message. What cannot be written ends the link, and its reader finds out.
+// writeMessage writes one message. On an error it closes the connection, which ends Run.
 func (l *Link) send(o outgoing) {
 	l.nc.SetWriteDeadline(time.Now().Add(writePatience))
 	if o.socket != nil {
@@ -127,21 +127,21 @@
 	}
 }
 
-// Run hands each message to take, with its file if one goes with it, until the link ends.
-func (l *Link) Run(take func(Message, *os.File)) {
+// Run passes each message to handle, with its file if it has one, until the link ends.
+func (l *Link) Run(handle func(Message, *os.File)) {
 	defer l.end()
 	lines := bufio.NewScanner(reader{l})
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
 		var m Message
 		if json.Unmarshal(lines.Bytes(), &m) != nil || m.File && len(l.files) == 0 {
-			return // half written, or by some other program
+			return // truncated, or from another program
 		}
 		var f *os.File
 		if m.File {
 			f, l.files = l.files[0], l.files[1:]
 		}
-		take(m, f)
+		handle(m, f)
 	}
 }
 
@@ -153,19 +153,19 @@
 	}
 }
 
-// reader reads a link's text and keeps the files that come beside it. Those of a message come
-// with its first byte, so that they are there by the time it is whole.
+// reader reads a link's text and collects the files that are sent along with it. Those of a message arrive with
+// its first byte, so they are there before the message is complete.
 type reader struct{ *Link }
 
 func (r reader) Read(p []byte) (int, error) {
-	var beside [64]byte
-	n, b, _, _, err := r.nc.ReadMsgUnix(p, beside[:])
+	var control [64]byte
+	n, b, _, _, err := r.nc.ReadMsgUnix(p, control[:])
 	if b > 0 {
-		controls, err := syscall.ParseSocketControlMessage(beside[:b])
+		messages, err := syscall.ParseSocketControlMessage(control[:b])
 		if err != nil {
 			return 0, err
 		}
-		for _, c := range controls {
+		for _, c := range messages {
 			fds, err := syscall.ParseUnixRights(&c)
 			if err != nil {
 				return 0, err
@@ -176,7 +176,7 @@
 		}
 	}
 	if n == 0 && err == nil {
-		return 0, errors.New("the other process has ended")
+		return 0, errors.New("the other process has closed the handover link")
 	}
 	return n, err
 }
--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -10,8 +10,8 @@
 	"caperrelay/internal/net/operators"
 )
 
-// admin is the operators' address as a part: it listens from the start on, so that people can ask why the
-// rest does not.
+// admin is the operators' address as a part: it listens from the start on, so that operators can ask why the
+// program does not serve.
 type admin struct {
 	program *Program
 	address string
@@ -38,11 +38,11 @@
 
 func (*admin) Listed(dispatch.List)    {}
 func (*admin) Cordoned([]string)       {}
-func (*admin) Reloaded(*config.Config) {} // its address counts from the next start on
+func (*admin) Reloaded(*config.Config) {} // its address takes effect at the next start
 func (*admin) Quiet() bool             { return true }
 func (*admin) Figures() string         { return "" }
 
-// begin tells all parts that the program starts; one that cannot is the program's end.
+// startParts notifies all parts that the program starts; an error from one ends the program.
 func (p *Program) begin(ctx context.Context) error {
 	for _, t := range p.parts {
 		if err := t.Phase(ctx, Starting); err != nil {
--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -15,41 +15,42 @@
 	"caperrelay/internal/net/handover"
 )
 
-// cordons is which instances people leave out. It outlives the process: a file holds it. What is said counts before it
-// is written, and nothing waits for the disk but who said it.
+// cordons is the set of cordoned instances. It outlives the process in a file. An order takes effect before it is
+// written, and only the operator who gave it waits for the disk.
 type cordons struct {
-	write func(path string, text []byte) error // replaces the file; it may take any time
+	write func(path string, text []byte) error // replaces the file; may block
 
-	mu      sync.Mutex // never held over a file, a log line or a peer
+	mu      sync.Mutex // never held during file access, logging or messages to a peer
 	out     map[string]bool
-	unkept  bool         // another process has told of some, and writes them
-	writing bool         // somebody does
-	waits   []chan error // of those who want to know of the next file; each holds one
+	unkept  bool         // another process has sent changes and writes them
+	writing bool         // a writer goroutine runs
+	waits   []chan error // callers waiting for the next write; each has a buffer of one
 }
 
 const (
-	keepPatience = 500 * time.Millisecond // of an operator, with the disk
-	mostWaits    = 64                     // for the disk; who comes beyond is told so
+	keepPatience = 500 * time.Millisecond // how long an operator waits for the disk
+	mostWaits    = 64                     // callers waiting for the disk; further ones get an error
 )
 
-// cordoning is what processes tell each other of one.
+// cordonChange is the message between processes about one cordon.
 type cordoning struct {
 	ID  string `json:"ID"`
 	Out bool   `json:"Out"`
 }
 
-// Keeper is where cordons are kept that are not this dispatcher's alone. Its part's LeftOut tells them at the start.
+// Keeper stores cordons that are shared among dispatchers. The LeftOut method of its part returns them at the
+// start.
 type Keeper interface {
-	// Cordon leaves an instance out, or uses it again, everywhere; an error says how far that is not so. It may wait for
-	// as long as a disk may.
+	// Cordon sets or removes a cordon everywhere; an error says how far that failed. It may block for as long as a
+	// disk may.
 	Cordon(id string, out bool) error
 }
 
-// Cordons is what a Keeper does.
+// Cordons is the interface of the program that a Keeper uses.
 type Cordons interface {
-	// KeepBy has cordons go by way of it. It must come before the program runs.
+	// KeepBy sets the store that cordons go through. It must be called before the program runs.
 	KeepBy(Keeper)
-	// Leave leaves instances out; only: and uses all others again.
+	// Leave cordons the given instances; with only, it also removes all other cordons.
 	Leave(ids []string, only bool)
 }
 
@@ -77,13 +78,13 @@
 	}
 }
 
-// Cordon leaves an instance out: from the yes on nothing new is sent there.
+// Cordon cordons an instance: once it returns nil, nothing new is sent there.
 func (p *Program) Cordon(id string) error { return p.cordon(cordoning{id, true}, nil) }
 
-// Uncordon uses it again.
+// Uncordon removes an instance's cordon.
 func (p *Program) Uncordon(id string) error { return p.cordon(cordoning{id, false}, nil) }
 
-// leaveOut does either here, and tells other processes but one. The lock is held.
+// applyCordon applies a change in this process and sends it to the other processes except from. The lock is held.
 func (p *Program) leaveOut(c cordoning, from *handover.Link) (ids []string) {
 	if p.cordons.out[c.ID] = c.Out; !c.Out {
 		delete(p.cordons.out, c.ID)
@@ -102,7 +103,7 @@
 	return ids
 }
 
-// cordon does either. from is the process that told of it, nil: an operator here.
+// cordon applies a change. from is the process that sent it; nil: an operator of this process.
 func (p *Program) cordon(c cordoning, from *handover.Link) error {
 	if !p.pool.Knows(c.ID) && from == nil {
 		return fmt.Errorf("%s is not known", c.ID)
@@ -113,7 +114,7 @@
 	p.cordons.mu.Lock()
 	ids := p.leaveOut(c, from)
 	var kept <-chan error
-	if p.cordons.unkept = from != nil; from == nil { // else that process writes the file, or this one once that has gone
+	if p.cordons.unkept = from != nil; from == nil { // otherwise that process writes the file, or this one once that process has ended
 		kept = p.keep()
 	}
 	p.cordons.mu.Unlock()
@@ -131,10 +132,10 @@
 	return nil
 }
 
-// keep has the file written as things stand, and returns where the outcome will be. The lock is held.
+// queueWrite has the current set written and returns a channel for the outcome. The lock is held.
 func (p *Program) keep() <-chan error {
 	kept := make(chan error, 1)
-	if len(p.cordons.waits) >= mostWaits { // the next file holds this too
+	if len(p.cordons.waits) >= mostWaits { // the next write includes this change too
 		kept <- errors.New("the disk does not answer")
 		return kept
 	}
@@ -148,7 +149,7 @@
 
 func (p *Program) cordonsFile() string { return strings.TrimSuffix(p.path(), ".sock") + ".cordons" }
 
-// keepAll has it written once another process has gone that may not have come to it.
+// writeUnsaved writes the set once another process has ended that may not have written it.
 func (p *Program) keepAll() {
 	p.cordons.mu.Lock()
 	defer p.cordons.mu.Unlock()
@@ -157,7 +158,7 @@
 	}
 }
 
-// store writes files until nobody waits for one.
+// runWriter writes the file until no caller waits for it.
 func (p *Program) store() {
 	for {
 		p.cordons.mu.Lock()
@@ -181,8 +182,8 @@
 	}
 }
 
-// replace writes a file beside the old one and puts it in its place: who reads finds one of both. The name beside is
-// nobody else's: two processes replace the same file while one takes over from the other.
+// replaceFile writes a temporary file and renames it: readers find either the old or the new content. The
+// temporary name is unique because two processes replace the same file during a handover.
 func replace(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*.new")
 	if err != nil {
@@ -198,8 +199,8 @@
 	return err
 }
 
-// leftOut is who was left out last: by the file, which is of this moment, or where the machine has lost that by a
-// part that keeps it for longer.
+// savedCordons returns the cordons of the previous process: from the file, which is the most recent, or, where the
+// machine has lost that, from a part with longer-lived storage.
 func (p *Program) leftOut() (ids []string) {
 	if _, err := os.Stat(p.cordonsFile()); p.keeper == nil && !errors.Is(err, os.ErrNotExist) {
 		return p.stored()
@@ -212,7 +213,7 @@
 	return ids
 }
 
-// stored is what an earlier process has left.
+// readCordons returns the cordons that an earlier process has written.
 func (p *Program) stored() (ids []string) {
 	text, err := os.ReadFile(p.cordonsFile())
 	if err == nil {
@@ -224,7 +225,7 @@
 	return ids
 }
 
-// recall takes up what an earlier process has left, or an older one tells.
+// restoreCordons applies the cordons of an earlier process or of a running older one.
 func (p *Program) recall(ids []string) {
 	p.cordons.mu.Lock()
 	defer p.cordons.mu.Unlock()
--- a/internal/program/desk.go
+++ b/internal/program/desk.go
@@ -2,10 +2,9 @@
 
 import "errors"
 
-// What operators ask for: the program is the desk of their peer. Nothing here waits for the
-// decision loop.
+// The operators' commands, in addition to Cordon and Uncordon. Nothing here waits for the decision loop.
 
-// Health is nil once the program can serve.
+// Health returns nil once the program can serve.
 func (p *Program) Health() error {
 	switch p.Phase() {
 	case Serving, Quiescing, Quiesced:
@@ -14,21 +13,21 @@
 	return errors.New(p.Phase().String())
 }
 
-// Figures lists what operators go by.
+// Figures returns the counters shown to operators, one per line.
 func (p *Program) Figures() string {
 	all := p.loop.Books.Figures()
 	p.each(func(t Part) { all += t.Figures() })
 	return all
 }
 
-// counters is all of them, for the clients' address.
+// counters returns all counters, for the clients' address.
 func (p *Program) counters() string {
 	all := p.loop.Books.String()
 	p.each(func(t Part) { all += t.Figures() })
 	return all
 }
 
-// Quiesce sends service clients away. What is held is answered, and call-backs are taken.
+// Quiesce sends clients away. Pending commands are answered, and callbacks are still accepted.
 func (p *Program) Quiesce() error {
 	if p.enter(Quiescing, Serving) || p.Phase() == Quiescing || p.Phase() == Quiesced {
 		return nil
@@ -36,7 +35,7 @@
 	return errors.New(p.Phase().String())
 }
 
-// Resume takes service clients again.
+// Resume accepts clients again.
 func (p *Program) Resume() error {
 	if p.enter(Serving, Quiescing, Quiesced) || p.Phase() == Serving {
 		return nil
@@ -44,11 +43,11 @@
 	return errors.New(p.Phase().String())
 }
 
-// Show is what a part tells under a name; empty: none does.
-func (p *Program) Show(what string) (text string) {
+// Show returns the text that a part has under a name; empty: none has one.
+func (p *Program) Show(name string) (text string) {
 	p.each(func(t Part) {
 		if s, ok := t.(interface{ Show(string) string }); ok && text == "" {
-			text = s.Show(what)
+			text = s.Show(name)
 		}
 	})
 	return text
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -9,26 +9,26 @@
 	"caperrelay/internal/net/discovery"
 )
 
-// Sharer stands between the watch on the name table and the program, where dispatchers tell each other of the list. It
-// is in force while it says so; before and after, each dispatcher watches for itself.
+// Sharer stands between the watch on discovery and the program where dispatchers share instance lists with each
+// other. While it is not in force, each dispatcher uses its own watch.
 type Sharer interface {
-	// InForce tells whether the list comes by way of it.
+	// InForce reports whether lists come through the sharer.
 	InForce() bool
-	// Listed, Alive and Lost take what the own watch tells.
+	// Listed, Alive and Lost receive the events of this process's watch.
 	Listed(dispatch.List)
 	Alive()
 	Lost()
-	// Moved says that the name table is at another address from now on.
+	// Moved reports that discovery has a new address.
 	Moved()
 }
 
-// Lists is what a Sharer does.
+// Lists is the interface of the program that a Sharer uses.
 type Lists interface {
-	// ShareBy has lists come by way of it. It must come before the program runs.
+	// ShareBy sets the sharer that lists come through. It must be called before the program runs.
 	ShareBy(Sharer)
-	// Watch begins the own watch, or ends it.
+	// Watch starts or stops this process's watch.
 	Watch(on bool)
-	// Take takes a list that counts.
+	// Take applies a list.
 	Take(dispatch.List)
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// subscriptions is the name table as the loop asks it. A sharer knows by itself when to watch.
+// loopDiscovery is discovery as the loop uses it. A sharer decides by itself when to watch.
 type subscriptions struct{ p *Program }
 
 func (s subscriptions) Subscribe() {
@@ -56,31 +56,32 @@
 
 func (p *Program) shared() bool { return p.sharer != nil && p.sharer.InForce() }
 
-// Listed takes the name table's news.
+// Listed receives an update from the watch.
 func (p *Program) Listed(l dispatch.List) {
 	switch {
 	case !p.shared():
 		p.told(l)
-	case !p.watcher.Moving(): // others go by revisions, and those of the old address say nothing at the new one
+	case !p.watcher.Moving(): // other dispatchers compare revisions, and those of the old address do not apply to the new one
 		p.sharer.Listed(l)
 	}
 }
 
-// ahead is what another process's list has that the own watch has not told yet.
+// otherList is a newer list from another process that this process's watch has not reached yet.
 type ahead struct {
-	revision int64          // 0: nothing
-	at       string         // the name table's address
-	since    time.Time      // when it was heard
-	behind   dispatch.Table // as the own watch has it, where that tells a whole list of before
-	holds    bool           // there is such a table
+	revision int64          // 0: none
+	at       string         // discovery's address
+	since    time.Time      // when it was received
+	behind   dispatch.Table // this process's watch's list, if the watch has sent a complete list that is older
+	holds    bool           // behind is in use
 }
 
-// overtaken is how long a whole list may be on its way while another process has heard of a later one: by the operators' page
-// all that discovery has to tell is known by then. If the watch has not come further, its table has begun anew.
+// watchLag is how long a complete list may be under way after another process has received a later one: as
+// documented for operators, a change in discovery is known everywhere by then. If the watch is still behind,
+// discovery has restarted its revisions.
 const overtaken = 6 * time.Second
 
-// told takes a list that counts, from wherever but another process. The other processes hear of it: what the name table
-// tells one of them holds for all, whichever of them sends.
+// receiveList applies a list from any source except another process at this address, and forwards it to those:
+// what discovery sent one of them holds for all, whichever of them sends attempts.
 func (p *Program) told(l dispatch.List) {
 	p.telling.Lock()
 	defer p.telling.Unlock()
@@ -103,15 +104,15 @@
 	}
 }
 
-// overtook tells whether what another process has heard is later than a whole list. It would be taken back otherwise, drains
-// included, until the own watch has told of it as well.
+// superseded reports whether another process has received a later list than the complete list l. Applying l would
+// revert that one, drains included, until this process's watch has sent it as well.
 func (p *Program) overtook(l dispatch.List) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return l.Revision < p.ahead.revision && p.ahead.at == p.discovery && time.Since(p.ahead.since) < overtaken
 }
 
-// anew has the own watch's table count, if that has not come further meanwhile.
+// useWatchList applies the watch's list if the watch is still behind the other process's list.
 func (p *Program) anew() {
 	p.telling.Lock()
 	defer p.telling.Unlock()
@@ -123,15 +124,15 @@
 	}
 }
 
-// lead notes another process's list, which the own watch must not take back.
+// noteOtherList records another process's list, which an older list from this process's watch must not revert.
 func (p *Program) lead(l dispatch.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ahead = ahead{revision: l.Revision, at: p.discovery, since: time.Now(), behind: p.ahead.behind, holds: p.ahead.holds}
 }
 
-// heard takes another process's list, if it is newer than ours. The own watch goes on from where it was: changes that
-// it tells once more would take the list back.
+// receiveOtherList applies another process's list if it is newer than ours. The watch continues from its own
+// revision: incremental changes that it repeats would revert the list.
 func (p *Program) heard(l listing, fromOlder bool) {
 	p.telling.Lock()
 	defer p.telling.Unlock()
@@ -145,7 +146,7 @@
 	}
 }
 
-// known takes the list that there is before any watch, unless the older process has told of a newer one by now.
+// useInitialList applies the list that is known before any watch, unless the older process has sent a newer one.
 func (p *Program) known(l dispatch.List) {
 	p.telling.Lock()
 	defer p.telling.Unlock()
@@ -157,9 +158,9 @@
 	}
 }
 
-// pass tells other processes, if there are any, of the list as it is.
+// forwardList sends the current list to the other processes, if there are any.
 func (p *Program) pass(older, newer bool) {
-	if p.watcher.Moving() { // revisions of the old address say nothing at the new one
+	if p.watcher.Moving() { // revisions of the old address do not apply to the new one
 		return
 	}
 	p.mu.Lock()
@@ -173,40 +174,40 @@
 	}
 }
 
-// Alive takes that the watch is on.
+// Alive is called when the watch has made contact.
 func (p *Program) Alive() {
 	if p.shared() {
 		p.sharer.Alive()
 	}
 }
 
-// Silent takes that the watch, or the call for one, has fallen silent and is made anew. A sharer is told, lest others
-// count on a watch that tells nothing.
+// Silent is called when the watch, or the call for one, has gone silent and is restarted. The sharer is notified,
+// so that no other dispatcher relies on a watch that reports nothing.
 func (p *Program) Silent(n int, err error) {
 	level := slog.LevelDebug
 	if n == 1 {
 		level = slog.LevelWarn
 	}
 	p.notReached(err)
-	if p.log.Log(p.context, level, "discovery silent", "err", err); p.shared() {
+	if p.log.Log(p.context, level, "discovery sends nothing; restarting the watch", "err", err); p.shared() {
 		p.sharer.Lost()
 	}
 }
 
-// notReached notes whether a call that told nothing has shown that discovery cannot be reached. An agent that says nothing
-// knows nothing.
+// noteUnreachable records whether a call that returned nothing has shown that discovery cannot be reached. A local
+// agent that sends nothing has no list.
 func (p *Program) notReached(err error) {
 	if errors.Is(err, discovery.ErrNobody) || p.config.Settings.Pushed {
 		p.unreached.Store(true)
 	}
 }
 
-// Faulty takes that a list, or an entry of one, is passed over.
+// Faulty is called when a list, or an entry of one, is ignored as invalid.
 func (p *Program) Faulty(err error) {
-	p.log.Error("list from discovery", "err", err)
+	p.log.Error("invalid instance list from discovery ignored", "err", err)
 }
 
-// Lost takes the end of a watch, or of a call for one that was made so long before.
+// Lost is called when a watch, or a call for one, has ended after the given time.
 func (p *Program) Lost(err error, after time.Duration) {
 	p.notReached(err)
 	if p.shared() {
--- a/internal/program/part.go
+++ b/internal/program/part.go
@@ -8,24 +8,25 @@
 	"caperrelay/internal/dispatch"
 )
 
-// Part is a peer that lives with the program: a front of its own, or another way to tell and be told. It
-// is made and registered outside; the program tells it what happens. Its methods must not block.
+// Part is an optional component that runs with the program, such as a front of its own or another channel for
+// instance lists. It is created and registered outside this package, and the program notifies it of changes. Its
+// methods must not block.
 type Part interface {
-	// Name is for the log.
+	// Name identifies the part in the log.
 	Name() string
-	// Phase takes the program's phase, at the start and after each change. An error at Starting ends the
-	// program; later ones are logged. A part whose address the next process shares listens from Serving on
-	// and lets go at Yielded: that is its handing over. At Stopped it ends.
+	// Phase receives the program's phase, at the start and after each change. An error at Starting ends the
+	// program; later ones are logged. A part whose address the next process shares listens from Serving on and
+	// closes its listener at Yielded, which is its handover. At Stopped it ends.
 	Phase(context.Context, Phase) error
-	// Listed takes the name table's news.
+	// Listed receives each update of the instance list.
 	Listed(dispatch.List)
-	// Cordoned takes all instances that people leave out.
+	// Cordoned receives the IDs of all cordoned instances.
 	Cordoned(ids []string)
-	// Reloaded takes the configuration that counts from now on, the first one included.
+	// Reloaded receives the configuration in force, including the first one.
 	Reloaded(*config.Config)
-	// Quiet tells whether nothing is under way that the program's end would lose.
+	// Quiet reports whether the part has no work that would be lost if the program ended.
 	Quiet() bool
-	// Figures is what operators go by, one "name=value" a line.
+	// Figures returns the counters shown to operators, one "name=value" per line.
 	Figures() string
 }
 
@@ -33,20 +34,20 @@
 type Core struct {
 	Loop *dispatch.Loop
 	Log  *slog.Logger
-	// Config is the one that the program starts with.
+	// Config is the configuration that the program starts with.
 	Config *config.Config
 	Lists  Lists
-	// Cordons are the instances that people leave out.
+	// Cordons changes the set of cordoned instances.
 	Cordons Cordons
-	// Reload has the configuration taken anew, as a SIGHUP does but for what parts do at that, and tells of the outcome
-	// once the program runs. It does not block.
+	// Reload rereads the configuration as a SIGHUP does, except for what parts do on a SIGHUP, and calls done with
+	// the outcome once the program runs. It does not block.
 	Reload func(done func(error))
 }
 
-// NewPart makes a part.
+// NewPart creates a part.
 type NewPart func(Core) (Part, error)
 
-// each calls f with every part.
+// eachPart calls f with every part.
 func (p *Program) each(f func(Part)) {
 	for _, t := range p.parts {
 		f(t)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,4 +1,5 @@
-// Package program puts the dispatcher's parts together and takes them from start to exit.
+// Package program assembles a dispatcher from its components and runs it from start to exit, including the
+// handover between an older and a newer process at the same address.
 package program
 
 import (
@@ -31,18 +32,18 @@
 // Phase is a state of the program.
 type Phase int32
 
-// The phases, in their order. An operator can have the program leave quiescing and quiesced again,
-// to serving; a newer process that dies has it leave yielded.
+// The phases, in their order. An operator can take the program from Quiescing and Quiesced back to Serving; if the
+// newer process dies, the program goes from Yielded back to Serving.
 const (
-	Starting  Phase = iota // parts are made, nothing is taken in
-	Relieving              // an older process has been asked to yield
-	Serving                // commands are taken in
-	Quiescing              // clients are sent away: the front still sends, answers close connections
-	Quiesced               // the front has moved on: idle connections are closed as well
-	Yielded                // a newer process takes what comes: what is held is answered
-	Departing              // told to end: as quiescing
-	Draining               // told to end: as quiesced or yielded, until nothing is held
-	Stopped                // nothing is held and nothing listens
+	Starting  Phase = iota // parts are created, no commands are accepted
+	Relieving              // an older process has been asked to hand over
+	Serving                // commands are accepted
+	Quiescing              // clients are sent away: the front still sends requests, and responses close connections
+	Quiesced               // the front has switched away: idle connections are closed as well
+	Yielded                // a newer process accepts new work; this one answers pending commands
+	Departing              // termination requested: as Quiescing
+	Draining               // termination requested: as Quiesced or Yielded, until no commands are pending
+	Stopped                // no commands are pending and nothing listens
 )
 
 func (p Phase) String() string {
@@ -52,17 +53,17 @@
 }
 
 const (
-	// The front goes on sending for up to 0.4 s after it was told no.
+	// The front keeps sending requests for up to 0.4 s after a failed health check.
 	departure = 600 * time.Millisecond
-	// A service client's connection that has been idle for so long is closed then.
+	// While quiesced, a client's connection that has been idle for this long is closed.
 	quiet = 200 * time.Millisecond
 	check = 10 * time.Millisecond
-	// Who had begun to connect is through by then.
+	// By then, connections whose handshake had begun have been accepted.
 	barred = 2 * check
 
-	reservedSockets = 64  // standard files, the poller, the listener, the name table, some to spare
-	memoryShare     = 0.7 // of the limit that the heap may take before collecting harder
-	collectAt       = 200 // percent of growth between collections while memory is plenty
+	reservedSockets = 64  // standard files, the poller, the listener, discovery and a margin
+	memoryShare     = 0.7 // share of the memory limit that the heap may take before the collector runs harder
+	collectAt       = 200 // percent of heap growth between collections while there is plenty of memory
 )
 
 // Program is one dispatcher process.
@@ -70,7 +71,7 @@
 	config  *config.Config
 	log     *slog.Logger
 	address string // set before the phase is Serving
-	admin   string // likewise; empty: operators have no address
+	admin   string // likewise; empty: there is no operators' address
 	loop    *dispatch.Loop
 	pool    *upstream.Pool
 	watcher *discovery.Watcher
@@ -78,39 +79,39 @@
 	loads   *loadreport.Reader
 	bounds  bounds
 	cordons cordons
-	fresh   chan struct{} // closed once discovery has told of the list
-	// unreached: no call has reached discovery yet, so nothing that it has to tell can be known.
+	fresh   chan struct{} // closed once discovery has sent a list
+	// discoveryUnreachable: no call has reached discovery yet, so its current list cannot be known.
 	unreached atomic.Bool
 	parts     []Part
-	keeper    Keeper // nil: cordons are in a file
+	keeper    Keeper // nil: cordons are kept in a file
 	reloads   chan func(error)
-	sharer    Sharer          // nil: the list comes from the own watch alone
-	mute      bool            // who is at the door tells nothing
-	telling   sync.Mutex      // of a list: one at a time
-	ahead     ahead           // what another process has told beyond the own watch, under telling
-	names     wire.Names      // in force, under telling
-	context   context.Context // of the program's run
-	failure   error           // why the program ended by itself, of the goroutine that runs it
+	sharer    Sharer          // nil: the list comes only from this process's watch
+	mute      bool            // an older process answered the handover call but sent no state
+	telling   sync.Mutex      // serializes list updates
+	ahead     ahead           // the list from another process that this process's watch has not reached yet; guarded by listMu
+	names     wire.Names      // the names in force; guarded by listMu
+	context   context.Context // of Run
+	failure   error           // why the program ended by itself; used only by the goroutine of Run
 
 	mu           sync.Mutex
 	phase        Phase
-	since        time.Time // of the phase
-	ending       bool      // told to end while relieving
-	last         time.Time // told to end: when all has to be answered; zero: not told
-	barred       time.Time // since when nobody can connect any more
+	since        time.Time // start of the phase
+	ending       bool      // termination was requested while taking over
+	last         time.Time // after a termination request: the time by which every command has to be answered; zero: none
+	barred       time.Time // since when new connections are refused
 	listener     *net.TCPListener
 	table        dispatch.Table
 	discovery    string
-	older, newer *handover.Link // the other processes, nil: none
-	before       standing       // the older one's
-	given        decide.Memory  // to the newer one
+	older, newer *handover.Link // the other processes; nil: none
+	before       standing       // the state sent by the older process
+	given        decide.Memory  // decision state sent to the newer process
 	door         *handover.Door
 }
 
-// bounds is what the parts may use while this process is alone.
+// connLimits is how many connections the components may use while no other process runs at the address.
 type bounds struct{ listener, pool int }
 
-// New makes a dispatcher, with parts beside those that each has.
+// New creates a dispatcher with the given additional parts.
 func New(c *config.Config, logger *slog.Logger, parts ...NewPart) (*Program, error) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
 	debug.SetGCPercent(collectAt)
@@ -136,8 +137,8 @@
 	if c.Admin != "" {
 		p.parts = append(p.parts, &admin{program: p, address: c.Admin})
 	}
-	for _, n := range parts {
-		t, err := n(Core{Loop: p.loop, Log: logger, Config: c, Lists: lists{p}, Cordons: agreed{p}, Reload: p.again})
+	for _, create := range parts {
+		t, err := create(Core{Loop: p.loop, Log: logger, Config: c, Lists: lists{p}, Cordons: agreed{p}, Reload: p.again})
 		if err != nil {
 			return nil, err
 		}
@@ -148,25 +149,25 @@
 	return p, nil
 }
 
-// Address is where the program listens, once it serves.
+// Address is the address that clients connect to, once the program serves.
 func (p *Program) Address() string { return p.address }
 
-// Admin is where operators call, once it serves, if they have an address.
+// Admin is the operators' address once the program serves; empty: none.
 func (p *Program) Admin() string { return p.admin }
 
-// Phase is the state that the program is in.
+// Phase returns the phase that the program is in.
 func (p *Program) Phase() Phase {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.phase
 }
 
-// enter takes the program to a phase from one of others; false: it is in none of those.
+// enter moves the program to phase next if it is in one of the phases from, and reports whether it was.
 func (p *Program) enter(next Phase, from ...Phase) bool {
 	if !p.change(next, from) {
 		return false
 	}
-	p.log.Info(next.String(), "held", p.loop.Holding()) // without the lock: the log may wait for whoever reads it
+	p.log.Info(next.String(), "held", p.loop.Holding()) // without the lock: logging may block on a slow reader
 	p.each(func(t Part) {
 		if err := t.Phase(p.context, next); err != nil {
 			p.log.Error("part", "name", t.Name(), "phase", next.String(), "err", err)
@@ -186,7 +187,7 @@
 	return true
 }
 
-// Run serves until a signal to end comes and nothing is held any more.
+// Run serves until a termination signal arrives and no commands are pending.
 func (p *Program) Run(signals <-chan os.Signal) error {
 	known := p.config.Known
 	known.Complete = true
@@ -216,7 +217,7 @@
 	return p.failure
 }
 
-// advance does what time brings about in a phase.
+// advance makes the phase changes that are due at now.
 func (p *Program) advance(ctx context.Context, now time.Time) {
 	p.mu.Lock()
 	phase, since, last := p.phase, p.since, p.last
@@ -241,30 +242,31 @@
 		}
 	case Draining:
 		p.server.CloseIdle(now.Add(-quiet))
-		// Give-ups that are on their way spare instances work for nobody; each ends within a second.
+		// Waits for cancellations under way, which spare instances useless work; each ends within a second.
 		if p.loop.Holding() == 0 && !p.pool.Busy() && p.server.Quiet() && !slices.ContainsFunc(p.parts, func(t Part) bool { return !t.Quiet() }) && p.bar(now) {
 			p.enter(Stopped, Draining)
 		}
 	}
 }
 
-// bar has nobody connect any more, and tells whether those who had begun to by then are through.
+// refuseConnections refuses new connections and reports whether those whose handshake had begun are accepted.
 func (p *Program) bar(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.newer != nil { // it takes them
+	if p.newer != nil { // which accepts them
 		return true
 	}
 	if p.barred.IsZero() {
 		p.barred = now
 		if err := clients.Bar(p.listener); err != nil {
-			p.log.Debug("listener not barred", "err", err)
+			p.log.Debug("cannot refuse new connections on the listener", "err", err)
 		}
 	}
 	return now.Sub(p.barred) >= barred
 }
 
-// obey takes signals: SIGHUP reads the configuration anew, in every phase, any other ends the program.
+// handleSignals handles signals and reload requests: SIGHUP rereads the configuration, in every phase; any other
+// signal ends the program.
 func (p *Program) obey(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
@@ -287,13 +289,13 @@
 	}
 }
 
-// clientsPart is which part of the descriptors service clients hold for requests at most, by the operators'
-// page. One that finds them all held is turned away unheard.
+// clientsDivisor: clients have at most 1/clientsDivisor of the descriptors for their requests, as documented for
+// operators. A client that holds all of them cannot get a response to a further request.
 const clientsPart = 3
 
-// bound has settings hold as many commands as there is room for. Each keeps a connection, and some
-// must stay free: here, or no call-back could come in and nothing held would ever end, and at the clients, or
-// nobody could be told no. The module refuses what goes beyond.
+// limitOpen lowers the limit of open commands to what the connections allow. Each open command keeps a connection,
+// and some must stay free: here, so that callbacks can arrive, without which no pending command would ever end;
+// and at the clients, so that requests can be refused. Package decide refuses requests beyond the limit.
 func (p *Program) bound(s decide.Settings) decide.Settings {
 	clients := p.config.Limits.Sockets / clientsPart
 	if open := min(clients-clients/8, p.bounds.listener-p.bounds.listener/6); s.Limits.Open <= 0 || s.Limits.Open > open {
@@ -302,7 +304,7 @@
 	return s
 }
 
-// again has the configuration taken anew.
+// requestReload has the configuration reloaded and passes the outcome to done.
 func (p *Program) again(done func(error)) {
 	select {
 	case p.reloads <- done:
@@ -311,11 +313,11 @@
 	}
 }
 
-// reload takes the configuration file as it is now. A faulty one changes nothing.
+// reload applies the configuration file as it is now. A faulty file changes nothing.
 func (p *Program) reload() error {
 	next, err := p.config.Reload()
 	if err == nil {
-		err = p.loop.Retune(p.bound(next.Settings), next.Names) // the module has the last word
+		err = p.loop.Retune(p.bound(next.Settings), next.Names) // package decide may reject the settings
 	}
 	if err != nil {
 		p.loop.Books.LoadErrors.Add(1)
@@ -328,7 +330,7 @@
 	p.watcher.Retune(next.Settings)
 	p.pool.Retune(next.Settings.Limits.ConnectTimeout, next.Settings.Limits.ConnIdle)
 	if keys := p.config.AtRestart(next); len(keys) > 0 {
-		p.log.Warn("configuration: counts from the next start on", "keys", keys)
+		p.log.Warn("configuration changes that take effect at the next start", "keys", keys)
 	}
 	p.loop.Books.Loads.Add(1)
 	p.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", next.Names.Classes)
@@ -347,7 +349,8 @@
 	return nil
 }
 
-// named has the loop read the list anew where the settings name other zones or kinds of encoder: the list has them by their names.
+// updateNames passes the list to the loop again where the settings name other zones or kinds of encoder: the list
+// refers to them by name.
 func (p *Program) named(names wire.Names) {
 	p.telling.Lock()
 	defer p.telling.Unlock()
@@ -361,16 +364,16 @@
 	p.loop.Listed(l, true)
 }
 
-// end has the program end in order.
+// terminate ends the program gracefully.
 func (p *Program) end() {
 	p.mu.Lock()
-	p.ending = true // while relieving: the older process may have yielded already
+	p.ending = true // while taking over: the older process may have handed over already
 	p.last = p.server.End(time.Now())
 	p.mu.Unlock()
 	_ = p.enter(Stopped, Starting) || p.enter(Departing, Serving, Quiescing, Quiesced) || p.enter(Draining, Yielded)
 }
 
-// take takes a list: the pool first, which guards each send.
+// applyList applies a list, to the pool first, which checks each send.
 func (p *Program) take(l dispatch.List, cached bool) {
 	p.mu.Lock()
 	p.table.Take(l)
--- a/internal/program/relief.go
+++ b/internal/program/relief.go
@@ -19,65 +19,67 @@
 	"caperrelay/internal/net/sock"
 )
 
-// Relief is how one process takes over from another that serves the same address. The newer
-// calls at the older's door; docs/design.md says who does what.
+// In a handover, a newer process takes over from an older one that serves the same address. The newer process
+// connects to the older one's handover socket; docs/design.md says which process does what.
 
-// Whatever the older does, or does not, this one serves after freshPatience + yieldPatience at the latest, 4 s from
-// its start: the wait for the older's list is part of that for discovery. A machine short of time holds the older up for
-// a second or two: whoever is given up on then loses what it holds, and what waits in its listener.
+// Whatever the older process does, this one serves after freshListTimeout + handoverTimeout at the latest, 4 s
+// from its start; the wait for the older process's list is part of the wait for discovery. On an overloaded
+// machine the older process may be held up for a second or two: if this process stops waiting for it, the commands
+// that it holds and the connections waiting in its listener are lost.
 const (
-	freshPatience = 2500 * time.Millisecond // with discovery, and with the older's list, which must do then
-	yieldPatience = 1500 * time.Millisecond // with the older, to yield
-	callAgain     = 20 * time.Millisecond   // after a process that has a newer one already
+	freshPatience = 2500 * time.Millisecond // for discovery, and for the older process's list, which is used if discovery sends none
+	yieldPatience = 1500 * time.Millisecond // for the older process to hand over
+	callAgain     = 20 * time.Millisecond   // before calling again a process that already has a newer one
 )
 
-// What the processes tell each other, by kind of message.
+// The kinds of message between the processes.
 const (
-	told       = "standing"   // the older: a standing, and its listener
-	ready      = "ready"      // the newer: it could serve
-	command    = "command"    // the older: a dispatch.HandedCommand
-	yielded    = "yielded"    // the older: a handed, after which it takes nothing more
-	connection = "connection" // the older: a clients.Passed and its socket
-	closed     = "closed"     // the older: one of its connections has ended
-	left       = "left"       // the older: the id of a command whose client has left
-	became     = "became"     // the older: a dispatch.Fate
-	cordoned   = "cordoned"   // either: a cordoning
-	listed     = "listed"     // either: a listing, as it has just been told
-	news       = "news"       // either: a dispatch.News that matches nothing there
+	told       = "standing"   // from the older: a processState, and its listener
+	ready      = "ready"      // from the newer: it is ready to serve
+	command    = "command"    // from the older: a dispatch.HandedCommand
+	yielded    = "yielded"    // from the older: a handoverState, after which it accepts nothing more
+	connection = "connection" // from the older: a clients.Passed and its socket
+	closed     = "closed"     // from the older: one of its connections has ended
+	left       = "left"       // from the older: the ID of a command whose client has disconnected
+	became     = "became"     // from the older: a dispatch.Fate
+	cordoned   = "cordoned"   // from either: a cordonChange
+	listed     = "listed"     // from either: a sharedList, as just received
+	news       = "news"       // from either: a dispatch.News that matches no attempt there
 )
 
-// standing is what the older process goes by.
+// processState is the state that the older process sends first.
 type standing struct {
 	List       *dispatch.List `json:"List"`
-	Discovery  string         `json:"Discovery"`  // where its list comes from
-	Configured string         `json:"Configured"` // where its configuration had it come from when it started; empty: an older version, which does not tell
+	Discovery  string         `json:"Discovery"`  // the address that its list comes from
+	Configured string         `json:"Configured"` // discovery's address in its configuration at its start; empty: an older version, which does not send it
 	Quiesced   bool           `json:"Quiesced"`   // clients are sent away
 	Cordons    []string       `json:"Cordons"`
 }
 
-// listsFor tells whether its list is the one of a process whose configuration has discovery at an address. It may have been moved
-// since its start, which the newer process's environment need not say; but where that names another discovery than it was started
-// with, the newer one is meant to go by another list.
+// sameDiscovery reports whether the older process's list applies to a process whose configuration has discovery at
+// the address configured. The older process's discovery may have been moved since its start, which the newer
+// process's environment need not reflect; but where that environment names another discovery than the older
+// process was started with, the newer process is meant to use another list.
 func (s standing) listsFor(configured string) bool {
 	return s.Configured == "" || s.Configured == configured || s.Discovery == configured
 }
 
-// listing is the whole list, and whose revision it has.
+// sharedList is the complete list, with the address of the discovery that its revision refers to.
 type listing struct {
 	dispatch.List
 	Discovery string `json:"Discovery"`
 }
 
-// handed is all that it hands over, but for commands.
+// handoverState is what the older process hands over, except for the commands.
 type handed struct {
 	dispatch.Handed
-	Places int `json:"Places"` // connections that it has yet
+	Places int `json:"Places"` // connections that it still has
 }
 
-// meet calls at the door of a process that serves the address, and returns the list to begin with: that process's is at
-// least as fresh as the one in the configuration. nil: there is none.
+// callOlder connects to a process that serves the address and returns the list to begin with: that process's list
+// is at least as recent as the one in the configuration. nil: there is no such process.
 func (p *Program) meet(ctx context.Context) *dispatch.List {
-	until := p.since.Add(freshPatience) // nothing has changed the phase yet
+	until := p.since.Add(freshPatience) // the phase has not changed yet
 	for {
 		link, err := handover.Call(p.path())
 		if err != nil {
@@ -88,11 +90,11 @@
 			break
 		}
 		if time.Now().After(until) {
-			p.log.Warn("what answers at the door hands nothing over")
+			p.log.Warn("the process at the handover socket sends no state; starting without it")
 			p.mute = true
 			return nil
 		}
-		time.Sleep(callAgain) // another process is taking over there, and will open its own door in place of this one
+		time.Sleep(callAgain) // another process is taking over there and will put its own socket in place of this one
 	}
 	list := p.before.List
 	if p.before.listsFor(p.config.Discovery) {
@@ -103,13 +105,14 @@
 	} else {
 		p.before.List, list = nil, &p.config.Known
 	}
-	p.watcher.Subscribe() // now: what takes over waits for discovery, and takes the place of another watch
+	p.watcher.Subscribe() // now: a process that takes over waits for discovery, and its watch replaces the older one's
 	p.resize()
 	return list
 }
 
-// standingOf has the process at the other end of a link tell how it stands, and be this one's older from now on. false: it
-// has not by then, or has ended the link; it is closed and of no effect.
+// requestState waits for the state of the process at the other end of a link, which becomes the older process. It
+// returns false if the state has not arrived by the time until, or the link has ended; the link is then closed and
+// has no effect.
 func (p *Program) standingOf(ctx context.Context, r *relief, until time.Time) bool {
 	p.mu.Lock()
 	p.older = r.link
@@ -124,14 +127,14 @@
 		return true
 	}
 	r.link.Close()
-	<-r.gone // or a late word of it could still count
+	<-r.gone // otherwise a late message could still take effect
 	return false
 }
 
-// path is where the door is of whoever serves the address.
+// socketPath is the handover socket of the process that serves the address.
 func (p *Program) path() string { return handover.Path(p.config.Dir, p.config.Listen) }
 
-// resize has this process use what it may: the machine is there for all of them together.
+// resize sets the memory and connection limits: all processes at the address share the machine.
 func (p *Program) resize() {
 	p.mu.Lock()
 	relieving, yielded := p.older != nil, p.server.Yielded()
@@ -141,7 +144,7 @@
 	if !alone {
 		memory = 0.5
 	}
-	if yielded { // there is nothing to come, only to end
+	if yielded { // no new work arrives, pending work only ends
 		pool /= 4
 	} else if relieving {
 		pool -= pool / 4
@@ -150,8 +153,8 @@
 	p.pool.Bound(pool)
 }
 
-// listen opens the listener, unless it was handed over. Another process may listen at the address
-// beside this one: it is the way where its door is of no use.
+// listen opens the listener, unless it was handed over. Another process may listen at the address as well: the
+// sockets share the port, for cases where its handover socket does not work.
 func (p *Program) listen() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,8 +169,8 @@
 	return nil
 }
 
-// relieve takes the program towards serving: at once, or where an older process serves, once
-// discovery has spoken and the older has yielded.
+// advanceStart takes the program towards serving: at once, or where an older process serves, once discovery has
+// sent a list and the older process has handed over.
 func (p *Program) relieve(ctx context.Context, now time.Time) {
 	p.mu.Lock()
 	phase, since, older := p.phase, p.since, p.older
@@ -188,28 +191,27 @@
 	}
 }
 
-// step is what a process that takes over does next.
+// step is the next action of a process that starts.
 type step int
 
 const (
 	waits step = iota
-	asks       // the older to yield
+	asks       // asks the older process to hand over
 	serves
 )
 
-// turn says which, after so long in a phase. fresh: discovery has told. older: such a process is connected; mute: it
-// was, and told nothing, and may serve on by a list that the configuration's is older than. unreached: discovery cannot be
-// reached.
-//
-// A process that starts alone has the configuration's list, which is as old as the process before it. What discovery has had
-// for longer than its delay counts as known to this process too, from its first moment: it serves only once it has been told,
-// or cannot be.
-func turn(phase Phase, since time.Duration, fresh, older, mute, unreached bool) step {
+// nextStep returns the next step after the time since in a phase. fresh: discovery has sent a list. older: an
+// older process is connected. mute: one answered but sent no state; it may still be serving by a more recent list
+// than the configuration's. unreachable: discovery cannot be reached. A process that starts alone has the
+// configuration's list, which is as old as the previous process. Changes that discovery has had for longer than
+// its propagation delay count as known to this process from its first moment, so it serves only once discovery has
+// answered or cannot be reached.
+func turn(phase Phase, since time.Duration, fresh, older, mute, unreachable bool) step {
 	late := since >= freshPatience+yieldPatience
 	switch {
 	case phase == Relieving && (!older || since >= yieldPatience):
 		return serves
-	case phase == Starting && !older && (fresh || late || unreached && !mute):
+	case phase == Starting && !older && (fresh || late || unreachable && !mute):
 		return serves
 	case phase == Starting && older && (fresh || since >= freshPatience):
 		return asks
@@ -217,7 +219,7 @@
 	return waits
 }
 
-// serve begins to take commands in.
+// serve starts accepting commands.
 func (p *Program) serve(ctx context.Context) {
 	if err := p.listen(); err != nil {
 		p.failure = fmt.Errorf("listen: %w", err)
@@ -228,7 +230,7 @@
 	if p.before.Quiesced {
 		next = Quiescing
 	}
-	p.openDoor(ctx) // before the phase, by which others tell that this one can be called
+	p.openDoor(ctx) // before the phase change, which tells others that this process can be called
 	if !p.enter(next, Starting, Relieving) {
 		return
 	}
@@ -241,19 +243,19 @@
 	}
 }
 
-// openDoor lets a newer process call, in place of whoever had the door before.
+// openHandover opens the handover socket, in place of that of the process before.
 func (p *Program) openDoor(ctx context.Context) {
 	door, err := handover.Open(p.path())
 	if err != nil {
-		p.log.Error("no door for a newer process", "err", err)
+		p.log.Error("cannot open the handover socket for a newer process", "err", err)
 		return
 	}
 	p.mu.Lock()
-	before := p.door
+	previous := p.door
 	p.door = door
 	p.mu.Unlock()
-	if before != nil {
-		before.Close()
+	if previous != nil {
+		previous.Close()
 	}
 	go func() {
 		for {
@@ -266,24 +268,24 @@
 	}()
 }
 
-// greet serves a newer process, one at a time. While this one takes over itself, or has handed over, the newer one is turned
-// away: it calls again.
+// serveNewer serves a newer process, one at a time. While this process takes over itself, or has handed over,
+// callers are turned away; they call again.
 func (p *Program) greet(ctx context.Context, link *handover.Link) {
-	p.cordons.mu.Lock() // whoever is left out later is told of later
+	p.cordons.mu.Lock() // so that later cordons are sent as later messages
 	p.mu.Lock()
-	taken := p.newer != nil || p.phase == Starting || p.phase == Relieving || p.phase == Yielded
-	if !taken {
+	refused := p.newer != nil || p.phase == Starting || p.phase == Relieving || p.phase == Yielded
+	if !refused {
 		p.newer = link
 	}
 	list := p.table.List()
 	quiesced := p.phase == Quiescing || p.phase == Quiesced
 	discovery := p.discovery
 	p.mu.Unlock()
-	if !taken {
+	if !refused {
 		link.Pass(told, standing{&list, discovery, p.config.Discovery, quiesced, slices.Sorted(maps.Keys(p.cordons.out))}, kept{p.listener})
 	}
 	p.cordons.mu.Unlock()
-	if taken {
+	if refused {
 		link.Close()
 		return
 	}
@@ -316,30 +318,30 @@
 	p.newerGone(ctx)
 }
 
-// kept is a socket that is shared with the other process, not given away.
+// sharedListener is a socket that is shared with the other process, so that sending it does not close it here.
 type kept struct{ *net.TCPListener }
 
 func (kept) Close() error { return nil }
 
-// yield leaves all that is in hand and all that comes to the newer process.
+// handOver hands over all pending commands and all new work to the newer process.
 func (p *Program) yield(link *handover.Link) {
 	release := p.server.HoldCallbacks()
-	p.loop.Yield(func(given dispatch.Handed) bool {
+	p.loop.Yield(func(state dispatch.Handed) bool {
 		defer release()
-		p.pool.Unsend() // before the other process can give one up: this one may stand still here
-		for _, c := range given.Commands {
+		p.pool.Unsend() // before the other process can cancel one: this process may be suspended here
+		for _, c := range state.Commands {
 			if !link.Tell(command, c) {
 				return false
 			}
 		}
-		if !link.Tell(yielded, handed{given, p.server.Connections()}) {
+		if !link.Tell(yielded, handed{state, p.server.Connections()}) {
 			return false
 		}
 		p.server.Yield(heir{link})
-		p.listener.SetDeadline(time.Unix(1, 0)) // the socket is shared, this is not
+		p.listener.SetDeadline(time.Unix(1, 0)) // the socket is shared, this deadline is not
 		p.mu.Lock()
-		p.given = given.Module
-		p.mu.Unlock()                                  // its door stays, and turns callers away, until the newer one's is in its place
+		p.given = state.Module
+		p.mu.Unlock()                                  // the handover socket stays, turning callers away, until the newer process has its own in that place
 		p.enter(Yielded, Serving, Quiescing, Quiesced) // unless it has been told to end
 		return true
 	})
@@ -351,7 +353,7 @@
 func (h heir) Pass(nc *net.TCPConn, p clients.Passed) { h.Link.Pass(connection, p, nc) }
 func (h heir) Left()                                  { h.Tell(closed, nil) }
 
-// newerGone takes everything up again, unless this process is ending.
+// newerGone takes everything back, unless this process is ending.
 func (p *Program) newerGone(ctx context.Context) {
 	p.keepAll()
 	p.mu.Lock()
@@ -364,29 +366,29 @@
 	}
 	p.resize()
 	if p.enter(Serving, Yielded) {
-		p.log.Info("the newer process has gone")
+		p.log.Info("the newer process has ended")
 		p.listener.SetDeadline(time.Time{})
 		go p.server.Serve(ctx, p.listener)
 		p.openDoor(ctx)
 	}
 }
 
-// relief takes what the older process tells.
+// takeover handles the messages of the older process.
 type relief struct {
 	*Program
 	link     *handover.Link
-	state    chan standing // how the older stands
+	state    chan standing // the older process's state
 	gone     chan struct{} // closed once the link has ended
-	met      bool          // the older has told how it stands
+	met      bool          // the older process's state has arrived
 	commands []*dispatch.HandedCommand
 }
 
-// run takes what comes until the link ends.
+// run handles messages until the link ends.
 func (r *relief) run(ctx context.Context) {
 	defer close(r.gone)
 	r.link.Run(func(m handover.Message, f *os.File) {
 		if err := r.take(ctx, m, f); err != nil {
-			r.log.Error("from the older process", "kind", m.Kind, "err", err)
+			r.log.Error("invalid message from the older process", "kind", m.Kind, "err", err)
 		}
 		if f != nil {
 			f.Close()
@@ -453,11 +455,11 @@
 		}
 		r.loop.LapseElsewhere(id)
 	case became:
-		var fate dispatch.Fate
-		if err := m.Read(&fate); err != nil {
+		var update dispatch.Fate
+		if err := m.Read(&update); err != nil {
 			return err
 		}
-		r.loop.Became(fate)
+		r.loop.Became(update)
 	case cordoned:
 		var c cordoning
 		if err := m.Read(&c); err != nil {
@@ -481,7 +483,7 @@
 	return nil
 }
 
-// olderGone is the end of the older process: all is this one's.
+// olderGone is called when the older process has ended: this process owns everything now.
 func (p *Program) olderGone() {
 	p.keepAll()
 	p.mu.Lock()
@@ -490,10 +492,10 @@
 	p.server.ReturnAll()
 	p.loop.Alone()
 	p.resize()
-	p.log.Info("the older process has gone")
+	p.log.Info("the older process has ended")
 }
 
-// leave ends the links, once all that was told is written.
+// closeLinks ends the links once all queued messages are written.
 func (p *Program) leave() {
 	p.mu.Lock()
 	door, links := p.door, []*handover.Link{p.older, p.newer}
@@ -508,24 +510,24 @@
 	}
 }
 
-// others is the way from the loop to the other processes.
+// others forwards events of the loop to the other processes.
 type others struct{ *Program }
 
-func (o others) tell(kind string, body any, older, newer bool) (told bool) {
+func (o others) tell(kind string, body any, older, newer bool) (sent bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if older && o.older != nil {
 		o.older.Tell(kind, body)
-		told = true
+		sent = true
 	}
 	if newer && o.newer != nil {
 		o.newer.Tell(kind, body)
-		told = true
+		sent = true
 	}
-	return told
+	return sent
 }
 
-// Elsewhere passes news on to the processes that it did not come from.
+// Elsewhere forwards a callback to the processes that it did not come from.
 func (o others) Elsewhere(n dispatch.News) bool {
 	return o.tell(news, n, n.Via != dispatch.OlderProcess, n.Via != dispatch.NewerProcess)
 }
@@ -533,10 +535,10 @@
 func (o others) Became(f dispatch.Fate) { o.tell(became, f, false, true) }
 func (o others) Left(id string)         { o.tell(left, id, false, true) }
 
-// inherit takes the listener of the older process.
+// takeListener takes over the listener of the older process.
 func (p *Program) inherit(f *os.File) error {
 	if f == nil {
-		return errors.New("none came")
+		return errors.New("the older process sent no listener")
 	}
 	l, err := net.FileListener(f)
 	if err != nil {
@@ -545,7 +547,7 @@
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		l.Close()
-		return errors.New("no TCP")
+		return errors.New("the older process's listener is not a TCP listener")
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
