--- a/internal/net/handover/link.go
+++ b/internal/net/handover/link.go
@@ -20,13 +20,13 @@
 	File bool            `json:"File,omitempty"` // an open socket is sent with it
 }
 
-// Read decodes the body of a message.
-func (m Message) Read(body any) error { return json.Unmarshal(m.Body, body) }
+// Decode decodes the body of a message.
+func (m Message) Decode(body any) error { return json.Unmarshal(m.Body, body) }
 
 const (
-	maxLine       = 4 << 20
-	maxQueue      = 8192                   // messages waiting to be written
-	writePatience = 500 * time.Millisecond // for a process that does not read
+	maxLine      = 4 << 20
+	maxQueue     = 8192                   // messages waiting to be written
+	writeTimeout = 500 * time.Millisecond // for a process that does not read
 )
 
 // Link is the connection to the other process.
@@ -34,10 +34,10 @@
 	nc    *net.UnixConn
 	files []*os.File // received and not yet assigned to their messages
 
-	mu    sync.Mutex
-	queue chan outgoing // closed: nothing more is sent
-	ended bool
-	done  chan struct{} // closed once the writer has ended
+	mu     sync.Mutex
+	queue  chan outgoing // closed: nothing more is sent
+	closed bool
+	done   chan struct{} // closed once the writer has ended
 }
 
 // outgoing is a message to be written; its socket, if any, is closed here afterwards.
@@ -60,17 +60,17 @@
 
 // Send queues a message; false: the link has ended. It never blocks: a process that lets the queue fill up is
 // considered dead, and the link is closed.
-func (l *Link) Tell(kind string, body any) bool { return l.Pass(kind, body, nil) }
+func (l *Link) Send(kind string, body any) bool { return l.SendSocket(kind, body, nil) }
 
 // SendSocket queues a message and a socket, which then belongs to the other process.
-func (l *Link) Pass(kind string, body any, s Socket) bool {
+func (l *Link) SendSocket(kind string, body any, s Socket) bool {
 	text, err := json.Marshal(body)
 	if err == nil {
 		text, err = json.Marshal(Message{Kind: kind, Body: text, File: s != nil})
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err == nil && !l.ended {
+	if err == nil && !l.closed {
 		select {
 		case l.queue <- outgoing{append(text, '\n'), s}:
 			return true
@@ -87,8 +87,8 @@
 // Close ends the link once all queued messages are written.
 func (l *Link) Close() {
 	l.mu.Lock()
-	if !l.ended {
-		l.ended = true
+	if !l.closed {
+		l.closed = true
 		close(l.queue)
 	}
 	l.mu.Unlock()
@@ -99,7 +99,7 @@
 	defer close(l.done)
 	defer l.nc.Close()
 	for o := range l.queue {
-		l.send(o)
+		l.writeMessage(o)
 		if o.socket != nil {
 			o.socket.Close()
 		}
@@ -107,8 +107,8 @@
 }
 
 // writeMessage writes one message. On an error it closes the connection, which ends Run.
-func (l *Link) send(o outgoing) {
-	l.nc.SetWriteDeadline(time.Now().Add(writePatience))
+func (l *Link) writeMessage(o outgoing) {
+	l.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if o.socket != nil {
 		raw, err := o.socket.SyscallConn()
 		if err == nil {
@@ -129,7 +129,7 @@
 
 // Run passes each message to handle, with its file if it has one, until the link ends.
 func (l *Link) Run(handle func(Message, *os.File)) {
-	defer l.end()
+	defer l.shutdown()
 	lines := bufio.NewScanner(reader{l})
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (l *Link) end() {
+func (l *Link) shutdown() {
 	l.nc.Close()
 	l.Close()
 	for _, f := range l.files {
--- a/internal/net/handover/door.go
+++ b/internal/net/handover/listener.go
@@ -13,7 +13,7 @@
 // maxPath is the length of the longest path that a Unix socket address holds.
 const maxPath = len(syscall.RawSockaddrUnix{}.Path) - 1
 
-const callPatience = time.Second
+const dialTimeout = time.Second
 
 // Path returns the path of the handover socket of the process that serves an address.
 func Path(dir, address string) string {
@@ -22,7 +22,7 @@
 
 // withShortPath calls f with a form of path that fits into a socket address: a longer one is opened through a file
 // descriptor of its directory.
-func short(path string, f func(string) error) error {
+func withShortPath(path string, f func(string) error) error {
 	if len(path) <= maxPath {
 		return f(path)
 	}
@@ -35,37 +35,37 @@
 }
 
 // Listener accepts connections from newer processes.
-type Door struct{ l *net.UnixListener }
+type Listener struct{ socket *net.UnixListener }
 
-// Open opens a handover socket at a path, replacing whatever is there, such as the socket of an older process or
+// Listen opens a handover socket at a path, replacing whatever is there, such as the socket of an older process or
 // one left by a process that died.
-func Open(path string) (*Door, error) {
+func Listen(path string) (*Listener, error) {
 	temp := path + ".new"
 	if err := os.RemoveAll(temp); err != nil {
 		return nil, err
 	}
-	d := &Door{}
-	err := short(temp, func(name string) (err error) {
-		d.l, err = net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
+	d := &Listener{}
+	err := withShortPath(temp, func(name string) (err error) {
+		d.socket, err = net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	d.l.SetUnlinkOnClose(false) // by then it may belong to another process
+	d.socket.SetUnlinkOnClose(false) // by then it may belong to another process
 	if err = os.Chmod(temp, 0o600); err == nil {
 		err = os.Rename(temp, path)
 	}
 	if err != nil {
-		d.l.Close()
+		d.socket.Close()
 		return nil, err
 	}
 	return d, nil
 }
 
 // Accept waits for a newer process.
-func (d *Door) Accept() (*Link, error) {
-	nc, err := d.l.AcceptUnix()
+func (d *Listener) Accept() (*Link, error) {
+	nc, err := d.socket.AcceptUnix()
 	if err != nil {
 		return nil, err
 	}
@@ -73,13 +73,13 @@
 }
 
 // Close stops listening. The path stays: it may belong to another process.
-func (d *Door) Close() { d.l.Close() }
+func (d *Listener) Close() { d.socket.Close() }
 
-// Call connects to an older process's handover socket. An error means that no process answers.
-func Call(path string) (*Link, error) {
+// Dial connects to an older process's handover socket. An error means that no process answers.
+func Dial(path string) (*Link, error) {
 	var nc net.Conn
-	err := short(path, func(name string) (err error) {
-		dialer := net.Dialer{Deadline: time.Now().Add(callPatience)}
+	err := withShortPath(path, func(name string) (err error) {
+		dialer := net.Dialer{Deadline: time.Now().Add(dialTimeout)}
 		nc, err = dialer.Dial("unix", name)
 		return err
 	})
--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -13,9 +13,9 @@
 // admin is the operators' address as a part: it listens from the start on, so that operators can ask why the
 // program does not serve.
 type admin struct {
-	program *Program
-	address string
-	at      net.Listener
+	program  *Program
+	address  string
+	listener net.Listener
 }
 
 func (*admin) Name() string { return "admin_addr" }
@@ -23,14 +23,14 @@
 func (a *admin) Phase(_ context.Context, p Phase) (err error) {
 	switch p {
 	case Starting:
-		if a.at, err = net.Listen("tcp", a.address); err != nil {
+		if a.listener, err = net.Listen("tcp", a.address); err != nil {
 			return err
 		}
-		a.program.admin = a.at.Addr().String()
-		go operators.New(a.program, a.program.log).Serve(a.at)
+		a.program.admin = a.listener.Addr().String()
+		go operators.New(a.program, a.program.log).Serve(a.listener)
 	case Stopped:
-		if a.at != nil {
-			return a.at.Close()
+		if a.listener != nil {
+			return a.listener.Close()
 		}
 	}
 	return nil
@@ -43,7 +43,7 @@
 func (*admin) Figures() string         { return "" }
 
 // startParts notifies all parts that the program starts; an error from one ends the program.
-func (p *Program) begin(ctx context.Context) error {
+func (p *Program) startParts(ctx context.Context) error {
 	for _, t := range p.parts {
 		if err := t.Phase(ctx, Starting); err != nil {
 			return fmt.Errorf("%s: %w", t.Name(), err)
--- a/internal/program/acked_test.go
+++ b/internal/program/callbacks_test.go
@@ -58,12 +58,12 @@
 	held, ours := w.dial(), w.dial()
 	w.command(held, "c1", "once", "30000m")
 	require.Equal(t, "c1", <-took)
-	newer, err := handover.Call(w.program.path())
+	newer, err := handover.Dial(w.program.socketPath())
 	require.NoError(t, err)
 	passed := make(chan clients.Passed, 9)
 	go newer.Run(func(m handover.Message, f *os.File) {
 		var p clients.Passed
-		if m.Kind == connection && m.Read(&p) == nil && len(p.Rest) > 0 {
+		if m.Kind == msgConnection && m.Decode(&p) == nil && len(p.Rest) > 0 {
 			passed <- p
 		}
 		if f != nil {
@@ -76,12 +76,12 @@
 		return goes
 	}
 	before := hold()
-	newer.Tell(ready, nil)
-	newer.Tell(cordoned, cordoning{"s-1", true}) // once that is heard the loop has been asked to yield
+	newer.Send(msgReady, nil)
+	newer.Send(msgCordon, cordonChange{"s-1", true}) // once that is heard the loop has been asked to yield
 	w.await(func() bool {
 		w.program.cordons.mu.Lock()
 		defer w.program.cordons.mu.Unlock()
-		return w.program.cordons.out["s-1"]
+		return w.program.cordons.ids["s-1"]
 	})
 	behind := hold()
 	const body = `{"id":"c1","from":"s-1","state":"done","result":"r"}`
--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -21,19 +21,19 @@
 	write func(path string, text []byte) error // replaces the file; may block
 
 	mu      sync.Mutex // never held during file access, logging or messages to a peer
-	out     map[string]bool
-	unkept  bool         // another process has sent changes and writes them
+	ids     map[string]bool
+	unsaved bool         // another process has sent changes and writes them
 	writing bool         // a writer goroutine runs
-	waits   []chan error // callers waiting for the next write; each has a buffer of one
+	waiters []chan error // callers waiting for the next write; each has a buffer of one
 }
 
 const (
-	keepPatience = 500 * time.Millisecond // how long an operator waits for the disk
-	mostWaits    = 64                     // callers waiting for the disk; further ones get an error
+	cordonWriteTimeout = 500 * time.Millisecond // how long an operator waits for the disk
+	maxCordonWaiters   = 64                     // callers waiting for the disk; further ones get an error
 )
 
 // cordonChange is the message between processes about one cordon.
-type cordoning struct {
+type cordonChange struct {
 	ID  string `json:"ID"`
 	Out bool   `json:"Out"`
 }
@@ -54,68 +54,68 @@
 	Leave(ids []string, only bool)
 }
 
-type agreed struct{ p *Program }
+type cordonControl struct{ p *Program }
 
-func (a agreed) KeepBy(k Keeper) { a.p.keeper = k }
+func (a cordonControl) KeepBy(k Keeper) { a.p.cordonStore = k }
 
-func (a agreed) Leave(ids []string, only bool) {
+func (a cordonControl) Leave(ids []string, only bool) {
 	p := a.p
 	p.cordons.mu.Lock()
 	defer p.cordons.mu.Unlock()
-	var changes []cordoning
+	var changes []cordonChange
 	for _, id := range ids {
-		if !p.cordons.out[id] {
-			changes = append(changes, cordoning{id, true})
+		if !p.cordons.ids[id] {
+			changes = append(changes, cordonChange{id, true})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(p.cordons.out)) {
+	for _, id := range slices.Sorted(maps.Keys(p.cordons.ids)) {
 		if only && !slices.Contains(ids, id) {
-			changes = append(changes, cordoning{id, false})
+			changes = append(changes, cordonChange{id, false})
 		}
 	}
 	for _, c := range changes {
-		p.leaveOut(c, nil)
+		p.applyCordon(c, nil)
 	}
 }
 
 // Cordon cordons an instance: once it returns nil, nothing new is sent there.
-func (p *Program) Cordon(id string) error { return p.cordon(cordoning{id, true}, nil) }
+func (p *Program) Cordon(id string) error { return p.cordon(cordonChange{id, true}, nil) }
 
 // Uncordon removes an instance's cordon.
-func (p *Program) Uncordon(id string) error { return p.cordon(cordoning{id, false}, nil) }
+func (p *Program) Uncordon(id string) error { return p.cordon(cordonChange{id, false}, nil) }
 
 // applyCordon applies a change in this process and sends it to the other processes except from. The lock is held.
-func (p *Program) leaveOut(c cordoning, from *handover.Link) (ids []string) {
-	if p.cordons.out[c.ID] = c.Out; !c.Out {
-		delete(p.cordons.out, c.ID)
+func (p *Program) applyCordon(c cordonChange, from *handover.Link) (ids []string) {
+	if p.cordons.ids[c.ID] = c.Out; !c.Out {
+		delete(p.cordons.ids, c.ID)
 	}
 	p.pool.Cordon(c.ID, c.Out)
 	p.loop.Cordon(c.ID, c.Out)
 	p.mu.Lock()
 	for _, l := range []*handover.Link{p.older, p.newer} {
 		if l != nil && l != from {
-			l.Tell(cordoned, c)
+			l.Send(msgCordon, c)
 		}
 	}
 	p.mu.Unlock()
-	ids = slices.Sorted(maps.Keys(p.cordons.out))
-	p.each(func(t Part) { t.Cordoned(ids) })
+	ids = slices.Sorted(maps.Keys(p.cordons.ids))
+	p.eachPart(func(t Part) { t.Cordoned(ids) })
 	return ids
 }
 
 // cordon applies a change. from is the process that sent it; nil: an operator of this process.
-func (p *Program) cordon(c cordoning, from *handover.Link) error {
+func (p *Program) cordon(c cordonChange, from *handover.Link) error {
 	if !p.pool.Knows(c.ID) && from == nil {
 		return fmt.Errorf("%s is not known", c.ID)
 	}
-	if p.keeper != nil && from == nil {
-		return p.keeper.Cordon(c.ID, c.Out)
+	if p.cordonStore != nil && from == nil {
+		return p.cordonStore.Cordon(c.ID, c.Out)
 	}
 	p.cordons.mu.Lock()
-	ids := p.leaveOut(c, from)
+	ids := p.applyCordon(c, from)
 	var kept <-chan error
-	if p.cordons.unkept = from != nil; from == nil { // otherwise that process writes the file, or this one once that process has ended
-		kept = p.keep()
+	if p.cordons.unsaved = from != nil; from == nil { // otherwise that process writes the file, or this one once that process has ended
+		kept = p.queueWrite()
 	}
 	p.cordons.mu.Unlock()
 	if p.log.Info("cordoned", "ids", ids); from != nil {
@@ -124,7 +124,7 @@
 	err := errors.New("the disk does not answer")
 	select {
 	case err = <-kept:
-	case <-time.After(keepPatience):
+	case <-time.After(cordonWriteTimeout):
 	}
 	if err != nil {
 		return fmt.Errorf("done, but the next process may not know: %w", err)
@@ -133,42 +133,44 @@
 }
 
 // queueWrite has the current set written and returns a channel for the outcome. The lock is held.
-func (p *Program) keep() <-chan error {
+func (p *Program) queueWrite() <-chan error {
 	kept := make(chan error, 1)
-	if len(p.cordons.waits) >= mostWaits { // the next write includes this change too
+	if len(p.cordons.waiters) >= maxCordonWaiters { // the next write includes this change too
 		kept <- errors.New("the disk does not answer")
 		return kept
 	}
-	p.cordons.waits = append(p.cordons.waits, kept)
+	p.cordons.waiters = append(p.cordons.waiters, kept)
 	if !p.cordons.writing {
 		p.cordons.writing = true
-		go p.store()
+		go p.runWriter()
 	}
 	return kept
 }
 
-func (p *Program) cordonsFile() string { return strings.TrimSuffix(p.path(), ".sock") + ".cordons" }
+func (p *Program) cordonsFile() string {
+	return strings.TrimSuffix(p.socketPath(), ".sock") + ".cordons"
+}
 
 // writeUnsaved writes the set once another process has ended that may not have written it.
-func (p *Program) keepAll() {
+func (p *Program) writeUnsaved() {
 	p.cordons.mu.Lock()
 	defer p.cordons.mu.Unlock()
-	if p.cordons.unkept && p.keeper == nil {
-		p.keep()
+	if p.cordons.unsaved && p.cordonStore == nil {
+		p.queueWrite()
 	}
 }
 
 // runWriter writes the file until no caller waits for it.
-func (p *Program) store() {
+func (p *Program) runWriter() {
 	for {
 		p.cordons.mu.Lock()
-		waits := p.cordons.waits
-		if p.cordons.waits = nil; len(waits) == 0 {
+		waits := p.cordons.waiters
+		if p.cordons.waiters = nil; len(waits) == 0 {
 			p.cordons.writing = false
 			p.cordons.mu.Unlock()
 			return
 		}
-		text, err := json.Marshal(slices.Sorted(maps.Keys(p.cordons.out)))
+		text, err := json.Marshal(slices.Sorted(maps.Keys(p.cordons.ids)))
 		p.cordons.mu.Unlock()
 		if err == nil {
 			err = p.cordons.write(p.cordonsFile(), text)
@@ -184,7 +186,7 @@
 
 // replaceFile writes a temporary file and renames it: readers find either the old or the new content. The
 // temporary name is unique because two processes replace the same file during a handover.
-func replace(path string, text []byte) error {
+func replaceFile(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*.new")
 	if err != nil {
 		return err
@@ -201,11 +203,11 @@
 
 // savedCordons returns the cordons of the previous process: from the file, which is the most recent, or, where the
 // machine has lost that, from a part with longer-lived storage.
-func (p *Program) leftOut() (ids []string) {
-	if _, err := os.Stat(p.cordonsFile()); p.keeper == nil && !errors.Is(err, os.ErrNotExist) {
-		return p.stored()
+func (p *Program) savedCordons() (ids []string) {
+	if _, err := os.Stat(p.cordonsFile()); p.cordonStore == nil && !errors.Is(err, os.ErrNotExist) {
+		return p.readCordons()
 	}
-	p.each(func(t Part) {
+	p.eachPart(func(t Part) {
 		if k, ok := t.(interface{ LeftOut() []string }); ok {
 			ids = append(ids, k.LeftOut()...)
 		}
@@ -214,7 +216,7 @@
 }
 
 // readCordons returns the cordons that an earlier process has written.
-func (p *Program) stored() (ids []string) {
+func (p *Program) readCordons() (ids []string) {
 	text, err := os.ReadFile(p.cordonsFile())
 	if err == nil {
 		err = json.Unmarshal(text, &ids)
@@ -226,14 +228,14 @@
 }
 
 // restoreCordons applies the cordons of an earlier process or of a running older one.
-func (p *Program) recall(ids []string) {
+func (p *Program) restoreCordons(ids []string) {
 	p.cordons.mu.Lock()
 	defer p.cordons.mu.Unlock()
 	for _, id := range ids {
-		p.cordons.out[id] = true
+		p.cordons.ids[id] = true
 		p.pool.Cordon(id, true)
 		p.loop.Cordon(id, true)
 	}
-	all := slices.Sorted(maps.Keys(p.cordons.out))
-	p.each(func(t Part) { t.Cordoned(all) })
+	all := slices.Sorted(maps.Keys(p.cordons.ids))
+	p.eachPart(func(t Part) { t.Cordoned(all) })
 }
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -32,12 +32,12 @@
 	Take(dispatch.List)
 }
 
-type lists struct{ p *Program }
+type listControl struct{ p *Program }
 
-func (l lists) ShareBy(s Sharer)        { l.p.sharer = s }
-func (l lists) Take(list dispatch.List) { l.p.told(list) }
+func (l listControl) ShareBy(s Sharer)        { l.p.sharer = s }
+func (l listControl) Take(list dispatch.List) { l.p.receiveList(list) }
 
-func (l lists) Watch(on bool) {
+func (l listControl) Watch(on bool) {
 	if on {
 		l.p.watcher.Subscribe()
 	} else {
@@ -46,11 +46,11 @@
 }
 
 // loopDiscovery is discovery as the loop uses it. A sharer decides by itself when to watch.
-type subscriptions struct{ p *Program }
+type loopDiscovery struct{ program *Program }
 
-func (s subscriptions) Subscribe() {
-	if !s.p.shared() {
-		s.p.watcher.Subscribe()
+func (s loopDiscovery) Subscribe() {
+	if !s.program.shared() {
+		s.program.watcher.Subscribe()
 	}
 }
 
@@ -60,117 +60,117 @@
 func (p *Program) Listed(l dispatch.List) {
 	switch {
 	case !p.shared():
-		p.told(l)
+		p.receiveList(l)
 	case !p.watcher.Moving(): // other dispatchers compare revisions, and those of the old address do not apply to the new one
 		p.sharer.Listed(l)
 	}
 }
 
 // otherList is a newer list from another process that this process's watch has not reached yet.
-type ahead struct {
-	revision int64          // 0: none
-	at       string         // discovery's address
-	since    time.Time      // when it was received
-	behind   dispatch.Table // this process's watch's list, if the watch has sent a complete list that is older
-	holds    bool           // behind is in use
+type otherList struct {
+	revision   int64          // 0: none
+	address    string         // discovery's address
+	receivedAt time.Time      // when it was received
+	behind     dispatch.Table // this process's watch's list, if the watch has sent a complete list that is older
+	hasBehind  bool           // behind is in use
 }
 
 // watchLag is how long a complete list may be under way after another process has received a later one: as
 // documented for operators, a change in discovery is known everywhere by then. If the watch is still behind,
 // discovery has restarted its revisions.
-const overtaken = 6 * time.Second
+const watchLag = 6 * time.Second
 
 // receiveList applies a list from any source except another process at this address, and forwards it to those:
 // what discovery sent one of them holds for all, whichever of them sends attempts.
-func (p *Program) told(l dispatch.List) {
-	p.telling.Lock()
-	defer p.telling.Unlock()
-	if a := &p.ahead; l.Complete && !p.overtook(l) {
-		*a = ahead{}
-	} else if l.Complete || a.holds {
-		if a.behind.Take(l); !a.holds {
-			time.AfterFunc(overtaken, p.anew)
+func (p *Program) receiveList(l dispatch.List) {
+	p.listMu.Lock()
+	defer p.listMu.Unlock()
+	if a := &p.otherList; l.Complete && !p.superseded(l) {
+		*a = otherList{}
+	} else if l.Complete || a.hasBehind {
+		if a.behind.Take(l); !a.hasBehind {
+			time.AfterFunc(watchLag, p.useWatchList)
 		}
-		a.holds = a.behind.Revision() < a.revision
+		a.hasBehind = a.behind.Revision() < a.revision
 	}
-	if l.Revision > p.ahead.revision || p.ahead.revision == 0 {
-		p.take(l, false)
-		p.pass(true, true)
+	if l.Revision > p.otherList.revision || p.otherList.revision == 0 {
+		p.applyList(l, false)
+		p.forwardList(true, true)
 	}
 	select {
-	case <-p.fresh:
+	case <-p.listReceived:
 	default:
-		close(p.fresh)
+		close(p.listReceived)
 	}
 }
 
 // superseded reports whether another process has received a later list than the complete list l. Applying l would
 // revert that one, drains included, until this process's watch has sent it as well.
-func (p *Program) overtook(l dispatch.List) bool {
+func (p *Program) superseded(l dispatch.List) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return l.Revision < p.ahead.revision && p.ahead.at == p.discovery && time.Since(p.ahead.since) < overtaken
+	return l.Revision < p.otherList.revision && p.otherList.address == p.discovery && time.Since(p.otherList.receivedAt) < watchLag
 }
 
 // useWatchList applies the watch's list if the watch is still behind the other process's list.
-func (p *Program) anew() {
-	p.telling.Lock()
-	defer p.telling.Unlock()
-	if p.ahead.holds {
-		l := p.ahead.behind.List()
-		p.ahead = ahead{}
-		p.take(l, false)
-		p.pass(true, true)
+func (p *Program) useWatchList() {
+	p.listMu.Lock()
+	defer p.listMu.Unlock()
+	if p.otherList.hasBehind {
+		l := p.otherList.behind.List()
+		p.otherList = otherList{}
+		p.applyList(l, false)
+		p.forwardList(true, true)
 	}
 }
 
 // noteOtherList records another process's list, which an older list from this process's watch must not revert.
-func (p *Program) lead(l dispatch.List) {
+func (p *Program) noteOtherList(l dispatch.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ahead = ahead{revision: l.Revision, at: p.discovery, since: time.Now(), behind: p.ahead.behind, holds: p.ahead.holds}
+	p.otherList = otherList{revision: l.Revision, address: p.discovery, receivedAt: time.Now(), behind: p.otherList.behind, hasBehind: p.otherList.hasBehind}
 }
 
 // receiveOtherList applies another process's list if it is newer than ours. The watch continues from its own
 // revision: incremental changes that it repeats would revert the list.
-func (p *Program) heard(l listing, fromOlder bool) {
-	p.telling.Lock()
-	defer p.telling.Unlock()
+func (p *Program) receiveOtherList(l sharedList, fromOlder bool) {
+	p.listMu.Lock()
+	defer p.listMu.Unlock()
 	p.mu.Lock()
-	newer := l.Discovery == p.discovery && l.Revision > p.table.Revision()
+	newer := l.Discovery == p.discovery && l.Revision > p.instances.Revision()
 	p.mu.Unlock()
 	if newer {
-		p.lead(l.List)
-		p.take(l.List, true)
-		p.pass(!fromOlder, fromOlder)
+		p.noteOtherList(l.List)
+		p.applyList(l.List, true)
+		p.forwardList(!fromOlder, fromOlder)
 	}
 }
 
 // useInitialList applies the list that is known before any watch, unless the older process has sent a newer one.
-func (p *Program) known(l dispatch.List) {
-	p.telling.Lock()
-	defer p.telling.Unlock()
-	if p.ahead.revision > 0 {
+func (p *Program) useInitialList(l dispatch.List) {
+	p.listMu.Lock()
+	defer p.listMu.Unlock()
+	if p.otherList.revision > 0 {
 		return
 	}
-	if p.take(l, true); p.before.List != nil {
-		p.lead(l)
+	if p.applyList(l, true); p.olderState.List != nil {
+		p.noteOtherList(l)
 	}
 }
 
 // forwardList sends the current list to the other processes, if there are any.
-func (p *Program) pass(older, newer bool) {
+func (p *Program) forwardList(older, newer bool) {
 	if p.watcher.Moving() { // revisions of the old address do not apply to the new one
 		return
 	}
 	p.mu.Lock()
-	alone, l := p.older == nil && p.newer == nil, listing{Discovery: p.discovery}
+	alone, l := p.older == nil && p.newer == nil, sharedList{Discovery: p.discovery}
 	if !alone {
-		l.List = p.table.List()
+		l.List = p.instances.List()
 	}
 	p.mu.Unlock()
 	if !alone {
-		others{p}.tell(listed, l, older, newer)
+		others{p}.send(msgList, l, older, newer)
 	}
 }
 
@@ -188,17 +188,17 @@
 	if n == 1 {
 		level = slog.LevelWarn
 	}
-	p.notReached(err)
-	if p.log.Log(p.context, level, "discovery sends nothing; restarting the watch", "err", err); p.shared() {
+	p.noteUnreachable(err)
+	if p.log.Log(p.ctx, level, "discovery sends nothing; restarting the watch", "err", err); p.shared() {
 		p.sharer.Lost()
 	}
 }
 
 // noteUnreachable records whether a call that returned nothing has shown that discovery cannot be reached. A local
 // agent that sends nothing has no list.
-func (p *Program) notReached(err error) {
+func (p *Program) noteUnreachable(err error) {
 	if errors.Is(err, discovery.ErrNobody) || p.config.Settings.Pushed {
-		p.unreached.Store(true)
+		p.discoveryUnreachable.Store(true)
 	}
 }
 
@@ -209,7 +209,7 @@
 
 // Lost is called when a watch, or a call for one, has ended after the given time.
 func (p *Program) Lost(err error, after time.Duration) {
-	p.notReached(err)
+	p.noteUnreachable(err)
 	if p.shared() {
 		p.log.Debug("watch on discovery lost", "err", err)
 		p.sharer.Lost()
--- a/internal/program/desk.go
+++ b/internal/program/operators.go
@@ -16,14 +16,14 @@
 // Figures returns the counters shown to operators, one per line.
 func (p *Program) Figures() string {
 	all := p.loop.Books.Figures()
-	p.each(func(t Part) { all += t.Figures() })
+	p.eachPart(func(t Part) { all += t.Figures() })
 	return all
 }
 
 // counters returns all counters, for the clients' address.
 func (p *Program) counters() string {
 	all := p.loop.Books.String()
-	p.each(func(t Part) { all += t.Figures() })
+	p.eachPart(func(t Part) { all += t.Figures() })
 	return all
 }
 
@@ -45,7 +45,7 @@
 
 // Show returns the text that a part has under a name; empty: none has one.
 func (p *Program) Show(name string) (text string) {
-	p.each(func(t Part) {
+	p.eachPart(func(t Part) {
 		if s, ok := t.(interface{ Show(string) string }); ok && text == "" {
 			text = s.Show(name)
 		}
--- a/internal/program/part.go
+++ b/internal/program/part.go
@@ -48,7 +48,7 @@
 type NewPart func(Core) (Part, error)
 
 // eachPart calls f with every part.
-func (p *Program) each(f func(Part)) {
+func (p *Program) eachPart(f func(Part)) {
 	for _, t := range p.parts {
 		f(t)
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -35,15 +35,15 @@
 // The phases, in their order. An operator can take the program from Quiescing and Quiesced back to Serving; if the
 // newer process dies, the program goes from Yielded back to Serving.
 const (
-	Starting  Phase = iota // parts are created, no commands are accepted
-	Relieving              // an older process has been asked to hand over
-	Serving                // commands are accepted
-	Quiescing              // clients are sent away: the front still sends requests, and responses close connections
-	Quiesced               // the front has switched away: idle connections are closed as well
-	Yielded                // a newer process accepts new work; this one answers pending commands
-	Departing              // termination requested: as Quiescing
-	Draining               // termination requested: as Quiesced or Yielded, until no commands are pending
-	Stopped                // no commands are pending and nothing listens
+	Starting   Phase = iota // parts are created, no commands are accepted
+	TakingOver              // an older process has been asked to hand over
+	Serving                 // commands are accepted
+	Quiescing               // clients are sent away: the front still sends requests, and responses close connections
+	Quiesced                // the front has switched away: idle connections are closed as well
+	Yielded                 // a newer process accepts new work; this one answers pending commands
+	Departing               // termination requested: as Quiescing
+	Draining                // termination requested: as Quiesced or Yielded, until no commands are pending
+	Stopped                 // no commands are pending and nothing listens
 )
 
 func (p Phase) String() string {
@@ -54,12 +54,12 @@
 
 const (
 	// The front keeps sending requests for up to 0.4 s after a failed health check.
-	departure = 600 * time.Millisecond
+	frontSwitchDelay = 600 * time.Millisecond
 	// While quiesced, a client's connection that has been idle for this long is closed.
-	quiet = 200 * time.Millisecond
-	check = 10 * time.Millisecond
+	idleGrace    = 200 * time.Millisecond
+	pollInterval = 10 * time.Millisecond
 	// By then, connections whose handshake had begun have been accepted.
-	barred = 2 * check
+	handshakeGrace = 2 * pollInterval
 
 	reservedSockets = 64  // standard files, the poller, the listener, discovery and a margin
 	memoryShare     = 0.7 // share of the memory limit that the heap may take before the collector runs harder
@@ -68,77 +68,77 @@
 
 // Program is one dispatcher process.
 type Program struct {
-	config  *config.Config
-	log     *slog.Logger
-	address string // set before the phase is Serving
-	admin   string // likewise; empty: there is no operators' address
-	loop    *dispatch.Loop
-	pool    *upstream.Pool
-	watcher *discovery.Watcher
-	server  *clients.Server
-	loads   *loadreport.Reader
-	bounds  bounds
-	cordons cordons
-	fresh   chan struct{} // closed once discovery has sent a list
+	config       *config.Config
+	log          *slog.Logger
+	address      string // set before the phase is Serving
+	admin        string // likewise; empty: there is no operators' address
+	loop         *dispatch.Loop
+	pool         *upstream.Pool
+	watcher      *discovery.Watcher
+	server       *clients.Server
+	loads        *loadreport.Reader
+	connLimits   connLimits
+	cordons      cordons
+	listReceived chan struct{} // closed once discovery has sent a list
 	// discoveryUnreachable: no call has reached discovery yet, so its current list cannot be known.
-	unreached atomic.Bool
-	parts     []Part
-	keeper    Keeper // nil: cordons are kept in a file
-	reloads   chan func(error)
-	sharer    Sharer          // nil: the list comes only from this process's watch
-	mute      bool            // an older process answered the handover call but sent no state
-	telling   sync.Mutex      // serializes list updates
-	ahead     ahead           // the list from another process that this process's watch has not reached yet; guarded by listMu
-	names     wire.Names      // the names in force; guarded by listMu
-	context   context.Context // of Run
-	failure   error           // why the program ended by itself; used only by the goroutine of Run
+	discoveryUnreachable atomic.Bool
+	parts                []Part
+	cordonStore          Keeper // nil: cordons are kept in a file
+	reloadRequests       chan func(error)
+	sharer               Sharer          // nil: the list comes only from this process's watch
+	olderSilent          bool            // an older process answered the handover call but sent no state
+	listMu               sync.Mutex      // serializes list updates
+	otherList            otherList       // the list from another process that this process's watch has not reached yet; guarded by listMu
+	names                wire.Names      // the names in force; guarded by listMu
+	ctx                  context.Context // of Run
+	runErr               error           // why the program ended by itself; used only by the goroutine of Run
 
-	mu           sync.Mutex
-	phase        Phase
-	since        time.Time // start of the phase
-	ending       bool      // termination was requested while taking over
-	last         time.Time // after a termination request: the time by which every command has to be answered; zero: none
-	barred       time.Time // since when new connections are refused
-	listener     *net.TCPListener
-	table        dispatch.Table
-	discovery    string
-	older, newer *handover.Link // the other processes; nil: none
-	before       standing       // the state sent by the older process
-	given        decide.Memory  // decision state sent to the newer process
-	door         *handover.Door
+	mu               sync.Mutex
+	phase            Phase
+	phaseSince       time.Time // start of the phase
+	endRequested     bool      // termination was requested while taking over
+	answerBy         time.Time // after a termination request: the time by which every command has to be answered; zero: none
+	refusedSince     time.Time // since when new connections are refused
+	listener         *net.TCPListener
+	instances        dispatch.Table
+	discovery        string
+	older, newer     *handover.Link // the other processes; nil: none
+	olderState       processState   // the state sent by the older process
+	handedSnapshot   decide.Memory  // decision state sent to the newer process
+	handoverListener *handover.Listener
 }
 
 // connLimits is how many connections the components may use while no other process runs at the address.
-type bounds struct{ listener, pool int }
+type connLimits struct{ listener, pool int }
 
 // New creates a dispatcher with the given additional parts.
 func New(c *config.Config, logger *slog.Logger, parts ...NewPart) (*Program, error) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
 	debug.SetGCPercent(collectAt)
-	p := &Program{config: c, log: logger, fresh: make(chan struct{}), reloads: make(chan func(error), 4), cordons: cordons{out: map[string]bool{}, write: replace}, discovery: c.Discovery, names: c.Names, since: time.Now()}
+	p := &Program{config: c, log: logger, listReceived: make(chan struct{}), reloadRequests: make(chan func(error), 4), cordons: cordons{ids: map[string]bool{}, write: replaceFile}, discovery: c.Discovery, names: c.Names, phaseSince: time.Now()}
 	sockets := c.Limits.Sockets - reservedSockets
-	p.bounds.pool = sockets * 2 / 5
+	p.connLimits.pool = sockets * 2 / 5
 	p.pool = upstream.NewPool(upstream.Limits{
-		Connections: p.bounds.pool, Connect: c.Settings.Limits.ConnectTimeout, Idle: c.Settings.Limits.ConnIdle,
+		Connections: p.connLimits.pool, Connect: c.Settings.Limits.ConnectTimeout, Idle: c.Settings.Limits.ConnIdle,
 	})
 	p.watcher = discovery.NewWatcher(c.Discovery, c.Known.Revision, c.Settings)
-	p.bounds.listener = sockets - p.bounds.pool
-	s := p.bound(c.Settings)
+	p.connLimits.listener = sockets - p.connLimits.pool
+	s := p.limitOpen(c.Settings)
 	var err error
-	if p.loop, err = dispatch.New(s, c.Names, p.pool, subscriptions{p}, others{p}, logger); err != nil {
+	if p.loop, err = dispatch.New(s, c.Names, p.pool, loopDiscovery{p}, others{p}, logger); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	p.pool.ReportTo(p.loop)
 	p.loads = loadreport.New(c.Names.Reports, logger)
 	p.pool.ReadBy(p.loads)
-	p.server = clients.New(p.loop, s, c.Names, p.bounds.listener, p.counters, logger)
+	p.server = clients.New(p.loop, s, c.Names, p.connLimits.listener, p.counters, logger)
 	p.server.ReadBy(p.loads)
 	p.server.CountIn(&p.loop.Books)
 	if c.Admin != "" {
 		p.parts = append(p.parts, &admin{program: p, address: c.Admin})
 	}
 	for _, create := range parts {
-		t, err := create(Core{Loop: p.loop, Log: logger, Config: c, Lists: lists{p}, Cordons: agreed{p}, Reload: p.again})
+		t, err := create(Core{Loop: p.loop, Log: logger, Config: c, Lists: listControl{p}, Cordons: cordonControl{p}, Reload: p.requestReload})
 		if err != nil {
 			return nil, err
 		}
@@ -164,25 +164,25 @@
 
 // enter moves the program to phase next if it is in one of the phases from, and reports whether it was.
 func (p *Program) enter(next Phase, from ...Phase) bool {
-	if !p.change(next, from) {
+	if !p.setPhase(next, from) {
 		return false
 	}
 	p.log.Info(next.String(), "held", p.loop.Holding()) // without the lock: logging may block on a slow reader
-	p.each(func(t Part) {
-		if err := t.Phase(p.context, next); err != nil {
+	p.eachPart(func(t Part) {
+		if err := t.Phase(p.ctx, next); err != nil {
 			p.log.Error("part", "name", t.Name(), "phase", next.String(), "err", err)
 		}
 	})
 	return true
 }
 
-func (p *Program) change(next Phase, from []Phase) bool {
+func (p *Program) setPhase(next Phase, from []Phase) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !slices.Contains(from, p.phase) {
 		return false
 	}
-	p.phase, p.since = next, time.Now()
+	p.phase, p.phaseSince = next, time.Now()
 	p.server.Away(next > Serving)
 	return true
 }
@@ -193,97 +193,97 @@
 	known.Complete = true
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p.context = ctx
-	if err := p.begin(ctx); err != nil {
+	p.ctx = ctx
+	if err := p.startParts(ctx); err != nil {
 		return err
 	}
-	if list := p.meet(ctx); list != nil {
+	if list := p.callOlder(ctx); list != nil {
 		known.Revision, known.Members = list.Revision, list.Members
 	} else {
-		p.recall(p.leftOut())
+		p.restoreCordons(p.savedCordons())
 	}
-	p.known(known)
+	p.useInitialList(known)
 	go p.loop.Run(ctx)
 	go p.watcher.Run(ctx, p)
-	go p.obey(ctx, signals)
-	for tick := time.NewTicker(check); p.Phase() != Stopped; <-tick.C {
+	go p.handleSignals(ctx, signals)
+	for tick := time.NewTicker(pollInterval); p.Phase() != Stopped; <-tick.C {
 		p.advance(ctx, time.Now())
 	}
-	p.leave()
+	p.closeLinks()
 	if p.listener != nil {
 		p.listener.Close()
 	}
 	p.log.Info("counters at exit", p.loop.Books.Attrs()...)
-	return p.failure
+	return p.runErr
 }
 
 // advance makes the phase changes that are due at now.
 func (p *Program) advance(ctx context.Context, now time.Time) {
 	p.mu.Lock()
-	phase, since, last := p.phase, p.since, p.last
+	phase, since, last := p.phase, p.phaseSince, p.answerBy
 	p.mu.Unlock()
 	if late := !last.IsZero() && now.After(last); late && (phase == Departing || phase == Draining) && !p.server.Yielded() {
-		p.bar(now)
+		p.refuseConnections(now)
 		p.server.Finish(now)
 		p.loop.Finish()
 	}
-	switch moved := now.Sub(since) >= departure; phase {
-	case Starting, Relieving:
-		p.relieve(ctx, now)
+	switch moved := now.Sub(since) >= frontSwitchDelay; phase {
+	case Starting, TakingOver:
+		p.advanceStart(ctx, now)
 	case Quiescing:
 		if moved {
 			p.enter(Quiesced, Quiescing)
 		}
 	case Quiesced:
-		p.server.CloseIdle(now.Add(-quiet))
+		p.server.CloseIdle(now.Add(-idleGrace))
 	case Departing:
 		if moved {
 			p.enter(Draining, Departing)
 		}
 	case Draining:
-		p.server.CloseIdle(now.Add(-quiet))
+		p.server.CloseIdle(now.Add(-idleGrace))
 		// Waits for cancellations under way, which spare instances useless work; each ends within a second.
-		if p.loop.Holding() == 0 && !p.pool.Busy() && p.server.Quiet() && !slices.ContainsFunc(p.parts, func(t Part) bool { return !t.Quiet() }) && p.bar(now) {
+		if p.loop.Holding() == 0 && !p.pool.Busy() && p.server.Quiet() && !slices.ContainsFunc(p.parts, func(t Part) bool { return !t.Quiet() }) && p.refuseConnections(now) {
 			p.enter(Stopped, Draining)
 		}
 	}
 }
 
 // refuseConnections refuses new connections and reports whether those whose handshake had begun are accepted.
-func (p *Program) bar(now time.Time) bool {
+func (p *Program) refuseConnections(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.newer != nil { // which accepts them
 		return true
 	}
-	if p.barred.IsZero() {
-		p.barred = now
+	if p.refusedSince.IsZero() {
+		p.refusedSince = now
 		if err := clients.Bar(p.listener); err != nil {
 			p.log.Debug("cannot refuse new connections on the listener", "err", err)
 		}
 	}
-	return now.Sub(p.barred) >= barred
+	return now.Sub(p.refusedSince) >= handshakeGrace
 }
 
 // handleSignals handles signals and reload requests: SIGHUP rereads the configuration, in every phase; any other
 // signal ends the program.
-func (p *Program) obey(ctx context.Context, signals <-chan os.Signal) {
+func (p *Program) handleSignals(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case done := <-p.reloads:
+		case done := <-p.reloadRequests:
 			done(p.reload())
 		case s := <-signals:
 			if s == syscall.SIGHUP {
-				p.each(func(t Part) {
+				p.eachPart(func(t Part) {
 					if h, ok := t.(interface{ Asked() }); ok {
 						h.Asked()
 					}
 				})
 				p.reload()
 			} else {
-				p.end()
+				p.terminate()
 			}
 		}
 	}
@@ -291,23 +291,23 @@
 
 // clientsDivisor: clients have at most 1/clientsDivisor of the descriptors for their requests, as documented for
 // operators. A client that holds all of them cannot get a response to a further request.
-const clientsPart = 3
+const clientsDivisor = 3
 
 // limitOpen lowers the limit of open commands to what the connections allow. Each open command keeps a connection,
 // and some must stay free: here, so that callbacks can arrive, without which no pending command would ever end;
 // and at the clients, so that requests can be refused. Package decide refuses requests beyond the limit.
-func (p *Program) bound(s decide.Settings) decide.Settings {
-	clients := p.config.Limits.Sockets / clientsPart
-	if open := min(clients-clients/8, p.bounds.listener-p.bounds.listener/6); s.Limits.Open <= 0 || s.Limits.Open > open {
+func (p *Program) limitOpen(s decide.Settings) decide.Settings {
+	clients := p.config.Limits.Sockets / clientsDivisor
+	if open := min(clients-clients/8, p.connLimits.listener-p.connLimits.listener/6); s.Limits.Open <= 0 || s.Limits.Open > open {
 		s.Limits.Open = open
 	}
 	return s
 }
 
 // requestReload has the configuration reloaded and passes the outcome to done.
-func (p *Program) again(done func(error)) {
+func (p *Program) requestReload(done func(error)) {
 	select {
-	case p.reloads <- done:
+	case p.reloadRequests <- done:
 	default:
 		go done(errors.New("the program has reloads to do already"))
 	}
@@ -317,14 +317,14 @@
 func (p *Program) reload() error {
 	next, err := p.config.Reload()
 	if err == nil {
-		err = p.loop.Retune(p.bound(next.Settings), next.Names) // package decide may reject the settings
+		err = p.loop.Retune(p.limitOpen(next.Settings), next.Names) // package decide may reject the settings
 	}
 	if err != nil {
 		p.loop.Books.LoadErrors.Add(1)
 		p.log.Error("configuration not reloaded", "err", err)
 		return err
 	}
-	p.named(next.Names)
+	p.updateNames(next.Names)
 	p.server.Retune(next.Settings, next.Names)
 	p.loads.Retune(next.Names.Reports)
 	p.watcher.Retune(next.Settings)
@@ -335,7 +335,7 @@
 	p.loop.Books.Loads.Add(1)
 	p.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", next.Names.Classes)
 	p.config.Running(next)
-	p.each(func(t Part) { t.Reloaded(next) })
+	p.eachPart(func(t Part) { t.Reloaded(next) })
 	p.mu.Lock()
 	moved := next.Discovery != p.discovery
 	p.discovery = next.Discovery
@@ -351,34 +351,34 @@
 
 // updateNames passes the list to the loop again where the settings name other zones or kinds of encoder: the list
 // refers to them by name.
-func (p *Program) named(names wire.Names) {
-	p.telling.Lock()
-	defer p.telling.Unlock()
+func (p *Program) updateNames(names wire.Names) {
+	p.listMu.Lock()
+	defer p.listMu.Unlock()
 	was := p.names
 	if p.names = names; slices.Equal(was.Zones, names.Zones) && slices.Equal(was.Kinds, names.Kinds) {
 		return
 	}
 	p.mu.Lock()
-	l := p.table.List()
+	l := p.instances.List()
 	p.mu.Unlock()
 	p.loop.Listed(l, true)
 }
 
 // terminate ends the program gracefully.
-func (p *Program) end() {
+func (p *Program) terminate() {
 	p.mu.Lock()
-	p.ending = true // while taking over: the older process may have handed over already
-	p.last = p.server.End(time.Now())
+	p.endRequested = true // while taking over: the older process may have handed over already
+	p.answerBy = p.server.End(time.Now())
 	p.mu.Unlock()
 	_ = p.enter(Stopped, Starting) || p.enter(Departing, Serving, Quiescing, Quiesced) || p.enter(Draining, Yielded)
 }
 
 // applyList applies a list, to the pool first, which checks each send.
-func (p *Program) take(l dispatch.List, cached bool) {
+func (p *Program) applyList(l dispatch.List, cached bool) {
 	p.mu.Lock()
-	p.table.Take(l)
+	p.instances.Take(l)
 	p.mu.Unlock()
 	p.pool.Listed(l)
-	p.each(func(t Part) { t.Listed(l) })
+	p.eachPart(func(t Part) { t.Listed(l) })
 	p.loop.Listed(l, cached)
 }
--- a/internal/program/story_test.go
+++ b/internal/program/program_test.go
@@ -269,7 +269,7 @@
 func TestClientsAreLeftAConnection(t *testing.T) {
 	w := startBy(t, strings.Replace(usualSettings, `"OpenCap":100`, `"OpenCap":20000`, 1), "",
 		func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
-	most := w.program.config.Limits.Sockets / clientsPart
+	most := w.program.config.Limits.Sockets / clientsDivisor
 	refused := make(chan int, most)
 	for i := range most {
 		c := w.dial()
@@ -282,7 +282,7 @@
 	}
 	require.Equal(t, 503, <-refused)
 	w.await(func() bool { return w.figure("in_progress") == strconv.Itoa(most-most/8) })
-	require.Less(t, w.program.server.Connections(), w.program.bounds.listener)
+	require.Less(t, w.program.server.Connections(), w.program.connLimits.listener)
 }
 
 // SIGTERM loses nothing: what is held is answered, new connections and call-backs still
--- a/internal/program/relief.go
+++ b/internal/program/takeover.go
@@ -27,28 +27,28 @@
 // machine the older process may be held up for a second or two: if this process stops waiting for it, the commands
 // that it holds and the connections waiting in its listener are lost.
 const (
-	freshPatience = 2500 * time.Millisecond // for discovery, and for the older process's list, which is used if discovery sends none
-	yieldPatience = 1500 * time.Millisecond // for the older process to hand over
-	callAgain     = 20 * time.Millisecond   // before calling again a process that already has a newer one
+	freshListTimeout  = 2500 * time.Millisecond // for discovery, and for the older process's list, which is used if discovery sends none
+	handoverTimeout   = 1500 * time.Millisecond // for the older process to hand over
+	callRetryInterval = 20 * time.Millisecond   // before calling again a process that already has a newer one
 )
 
 // The kinds of message between the processes.
 const (
-	told       = "standing"   // from the older: a processState, and its listener
-	ready      = "ready"      // from the newer: it is ready to serve
-	command    = "command"    // from the older: a dispatch.HandedCommand
-	yielded    = "yielded"    // from the older: a handoverState, after which it accepts nothing more
-	connection = "connection" // from the older: a clients.Passed and its socket
-	closed     = "closed"     // from the older: one of its connections has ended
-	left       = "left"       // from the older: the ID of a command whose client has disconnected
-	became     = "became"     // from the older: a dispatch.Fate
-	cordoned   = "cordoned"   // from either: a cordonChange
-	listed     = "listed"     // from either: a sharedList, as just received
-	news       = "news"       // from either: a dispatch.News that matches no attempt there
+	msgState         = "standing"   // from the older: a processState, and its listener
+	msgReady         = "ready"      // from the newer: it is ready to serve
+	msgCommand       = "command"    // from the older: a dispatch.HandedCommand
+	msgHandedOver    = "yielded"    // from the older: a handoverState, after which it accepts nothing more
+	msgConnection    = "connection" // from the older: a clients.Passed and its socket
+	msgConnClosed    = "closed"     // from the older: one of its connections has ended
+	msgClientGone    = "left"       // from the older: the ID of a command whose client has disconnected
+	msgAttemptUpdate = "became"     // from the older: a dispatch.Fate
+	msgCordon        = "cordoned"   // from either: a cordonChange
+	msgList          = "listed"     // from either: a sharedList, as just received
+	msgCallback      = "news"       // from either: a dispatch.News that matches no attempt there
 )
 
 // processState is the state that the older process sends first.
-type standing struct {
+type processState struct {
 	List       *dispatch.List `json:"List"`
 	Discovery  string         `json:"Discovery"`  // the address that its list comes from
 	Configured string         `json:"Configured"` // discovery's address in its configuration at its start; empty: an older version, which does not send it
@@ -60,50 +60,50 @@
 // the address configured. The older process's discovery may have been moved since its start, which the newer
 // process's environment need not reflect; but where that environment names another discovery than the older
 // process was started with, the newer process is meant to use another list.
-func (s standing) listsFor(configured string) bool {
+func (s processState) sameDiscovery(configured string) bool {
 	return s.Configured == "" || s.Configured == configured || s.Discovery == configured
 }
 
 // sharedList is the complete list, with the address of the discovery that its revision refers to.
-type listing struct {
+type sharedList struct {
 	dispatch.List
 	Discovery string `json:"Discovery"`
 }
 
 // handoverState is what the older process hands over, except for the commands.
-type handed struct {
+type handoverState struct {
 	dispatch.Handed
 	Places int `json:"Places"` // connections that it still has
 }
 
 // callOlder connects to a process that serves the address and returns the list to begin with: that process's list
 // is at least as recent as the one in the configuration. nil: there is no such process.
-func (p *Program) meet(ctx context.Context) *dispatch.List {
-	until := p.since.Add(freshPatience) // the phase has not changed yet
+func (p *Program) callOlder(ctx context.Context) *dispatch.List {
+	until := p.phaseSince.Add(freshListTimeout) // the phase has not changed yet
 	for {
-		link, err := handover.Call(p.path())
+		link, err := handover.Dial(p.socketPath())
 		if err != nil {
 			return nil
 		}
-		r := &relief{Program: p, link: link, state: make(chan standing, 1), gone: make(chan struct{})}
-		if p.standingOf(ctx, r, until) {
+		r := &takeover{Program: p, link: link, state: make(chan processState, 1), ended: make(chan struct{})}
+		if p.requestState(ctx, r, until) {
 			break
 		}
 		if time.Now().After(until) {
 			p.log.Warn("the process at the handover socket sends no state; starting without it")
-			p.mute = true
+			p.olderSilent = true
 			return nil
 		}
-		time.Sleep(callAgain) // another process is taking over there and will put its own socket in place of this one
+		time.Sleep(callRetryInterval) // another process is taking over there and will put its own socket in place of this one
 	}
-	list := p.before.List
-	if p.before.listsFor(p.config.Discovery) {
-		p.watcher.From(p.before.Discovery, list.Revision)
+	list := p.olderState.List
+	if p.olderState.sameDiscovery(p.config.Discovery) {
+		p.watcher.From(p.olderState.Discovery, list.Revision)
 		p.mu.Lock()
-		p.discovery = p.before.Discovery
+		p.discovery = p.olderState.Discovery
 		p.mu.Unlock()
 	} else {
-		p.before.List, list = nil, &p.config.Known
+		p.olderState.List, list = nil, &p.config.Known
 	}
 	p.watcher.Subscribe() // now: a process that takes over waits for discovery, and its watch replaces the older one's
 	p.resize()
@@ -113,26 +113,26 @@
 // requestState waits for the state of the process at the other end of a link, which becomes the older process. It
 // returns false if the state has not arrived by the time until, or the link has ended; the link is then closed and
 // has no effect.
-func (p *Program) standingOf(ctx context.Context, r *relief, until time.Time) bool {
+func (p *Program) requestState(ctx context.Context, r *takeover, until time.Time) bool {
 	p.mu.Lock()
 	p.older = r.link
 	p.mu.Unlock()
 	go r.run(ctx)
 	select {
-	case p.before = <-r.state:
-	case <-r.gone:
+	case p.olderState = <-r.state:
+	case <-r.ended:
 	case <-time.After(time.Until(until)):
 	}
-	if p.before.List != nil {
+	if p.olderState.List != nil {
 		return true
 	}
 	r.link.Close()
-	<-r.gone // otherwise a late message could still take effect
+	<-r.ended // otherwise a late message could still take effect
 	return false
 }
 
 // socketPath is the handover socket of the process that serves the address.
-func (p *Program) path() string { return handover.Path(p.config.Dir, p.config.Listen) }
+func (p *Program) socketPath() string { return handover.Path(p.config.Dir, p.config.Listen) }
 
 // resize sets the memory and connection limits: all processes at the address share the machine.
 func (p *Program) resize() {
@@ -140,7 +140,7 @@
 	relieving, yielded := p.older != nil, p.server.Yielded()
 	alone := !relieving && p.newer == nil
 	p.mu.Unlock()
-	memory, pool := 1.0, p.bounds.pool
+	memory, pool := 1.0, p.connLimits.pool
 	if !alone {
 		memory = 0.5
 	}
@@ -171,22 +171,22 @@
 
 // advanceStart takes the program towards serving: at once, or where an older process serves, once discovery has
 // sent a list and the older process has handed over.
-func (p *Program) relieve(ctx context.Context, now time.Time) {
+func (p *Program) advanceStart(ctx context.Context, now time.Time) {
 	p.mu.Lock()
-	phase, since, older := p.phase, p.since, p.older
+	phase, since, older := p.phase, p.phaseSince, p.older
 	p.mu.Unlock()
 	fresh := false
 	select {
-	case <-p.fresh:
+	case <-p.listReceived:
 		fresh = true
 	default:
 	}
-	switch turn(phase, now.Sub(since), fresh, older != nil, p.mute, p.unreached.Load()) {
-	case serves:
+	switch nextStep(phase, now.Sub(since), fresh, older != nil, p.olderSilent, p.discoveryUnreachable.Load()) {
+	case stepServe:
 		p.serve(ctx)
-	case asks:
-		if p.enter(Relieving, Starting) {
-			older.Tell(ready, nil)
+	case stepAskHandover:
+		if p.enter(TakingOver, Starting) {
+			older.Send(msgReady, nil)
 		}
 	}
 }
@@ -195,9 +195,9 @@
 type step int
 
 const (
-	waits step = iota
-	asks       // asks the older process to hand over
-	serves
+	stepWait        step = iota
+	stepAskHandover      // asks the older process to hand over
+	stepServe
 )
 
 // nextStep returns the next step after the time since in a phase. fresh: discovery has sent a list. older: an
@@ -206,53 +206,53 @@
 // configuration's list, which is as old as the previous process. Changes that discovery has had for longer than
 // its propagation delay count as known to this process from its first moment, so it serves only once discovery has
 // answered or cannot be reached.
-func turn(phase Phase, since time.Duration, fresh, older, mute, unreachable bool) step {
-	late := since >= freshPatience+yieldPatience
+func nextStep(phase Phase, since time.Duration, fresh, older, mute, unreachable bool) step {
+	late := since >= freshListTimeout+handoverTimeout
 	switch {
-	case phase == Relieving && (!older || since >= yieldPatience):
-		return serves
+	case phase == TakingOver && (!older || since >= handoverTimeout):
+		return stepServe
 	case phase == Starting && !older && (fresh || late || unreachable && !mute):
-		return serves
-	case phase == Starting && older && (fresh || since >= freshPatience):
-		return asks
+		return stepServe
+	case phase == Starting && older && (fresh || since >= freshListTimeout):
+		return stepAskHandover
 	}
-	return waits
+	return stepWait
 }
 
 // serve starts accepting commands.
 func (p *Program) serve(ctx context.Context) {
 	if err := p.listen(); err != nil {
-		p.failure = fmt.Errorf("listen: %w", err)
-		p.enter(Stopped, Starting, Relieving)
+		p.runErr = fmt.Errorf("listen: %w", err)
+		p.enter(Stopped, Starting, TakingOver)
 		return
 	}
 	next := Serving
-	if p.before.Quiesced {
+	if p.olderState.Quiesced {
 		next = Quiescing
 	}
-	p.openDoor(ctx) // before the phase change, which tells others that this process can be called
-	if !p.enter(next, Starting, Relieving) {
+	p.openHandover(ctx) // before the phase change, which tells others that this process can be called
+	if !p.enter(next, Starting, TakingOver) {
 		return
 	}
 	go p.server.Serve(ctx, p.listener)
 	p.mu.Lock()
-	ending := p.ending
+	ending := p.endRequested
 	p.mu.Unlock()
 	if ending {
-		p.end()
+		p.terminate()
 	}
 }
 
 // openHandover opens the handover socket, in place of that of the process before.
-func (p *Program) openDoor(ctx context.Context) {
-	door, err := handover.Open(p.path())
+func (p *Program) openHandover(ctx context.Context) {
+	door, err := handover.Listen(p.socketPath())
 	if err != nil {
 		p.log.Error("cannot open the handover socket for a newer process", "err", err)
 		return
 	}
 	p.mu.Lock()
-	previous := p.door
-	p.door = door
+	previous := p.handoverListener
+	p.handoverListener = door
 	p.mu.Unlock()
 	if previous != nil {
 		previous.Close()
@@ -263,26 +263,26 @@
 			if err != nil {
 				return
 			}
-			go p.greet(ctx, link)
+			go p.serveNewer(ctx, link)
 		}
 	}()
 }
 
 // serveNewer serves a newer process, one at a time. While this process takes over itself, or has handed over,
 // callers are turned away; they call again.
-func (p *Program) greet(ctx context.Context, link *handover.Link) {
+func (p *Program) serveNewer(ctx context.Context, link *handover.Link) {
 	p.cordons.mu.Lock() // so that later cordons are sent as later messages
 	p.mu.Lock()
-	refused := p.newer != nil || p.phase == Starting || p.phase == Relieving || p.phase == Yielded
+	refused := p.newer != nil || p.phase == Starting || p.phase == TakingOver || p.phase == Yielded
 	if !refused {
 		p.newer = link
 	}
-	list := p.table.List()
+	list := p.instances.List()
 	quiesced := p.phase == Quiescing || p.phase == Quiesced
 	discovery := p.discovery
 	p.mu.Unlock()
 	if !refused {
-		link.Pass(told, standing{&list, discovery, p.config.Discovery, quiesced, slices.Sorted(maps.Keys(p.cordons.out))}, kept{p.listener})
+		link.SendSocket(msgState, processState{&list, discovery, p.config.Discovery, quiesced, slices.Sorted(maps.Keys(p.cordons.ids))}, sharedListener{p.listener})
 	}
 	p.cordons.mu.Unlock()
 	if refused {
@@ -292,21 +292,21 @@
 	p.resize()
 	link.Run(func(m handover.Message, f *os.File) {
 		switch m.Kind {
-		case ready:
-			p.yield(link)
-		case cordoned:
-			var c cordoning
-			if m.Read(&c) == nil {
+		case msgReady:
+			p.handOver(link)
+		case msgCordon:
+			var c cordonChange
+			if m.Decode(&c) == nil {
 				p.cordon(c, link)
 			}
-		case listed:
-			var l listing
-			if m.Read(&l) == nil {
-				p.heard(l, false)
+		case msgList:
+			var l sharedList
+			if m.Decode(&l) == nil {
+				p.receiveOtherList(l, false)
 			}
-		case news:
+		case msgCallback:
 			var n dispatch.News
-			if m.Read(&n) == nil {
+			if m.Decode(&n) == nil {
 				n.Via = dispatch.NewerProcess
 				p.loop.News(n)
 			}
@@ -319,28 +319,28 @@
 }
 
 // sharedListener is a socket that is shared with the other process, so that sending it does not close it here.
-type kept struct{ *net.TCPListener }
+type sharedListener struct{ *net.TCPListener }
 
-func (kept) Close() error { return nil }
+func (sharedListener) Close() error { return nil }
 
 // handOver hands over all pending commands and all new work to the newer process.
-func (p *Program) yield(link *handover.Link) {
+func (p *Program) handOver(link *handover.Link) {
 	release := p.server.HoldCallbacks()
 	p.loop.Yield(func(state dispatch.Handed) bool {
 		defer release()
 		p.pool.Unsend() // before the other process can cancel one: this process may be suspended here
 		for _, c := range state.Commands {
-			if !link.Tell(command, c) {
+			if !link.Send(msgCommand, c) {
 				return false
 			}
 		}
-		if !link.Tell(yielded, handed{state, p.server.Connections()}) {
+		if !link.Send(msgHandedOver, handoverState{state, p.server.Connections()}) {
 			return false
 		}
 		p.server.Yield(heir{link})
 		p.listener.SetDeadline(time.Unix(1, 0)) // the socket is shared, this deadline is not
 		p.mu.Lock()
-		p.given = state.Module
+		p.handedSnapshot = state.Module
 		p.mu.Unlock()                                  // the handover socket stays, turning callers away, until the newer process has its own in that place
 		p.enter(Yielded, Serving, Quiescing, Quiesced) // unless it has been told to end
 		return true
@@ -350,15 +350,15 @@
 // heir passes connections to the newer process.
 type heir struct{ *handover.Link }
 
-func (h heir) Pass(nc *net.TCPConn, p clients.Passed) { h.Link.Pass(connection, p, nc) }
-func (h heir) Left()                                  { h.Tell(closed, nil) }
+func (h heir) Pass(nc *net.TCPConn, p clients.Passed) { h.Link.SendSocket(msgConnection, p, nc) }
+func (h heir) Left()                                  { h.Send(msgConnClosed, nil) }
 
 // newerGone takes everything back, unless this process is ending.
 func (p *Program) newerGone(ctx context.Context) {
-	p.keepAll()
+	p.writeUnsaved()
 	p.mu.Lock()
 	p.newer = nil
-	list, given := p.table.List(), p.given
+	list, given := p.instances.List(), p.handedSnapshot
 	p.mu.Unlock()
 	if p.server.Yielded() {
 		p.server.Keep()
@@ -369,32 +369,32 @@
 		p.log.Info("the newer process has ended")
 		p.listener.SetDeadline(time.Time{})
 		go p.server.Serve(ctx, p.listener)
-		p.openDoor(ctx)
+		p.openHandover(ctx)
 	}
 }
 
 // takeover handles the messages of the older process.
-type relief struct {
+type takeover struct {
 	*Program
-	link     *handover.Link
-	state    chan standing // the older process's state
-	gone     chan struct{} // closed once the link has ended
-	met      bool          // the older process's state has arrived
-	commands []*dispatch.HandedCommand
+	link          *handover.Link
+	state         chan processState // the older process's state
+	ended         chan struct{}     // closed once the link has ended
+	stateReceived bool              // the older process's state has arrived
+	commands      []*dispatch.HandedCommand
 }
 
 // run handles messages until the link ends.
-func (r *relief) run(ctx context.Context) {
-	defer close(r.gone)
+func (r *takeover) run(ctx context.Context) {
+	defer close(r.ended)
 	r.link.Run(func(m handover.Message, f *os.File) {
-		if err := r.take(ctx, m, f); err != nil {
+		if err := r.handle(ctx, m, f); err != nil {
 			r.log.Error("invalid message from the older process", "kind", m.Kind, "err", err)
 		}
 		if f != nil {
 			f.Close()
 		}
 	})
-	if r.met {
+	if r.stateReceived {
 		r.olderGone()
 		return
 	}
@@ -403,22 +403,22 @@
 	r.mu.Unlock()
 }
 
-func (r *relief) take(ctx context.Context, m handover.Message, f *os.File) error {
+func (r *takeover) handle(ctx context.Context, m handover.Message, f *os.File) error {
 	switch m.Kind {
-	case told:
-		var s standing
-		if err := errors.Join(m.Read(&s), r.inherit(f)); err != nil {
+	case msgState:
+		var s processState
+		if err := errors.Join(m.Decode(&s), r.takeListener(f)); err != nil {
 			return err
 		}
-		r.recall(s.Cordons)
-		r.met = true
+		r.restoreCordons(s.Cordons)
+		r.stateReceived = true
 		select {
 		case r.state <- s:
 		default:
 		}
-	case command:
+	case msgCommand:
 		c, q := &dispatch.HandedCommand{}, &http1.Request{}
-		if err := m.Read(c); err != nil {
+		if err := m.Decode(c); err != nil {
 			return err
 		}
 		if err := json.Unmarshal(c.Payload, q); err != nil {
@@ -426,9 +426,9 @@
 		}
 		c.Command.Payload, c.Client = q, r.server.Expect(&c.Command, q.Close)
 		r.commands = append(r.commands, c)
-	case yielded:
-		var h handed
-		if err := m.Read(&h); err != nil {
+	case msgHandedOver:
+		var h handoverState
+		if err := m.Decode(&h); err != nil {
 			return err
 		}
 		h.Commands, r.commands = r.commands, nil
@@ -436,9 +436,9 @@
 		r.loop.Relieve(h.Handed)
 		r.resize()
 		r.serve(ctx)
-	case connection:
+	case msgConnection:
 		var p clients.Passed
-		if err := m.Read(&p); err != nil {
+		if err := m.Decode(&p); err != nil {
 			return err
 		}
 		nc, err := net.FileConn(f)
@@ -446,35 +446,35 @@
 			return err
 		}
 		r.server.Adopt(nc, p)
-	case closed:
+	case msgConnClosed:
 		r.server.Returned()
-	case left:
+	case msgClientGone:
 		var id string
-		if err := m.Read(&id); err != nil {
+		if err := m.Decode(&id); err != nil {
 			return err
 		}
 		r.loop.LapseElsewhere(id)
-	case became:
+	case msgAttemptUpdate:
 		var update dispatch.Fate
-		if err := m.Read(&update); err != nil {
+		if err := m.Decode(&update); err != nil {
 			return err
 		}
 		r.loop.Became(update)
-	case cordoned:
-		var c cordoning
-		if err := m.Read(&c); err != nil {
+	case msgCordon:
+		var c cordonChange
+		if err := m.Decode(&c); err != nil {
 			return err
 		}
 		return r.cordon(c, r.link)
-	case listed:
-		var l listing
-		if err := m.Read(&l); err != nil {
+	case msgList:
+		var l sharedList
+		if err := m.Decode(&l); err != nil {
 			return err
 		}
-		r.heard(l, true)
-	case news:
+		r.receiveOtherList(l, true)
+	case msgCallback:
 		var n dispatch.News
-		if err := m.Read(&n); err != nil {
+		if err := m.Decode(&n); err != nil {
 			return err
 		}
 		n.Via = dispatch.OlderProcess
@@ -485,7 +485,7 @@
 
 // olderGone is called when the older process has ended: this process owns everything now.
 func (p *Program) olderGone() {
-	p.keepAll()
+	p.writeUnsaved()
 	p.mu.Lock()
 	p.older = nil
 	p.mu.Unlock()
@@ -496,9 +496,9 @@
 }
 
 // closeLinks ends the links once all queued messages are written.
-func (p *Program) leave() {
+func (p *Program) closeLinks() {
 	p.mu.Lock()
-	door, links := p.door, []*handover.Link{p.older, p.newer}
+	door, links := p.handoverListener, []*handover.Link{p.older, p.newer}
 	p.mu.Unlock()
 	if door != nil {
 		door.Close()
@@ -513,15 +513,15 @@
 // others forwards events of the loop to the other processes.
 type others struct{ *Program }
 
-func (o others) tell(kind string, body any, older, newer bool) (sent bool) {
+func (o others) send(kind string, body any, older, newer bool) (sent bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if older && o.older != nil {
-		o.older.Tell(kind, body)
+		o.older.Send(kind, body)
 		sent = true
 	}
 	if newer && o.newer != nil {
-		o.newer.Tell(kind, body)
+		o.newer.Send(kind, body)
 		sent = true
 	}
 	return sent
@@ -529,14 +529,14 @@
 
 // Elsewhere forwards a callback to the processes that it did not come from.
 func (o others) Elsewhere(n dispatch.News) bool {
-	return o.tell(news, n, n.Via != dispatch.OlderProcess, n.Via != dispatch.NewerProcess)
+	return o.send(msgCallback, n, n.Via != dispatch.OlderProcess, n.Via != dispatch.NewerProcess)
 }
 
-func (o others) Became(f dispatch.Fate) { o.tell(became, f, false, true) }
-func (o others) Left(id string)         { o.tell(left, id, false, true) }
+func (o others) Became(f dispatch.Fate) { o.send(msgAttemptUpdate, f, false, true) }
+func (o others) Left(id string)         { o.send(msgClientGone, id, false, true) }
 
 // takeListener takes over the listener of the older process.
-func (p *Program) inherit(f *os.File) error {
+func (p *Program) takeListener(f *os.File) error {
 	if f == nil {
 		return errors.New("the older process sent no listener")
 	}
--- a/internal/program/relief_test.go
+++ b/internal/program/takeover_test.go
@@ -183,7 +183,7 @@
 		return answer(c, 202)
 	})
 	<-w.watches
-	link, err := handover.Call(w.program.path())
+	link, err := handover.Dial(w.program.socketPath())
 	require.NoError(t, err)
 	read := make(chan string, 9)
 	go link.Run(func(m handover.Message, f *os.File) {
@@ -192,9 +192,9 @@
 			f.Close()
 		}
 	})
-	require.Equal(t, told, <-read)
-	link.Tell(ready, nil)
-	require.Equal(t, yielded, <-read)
+	require.Equal(t, msgState, <-read)
+	link.Send(msgReady, nil)
+	require.Equal(t, msgHandedOver, <-read)
 	waits := w.dial() // in the queue of a listener that nobody serves now
 	w.command(waits, "c1", "safe", "30000m")
 	link.Close()
@@ -212,7 +212,7 @@
 func TestTurnedAwayCallsAgain(t *testing.T) {
 	w := &world{t: t}
 	w.prepare("", "", func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
-	door, err := handover.Open(handover.Path(w.variables["TMPDIR"], "127.0.0.1:0"))
+	door, err := handover.Listen(handover.Path(w.variables["TMPDIR"], "127.0.0.1:0"))
 	require.NoError(t, err)
 	calls := make(chan *handover.Link, 1)
 	go func() {
@@ -239,16 +239,16 @@
 // The older process closed its door once it had yielded, and for a moment there was none.
 func TestThereIsAlwaysADoor(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
-	newer, err := handover.Call(w.program.path())
+	newer, err := handover.Dial(w.program.socketPath())
 	require.NoError(t, err)
 	go newer.Run(func(_ handover.Message, f *os.File) {
 		if f != nil {
 			f.Close()
 		}
 	})
-	newer.Tell(ready, nil)
+	newer.Send(msgReady, nil)
 	w.await(func() bool { return w.program.Phase() == Yielded })
-	next, err := handover.Call(w.program.path())
+	next, err := handover.Dial(w.program.socketPath())
 	require.NoError(t, err)
 	next.Run(func(m handover.Message, _ *os.File) { require.Fail(t, "told", m.Kind) }) // ends: it is turned away
 	next.Close()
@@ -289,7 +289,7 @@
 	})
 	w.command(w.dial(), "c1", "once", "30000m")
 	w.await(func() bool { return w.figure("upstream_tries") == "1" })
-	link, err := handover.Call(w.program.path())
+	link, err := handover.Dial(w.program.socketPath())
 	require.NoError(t, err)
 	took := make(chan string, 99)
 	go link.Run(func(m handover.Message, f *os.File) {
@@ -298,8 +298,8 @@
 			f.Close()
 		}
 	})
-	link.Tell(ready, nil)
-	for kind := ""; kind != yielded; kind = <-took {
+	link.Send(msgReady, nil)
+	for kind := ""; kind != msgHandedOver; kind = <-took {
 	}
 	link.Close()
 	w.await(func() bool { return w.program.Phase() == Serving })
@@ -345,7 +345,7 @@
 	}
 	older.signals <- syscall.SIGTERM
 	require.NoError(t, <-older.ended)
-	w.await(func() bool { return w.kept() && slices.Equal(w.program.stored(), []string{"s-1", "s-2", "s-3"}) })
+	w.await(func() bool { return w.kept() && slices.Equal(w.program.readCordons(), []string{"s-1", "s-2", "s-3"}) })
 }
 
 // kept tells whether nobody is left to write who is left out.
@@ -367,7 +367,7 @@
 	w.program.cordons.write = func(path string, text []byte) error {
 		writes <- string(text)
 		<-answers
-		return replace(path, text)
+		return replaceFile(path, text)
 	}
 	said := make(chan string, 1)
 	go func() { said <- w.call("cordon s-1") }()
@@ -379,7 +379,7 @@
 	require.False(t, w.program.pool.Takes("s-1"))
 	require.Contains(t, <-said, "ERR done, but the next process may not know")
 	close(answers)
-	w.await(func() bool { return older.kept() && len(w.program.stored()) == 1 })
+	w.await(func() bool { return older.kept() && len(w.program.readCordons()) == 1 })
 }
 
 // What the name table told one of two processes the other learned from its own watch alone, which may be the later one by
@@ -404,7 +404,7 @@
 
 // A process that takes over serves within 4 s, whatever the older one does: is silent, goes, or does not yield.
 func TestServesWhateverTheOlderDoes(t *testing.T) {
-	require.LessOrEqual(t, freshPatience+yieldPatience, 4*time.Second)
+	require.LessOrEqual(t, freshListTimeout+handoverTimeout, 4*time.Second)
 	for _, story := range []struct {
 		phase              Phase
 		since              time.Duration
@@ -412,30 +412,30 @@
 		unreached          bool
 		next               step
 	}{
-		{Starting, 0, false, false, false, false, waits}, // there is none, and the list may be old
-		{Starting, 0, true, false, false, false, serves},
-		{Starting, 0, false, false, false, true, serves}, // nobody could have told
-		{Starting, freshPatience, false, false, false, false, waits},
-		{Starting, freshPatience + yieldPatience, false, false, false, false, serves},
-		{Starting, 0, false, true, false, false, waits},
-		{Starting, 0, false, true, false, true, waits},
-		{Starting, 0, true, true, false, false, asks},
-		{Starting, freshPatience, false, true, false, false, asks},
-		{Starting, 0, false, false, true, false, waits}, // silent: its list is unknown
-		{Starting, 0, false, false, true, true, waits},
-		{Starting, 0, true, false, true, false, serves},
-		{Starting, freshPatience, false, false, true, false, waits},
-		{Starting, freshPatience + yieldPatience, false, false, true, false, serves},
-		{Relieving, 0, true, true, false, false, waits},
-		{Relieving, 0, true, false, false, false, serves}, // gone
-		{Relieving, yieldPatience, true, true, false, false, serves},
+		{Starting, 0, false, false, false, false, stepWait}, // there is none, and the list may be old
+		{Starting, 0, true, false, false, false, stepServe},
+		{Starting, 0, false, false, false, true, stepServe}, // nobody could have told
+		{Starting, freshListTimeout, false, false, false, false, stepWait},
+		{Starting, freshListTimeout + handoverTimeout, false, false, false, false, stepServe},
+		{Starting, 0, false, true, false, false, stepWait},
+		{Starting, 0, false, true, false, true, stepWait},
+		{Starting, 0, true, true, false, false, stepAskHandover},
+		{Starting, freshListTimeout, false, true, false, false, stepAskHandover},
+		{Starting, 0, false, false, true, false, stepWait}, // silent: its list is unknown
+		{Starting, 0, false, false, true, true, stepWait},
+		{Starting, 0, true, false, true, false, stepServe},
+		{Starting, freshListTimeout, false, false, true, false, stepWait},
+		{Starting, freshListTimeout + handoverTimeout, false, false, true, false, stepServe},
+		{TakingOver, 0, true, true, false, false, stepWait},
+		{TakingOver, 0, true, false, false, false, stepServe}, // gone
+		{TakingOver, handoverTimeout, true, true, false, false, stepServe},
 	} {
-		require.Equal(t, story.next, turn(story.phase, story.since, story.fresh, story.older, story.mute, story.unreached), "%+v", story)
+		require.Equal(t, story.next, nextStep(story.phase, story.since, story.fresh, story.older, story.mute, story.unreached), "%+v", story)
 	}
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 	<-w.watches
-	w.program.door.Close()
-	silent, err := handover.Open(w.program.path()) // takes calls and says nothing
+	w.program.handoverListener.Close()
+	silent, err := handover.Listen(w.program.socketPath()) // takes calls and says nothing
 	require.NoError(t, err)
 	defer silent.Close()
 	w.beside()
@@ -482,12 +482,12 @@
 		if further {
 			tellTable(second, 9, false, down)
 			w.await(func() bool {
-				w.program.telling.Lock()
-				defer w.program.telling.Unlock()
-				return !w.program.ahead.holds
+				w.program.listMu.Lock()
+				defer w.program.listMu.Unlock()
+				return !w.program.otherList.hasBehind
 			})
 		}
-		w.program.anew()
+		w.program.useWatchList()
 		require.Equal(t, !further, w.program.pool.Takes("s-1"))
 		tellTable(second, 10, false, up)
 		w.await(func() bool { return w.program.pool.Takes("s-1") })
@@ -536,7 +536,7 @@
 		w.run()
 		w.await(func() bool { return w.program.Phase() == Serving })
 		if !silent {
-			require.Less(t, time.Since(began), freshPatience, "an unreachable discovery is not waited for")
+			require.Less(t, time.Since(began), freshListTimeout, "an unreachable discovery is not waited for")
 		}
 		c := w.dial()
 		w.command(c, "c1", "safe", "30000m")
@@ -577,5 +577,5 @@
 func (p *Program) watcherAt() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Revision()
+	return p.instances.Revision()
 }
