--- a/internal/program/callbacks_test.go
+++ b/internal/program/callbacks_test.go
@@ -18,7 +18,7 @@
 	"caperrelay/internal/net/http1"
 )
 
-// Guards against an end being lost that an older process has acknowledged and not passed on yet when it dies.
+// Guards against losing a result that an older process has acknowledged but not yet forwarded when it dies.
 func TestAcknowledgedEndOutlivesTheOlderProcess(t *testing.T) {
 	took := make(chan string, 9)
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
@@ -36,22 +36,23 @@
 	older := w.beside()
 	tellTable(<-w.watches, 7, true, member(w.instance.Addr().String(), "in_service"))
 	w.await(func() bool { return w.program.Phase() == Serving && older.program.Phase() == Yielded })
-	stands, goes := make(chan bool), make(chan bool)
-	older.program.loop.Learned(func(dispatch.Handed) { close(stands); <-goes })
-	<-stands
+	blocked, proceed := make(chan bool), make(chan bool)
+	older.program.loop.Learned(func(dispatch.Handed) { close(blocked); <-proceed })
+	<-blocked
 	io.WriteString(ours, call[30:])
-	require.Equal(t, 204, w.read(ours).Status, "the encoder does not call again")
+	require.Equal(t, 204, w.read(ours).Status, "the encoder does not repeat the callback")
 	older.program.mu.Lock()
 	link := older.program.newer
 	older.program.mu.Unlock()
-	link.Close() // it dies
+	link.Close() // the older process loses its link
 	w.await(func() bool { w.program.mu.Lock(); defer w.program.mu.Unlock(); return w.program.older == nil })
-	close(goes)
+	close(proceed)
 	p := w.read(held)
 	require.Equal(t, []any{200, "r"}, []any{p.Status, string(p.Body)})
 }
 
-// Guards against a call-back being answered whose end stands behind the handing over of all that is in hand, and goes with the older process.
+// Guards against answering a callback whose result is queued behind the handover of all pending commands, and is
+// lost with the older process.
 func TestCallbackThatCrossesTheYieldIsPassedOn(t *testing.T) {
 	w, took := startAccepting(t)
 	<-w.watches
@@ -70,20 +71,20 @@
 			f.Close()
 		}
 	})
-	hold := func() chan bool {
-		goes := make(chan bool)
-		w.program.loop.Learned(func(dispatch.Handed) { <-goes })
-		return goes
+	block := func() chan bool {
+		proceed := make(chan bool)
+		w.program.loop.Learned(func(dispatch.Handed) { <-proceed })
+		return proceed
 	}
-	before := hold()
+	before := block()
 	newer.Send(msgReady, nil)
-	newer.Send(msgCordon, cordonChange{"s-1", true}) // once that is heard the loop has been asked to yield
+	newer.Send(msgCordon, cordonChange{"s-1", true}) // once this is applied, the loop has been asked to hand over
 	w.await(func() bool {
 		w.program.cordons.mu.Lock()
 		defer w.program.cordons.mu.Unlock()
 		return w.program.cordons.ids["s-1"]
 	})
-	behind := hold()
+	behind := block()
 	const body = `{"id":"c1","from":"s-1","state":"done","result":"r"}`
 	const next = "GET /_health HTTP/1.1\r\n\r\n"
 	io.WriteString(ours, "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n")
@@ -105,7 +106,7 @@
 		rest, _ := io.ReadAll(unread)
 		require.Equal(t, next, string(rest))
 	case <-time.After(patience):
-		t.Error("the call-back did not go to the newer process")
+		t.Error("the callback was not forwarded to the newer process")
 	}
 	close(behind)
 	newer.Close()
--- a/internal/program/customers_test.go
+++ b/internal/program/customers_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// customers are the settings documents that the tests keep, by the customer's name.
+// customers returns the customers' settings documents in testdata, by the customer's name.
 func customers(t *testing.T) map[string]object {
 	files, err := filepath.Glob("testdata/customers/*.json")
 	require.NoError(t, err)
@@ -35,7 +35,7 @@
 	return all
 }
 
-// namesOf lists what a settings document names: its classes, tenants, zones and kinds of encoder.
+// namesOf lists the names in a settings document: its classes, tenants, zones and kinds of encoder.
 func namesOf(settings object) (names []string) {
 	for _, key := range []string{"RequestClasses", "Tenants"} {
 		for _, element := range settings[key].([]any) {
@@ -64,7 +64,7 @@
 	return names
 }
 
-// goFiles lists the repository's Go files that are no tests.
+// goFiles lists the repository's Go files except tests.
 func goFiles(t *testing.T, root string) (files []string) {
 	require.NoError(t, filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		switch {
@@ -80,7 +80,7 @@
 	return files
 }
 
-// playedFiles lists the files of all that the deploy file's run and sim consist of.
+// deployedFiles lists the source files of the programs that the deploy file's run and sim use.
 func playedFiles(t *testing.T, root string) (files []string) {
 	list := exec.Command("go", "list", "-deps", "-f", `{{if .Module}}{{if .Module.Main}}{{$dir := .Dir}}{{range .GoFiles}}{{$dir}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`,
 		"./cmd/winglb", "./cmd/wirehost")
@@ -90,14 +90,14 @@
 	return strings.Fields(string(out))
 }
 
-// words splits a text at all that no name consists of.
+// words splits a text at all characters that no name contains.
 func words(text string) []string {
 	return strings.FieldsFunc(text, func(r rune) bool {
 		return r != '-' && r != '_' && (r < '0' || r > '9') && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z')
 	})
 }
 
-// literals returns the texts of a Go file's string literals.
+// literals returns the values of a Go file's string literals.
 func literals(t *testing.T, file string) (all []string) {
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
 	require.NoError(t, err)
@@ -112,12 +112,13 @@
 	return all
 }
 
-// The program is run for any customer, and nothing in it may be fitted to one: no class, tenant, zone or kind that a settings
-// document names stands in the code. A name that is an ordinary word too may stand in comments and sentences, though it is no text of its own in what is deployed.
+// The program runs for any customer, and nothing in it may be tailored to one: no class, tenant, zone or kind that
+// a settings document names may appear in the code. A name that is also an ordinary word may appear in comments
+// and sentences, but not as a whole string literal in deployed code.
 func TestNoCustomersNameInTheCode(t *testing.T) {
 	const root = "../.."
 	coined, plain := map[string]bool{}, map[string]bool{}
-	take := func(names ...string) {
+	add := func(names ...string) {
 		for _, name := range names {
 			name = strings.ToLower(name)
 			if ordinary := !strings.ContainsAny(name, "-_0123456789"); ordinary {
@@ -128,10 +129,10 @@
 		}
 	}
 	for customer, settings := range customers(t) {
-		take(customer)
-		take(namesOf(settings)...)
+		add(customer)
+		add(namesOf(settings)...)
 	}
-	take(namedInSites(t, root)...)
+	add(namedInSites(t, root)...)
 	require.Greater(t, len(coined), 50)
 	require.NotEmpty(t, plain)
 
@@ -144,9 +145,9 @@
 			require.False(t, coined[word], "%s has %q, a name of one customer", file, word)
 		}
 	}
-	played := playedFiles(t, root)
-	require.True(t, slices.ContainsFunc(played, func(file string) bool { return strings.HasSuffix(file, "/decide/decide.go") }))
-	for _, file := range played {
+	deployed := playedFiles(t, root)
+	require.True(t, slices.ContainsFunc(deployed, func(file string) bool { return strings.HasSuffix(file, "/decide/decide.go") }))
+	for _, file := range deployed {
 		for _, literal := range literals(t, file) {
 			require.False(t, plain[strings.ToLower(literal)], "%s has %q, a name of one customer", file, literal)
 		}
--- a/internal/program/harness_test.go
+++ b/internal/program/harness_test.go
@@ -22,18 +22,18 @@
 	"caperrelay/internal/net/http1"
 )
 
-// patience is how long a story waits for what must come; no story waits it out.
+// testTimeout bounds each wait; no test that passes reaches it.
 const patience = 20 * time.Second
 
-// peer is a scripted peer on a loopback socket: it shows each request to its script.
+// scriptedServer is a server on a loopback socket that passes each request to a script.
 type peer struct {
 	net.Listener
 	mu      sync.Mutex
 	conns   []net.Conn
-	scripts sync.WaitGroup // the connections whose script goes on
+	scripts sync.WaitGroup // connections whose script is running
 }
 
-// listen starts a peer. Its script answers on the connection and tells whether it stays open.
+// listen starts a server. Its script writes the response and reports whether the connection stays open.
 func listen(t *testing.T, script func(c net.Conn, q *http1.Request) bool) *peer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -66,7 +66,7 @@
 	p.cut()
 }
 
-// cut closes the connections that have come so far and tells how many there were.
+// closeConns closes the connections accepted so far and returns how many there were.
 func (p *peer) cut() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,25 +82,26 @@
 	return err == nil
 }
 
-// world is a program with a name table and one instance, s-1, whose requests the story gets.
+// testEnv is a program with a discovery server and one instance, s-1, whose requests the test handles.
 type world struct {
 	t        *testing.T
 	program  *Program
 	instance *peer
 	table    *peer
-	watches  chan net.Conn // each watch, once its head is written
-	targets  chan string   // what each watch asked for
+	watches  chan net.Conn // each watch, once its header is written
+	targets  chan string   // the target of each watch's request
 	signals  chan os.Signal
 	ended    chan error
 
-	configure func(discovery string) // writes the configuration anew
-	settings  string                 // for it
+	configure func(discovery string) // rewrites the configuration
+	settings  string                 // the settings in it; empty: defaultSettings
 	variables map[string]string
-	log       slog.Handler // of programs that are run; nil: none
-	unchanged *atomic.Bool // the next watch is told at once that nothing has changed
+	log       slog.Handler // log handler for the programs; nil: discards
+	unchanged *atomic.Bool // the next watch gets an update without changes at once
 }
 
-// nameTable starts a name table, whose watches the story gets. What they are told is the story's, but for the first.
+// startDiscovery starts a discovery server and passes its watches to the test, which sends the updates, except the
+// one for reportUnchanged.
 func (w *world) nameTable() *peer {
 	return listen(w.t, func(c net.Conn, q *http1.Request) bool {
 		w.targets <- q.Target
@@ -126,12 +127,12 @@
 {"Name":"once","Effect":"single_shot","AimUs":20000000,"DeadlineUs":40000000,"Points":5}],
 "Rules":{"AnswerSlackUs":8000,"ColdFrom":0.2,"ColdUs":20000000,"DrainGraceUs":750000,"FallMultiple":3,"FallUs":1000000,"MustAskInUs":800000}}`
 
-// start runs a program with an instance of the given script.
+// start runs a program with an instance that runs the script.
 func start(t *testing.T, script func(w *world, c net.Conn, q *http1.Request) bool) *world {
 	return startAt(t, "", script)
 }
 
-// startAccepting runs a program with an instance that takes whatever it is sent, and tells the ids of that.
+// startAccepting runs a program with an instance that accepts whatever it receives, and returns the IDs of that.
 func startAccepting(t *testing.T) (*world, <-chan string) {
 	took := make(chan string, 9)
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
@@ -141,12 +142,12 @@
 	return w, took
 }
 
-// startAt has the name table give another address for the instance, unless that is empty.
+// startWithAddress is start with another address for the instance in the list, unless address is empty.
 func startAt(t *testing.T, address string, script func(w *world, c net.Conn, q *http1.Request) bool) *world {
 	return startBy(t, "", address, script)
 }
 
-// startBy goes by other settings, unless those are empty.
+// startWith is startWithAddress with other settings, unless those are empty.
 func startBy(t *testing.T, settings, address string, script func(w *world, c net.Conn, q *http1.Request) bool) *world {
 	w := &world{t: t}
 	w.prepare(settings, address, script)
@@ -155,13 +156,13 @@
 	return w
 }
 
-// prepare starts the peers of a program and writes its configuration.
+// prepare starts the servers that a program talks to and writes its configuration.
 func (w *world) prepare(settings, address string, script func(w *world, c net.Conn, q *http1.Request) bool) {
 	w.settings, w.watches, w.targets, w.unchanged = settings, make(chan net.Conn, 9), make(chan string, 9), new(atomic.Bool)
 	w.unchanged.Store(true)
 	w.instance = listen(w.t, func(c net.Conn, q *http1.Request) bool { return script(w, c, q) })
 	w.t.Cleanup(func() {
-		w.instance.stop() // whatever a story left held ends
+		w.instance.stop() // ends pending scripts
 		w.instance.scripts.Wait()
 	})
 	w.table = w.nameTable()
@@ -196,28 +197,28 @@
 	})
 }
 
-// beside starts another program beside the one at hand, which it returns the new one for; the
-// world's is the new one then.
+// startNewer starts a newer program at the same address. It returns a copy of the environment for the older
+// program; w refers to the newer one from then on.
 func (w *world) beside() (older *world) {
 	before := *w
 	w.run()
 	return &before
 }
 
-// tellTable has a watch tell a list of the one instance.
+// sendList sends an instance list with the given entries on a watch.
 func tellTable(watch net.Conn, revision int, complete bool, line string) {
 	text := fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`+"\n", revision, complete, line)
 	fmt.Fprint(watch, chunk(text))
 }
 
-// unchanged is what a watch is told first where nothing has changed since the list that it goes on from.
+// unchangedList is the first update of a watch where nothing has changed since the list that it continues from.
 var unchanged = chunk(`{"revision":7,"complete":false,"members":[]}` + "\n")
 
-// chunk is a text as one chunk of a body.
+// chunk encodes a text as one chunk of a body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// refusing returns an address that refuses connections. A socket holds its port until the
-// test's end: a port just closed could be opened by another test.
+// refusingAddress returns an address that refuses connections. A socket holds its port until the test's end,
+// because another test could listen on a port that was just closed.
 func refusing(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
@@ -228,12 +229,12 @@
 	return fmt.Sprintf("127.0.0.1:%d", a.(*syscall.SockaddrInet4).Port)
 }
 
-func (w *world) await(what func() bool) {
+func (w *world) await(cond func() bool) {
 	w.t.Helper()
-	require.Eventually(w.t, what, patience, 2*time.Millisecond)
+	require.Eventually(w.t, cond, patience, 2*time.Millisecond)
 }
 
-// count is a counter's value.
+// counter returns a counter's value.
 func (w *world) count(name string) (n int) {
 	for line := range strings.Lines(w.program.loop.Books.String()) {
 		if rest, ok := strings.CutPrefix(line, name+" "); ok {
@@ -243,7 +244,7 @@
 	return n
 }
 
-// call makes an operator's call and returns the answer.
+// operatorCall sends an operator's command and returns the response.
 func (w *world) call(line string) string {
 	c, err := net.Dial("tcp", w.program.Admin())
 	require.NoError(w.t, err)
@@ -255,14 +256,14 @@
 	return string(text)
 }
 
-// figure is one of the operators' figures, by its name.
+// operatorCounter returns one of the operators' counters by its name.
 func (w *world) figure(name string) string {
 	_, rest, _ := strings.Cut("\n"+w.call("counters"), "\nproxy."+name+"=")
 	value, _, _ := strings.Cut(rest, "\n")
 	return value
 }
 
-// dial opens a connection to the program; the test's end closes it.
+// dial opens a connection to the program, which is closed at the end of the test.
 func (w *world) dial() net.Conn {
 	c := w.connect()
 	w.t.Cleanup(func() { c.Close() })
@@ -281,7 +282,7 @@
 	require.NoError(w.t, err)
 }
 
-// command sends a command that leaves so much time and does not wait for its answer.
+// sendCommand sends a command with the given time left and does not wait for the response.
 func (w *world) command(c net.Conn, id, class, left string) {
 	w.post(c, "/api?cut=1", http1.Header{{Name: "X-Correlation-Id", Value: id}, {Name: "X-Service-Class", Value: class},
 		{Name: "X-Account", Value: "acme"}, {Name: "X-Time-Left", Value: left}, {Name: "Cookie", Value: "a=b; user=u1"},
@@ -294,8 +295,8 @@
 	return p
 }
 
-// news sends a call-back as the instance and returns the status. Scripts call it too, whose
-// connections must not end with the story: it may end before they have their answer.
+// callback posts a callback as the instance and returns the status. Scripts use it too, so its connection is not
+// closed by the end of the test, which may come before their response.
 func (w *world) news(id, from, state, result string) int {
 	c := w.connect()
 	defer c.Close()
@@ -304,7 +305,7 @@
 	return w.read(c).Status
 }
 
-// readAnswer reads one answer from a connection.
+// readAnswer reads one response from a connection.
 func readAnswer(c net.Conn) (*http1.Response, error) {
 	return http1.ReadResponse(bufio.NewReader(c), "POST")
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -18,8 +18,8 @@
 
 func id(q *http1.Request) string { return q.Header.Get("X-Correlation-Id") }
 
-// The command goes on as it came, and the instance's result is the answer, though the
-// call-backs come before the 202, twice, and from others.
+// The command reaches the instance unchanged, and the instance's result is the response, though callbacks arrive
+// before the 202, twice, and from other instances.
 func TestServedOnceWithTheInstancesResult(t *testing.T) {
 	seen := make(chan *http1.Request, 9)
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
@@ -29,7 +29,7 @@
 		}
 		return answer(c, 202)
 	})
-	require.Equal(t, 204, w.news("of-an-earlier-life", "s-1", "done", "x"), "before a restart perhaps")
+	require.Equal(t, 204, w.news("of-an-earlier-life", "s-1", "done", "x"), "perhaps of a job from before a restart")
 	c := w.dial()
 	w.command(c, "c1", "once", "30000m")
 	p := w.read(c)
@@ -44,7 +44,7 @@
 	w.await(func() bool { return w.count("attempts_ok") == 1 && w.count("news_for_no_attempt") == 2 })
 }
 
-// Word of another instance's job, perhaps of an attempt given up, ends nothing here.
+// A callback from another instance, perhaps of a cancelled attempt, does not end the command.
 func TestNewsFromElsewhereIsNotServed(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
 		w.news(id(q), "s-2", "done", "not ours")
@@ -56,8 +56,8 @@
 	require.Equal(t, "ours", string(w.read(c).Body))
 }
 
-// A connection that breaks after the last byte is a reset: what must not run twice is not
-// sent again, by anyone.
+// A connection that breaks after the last byte counts as a reset: a command that must not run twice is not sent
+// again, by anyone.
 func TestBrokenBeforeThe202IsNotSentAgain(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return false })
 	c := w.dial()
@@ -66,7 +66,7 @@
 	require.Equal(t, []int{1, 1}, []int{w.count("attempts_sent"), w.count("attempts_reset")})
 }
 
-// What never ran may be refused, and each way of saying so is told apart.
+// A command that never ran may be refused, and each way of reporting that is counted separately.
 func TestOutcomesByStatus(t *testing.T) {
 	t.Parallel()
 	for name, status := range map[string]int{"attempts_full": 503, "attempts_errored": 500} {
@@ -91,8 +91,8 @@
 	require.Zero(t, w.count("attempts_reset"))
 }
 
-// A silent instance tells nothing: the command is answered inside its time all the same,
-// and what the instance may have is taken back.
+// With an instance that sends nothing the command is still answered within its time, and the instance's job is
+// cancelled.
 func TestSilenceEndsInTimeAndIsTakenBack(t *testing.T) {
 	t.Parallel()
 	took := make(chan string, 9)
@@ -107,7 +107,7 @@
 	require.Equal(t, "DELETE /jobs/c1", <-took)
 }
 
-// A client that leaves lapses its command, and the job is given up.
+// When a client disconnects, its command is cancelled, and so is the job.
 func TestLeavingClientLapses(t *testing.T) {
 	took := make(chan string, 9)
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
@@ -122,8 +122,8 @@
 	w.await(func() bool { return w.count("commands_lapsed") == 1 && w.program.loop.Holding() == 0 })
 }
 
-// The instance's machine closes idle connections: the next command sees it before a byte is
-// written and takes a new connection, not a reset.
+// The instance's machine closes idle connections: the next command detects that before a byte is written and uses
+// a new connection, so it is not a reset.
 func TestStalePooledConnectionIsNotUsed(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
 		defer w.news(id(q), "s-1", "done", "r")
@@ -139,8 +139,8 @@
 	require.Zero(t, w.count("attempts_reset"))
 }
 
-// Once the name table has told of a drain nothing new goes there, and what is lost with the
-// watch is asked for again from the last revision.
+// Once discovery has reported a drain, nothing new is sent to that instance, and a watch that breaks resumes at
+// the last revision.
 func TestDrainingInstanceGetsNothingNew(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 	require.Equal(t, "/catalog/members?stream=1&index=7", <-w.targets)
@@ -156,8 +156,7 @@
 	require.Equal(t, "/catalog/members?stream=1&index=9", <-w.targets)
 }
 
-// Discovery that ends every watch takes nothing from service, and once it is back its news
-// counts.
+// If discovery ends every watch, all instances stay in service, and updates apply again once it is back.
 func TestServesWhileDiscoveryIsOut(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
 		w.news(id(q), "s-1", "done", "r")
@@ -175,15 +174,15 @@
 	w.await(func() bool { return !w.program.pool.Takes("s-1") })
 }
 
-// SIGHUP ended the program. It has the file read anew: discovery is watched where the file
-// says, whatever the variable of the start says, and its whole list counts. A file that
-// cannot be read changes nothing.
+// Guards against SIGHUP ending the program. It rereads the file: discovery is watched at the address in the file,
+// whatever the environment variable said at the start, and its complete list applies. A file that cannot be read
+// changes nothing.
 func TestReloadMovesTheWatch(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 	require.Equal(t, "/catalog/members?stream=1&index=7", <-w.targets)
 	old := <-w.watches
 	w.configure("nowhere")
-	for range 3 { // the third finds room once the first has been obeyed
+	for range 3 { // the third is queued once the first has been handled
 		w.signals <- syscall.SIGHUP
 	}
 	next := w.nameTable()
@@ -191,17 +190,17 @@
 	w.signals <- syscall.SIGHUP
 	require.Equal(t, "/catalog/members?stream=1&index=0", <-w.targets)
 	_, err := old.Read(make([]byte, 1))
-	require.Error(t, err, "the old watch is ended")
+	require.Error(t, err, "the old watch is closed")
 	line := `{"revision":3,"complete":true,"members":[]}` + "\n"
 	fmt.Fprintf(<-w.watches, "%x\r\n%s\r\n", len(line), line)
 	w.await(func() bool { return !w.program.pool.Takes("s-1") })
 	require.Equal(t, Serving, w.program.Phase())
-	next.cut() // and what is lost is asked for there
+	next.cut() // a broken watch resumes there
 	require.Equal(t, "/catalog/members?stream=1&index=3", <-w.targets)
 }
 
-// Settings in the file counted from the next start on. At SIGHUP a class appears and one vanishes
-// while a job of it runs, and nothing of a broken file counts.
+// Guards against settings that take effect only at the next start. At SIGHUP one class appears and another is
+// removed while a job of it runs, and a broken file has no effect at all.
 func TestReloadTakesSettings(t *testing.T) {
 	w, took := startAccepting(t)
 	reload := func(text, figure, value string) {
@@ -210,8 +209,8 @@
 		w.signals <- syscall.SIGHUP
 		w.await(func() bool { return w.figure(figure) == value })
 	}
-	held, c := w.dial(), w.dial()
-	w.command(held, "c1", "safe", "30000m")
+	pending, c := w.dial(), w.dial()
+	w.command(pending, "c1", "safe", "30000m")
 	require.Equal(t, "c1", <-took)
 	reload(strings.Replace(usualSettings, `"DeadlineUs":40000000`, `"DeadlineUs":0`, 1), "load_errors", "1")
 	reload(usualSettings[:len(usualSettings)/2], "load_errors", "2")
@@ -220,7 +219,7 @@
 	strict := strings.Replace(usualSettings, `{"Name":"safe","Effect":"free"`, `{"Name":"strict","Effect":"single_shot"`, 1)
 	reload(strict, "loads", "1")
 	require.Equal(t, 204, w.news("c1", "s-1", "done", "r"))
-	require.Equal(t, "r", string(w.read(held).Body))
+	require.Equal(t, "r", string(w.read(pending).Body))
 	w.command(c, "c3", "safe", "30000m")
 	require.Equal(t, 400, w.read(c).Status)
 	w.command(c, "c4", "strict", "30000m")
@@ -230,8 +229,8 @@
 	require.Equal(t, []string{"1", "1", "2"}, []string{w.figure("passed.safe"), w.figure("bad_gateway.strict"), w.figure("load_errors")})
 }
 
-// Where lists are pushed the agent on the machine is watched as any name table: from the start on, again at
-// once when a watch ends, and wherever a reload moves it. What it tells of a drain holds.
+// Where lists are pushed, the local agent is watched like any discovery service: from the start, again as soon as
+// a watch ends, and at the new address after a reload. Its drains apply.
 func TestPushedListsAreWatched(t *testing.T) {
 	pushed := strings.Replace(usualSettings, `"subscribe"`, `"automatic"`, 1)
 	w := startBy(t, pushed, "", func(w *world, c net.Conn, q *http1.Request) bool {
@@ -264,14 +263,14 @@
 	sent("c3", 200)
 }
 
-// Clients that hold as many connections as they may, each with a command that waits, still learn at once that
-// there is no room: none of them finds no connection left to be told on.
+// Clients that hold as many connections as they may, each with a waiting command, still learn at once that the
+// limit is reached: a connection is left for each refusal.
 func TestClientsAreLeftAConnection(t *testing.T) {
 	w := startBy(t, strings.Replace(usualSettings, `"OpenCap":100`, `"OpenCap":20000`, 1), "",
 		func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
-	most := w.program.config.Limits.Sockets / clientsDivisor
-	refused := make(chan int, most)
-	for i := range most {
+	maxConns := w.program.config.Limits.Sockets / clientsDivisor
+	refused := make(chan int, maxConns)
+	for i := range maxConns {
 		c := w.dial()
 		w.command(c, fmt.Sprint("c", i), "safe", "30000m")
 		go func() {
@@ -281,25 +280,25 @@
 		}()
 	}
 	require.Equal(t, 503, <-refused)
-	w.await(func() bool { return w.figure("in_progress") == strconv.Itoa(most-most/8) })
+	w.await(func() bool { return w.figure("in_progress") == strconv.Itoa(maxConns-maxConns/8) })
 	require.Less(t, w.program.server.Connections(), w.program.connLimits.listener)
 }
 
-// SIGTERM loses nothing: what is held is answered, new connections and call-backs still
-// come, and the program ends by itself.
+// SIGTERM loses nothing: pending commands are answered, new connections and callbacks are still accepted, and the
+// program ends by itself.
 func TestTerminationAnswersWhatIsHeld(t *testing.T) {
 	w, took := startAccepting(t)
-	held, idle, ours := w.dial(), w.dial(), w.dial()
-	// An instance that keeps its connection and goes on telling of a job given up delays nothing.
-	w.post(ours, "/_jobs/news", nil, `{"id":"c0","from":"s-1","state":"running","share":0.4}`)
-	require.Equal(t, 204, w.read(ours).Status)
-	w.command(held, "c1", "safe", "30000m")
+	pending, idle, encoder := w.dial(), w.dial(), w.dial()
+	// An instance that keeps its connection and goes on reporting a cancelled job does not delay the end.
+	w.post(encoder, "/_jobs/news", nil, `{"id":"c0","from":"s-1","state":"running","share":0.4}`)
+	require.Equal(t, 204, w.read(encoder).Status)
+	w.command(pending, "c1", "safe", "30000m")
 	require.Equal(t, "c1", <-took)
 	w.signals <- syscall.SIGTERM
 	w.await(func() bool { return w.program.Phase() == Departing })
-	late := w.dial() // its command waits for the instance's one slot
+	late := w.dial() // its command waits for the instance's single slot
 	w.command(late, "c2", "safe", "30000m")
-	for i, c := range []net.Conn{held, late} {
+	for i, c := range []net.Conn{pending, late} {
 		if i > 0 {
 			require.Equal(t, "c2", <-took)
 		}
@@ -307,19 +306,19 @@
 		p := w.read(c)
 		require.Equal(t, []any{"r", true}, []any{string(p.Body), p.Close})
 	}
-	told, err := io.ReadAll(idle)
-	require.NoError(t, err, "closed once the front has moved on")
-	require.Contains(t, string(told), " 503 ", "it never asked: a request that crossed may be tried again")
+	text, err := io.ReadAll(idle)
+	require.NoError(t, err, "closed once the front has switched away")
+	require.Contains(t, string(text), " 503 ", "the client sent nothing: a request under way may be retried")
 	select {
 	case err := <-w.ended:
 		require.NoError(t, err)
 	case <-time.After(patience):
-		t.Fatal("it did not end")
+		t.Fatal("the program did not end")
 	}
 }
 
-// Told to send clients away, the program went on saying yes to the front. It says no, takes what
-// crosses and what instances tell, closes what is idle, and once told to, serves as before.
+// Guards against health checks that succeed after quiesce. They fail, requests under way and callbacks are
+// accepted, idle connections are closed, and after resume the program serves as before.
 func TestQuiesceAndResume(t *testing.T) {
 	w, took := startAccepting(t)
 	health := func() int {
@@ -329,23 +328,23 @@
 		return w.read(c).Status
 	}
 	require.Equal(t, 200, health())
-	held, idle, ours := w.dial(), w.dial(), w.dial()
-	w.post(ours, "/_jobs/news", nil, `{"id":"c0","from":"s-1","state":"running","share":0.4}`)
-	require.Equal(t, 204, w.read(ours).Status)
-	w.command(held, "c1", "safe", "30000m")
+	pending, idle, encoder := w.dial(), w.dial(), w.dial()
+	w.post(encoder, "/_jobs/news", nil, `{"id":"c0","from":"s-1","state":"running","share":0.4}`)
+	require.Equal(t, 204, w.read(encoder).Status)
+	w.command(pending, "c1", "safe", "30000m")
 	require.Equal(t, "c1", <-took)
 	for range 2 {
 		require.Equal(t, "OK\n", w.call("quiesce"))
 		require.Equal(t, 503, health())
 	}
-	require.Equal(t, "OK\n", w.call("health"), "it could serve")
+	require.Equal(t, "OK\n", w.call("health"), "the program could serve")
 	_, err := io.ReadAll(idle)
 	require.NoError(t, err, "closed")
 	require.Equal(t, Quiesced, w.program.Phase())
 	require.Equal(t, "1", w.figure("in_progress"))
-	w.post(ours, "/_jobs/news", nil, `{"id":"c1","from":"s-1","state":"done","result":"r"}`)
-	require.Equal(t, 204, w.read(ours).Status, "an instance's connection stays")
-	p := w.read(held)
+	w.post(encoder, "/_jobs/news", nil, `{"id":"c1","from":"s-1","state":"done","result":"r"}`)
+	require.Equal(t, 204, w.read(encoder).Status, "an instance's connection stays")
+	p := w.read(pending)
 	require.Equal(t, []any{"r", true}, []any{string(p.Body), p.Close})
 	require.Equal(t, "OK\n", w.call("resume"))
 	require.Equal(t, 200, health())
@@ -357,7 +356,7 @@
 	require.Equal(t, []string{"2", "2", "0"}, []string{w.figure("passed.safe"), w.figure("upstream_tries"), w.figure("bad_gateway.safe")})
 }
 
-// Whatever comes in, the answer is plain and the program goes on.
+// Malformed input gets a plain error response, and the program goes on.
 func TestMalformedInput(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 	cmd := "POST /api HTTP/1.1\r\nX-Correlation-Id: a\r\n"
@@ -388,8 +387,8 @@
 	require.Zero(t, w.count("commands_taken_in"))
 }
 
-// What an instance cannot use is tried nowhere else, and the next command goes there all the
-// same: a bad client must not cost an instance its trust.
+// A command that an instance rejects as unusable is not retried elsewhere, and the next command still goes to that
+// instance: a faulty client must not lower the trust in an instance.
 func TestUnusableCommandSpeaksAgainstNoInstance(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
 		if id(q) != "c9" {
@@ -409,7 +408,7 @@
 	require.Equal(t, 200, w.read(c).Status)
 }
 
-// An id in hand can't be taken a second time: call-backs could not be told apart.
+// The ID of a pending command cannot be used a second time, since callbacks could not be told apart.
 func TestSecondUseOfAnIDFails(t *testing.T) {
 	w, took := startAccepting(t)
 	first, second := w.dial(), w.dial()
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -22,7 +22,7 @@
 	"caperrelay/internal/net/http1"
 )
 
-// textOf is a log that a test reads while it is written.
+// logBuffer is a log that can be read while it is written.
 type textOf struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -40,20 +40,21 @@
 	return l.text.String()
 }
 
-// house is a program with encoders of every kind that some customers name, and what came to those.
+// customerEnv is a program with encoders of every kind that some customers name, and the requests that those
+// received.
 type house struct {
 	*world
 	log       textOf
-	discovery string // in the configuration
+	discovery string // discovery's address in the configuration
 	members   []object
 	settings  object
 
 	mu   sync.Mutex
-	last int                         // number of a command
-	sent map[string][]*http1.Request // by command
+	last int                         // number of the last command
+	sent map[string][]*http1.Request // requests by command
 }
 
-// open starts a program by one customer's settings, in a fleet that serves all of those given.
+// startFor starts a program with one customer's settings and a fleet that serves all the given settings.
 func open(t *testing.T, by object, served ...object) *house {
 	h := &house{
 		world: &world{t: t, watches: make(chan net.Conn, 9), targets: make(chan string, 9), unchanged: new(atomic.Bool)},
@@ -79,7 +80,7 @@
 	return h
 }
 
-// encoder adds one to the list. What it does with a command goes by the start of its id.
+// encoder adds an encoder to the list. The prefix of a command's ID selects what the encoder does with it.
 func (h *house) encoder(zone, kind string) {
 	name := fmt.Sprint("s-", len(h.members)+1)
 	e := listen(h.t, func(c net.Conn, q *http1.Request) bool {
@@ -89,7 +90,7 @@
 		h.mu.Lock()
 		h.sent[id(q)] = append(h.sent[id(q)], q)
 		h.mu.Unlock()
-		switch what, _, _ := strings.Cut(id(q), "-"); what {
+		switch action, _, _ := strings.Cut(id(q), "-"); action {
 		case "break":
 			return false
 		case "full":
@@ -108,7 +109,7 @@
 	})
 }
 
-// give writes the configuration with a customer's settings.
+// writeConfig writes the configuration with a customer's settings.
 func (h *house) give(settings object) {
 	h.settings = settings
 	text, err := json.Marshal(object{
@@ -119,7 +120,7 @@
 	require.NoError(h.t, os.WriteFile(h.variables["PROXY_CONFIG"], text, 0o600))
 }
 
-// reload has the program go by another customer's settings, and by discovery at another address.
+// reload switches the program to another customer's settings, and to discovery at another address.
 func (h *house) reload(settings object) {
 	h.discovery = h.nameTable().Addr().String()
 	h.give(settings)
@@ -128,11 +129,12 @@
 	h.await(func() bool { return h.figure("loads") != loads })
 }
 
-// ask sends a command and returns the status of its answer and what came of it to the encoders. The time that it leaves may be the class's.
-func (h *house) ask(what, class, left string) (status int, sent []*http1.Request) {
+// request sends a command and returns the status of its response and the requests that encoders received for it.
+// left may be empty: then the class's time applies.
+func (h *house) ask(action, class, left string) (status int, sent []*http1.Request) {
 	h.mu.Lock()
 	h.last++
-	name := fmt.Sprintf("%s-%s-%d", what, class, h.last)
+	name := fmt.Sprintf("%s-%s-%d", action, class, h.last)
 	h.mu.Unlock()
 	c := h.connect()
 	defer c.Close()
@@ -166,7 +168,7 @@
 
 func permissions(settings object) object { return settings["Permissions"].(map[string]any) }
 
-// goesBy shows by what the program does that it goes by its customer's settings and by nobody else's.
+// checkSettings checks by the program's behaviour that it uses its customer's settings and no others.
 func (h *house) goesBy(strange ...string) {
 	own := classesOf(h.t, h.settings)
 	for _, name := range strange {
@@ -177,7 +179,7 @@
 	for _, c := range own {
 		h.serves(c)
 	}
-	h.holds(slices.MaxFunc(own, func(a, b class) int { // the one whose commands wait longest
+	h.holds(slices.MaxFunc(own, func(a, b class) int { // the class whose commands wait longest
 		return int(a.LateWorth*1e9 + a.AimUs - b.LateWorth*1e9 - b.AimUs)
 	}))
 	for _, c := range own {
@@ -187,21 +189,21 @@
 	report := h.settings["LoadReport"].(map[string]any)
 	require.Equal(h.t, report["Via"] != "silent" && len(report["Fields"].([]any)) > 0, h.program.loads.Any(), "load reports")
 	longest := slices.MaxFunc(own, func(a, b class) int { return int(a.DeadlineUs - b.DeadlineUs) }).DeadlineUs
-	told := time.Now()
-	by := h.program.server.End(told)
-	require.Equal(h.t, min(time.Duration(longest)*time.Microsecond, 3*time.Second)+500*time.Millisecond, by.Sub(told), "answered after SIGTERM by")
+	now := time.Now()
+	by := h.program.server.End(now)
+	require.Equal(h.t, min(time.Duration(longest)*time.Microsecond, 3*time.Second)+500*time.Millisecond, by.Sub(now), "answered after SIGTERM by")
 }
 
-// serves: a command without a time of its own has the class's, and is served.
+// checkServed: a command without a time of its own gets the class's, and is served.
 func (h *house) serves(c class) {
-	for n := 0; ; n++ { // on a machine that is short of time the shortest are late
+	for n := 0; ; n++ { // on an overloaded machine commands of the shortest classes are late
 		status, sent := h.ask("serve", c.Name, "")
 		for _, q := range sent {
 			left, err := strconv.Atoi(strings.TrimSuffix(q.Header.Get("X-Time-Left"), "m"))
 			require.NoError(h.t, err)
-			require.LessOrEqual(h.t, left, int(c.DeadlineUs/1000), "%s: time that an encoder is told", c.Name)
+			require.LessOrEqual(h.t, left, int(c.DeadlineUs/1000), "%s: time left that an encoder receives", c.Name)
 			if status == 200 {
-				require.Greater(h.t, left, int(c.DeadlineUs/1000/3), "%s: time that an encoder is told", c.Name)
+				require.Greater(h.t, left, int(c.DeadlineUs/1000/3), "%s: time left that an encoder receives", c.Name)
 				return
 			}
 		}
@@ -209,7 +211,8 @@
 	}
 }
 
-// holds: as many commands are held as the settings allow, and who comes beyond is told when to come again as they say.
+// checkOpenLimit: as many commands are open as the settings allow, and clients beyond that get a Retry-After as
+// configured.
 func (h *house) holds(c class) {
 	const many = 40
 	allowed := min(many, int(permissions(h.settings)["OpenCap"].(float64)))
@@ -242,10 +245,11 @@
 	h.await(func() bool { return h.program.loop.Holding() == held })
 }
 
-// shortLeft is the time of clients whose commands come to nothing.
+// shortTimeLeft is the time of commands that are not served.
 const shortLeft = "300m"
 
-// breaks: what broke off after it was sent goes out again as far as the class's effect lets it, and its answer says no less.
+// checkBroken: a command whose connection broke after it was sent is retried only as far as the class's effect
+// allows, and its status says as much.
 func (h *house) breaks(c class) {
 	for n := 0; ; n++ {
 		status, tries := h.ask("break", c.Name, shortLeft)
@@ -264,15 +268,15 @@
 	}
 }
 
-// refuses: what every encoder hands back has no more attempts than the settings allow.
+// checkRefused: a command that every encoder refuses has no more attempts than the settings allow.
 func (h *house) refuses(c class) {
 	status, sent := h.ask("full", c.Name, shortLeft)
 	require.Equal(h.t, 503, status)
 	require.LessOrEqual(h.t, len(sent), int(permissions(h.settings)["AttemptsCap"].(float64)), c.Name)
 }
 
-// A program that is reloaded from one customer's settings to another's goes on as one that was started with those: the names, times,
-// limits and effects of the first are gone, also from what it tells.
+// A program that is reloaded from one customer's settings to another's behaves like one that was started with
+// those: the names, times, limits and effects of the first no longer appear, not even in the log.
 func TestReloadFromCustomerToCustomer(t *testing.T) {
 	all := customers(t)
 	for _, from := range slices.Sorted(maps.Keys(all)) {
@@ -286,30 +290,31 @@
 					}
 					require.Contains(t, <-h.targets, "index=7")
 					h.reload(after)
-					require.Equal(t, "/catalog/members?stream=1&index=0", <-h.targets, "discovery of the second")
+					require.Equal(t, "/catalog/members?stream=1&index=0", <-h.targets, "discovery of the second customer")
 				}
 				strange := slices.DeleteFunc(namesOf(before), func(name string) bool { return slices.Contains(namesOf(after), name) })
 				h.goesBy(slices.DeleteFunc(strange, func(name string) bool {
 					return !slices.ContainsFunc(classesOf(t, before), func(c class) bool { return c.Name == name })
 				})...)
-				told := h.log.String()
+				logged := h.log.String()
 				if from != to {
-					_, told, _ = strings.Cut(told, "configuration reloaded")
+					_, logged, _ = strings.Cut(logged, "configuration reloaded")
 				}
-				for _, word := range words(told) {
-					require.NotContains(t, strange, word, "the log of now")
+				for _, word := range words(logged) {
+					require.NotContains(t, strange, word, "the log since the reload")
 				}
 			})
 		}
 	}
 }
 
-// Settings that know other zones or kinds of encoder were held against a list that had been read by the names of before: classes
-// that need a kind which those did not name found no encoder until discovery told of each anew, which it may never do.
+// Guards against a list interpreted by the previous settings after a reload that names other zones or kinds of
+// encoder: classes that need a kind which those did not name found no encoder until discovery sent each again,
+// which it may never do.
 func TestReloadReadsTheListAnew(t *testing.T) {
 	all := customers(t)
 	h := open(t, all["quito-lectures"], all["quito-lectures"], all["ballot-stills"])
-	h.give(all["ballot-stills"]) // discovery stays where it is, and has nothing to tell
+	h.give(all["ballot-stills"]) // discovery keeps its address and sends nothing
 	h.signals <- syscall.SIGHUP
 	h.await(func() bool { return h.figure("loads") == "1" })
 	h.serves(classesOf(t, all["ballot-stills"])[0])
--- a/internal/program/settings_test.go
+++ b/internal/program/settings_test.go
@@ -21,18 +21,18 @@
 	"caperrelay/internal/net/http1"
 )
 
-// object is a JSON object as it is drawn.
+// object is a JSON object.
 type object map[string]any
 
-// drawSettings draws settings over what the wire page allows, keys that may be absent among them.
+// drawSettings draws settings within the documented ranges, including absent optional keys.
 func drawSettings(t *rapid.T) object {
 	number := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, name) }
 	share := func(name string) float64 { return rapid.Float64Range(0, 1).Draw(t, name) }
-	yes := func(name string) bool { return rapid.Bool().Draw(t, name) }
-	names := func(of string, n int) []string {
+	flip := func(name string) bool { return rapid.Bool().Draw(t, name) }
+	names := func(prefix string, n int) []string {
 		all := make([]string, n)
 		for i := range all {
-			all[i] = fmt.Sprint(of, i)
+			all[i] = fmt.Sprint(prefix, i)
 		}
 		return all
 	}
@@ -60,20 +60,20 @@
 		"Zones": names("z", zones), "Skus": names("k", kinds), "RequestClasses": requests, "GranularityUs": number("granularity", 0, 4000),
 		"Permissions": object{
 			"AttemptsCap": number("attempts", 1, 4), "OpenCap": rapid.SampledFrom([]int{0, 1, 5, 20_000}).Draw(t, "open"),
-			"Cancelling": yes("cancel"), "ParallelTries": yes("parallel"), "Probes": yes("probes"), "PeerMessages": yes("peers"),
-			"RetryAfter": yes("retry after"), "MaxRetryAfterUs": number("most after", 0, 2_000_000),
+			"Cancelling": flip("cancel"), "ParallelTries": flip("parallel"), "Probes": flip("probes"), "PeerMessages": flip("peers"),
+			"RetryAfter": flip("retry after"), "MaxRetryAfterUs": number("most after", 0, 2_000_000),
 			"ConnIdleUs": rapid.SampledFrom([]int{0, 15_000_000}).Draw(t, "idle"), "ConnectTimeoutUs": rapid.SampledFrom([]int{0, 120_000}).Draw(t, "connect"),
 		},
 		"Rules": object{
 			"AnswerSlackUs": 8000, "DrainGraceUs": number("grace", 0, 1_500_000), "ColdFrom": 0.05 + 0.9*share("cold from"), "ColdUs": number("cold", 0, 24_000_000),
 			"FallMultiple": 1 + 3*share("fall"), "FallUs": number("fall time", 0, 3_000_000), "MustAskInUs": number("must ask", 0, 10_000_000),
-			"GoneIsAdvice": yes("advice"),
+			"GoneIsAdvice": flip("advice"),
 		},
-		"Clients": object{"MarksRetry": yes("marks")}, "OverShareWorth": share("over"),
+		"Clients": object{"MarksRetry": flip("marks")}, "OverShareWorth": share("over"),
 		"Deductions": object{"CrossZone": share("cross"), "Waste": share("waste"), "Probe": 0.002},
 	}
-	if yes("domain") {
-		s["Domain"] = object{"ClassKind": kind, "ClassStretch": stretch[:number("stretches", 0, classes)], "ProgressUs": number("progress", 0, 50_000), "TellsStart": yes("starts")}
+	if flip("domain") {
+		s["Domain"] = object{"ClassKind": kind, "ClassStretch": stretch[:number("stretches", 0, classes)], "ProgressUs": number("progress", 0, 50_000), "TellsStart": flip("starts")}
 	}
 	if d := rapid.SampledFrom([]string{"", "subscribe", "automatic"}).Draw(t, "discovery"); d != "" {
 		s["Discovery"] = d
@@ -92,7 +92,7 @@
 	return s
 }
 
-// sending is one command as an instance got it.
+// receivedAttempt is one command as an instance received it.
 type sending struct {
 	at       string // the instance
 	n        int
@@ -101,10 +101,11 @@
 	got      time.Time
 }
 
-// fleet is instances whose answers follow from a command's id and how often it has come.
+// scriptedFleet is a set of instances whose responses are a function of a command's ID and of how often it has
+// arrived.
 type fleetOf struct {
 	mu       sync.Mutex
-	sendings map[string][]sending // by command, in the order that they came
+	sendings map[string][]sending // by command, in order of arrival
 	news     func(id, from, state string)
 }
 
@@ -117,24 +118,24 @@
 		n := len(f.sendings[id(q)])
 		h := fnv.New32a()
 		fmt.Fprint(h, id(q), n, at)
-		what := h.Sum32() % 12
-		f.sendings[id(q)] = append(f.sendings[id(q)], sending{at: at, n: n, key: q.Header.Get("Idempotency-Key"), neverRan: what == 0, got: time.Now()})
+		behaviour := h.Sum32() % 12
+		f.sendings[id(q)] = append(f.sendings[id(q)], sending{at: at, n: n, key: q.Header.Get("Idempotency-Key"), neverRan: behaviour == 0, got: time.Now()})
 		f.mu.Unlock()
-		load := http1.Field{Name: "X-Backend-Load", Value: []string{"TEXT x0=1, inflight=3", "rubbish"}[what%2]}
-		switch what {
+		load := http1.Field{Name: "X-Backend-Load", Value: []string{"TEXT x0=1, inflight=3", "rubbish"}[behaviour%2]}
+		switch behaviour {
 		case 0:
 			return answer(c, 503, http1.Field{Name: "X-Unprocessed", Value: "1"}, load)
 		case 1:
 			return answer(c, 500, load)
 		case 2:
-			return false // broken before the 202
+			return false // connection broken before the 202
 		case 3:
-			return true // silent
+			return true // sends nothing
 		case 4:
 			f.news(id(q), at, "failed")
 		case 5:
 			f.news(id(q), at, "lost")
-		case 6: // taken, and never heard of again
+		case 6: // accepted, and no callback follows
 		default:
 			f.news(id(q), at, "started")
 			f.news(id(q), at, "done")
@@ -143,11 +144,11 @@
 	}
 }
 
-// Whatever settings the wire page allows, the daemon starts, each command has one final answer, and neither what
-// may have run nor what drains is sent to beyond the rules.
+// With any valid settings the daemon starts, each command has one final response, and neither commands that may
+// have run nor instances that drain are sent to against the rules.
 func TestAnySettings(t *testing.T) {
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
-		require.NoError(t, flag.Set("rapid.checks", "25")) // each plays a short day in real time
+		require.NoError(t, flag.Set("rapid.checks", "25")) // each check serves two rounds of commands in real time
 		defer flag.Set("rapid.checks", f.DefValue)
 	}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -199,7 +200,7 @@
 
 	classes := s["RequestClasses"].([]object)
 	status := make([]int, 2*commandsOfDay)
-	day := func(from int) {
+	round := func(from int) {
 		var all sync.WaitGroup
 		for i := from; i < from+commandsOfDay; i++ {
 			all.Go(func() {
@@ -219,19 +220,19 @@
 		}
 		all.Wait()
 	}
-	day(0)
+	round(0)
 	watch := <-watches
 	members[0]["phase"] = "terminating"
 	line, err := json.Marshal(object{"revision": 2, "complete": false, "members": members[:1]})
 	require.NoError(rt, err)
 	fmt.Fprintf(watch, "%x\r\n%s\n\r\n", len(line)+1, line)
 	w.await(func() bool { return !p.pool.Takes("s-0") })
-	day(commandsOfDay)
+	round(commandsOfDay)
 	signals <- syscall.SIGTERM
 	f.check(rt, s, members, status)
 }
 
-// check holds what instances got and clients were answered against the rules.
+// check compares what instances received and clients were answered with the rules.
 func (f *fleetOf) check(t *rapid.T, s object, members []object, status []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -239,26 +240,26 @@
 	for i, answered := range status {
 		name, class := fmt.Sprint("c", i), classes[i%len(classes)]
 		all := f.sendings[name]
-		require.Contains(t, []int{200, 400, 502, 503}, answered, "the answer of %s", name)
+		require.Contains(t, []int{200, 400, 502, 503}, answered, "status of %s", name)
 		require.LessOrEqual(t, len(all), attempts, "attempts of %s", name)
-		var ran *sending // the first that may have run
+		var ran *sending // the first attempt that may have run
 		for _, a := range all {
 			require.Equal(t, fmt.Sprint("key of ", i), a.key)
-			require.False(t, i >= commandsOfDay && a.at == "s-0", "%s went to what drains", name)
+			require.False(t, i >= commandsOfDay && a.at == "s-0", "%s was sent to a draining instance", name)
 			if ran != nil && class["Effect"] == "single_shot" {
-				t.Fatalf("%s went out again, to %s, though %s may have run it", name, a.at, ran.at)
+				t.Fatalf("%s was sent again, to %s, though %s may have run it", name, a.at, ran.at)
 			}
 			if ran != nil && class["Effect"] == "guarded" {
 				group := map[string]string{"zone": "locality", "cell": "cell"}[class["KeyScope"].(string)]
-				of := func(at string) any { n, _ := strconv.Atoi(at[2:]); return members[n][group] }
-				require.Equal(t, of(ran.at), of(a.at), "%s left its group", name)
+				groupOf := func(instance string) any { n, _ := strconv.Atoi(instance[2:]); return members[n][group] }
+				require.Equal(t, groupOf(ran.at), groupOf(a.at), "%s was retried outside its group", name)
 			}
 			if !a.neverRan && ran == nil {
 				ran = &a
 			}
 		}
 		if harmless := class["Effect"] == "free" || class["Effect"] == "guarded" && class["KeyScope"] == "all"; ran != nil && !harmless {
-			require.NotEqual(t, 503, answered, "%s was refused though %s may have run it", name, ran.at)
+			require.NotEqual(t, 503, answered, "%s was refused although %s may have run it", name, ran.at)
 		}
 	}
 }
--- a/internal/program/takeover_test.go
+++ b/internal/program/takeover_test.go
@@ -19,18 +19,18 @@
 	"caperrelay/internal/net/http1"
 )
 
-// A second program at the address ended at once. It takes over: once it has a fresh list it gets
-// the listener and the connections, and what is held at the older one ends well, whichever of the
-// two an instance's word comes to.
+// A second program at the address takes over: once it has an up-to-date list it gets the listener and the
+// connections, and pending commands of the older process complete, whichever of the two processes a callback
+// reaches.
 func TestNewProcessTakesOver(t *testing.T) {
 	w, took := startAccepting(t)
-	held, kept, mute, half, ours := w.dial(), w.dial(), w.dial(), w.dial(), w.dial()
-	w.command(held, "c1", "once", "30000m")
+	pending, used, unused, half, encoder := w.dial(), w.dial(), w.dial(), w.dial(), w.dial()
+	w.command(pending, "c1", "once", "30000m")
 	require.Equal(t, "c1", <-took)
-	fmt.Fprint(kept, "GET /_health HTTP/1.1\r\n\r\n")
-	require.Equal(t, 200, w.read(kept).Status)
-	w.post(ours, "/_jobs/news", nil, `{"id":"c0","from":"s-1","state":"running","share":0.4}`)
-	require.Equal(t, 204, w.read(ours).Status)
+	fmt.Fprint(used, "GET /_health HTTP/1.1\r\n\r\n")
+	require.Equal(t, 200, w.read(used).Status)
+	w.post(encoder, "/_jobs/news", nil, `{"id":"c0","from":"s-1","state":"running","share":0.4}`)
+	require.Equal(t, 204, w.read(encoder).Status)
 	const pieces = "POST /api HTTP/1.1\r\nX-Correlation-Id: c2\r\nX-Service-Class: safe\r\n\r\n"
 	io.WriteString(half, pieces[:50])
 	<-w.watches
@@ -38,28 +38,28 @@
 	older := w.beside()
 	second := <-w.watches
 	w.await(func() bool { return w.program.Admin() != "" })
-	require.Equal(t, "ERR starting\n", w.call("health"), "without a fresh list it cannot serve")
+	require.Equal(t, "ERR starting\n", w.call("health"), "it cannot serve without an up-to-date list")
 	require.Equal(t, Serving, older.program.Phase())
 	tellTable(second, 7, true, member(w.instance.Addr().String(), "in_service"))
 	w.await(func() bool { return w.program.Phase() == Serving && older.program.Phase() == Yielded })
 	require.Equal(t, "OK\n", w.call("health"))
 	require.Equal(t, older.program.Address(), w.program.Address())
 
-	io.WriteString(half, pieces[50:]) // read by the older one, which may take nothing more
+	io.WriteString(half, pieces[50:]) // the older process reads it, and may accept nothing more
 	require.Equal(t, "1", w.figure("in_progress"))
 	older.signals <- syscall.SIGTERM
 	again := w.dial()
 	w.command(again, "c1", "safe", "30000m")
-	require.Equal(t, 400, w.read(again).Status, "the id is in hand")
-	w.post(ours, "/_jobs/news", nil, `{"id":"c1","from":"s-1","state":"done","result":"r"}`)
-	require.Equal(t, 204, w.read(ours).Status)
-	p := w.read(held)
+	require.Equal(t, 400, w.read(again).Status, "the ID is pending")
+	w.post(encoder, "/_jobs/news", nil, `{"id":"c1","from":"s-1","state":"done","result":"r"}`)
+	require.Equal(t, 204, w.read(encoder).Status)
+	p := w.read(pending)
 	require.Equal(t, []any{"r", false}, []any{string(p.Body), p.Close})
 	require.NoError(t, <-older.ended)
 	require.Equal(t, "c2", <-took)
 	require.Equal(t, 204, w.news("c2", "s-1", "done", "s"))
 	require.Equal(t, "s", string(w.read(half).Body))
-	for i, c := range []net.Conn{held, kept, mute, half, w.dial()} { // all are the new one's
+	for i, c := range []net.Conn{pending, used, unused, half, w.dial()} { // all connections belong to the newer process
 		name := fmt.Sprint("d", i)
 		w.command(c, name, "safe", "30000m")
 		require.Equal(t, name, <-took)
@@ -69,12 +69,12 @@
 	require.Equal(t, Serving, w.program.Phase())
 }
 
-// What no instance has confirmed when the older process yields: it passes on what comes of it, and
-// so does the next, should a third have taken over by then.
+// An attempt that no instance has confirmed when the older process hands over: that process forwards its outcome,
+// and so does the next one if a third has taken over by then.
 func TestUnconfirmedSendingsWhileTakingOver(t *testing.T) {
-	for goes, status := range map[bool]int{true: 200, false: 502} { // broken: it may have run
-		let := make(chan bool)
-		w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return <-let && answer(c, 202) })
+	for confirmed, status := range map[bool]int{true: 200, false: 502} { // connection broken: the command may have run
+		reply := make(chan bool)
+		w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return <-reply && answer(c, 202) })
 		<-w.watches
 		c := w.dial()
 		w.command(c, "c1", "once", "30000m")
@@ -84,16 +84,16 @@
 			tellTable(<-w.watches, 7, true, member(w.instance.Addr().String(), "in_service"))
 			w.await(func() bool { return w.program.Phase() == Serving })
 		}
-		let <- goes
-		if goes {
+		reply <- confirmed
+		if confirmed {
 			require.Equal(t, 204, w.news("c1", "s-1", "done", "r"))
 		}
 		require.Equal(t, status, w.read(c).Status)
 	}
 }
 
-// A command that was held, changed hands and is sent by the newer process only goes on with the key that its
-// client gave it, byte for byte: without it a repeat would run twice.
+// A command that is handed over before it was sent is sent by the newer process with its client's idempotency key,
+// byte for byte: without the key a retry would run twice.
 func TestKeyOutlivesTakingOver(t *testing.T) {
 	seen := make(chan *http1.Request, 9)
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
@@ -101,11 +101,11 @@
 		return answer(c, 202)
 	})
 	<-w.watches
-	fills, held := w.dial(), w.dial()
+	fills, pending := w.dial(), w.dial()
 	w.command(fills, "c1", "once", "30000m")
 	require.Equal(t, "c1", id(<-seen))
 	const key = "caf\xe9 \xff"
-	w.post(held, "/api", http1.Header{{Name: "X-Correlation-Id", Value: "c2"}, {Name: "X-Service-Class", Value: "once"},
+	w.post(pending, "/api", http1.Header{{Name: "X-Correlation-Id", Value: "c2"}, {Name: "X-Service-Class", Value: "once"},
 		{Name: "Idempotency-Key", Value: key}}, "the work")
 	w.await(func() bool { return w.figure("in_progress") == "2" })
 	w.beside()
@@ -115,10 +115,10 @@
 	q := <-seen
 	require.Equal(t, []string{"c2", key}, []string{id(q), q.Header.Get("Idempotency-Key")})
 	require.Equal(t, 204, w.news("c2", "s-1", "done", "s"))
-	require.Equal(t, "s", string(w.read(held).Body))
+	require.Equal(t, "s", string(w.read(pending).Body))
 }
 
-// Where no door can be, a second program shares the address all the same.
+// Where the handover socket cannot be created, a second program still shares the address.
 func TestNoDoor(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 	w.variables["TMPDIR"], w.variables["PROXY_LISTEN"] = "/nowhere", w.program.Address()
@@ -132,8 +132,8 @@
 	require.Equal(t, 200, w.read(c).Status)
 }
 
-// An instance left out by hand was used as the list said. It gets nothing from the yes on, through
-// changes of the list and processes, until it is put back.
+// A cordoned instance gets nothing from the confirmation on, through changes of the list and of processes, until
+// it is uncordoned.
 func TestLeftOutByHand(t *testing.T) {
 	took := make(chan string, 9)
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
@@ -162,7 +162,7 @@
 	refused("c3")
 	older.signals <- syscall.SIGTERM
 	require.NoError(t, <-older.ended)
-	w.signals <- syscall.SIGTERM // and through a death: the file is there
+	w.signals <- syscall.SIGTERM // and across a stop of all processes: the file is there
 	require.NoError(t, <-w.ended)
 	w.unchanged.Store(true)
 	w.run()
@@ -176,7 +176,7 @@
 	require.Empty(t, took)
 }
 
-// A new process that dies before the older one was told to end leaves that in service.
+// A newer process that dies before the older one was told to end leaves the older one in service.
 func TestOlderServesAgain(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
 		w.news(id(q), "s-1", "done", "r")
@@ -195,7 +195,7 @@
 	require.Equal(t, msgState, <-read)
 	link.Send(msgReady, nil)
 	require.Equal(t, msgHandedOver, <-read)
-	waits := w.dial() // in the queue of a listener that nobody serves now
+	waits := w.dial() // in the accept queue of a listener that no process serves now
 	w.command(waits, "c1", "safe", "30000m")
 	link.Close()
 	require.Equal(t, 200, w.read(waits).Status)
@@ -205,10 +205,11 @@
 	w.await(func() bool { return w.program.Phase() == Serving })
 }
 
-// A process that has a newer one already turns away whoever calls next, and the newer one opens a door of its own a moment
-// later. A process that started in that moment gave up: it served alone beside both, on what the configuration had, and a
-// request whose call-back came to it was never answered. TestUnconfirmedSendingsWhileTakingOver met that once, after 20 s;
-// with 300 ms more before the door it does so each time.
+// A process that already has a newer one turns callers away, and the newer one opens its own socket a moment
+// later. Guards against a process that starts in that moment giving up: it would serve alone by its
+// configuration's list, and a request whose callback reached it was never answered.
+// TestUnconfirmedAttemptsDuringHandover met that once, after 20 s; with 300 ms more before the socket is opened it
+// happens each time.
 func TestTurnedAwayCallsAgain(t *testing.T) {
 	w := &world{t: t}
 	w.prepare("", "", func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
@@ -231,12 +232,13 @@
 		door.Close()
 		link.Close()
 	case <-time.After(patience):
-		require.Fail(t, "it does not call again")
+		require.Fail(t, "the process does not call again")
 	}
-	w.await(func() bool { return w.program.Phase() == Serving }) // alone, since nobody answers any more
+	w.await(func() bool { return w.program.Phase() == Serving }) // alone, since no process answers any more
 }
 
-// The older process closed its door once it had yielded, and for a moment there was none.
+// Guards against a moment without a handover socket, if the older process closes its socket when it has handed
+// over.
 func TestThereIsAlwaysADoor(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 	newer, err := handover.Dial(w.program.socketPath())
@@ -250,22 +252,22 @@
 	w.await(func() bool { return w.program.Phase() == Yielded })
 	next, err := handover.Dial(w.program.socketPath())
 	require.NoError(t, err)
-	next.Run(func(m handover.Message, _ *os.File) { require.Fail(t, "told", m.Kind) }) // ends: it is turned away
+	next.Run(func(m handover.Message, _ *os.File) { require.Fail(t, "unexpected message", m.Kind) }) // returns, since the link is closed
 	next.Close()
 	newer.Close()
 	w.await(func() bool { return w.program.Phase() == Serving })
 }
 
-// Whatever lies where the door should be, of an older life or half written, a program starts, and
-// the next finds its door.
+// Whatever file is at the socket's path, stale or half written, a program starts, and the next one finds its
+// socket.
 func TestDoorOverRubbish(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
-	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 30)) // beyond what an address holds
+	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 30)) // longer than a socket address holds
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	w.variables["TMPDIR"] = dir
 	path := handover.Path(dir, "127.0.0.1:0")
-	for _, rubbish := range []string{path, path + ".new"} {
-		require.NoError(t, os.WriteFile(rubbish, []byte("{"), 0o600))
+	for _, stale := range []string{path, path + ".new"} {
+		require.NoError(t, os.WriteFile(stale, []byte("{"), 0o600))
 	}
 	w.unchanged.Store(true)
 	w.run()
@@ -277,12 +279,13 @@
 	w.await(func() bool { return w.program.Phase() == Serving && older.program.Phase() == Yielded })
 }
 
-// A sending that no instance had confirmed when the newer process died ended the older one with a fault.
+// Guards against the older process failing on an attempt that no instance had confirmed when the newer process
+// died.
 func TestUnconfirmedSendingOutlivesTheNewerProcess(t *testing.T) {
-	let := make(chan bool)
+	reply := make(chan bool)
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
 		if id(q) == "c1" {
-			return <-let
+			return <-reply
 		}
 		w.news(id(q), "s-1", "done", "r")
 		return answer(c, 202)
@@ -303,14 +306,15 @@
 	}
 	link.Close()
 	w.await(func() bool { return w.program.Phase() == Serving })
-	let <- false // the connection breaks
+	reply <- false // the connection breaks
 	c := w.dial()
 	w.command(c, "c2", "safe", "30000m")
 	require.Equal(t, 200, w.read(c).Status)
 }
 
-// Two processes replaced the same file by way of one name: one's rename took the other's, whose word was then undone.
-// What is said to either while one takes over holds at both, however quick, and in the file.
+// Guards against two processes replacing the cordon file through the same temporary name: one's rename took the
+// other's file, whose change was lost. Cordons set at either process during a handover apply at both, however
+// quickly they follow, and are in the file.
 func TestLeftOutAtBothWhileTakingOver(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 	line := member(w.instance.Addr().String(), "in_service")
@@ -323,20 +327,20 @@
 	older := w.beside()
 	newest := <-w.watches
 	w.await(func() bool { return w.program.pool.Knows("s-3") })
-	said := make(chan error, 9)
+	results := make(chan error, 9)
 	for id, p := range map[string]*Program{"s-1": older.program, "s-2": older.program, "s-3": w.program} {
 		go func() {
 			for range 100 {
 				if err := errors.Join(p.Cordon(id), p.Uncordon(id)); err != nil {
-					said <- err
+					results <- err
 					return
 				}
 			}
-			said <- p.Cordon(id)
+			results <- p.Cordon(id)
 		}()
 	}
 	for range 3 {
-		require.NoError(t, <-said)
+		require.NoError(t, <-results)
 	}
 	tellTable(newest, 9, true, all)
 	w.await(func() bool { return w.program.Phase() == Serving && older.program.Phase() == Yielded })
@@ -348,7 +352,7 @@
 	w.await(func() bool { return w.kept() && slices.Equal(w.program.readCordons(), []string{"s-1", "s-2", "s-3"}) })
 }
 
-// kept tells whether nobody is left to write who is left out.
+// cordonsWritten reports whether no process has cordons left to write.
 func (w *world) kept() bool {
 	w.program.mu.Lock()
 	alone := w.program.older == nil
@@ -358,8 +362,8 @@
 	return alone && !w.program.cordons.writing
 }
 
-// The word to leave an instance out waited for the disk before it counted, and a process that takes over waited for that.
-// It counts at once, at both, while the disk does not answer; who said it is told so.
+// Guards against a cordon that waits for the disk before it applies, and a newer process that waits for that. It
+// applies at once, at both processes, while the disk does not answer; the operator gets an error that says so.
 func TestLeftOutWhateverTheDiskDoes(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 	<-w.watches
@@ -369,21 +373,21 @@
 		<-answers
 		return replaceFile(path, text)
 	}
-	said := make(chan string, 1)
-	go func() { said <- w.call("cordon s-1") }()
+	results := make(chan string, 1)
+	go func() { results <- w.call("cordon s-1") }()
 	require.Equal(t, `["s-1"]`, <-writes)
 	require.False(t, w.program.pool.Takes("s-1"))
 	older := w.beside()
 	tellTable(<-w.watches, 8, true, member(w.instance.Addr().String(), "in_service"))
 	w.await(func() bool { return w.program.Phase() == Serving && older.program.Phase() == Yielded })
 	require.False(t, w.program.pool.Takes("s-1"))
-	require.Contains(t, <-said, "ERR done, but the next process may not know")
+	require.Contains(t, <-results, "ERR done, but the next process may not know")
 	close(answers)
 	w.await(func() bool { return older.kept() && len(w.program.readCordons()) == 1 })
 }
 
-// What the name table told one of two processes the other learned from its own watch alone, which may be the later one by
-// seconds. It holds for both, and what the own watch tells once more does not take it back.
+// Guards against an update that reached only one of two processes: the other's own watch may report it seconds
+// later. It applies to both, and a repeat on the own watch does not revert it.
 func TestDrainToldToEitherProcess(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 	first := <-w.watches
@@ -393,7 +397,7 @@
 	w.await(func() bool { return w.program.pool.Takes("s-1") })
 	tellTable(first, 9, false, down)
 	w.await(func() bool { return !w.program.pool.Takes("s-1") })
-	tellTable(second, 8, false, up) // of before
+	tellTable(second, 8, false, up) // an older revision
 	w.await(func() bool { return w.program.Phase() == Serving && older.program.Phase() == Yielded })
 	require.False(t, w.program.pool.Takes("s-1"))
 	tellTable(second, 10, false, up)
@@ -402,50 +406,51 @@
 	w.await(func() bool { return !w.program.pool.Takes("s-1") && !older.program.pool.Takes("s-1") })
 }
 
-// A process that takes over serves within 4 s, whatever the older one does: is silent, goes, or does not yield.
+// A process that takes over serves within 4 s, whatever the older one does: sends nothing, ends, or does not hand
+// over.
 func TestServesWhateverTheOlderDoes(t *testing.T) {
 	require.LessOrEqual(t, freshListTimeout+handoverTimeout, 4*time.Second)
-	for _, story := range []struct {
+	for _, test := range []struct {
 		phase              Phase
 		since              time.Duration
 		fresh, older, mute bool
-		unreached          bool
+		unreachable        bool
 		next               step
 	}{
-		{Starting, 0, false, false, false, false, stepWait}, // there is none, and the list may be old
+		{Starting, 0, false, false, false, false, stepWait}, // no older process, and the list may be old
 		{Starting, 0, true, false, false, false, stepServe},
-		{Starting, 0, false, false, false, true, stepServe}, // nobody could have told
+		{Starting, 0, false, false, false, true, stepServe}, // discovery is unreachable
 		{Starting, freshListTimeout, false, false, false, false, stepWait},
 		{Starting, freshListTimeout + handoverTimeout, false, false, false, false, stepServe},
 		{Starting, 0, false, true, false, false, stepWait},
 		{Starting, 0, false, true, false, true, stepWait},
 		{Starting, 0, true, true, false, false, stepAskHandover},
 		{Starting, freshListTimeout, false, true, false, false, stepAskHandover},
-		{Starting, 0, false, false, true, false, stepWait}, // silent: its list is unknown
+		{Starting, 0, false, false, true, false, stepWait}, // no state received: the older process's list is unknown
 		{Starting, 0, false, false, true, true, stepWait},
 		{Starting, 0, true, false, true, false, stepServe},
 		{Starting, freshListTimeout, false, false, true, false, stepWait},
 		{Starting, freshListTimeout + handoverTimeout, false, false, true, false, stepServe},
 		{TakingOver, 0, true, true, false, false, stepWait},
-		{TakingOver, 0, true, false, false, false, stepServe}, // gone
+		{TakingOver, 0, true, false, false, false, stepServe}, // the older process has ended
 		{TakingOver, handoverTimeout, true, true, false, false, stepServe},
 	} {
-		require.Equal(t, story.next, nextStep(story.phase, story.since, story.fresh, story.older, story.mute, story.unreached), "%+v", story)
+		require.Equal(t, test.next, nextStep(test.phase, test.since, test.fresh, test.older, test.mute, test.unreachable), "%+v", test)
 	}
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 	<-w.watches
 	w.program.handoverListener.Close()
-	silent, err := handover.Listen(w.program.socketPath()) // takes calls and says nothing
+	silent, err := handover.Listen(w.program.socketPath()) // accepts connections and sends nothing
 	require.NoError(t, err)
 	defer silent.Close()
 	w.beside()
 	tellTable(<-w.watches, 8, true, member(w.instance.Addr().String(), "terminating"))
 	w.await(func() bool { return w.program.Phase() == Serving })
-	require.False(t, w.program.pool.Takes("s-1"), "by a list of now, not by the configuration's")
+	require.False(t, w.program.pool.Takes("s-1"), "by the current list, not by the configuration's")
 }
 
-// An older process that its machine holds up for over a second was given up on, and what waited at it was lost. It is
-// waited for, and hands over as any other.
+// Guards against giving up on an older process that its machine holds up for over a second, which lost the
+// connections waiting there. It is waited for, and hands over as usual.
 func TestOlderThatStandsStillForAWhile(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
 		w.news(id(q), "s-1", "done", "r")
@@ -453,7 +458,7 @@
 	})
 	<-w.watches
 	c := w.dial()
-	w.program.cordons.mu.Lock() // its answer at the door waits for that
+	w.program.cordons.mu.Lock() // its reply to the newer process waits for this lock
 	older := w.beside()
 	time.AfterFunc(1500*time.Millisecond, older.program.cordons.mu.Unlock)
 	tellTable(<-w.watches, 8, true, member(w.instance.Addr().String(), "in_service"))
@@ -464,10 +469,11 @@
 	require.Equal(t, 200, w.read(c).Status)
 }
 
-// A whole list that was on its way for longer than another process's word of a drain took that back, until the watch told of it
-// as well: what drains was sent to for so long. It counts only if the watch comes no further: then its table has begun anew.
+// Guards against a complete list that was under way for longer than another process's update with a drain: it
+// reverted the drain, and the draining instance was sent to, until the watch reported the drain as well. The list
+// applies only if the watch gets no further, since discovery has then restarted its revisions.
 func TestLateWholeListTakesNoDrainBack(t *testing.T) {
-	for _, further := range []bool{true, false} {
+	for _, watchCatchesUp := range []bool{true, false} {
 		w := start(t, func(w *world, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
 		first := <-w.watches
 		up, down := member(w.instance.Addr().String(), "in_service"), member(w.instance.Addr().String(), "terminating")
@@ -477,9 +483,9 @@
 		tellTable(first, 9, false, down)
 		w.await(func() bool { return !w.program.pool.Takes("s-1") })
 		tellTable(second, 8, true, up)
-		w.await(func() bool { return w.program.Phase() == Serving }) // it has been read
+		w.await(func() bool { return w.program.Phase() == Serving }) // the list has been read by then
 		require.False(t, w.program.pool.Takes("s-1"))
-		if further {
+		if watchCatchesUp {
 			tellTable(second, 9, false, down)
 			w.await(func() bool {
 				w.program.listMu.Lock()
@@ -488,14 +494,15 @@
 			})
 		}
 		w.program.useWatchList()
-		require.Equal(t, !further, w.program.pool.Takes("s-1"))
+		require.Equal(t, !watchCatchesUp, w.program.pool.Takes("s-1"))
 		tellTable(second, 10, false, up)
 		w.await(func() bool { return w.program.pool.Takes("s-1") })
 	}
 }
 
-// A process that started alone sent by the configuration's list before it had asked, to encoders that had gone in the life
-// before it: what discovery has had for long counts as known from its first moment. It does not listen until it has been told.
+// Guards against a process that starts alone and sends by its configuration's list before it has asked discovery,
+// to encoders that have gone since: changes that discovery has had for long count as known from its first moment.
+// It does not listen until discovery has answered.
 func TestServesByNoListOfAnEarlierLife(t *testing.T) {
 	sent := make(chan string, 9)
 	w := &world{t: t}
@@ -505,10 +512,10 @@
 	})
 	w.unchanged.Store(false)
 	w.run()
-	watch := <-w.watches // it has asked, and is not told yet
+	watch := <-w.watches // it has asked and has no reply yet
 	require.Equal(t, Starting, w.program.Phase())
 	require.True(t, w.program.pool.Takes("s-1"), "by the configuration's list")
-	require.Nil(t, w.program.listener, "nobody can hand in anything")
+	require.Nil(t, w.program.listener, "no client can connect")
 	tellTable(watch, 8, false, member(w.instance.Addr().String(), "terminated"))
 	w.await(func() bool { return w.program.Phase() == Serving })
 	require.False(t, w.program.pool.Takes("s-1"))
@@ -518,8 +525,8 @@
 	require.Empty(t, sent)
 }
 
-// A discovery that cannot be reached holds nobody up, one that says nothing for 4 s at the most: the configuration's list is
-// all that there is.
+// An unreachable discovery does not delay the start, and one that sends nothing delays it by 4 s at most: the
+// configuration's list is then all there is.
 func TestServesWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, silent := range []bool{false, true} {
@@ -544,8 +551,8 @@
 	}
 }
 
-// A process whose configuration names another discovery than the one that it takes over from was started with went by that one's
-// address and list all the same, for as long as it ran. It watches its own, and what drains there gets nothing.
+// Guards against a process whose configuration names another discovery than that of the older process using that
+// one's address and list for as long as it ran. It watches its own, and what drains there gets nothing.
 func TestTakesOverWithItsOwnDiscovery(t *testing.T) {
 	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
 		w.news(id(q), "s-1", "done", "r")
@@ -558,13 +565,13 @@
 	own := w.nameTable()
 	w.variables["PROXY_DISCOVERY"] = own.Addr().String()
 	older := w.beside()
-	require.Equal(t, "/catalog/members?stream=1&index=7", <-w.targets, "as its own configuration knows the list")
+	require.Equal(t, "/catalog/members?stream=1&index=7", <-w.targets, "the revision in its own configuration")
 	second := <-w.watches
 	require.Equal(t, own.Addr().String(), second.LocalAddr().String())
 	tellTable(second, 8, false, member(w.instance.Addr().String(), "terminating"))
 	w.await(func() bool { return w.program.Phase() == Serving && older.program.Phase() == Yielded })
 	require.False(t, w.program.pool.Takes("s-1"))
-	require.True(t, older.program.pool.Takes("s-1"), "which goes by its own")
+	require.True(t, older.program.pool.Takes("s-1"), "it uses its own discovery")
 	tellTable(first, 31, false, member(w.instance.Addr().String(), "in_service"))
 	tellTable(second, 9, false, strings.Replace(member(w.instance.Addr().String(), "in_service"), `"up_since_ms":0`, `"up_since_ms":1000`, 1))
 	w.await(func() bool { return w.program.pool.Takes("s-1") })
@@ -573,7 +580,7 @@
 	require.Equal(t, 200, w.read(c).Status)
 }
 
-// watcherAt is the revision of the list that the program has.
+// listRevision is the revision of the list that the program has.
 func (p *Program) watcherAt() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/program/termination_test.go
+++ b/internal/program/termination_test.go
@@ -24,7 +24,7 @@
 	"caperrelay/internal/net/sock"
 )
 
-// The test's own program stands in for the daemon where a story needs a process that ends.
+// The test binary also runs as the daemon where a test needs a process of its own that ends.
 func TestMain(m *testing.M) {
 	if os.Getenv("WINGLB_ENDING") == "" {
 		os.Exit(m.Run())
@@ -45,17 +45,17 @@
 	os.Exit(0)
 }
 
-// process is a daemon as a process of its own.
+// daemonProcess is a daemon in a process of its own.
 type process struct {
 	*testing.T
 	cmd     *exec.Cmd
 	address string
-	log     bytes.Buffer // to be read once it has ended
+	log     bytes.Buffer // to be read only after the process has ended
 	told    time.Time
 	ended   chan error
 }
 
-// launch starts a daemon whose instance goes by a script.
+// launch starts a daemon whose instance runs a script.
 func launch(t *testing.T, settings string, script func(p *process, c net.Conn, q *http1.Request) bool) *process {
 	p := &process{T: t, ended: make(chan error, 1)}
 	instance := listen(t, func(c net.Conn, q *http1.Request) bool { return script(p, c, q) })
@@ -63,7 +63,7 @@
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"+unchanged)
 		return true
 	})
-	// A socket that shares the port keeps it for the daemon, and refuses once that has gone.
+	// A socket that shares the port reserves it for the daemon, and refuses connections once that has ended.
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { syscall.Close(fd) })
@@ -92,7 +92,7 @@
 	return p
 }
 
-// terminate tells the process to end, and kills it when the platform would.
+// terminate sends SIGTERM, and kills the process when the platform would.
 func (p *process) terminate(after time.Duration) {
 	p.told = time.Now()
 	require.NoError(p, p.cmd.Process.Signal(syscall.SIGTERM))
@@ -100,22 +100,22 @@
 	p.Cleanup(func() { kill.Stop() })
 }
 
-// end waits for the process's own end, and returns its counters.
+// waitForExit waits for the process to end by itself, and returns its log with the final counters.
 func (p *process) end() string {
 	select {
 	case err := <-p.ended:
-		require.NoError(p, err, "it ended by itself, before it was killed: %s", p.log.String())
+		require.NoError(p, err, "the process did not end by itself before it was killed: %s", p.log.String())
 	case <-time.After(patience):
-		require.FailNow(p, "it did not end")
+		require.FailNow(p, "the process did not end")
 	}
 	return p.log.String()
 }
 
-// done tells of a job as the instance would.
+// postResult posts a job's result as the instance would.
 func (p *process) done(id string) {
 	c, err := net.Dial("tcp", p.address)
 	if err != nil {
-		return // it has ended
+		return // the process has ended
 	}
 	defer c.Close()
 	body := fmt.Sprintf(`{"id":%q,"from":"s-1","state":"done","result":"r"}`, id)
@@ -128,40 +128,40 @@
 		{Name: "X-Account", Value: "acme"}, {Name: "X-Time-Left", Value: "30000m"}}, []byte("the work"))
 }
 
-// tally is what clients saw.
+// clientCounts counts the responses that clients received.
 type tally struct{ sent, answered, refused, again, unanswered, cut atomic.Int64 }
 
-// ask sends a batch of commands on a connection at once and reads their answers. used: something was answered on it before. false:
-// the connection is to be used no more.
-func (y *tally) ask(c net.Conn, br *bufio.Reader, used bool, batch ...[]byte) bool {
+// sendBatch writes a batch of commands to a connection at once and reads their responses. used: a response has
+// already been read from the connection. It returns false if the connection must not be used again.
+func (t *tally) ask(c net.Conn, br *bufio.Reader, used bool, batch ...[]byte) bool {
 	if _, err := c.Write(bytes.Join(batch, nil)); err != nil && used {
-		y.again.Add(1)
+		t.again.Add(1)
 		return false
 	}
-	y.sent.Add(int64(len(batch)))
+	t.sent.Add(int64(len(batch)))
 	for n := range batch {
 		_, err := br.Peek(1)
 		switch {
-		case err != nil && used && n == 0: // it crossed the end of a connection between requests
-			y.sent.Add(-int64(len(batch)))
-			y.again.Add(1)
+		case err != nil && used && n == 0: // the request crossed the regular close of an idle connection
+			t.sent.Add(-int64(len(batch)))
+			t.again.Add(1)
 			return false
 		case err != nil && n == 0:
-			y.unanswered.Add(int64(len(batch)))
+			t.unanswered.Add(int64(len(batch)))
 			return false
 		case err != nil:
-			y.cut.Add(int64(len(batch) - n))
+			t.cut.Add(int64(len(batch) - n))
 			return false
 		}
 		a, err := http1.ReadResponse(br, "POST")
 		switch {
 		case err != nil:
-			y.cut.Add(1)
+			t.cut.Add(1)
 			return false
 		case a.Status == 503:
-			y.refused.Add(1)
+			t.refused.Add(1)
 		default:
-			y.answered.Add(1)
+			t.answered.Add(1)
 		}
 		if a.Close && n == len(batch)-1 {
 			return false
@@ -170,9 +170,10 @@
 	return true
 }
 
-// Clients that send on as soon as they are answered, behind one another as well, on connections that they keep and on new ones up to
-// the very end: each has an answer or a refusal, whole, before the process could be killed. Jobs that never end, and what
-// waits for them, were cut off by that; newcomers that nobody had accepted were reset by the process's end.
+// Clients send as soon as they are answered, pipelined as well, on kept and new connections up to the very end:
+// each request gets a complete response or a 503 before the process could be killed. Guards against two faults:
+// jobs that never end, and commands waiting for them, were cut off by the kill; and connections that had not been
+// accepted were reset when the process ended.
 func TestNobodyIsCutOffByTheEnd(t *testing.T) {
 	hang := make(chan string, 99)
 	p := launch(t, strings.ReplaceAll(usualSettings, `"TellsStart":true`, `"TellsStart":false`), func(p *process, c net.Conn, q *http1.Request) bool {
@@ -184,15 +185,15 @@
 		}
 		return answer(c, 202)
 	})
-	var y tally
+	var counts tally
 	var all sync.WaitGroup
-	var asked sync.WaitGroup // each client has had an answer, or is asking what has none
+	var asked sync.WaitGroup // clients that have neither a response nor a request without one
 	client := func(i int) {
 		first := true
 		for n := 0; ; n++ {
 			c, err := net.Dial("tcp", p.address)
 			if err != nil {
-				return // refused: the front goes elsewhere
+				return // refused: the front uses another dispatcher
 			}
 			c.SetDeadline(time.Now().Add(patience))
 			br, used := bufio.NewReader(c), false
@@ -201,7 +202,7 @@
 				for k := range 1 + i%3 {
 					batch = append(batch, commandText(fmt.Sprintf("c%d-%d-%d", i, n, k), "safe"))
 				}
-				ok = y.ask(c, br, used, batch...)
+				ok = counts.ask(c, br, used, batch...)
 				if used = true; first {
 					first = false
 					asked.Done()
@@ -215,7 +216,7 @@
 		all.Go(func() { client(i) })
 	}
 	asked.Wait()
-	for i := range 6 { // never done, some never sent on
+	for i := range 6 { // jobs that never end; some are never sent again
 		all.Go(func() {
 			c, err := net.Dial("tcp", p.address)
 			if err != nil {
@@ -223,11 +224,11 @@
 			}
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(patience))
-			y.ask(c, bufio.NewReader(c), false, commandText(fmt.Sprint("hangs", i), []string{"safe", "once"}[i%2]))
+			counts.ask(c, bufio.NewReader(c), false, commandText(fmt.Sprint("hangs", i), []string{"safe", "once"}[i%2]))
 		})
 	}
-	require.NotEmpty(t, <-hang)             // with all of its client's patience, before the process is told
-	kept, err := net.Dial("tcp", p.address) // its next request is never whole
+	require.NotEmpty(t, <-hang)             // with its client's whole time left, before the process gets SIGTERM
+	kept, err := net.Dial("tcp", p.address) // its next request is never complete
 	require.NoError(t, err)
 	defer kept.Close()
 	kept.SetDeadline(time.Now().Add(patience))
@@ -240,20 +241,21 @@
 	_, err = kept.Write(half[:len(half)/2])
 	require.NoError(t, err)
 	all.Go(func() {
-		y.ask(kept, br, false, nil)
+		counts.ask(kept, br, false, nil)
 	})
-	p.terminate(longestKill + time.Second) // with some room for a machine that is short of CPU
+	p.terminate(longestKill + time.Second) // with a margin for an overloaded machine
 	log := p.end()
 	all.Wait()
-	t.Logf("sent %d answered %d refused %d sent again %d", y.sent.Load(), y.answered.Load(), y.refused.Load(), y.again.Load())
-	require.Equal(t, y.sent.Load(), y.answered.Load()+y.refused.Load())
-	require.Zero(t, y.unanswered.Load()+y.cut.Load())
-	require.Positive(t, y.answered.Load())
-	require.Positive(t, y.refused.Load())
+	t.Logf("sent %d answered %d refused %d retried %d", counts.sent.Load(), counts.answered.Load(), counts.refused.Load(), counts.again.Load())
+	require.Equal(t, counts.sent.Load(), counts.answered.Load()+counts.refused.Load())
+	require.Zero(t, counts.unanswered.Load()+counts.cut.Load())
+	require.Positive(t, counts.answered.Load())
+	require.Positive(t, counts.refused.Load())
 	for _, name := range []string{"ending_unanswered", "ending_cut", "closed_unanswered", "closed_cut"} {
 		require.Contains(t, log, "proxy."+name+"=0")
 	}
 }
 
-// longestKill is when the platform kills what was told to end, where a class has more than three seconds.
+// maxKillDelay is the time after SIGTERM at which the platform kills the process where a class has a deadline over
+// three seconds.
 const longestKill = 3700 * time.Millisecond
