--- a/internal/program/callbacks_test.go
+++ b/internal/program/callbacks_test.go
@@ -19,47 +19,47 @@
 )
 
 // Guards against losing a result that an older process has acknowledged but not yet forwarded when it dies.
-func TestAcknowledgedEndOutlivesTheOlderProcess(t *testing.T) {
-	took := make(chan string, 9)
-	w := start(t, func(w *world, c net.Conn, q *http1.Request) bool {
-		took <- id(q)
+func TestAcknowledgedResultSurvivesOlderProcess(t *testing.T) {
+	accepted := make(chan string, 9)
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
+		accepted <- id(q)
 		return answer(c, 202)
 	})
-	<-w.watches
-	held, ours := w.dial(), w.dial()
-	w.command(held, "c1", "once", "3000m")
-	require.Equal(t, "c1", <-took)
+	<-env.watches
+	pending, encoder := env.dial(), env.dial()
+	env.sendCommand(pending, "c1", "once", "3000m")
+	require.Equal(t, "c1", <-accepted)
 	const body = `{"id":"c1","from":"s-1","state":"done","result":"r"}`
 	call := fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	io.WriteString(ours, call[:30]) // the older process reads it
-	w.await(func() bool { return w.program.server.Connections() == 2 })
-	older := w.beside()
-	tellTable(<-w.watches, 7, true, member(w.instance.Addr().String(), "in_service"))
-	w.await(func() bool { return w.program.Phase() == Serving && older.program.Phase() == Yielded })
+	io.WriteString(encoder, call[:30]) // the older process reads it
+	env.await(func() bool { return env.program.server.Connections() == 2 })
+	older := env.startNewer()
+	sendList(<-env.watches, 7, true, member(env.instance.Addr().String(), "in_service"))
+	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == Yielded })
 	blocked, proceed := make(chan bool), make(chan bool)
 	older.program.loop.Learned(func(dispatch.Handed) { close(blocked); <-proceed })
 	<-blocked
-	io.WriteString(ours, call[30:])
-	require.Equal(t, 204, w.read(ours).Status, "the encoder does not repeat the callback")
+	io.WriteString(encoder, call[30:])
+	require.Equal(t, 204, env.read(encoder).Status, "the encoder does not repeat the callback")
 	older.program.mu.Lock()
 	link := older.program.newer
 	older.program.mu.Unlock()
 	link.Close() // the older process loses its link
-	w.await(func() bool { w.program.mu.Lock(); defer w.program.mu.Unlock(); return w.program.older == nil })
+	env.await(func() bool { env.program.mu.Lock(); defer env.program.mu.Unlock(); return env.program.older == nil })
 	close(proceed)
-	p := w.read(held)
+	p := env.read(pending)
 	require.Equal(t, []any{200, "r"}, []any{p.Status, string(p.Body)})
 }
 
 // Guards against answering a callback whose result is queued behind the handover of all pending commands, and is
 // lost with the older process.
-func TestCallbackThatCrossesTheYieldIsPassedOn(t *testing.T) {
-	w, took := startAccepting(t)
-	<-w.watches
-	held, ours := w.dial(), w.dial()
-	w.command(held, "c1", "once", "30000m")
-	require.Equal(t, "c1", <-took)
-	newer, err := handover.Dial(w.program.socketPath())
+func TestCallbackDuringHandoverIsForwarded(t *testing.T) {
+	env, accepted := startAccepting(t)
+	<-env.watches
+	pending, encoder := env.dial(), env.dial()
+	env.sendCommand(pending, "c1", "once", "30000m")
+	require.Equal(t, "c1", <-accepted)
+	newer, err := handover.Dial(env.program.socketPath())
 	require.NoError(t, err)
 	passed := make(chan clients.Passed, 9)
 	go newer.Run(func(m handover.Message, f *os.File) {
@@ -73,28 +73,28 @@
 	})
 	block := func() chan bool {
 		proceed := make(chan bool)
-		w.program.loop.Learned(func(dispatch.Handed) { <-proceed })
+		env.program.loop.Learned(func(dispatch.Handed) { <-proceed })
 		return proceed
 	}
 	before := block()
 	newer.Send(msgReady, nil)
 	newer.Send(msgCordon, cordonChange{"s-1", true}) // once this is applied, the loop has been asked to hand over
-	w.await(func() bool {
-		w.program.cordons.mu.Lock()
-		defer w.program.cordons.mu.Unlock()
-		return w.program.cordons.ids["s-1"]
+	env.await(func() bool {
+		env.program.cordons.mu.Lock()
+		defer env.program.cordons.mu.Unlock()
+		return env.program.cordons.cordoned["s-1"]
 	})
 	behind := block()
 	const body = `{"id":"c1","from":"s-1","state":"done","result":"r"}`
 	const next = "GET /_health HTTP/1.1\r\n\r\n"
-	io.WriteString(ours, "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n")
-	_, err = io.ReadFull(ours, make([]byte, len("HTTP/1.1 100 Continue\r\n\r\n"))) // the older process reads it
+	io.WriteString(encoder, "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n")
+	_, err = io.ReadFull(encoder, make([]byte, len("HTTP/1.1 100 Continue\r\n\r\n"))) // the older process reads it
 	require.NoError(t, err)
-	io.WriteString(ours, chunk(body)+"0\r\n\r\n"+next)
+	io.WriteString(encoder, chunk(body)+"0\r\n\r\n"+next)
 	for range 3 { // meanwhile it reads the rest
-		c := w.dial()
+		c := env.dial()
 		io.WriteString(c, next)
-		require.Equal(t, 200, w.read(c).Status)
+		require.Equal(t, 200, env.read(c).Status)
 	}
 	close(before)
 	select {
@@ -105,7 +105,7 @@
 		require.Equal(t, []any{"POST", "/_jobs/news", body, true}, []any{q.Method, q.Target, string(q.Body), q.Close})
 		rest, _ := io.ReadAll(unread)
 		require.Equal(t, next, string(rest))
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the callback was not forwarded to the newer process")
 	}
 	close(behind)
--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -21,7 +21,7 @@
 	write func(path string, text []byte) error // replaces the file; may block
 
 	mu      sync.Mutex // never held during file access, logging or messages to a peer
-	ids     map[string]bool
+	cordoned     map[string]bool
 	unsaved bool         // another process has sent changes and writes them
 	writing bool         // a writer goroutine runs
 	waiters []chan error // callers waiting for the next write; each has a buffer of one
@@ -64,11 +64,11 @@
 	defer p.cordons.mu.Unlock()
 	var changes []cordonChange
 	for _, id := range ids {
-		if !p.cordons.ids[id] {
+		if !p.cordons.cordoned[id] {
 			changes = append(changes, cordonChange{id, true})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(p.cordons.ids)) {
+	for _, id := range slices.Sorted(maps.Keys(p.cordons.cordoned)) {
 		if only && !slices.Contains(ids, id) {
 			changes = append(changes, cordonChange{id, false})
 		}
@@ -86,8 +86,8 @@
 
 // applyCordon applies a change in this process and sends it to the other processes except from. The lock is held.
 func (p *Program) applyCordon(c cordonChange, from *handover.Link) (ids []string) {
-	if p.cordons.ids[c.ID] = c.Out; !c.Out {
-		delete(p.cordons.ids, c.ID)
+	if p.cordons.cordoned[c.ID] = c.Out; !c.Out {
+		delete(p.cordons.cordoned, c.ID)
 	}
 	p.pool.Cordon(c.ID, c.Out)
 	p.loop.Cordon(c.ID, c.Out)
@@ -98,7 +98,7 @@
 		}
 	}
 	p.mu.Unlock()
-	ids = slices.Sorted(maps.Keys(p.cordons.ids))
+	ids = slices.Sorted(maps.Keys(p.cordons.cordoned))
 	p.eachPart(func(t Part) { t.Cordoned(ids) })
 	return ids
 }
@@ -113,9 +113,9 @@
 	}
 	p.cordons.mu.Lock()
 	ids := p.applyCordon(c, from)
-	var kept <-chan error
+	var written <-chan error
 	if p.cordons.unsaved = from != nil; from == nil { // otherwise that process writes the file, or this one once that process has ended
-		kept = p.queueWrite()
+		written = p.queueWrite()
 	}
 	p.cordons.mu.Unlock()
 	if p.log.Info("cordoned", "ids", ids); from != nil {
@@ -123,7 +123,7 @@
 	}
 	err := errors.New("the disk does not answer")
 	select {
-	case err = <-kept:
+	case err = <-written:
 	case <-time.After(cordonWriteTimeout):
 	}
 	if err != nil {
@@ -134,17 +134,17 @@
 
 // queueWrite has the current set written and returns a channel for the outcome. The lock is held.
 func (p *Program) queueWrite() <-chan error {
-	kept := make(chan error, 1)
+	written := make(chan error, 1)
 	if len(p.cordons.waiters) >= maxCordonWaiters { // the next write includes this change too
-		kept <- errors.New("the disk does not answer")
-		return kept
+		written <- errors.New("the disk does not answer")
+		return written
 	}
-	p.cordons.waiters = append(p.cordons.waiters, kept)
+	p.cordons.waiters = append(p.cordons.waiters, written)
 	if !p.cordons.writing {
 		p.cordons.writing = true
 		go p.runWriter()
 	}
-	return kept
+	return written
 }
 
 func (p *Program) cordonsFile() string {
@@ -164,13 +164,13 @@
 func (p *Program) runWriter() {
 	for {
 		p.cordons.mu.Lock()
-		waits := p.cordons.waiters
-		if p.cordons.waiters = nil; len(waits) == 0 {
+		waiters := p.cordons.waiters
+		if p.cordons.waiters = nil; len(waiters) == 0 {
 			p.cordons.writing = false
 			p.cordons.mu.Unlock()
 			return
 		}
-		text, err := json.Marshal(slices.Sorted(maps.Keys(p.cordons.ids)))
+		text, err := json.Marshal(slices.Sorted(maps.Keys(p.cordons.cordoned)))
 		p.cordons.mu.Unlock()
 		if err == nil {
 			err = p.cordons.write(p.cordonsFile(), text)
@@ -178,7 +178,7 @@
 		if err != nil {
 			p.log.Error("cordons", "err", err)
 		}
-		for _, w := range waits {
+		for _, w := range waiters {
 			w <- err
 		}
 	}
@@ -232,10 +232,10 @@
 	p.cordons.mu.Lock()
 	defer p.cordons.mu.Unlock()
 	for _, id := range ids {
-		p.cordons.ids[id] = true
+		p.cordons.cordoned[id] = true
 		p.pool.Cordon(id, true)
 		p.loop.Cordon(id, true)
 	}
-	all := slices.Sorted(maps.Keys(p.cordons.ids))
+	all := slices.Sorted(maps.Keys(p.cordons.cordoned))
 	p.eachPart(func(t Part) { t.Cordoned(all) })
 }
--- a/internal/program/customers_test.go
+++ b/internal/program/customers_test.go
@@ -81,7 +81,7 @@
 }
 
 // deployedFiles lists the source files of the programs that the deploy file's run and sim use.
-func playedFiles(t *testing.T, root string) (files []string) {
+func deployedFiles(t *testing.T, root string) (files []string) {
 	list := exec.Command("go", "list", "-deps", "-f", `{{if .Module}}{{if .Module.Main}}{{$dir := .Dir}}{{range .GoFiles}}{{$dir}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`,
 		"./cmd/winglb", "./cmd/wirehost")
 	list.Dir = root
@@ -115,7 +115,7 @@
 // The program runs for any customer, and nothing in it may be tailored to one: no class, tenant, zone or kind that
 // a settings document names may appear in the code. A name that is also an ordinary word may appear in comments
 // and sentences, but not as a whole string literal in deployed code.
-func TestNoCustomersNameInTheCode(t *testing.T) {
+func TestNoCustomerNamesInCode(t *testing.T) {
 	const root = "../.."
 	coined, plain := map[string]bool{}, map[string]bool{}
 	add := func(names ...string) {
@@ -145,7 +145,7 @@
 			require.False(t, coined[word], "%s has %q, a name of one customer", file, word)
 		}
 	}
-	deployed := playedFiles(t, root)
+	deployed := deployedFiles(t, root)
 	require.True(t, slices.ContainsFunc(deployed, func(file string) bool { return strings.HasSuffix(file, "/decide/decide.go") }))
 	for _, file := range deployed {
 		for _, literal := range literals(t, file) {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -115,7 +115,7 @@
 func New(c *config.Config, logger *slog.Logger, parts ...NewPart) (*Program, error) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
 	debug.SetGCPercent(collectAt)
-	p := &Program{config: c, log: logger, listReceived: make(chan struct{}), reloadRequests: make(chan func(error), 4), cordons: cordons{ids: map[string]bool{}, write: replaceFile}, discovery: c.Discovery, names: c.Names, phaseSince: time.Now()}
+	p := &Program{config: c, log: logger, listReceived: make(chan struct{}), reloadRequests: make(chan func(error), 4), cordons: cordons{cordoned: map[string]bool{}, write: replaceFile}, discovery: c.Discovery, names: c.Names, phaseSince: time.Now()}
 	sockets := c.Limits.Sockets - reservedSockets
 	p.connLimits.pool = sockets * 2 / 5
 	p.pool = upstream.NewPool(upstream.Limits{
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -23,18 +23,18 @@
 )
 
 // logBuffer is a log that can be read while it is written.
-type textOf struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *textOf) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *textOf) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -42,25 +42,25 @@
 
 // customerEnv is a program with encoders of every kind that some customers name, and the requests that those
 // received.
-type house struct {
-	*world
-	log       textOf
+type customerEnv struct {
+	*testEnv
+	log       logBuffer
 	discovery string // discovery's address in the configuration
 	members   []object
 	settings  object
 
-	mu   sync.Mutex
-	last int                         // number of the last command
-	sent map[string][]*http1.Request // requests by command
+	mu         sync.Mutex
+	lastNumber int                         // number of the last command
+	sent       map[string][]*http1.Request // requests by command
 }
 
 // startFor starts a program with one customer's settings and a fleet that serves all the given settings.
-func open(t *testing.T, by object, served ...object) *house {
-	h := &house{
-		world: &world{t: t, watches: make(chan net.Conn, 9), targets: make(chan string, 9), unchanged: new(atomic.Bool)},
-		sent:  map[string][]*http1.Request{},
+func startFor(t *testing.T, by object, served ...object) *customerEnv {
+	h := &customerEnv{
+		testEnv: &testEnv{t: t, watches: make(chan net.Conn, 9), targets: make(chan string, 9), reportUnchanged: new(atomic.Bool)},
+		sent:    map[string][]*http1.Request{},
 	}
-	h.unchanged.Store(true)
+	h.reportUnchanged.Store(true)
 	for _, settings := range served {
 		for i, kind := range settings["Skus"].([]any) {
 			zone := "elsewhere"
@@ -70,18 +70,18 @@
 			h.encoder(zone, kind.(string))
 		}
 	}
-	h.world.log = slog.NewTextHandler(&h.log, nil)
-	h.table = h.nameTable()
-	h.discovery = h.table.Addr().String()
+	h.testEnv.log = slog.NewTextHandler(&h.log, nil)
+	h.discoveryServer = h.startDiscovery()
+	h.discovery = h.discoveryServer.Addr().String()
 	h.variables = map[string]string{"PROXY_CONFIG": t.TempDir() + "/config.json", "TMPDIR": t.TempDir()}
-	h.give(by)
+	h.writeConfig(by)
 	h.run()
 	h.await(func() bool { return h.program.Phase() == Serving })
 	return h
 }
 
 // encoder adds an encoder to the list. The prefix of a command's ID selects what the encoder does with it.
-func (h *house) encoder(zone, kind string) {
+func (h *customerEnv) encoder(zone, kind string) {
 	name := fmt.Sprint("s-", len(h.members)+1)
 	e := listen(h.t, func(c net.Conn, q *http1.Request) bool {
 		if q.Method != "POST" {
@@ -96,7 +96,7 @@
 		case "full":
 			return answer(c, 503, http1.Field{Name: "X-Unprocessed", Value: "1"})
 		case "serve":
-			h.news(id(q), name, "done", "r")
+			h.callback(id(q), name, "done", "r")
 		}
 		return answer(c, 202)
 	})
@@ -110,7 +110,7 @@
 }
 
 // writeConfig writes the configuration with a customer's settings.
-func (h *house) give(settings object) {
+func (h *customerEnv) writeConfig(settings object) {
 	h.settings = settings
 	text, err := json.Marshal(object{
 		"name": "n1", "listen": "127.0.0.1:0", "admin_addr": "127.0.0.1:0", "discovery": h.discovery, "seed": "1f", "settings": settings,
@@ -121,20 +121,20 @@
 }
 
 // reload switches the program to another customer's settings, and to discovery at another address.
-func (h *house) reload(settings object) {
-	h.discovery = h.nameTable().Addr().String()
-	h.give(settings)
-	loads := h.figure("loads")
+func (h *customerEnv) reload(settings object) {
+	h.discovery = h.startDiscovery().Addr().String()
+	h.writeConfig(settings)
+	loads := h.operatorCounter("loads")
 	h.signals <- syscall.SIGHUP
-	h.await(func() bool { return h.figure("loads") != loads })
+	h.await(func() bool { return h.operatorCounter("loads") != loads })
 }
 
 // request sends a command and returns the status of its response and the requests that encoders received for it.
 // left may be empty: then the class's time applies.
-func (h *house) ask(action, class, left string) (status int, sent []*http1.Request) {
+func (h *customerEnv) request(action, class, left string) (status int, sent []*http1.Request) {
 	h.mu.Lock()
-	h.last++
-	name := fmt.Sprintf("%s-%s-%d", action, class, h.last)
+	h.lastNumber++
+	name := fmt.Sprintf("%s-%s-%d", action, class, h.lastNumber)
 	h.mu.Unlock()
 	c := h.connect()
 	defer c.Close()
@@ -169,22 +169,22 @@
 func permissions(settings object) object { return settings["Permissions"].(map[string]any) }
 
 // checkSettings checks by the program's behaviour that it uses its customer's settings and no others.
-func (h *house) goesBy(strange ...string) {
+func (h *customerEnv) checkSettings(strange ...string) {
 	own := classesOf(h.t, h.settings)
 	for _, name := range strange {
-		status, sent := h.ask("serve", name, "")
+		status, sent := h.request("serve", name, "")
 		require.Equal(h.t, 400, status, "a class of another customer: %s", name)
 		require.Empty(h.t, sent)
 	}
 	for _, c := range own {
-		h.serves(c)
+		h.checkServed(c)
 	}
-	h.holds(slices.MaxFunc(own, func(a, b class) int { // the class whose commands wait longest
+	h.checkOpenLimit(slices.MaxFunc(own, func(a, b class) int { // the class whose commands wait longest
 		return int(a.LateWorth*1e9 + a.AimUs - b.LateWorth*1e9 - b.AimUs)
 	}))
 	for _, c := range own {
-		h.breaks(c)
-		h.refuses(c)
+		h.checkBroken(c)
+		h.checkRefused(c)
 	}
 	report := h.settings["LoadReport"].(map[string]any)
 	require.Equal(h.t, report["Via"] != "silent" && len(report["Fields"].([]any)) > 0, h.program.loads.Any(), "load reports")
@@ -195,9 +195,9 @@
 }
 
 // checkServed: a command without a time of its own gets the class's, and is served.
-func (h *house) serves(c class) {
+func (h *customerEnv) checkServed(c class) {
 	for n := 0; ; n++ { // on an overloaded machine commands of the shortest classes are late
-		status, sent := h.ask("serve", c.Name, "")
+		status, sent := h.request("serve", c.Name, "")
 		for _, q := range sent {
 			left, err := strconv.Atoi(strings.TrimSuffix(q.Header.Get("X-Time-Left"), "m"))
 			require.NoError(h.t, err)
@@ -213,7 +213,7 @@
 
 // checkOpenLimit: as many commands are open as the settings allow, and clients beyond that get a Retry-After as
 // configured.
-func (h *house) holds(c class) {
+func (h *customerEnv) checkOpenLimit(c class) {
 	const many = 40
 	allowed := min(many, int(permissions(h.settings)["OpenCap"].(float64)))
 	refused := make(chan string, many)
@@ -246,13 +246,13 @@
 }
 
 // shortTimeLeft is the time of commands that are not served.
-const shortLeft = "300m"
+const shortTimeLeft = "300m"
 
 // checkBroken: a command whose connection broke after it was sent is retried only as far as the class's effect
 // allows, and its status says as much.
-func (h *house) breaks(c class) {
+func (h *customerEnv) checkBroken(c class) {
 	for n := 0; ; n++ {
-		status, tries := h.ask("break", c.Name, shortLeft)
+		status, tries := h.request("break", c.Name, shortTimeLeft)
 		sent := len(tries)
 		require.LessOrEqual(h.t, sent, int(permissions(h.settings)["AttemptsCap"].(float64)), c.Name)
 		if harmless := c.Effect == "free" || c.Effect == "guarded" && c.KeyScope == "all"; !harmless && sent > 0 {
@@ -269,31 +269,31 @@
 }
 
 // checkRefused: a command that every encoder refuses has no more attempts than the settings allow.
-func (h *house) refuses(c class) {
-	status, sent := h.ask("full", c.Name, shortLeft)
+func (h *customerEnv) checkRefused(c class) {
+	status, sent := h.request("full", c.Name, shortTimeLeft)
 	require.Equal(h.t, 503, status)
 	require.LessOrEqual(h.t, len(sent), int(permissions(h.settings)["AttemptsCap"].(float64)), c.Name)
 }
 
 // A program that is reloaded from one customer's settings to another's behaves like one that was started with
 // those: the names, times, limits and effects of the first no longer appear, not even in the log.
-func TestReloadFromCustomerToCustomer(t *testing.T) {
+func TestReloadBetweenCustomers(t *testing.T) {
 	all := customers(t)
 	for _, from := range slices.Sorted(maps.Keys(all)) {
 		for _, to := range slices.Sorted(maps.Keys(all)) {
 			t.Run(from+" to "+to, func(t *testing.T) {
 				before, after := all[from], all[to]
-				h := open(t, before, before, after)
+				h := startFor(t, before, before, after)
 				if from != to {
 					for _, c := range classesOf(t, before) {
-						h.serves(c)
+						h.checkServed(c)
 					}
 					require.Contains(t, <-h.targets, "index=7")
 					h.reload(after)
 					require.Equal(t, "/catalog/members?stream=1&index=0", <-h.targets, "discovery of the second customer")
 				}
 				strange := slices.DeleteFunc(namesOf(before), func(name string) bool { return slices.Contains(namesOf(after), name) })
-				h.goesBy(slices.DeleteFunc(strange, func(name string) bool {
+				h.checkSettings(slices.DeleteFunc(strange, func(name string) bool {
 					return !slices.ContainsFunc(classesOf(t, before), func(c class) bool { return c.Name == name })
 				})...)
 				logged := h.log.String()
@@ -311,11 +311,11 @@
 // Guards against a list interpreted by the previous settings after a reload that names other zones or kinds of
 // encoder: classes that need a kind which those did not name found no encoder until discovery sent each again,
 // which it may never do.
-func TestReloadReadsTheListAnew(t *testing.T) {
+func TestReloadReinterpretsList(t *testing.T) {
 	all := customers(t)
-	h := open(t, all["quito-lectures"], all["quito-lectures"], all["ballot-stills"])
-	h.give(all["ballot-stills"]) // discovery keeps its address and sends nothing
+	h := startFor(t, all["quito-lectures"], all["quito-lectures"], all["ballot-stills"])
+	h.writeConfig(all["ballot-stills"]) // discovery keeps its address and sends nothing
 	h.signals <- syscall.SIGHUP
-	h.await(func() bool { return h.figure("loads") == "1" })
-	h.serves(classesOf(t, all["ballot-stills"])[0])
+	h.await(func() bool { return h.operatorCounter("loads") == "1" })
+	h.checkServed(classesOf(t, all["ballot-stills"])[0])
 }
--- a/internal/program/settings_test.go
+++ b/internal/program/settings_test.go
@@ -93,33 +93,33 @@
 }
 
 // receivedAttempt is one command as an instance received it.
-type sending struct {
-	at       string // the instance
-	n        int
-	key      string
-	neverRan bool
-	got      time.Time
+type receivedAttempt struct {
+	instance   string
+	n          int
+	key        string
+	neverRan   bool
+	receivedAt time.Time
 }
 
 // scriptedFleet is a set of instances whose responses are a function of a command's ID and of how often it has
 // arrived.
-type fleetOf struct {
+type scriptedFleet struct {
 	mu       sync.Mutex
-	sendings map[string][]sending // by command, in order of arrival
-	news     func(id, from, state string)
+	attempts map[string][]receivedAttempt // by command, in order of arrival
+	callback func(id, from, state string)
 }
 
-func (f *fleetOf) script(at string) func(c net.Conn, q *http1.Request) bool {
+func (f *scriptedFleet) script(at string) func(c net.Conn, q *http1.Request) bool {
 	return func(c net.Conn, q *http1.Request) bool {
 		if q.Method != "POST" {
 			return answer(c, 200)
 		}
 		f.mu.Lock()
-		n := len(f.sendings[id(q)])
+		n := len(f.attempts[id(q)])
 		h := fnv.New32a()
 		fmt.Fprint(h, id(q), n, at)
 		behaviour := h.Sum32() % 12
-		f.sendings[id(q)] = append(f.sendings[id(q)], sending{at: at, n: n, key: q.Header.Get("Idempotency-Key"), neverRan: behaviour == 0, got: time.Now()})
+		f.attempts[id(q)] = append(f.attempts[id(q)], receivedAttempt{instance: at, n: n, key: q.Header.Get("Idempotency-Key"), neverRan: behaviour == 0, receivedAt: time.Now()})
 		f.mu.Unlock()
 		load := http1.Field{Name: "X-Backend-Load", Value: []string{"TEXT x0=1, inflight=3", "rubbish"}[behaviour%2]}
 		switch behaviour {
@@ -132,13 +132,13 @@
 		case 3:
 			return true // sends nothing
 		case 4:
-			f.news(id(q), at, "failed")
+			f.callback(id(q), at, "failed")
 		case 5:
-			f.news(id(q), at, "lost")
+			f.callback(id(q), at, "lost")
 		case 6: // accepted, and no callback follows
 		default:
-			f.news(id(q), at, "started")
-			f.news(id(q), at, "done")
+			f.callback(id(q), at, "started")
+			f.callback(id(q), at, "done")
 		}
 		return answer(c, 202)
 	}
@@ -153,17 +153,17 @@
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawSettings(rt)
-		playShortDay(t, rt, s)
+		runTwoRounds(t, rt, s)
 	})
 }
 
-const instancesOfDay, commandsOfDay = 4, 16
+const instanceCount, commandsPerRound = 4, 16
 
-func playShortDay(t *testing.T, rt *rapid.T, s object) {
-	f := &fleetOf{sendings: map[string][]sending{}}
+func runTwoRounds(t *testing.T, rt *rapid.T, s object) {
+	f := &scriptedFleet{attempts: map[string][]receivedAttempt{}}
 	zones, kinds := s["Zones"].([]string), s["Skus"].([]string)
 	var members []object
-	for i := range instancesOfDay {
+	for i := range instanceCount {
 		name := fmt.Sprint("s-", i)
 		in := listen(t, f.script(name))
 		defer in.stop()
@@ -194,25 +194,25 @@
 	require.NoError(rt, err)
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- p.Run(signals) }()
-	w := &world{t: t, program: p}
-	f.news = func(id, from, state string) { w.news(id, from, state, "of "+id) }
-	w.await(func() bool { return p.Phase() == Serving })
+	env := &testEnv{t: t, program: p}
+	f.callback = func(id, from, state string) { env.callback(id, from, state, "of "+id) }
+	env.await(func() bool { return p.Phase() == Serving })
 
 	classes := s["RequestClasses"].([]object)
-	status := make([]int, 2*commandsOfDay)
+	status := make([]int, 2*commandsPerRound)
 	round := func(from int) {
 		var all sync.WaitGroup
-		for i := from; i < from+commandsOfDay; i++ {
+		for i := from; i < from+commandsPerRound; i++ {
 			all.Go(func() {
-				c := w.connect()
+				c := env.connect()
 				defer c.Close()
 				class := classes[i%len(classes)]
-				w.post(c, "/api", http1.Header{
+				env.post(c, "/api", http1.Header{
 					{Name: "X-Correlation-Id", Value: fmt.Sprint("c", i)}, {Name: "X-Service-Class", Value: class["Name"].(string)},
 					{Name: "X-Account", Value: fmt.Sprint("t", i%3)}, {Name: "X-Time-Left", Value: strconv.Itoa(class["DeadlineUs"].(int)) + "u"},
 					{Name: "Idempotency-Key", Value: fmt.Sprint("key of ", i)}, {Name: "Cookie", Value: fmt.Sprint("user=u", i%2)},
 				}, "the work")
-				a := w.read(c)
+				a := env.read(c)
 				if status[i] = a.Status; a.Status == 200 && string(a.Body) != fmt.Sprint("of c", i) {
 					status[i] = -1
 				}
@@ -226,40 +226,40 @@
 	line, err := json.Marshal(object{"revision": 2, "complete": false, "members": members[:1]})
 	require.NoError(rt, err)
 	fmt.Fprintf(watch, "%x\r\n%s\n\r\n", len(line)+1, line)
-	w.await(func() bool { return !p.pool.Takes("s-0") })
-	round(commandsOfDay)
+	env.await(func() bool { return !p.pool.Takes("s-0") })
+	round(commandsPerRound)
 	signals <- syscall.SIGTERM
 	f.check(rt, s, members, status)
 }
 
 // check compares what instances received and clients were answered with the rules.
-func (f *fleetOf) check(t *rapid.T, s object, members []object, status []int) {
+func (f *scriptedFleet) check(t *rapid.T, s object, members []object, status []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	classes, attempts := s["RequestClasses"].([]object), s["Permissions"].(object)["AttemptsCap"].(int)
 	for i, answered := range status {
 		name, class := fmt.Sprint("c", i), classes[i%len(classes)]
-		all := f.sendings[name]
+		all := f.attempts[name]
 		require.Contains(t, []int{200, 400, 502, 503}, answered, "status of %s", name)
 		require.LessOrEqual(t, len(all), attempts, "attempts of %s", name)
-		var ran *sending // the first attempt that may have run
+		var ran *receivedAttempt // the first attempt that may have run
 		for _, a := range all {
 			require.Equal(t, fmt.Sprint("key of ", i), a.key)
-			require.False(t, i >= commandsOfDay && a.at == "s-0", "%s was sent to a draining instance", name)
+			require.False(t, i >= commandsPerRound && a.instance == "s-0", "%s was sent to a draining instance", name)
 			if ran != nil && class["Effect"] == "single_shot" {
-				t.Fatalf("%s was sent again, to %s, though %s may have run it", name, a.at, ran.at)
+				t.Fatalf("%s was sent again, to %s, though %s may have run it", name, a.instance, ran.instance)
 			}
 			if ran != nil && class["Effect"] == "guarded" {
 				group := map[string]string{"zone": "locality", "cell": "cell"}[class["KeyScope"].(string)]
 				groupOf := func(instance string) any { n, _ := strconv.Atoi(instance[2:]); return members[n][group] }
-				require.Equal(t, groupOf(ran.at), groupOf(a.at), "%s was retried outside its group", name)
+				require.Equal(t, groupOf(ran.instance), groupOf(a.instance), "%s was retried outside its group", name)
 			}
 			if !a.neverRan && ran == nil {
 				ran = &a
 			}
 		}
 		if harmless := class["Effect"] == "free" || class["Effect"] == "guarded" && class["KeyScope"] == "all"; ran != nil && !harmless {
-			require.NotEqual(t, 503, answered, "%s was refused although %s may have run it", name, ran.at)
+			require.NotEqual(t, 503, answered, "%s was refused although %s may have run it", name, ran.instance)
 		}
 	}
 }
--- a/internal/program/takeover.go
+++ b/internal/program/takeover.go
@@ -137,16 +137,16 @@
 // resize sets the memory and connection limits: all processes at the address share the machine.
 func (p *Program) resize() {
 	p.mu.Lock()
-	relieving, yielded := p.older != nil, p.server.Yielded()
-	alone := !relieving && p.newer == nil
+	takingOver, handedOver := p.older != nil, p.server.Yielded()
+	alone := !takingOver && p.newer == nil
 	p.mu.Unlock()
 	memory, pool := 1.0, p.connLimits.pool
 	if !alone {
 		memory = 0.5
 	}
-	if yielded { // no new work arrives, pending work only ends
+	if handedOver { // no new work arrives, pending work only ends
 		pool /= 4
-	} else if relieving {
+	} else if takingOver {
 		pool -= pool / 4
 	}
 	debug.SetMemoryLimit(int64(memory * memoryShare * float64(p.config.Limits.MemoryMB) * (1 << 20)))
@@ -201,17 +201,17 @@
 )
 
 // nextStep returns the next step after the time since in a phase. fresh: discovery has sent a list. older: an
-// older process is connected. mute: one answered but sent no state; it may still be serving by a more recent list
+// older process is connected. noState: one answered but sent no state; it may still be serving by a more recent list
 // than the configuration's. unreachable: discovery cannot be reached. A process that starts alone has the
 // configuration's list, which is as old as the previous process. Changes that discovery has had for longer than
 // its propagation delay count as known to this process from its first moment, so it serves only once discovery has
 // answered or cannot be reached.
-func nextStep(phase Phase, since time.Duration, fresh, older, mute, unreachable bool) step {
+func nextStep(phase Phase, since time.Duration, fresh, older, noState, unreachable bool) step {
 	late := since >= freshListTimeout+handoverTimeout
 	switch {
 	case phase == TakingOver && (!older || since >= handoverTimeout):
 		return stepServe
-	case phase == Starting && !older && (fresh || late || unreachable && !mute):
+	case phase == Starting && !older && (fresh || late || unreachable && !noState):
 		return stepServe
 	case phase == Starting && older && (fresh || since >= freshListTimeout):
 		return stepAskHandover
@@ -245,21 +245,21 @@
 
 // openHandover opens the handover socket, in place of that of the process before.
 func (p *Program) openHandover(ctx context.Context) {
-	door, err := handover.Listen(p.socketPath())
+	socket, err := handover.Listen(p.socketPath())
 	if err != nil {
 		p.log.Error("cannot open the handover socket for a newer process", "err", err)
 		return
 	}
 	p.mu.Lock()
 	previous := p.handoverListener
-	p.handoverListener = door
+	p.handoverListener = socket
 	p.mu.Unlock()
 	if previous != nil {
 		previous.Close()
 	}
 	go func() {
 		for {
-			link, err := door.Accept()
+			link, err := socket.Accept()
 			if err != nil {
 				return
 			}
@@ -282,7 +282,7 @@
 	discovery := p.discovery
 	p.mu.Unlock()
 	if !refused {
-		link.SendSocket(msgState, processState{&list, discovery, p.config.Discovery, quiesced, slices.Sorted(maps.Keys(p.cordons.ids))}, sharedListener{p.listener})
+		link.SendSocket(msgState, processState{&list, discovery, p.config.Discovery, quiesced, slices.Sorted(maps.Keys(p.cordons.cordoned))}, sharedListener{p.listener})
 	}
 	p.cordons.mu.Unlock()
 	if refused {
@@ -358,11 +358,11 @@
 	p.writeUnsaved()
 	p.mu.Lock()
 	p.newer = nil
-	list, given := p.instances.List(), p.handedSnapshot
+	list, snapshot := p.instances.List(), p.handedSnapshot
 	p.mu.Unlock()
 	if p.server.Yielded() {
 		p.server.Keep()
-		p.loop.Resume(list, given)
+		p.loop.Resume(list, snapshot)
 	}
 	p.resize()
 	if p.enter(Serving, Yielded) {
@@ -388,7 +388,7 @@
 	defer close(r.ended)
 	r.link.Run(func(m handover.Message, f *os.File) {
 		if err := r.handle(ctx, m, f); err != nil {
-			r.log.Error("invalid message from the older process", "kind", m.Kind, "err", err)
+			r.log.Error("message from the older process not handled", "kind", m.Kind, "err", err)
 		}
 		if f != nil {
 			f.Close()
@@ -498,10 +498,10 @@
 // closeLinks ends the links once all queued messages are written.
 func (p *Program) closeLinks() {
 	p.mu.Lock()
-	door, links := p.handoverListener, []*handover.Link{p.older, p.newer}
+	socket, links := p.handoverListener, []*handover.Link{p.older, p.newer}
 	p.mu.Unlock()
-	if door != nil {
-		door.Close()
+	if socket != nil {
+		socket.Close()
 	}
 	for _, l := range links {
 		if l != nil {
--- a/internal/program/termination_test.go
+++ b/internal/program/termination_test.go
@@ -46,21 +46,21 @@
 }
 
 // daemonProcess is a daemon in a process of its own.
-type process struct {
+type daemonProcess struct {
 	*testing.T
-	cmd     *exec.Cmd
-	address string
-	log     bytes.Buffer // to be read only after the process has ended
-	told    time.Time
-	ended   chan error
+	cmd          *exec.Cmd
+	address      string
+	log          bytes.Buffer // to be read only after the process has ended
+	terminatedAt time.Time
+	ended        chan error
 }
 
 // launch starts a daemon whose instance runs a script.
-func launch(t *testing.T, settings string, script func(p *process, c net.Conn, q *http1.Request) bool) *process {
-	p := &process{T: t, ended: make(chan error, 1)}
+func launch(t *testing.T, settings string, script func(p *daemonProcess, c net.Conn, q *http1.Request) bool) *daemonProcess {
+	p := &daemonProcess{T: t, ended: make(chan error, 1)}
 	instance := listen(t, func(c net.Conn, q *http1.Request) bool { return script(p, c, q) })
 	table := listen(t, func(c net.Conn, q *http1.Request) bool {
-		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"+unchanged)
+		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"+unchangedList)
 		return true
 	})
 	// A socket that shares the port reserves it for the daemon, and refuses connections once that has ended.
@@ -88,31 +88,31 @@
 			a.Body.Close()
 		}
 		return err == nil && a.StatusCode == 200
-	}, patience, 5*time.Millisecond)
+	}, testTimeout, 5*time.Millisecond)
 	return p
 }
 
 // terminate sends SIGTERM, and kills the process when the platform would.
-func (p *process) terminate(after time.Duration) {
-	p.told = time.Now()
+func (p *daemonProcess) terminate(after time.Duration) {
+	p.terminatedAt = time.Now()
 	require.NoError(p, p.cmd.Process.Signal(syscall.SIGTERM))
 	kill := time.AfterFunc(after, func() { p.cmd.Process.Kill() })
 	p.Cleanup(func() { kill.Stop() })
 }
 
 // waitForExit waits for the process to end by itself, and returns its log with the final counters.
-func (p *process) end() string {
+func (p *daemonProcess) waitForExit() string {
 	select {
 	case err := <-p.ended:
 		require.NoError(p, err, "the process did not end by itself before it was killed: %s", p.log.String())
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.FailNow(p, "the process did not end")
 	}
 	return p.log.String()
 }
 
 // postResult posts a job's result as the instance would.
-func (p *process) done(id string) {
+func (p *daemonProcess) postResult(id string) {
 	c, err := net.Dial("tcp", p.address)
 	if err != nil {
 		return // the process has ended
@@ -129,13 +129,13 @@
 }
 
 // clientCounts counts the responses that clients received.
-type tally struct{ sent, answered, refused, again, unanswered, cut atomic.Int64 }
+type clientCounts struct{ sent, answered, refused, retried, unanswered, cut atomic.Int64 }
 
 // sendBatch writes a batch of commands to a connection at once and reads their responses. used: a response has
 // already been read from the connection. It returns false if the connection must not be used again.
-func (t *tally) ask(c net.Conn, br *bufio.Reader, used bool, batch ...[]byte) bool {
+func (t *clientCounts) sendBatch(c net.Conn, br *bufio.Reader, used bool, batch ...[]byte) bool {
 	if _, err := c.Write(bytes.Join(batch, nil)); err != nil && used {
-		t.again.Add(1)
+		t.retried.Add(1)
 		return false
 	}
 	t.sent.Add(int64(len(batch)))
@@ -144,7 +144,7 @@
 		switch {
 		case err != nil && used && n == 0: // the request crossed the regular close of an idle connection
 			t.sent.Add(-int64(len(batch)))
-			t.again.Add(1)
+			t.retried.Add(1)
 			return false
 		case err != nil && n == 0:
 			t.unanswered.Add(int64(len(batch)))
@@ -174,18 +174,18 @@
 // each request gets a complete response or a 503 before the process could be killed. Guards against two faults:
 // jobs that never end, and commands waiting for them, were cut off by the kill; and connections that had not been
 // accepted were reset when the process ended.
-func TestNobodyIsCutOffByTheEnd(t *testing.T) {
+func TestTerminationAnswersEveryRequest(t *testing.T) {
 	hang := make(chan string, 99)
-	p := launch(t, strings.ReplaceAll(usualSettings, `"TellsStart":true`, `"TellsStart":false`), func(p *process, c net.Conn, q *http1.Request) bool {
+	p := launch(t, strings.ReplaceAll(defaultSettings, `"TellsStart":true`, `"TellsStart":false`), func(p *daemonProcess, c net.Conn, q *http1.Request) bool {
 		switch hangs := strings.HasPrefix(id(q), "hangs"); {
 		case hangs && q.Method == "POST":
 			hang <- id(q)
 		case q.Method == "POST":
-			p.done(id(q))
+			p.postResult(id(q))
 		}
 		return answer(c, 202)
 	})
-	var counts tally
+	var counts clientCounts
 	var all sync.WaitGroup
 	var asked sync.WaitGroup // clients that have neither a response nor a request without one
 	client := func(i int) {
@@ -195,14 +195,14 @@
 			if err != nil {
 				return // refused: the front uses another dispatcher
 			}
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			br, used := bufio.NewReader(c), false
 			for ok := true; ok; n++ {
 				var batch [][]byte
 				for k := range 1 + i%3 {
 					batch = append(batch, commandText(fmt.Sprintf("c%d-%d-%d", i, n, k), "safe"))
 				}
-				ok = counts.ask(c, br, used, batch...)
+				ok = counts.sendBatch(c, br, used, batch...)
 				if used = true; first {
 					first = false
 					asked.Done()
@@ -223,15 +223,15 @@
 				return
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
-			counts.ask(c, bufio.NewReader(c), false, commandText(fmt.Sprint("hangs", i), []string{"safe", "once"}[i%2]))
+			c.SetDeadline(time.Now().Add(testTimeout))
+			counts.sendBatch(c, bufio.NewReader(c), false, commandText(fmt.Sprint("hangs", i), []string{"safe", "once"}[i%2]))
 		})
 	}
 	require.NotEmpty(t, <-hang)             // with its client's whole time left, before the process gets SIGTERM
 	kept, err := net.Dial("tcp", p.address) // its next request is never complete
 	require.NoError(t, err)
 	defer kept.Close()
-	kept.SetDeadline(time.Now().Add(patience))
+	kept.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprint(kept, "GET /_health HTTP/1.1\r\n\r\n")
 	br := bufio.NewReader(kept)
 	a, err := http1.ReadResponse(br, "GET")
@@ -241,12 +241,12 @@
 	_, err = kept.Write(half[:len(half)/2])
 	require.NoError(t, err)
 	all.Go(func() {
-		counts.ask(kept, br, false, nil)
+		counts.sendBatch(kept, br, false, nil)
 	})
-	p.terminate(longestKill + time.Second) // with a margin for an overloaded machine
-	log := p.end()
+	p.terminate(maxKillDelay + time.Second) // with a margin for an overloaded machine
+	log := p.waitForExit()
 	all.Wait()
-	t.Logf("sent %d answered %d refused %d retried %d", counts.sent.Load(), counts.answered.Load(), counts.refused.Load(), counts.again.Load())
+	t.Logf("sent %d answered %d refused %d retried %d", counts.sent.Load(), counts.answered.Load(), counts.refused.Load(), counts.retried.Load())
 	require.Equal(t, counts.sent.Load(), counts.answered.Load()+counts.refused.Load())
 	require.Zero(t, counts.unanswered.Load()+counts.cut.Load())
 	require.Positive(t, counts.answered.Load())
@@ -258,4 +258,4 @@
 
 // maxKillDelay is the time after SIGTERM at which the platform kills the process where a class has a deadline over
 // three seconds.
-const longestKill = 3700 * time.Millisecond
+const maxKillDelay = 3700 * time.Millisecond
