--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -20,11 +20,11 @@
 type cordons struct {
 	write func(path string, text []byte) error // replaces the file; may block
 
-	mu      sync.Mutex // never held during file access, logging or messages to a peer
-	cordoned     map[string]bool
-	unsaved bool         // another process has sent changes and writes them
-	writing bool         // a writer goroutine runs
-	waiters []chan error // callers waiting for the next write; each has a buffer of one
+	mu       sync.Mutex // never held during file access, logging or messages to a peer
+	cordoned map[string]bool
+	unsaved  bool         // another process has sent changes and writes them
+	writing  bool         // a writer goroutine runs
+	waiters  []chan error // callers waiting for the next write; each has a buffer of one
 }
 
 const (
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// Alive is called when the watch has made contact.
+// Alive is called when the watch works and nothing has changed.
 func (p *Program) Alive() {
 	if p.shared() {
 		p.sharer.Alive()
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -242,18 +242,19 @@
 		}
 	case Draining:
 		p.server.CloseIdle(now.Add(-idleGrace))
-		// Waits for cancellations under way, which spare instances useless work; each ends within a second.
+		// Cancellations under way spare instances useless work; each ends within a second.
 		if p.loop.Holding() == 0 && !p.pool.Busy() && p.server.Quiet() && !slices.ContainsFunc(p.parts, func(t Part) bool { return !t.Quiet() }) && p.refuseConnections(now) {
 			p.enter(Stopped, Draining)
 		}
 	}
 }
 
-// refuseConnections refuses new connections and reports whether those whose handshake had begun are accepted.
+// refuseConnections refuses new connections and reports whether those whose handshake had begun before have been
+// accepted.
 func (p *Program) refuseConnections(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.newer != nil { // which accepts them
+	if p.newer != nil { // the newer process accepts them
 		return true
 	}
 	if p.refusedSince.IsZero() {
@@ -289,8 +290,8 @@
 	}
 }
 
-// clientsDivisor: clients have at most 1/clientsDivisor of the descriptors for their requests, as documented for
-// operators. A client that holds all of them cannot get a response to a further request.
+// clientsDivisor: clients hold at most 1/clientsDivisor of their descriptors for requests, as documented for
+// operators. A request for which none is free is rejected unread.
 const clientsDivisor = 3
 
 // limitOpen lowers the limit of open commands to what the connections allow. Each open command keeps a connection,
