--- a/internal/program/callbacks_test.go
+++ b/internal/program/callbacks_test.go
@@ -76,7 +76,7 @@
 		env.program.loop.Learned(func(dispatch.Handed) { <-proceed })
 		return proceed
 	}
-	before := block()
+	unblockFirst := block()
 	newer.Send(msgReady, nil)
 	newer.Send(msgCordon, cordonChange{"s-1", true}) // once this is applied, the loop has been asked to hand over
 	env.await(func() bool {
@@ -84,7 +84,7 @@
 		defer env.program.cordons.mu.Unlock()
 		return env.program.cordons.cordoned["s-1"]
 	})
-	behind := block()
+	unblockSecond := block()
 	const body = `{"id":"c1","from":"s-1","state":"done","result":"r"}`
 	const next = "GET /_health HTTP/1.1\r\n\r\n"
 	io.WriteString(encoder, "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n")
@@ -96,7 +96,7 @@
 		io.WriteString(c, next)
 		require.Equal(t, 200, env.read(c).Status)
 	}
-	close(before)
+	close(unblockFirst)
 	select {
 	case p := <-passed:
 		unread := bufio.NewReader(bytes.NewReader(p.Rest))
@@ -108,6 +108,6 @@
 	case <-time.After(testTimeout):
 		t.Error("the callback was not forwarded to the newer process")
 	}
-	close(behind)
+	close(unblockSecond)
 	newer.Close()
 }
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -68,11 +68,11 @@
 
 // otherList is a newer list from another process that this process's watch has not reached yet.
 type otherList struct {
-	revision   int64          // 0: none
-	address    string         // discovery's address
-	receivedAt time.Time      // when it was received
-	behind     dispatch.Table // this process's watch's list, if the watch has sent a complete list that is older
-	hasBehind  bool           // behind is in use
+	revision     int64          // 0: none
+	address      string         // discovery's address
+	receivedAt   time.Time      // when it was received
+	watchList    dispatch.Table // this process's watch's list, if the watch has sent a complete list that is older
+	hasWatchList bool           // watchList is in use
 }
 
 // watchLag is how long a complete list may be under way after another process has received a later one: as
@@ -87,11 +87,11 @@
 	defer p.listMu.Unlock()
 	if a := &p.otherList; l.Complete && !p.superseded(l) {
 		*a = otherList{}
-	} else if l.Complete || a.hasBehind {
-		if a.behind.Take(l); !a.hasBehind {
+	} else if l.Complete || a.hasWatchList {
+		if a.watchList.Take(l); !a.hasWatchList {
 			time.AfterFunc(watchLag, p.useWatchList)
 		}
-		a.hasBehind = a.behind.Revision() < a.revision
+		a.hasWatchList = a.watchList.Revision() < a.revision
 	}
 	if l.Revision > p.otherList.revision || p.otherList.revision == 0 {
 		p.applyList(l, false)
@@ -116,8 +116,8 @@
 func (p *Program) useWatchList() {
 	p.listMu.Lock()
 	defer p.listMu.Unlock()
-	if p.otherList.hasBehind {
-		l := p.otherList.behind.List()
+	if p.otherList.hasWatchList {
+		l := p.otherList.watchList.List()
 		p.otherList = otherList{}
 		p.applyList(l, false)
 		p.forwardList(true, true)
@@ -128,7 +128,7 @@
 func (p *Program) noteOtherList(l dispatch.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.otherList = otherList{revision: l.Revision, address: p.discovery, receivedAt: time.Now(), behind: p.otherList.behind, hasBehind: p.otherList.hasBehind}
+	p.otherList = otherList{revision: l.Revision, address: p.discovery, receivedAt: time.Now(), watchList: p.otherList.watchList, hasWatchList: p.otherList.hasWatchList}
 }
 
 // receiveOtherList applies another process's list if it is newer than ours. The watch continues from its own
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -29,7 +29,7 @@
 		}
 		return answer(c, 202)
 	})
-	require.Equal(t, 204, env.callback("of-an-earlier-life", "s-1", "done", "x"), "perhaps of a job from before a restart")
+	require.Equal(t, 204, env.callback("of-an-earlier-life", "s-1", "done", "x"), "of an unknown job, perhaps from before a restart")
 	c := env.dial()
 	env.sendCommand(c, "c1", "once", "30000m")
 	p := env.read(c)
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -169,9 +169,9 @@
 func permissions(settings object) object { return settings["Permissions"].(map[string]any) }
 
 // checkSettings checks by the program's behaviour that it uses its customer's settings and no others.
-func (h *customerEnv) checkSettings(strange ...string) {
+func (h *customerEnv) checkSettings(foreign ...string) {
 	own := classesOf(h.t, h.settings)
-	for _, name := range strange {
+	for _, name := range foreign {
 		status, sent := h.request("serve", name, "")
 		require.Equal(h.t, 400, status, "a class of another customer: %s", name)
 		require.Empty(h.t, sent)
@@ -292,8 +292,8 @@
 					h.reload(after)
 					require.Equal(t, "/catalog/members?stream=1&index=0", <-h.targets, "discovery of the second customer")
 				}
-				strange := slices.DeleteFunc(namesOf(before), func(name string) bool { return slices.Contains(namesOf(after), name) })
-				h.checkSettings(slices.DeleteFunc(strange, func(name string) bool {
+				foreign := slices.DeleteFunc(namesOf(before), func(name string) bool { return slices.Contains(namesOf(after), name) })
+				h.checkSettings(slices.DeleteFunc(foreign, func(name string) bool {
 					return !slices.ContainsFunc(classesOf(t, before), func(c class) bool { return c.Name == name })
 				})...)
 				logged := h.log.String()
@@ -301,7 +301,7 @@
 					_, logged, _ = strings.Cut(logged, "configuration reloaded")
 				}
 				for _, word := range words(logged) {
-					require.NotContains(t, strange, word, "the log since the reload")
+					require.NotContains(t, foreign, word, "the log since the reload")
 				}
 			})
 		}
--- a/internal/program/takeover.go
+++ b/internal/program/takeover.go
@@ -342,7 +342,7 @@
 		p.mu.Lock()
 		p.handedSnapshot = state.Module
 		p.mu.Unlock()                                  // the handover socket stays, turning callers away, until the newer process has its own in that place
-		p.enter(Yielded, Serving, Quiescing, Quiesced) // unless it has been told to end
+		p.enter(Yielded, Serving, Quiescing, Quiesced) // unless termination has begun
 		return true
 	})
 }
--- a/internal/program/takeover_test.go
+++ b/internal/program/takeover_test.go
@@ -101,8 +101,8 @@
 		return answer(c, 202)
 	})
 	<-env.watches
-	fills, pending := env.dial(), env.dial()
-	env.sendCommand(fills, "c1", "once", "30000m")
+	first, pending := env.dial(), env.dial()
+	env.sendCommand(first, "c1", "once", "30000m")
 	require.Equal(t, "c1", id(<-seen))
 	const key = "caf\xe9 \xff"
 	env.post(pending, "/api", http1.Header{{Name: "X-Correlation-Id", Value: "c2"}, {Name: "X-Service-Class", Value: "once"},
@@ -176,7 +176,7 @@
 	require.Empty(t, accepted)
 }
 
-// A newer process that dies before the older one was told to end leaves the older one in service.
+// A newer process that dies before the older one has received SIGTERM leaves the older one in service.
 func TestOlderServesAgainWhenNewerDies(t *testing.T) {
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		env.callback(id(q), "s-1", "done", "r")
@@ -195,10 +195,10 @@
 	require.Equal(t, msgState, <-read)
 	link.Send(msgReady, nil)
 	require.Equal(t, msgHandedOver, <-read)
-	waits := env.dial() // in the accept queue of a listener that no process serves now
-	env.sendCommand(waits, "c1", "safe", "30000m")
+	queued := env.dial() // in the accept queue of a listener that no process serves now
+	env.sendCommand(queued, "c1", "safe", "30000m")
 	link.Close()
-	require.Equal(t, 200, env.read(waits).Status)
+	require.Equal(t, 200, env.read(queued).Status)
 	require.Equal(t, Serving, env.program.Phase())
 	env.startNewer()
 	sendList(<-env.watches, 7, true, member(env.instance.Addr().String(), "in_service"))
@@ -492,7 +492,7 @@
 			env.await(func() bool {
 				env.program.listMu.Lock()
 				defer env.program.listMu.Unlock()
-				return !env.program.otherList.hasBehind
+				return !env.program.otherList.hasWatchList
 			})
 		}
 		env.program.useWatchList()
