--- a/internal/program/settings_test.go
+++ b/internal/program/settings_test.go
@@ -236,12 +236,12 @@
 func (f *scriptedFleet) check(t *rapid.T, s object, members []object, status []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	classes, attempts := s["RequestClasses"].([]object), s["Permissions"].(object)["AttemptsCap"].(int)
+	classes, maxAttempts := s["RequestClasses"].([]object), s["Permissions"].(object)["AttemptsCap"].(int)
 	for i, answered := range status {
 		name, class := fmt.Sprint("c", i), classes[i%len(classes)]
 		all := f.attempts[name]
 		require.Contains(t, []int{200, 400, 502, 503}, answered, "status of %s", name)
-		require.LessOrEqual(t, len(all), attempts, "attempts of %s", name)
+		require.LessOrEqual(t, len(all), maxAttempts, "attempts of %s", name)
 		var ran *receivedAttempt // the first attempt that may have run
 		for _, a := range all {
 			require.Equal(t, fmt.Sprint("key of ", i), a.key)
