--- a/cmd/winglb-full/main.go
+++ b/cmd/winglb-full/main.go
@@ -23,20 +23,20 @@
 )
 
 type commands struct {
-	Serve   serve      `cmd:"" help:"Run a dispatcher: by a TOML file, or by the PROXY_* variables as the platform starts it."`
-	Check   check      `cmd:"" help:"Read a TOML file and say what is wrong with it, one line a fault."`
-	Demo    runDemo    `cmd:"" help:"Run stand-in encoders, discovery, a daemon and a small load on this machine, and sum up."`
-	Import  importers  `cmd:"" help:"Take over another program's configuration."`
-	Members askMembers `cmd:"" help:"Ask dispatchers who lives, and who watches the list service."`
-	Lists   askLists   `cmd:"" help:"Ask dispatchers which list each has, from whom and how old it is."`
-	Routes  routing    `cmd:"" help:"Look at routes."`
-	Prove   proof      `cmd:"" help:"Run one of the measurements behind make prove-NAME."`
-	Version version    `cmd:"" help:"Print the version."`
-	Rig     rigRole    `cmd:"" hidden:""`
+	Serve   serve      `name:"serve" cmd:"" help:"Run a dispatcher: by a TOML file, or by the PROXY_* variables as the platform starts it."`
+	Check   check      `name:"check" cmd:"" help:"Read a TOML file and say what is wrong with it, one line a fault."`
+	Demo    runDemo    `name:"demo" cmd:"" help:"Run stand-in encoders, discovery, a daemon and a small load on this machine, and sum up."`
+	Import  importers  `name:"import" cmd:"" help:"Take over another program's configuration."`
+	Members askMembers `name:"members" cmd:"" help:"Ask dispatchers who lives, and who watches the list service."`
+	Lists   askLists   `name:"lists" cmd:"" help:"Ask dispatchers which list each has, from whom and how old it is."`
+	Routes  routing    `name:"routes" cmd:"" help:"Look at routes."`
+	Prove   proof      `name:"prove" cmd:"" help:"Run one of the measurements behind make prove-NAME."`
+	Version version    `name:"version" cmd:"" help:"Print the version."`
+	Rig     rigRole    `name:"rig" cmd:"" hidden:""`
 }
 
 type serve struct {
-	Config string `short:"c" type:"path" help:"TOML file; deploy/site.sample.toml tells its keys."`
+	Config string `name:"config" short:"c" type:"path" help:"TOML file; deploy/site.sample.toml tells its keys."`
 }
 
 func (s *serve) Run() error {
@@ -47,7 +47,7 @@
 }
 
 type check struct {
-	File string `arg:"" help:"TOML file."`
+	File string `name:"file" arg:"" help:"TOML file."`
 }
 
 func (c *check) Run() error {
@@ -71,10 +71,10 @@
 }
 
 type runDemo struct {
-	Seconds  int  `default:"10" help:"How long the load lasts, 4 to 120."`
-	Encoders int  `default:"8" help:"How many stand-in encoders there are, 3 to 64."`
-	Portals  int  `default:"4" help:"How many portal processes call through the plug-in, 0 to 40."`
-	JSON     bool `help:"Print the summary as one JSON object."`
+	Seconds  int  `name:"seconds" default:"10" help:"How long the load lasts, 4 to 120."`
+	Encoders int  `name:"encoders" default:"8" help:"How many stand-in encoders there are, 3 to 64."`
+	Portals  int  `name:"portals" default:"4" help:"How many portal processes call through the plug-in, 0 to 40."`
+	JSON     bool `name:"json" help:"Print the summary as one JSON object."`
 }
 
 func (d *runDemo) Run() error {
@@ -94,8 +94,8 @@
 }
 
 type rigRole struct {
-	Role string `arg:""`
-	File string `arg:""`
+	Role string `name:"role" arg:""`
+	File string `name:"file" arg:""`
 }
 
 func (r *rigRole) Run() error {
@@ -109,17 +109,17 @@
 }
 
 type proof struct {
-	Name string `arg:"" enum:"plugin,memory,import,coldstart,deployments,promise,rerun,gang" help:"Which: plugin, memory, import, coldstart, deployments, promise, rerun or gang."`
+	Name string `name:"name" arg:"" enum:"plugin,memory,import,coldstart,deployments,promise,rerun,gang" help:"Which: plugin, memory, import, coldstart, deployments, promise, rerun or gang."`
 
-	Seed  uint64 `default:"1" help:"Of deployments: the seed of the drawing."`
-	Drawn int    `default:"40" help:"Of deployments: how many are drawn."`
-	Only  int    `default:"-1" help:"Of deployments: replay this one alone, from 0."`
-	Tell  bool   `help:"Of deployments: with what dispatchers log."`
-	Small bool   `help:"Of deployments: instead, a table of one small deployment by ways of cancelling, days and start notes."`
+	Seed  uint64 `name:"seed" default:"1" help:"Of deployments: the seed of the drawing."`
+	Drawn int    `name:"drawn" default:"40" help:"Of deployments: how many are drawn."`
+	Only  int    `name:"only" default:"-1" help:"Of deployments: replay this one alone, from 0."`
+	Tell  bool   `name:"tell" help:"Of deployments: with what dispatchers log."`
+	Small bool   `name:"small" help:"Of deployments: instead, a table of one small deployment by ways of cancelling, days and start notes."`
 
-	Plays  int `default:"1" help:"Of rerun: how many plays; the last line has the sums over all."`
-	AtOnce int `default:"1" help:"Of rerun: how many of them at one time."`
-	Busy   int `default:"0" help:"Of rerun: processes beside them that keep a processor busy each."`
+	Plays  int `name:"plays" default:"1" help:"Of rerun: how many plays; the last line has the sums over all."`
+	AtOnce int `name:"at-once" default:"1" help:"Of rerun: how many of them at one time."`
+	Busy   int `name:"busy" default:"0" help:"Of rerun: processes beside them that keep a processor busy each."`
 }
 
 func (p *proof) Run() error {
--- a/cmd/winglb-full/members.go
+++ b/cmd/winglb-full/members.go
@@ -17,7 +17,7 @@
 // asked is what the commands about members have alike.
 type asked struct {
 	At   []string `arg:"" name:"address" help:"Operators' addresses (node.admin) of dispatchers."`
-	JSON bool     `help:"Print one JSON object for each dispatcher that answers."`
+	JSON bool     `name:"json" help:"Print one JSON object for each dispatcher that answers."`
 }
 
 const (
--- a/cmd/winglb-full/routes.go
+++ b/cmd/winglb-full/routes.go
@@ -15,14 +15,14 @@
 )
 
 type importers struct {
-	Nginx importNginx `cmd:"" help:"Make routes and pools of an nginx file, and say of each directive what became of it."`
+	Nginx importNginx `name:"nginx" cmd:"" help:"Make routes and pools of an nginx file, and say of each directive what became of it."`
 }
 
 type importNginx struct {
-	File   string `arg:"" help:"The main file; includes are found from its folder."`
-	Output string `short:"o" help:"Write the routes here, as TOML."`
-	Report string `enum:"text,json" default:"text" help:"Form of the report: text or json."`
-	Strict bool   `help:"End with 2 where something was approximated or not carried."`
+	File   string `name:"file" arg:"" help:"The main file; includes are found from its folder."`
+	Output string `name:"output" short:"o" help:"Write the routes here, as TOML."`
+	Report string `name:"report" enum:"text,json" default:"text" help:"Form of the report: text or json."`
+	Strict bool   `name:"strict" help:"End with 2 where something was approximated or not carried."`
 }
 
 // exit is an error that ends the program with a code of its own.
@@ -77,20 +77,20 @@
 }
 
 type routing struct {
-	Explain explain `cmd:"" help:"Say what becomes of a request: server, location, URI and pool, and why."`
+	Explain explain `name:"explain" cmd:"" help:"Say what becomes of a request: server, location, URI and pool, and why."`
 }
 
 type explain struct {
-	Nginx  string   `help:"An nginx file." xor:"from" required:""`
-	Routes string   `help:"Routes as TOML." xor:"from" required:""`
-	Listen string   `default:":80" help:"The address that the request comes to."`
-	Host   string   `help:"Its Host."`
-	Method string   `default:"GET" help:"Its method."`
-	Remote string   `default:"127.0.0.1" help:"The client's address."`
-	Header []string `help:"A header field, as Name: value."`
-	TLS    bool     `help:"It came by TLS."`
-	JSON   bool     `help:"Print one JSON object."`
-	URI    string   `arg:"" help:"Its target, such as /a?b=c."`
+	Nginx  string   `name:"nginx" help:"An nginx file." xor:"from" required:""`
+	Routes string   `name:"routes" help:"Routes as TOML." xor:"from" required:""`
+	Listen string   `name:"listen" default:":80" help:"The address that the request comes to."`
+	Host   string   `name:"host" help:"Its Host."`
+	Method string   `name:"method" default:"GET" help:"Its method."`
+	Remote string   `name:"remote" default:"127.0.0.1" help:"The client's address."`
+	Header []string `name:"header" help:"A header field, as Name: value."`
+	TLS    bool     `name:"tls" help:"It came by TLS."`
+	JSON   bool     `name:"json" help:"Print one JSON object."`
+	URI    string   `name:"uri" arg:"" help:"Its target, such as /a?b=c."`
 }
 
 func (c *explain) Run() error {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -30,23 +30,28 @@
 
 // ClassSummary is what became of a class's jobs by one way.
 type ClassSummary struct {
-	Way, Class            string
-	Sent                  int64
-	Served, Refused, Lost int64
-	P50, P99              float64 // milliseconds
+	Way     string `json:"Way"`
+	Class   string `json:"Class"`
+	Sent    int64  `json:"Sent"`
+	Served  int64  `json:"Served"`
+	Refused int64  `json:"Refused"`
+	Lost    int64  `json:"Lost"`
+	// P50 and P99 are in milliseconds.
+	P50 float64 `json:"P50"`
+	P99 float64 `json:"P99"`
 }
 
 // Summary is what a demo shows.
 type Summary struct {
-	Classes    []ClassSummary
-	WorstCold  float64 // the highest pressure on a cold encoder, as a multiple of its capacity
-	ColdBound  float64 // that it stands
-	Fell       int
-	ColdServed int // jobs that the encoder which started cold did while it was cold
-	LateToDrain,
-	RanTwice int
-	Broken   []string
-	Promised Promised
+	Classes     []ClassSummary `json:"Classes"`
+	WorstCold   float64        `json:"WorstCold"` // the highest pressure on a cold encoder, as a multiple of its capacity
+	ColdBound   float64        `json:"ColdBound"` // that it stands
+	Fell        int            `json:"Fell"`
+	ColdServed  int            `json:"ColdServed"` // jobs that the encoder which started cold did while it was cold
+	LateToDrain int            `json:"LateToDrain"`
+	RanTwice    int            `json:"RanTwice"`
+	Broken      []string       `json:"Broken"`
+	Promised    Promised       `json:"Promised"`
 }
 
 // Run runs a demo. An error means that it could not run, or that a rule broke.
--- a/internal/demo/promised.go
+++ b/internal/demo/promised.go
@@ -29,11 +29,11 @@
 
 // Promised is what became of a lecture that was handed in for good, and whose dispatcher's machine was lost.
 type Promised struct {
-	Removed   string // the daemon that acted for it, killed with its directory
-	Answer    string // done, or what else
-	Published int    // times, by the workers' own word
-	Seconds   float64
-	Story     []string
+	Removed   string   `json:"Removed"`   // the daemon that acted for it, killed with its directory
+	Answer    string   `json:"Answer"`    // done, or what else
+	Published int      `json:"Published"` // times, by the workers' own word
+	Seconds   float64  `json:"Seconds"`
+	Story     []string `json:"Story"`
 }
 
 // promised hands a lecture in for good, takes the daemon that acts for it away with its directory while its spoilt
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -15,11 +15,11 @@
 
 // Class is one class of a load.
 type Class struct {
-	Name string
-	Rate float64       // a second
-	Work time.Duration // on average; each job's is drawn
-	Once bool
-	Left time.Duration // until the client stops waiting
+	Name string        `json:"Name"`
+	Rate float64       `json:"Rate"` // a second
+	Work time.Duration `json:"Work"` // on average; each job's is drawn
+	Once bool          `json:"Once"`
+	Left time.Duration `json:"Left"` // until the client stops waiting
 }
 
 // Arrival is one job.
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -39,7 +39,10 @@
 )
 
 // Mark orders lists: a term begins when a list service has begun its revisions anew.
-type Mark struct{ Term, Revision int64 }
+type Mark struct {
+	Term     int64 `json:"Term"`
+	Revision int64 `json:"Revision"`
+}
 
 // Before tells whether a mark is older.
 func (m Mark) Before(o Mark) bool {
@@ -71,15 +74,15 @@
 
 // Told is what one dispatcher tells another of the list: a whole one, a change of one, or a beat, which has no members.
 type Told struct {
-	Source  string // whose own watch it comes from, and root of the tree in which it is passed on
-	Mark    Mark
-	Base    Mark          // of the table that a change is of
-	Heard   time.Time     // by the source, by its clock
-	Age     time.Duration // since then, each measuring its own part
-	Whole   bool
-	Beat    bool
-	Answer  bool // to one who asked: it is not passed on
-	Members []dispatch.Member
+	Source  string            `json:"Source"` // whose own watch it comes from, and root of the tree in which it is passed on
+	Mark    Mark              `json:"Mark"`
+	Base    Mark              `json:"Base"`  // of the table that a change is of
+	Heard   time.Time         `json:"Heard"` // by the source, by its clock
+	Age     time.Duration     `json:"Age"`   // since then, each measuring its own part
+	Whole   bool              `json:"Whole"`
+	Beat    bool              `json:"Beat"`
+	Answer  bool              `json:"Answer"` // to one who asked: it is not passed on
+	Members []dispatch.Member `json:"Members"`
 }
 
 // Config is what a dispatcher is told of itself.
--- a/internal/net/pipelines/pipelines_test.go
+++ b/internal/net/pipelines/pipelines_test.go
@@ -300,7 +300,9 @@
 	}
 	room := func() (room map[string]int) {
 		host.View(0, replica.Reruns, func(m replica.Machine) {
-			var state struct{ Room map[string]int }
+			var state struct {
+				Room map[string]int `json:"Room"`
+			}
 			text, err := m.(*rerun.Machine).Snapshot()
 			require.NoError(t, err)
 			require.NoError(t, json.Unmarshal(text, &state))
--- a/internal/net/replicas/server_test.go
+++ b/internal/net/replicas/server_test.go
@@ -22,7 +22,9 @@
 )
 
 // list is a machine that keeps what it is told.
-type list struct{ Lines []string }
+type list struct {
+	Lines []string `json:"Lines"`
+}
 
 func (l *list) Apply(_ uint64, _ time.Duration, cmd []byte) []byte {
 	l.Lines = append(l.Lines, string(cmd))
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -18,7 +18,9 @@
 )
 
 // book is a machine that keeps all that it was told.
-type book struct{ Lines []string }
+type book struct {
+	Lines []string `json:"Lines"`
+}
 
 func (b *book) Apply(index uint64, at time.Duration, cmd []byte) []byte {
 	b.Lines = append(b.Lines, fmt.Sprintf("%d@%d %s", index, at, cmd))
--- a/internal/rerun/policy/policy.go
+++ b/internal/rerun/policy/policy.go
@@ -27,15 +27,15 @@
 
 // Site is what a policy is checked against: the classes that stages name, and how many zones there are.
 type Site struct {
-	Classes map[string]Class
-	Zones   []string
-	Tenants []string
+	Classes map[string]Class `json:"Classes"`
+	Zones   []string         `json:"Zones"`
+	Tenants []string         `json:"Tenants"`
 }
 
 // Class is one of the module's. By it goes who may run a stage.
 type Class struct {
-	Once bool   // must not run twice
-	Kind string // of worker; empty: any
+	Once bool   `json:"Once"` // must not run twice
+	Kind string `json:"Kind"` // of worker; empty: any
 }
 
 // Policy is a file that was loaded whole. It does not change.
--- a/internal/rig/portal.go
+++ b/internal/rig/portal.go
@@ -21,29 +21,33 @@
 
 // Plan is what a portal's process does.
 type Plan struct {
-	Name    string
-	Daemons []string
-	Seed    uint64
-	Classes []load.Class
-	Tenants []string
-	Start   time.Time
-	Length  time.Duration
+	Name    string        `json:"Name"`
+	Daemons []string      `json:"Daemons"`
+	Seed    uint64        `json:"Seed"`
+	Classes []load.Class  `json:"Classes"`
+	Tenants []string      `json:"Tenants"`
+	Start   time.Time     `json:"Start"`
+	Length  time.Duration `json:"Length"`
 	// From and Every: of one load that several send, this one's part; Every 0 is all of it.
-	From, Every int
+	From  int `json:"From"`
+	Every int `json:"Every"`
 }
 
 // Told is what a portal's process says at its end.
 type Told struct {
-	Name     string
-	Classes  map[string]ClassTold
-	Errors   map[string]int
-	Counters string
+	Name     string               `json:"Name"`
+	Classes  map[string]ClassTold `json:"Classes"`
+	Errors   map[string]int       `json:"Errors"`
+	Counters string               `json:"Counters"`
 }
 
 // ClassTold is what became of a class.
 type ClassTold struct {
-	Sent, Served, Refused, Failed int64
-	Latency                       []byte // an HDR histogram
+	Sent    int64  `json:"Sent"`
+	Served  int64  `json:"Served"`
+	Refused int64  `json:"Refused"`
+	Failed  int64  `json:"Failed"`
+	Latency []byte `json:"Latency"` // an HDR histogram
 }
 
 // Portal runs a plan: what a portal's process does. It writes a line "ready" once daemons have told it
--- a/internal/siteconf/shared.go
+++ b/internal/siteconf/shared.go
@@ -11,12 +11,12 @@
 // Shared is what all dispatchers of a deployment must have alike: with [promises] it is a version that they agree on.
 // All else in a file is one dispatcher's own.
 type Shared struct {
-	Site     Site
-	Rules    Rules
-	Attempts Attempts
-	Kinds    []Kind
-	Classes  []Class
-	Tenants  []Tenant
+	Site     Site     `json:"Site"`
+	Rules    Rules    `json:"Rules"`
+	Attempts Attempts `json:"Attempts"`
+	Kinds    []Kind   `json:"Kinds"`
+	Classes  []Class  `json:"Classes"`
+	Tenants  []Tenant `json:"Tenants"`
 }
 
 // Shared is the file's part of it.
--- a/internal/siteconf/siteconf.go
+++ b/internal/siteconf/siteconf.go
@@ -150,56 +150,56 @@
 
 // Site is what all dispatchers of a deployment have alike.
 type Site struct {
-	Zones      []string `toml:"zones"`
-	TellsStart bool     `toml:"tells_start"` // encoders call back when a job starts
-	Progress   Duration `toml:"progress"`    // and so often while it runs
-	Rated      bool     `toml:"rated"`       // sizes in the name table mean something
-	Grain      Duration `toml:"grain"`       // of the decisions' clock
-	Crossing   float64  `toml:"crossing"`    // price of a send to another zone, in parts of a job's worth
+	Zones      []string `toml:"zones" json:"Zones"`
+	TellsStart bool     `toml:"tells_start" json:"TellsStart"` // encoders call back when a job starts
+	Progress   Duration `toml:"progress" json:"Progress"`      // and so often while it runs
+	Rated      bool     `toml:"rated" json:"Rated"`            // sizes in the name table mean something
+	Grain      Duration `toml:"grain" json:"Grain"`            // of the decisions' clock
+	Crossing   float64  `toml:"crossing" json:"Crossing"`      // price of a send to another zone, in parts of a job's worth
 }
 
 // Rules are the figures of the rules.
 type Rules struct {
-	DrainGrace   Duration `toml:"drain_grace"`
-	ColdFrom     Percent  `toml:"cold_from"`
-	Cold         Duration `toml:"cold"`
-	FallMultiple float64  `toml:"fall_multiple"`
-	FallWindow   Duration `toml:"fall_window"`
+	DrainGrace   Duration `toml:"drain_grace" json:"DrainGrace"`
+	ColdFrom     Percent  `toml:"cold_from" json:"ColdFrom"`
+	Cold         Duration `toml:"cold" json:"Cold"`
+	FallMultiple float64  `toml:"fall_multiple" json:"FallMultiple"`
+	FallWindow   Duration `toml:"fall_window" json:"FallWindow"`
 }
 
 // Attempts is what a command may cost.
 type Attempts struct {
-	Most          int      `toml:"most"`
-	Open          int      `toml:"open"`
-	Copies        bool     `toml:"copies"`
-	Probes        bool     `toml:"probes"`
-	Connect       Duration `toml:"connect"`
-	Idle          Duration `toml:"idle"`
-	MaxRetryAfter Duration `toml:"max_retry_after"`
+	Most          int      `toml:"most" json:"Most"`
+	Open          int      `toml:"open" json:"Open"`
+	Copies        bool     `toml:"copies" json:"Copies"`
+	Probes        bool     `toml:"probes" json:"Probes"`
+	Connect       Duration `toml:"connect" json:"Connect"`
+	Idle          Duration `toml:"idle" json:"Idle"`
+	MaxRetryAfter Duration `toml:"max_retry_after" json:"MaxRetryAfter"`
 }
 
 // Kind is a kind of encoder.
 type Kind struct {
-	Name  string  `toml:"name"`
-	Slots float64 `toml:"slots"`
+	Name  string  `toml:"name" json:"Name"`
+	Slots float64 `toml:"slots" json:"Slots"`
 }
 
 // Class is one class of commands.
 type Class struct {
-	Name      string   `toml:"name"`
-	Effect    string   `toml:"effect"` // "repeat", "once"
-	Aim       Duration `toml:"aim"`
-	Stretch   float64  `toml:"stretch"`
-	Deadline  Duration `toml:"deadline"`
-	Worth     float64  `toml:"worth"`
-	LateWorth Percent  `toml:"late_worth"`
-	Kind      string   `toml:"kind"` // of encoder; empty: any
+	Name      string   `toml:"name" json:"Name"`
+	Effect    string   `toml:"effect" json:"Effect"` // "repeat", "once"
+	Aim       Duration `toml:"aim" json:"Aim"`
+	Stretch   float64  `toml:"stretch" json:"Stretch"`
+	Deadline  Duration `toml:"deadline" json:"Deadline"`
+	Worth     float64  `toml:"worth" json:"Worth"`
+	LateWorth Percent  `toml:"late_worth" json:"LateWorth"`
+	Kind      string   `toml:"kind" json:"Kind"` // of encoder; empty: any
 }
 
 // Tenant is a customer.
 type Tenant struct {
-	Name string `toml:"name"`
-	Rate Rate   `toml:"rate"`
+	Name string `toml:"name" json:"Name"`
+	Rate Rate   `toml:"rate" json:"Rate"`
 }
 
 // Control is the stream to plug-ins.
--- a/internal/siteconf/siteconf_test.go
+++ b/internal/siteconf/siteconf_test.go
@@ -25,9 +25,9 @@
 	text, err := f.Platform()
 	require.NoError(t, err)
 	var whole struct {
-		Admin    string `json:"admin_addr"`
-		Limits   map[string]float64
-		Settings json.RawMessage
+		Admin    string             `json:"admin_addr"`
+		Limits   map[string]float64 `json:"Limits"`
+		Settings json.RawMessage    `json:"Settings"`
 	}
 	require.NoError(t, json.Unmarshal(text, &whole))
 	require.Equal(t, "127.0.0.1:9800", whole.Admin)
--- a/internal/standin/teller/teller.go
+++ b/internal/standin/teller/teller.go
@@ -54,7 +54,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var whole struct{ Settings json.RawMessage }
+	var whole struct {
+		Settings json.RawMessage `json:"Settings"`
+	}
 	if err := json.Unmarshal(text, &whole); err != nil {
 		return nil, err
 	}
