--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -20,32 +20,32 @@
 	Names            []string // that the other side's certificate may bear; of clients only
 }
 
-// look is how often, at most, the files are looked at.
-const look = time.Second
+// checkInterval is how often, at most, the files are looked at.
+const checkInterval = time.Second
 
-// Pair is a certificate and what the other side is checked by. It is safe for use by several goroutines.
-type Pair struct {
+// Credentials is a certificate and what the other side is checked by. It is safe for use by several goroutines.
+type Credentials struct {
 	files Files
 
 	mu     sync.Mutex
-	looked time.Time
-	stamp  [3]string
+	checkedAt time.Time
+	stamps  [3]string
 	cert   *tls.Certificate
 	roots  *x509.CertPool
-	fault  error // of files that have changed and cannot be used; the ones before go on to count
+	reloadErr  error // of files that have changed and cannot be used; the ones before go on to count
 }
 
 // Load reads and checks the files.
-func Load(f Files) (*Pair, error) {
-	p := &Pair{files: f}
-	if err := p.read(); err != nil {
+func Load(f Files) (*Credentials, error) {
+	p := &Credentials{files: f}
+	if err := p.load(); err != nil {
 		return nil, err
 	}
-	p.stamp, p.looked = p.stamps(), time.Now()
+	p.stamps, p.checkedAt = p.fileStamps(), time.Now()
 	return p, nil
 }
 
-func (p *Pair) read() error {
+func (p *Credentials) load() error {
 	cert, err := tls.LoadX509KeyPair(p.files.Certificate, p.files.Key)
 	if err != nil {
 		return fmt.Errorf("%s with %s: %w", p.files.Certificate, p.files.Key, err)
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// stamps tells whether files have changed.
-func (p *Pair) stamps() (s [3]string) {
+// fileStamps tells whether files have changed.
+func (p *Credentials) fileStamps() (s [3]string) {
 	for i, path := range []string{p.files.Certificate, p.files.Key, p.files.CA} {
 		if info, err := os.Stat(path); err == nil {
 			s[i] = fmt.Sprint(info.ModTime().UnixNano(), info.Size())
@@ -81,14 +81,14 @@
 }
 
 // current is the keys that count now.
-func (p *Pair) current() (*tls.Certificate, *x509.CertPool) {
+func (p *Credentials) current() (*tls.Certificate, *x509.CertPool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := time.Now(); now.Sub(p.looked) >= look {
-		p.looked = now
-		if s := p.stamps(); s != p.stamp {
-			if p.fault = p.read(); p.fault == nil {
-				p.stamp = s
+	if now := time.Now(); now.Sub(p.checkedAt) >= checkInterval {
+		p.checkedAt = now
+		if s := p.fileStamps(); s != p.stamps {
+			if p.reloadErr = p.load(); p.reloadErr == nil {
+				p.stamps = s
 			}
 		}
 	}
@@ -96,29 +96,29 @@
 }
 
 // Fault is why files that have changed do not count, nil if they do.
-func (p *Pair) Fault() error {
+func (p *Credentials) Fault() error {
 	p.current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fault
+	return p.reloadErr
 }
 
 // Server is a listener's configuration: clients must bear a certificate of the CA, with one of the names.
-func (p *Pair) Server() *tls.Config {
+func (p *Credentials) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			cert, roots := p.current()
 			return &tls.Config{
 				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*cert}, ClientCAs: roots, NextProtos: []string{"h2"},
-				ClientAuth: tls.RequireAndVerifyClientCert, VerifyConnection: p.named,
+				ClientAuth: tls.RequireAndVerifyClientCert, VerifyConnection: p.verifyName,
 			}, nil
 		},
 	}
 }
 
-// named checks a client's certificate for a name that may come in.
-func (p *Pair) named(s tls.ConnectionState) error {
+// verifyName checks a client's certificate for a name that may come in.
+func (p *Credentials) verifyName(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
 		return errors.New("no certificate")
 	}
@@ -132,7 +132,7 @@
 }
 
 // Client is a client's configuration; name is what the server's certificate must bear.
-func (p *Pair) Client(name string) *tls.Config {
+func (p *Credentials) Client(name string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, ServerName: name,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -12,8 +12,8 @@
 	"caperrelay/internal/standin/authority"
 )
 
-// pair issues and loads keys of a name.
-func pair(t *testing.T, a *authority.Authority, name string, names ...string) *Pair {
+// issueCredentials issues and loads keys of a name.
+func issueCredentials(t *testing.T, a *authority.Authority, name string, names ...string) *Credentials {
 	cert, key, err := a.Issue(name, time.Now().Add(time.Hour))
 	require.NoError(t, err)
 	p, err := Load(Files{cert, key, a.CA, names})
@@ -21,8 +21,8 @@
 	return p
 }
 
-// meet has a client and a server shake hands and exchange a byte.
-func meet(t *testing.T, server, client *tls.Config) error {
+// handshake has a client and a server shake hands and exchange a byte.
+func handshake(t *testing.T, server, client *tls.Config) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -51,37 +51,37 @@
 }
 
 // Only a client of the authority with one of the names gets in, and only to the server that it meant.
-func TestWhoGetsIn(t *testing.T) {
+func TestMutualAuthentication(t *testing.T) {
 	dir := t.TempDir()
 	ours, err := authority.New(dir, "ours")
 	require.NoError(t, err)
 	theirs, err := authority.New(t.TempDir(), "theirs")
 	require.NoError(t, err)
-	server := pair(t, ours, "daemon", "portal").Server()
-	portal := pair(t, ours, "portal")
-	require.NoError(t, meet(t, server, portal.Client("daemon")))
-	require.Error(t, meet(t, server, portal.Client("another")), "the server bears another name")
-	require.Error(t, meet(t, server, pair(t, ours, "guest").Client("daemon")), "a name that may not come in")
-	require.Error(t, meet(t, server, pair(t, theirs, "portal").Client("daemon")), "another authority's")
+	server := issueCredentials(t, ours, "daemon", "portal").Server()
+	portal := issueCredentials(t, ours, "portal")
+	require.NoError(t, handshake(t, server, portal.Client("daemon")))
+	require.Error(t, handshake(t, server, portal.Client("another")), "the server bears another name")
+	require.Error(t, handshake(t, server, issueCredentials(t, ours, "guest").Client("daemon")), "a name that may not come in")
+	require.Error(t, handshake(t, server, issueCredentials(t, theirs, "portal").Client("daemon")), "another authority's")
 	bare := portal.Client("daemon")
 	bare.GetClientCertificate = nil
-	require.Error(t, meet(t, server, bare), "no certificate")
-	require.Error(t, meet(t, pair(t, theirs, "daemon", "portal").Server(), portal.Client("daemon")), "a server of another authority")
+	require.Error(t, handshake(t, server, bare), "no certificate")
+	require.Error(t, handshake(t, issueCredentials(t, theirs, "daemon", "portal").Server(), portal.Client("daemon")), "a server of another authority")
 }
 
 // Files that change are taken up; faulty ones change nothing and are told of.
-func TestFilesMayChange(t *testing.T) {
+func TestReloadOfChangedFiles(t *testing.T) {
 	a, err := authority.New(t.TempDir(), "ours")
 	require.NoError(t, err)
-	p := pair(t, a, "daemon", "portal")
+	p := issueCredentials(t, a, "daemon", "portal")
 	first, _ := p.current()
 	_, key, err := a.Issue("daemon", time.Now().Add(2*time.Hour))
 	require.NoError(t, err)
-	p.looked = time.Time{}
+	p.checkedAt = time.Time{}
 	second, _ := p.current()
 	require.NotEqual(t, first.Leaf.SerialNumber, second.Leaf.SerialNumber)
 	require.NoError(t, os.WriteFile(key, []byte("no key"), 0o600))
-	p.looked = time.Time{}
+	p.checkedAt = time.Time{}
 	third, _ := p.current()
 	require.Equal(t, second, third)
 	require.ErrorContains(t, p.Fault(), "daemon.key")
--- a/internal/listclock/clock.go
+++ b/internal/listclock/clock.go
@@ -25,15 +25,15 @@
 
 // What the page says, and how far from its edges we stay.
 const (
-	beat     = 2 * time.Second // between empty lines of a quiet watch
-	silence  = 6 * time.Second // from when all was known, or a call that told nothing, until what is missed counts
-	afterMay = 2 * time.Second // from the end of the time that a call may wait until what it misses counts
-	moved    = 4 * time.Second // from SIGHUP until what the new address tells counts
-
-	quiet   = beat * 3 / 2    // a watch that says nothing for so long has fallen silent
-	answer  = time.Second     // that a call's answer may take
-	patient = time.Second     // the longest that an agent's answer is waited for
-	prompt  = time.Second / 8 // the shortest: a process that is stopped for less must not miss it
+	heartbeatInterval     = 2 * time.Second // between empty lines of a quiet watch
+	silenceTimeout  = 6 * time.Second // from when all was known, or a call that told nothing, until what is missed counts
+	waitMargin = 2 * time.Second // from the end of the time that a call may wait until what it misses counts
+	moveTimeout    = 4 * time.Second // from SIGHUP until what the new address tells counts
+
+	silentAfter   = heartbeatInterval * 3 / 2    // a watch that says nothing for so long has fallen silent
+	answerTime  = time.Second     // that a call's answer may take
+	maxAgentWait = time.Second     // the longest that an agent's answer is waited for
+	minWait  = time.Second / 8 // the shortest: a process that is stopped for less must not miss it
 )
 
 // Way is how lists come.
@@ -57,26 +57,26 @@
 // Clock is not safe for more than one goroutine. Times are since the process began and must not go back; one that does
 // counts as the latest seen.
 type Clock struct {
-	terms Terms
-	state state
-	rests bool // nothing is to be asked for
+	settings Terms
+	state connState
+	paused bool // nothing is to be asked for
 	now   time.Duration
 	share float64 // in [0, 1): this dispatcher's place in the fleet's spread
 
-	told  time.Duration // when a list was last whole; below 0: never
-	known time.Duration // all is known up to here, or a call was made here; the start at first
-	base  time.Duration // of the last call, the last sign of life on it, or the start
-	open  time.Duration // when the last call was made; below 0: there was none
-	may   time.Duration // that this call may wait
-	begun time.Duration // since when part of a list is there; below 0: none is
-	moved time.Duration // of a move since which no call was made; below 0: there is none
-	mute  time.Duration // when the watch that is open had last spoken before it fell silent; below 0: it never has
+	lastList  time.Duration // when a list was last whole; below 0: never
+	knownUpTo time.Duration // all is known up to here, or a call was made here; the start at first
+	lastActivity  time.Duration // of the last call, the last sign of life on it, or the start
+	calledAt  time.Duration // when the last call was made; below 0: there was none
+	maxWait   time.Duration // that this call may wait
+	listStartedAt time.Duration // since when part of a list is there; below 0: none is
+	movedAt time.Duration // of a move since which no call was made; below 0: there is none
+	silentSince  time.Duration // when the watch that is open had last spoken before it fell silent; below 0: it never has
 }
 
-type state int
+type connState int
 
 const (
-	idle state = iota
+	idle connState = iota
 	calling
 	watching
 )
@@ -84,19 +84,19 @@
 // New returns the clock of a process that begins now, with a list of an earlier one at most. A service is not asked
 // before the first [Clock.Called]: when to begin is for others to say. An agent is asked at once.
 func New(t Terms, now time.Duration) *Clock {
-	c := &Clock{now: now, known: now, base: now, told: -1, open: -1, begun: -1, moved: -1, mute: -1}
+	c := &Clock{now: now, knownUpTo: now, lastActivity: now, lastList: -1, calledAt: -1, listStartedAt: -1, movedAt: -1, silentSince: -1}
 	c.Retune(t)
-	c.rests = t.Way != Pushed
+	c.paused = t.Way != Pushed
 	return c
 }
 
 // Retune has other terms count from now on.
 func (c *Clock) Retune(t Terms) {
 	t.Within, t.Grace, t.Spread = max(0, t.Within), max(0, t.Grace), max(0, t.Spread)
-	c.terms = t
+	c.settings = t
 }
 
-func (c *Clock) at(now time.Duration) time.Duration {
+func (c *Clock) advance(now time.Duration) time.Duration {
 	c.now = max(c.now, now)
 	return c.now
 }
@@ -104,160 +104,160 @@
 // Called says that a call is made on a new connection, in place of what was open. may is how long the call may wait for
 // news by its own terms, 0: it is to be answered at once. share, in [0, 1), is a draw.
 func (c *Clock) Called(now, may time.Duration, share float64) {
-	now = c.at(now)
-	c.state, c.open, c.may, c.share = calling, now, max(0, may), min(max(share, 0), 1)
-	c.base, c.known = now, now
-	c.begun, c.moved, c.mute, c.rests = -1, -1, -1, false
+	now = c.advance(now)
+	c.state, c.calledAt, c.maxWait, c.share = calling, now, max(0, may), min(max(share, 0), 1)
+	c.lastActivity, c.knownUpTo = now, now
+	c.listStartedAt, c.movedAt, c.silentSince, c.paused = -1, -1, -1, false
 }
 
 // Heard says that something came on what is open, be it an empty line or a part of one. A watch that has been silent
 // stays broken: nobody knows what it has missed.
 func (c *Clock) Heard(now time.Duration) {
-	if now = c.at(now); c.state == idle {
+	if now = c.advance(now); c.state == idle {
 		return
 	}
-	if c.state == watching && c.mute < 0 && now >= c.base+quiet {
-		c.mute = c.base
+	if c.state == watching && c.silentSince < 0 && now >= c.lastActivity+silentAfter {
+		c.silentSince = c.lastActivity
 	}
-	if c.base = now; c.terms.Way != Asked {
+	if c.lastActivity = now; c.settings.Way != Asked {
 		c.state = watching
 	}
 }
 
 // Begun says that the first of a list has come, and not all of it.
 func (c *Clock) Begun(now time.Duration) {
-	if now = c.at(now); c.state != idle && c.begun < 0 {
-		c.begun = now
+	if now = c.advance(now); c.state != idle && c.listStartedAt < 0 {
+		c.listStartedAt = now
 	}
 }
 
 // Beat says that an empty line has come: nothing has changed up to now. One that comes sooner than the first of a watch
 // may, before any list, is no news: there may be changes behind it.
 func (c *Clock) Beat(now time.Duration) {
-	if now = c.at(now); c.told >= c.open || now >= c.open+beat/2 {
-		c.knows(now)
+	if now = c.advance(now); c.lastList >= c.calledAt || now >= c.calledAt+heartbeatInterval/2 {
+		c.markKnown(now)
 	}
 }
 
 // Told says that a whole list, or a change of it, has been read. What has changed since it began is in none of it.
 func (c *Clock) Told(now time.Duration) {
-	if c.told = c.at(now); c.begun >= 0 {
-		now = c.begun
+	if c.lastList = c.advance(now); c.listStartedAt >= 0 {
+		now = c.listStartedAt
 	}
-	c.knows(now)
-	c.begun = -1
+	c.markKnown(now)
+	c.listStartedAt = -1
 }
 
 // PassedOver says that the list that has begun is none that counts: it is older than one before it.
 func (c *Clock) PassedOver(now time.Duration) {
-	c.at(now)
-	c.begun = -1
+	c.advance(now)
+	c.listStartedAt = -1
 }
 
-// knows takes that all is known up to a moment: what is open has not missed anything.
-func (c *Clock) knows(upTo time.Duration) {
-	if c.state == watching && c.mute < 0 {
-		c.known = max(c.known, upTo)
+// knownChanges takes that all is known up to a moment: what is open has not missed anything.
+func (c *Clock) markKnown(upTo time.Duration) {
+	if c.state == watching && c.silentSince < 0 {
+		c.knownUpTo = max(c.knownUpTo, upTo)
 	}
 }
 
 // Ended says that what was open is over: it was refused or broke off, or the call was answered. Silence does not end a
 // watch or a call: the next call does.
 func (c *Clock) Ended(now time.Duration) {
-	c.at(now)
-	c.state, c.begun, c.mute = idle, -1, -1
-	if c.terms.Way == Pushed {
-		c.base = c.now // when to try again counts from here
+	c.advance(now)
+	c.state, c.listStartedAt, c.silentSince = idle, -1, -1
+	if c.settings.Way == Pushed {
+		c.lastActivity = c.now // when to try again counts from here
 	}
 }
 
 // Moved says that the list is at another address from now on.
-func (c *Clock) Moved(now time.Duration) { c.moved = c.at(now) }
+func (c *Clock) Moved(now time.Duration) { c.movedAt = c.advance(now) }
 
 // Rest says that nothing is to be asked for until the next Called: others tell of the list.
 func (c *Clock) Rest(now time.Duration) {
-	c.at(now)
-	c.state, c.begun, c.moved, c.mute, c.rests = idle, -1, -1, -1, true
+	c.advance(now)
+	c.state, c.listStartedAt, c.movedAt, c.silentSince, c.paused = idle, -1, -1, -1, true
 }
 
 // Moving tells whether the list has moved since the last call.
-func (c *Clock) Moving() bool { return c.moved >= 0 }
+func (c *Clock) Moving() bool { return c.movedAt >= 0 }
 
 // Open tells whether a call or a watch is on, silent or not.
 func (c *Clock) Open() bool { return c.state != idle }
 
 // Last is when a list was last told; false: never.
-func (c *Clock) Last() (time.Duration, bool) { return c.told, c.told >= 0 }
+func (c *Clock) Last() (time.Duration, bool) { return c.lastList, c.lastList >= 0 }
 
 // Due is when the first that may have been missed may count as told: by then a new call must be out. It may be over.
 func (c *Clock) Due() time.Duration {
-	due := c.due()
-	if c.moved >= 0 {
-		due = min(due, c.moved+moved)
+	due := c.deadline()
+	if c.movedAt >= 0 {
+		due = min(due, c.movedAt+moveTimeout)
 	}
 	return due
 }
 
-func (c *Clock) due() time.Duration {
+func (c *Clock) deadline() time.Duration {
 	switch {
 	case c.state == watching:
-		return c.known + silence
-	case c.terms.Way == Pushed:
-		return c.base
+		return c.knownUpTo + silenceTimeout
+	case c.settings.Way == Pushed:
+		return c.lastActivity
 	case c.state == calling:
-		return max(c.base+silence, c.open+c.may+afterMay)
+		return max(c.lastActivity+silenceTimeout, c.calledAt+c.maxWait+waitMargin)
 	}
-	return c.known + min(silence, c.terms.Within)
+	return c.knownUpTo + min(silenceTimeout, c.settings.Within)
 }
 
 // Ask is when to make the next call, on a new connection; false: not before others say so. It is before [Clock.Due],
 // unless that is over from the start.
 func (c *Clock) Ask() (time.Duration, bool) {
-	ask := c.ask()
-	if c.mute >= 0 {
-		ask = min(ask, c.reopen(c.mute, c.mute+silence))
+	ask := c.nextCall()
+	if c.silentSince >= 0 {
+		ask = min(ask, c.reconnectAt(c.silentSince, c.silentSince+silenceTimeout))
 	}
-	if c.moved >= 0 {
-		ask = min(ask, c.moved+c.part(moved-answer))
+	if c.movedAt >= 0 {
+		ask = min(ask, c.movedAt+c.spreadDelay(moveTimeout-answerTime))
 	}
-	return ask, !c.rests
+	return ask, !c.paused
 }
 
-func (c *Clock) ask() time.Duration {
-	switch agent := c.terms.Way == Pushed; {
+func (c *Clock) nextCall() time.Duration {
+	switch agent := c.settings.Way == Pushed; {
 	case c.state == watching:
-		return c.reopen(c.base, c.due())
+		return c.reconnectAt(c.lastActivity, c.deadline())
 	case c.state == calling && agent:
-		return c.open + min(max(c.terms.Grace/2, prompt), patient)
+		return c.calledAt + min(max(c.settings.Grace/2, minWait), maxAgentWait)
 	case c.state == calling:
-		return c.reopen(max(c.base, c.open+c.may+afterMay-answer-quiet), c.due())
-	case agent && c.open < 0: // at the process's first moment
-		return c.base
+		return c.reconnectAt(max(c.lastActivity, c.calledAt+c.maxWait+waitMargin-answerTime-silentAfter), c.deadline())
+	case agent && c.calledAt < 0: // advance the process's first moment
+		return c.lastActivity
 	case agent:
-		return c.base + max(c.terms.Grace/4, prompt)
+		return c.lastActivity + max(c.settings.Grace/4, minWait)
 	}
-	return c.again()
+	return c.nextCallWhenIdle()
 }
 
-// again is when to call where nothing is open. Whoever decides on turns asks sooner: this is the last moment.
-func (c *Clock) again() time.Duration {
-	early := min(answer, c.terms.Within/8)
-	last := min(c.terms.Within-early, silence-answer)
-	return max(c.known+last-time.Duration(c.share*float64(early)), c.open+prompt)
+// nextCallWhenIdle is when to call where nothing is open. Whoever decides on turns asks sooner: this is the last moment.
+func (c *Clock) nextCallWhenIdle() time.Duration {
+	early := min(answerTime, c.settings.Within/8)
+	last := min(c.settings.Within-early, silenceTimeout-answerTime)
+	return max(c.knownUpTo+last-time.Duration(c.share*float64(early)), c.calledAt+minWait)
 }
 
-// reopen is when to call in place of what last spoke then, and is due to have told.
-func (c *Clock) reopen(spoke, due time.Duration) time.Duration {
-	certain, last := spoke+quiet, due-answer
-	return min(last, certain+c.part(last-certain))
+// reconnectAt is when to call in place of what last spoke then, and is due to have told.
+func (c *Clock) reconnectAt(spoke, due time.Duration) time.Duration {
+	certain, last := spoke+silentAfter, due-answerTime
+	return min(last, certain+c.spreadDelay(last-certain))
 }
 
-// part is this dispatcher's place in the fleet's spread, within a time.
-func (c *Clock) part(within time.Duration) time.Duration {
-	if c.terms.Way == Pushed {
+// spreadDelay is this dispatcher's place in the fleet's spread, within a time.
+func (c *Clock) spreadDelay(within time.Duration) time.Duration {
+	if c.settings.Way == Pushed {
 		return 0
 	}
-	return time.Duration(c.share * float64(max(0, min(c.terms.Spread, within))))
+	return time.Duration(c.share * float64(max(0, min(c.settings.Spread, within))))
 }
 
 // Barred is from when on nothing more may be sent to an instance: a grace after its drain or end was told, at told;
@@ -266,5 +266,5 @@
 	if told < 0 {
 		told = c.Due()
 	}
-	return told + c.terms.Grace
+	return told + c.settings.Grace
 }
--- a/internal/listclock/clock_test.go
+++ b/internal/listclock/clock_test.go
@@ -13,11 +13,11 @@
 )
 
 // what an installation of 300 is told.
-func told(way Way) Terms { return Terms{Way: way, Within: 10 * s, Grace: 500 * ms, Spread: 6 * s} }
+func testSettings(way Way) Terms { return Terms{Way: way, Within: 10 * s, Grace: 500 * ms, Spread: 6 * s} }
 
 // Each row is a sentence of the operators' page: by when a new call must be out, and the first and the last moment, by
 // the dispatcher's share of the spread, at which one is made.
-func TestPage(t *testing.T) {
+func TestDeadlinesAndCallTimes(t *testing.T) {
 	const never = -1
 	for _, tt := range []struct {
 		sentence    string
@@ -179,7 +179,7 @@
 	} {
 		t.Run(tt.sentence, func(t *testing.T) {
 			for share, want := range map[float64]time.Duration{0: tt.first, 1: tt.last} {
-				c := New(told(tt.way), 0)
+				c := New(testSettings(tt.way), 0)
 				c.share = share
 				tt.events(c)
 				require.Equal(t, tt.due, c.Due(), "due")
@@ -189,7 +189,7 @@
 					continue
 				}
 				require.True(t, ok)
-				if !c.Open() && c.terms.Way != Pushed { // the last moment: a later share is sooner
+				if !c.Open() && c.settings.Way != Pushed { // the last moment: a later share is sooner
 					want = tt.first + tt.last - want
 				}
 				require.Equal(t, want, ask, "share %v", share)
@@ -201,7 +201,7 @@
 // Sends to an instance may go on for a grace after its drain was told, and to any other for a grace after a drain that
 // was missed may count.
 func TestBarred(t *testing.T) {
-	c := New(told(Watched), 0)
+	c := New(testSettings(Watched), 0)
 	c.Called(2*s, 0, 0)
 	c.Heard(3 * s)
 	c.Told(3 * s)
@@ -213,7 +213,7 @@
 }
 
 // Nonsense of the settings, and a clock that goes back, are taken as zero and as no time passed.
-func TestNonsense(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	c := New(Terms{Within: -s, Grace: -s, Spread: -s}, 5*s)
 	c.Called(4*s, -s, 7)
 	c.Heard(3 * s)
@@ -221,10 +221,10 @@
 	c.Ended(1 * s)
 	ask, ok := c.Ask()
 	require.True(t, ok)
-	require.Equal(t, 5*s+prompt, ask)
+	require.Equal(t, 5*s+minWait, ask)
 	c = New(Terms{Way: Watched}, 0)
 	c.Called(5*s, 0, 1)
 	c.Ended(5 * s)
 	ask, _ = c.Ask()
-	require.Equal(t, 5*s+prompt, ask, "no call right after the other")
+	require.Equal(t, 5*s+minWait, ask, "no call right after the other")
 }
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -33,11 +33,11 @@
 
 // The bounds of a pool.
 const (
-	mostMembers = 10_000
-	mostWeight  = 65_535
-	mostPoints  = 4_000_000 // of a consistent hash
-	tries       = 20        // of a hash before the rotation takes over
-	pointsEach  = 160       // of a unit of weight
+	maxMembers = 10_000
+	maxWeight  = 65_535
+	maxRingPoints  = 4_000_000 // of a consistent hash
+	maxPicks       = 20        // of a hash before the rotation takes over
+	pointsPerWeight  = 160       // of a unit of weight
 )
 
 // Pool is one pool and what it knows of its members. It is not safe for more than one goroutine.
@@ -45,7 +45,7 @@
 	Name    string
 	method  Method
 	members []*Member
-	total   int // weight of those that are no backup
+	totalWeight   int // weight of those that are no backup
 	points  []point
 	rng     *rand.Rand
 }
@@ -60,12 +60,12 @@
 	MaxFails    int // 0: failures do not count
 	FailTimeout time.Duration
 
-	n         int
+	index         int
 	conns     int
 	fails     int
-	effective int
-	current   int
-	accessed  time.Duration // of the last failure
+	effectiveWeight int
+	currentWeight   int
+	lastFailure  time.Duration // of the last failure
 	checked   time.Duration
 }
 
@@ -82,16 +82,16 @@
 	default:
 		return nil, fmt.Errorf("pool %q: no method %q", p.Name, p.Method)
 	}
-	if len(p.Members) == 0 || len(p.Members) > mostMembers {
-		return nil, fmt.Errorf("pool %q: %d members, 1 to %d", p.Name, len(p.Members), mostMembers)
+	if len(p.Members) == 0 || len(p.Members) > maxMembers {
+		return nil, fmt.Errorf("pool %q: %d members, 1 to %d", p.Name, len(p.Members), maxMembers)
 	}
 	points := 0
 	for i, s := range p.Members {
-		m := &Member{Address: s.Address, Weight: max(1, s.Weight), Backup: s.Backup, Down: s.Down, MaxConns: s.MaxConns, MaxFails: 1, FailTimeout: 10 * time.Second, n: i}
+		m := &Member{Address: s.Address, Weight: max(1, s.Weight), Backup: s.Backup, Down: s.Down, MaxConns: s.MaxConns, MaxFails: 1, FailTimeout: 10 * time.Second, index: i}
 		if _, _, err := net.SplitHostPort(s.Address); err != nil && !s.Down {
 			return nil, fmt.Errorf("pool %q: member %q: %w", p.Name, s.Address, err)
 		}
-		if s.Weight < 0 || s.Weight > mostWeight || s.MaxConns < 0 {
+		if s.Weight < 0 || s.Weight > maxWeight || s.MaxConns < 0 {
 			return nil, fmt.Errorf("pool %q: member %s: weight %d, max_conns %d", p.Name, s.Address, s.Weight, s.MaxConns)
 		}
 		if s.MaxFails != nil {
@@ -103,18 +103,18 @@
 				return nil, fmt.Errorf("pool %q: member %s: %w", p.Name, s.Address, err)
 			}
 		}
-		m.effective = m.Weight
+		m.effectiveWeight = m.Weight
 		out.members = append(out.members, m)
 		if !m.Backup {
-			out.total += m.Weight
-			points += m.Weight * pointsEach
+			out.totalWeight += m.Weight
+			points += m.Weight * pointsPerWeight
 		}
 	}
 	if out.method == Consistent {
-		if points > mostPoints {
-			return nil, fmt.Errorf("pool %q: weights of %d in all are too many for a consistent hash", p.Name, out.total)
+		if points > maxRingPoints {
+			return nil, fmt.Errorf("pool %q: weights of %d in all are too many for a consistent hash", p.Name, out.totalWeight)
 		}
-		out.ring()
+		out.buildRing()
 	}
 	return out, nil
 }
@@ -150,23 +150,23 @@
 	var m *Member
 	switch p.method {
 	case IPHash:
-		m = p.byAddress(now, a)
+		m = p.pickIPHash(now, a)
 	case Hash:
-		m = p.byKey(now, a)
+		m = p.pickHash(now, a)
 	case Consistent:
-		m = p.byRing(now, a)
+		m = p.pickConsistent(now, a)
 	case LeastConn:
-		m = p.leastBusy(now, a, false)
+		m = p.pickLeastConn(now, a, false)
 	case Random:
-		m = p.ofTwo(now, a)
+		m = p.pickRandomTwo(now, a)
 	default:
-		m = p.rotate(now, a, false, nil)
+		m = p.pickRoundRobin(now, a, false, nil)
 	}
 	if m == nil { // backups, in a rotation of their own
 		if p.method == LeastConn {
-			m = p.leastBusy(now, a, true)
+			m = p.pickLeastConn(now, a, true)
 		} else {
-			m = p.rotate(now, a, true, nil)
+			m = p.pickRoundRobin(now, a, true, nil)
 		}
 	}
 	if m == nil {
@@ -178,35 +178,35 @@
 
 // eligible tells whether a member may have a request.
 func (m *Member) eligible(now time.Duration, a Ask) bool {
-	return !m.Down && !a.Tried[m.n] && (m.MaxConns == 0 || m.conns < m.MaxConns) &&
+	return !m.Down && !a.Tried[m.index] && (m.MaxConns == 0 || m.conns < m.MaxConns) &&
 		(m.MaxFails == 0 || m.fails < m.MaxFails || now-m.checked > m.FailTimeout)
 }
 
-// rotate is smooth weighted round robin among members that only accepts.
-func (p *Pool) rotate(now time.Duration, a Ask, backup bool, only func(*Member) bool) (best *Member) {
+// pickRoundRobin is smooth weighted round robin among members that only accepts.
+func (p *Pool) pickRoundRobin(now time.Duration, a Ask, backup bool, only func(*Member) bool) (best *Member) {
 	total := 0
 	for _, m := range p.members {
 		if m.Backup != backup || !m.eligible(now, a) || only != nil && !only(m) {
 			continue
 		}
-		m.current += m.effective
-		total += m.effective
-		if m.effective < m.Weight {
-			m.effective++
+		m.currentWeight += m.effectiveWeight
+		total += m.effectiveWeight
+		if m.effectiveWeight < m.Weight {
+			m.effectiveWeight++
 		}
-		if best == nil || m.current > best.current {
+		if best == nil || m.currentWeight > best.currentWeight {
 			best = m
 		}
 	}
 	if best != nil {
-		best.current -= total
-		best.look(now)
+		best.currentWeight -= total
+		best.startFailWindow(now)
 	}
 	return best
 }
 
-// look begins the next time of failures.
-func (m *Member) look(now time.Duration) {
+// startFailWindow begins the next time of failures.
+func (m *Member) startFailWindow(now time.Duration) {
 	if now-m.checked > m.FailTimeout {
 		m.checked = now
 	}
@@ -220,17 +220,17 @@
 		m.fails = 0
 	case failed:
 		m.fails++
-		m.accessed, m.checked = now, now
+		m.lastFailure, m.checked = now, now
 		if m.MaxFails > 0 {
-			m.effective = max(0, m.effective-m.Weight/m.MaxFails)
+			m.effectiveWeight = max(0, m.effectiveWeight-m.Weight/m.MaxFails)
 		}
-	case m.accessed < m.checked: // a trial after the time has gone well
+	case m.lastFailure < m.checked: // a trial after the time has gone well
 		m.fails = 0
 	}
 }
 
-// byAddress is ip_hash: an IPv4 client's first three octets, an IPv6 client's whole address.
-func (p *Pool) byAddress(now time.Duration, a Ask) *Member {
+// pickIPHash is ip_hash: an IPv4 client's first three octets, an IPv6 client's whole address.
+func (p *Pool) pickIPHash(now time.Duration, a Ask) *Member {
 	address, err := netip.ParseAddr(a.Remote)
 	bytes := []byte{0, 0, 0}
 	if err == nil {
@@ -239,20 +239,20 @@
 		}
 	}
 	hash := uint32(89)
-	for range tries {
+	for range maxPicks {
 		for _, b := range bytes {
 			hash = (hash*113 + uint32(b)) % 6271
 		}
-		if m := p.weighed(int(hash) % p.total); m.eligible(now, a) {
-			m.look(now)
+		if m := p.memberAtWeight(int(hash) % p.totalWeight); m.eligible(now, a) {
+			m.startFailWindow(now)
 			return m
 		}
 	}
-	return p.rotate(now, a, false, nil)
+	return p.pickRoundRobin(now, a, false, nil)
 }
 
-// weighed is the member in whose part of all weights a number lies.
-func (p *Pool) weighed(w int) *Member {
+// memberAtWeight is the member in whose part of all weights a number lies.
+func (p *Pool) memberAtWeight(w int) *Member {
 	for _, m := range p.members {
 		if !m.Backup {
 			if w -= m.Weight; w < 0 {
@@ -263,25 +263,25 @@
 	return p.members[len(p.members)-1]
 }
 
-// byKey is hash: by CRC-32 over weights. A server that leaves moves most keys.
-func (p *Pool) byKey(now time.Duration, a Ask) *Member {
+// pickHash is hash: by CRC-32 over weights. A server that leaves moves most keys.
+func (p *Pool) pickHash(now time.Duration, a Ask) *Member {
 	hash := uint32(0)
-	for n := range tries {
+	for n := range maxPicks {
 		text := a.Key
 		if n > 0 {
 			text = strconv.Itoa(n) + a.Key
 		}
 		hash += crc32.ChecksumIEEE([]byte(text)) >> 16 & 0x7fff
-		if m := p.weighed(int(hash) % p.total); m.eligible(now, a) {
-			m.look(now)
+		if m := p.memberAtWeight(int(hash) % p.totalWeight); m.eligible(now, a) {
+			m.startFailWindow(now)
 			return m
 		}
 	}
-	return p.rotate(now, a, false, nil)
+	return p.pickRoundRobin(now, a, false, nil)
 }
 
-// ring lays out the points of a consistent hash, as ketama libraries do.
-func (p *Pool) ring() {
+// buildRing lays out the points of a consistent hash, as ketama libraries do.
+func (p *Pool) buildRing() {
 	for _, m := range p.members {
 		if m.Backup {
 			continue
@@ -292,7 +292,7 @@
 		}
 		base := crc32.ChecksumIEEE([]byte(host + "\x00" + port))
 		var before [4]byte
-		for range m.Weight * pointsEach {
+		for range m.Weight * pointsPerWeight {
 			hash := crc32.Update(base, crc32.IEEETable, before[:])
 			p.points = append(p.points, point{hash, m.Address})
 			binary.LittleEndian.PutUint32(before[:], hash)
@@ -310,8 +310,8 @@
 	p.points = slices.CompactFunc(p.points, func(a, b point) bool { return a.hash == b.hash })
 }
 
-// byRing is the member at the first point from the key's on that is eligible.
-func (p *Pool) byRing(now time.Duration, a Ask) *Member {
+// pickConsistent is the member at the first point from the key's on that is eligible.
+func (p *Pool) pickConsistent(now time.Duration, a Ask) *Member {
 	hash := crc32.ChecksumIEEE([]byte(a.Key))
 	i, _ := slices.BinarySearchFunc(p.points, hash, func(x point, h uint32) int {
 		switch {
@@ -322,17 +322,17 @@
 		}
 		return 0
 	})
-	for n := range tries {
+	for n := range maxPicks {
 		at := p.points[(i+n)%len(p.points)].address
-		if m := p.rotate(now, a, false, func(m *Member) bool { return m.Address == at }); m != nil {
+		if m := p.pickRoundRobin(now, a, false, func(m *Member) bool { return m.Address == at }); m != nil {
 			return m
 		}
 	}
-	return p.rotate(now, a, false, nil)
+	return p.pickRoundRobin(now, a, false, nil)
 }
 
-// leastBusy is the member with the least connections for its weight; of equals, the rotation's.
-func (p *Pool) leastBusy(now time.Duration, a Ask, backup bool) *Member {
+// pickLeastConn is the member with the least connections for its weight; of equals, the rotation's.
+func (p *Pool) pickLeastConn(now time.Duration, a Ask, backup bool) *Member {
 	var best *Member
 	for _, m := range p.members {
 		if m.Backup == backup && m.eligible(now, a) && (best == nil || m.conns*best.Weight < best.conns*m.Weight) {
@@ -343,14 +343,14 @@
 		return nil
 	}
 	conns, weight := best.conns, best.Weight // best moves with the rotation
-	return p.rotate(now, a, backup, func(m *Member) bool { return m.conns*weight == conns*m.Weight })
+	return p.pickRoundRobin(now, a, backup, func(m *Member) bool { return m.conns*weight == conns*m.Weight })
 }
 
-// ofTwo draws two by their weights, and takes the less busy.
-func (p *Pool) ofTwo(now time.Duration, a Ask) *Member {
+// pickRandomTwo draws two by their weights, and takes the less busy.
+func (p *Pool) pickRandomTwo(now time.Duration, a Ask) *Member {
 	var first *Member
-	for range tries {
-		m := p.weighed(p.rng.IntN(p.total))
+	for range maxPicks {
+		m := p.memberAtWeight(p.rng.IntN(p.totalWeight))
 		if !m.eligible(now, a) || m == first {
 			continue
 		}
@@ -361,12 +361,12 @@
 		if m.conns*first.Weight < first.conns*m.Weight {
 			first = m
 		}
-		first.look(now)
+		first.startFailWindow(now)
 		return first
 	}
 	if first != nil {
-		first.look(now)
+		first.startFailWindow(now)
 		return first
 	}
-	return p.rotate(now, a, false, nil)
+	return p.pickRoundRobin(now, a, false, nil)
 }
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -16,18 +16,18 @@
 	"caperrelay/internal/standin/nginxmeaning"
 )
 
-func made(t testing.TB, method, key string, members ...routes.Member) *Pool {
+func newPool(t testing.TB, method, key string, members ...routes.Member) *Pool {
 	p, err := New(&routes.Pool{Name: "p", Method: method, Key: key, Members: members}, 1)
 	require.NoError(t, err)
 	return p
 }
 
-func at(n int, weight int) routes.Member {
+func member(n int, weight int) routes.Member {
 	return routes.Member{Address: fmt.Sprintf("127.0.0.1:%d", n), Weight: weight}
 }
 
-// pick is the address of the next choice, which ends at once.
-func pick(p *Pool, now time.Duration, a Ask, failed bool) string {
+// pickPort is the address of the next choice, which ends at once.
+func pickPort(p *Pool, now time.Duration, a Ask, failed bool) string {
 	m, ok := p.Pick(now, a)
 	if !ok {
 		return ""
@@ -37,33 +37,33 @@
 }
 
 // The documented example of smooth rotation: weights 5, 1, 1.
-func TestSmoothRotation(t *testing.T) {
-	p := made(t, "", "", at(1, 5), at(2, 1), at(3, 1))
+func TestSmoothRoundRobin(t *testing.T) {
+	p := newPool(t, "", "", member(1, 5), member(2, 1), member(3, 1))
 	got := ""
 	for range 14 {
-		got += pick(p, 0, Ask{}, false)
+		got += pickPort(p, 0, Ask{}, false)
 	}
 	require.Equal(t, "11213111121311", got)
 }
 
 // Shares by weight are within 2% over 10,000 requests, with weights that sum oddly and a bound of connections;
 // backups get nothing while a primary is eligible.
-func TestSharesAndBackups(t *testing.T) {
-	backup := at(9, 100)
+func TestWeightSharesAndBackups(t *testing.T) {
+	backup := member(9, 100)
 	backup.Backup = true
-	p := made(t, "", "", at(1, 7), at(2, 3), at(3, 3), at(4, 1), backup)
+	p := newPool(t, "", "", member(1, 7), member(2, 3), member(3, 3), member(4, 1), backup)
 	count := map[string]int{}
 	for range 10_000 {
-		count[pick(p, 0, Ask{}, false)]++
+		count[pickPort(p, 0, Ask{}, false)]++
 	}
 	for address, weight := range map[string]int{"1": 7, "2": 3, "3": 3, "4": 1} {
 		require.InDelta(t, float64(weight)/14, float64(count[address])/10_000, 0.02)
 	}
 	require.Zero(t, count["9"])
 
-	one := at(1, 5)
+	one := member(1, 5)
 	one.MaxConns = 2
-	p = made(t, "", "", one, at(2, 1), backup)
+	p = newPool(t, "", "", one, member(2, 1), backup)
 	var held []*Member
 	for range 7 {
 		m, ok := p.Pick(0, Ask{})
@@ -82,11 +82,11 @@
 
 // A primary that fails max_fails times within fail_timeout gets nothing until that has passed; with all of them
 // so the backup serves; a trial that goes well brings one back.
-func TestFailuresAndReturn(t *testing.T) {
-	two, backup := at(1, 5), at(9, 1)
+func TestFailuresAndRecovery(t *testing.T) {
+	two, backup := member(1, 5), member(9, 1)
 	fails := 2
 	two.MaxFails, two.FailTime, backup.Backup = &fails, "5s", true
-	p := made(t, "", "", two, at(2, 1), backup)
+	p := newPool(t, "", "", two, member(2, 1), backup)
 	now := time.Minute
 	for _, m := range p.members[:2] {
 		for m.eligible(now, Ask{}) {
@@ -95,21 +95,21 @@
 		}
 	}
 	for range 20 {
-		require.Equal(t, "9", pick(p, now, Ask{}, false))
+		require.Equal(t, "9", pickPort(p, now, Ask{}, false))
 	}
 	now += 5*time.Second + 1
-	require.Equal(t, "1", pick(p, now, Ask{}, true), "one trial")
-	require.Equal(t, "9", pick(p, now, Ask{}, false), "which failed")
+	require.Equal(t, "1", pickPort(p, now, Ask{}, true), "one trial")
+	require.Equal(t, "9", pickPort(p, now, Ask{}, false), "which failed")
 	now += 5*time.Second + 1
 	count := map[string]int{}
 	for range 600 {
-		count[pick(p, now, Ask{}, false)]++
+		count[pickPort(p, now, Ask{}, false)]++
 		now += time.Millisecond
 	}
 	require.Zero(t, count["9"])
 	require.InDelta(t, 500, count["1"], 30, "its weight comes back step by step: %v", count)
-	require.Equal(t, "", pick(made(t, "", "", routes.Member{Address: "a:1", Down: true}), 0, Ask{}, false))
-	require.Equal(t, "2", pick(p, now, Ask{Tried: map[int]bool{0: true}}, false), "not where it has been")
+	require.Equal(t, "", pickPort(newPool(t, "", "", routes.Member{Address: "a:1", Down: true}), 0, Ask{}, false))
+	require.Equal(t, "2", pickPort(p, now, Ask{Tried: map[int]bool{0: true}}, false), "not where it has been")
 }
 
 // For every key the consistent hash has the oracle's server; once one leaves, only its keys move.
@@ -119,10 +119,10 @@
 	for i, a := range addresses {
 		members = append(members, routes.Member{Address: a, Weight: weights[i]})
 	}
-	p := made(t, "consistent", "$request_uri", members...)
+	p := newPool(t, "consistent", "$request_uri", members...)
 	less := append([]routes.Member{}, members...)
 	less[1].Down = true
-	q := made(t, "consistent", "$request_uri", less...)
+	q := newPool(t, "consistent", "$request_uri", less...)
 	moved, share := 0, map[string]int{}
 	for n := range 3000 {
 		key := "/lecture/" + strconv.Itoa(n)
@@ -142,8 +142,8 @@
 }
 
 // ip_hash goes by an IPv4 client's first three octets, and the same server serves it while it is there.
-func TestAddressHash(t *testing.T) {
-	p := made(t, "ip_hash", "", at(1, 1), at(2, 2), at(3, 1))
+func TestIPHash(t *testing.T) {
+	p := newPool(t, "ip_hash", "", member(1, 1), member(2, 2), member(3, 1))
 	oracle := func(octets [3]byte) string {
 		h := 89
 		for _, o := range octets {
@@ -156,17 +156,17 @@
 		o := [3]byte{byte(r.IntN(256)), byte(r.IntN(256)), byte(r.IntN(256))}
 		want := oracle(o)
 		for range 2 {
-			got := pick(p, 0, Ask{Remote: fmt.Sprintf("%d.%d.%d.%d", o[0], o[1], o[2], r.IntN(256))}, false)
+			got := pickPort(p, 0, Ask{Remote: fmt.Sprintf("%d.%d.%d.%d", o[0], o[1], o[2], r.IntN(256))}, false)
 			require.Equal(t, want, got)
 		}
 	}
-	require.NotEmpty(t, pick(p, 0, Ask{Remote: "no address"}, false))
-	require.NotEmpty(t, pick(p, 0, Ask{Remote: "2001:db8::1"}, false))
+	require.NotEmpty(t, pickPort(p, 0, Ask{Remote: "no address"}, false))
+	require.NotEmpty(t, pickPort(p, 0, Ask{Remote: "2001:db8::1"}, false))
 }
 
 // hash has the server in whose part of the weights the key's CRC-32 lies.
-func TestKeyHash(t *testing.T) {
-	p := made(t, "hash", "$arg_k", at(1, 3), at(2, 1))
+func TestHash(t *testing.T) {
+	p := newPool(t, "hash", "$arg_k", member(1, 3), member(2, 1))
 	share := 0
 	for n := range 4000 {
 		key := fmt.Sprint("k", n)
@@ -175,20 +175,20 @@
 			want = "1"
 			share++
 		}
-		require.Equal(t, want, pick(p, 0, Ask{Key: key}, false))
+		require.Equal(t, want, pickPort(p, 0, Ask{Key: key}, false))
 	}
 	require.InDelta(t, 0.75, float64(share)/4000, 0.03)
 }
 
 // The least busy for its weight, and the less busy of two.
-func TestBusyness(t *testing.T) {
-	p := made(t, "least_conn", "", at(1, 2), at(2, 1))
+func TestLeastConnAndRandom(t *testing.T) {
+	p := newPool(t, "least_conn", "", member(1, 2), member(2, 1))
 	for range 30 {
 		_, ok := p.Pick(0, Ask{})
 		require.True(t, ok)
 	}
 	require.Equal(t, []int{20, 10}, []int{p.members[0].conns, p.members[1].conns})
-	p = made(t, "random", "", at(1, 1), at(2, 1), at(3, 1), at(4, 1))
+	p = newPool(t, "random", "", member(1, 1), member(2, 1), member(3, 1), member(4, 1))
 	for range 4000 {
 		_, ok := p.Pick(0, Ask{})
 		require.True(t, ok)
@@ -199,12 +199,12 @@
 }
 
 // What no pool can be is refused.
-func TestFaultyPools(t *testing.T) {
+func TestInvalidPools(t *testing.T) {
 	for want, p := range map[string]routes.Pool{
-		"no method":    {Method: "best", Members: []routes.Member{at(1, 1)}},
+		"no method":    {Method: "best", Members: []routes.Member{member(1, 1)}},
 		"0 members":    {},
 		"missing port": {Members: []routes.Member{{Address: "a"}}},
-		"weight":       {Members: []routes.Member{at(1, 70_000)}},
+		"weight":       {Members: []routes.Member{member(1, 70_000)}},
 		"no time":      {Members: []routes.Member{{Address: "a:1", FailTime: "soon"}}},
 	} {
 		_, err := New(&p, 1)
--- a/internal/routes/hosts.go
+++ b/internal/routes/hosts.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// hosts finds a name: exact, then the longest *.x, then the longest x.*, then the first regex. Names are
+// hostTable finds a name: exact, then the longest *.x, then the longest x.*, then the first regex. Names are
 // looked up label by label, so their number costs nothing.
-type hosts struct {
+type hostTable struct {
 	exact map[string]int
-	head  map[string]int // of "*.x", by x
-	tail  map[string]int // of "x.*", by x
+	leadingWildcard  map[string]int // of "*.x", by x
+	trailingWildcard  map[string]int // of "x.*", by x
 	regex []hostRegex
 }
 
 type hostRegex struct {
 	re *regexp.Regexp
-	n  int
+	index  int
 }
 
-func newHosts() *hosts {
-	return &hosts{exact: map[string]int{}, head: map[string]int{}, tail: map[string]int{}}
+func newHostTable() *hostTable {
+	return &hostTable{exact: map[string]int{}, leadingWildcard: map[string]int{}, trailingWildcard: map[string]int{}}
 }
 
 // add puts a name in; the first of two equal ones counts.
-func (h *hosts) add(name string, n int) error {
+func (h *hostTable) add(name string, n int) error {
 	put := func(to map[string]int, key string) {
 		if _, ok := to[key]; !ok {
 			to[key] = n
@@ -42,12 +42,12 @@
 	name = strings.ToLower(name)
 	switch {
 	case strings.HasPrefix(name, "*."):
-		put(h.head, name[2:])
+		put(h.leadingWildcard, name[2:])
 	case strings.HasPrefix(name, "."):
 		put(h.exact, name[1:])
-		put(h.head, name[1:])
+		put(h.leadingWildcard, name[1:])
 	case strings.HasSuffix(name, ".*"):
-		put(h.tail, name[:len(name)-2])
+		put(h.trailingWildcard, name[:len(name)-2])
 	default:
 		put(h.exact, name)
 	}
@@ -57,13 +57,13 @@
 	return nil
 }
 
-// find looks a name up, in small letters and without its port.
-func (h *hosts) find(name string) (int, bool) {
+// lookup looks a name up, in small letters and without its port.
+func (h *hostTable) lookup(name string) (int, bool) {
 	n, _, ok := h.match(name)
 	return n, ok
 }
 
-func (h *hosts) match(name string) (int, *regexp.Regexp, bool) {
+func (h *hostTable) match(name string) (int, *regexp.Regexp, bool) {
 	if n, ok := h.exact[name]; ok {
 		return n, nil, true
 	}
@@ -72,19 +72,19 @@
 		if !more {
 			break
 		}
-		if n, ok := h.head[after]; ok {
+		if n, ok := h.leadingWildcard[after]; ok {
 			return n, nil, true
 		}
 		rest = after
 	}
 	for i := strings.LastIndexByte(name, '.'); i > 0; i = strings.LastIndexByte(name[:i], '.') { // the longest beginning first
-		if n, ok := h.tail[name[:i]]; ok {
+		if n, ok := h.trailingWildcard[name[:i]]; ok {
 			return n, nil, true
 		}
 	}
 	for _, r := range h.regex {
 		if r.re.MatchString(name) {
-			return r.n, r.re, true
+			return r.index, r.re, true
 		}
 	}
 	return 0, nil, false
--- a/internal/routes/model.go
+++ b/internal/routes/model.go
@@ -107,7 +107,7 @@
 	Burst   float64 `toml:"burst,omitempty"`
 	Delay   float64 `toml:"delay,omitempty"`
 	NoDelay bool    `toml:"nodelay,omitempty"`
-	Most    int     `toml:"most,omitempty"` // at one time
+	Most    int     `toml:"most,omitempty"` // listenerFor one time
 	DryRun  bool    `toml:"dry_run,omitempty"`
 }
 
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -13,20 +13,20 @@
 
 // Table is routes compiled: it does not change, and any number of goroutines may ask it.
 type Table struct {
-	listens []*listen
+	listeners []*listener
 	vars    map[string]*mapping
 	pools   map[string]*Pool
 	keys    map[string]template // of pools that choose by hash
 	zones   map[string]template // of limits
 }
 
-// listen is all servers of an address.
-type listen struct {
+// addListen is all servers of an address.
+type listener struct {
 	host, port string // host empty: any
-	hosts      *hosts
+	hosts      *hostTable
 	servers    []*server
-	deflt      int
-	marked     bool // a server says that it is the default
+	defaultServer      int
+	hasDefault     bool // a server says that it is the default
 }
 
 type server struct {
@@ -43,7 +43,7 @@
 	return ""
 }
 
-// level is the locations of one place in a file.
+// compileLevel is the locations of one place in a file.
 type level struct {
 	exact    map[string]*location
 	prefixes trie
@@ -54,36 +54,36 @@
 	*Location
 	steps  []step
 	re     *regexp.Regexp
-	inner  *level
+	nested  *level
 	scheme string
 	pass   template // pool, and URI where there is one
-	uri    bool     // a URI stands after the pool
-	vars   bool
-	passes bool
-	fields []field
-	within time.Duration
+	hasURI    bool     // a URI stands after the pool
+	hasVariables   bool
+	hasPass bool
+	headers []headerField
+	timeout time.Duration
 }
 
-// field is a header field for servers.
-type field struct {
+// headerField is a header field for servers.
+type headerField struct {
 	name  string
 	value template
 }
 
 type step struct {
-	do     string
+	action     string
 	re     *regexp.Regexp
 	args   []template
 	flag   string
 	code   int
 	name   string
-	not    bool
-	inner  []step
-	remove bool // the replacement ends in "?": old arguments go
+	negated    bool
+	body  []step
+	dropArgs bool // the replacement ends in "?": old arguments go
 }
 
-// mostNested bounds locations within locations, and ifs.
-const mostNested = 16
+// maxNesting bounds locations within locations, and ifs.
+const maxNesting = 16
 
 // Compile checks and compiles routes.
 func Compile(c *Config) (*Table, error) {
@@ -120,7 +120,7 @@
 		t.vars[m.Name] = v
 	}
 	for i := range c.Servers {
-		s, err := t.server(&c.Servers[i])
+		s, err := t.compileServer(&c.Servers[i])
 		if err != nil {
 			return nil, fmt.Errorf("server %d %v: %w", i, c.Servers[i].Names, err)
 		}
@@ -129,7 +129,7 @@
 			at = []Listen{{Address: ":80"}}
 		}
 		for _, l := range at {
-			if err := t.listen(l, s); err != nil {
+			if err := t.addListen(l, s); err != nil {
 				return nil, err
 			}
 		}
@@ -137,7 +137,7 @@
 	return t, nil
 }
 
-func (t *Table) listen(at Listen, s *server) error {
+func (t *Table) addListen(at Listen, s *server) error {
 	host, port, err := net.SplitHostPort(at.Address)
 	if err != nil {
 		return fmt.Errorf("listen %q: %w", at.Address, err)
@@ -145,19 +145,19 @@
 	if host == "*" || host == "0.0.0.0" {
 		host = ""
 	}
-	i := slices.IndexFunc(t.listens, func(l *listen) bool { return l.host == host && l.port == port })
+	i := slices.IndexFunc(t.listeners, func(l *listener) bool { return l.host == host && l.port == port })
 	if i < 0 {
-		i = len(t.listens)
-		t.listens = append(t.listens, &listen{host: host, port: port, hosts: newHosts()})
+		i = len(t.listeners)
+		t.listeners = append(t.listeners, &listener{host: host, port: port, hosts: newHostTable()})
 	}
-	l := t.listens[i]
+	l := t.listeners[i]
 	n := len(l.servers)
 	l.servers = append(l.servers, s)
 	if at.Default {
-		if l.marked {
+		if l.hasDefault {
 			return fmt.Errorf("listen %q has two default servers", at.Address)
 		}
-		l.deflt, l.marked = n, true
+		l.defaultServer, l.hasDefault = n, true
 	}
 	for _, name := range s.Names {
 		if err := l.hosts.add(name, n); err != nil {
@@ -167,21 +167,21 @@
 	return nil
 }
 
-func (t *Table) server(s *Server) (*server, error) {
+func (t *Table) compileServer(s *Server) (*server, error) {
 	out := &server{Server: *s, named: map[string]*location{}}
 	var err error
 	if out.steps, err = compileSteps(s.Steps, 0); err != nil {
 		return nil, err
 	}
-	out.root, err = t.level(out, s.Locations, 0)
+	out.root, err = t.compileLevel(out, s.Locations, 0)
 	return out, err
 }
 
-func (t *Table) level(s *server, all []Location, depth int) (*level, error) {
+func (t *Table) compileLevel(s *server, all []Location, depth int) (*level, error) {
 	if len(all) == 0 {
 		return nil, nil
 	}
-	if depth > mostNested {
+	if depth > maxNesting {
 		return nil, errors.New("locations are nested too deep")
 	}
 	l := &level{exact: map[string]*location{}}
@@ -192,7 +192,7 @@
 			err = c.compilePass()
 		}
 		if c.Within != "" {
-			if c.within, err = time.ParseDuration(c.Within); err != nil || c.within <= 0 {
+			if c.timeout, err = time.ParseDuration(c.Within); err != nil || c.timeout <= 0 {
 				return nil, fmt.Errorf("location %s: within %q is no time", c, c.Within)
 			}
 		}
@@ -201,7 +201,7 @@
 			if e != nil || h[0] == "" {
 				return nil, fmt.Errorf("location %s: header %q", c, h)
 			}
-			c.fields = append(c.fields, field{h[0], v})
+			c.headers = append(c.headers, headerField{h[0], v})
 		}
 		for _, l := range c.Limits {
 			if _, ok := t.zones[l.Zone]; !ok {
@@ -209,7 +209,7 @@
 			}
 		}
 		if err == nil {
-			c.inner, err = t.level(s, c.Locations, depth+1)
+			c.nested, err = t.compileLevel(s, c.Locations, depth+1)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("location %s: %w", c, err)
@@ -220,7 +220,7 @@
 			twice = l.exact[c.Pattern] != nil
 			l.exact[c.Pattern] = c
 		case "", "^~":
-			twice = !l.prefixes.put(c.Pattern, c)
+			twice = !l.prefixes.insert(c.Pattern, c)
 		case "~", "~*":
 			if c.re, err = compileRegex(c.Pattern, c.Modifier == "~*"); err != nil {
 				return nil, err
@@ -251,8 +251,8 @@
 	if l.pass, err = parseTemplate(rest); err != nil {
 		return err
 	}
-	l.scheme, l.passes, l.vars, l.uri = scheme, true, l.pass.variables(), strings.Contains(rest, "/")
-	if l.uri && !l.vars && (l.Modifier == "~" || l.Modifier == "~*" || l.Modifier == "@") {
+	l.scheme, l.hasPass, l.hasVariables, l.hasURI = scheme, true, l.pass.hasVariables(), strings.Contains(rest, "/")
+	if l.hasURI && !l.hasVariables && (l.Modifier == "~" || l.Modifier == "~*" || l.Modifier == "@") {
 		return fmt.Errorf("pass %q: a URI has no meaning in a location by regular expression or name", l.Pass)
 	}
 	return nil
@@ -265,8 +265,8 @@
 	children map[byte]*trie
 }
 
-// put adds a prefix; false: it is there.
-func (t *trie) put(key string, v *location) bool {
+// insert adds a prefix; false: it is there.
+func (t *trie) insert(key string, v *location) bool {
 	for key != "" {
 		c := t.children[key[0]]
 		if c == nil {
@@ -294,8 +294,8 @@
 	return true
 }
 
-// longest is the value of the longest prefix of a path.
-func (t *trie) longest(path string) (best *location) {
+// longestPrefix is the value of the longest prefix of a path.
+func (t *trie) longestPrefix(path string) (best *location) {
 	for {
 		if t.value != nil {
 			best = t.value
@@ -311,8 +311,8 @@
 	}
 }
 
-// exactly is the value at a key.
-func (t *trie) exactly(key string) *location {
+// get is the value at a key.
+func (t *trie) get(key string) *location {
 	for key != "" {
 		c := t.children[key[0]]
 		if c == nil || !strings.HasPrefix(key, c.edge) {
@@ -324,11 +324,11 @@
 }
 
 func compileSteps(all []Step, depth int) (out []step, err error) {
-	if depth > mostNested {
+	if depth > maxNesting {
 		return nil, errors.New("ifs are nested too deep")
 	}
 	for _, s := range all {
-		c := step{do: s.Do}
+		c := step{action: s.Do}
 		texts := s.Args
 		switch s.Do {
 		case "rewrite":
@@ -344,7 +344,7 @@
 				}
 			}
 			to, cut := strings.CutSuffix(s.Args[1], "?")
-			c.remove, texts = cut, []string{to}
+			c.dropArgs, texts = cut, []string{to}
 		case "return":
 			if len(s.Args) < 1 || len(s.Args) > 2 {
 				return nil, fmt.Errorf("return needs a code or a URL, not %q", s.Args)
@@ -370,7 +370,7 @@
 				c.name = s.Args[0]
 			}
 		case "if":
-			if err := c.condition(s.Args); err != nil {
+			if err := c.compileCondition(s.Args); err != nil {
 				return nil, err
 			}
 			if len(s.Args) == 3 && c.re == nil {
@@ -378,7 +378,7 @@
 			} else {
 				texts = s.Args[:1]
 			}
-			if c.inner, err = compileSteps(s.Steps, depth+1); err != nil {
+			if c.body, err = compileSteps(s.Steps, depth+1); err != nil {
 				return nil, err
 			}
 		default:
@@ -396,8 +396,8 @@
 	return out, nil
 }
 
-// condition reads that of an if: a variable, or a variable, an operator and a value.
-func (c *step) condition(args []string) (err error) {
+// compileCondition reads that of an if: a variable, or a variable, an operator and a value.
+func (c *step) compileCondition(args []string) (err error) {
 	if len(args) != 1 && len(args) != 3 || len(args) > 0 && !strings.HasPrefix(args[0], "$") {
 		return fmt.Errorf("if: %q is no condition that has a meaning here", args)
 	}
@@ -405,7 +405,7 @@
 		return nil
 	}
 	op, not := strings.CutPrefix(args[1], "!")
-	switch c.not = not; op {
+	switch c.negated = not; op {
 	case "=":
 	case "~", "~*":
 		c.re, err = compileRegex(args[2], op == "~*")
--- a/internal/routes/uri.go
+++ b/internal/routes/uri.go
@@ -11,7 +11,7 @@
 // Normalise decodes a target's path and resolves ".", ".." and, where merge is set, double slashes; it
 // parts it from its arguments. The result begins with a slash.
 func Normalise(target string, merge bool) (path, args string, err error) {
-	if rest, ok := absolute(target); ok {
+	if rest, ok := cutSchemeAndHost(target); ok {
 		target = rest
 	}
 	target, _, _ = strings.Cut(target, "#")
@@ -26,7 +26,7 @@
 			if i+2 >= len(raw) {
 				return "", "", ErrBadURI
 			}
-			hi, lo := hex(raw[i+1]), hex(raw[i+2])
+			hi, lo := hexDigit(raw[i+1]), hexDigit(raw[i+2])
 			if hi < 0 || lo < 0 {
 				return "", "", ErrBadURI
 			}
@@ -38,14 +38,14 @@
 		}
 		out = append(out, c)
 	}
-	if path, ok := resolve(string(out), merge); ok {
+	if path, ok := resolveDots(string(out), merge); ok {
 		return path, args, nil
 	}
 	return "", "", ErrBadURI
 }
 
-// absolute takes the scheme and host off a target.
-func absolute(target string) (string, bool) {
+// cutSchemeAndHost takes the scheme and host off a target.
+func cutSchemeAndHost(target string) (string, bool) {
 	for _, scheme := range []string{"http://", "https://"} {
 		if len(target) > len(scheme) && strings.EqualFold(target[:len(scheme)], scheme) {
 			rest := target[len(scheme):]
@@ -61,8 +61,8 @@
 	return target, false
 }
 
-// resolve takes dots, and double slashes, out of a decoded path; false: it leads above the root.
-func resolve(path string, merge bool) (string, bool) {
+// resolveDots takes dots, and double slashes, out of a decoded path; false: it leads above the root.
+func resolveDots(path string, merge bool) (string, bool) {
 	if !strings.Contains(path, "/.") && (!merge || !strings.Contains(path, "//")) {
 		return path, true
 	}
@@ -91,7 +91,7 @@
 	return "/" + strings.Join(out, "/"), true
 }
 
-func hex(c byte) int {
+func hexDigit(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
 		return int(c - '0')
@@ -108,14 +108,14 @@
 	const digits = "0123456789ABCDEF"
 	plain := true
 	for i := range len(path) {
-		plain = plain && !special(path[i])
+		plain = plain && !needsEscape(path[i])
 	}
 	if plain {
 		return path
 	}
 	var s strings.Builder
 	for i := range len(path) {
-		if c := path[i]; special(c) {
+		if c := path[i]; needsEscape(c) {
 			s.WriteByte('%')
 			s.WriteByte(digits[c>>4])
 			s.WriteByte(digits[c&15])
@@ -126,6 +126,6 @@
 	return s.String()
 }
 
-func special(c byte) bool {
+func needsEscape(c byte) bool {
 	return c <= ' ' || c >= 0x7f || c == '#' || c == '%' || c == '?'
 }
--- a/internal/routes/vars.go
+++ b/internal/routes/vars.go
@@ -10,25 +10,25 @@
 	"strings"
 )
 
-// state is a request on its way through the routes.
-type state struct {
+// evaluation is a request on its way through the routes.
+type evaluation struct {
 	table    *Table
-	q        Request
+	request        Request
 	host     string
 	server   *server
 	path     string // decoded
 	args     string
-	changed  bool // by a rewrite: the raw target counts no more
-	moved    bool // by one since the location was entered
-	broke    bool // by one that ends in break: what the location had of the path counts no more either
+	uriChanged  bool // by a rewrite: the raw target counts no more
+	uriChangedHere    bool // by one since the location was entered
+	rewroteWithBreak    bool // by one that ends in break: what the location had of the path counts no more either
 	captures []string
-	names    map[string]string
-	set      map[string]string
-	depth    int // of variables within variables
+	namedCaptures    map[string]string
+	variables      map[string]string
+	variableDepth    int // of variables within variables
 	why      []string
 }
 
-func (s *state) note(format string, args ...any) { s.why = append(s.why, fmt.Sprintf(format, args...)) }
+func (s *evaluation) trace(format string, args ...any) { s.why = append(s.why, fmt.Sprintf(format, args...)) }
 
 // template is a text with variables.
 type template struct{ parts []part }
@@ -62,7 +62,7 @@
 		if text[0] >= '1' && text[0] <= '9' {
 			n = 1
 		} else {
-			for n < len(text) && nameByte(text[n]) {
+			for n < len(text) && isNameByte(text[n]) {
 				n++
 			}
 		}
@@ -75,21 +75,21 @@
 	return t, nil
 }
 
-func nameByte(c byte) bool {
+func isNameByte(c byte) bool {
 	return c == '_' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 }
 
 func isName(s string) bool {
 	for i := range len(s) {
-		if !nameByte(s[i]) {
+		if !isNameByte(s[i]) {
 			return false
 		}
 	}
 	return s != ""
 }
 
-// variables tells whether there are any.
-func (t template) variables() bool {
+// hasVariables tells whether there are any.
+func (t template) hasVariables() bool {
 	for _, p := range t.parts {
 		if p.name != "" {
 			return true
@@ -98,7 +98,7 @@
 	return false
 }
 
-func (t template) eval(s *state) string {
+func (t template) eval(s *evaluation) string {
 	if len(t.parts) == 1 && t.parts[0].name == "" {
 		return t.parts[0].text
 	}
@@ -113,11 +113,11 @@
 	return b.String()
 }
 
-// mostDepth bounds variables that name each other.
-const mostDepth = 16
+// maxVariableDepth bounds variables that name each other.
+const maxVariableDepth = 16
 
-func (s *state) variable(name string) string {
-	if v, ok := s.set[name]; ok {
+func (s *evaluation) variable(name string) string {
+	if v, ok := s.variables[name]; ok {
 		return v
 	}
 	if n, err := strconv.Atoi(name); err == nil {
@@ -126,21 +126,21 @@
 		}
 		return ""
 	}
-	if v, ok := s.names[name]; ok {
+	if v, ok := s.namedCaptures[name]; ok {
 		return v
 	}
 	if m := s.table.vars[name]; m != nil {
-		if s.depth++; s.depth > mostDepth {
+		if s.variableDepth++; s.variableDepth > maxVariableDepth {
 			return ""
 		}
-		defer func() { s.depth-- }()
+		defer func() { s.variableDepth-- }()
 		return m.eval(s)
 	}
 	switch name {
 	case "uri", "document_uri":
 		return s.path
 	case "request_uri":
-		return s.q.Target
+		return s.request.Target
 	case "args", "query_string":
 		return s.args
 	case "is_args":
@@ -151,30 +151,30 @@
 	case "host":
 		return s.host
 	case "http_host":
-		return s.q.Host
+		return s.request.Host
 	case "request_method":
-		return s.q.Method
+		return s.request.Method
 	case "scheme":
-		if s.q.TLS {
+		if s.request.TLS {
 			return "https"
 		}
 		return "http"
 	case "https":
-		if s.q.TLS {
+		if s.request.TLS {
 			return "on"
 		}
 		return ""
 	case "remote_addr", "binary_remote_addr":
-		return s.q.Remote
+		return s.request.Remote
 	case "server_name":
 		return s.server.name()
 	case "server_port":
-		return s.q.Listen[strings.LastIndexByte(s.q.Listen, ':')+1:]
+		return s.request.Listen[strings.LastIndexByte(s.request.Listen, ':')+1:]
 	case "proxy_add_x_forwarded_for":
 		if before := s.header("X-Forwarded-For"); before != "" {
-			return before + ", " + s.q.Remote
+			return before + ", " + s.request.Remote
 		}
-		return s.q.Remote
+		return s.request.Remote
 	}
 	if arg, ok := strings.CutPrefix(name, "arg_"); ok {
 		for p := range strings.SplitSeq(s.args, "&") {
@@ -198,11 +198,11 @@
 	return ""
 }
 
-func (s *state) header(name string) string {
-	if s.q.Header == nil {
+func (s *evaluation) header(name string) string {
+	if s.request.Header == nil {
 		return ""
 	}
-	return s.q.Header(name)
+	return s.request.Header(name)
 }
 
 // mapping is a Mapping compiled.
@@ -210,12 +210,12 @@
 	kind   string
 	from   template
 	exact  map[string]template
-	hosts  *hosts
+	hosts  *hostTable
 	values []template // by the hosts' index
 	regex  []regexCase
 	nets   []netCase
 	splits []splitCase
-	other  template
+	defaultValue  template
 }
 
 type regexCase struct {
@@ -229,7 +229,7 @@
 }
 
 type splitCase struct {
-	below uint64 // of the hash
+	upperBound uint64 // of the hash
 	value template
 }
 
@@ -239,11 +239,11 @@
 		return nil, err
 	}
 	out := &mapping{kind: m.Kind, from: from, exact: map[string]template{}}
-	if out.other, err = parseTemplate(m.Other); err != nil {
+	if out.defaultValue, err = parseTemplate(m.Other); err != nil {
 		return nil, err
 	}
 	if m.Hosts {
-		out.hosts = newHosts()
+		out.hosts = newHostTable()
 	}
 	sum := 0.0
 	for _, c := range m.Cases {
@@ -293,20 +293,20 @@
 	return out, nil
 }
 
-func (m *mapping) eval(s *state) string {
+func (m *mapping) eval(s *evaluation) string {
 	from := m.from.eval(s)
 	switch m.kind {
 	case "split":
 		h := uint64(murmur2(from))
 		for _, c := range m.splits {
-			if h < c.below {
+			if h < c.upperBound {
 				return c.value.eval(s)
 			}
 		}
 		return ""
 	case "geo":
 		a, err := netip.ParseAddr(from)
-		best, value := -1, m.other
+		best, value := -1, m.defaultValue
 		for _, c := range m.nets {
 			if err == nil && c.net.Bits() > best && c.net.Contains(a) {
 				best, value = c.net.Bits(), c.value
@@ -315,7 +315,7 @@
 		return value.eval(s)
 	}
 	if m.hosts != nil {
-		if n, ok := m.hosts.find(strings.ToLower(from)); ok {
+		if n, ok := m.hosts.lookup(strings.ToLower(from)); ok {
 			return m.values[n].eval(s)
 		}
 	} else if v, ok := m.exact[strings.ToLower(from)]; ok {
@@ -323,21 +323,21 @@
 	}
 	for _, c := range m.regex {
 		if found := c.re.FindStringSubmatch(from); found != nil {
-			s.capture(c.re, found)
+			s.setCaptures(c.re, found)
 			return c.value.eval(s)
 		}
 	}
-	return m.other.eval(s)
+	return m.defaultValue.eval(s)
 }
 
-func (s *state) capture(re *regexp.Regexp, found []string) {
+func (s *evaluation) setCaptures(re *regexp.Regexp, found []string) {
 	s.captures = found
 	for i, name := range re.SubexpNames() {
 		if name != "" {
-			if s.names == nil {
-				s.names = map[string]string{}
+			if s.namedCaptures == nil {
+				s.namedCaptures = map[string]string{}
 			}
-			s.names[name] = found[i]
+			s.namedCaptures[name] = found[i]
 		}
 	}
 }
