--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys loads the keys of TLS listeners and clients, checks them, and takes up files that change
-// while the program runs.
+// Package keys loads and validates the certificates and keys of TLS listeners and clients, and reloads files that
+// change while the program runs.
 package keys
 
 import (
@@ -13,17 +13,18 @@
 	"time"
 )
 
-// Files names PEM files.
+// Files holds the paths of PEM files and the names that are accepted.
 type Files struct {
 	Certificate, Key string
-	CA               string   // of the other side
-	Names            []string // that the other side's certificate may bear; of clients only
+	CA               string   // that issues the peer's certificate
+	Names            []string // accepted in a client's certificate; used by servers only
 }
 
-// checkInterval is how often, at most, the files are looked at.
+// checkInterval is the shortest time between two checks of the files for changes.
 const checkInterval = time.Second
 
-// Credentials is a certificate and what the other side is checked by. It is safe for use by several goroutines.
+// Credentials are a certificate and the roots that the peer is verified with. They may be used by several
+// goroutines at once.
 type Credentials struct {
 	files Files
 
@@ -32,47 +33,47 @@
 	stamps    [3]string
 	cert      *tls.Certificate
 	roots     *x509.CertPool
-	reloadErr error // of files that have changed and cannot be used; the ones before go on to count
+	reloadErr error // why changed files cannot be used; the previous ones stay in use
 }
 
-// Load reads and checks the files.
+// Load reads and validates the files.
 func Load(f Files) (*Credentials, error) {
-	p := &Credentials{files: f}
-	if err := p.load(); err != nil {
+	c := &Credentials{files: f}
+	if err := c.load(); err != nil {
 		return nil, err
 	}
-	p.stamps, p.checkedAt = p.fileStamps(), time.Now()
-	return p, nil
+	c.stamps, c.checkedAt = c.fileStamps(), time.Now()
+	return c, nil
 }
 
-func (p *Credentials) load() error {
-	cert, err := tls.LoadX509KeyPair(p.files.Certificate, p.files.Key)
+func (c *Credentials) load() error {
+	cert, err := tls.LoadX509KeyPair(c.files.Certificate, c.files.Key)
 	if err != nil {
-		return fmt.Errorf("%s with %s: %w", p.files.Certificate, p.files.Key, err)
+		return fmt.Errorf("%s with %s: %w", c.files.Certificate, c.files.Key, err)
 	}
 	if cert.Leaf == nil {
 		if cert.Leaf, err = x509.ParseCertificate(cert.Certificate[0]); err != nil {
-			return fmt.Errorf("%s: %w", p.files.Certificate, err)
+			return fmt.Errorf("%s: %w", c.files.Certificate, err)
 		}
 	}
 	if now := time.Now(); now.After(cert.Leaf.NotAfter) {
-		return fmt.Errorf("%s: it ended on %s", p.files.Certificate, cert.Leaf.NotAfter.Format(time.DateOnly))
+		return fmt.Errorf("%s: the certificate expired on %s", c.files.Certificate, cert.Leaf.NotAfter.Format(time.DateOnly))
 	}
-	text, err := os.ReadFile(p.files.CA)
+	pem, err := os.ReadFile(c.files.CA)
 	if err != nil {
 		return err
 	}
 	roots := x509.NewCertPool()
-	if !roots.AppendCertsFromPEM(text) {
-		return fmt.Errorf("%s: no certificate in it", p.files.CA)
+	if !roots.AppendCertsFromPEM(pem) {
+		return fmt.Errorf("%s: contains no certificate", c.files.CA)
 	}
-	p.cert, p.roots = &cert, roots
+	c.cert, c.roots = &cert, roots
 	return nil
 }
 
-// fileStamps tells whether files have changed.
-func (p *Credentials) fileStamps() (s [3]string) {
-	for i, path := range []string{p.files.Certificate, p.files.Key, p.files.CA} {
+// fileStamps returns the modification time and size of each file, to detect changes.
+func (c *Credentials) fileStamps() (s [3]string) {
+	for i, path := range []string{c.files.Certificate, c.files.Key, c.files.CA} {
 		if info, err := os.Stat(path); err == nil {
 			s[i] = fmt.Sprint(info.ModTime().UnixNano(), info.Size())
 		}
@@ -80,77 +81,78 @@
 	return s
 }
 
-// current is the keys that count now.
-func (p *Credentials) current() (*tls.Certificate, *x509.CertPool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if now := time.Now(); now.Sub(p.checkedAt) >= checkInterval {
-		p.checkedAt = now
-		if s := p.fileStamps(); s != p.stamps {
-			if p.reloadErr = p.load(); p.reloadErr == nil {
-				p.stamps = s
+// current returns the certificate and roots in use, after a check for changed files.
+func (c *Credentials) current() (*tls.Certificate, *x509.CertPool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now := time.Now(); now.Sub(c.checkedAt) >= checkInterval {
+		c.checkedAt = now
+		if s := c.fileStamps(); s != c.stamps {
+			if c.reloadErr = c.load(); c.reloadErr == nil {
+				c.stamps = s
 			}
 		}
 	}
-	return p.cert, p.roots
+	return c.cert, c.roots
 }
 
-// Fault is why files that have changed do not count, nil if they do.
-func (p *Credentials) Fault() error {
-	p.current()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.reloadErr
+// Fault returns why changed files are not in use, nil if they are.
+func (c *Credentials) Fault() error {
+	c.current()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.reloadErr
 }
 
-// Server is a listener's configuration: clients must bear a certificate of the CA, with one of the names.
-func (p *Credentials) Server() *tls.Config {
+// Server returns the configuration of a listener: a client must present a certificate of the CA with one of the
+// accepted names.
+func (c *Credentials) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, roots := p.current()
+			cert, roots := c.current()
 			return &tls.Config{
 				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*cert}, ClientCAs: roots, NextProtos: []string{"h2"},
-				ClientAuth: tls.RequireAndVerifyClientCert, VerifyConnection: p.verifyName,
+				ClientAuth: tls.RequireAndVerifyClientCert, VerifyConnection: c.verifyName,
 			}, nil
 		},
 	}
 }
 
-// verifyName checks a client's certificate for a name that may come in.
-func (p *Credentials) verifyName(s tls.ConnectionState) error {
+// verifyName checks that a client's certificate has an accepted name.
+func (c *Credentials) verifyName(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
-		return errors.New("no certificate")
+		return errors.New("the peer presented no certificate")
 	}
 	leaf := s.PeerCertificates[0]
-	for _, n := range append(slices.Clone(leaf.DNSNames), leaf.Subject.CommonName) {
-		if n != "" && slices.Contains(p.files.Names, n) {
+	for _, name := range append(slices.Clone(leaf.DNSNames), leaf.Subject.CommonName) {
+		if name != "" && slices.Contains(c.files.Names, name) {
 			return nil
 		}
 	}
-	return fmt.Errorf("a certificate for %q may not come in here", leaf.DNSNames)
+	return fmt.Errorf("the client certificate for %q has no accepted name", leaf.DNSNames)
 }
 
-// Client is a client's configuration; name is what the server's certificate must bear.
-func (p *Credentials) Client(name string) *tls.Config {
+// Client returns the configuration of a client; name must be in the server's certificate.
+func (c *Credentials) Client(name string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, ServerName: name,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			cert, _ := p.current()
+			cert, _ := c.current()
 			return cert, nil
 		},
-		// The roots may change, so the chain is verified here; nothing is skipped.
+		// The roots may change, so VerifyConnection does the full verification of the chain and the name.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			if len(s.PeerCertificates) == 0 {
-				return errors.New("no certificate")
+				return errors.New("the peer presented no certificate")
 			}
-			_, roots := p.current()
-			between := x509.NewCertPool()
-			for _, c := range s.PeerCertificates[1:] {
-				between.AddCert(c)
+			_, roots := c.current()
+			intermediates := x509.NewCertPool()
+			for _, cert := range s.PeerCertificates[1:] {
+				intermediates.AddCert(cert)
 			}
-			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: roots, Intermediates: between, DNSName: name})
+			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: roots, Intermediates: intermediates, DNSName: name})
 			return err
 		},
 	}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -12,16 +12,16 @@
 	"caperrelay/internal/standin/authority"
 )
 
-// issueCredentials issues and loads keys of a name.
-func issueCredentials(t *testing.T, a *authority.Authority, name string, names ...string) *Credentials {
-	cert, key, err := a.Issue(name, time.Now().Add(time.Hour))
+// issueCredentials issues a certificate for name and loads it.
+func issueCredentials(t *testing.T, ca *authority.Authority, name string, names ...string) *Credentials {
+	cert, key, err := ca.Issue(name, time.Now().Add(time.Hour))
 	require.NoError(t, err)
-	p, err := Load(Files{cert, key, a.CA, names})
+	creds, err := Load(Files{cert, key, ca.CA, names})
 	require.NoError(t, err)
-	return p
+	return creds
 }
 
-// handshake has a client and a server shake hands and exchange a byte.
+// handshake connects a client to a server, which sends it one byte, and returns the first error.
 func handshake(t *testing.T, server, client *tls.Config) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -50,43 +50,44 @@
 	return err
 }
 
-// Only a client of the authority with one of the names gets in, and only to the server that it meant.
+// Only a client with a certificate of the CA and an accepted name can connect, and only to the server that it
+// expects.
 func TestMutualAuthentication(t *testing.T) {
-	dir := t.TempDir()
-	ours, err := authority.New(dir, "ours")
+	caDir := t.TempDir()
+	ca, err := authority.New(caDir, "ours")
 	require.NoError(t, err)
-	theirs, err := authority.New(t.TempDir(), "theirs")
+	otherCA, err := authority.New(t.TempDir(), "theirs")
 	require.NoError(t, err)
-	server := issueCredentials(t, ours, "daemon", "portal").Server()
-	portal := issueCredentials(t, ours, "portal")
+	server := issueCredentials(t, ca, "daemon", "portal").Server()
+	portal := issueCredentials(t, ca, "portal")
 	require.NoError(t, handshake(t, server, portal.Client("daemon")))
-	require.Error(t, handshake(t, server, portal.Client("another")), "the server bears another name")
-	require.Error(t, handshake(t, server, issueCredentials(t, ours, "guest").Client("daemon")), "a name that may not come in")
-	require.Error(t, handshake(t, server, issueCredentials(t, theirs, "portal").Client("daemon")), "another authority's")
-	bare := portal.Client("daemon")
-	bare.GetClientCertificate = nil
-	require.Error(t, handshake(t, server, bare), "no certificate")
-	require.Error(t, handshake(t, issueCredentials(t, theirs, "daemon", "portal").Server(), portal.Client("daemon")), "a server of another authority")
+	require.Error(t, handshake(t, server, portal.Client("another")), "the server's certificate has another name")
+	require.Error(t, handshake(t, server, issueCredentials(t, ca, "guest").Client("daemon")), "a client name that is not accepted")
+	require.Error(t, handshake(t, server, issueCredentials(t, otherCA, "portal").Client("daemon")), "a client certificate of another CA")
+	noCert := portal.Client("daemon")
+	noCert.GetClientCertificate = nil
+	require.Error(t, handshake(t, server, noCert), "no client certificate")
+	require.Error(t, handshake(t, issueCredentials(t, otherCA, "daemon", "portal").Server(), portal.Client("daemon")), "a server certificate of another CA")
 }
 
-// Files that change are taken up; faulty ones change nothing and are told of.
+// Changed files are reloaded; with invalid ones the previous certificate stays in use, and the error is reported.
 func TestReloadOfChangedFiles(t *testing.T) {
-	a, err := authority.New(t.TempDir(), "ours")
+	ca, err := authority.New(t.TempDir(), "ours")
 	require.NoError(t, err)
-	p := issueCredentials(t, a, "daemon", "portal")
-	first, _ := p.current()
-	_, key, err := a.Issue("daemon", time.Now().Add(2*time.Hour))
+	creds := issueCredentials(t, ca, "daemon", "portal")
+	first, _ := creds.current()
+	_, key, err := ca.Issue("daemon", time.Now().Add(2*time.Hour))
 	require.NoError(t, err)
-	p.checkedAt = time.Time{}
-	second, _ := p.current()
+	creds.checkedAt = time.Time{}
+	second, _ := creds.current()
 	require.NotEqual(t, first.Leaf.SerialNumber, second.Leaf.SerialNumber)
 	require.NoError(t, os.WriteFile(key, []byte("no key"), 0o600))
-	p.checkedAt = time.Time{}
-	third, _ := p.current()
+	creds.checkedAt = time.Time{}
+	third, _ := creds.current()
 	require.Equal(t, second, third)
-	require.ErrorContains(t, p.Fault(), "daemon.key")
-	cert, key, err := a.Issue("old", time.Now().Add(-time.Minute))
+	require.ErrorContains(t, creds.Fault(), "daemon.key")
+	cert, key, err := ca.Issue("old", time.Now().Add(-time.Minute))
 	require.NoError(t, err)
-	_, err = Load(Files{cert, key, a.CA, nil})
-	require.ErrorContains(t, err, "it ended on")
+	_, err = Load(Files{cert, key, ca.CA, nil})
+	require.ErrorContains(t, err, "the certificate expired on")
 }
--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -234,7 +234,7 @@
 			if len(d.Args) != 1 {
 				return out, fault(d, "invalid number of arguments in %q directive: %d", d.Name, len(d.Args))
 			}
-			t, err := pools.Span(d.Args[0])
+			t, err := pools.ParseDuration(d.Args[0])
 			if err != nil || t <= 0 {
 				return out, fault(d, "invalid value %q of %q", d.Args[0], d.Name)
 			}
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -1,7 +1,7 @@
-// Package pools knows which member of a pool a request would go to: by weights in smooth rotation, by
-// hashes, by least connections, with backups, failures and bounds of connections. It does no I/O and reads
-// no clock. Its rules are those that nginx documents for upstream blocks, so that imported pools mean what
-// they meant; what is done with the answer is the decision module's.
+// Package pools selects the member of a pool that a request goes to: by smooth weighted round robin, by hashes or
+// by least connections, with backups, failure counting and connection limits. It does no I/O and reads no clock.
+// Its rules are those that nginx documents for upstream blocks, so that imported pools behave as they did there;
+// the decision module uses the result.
 package pools
 
 import (
@@ -18,46 +18,46 @@
 	"caperrelay/internal/routes"
 )
 
-// Method is how a member is chosen.
+// Method is the load balancing method of a pool.
 type Method string
 
-// The methods. None is smooth weighted round robin.
+// The methods. The empty one is smooth weighted round robin.
 const (
 	RoundRobin Method = ""
 	IPHash     Method = "ip_hash"
 	Hash       Method = "hash"
-	Consistent Method = "consistent" // ketama: Consistent hashing, Karger et al. 1997
+	Consistent Method = "consistent" // as in ketama: consistent hashing, Karger et al. 1997
 	LeastConn  Method = "least_conn"
-	Random     Method = "random" // the less busy of two: Mitzenmacher 2001
+	Random     Method = "random" // the less loaded of two: Mitzenmacher 2001
 )
 
-// The bounds of a pool.
+// The limits of a pool.
 const (
 	maxMembers      = 10_000
 	maxWeight       = 65_535
-	maxRingPoints   = 4_000_000 // of a consistent hash
-	maxPicks        = 20        // of a hash before the rotation takes over
-	pointsPerWeight = 160       // of a unit of weight
+	maxRingPoints   = 4_000_000 // on the ring of a consistent hash
+	maxPicks        = 20        // attempts of a method before round robin is used instead
+	pointsPerWeight = 160       // points on the ring per unit of weight
 )
 
-// Pool is one pool and what it knows of its members. It is not safe for more than one goroutine.
+// Pool is a pool with the state of its members. It must not be used by several goroutines at once.
 type Pool struct {
 	Name        string
 	method      Method
 	members     []*Member
-	totalWeight int // weight of those that are no backup
+	totalWeight int // of the members that are not backups
 	points      []point
 	rng         *rand.Rand
 }
 
-// Member is one server of it.
+// Member is one server of a pool.
 type Member struct {
 	Address     string
 	Weight      int
 	Backup      bool
 	Down        bool
-	MaxConns    int // 0: no bound
-	MaxFails    int // 0: failures do not count
+	MaxConns    int // 0: no limit
+	MaxFails    int // 0: failures are not counted
 	FailTimeout time.Duration
 
 	index           int
@@ -65,8 +65,8 @@
 	fails           int
 	effectiveWeight int
 	currentWeight   int
-	lastFailure     time.Duration // of the last failure
-	checked         time.Duration
+	lastFailure     time.Duration
+	failWindowStart time.Duration
 }
 
 type point struct {
@@ -74,16 +74,16 @@
 	address string
 }
 
-// New checks and compiles a pool. seed is for the random method.
+// New validates and compiles a pool. seed is used by the random method.
 func New(p *routes.Pool, seed uint64) (*Pool, error) {
 	out := &Pool{Name: p.Name, method: Method(p.Method), rng: rand.New(rand.NewPCG(seed, 1))}
 	switch out.method {
 	case RoundRobin, IPHash, Hash, Consistent, LeastConn, Random:
 	default:
-		return nil, fmt.Errorf("pool %q: no method %q", p.Name, p.Method)
+		return nil, fmt.Errorf("pool %q: unknown method %q", p.Name, p.Method)
 	}
 	if len(p.Members) == 0 || len(p.Members) > maxMembers {
-		return nil, fmt.Errorf("pool %q: %d members, 1 to %d", p.Name, len(p.Members), maxMembers)
+		return nil, fmt.Errorf("pool %q: %d members, must be 1 to %d", p.Name, len(p.Members), maxMembers)
 	}
 	points := 0
 	for i, s := range p.Members {
@@ -92,14 +92,14 @@
 			return nil, fmt.Errorf("pool %q: member %q: %w", p.Name, s.Address, err)
 		}
 		if s.Weight < 0 || s.Weight > maxWeight || s.MaxConns < 0 {
-			return nil, fmt.Errorf("pool %q: member %s: weight %d, max_conns %d", p.Name, s.Address, s.Weight, s.MaxConns)
+			return nil, fmt.Errorf("pool %q: member %s: invalid weight %d or max_conns %d", p.Name, s.Address, s.Weight, s.MaxConns)
 		}
 		if s.MaxFails != nil {
 			m.MaxFails = *s.MaxFails
 		}
 		if s.FailTime != "" {
 			var err error
-			if m.FailTimeout, err = Span(s.FailTime); err != nil {
+			if m.FailTimeout, err = ParseDuration(s.FailTime); err != nil {
 				return nil, fmt.Errorf("pool %q: member %s: %w", p.Name, s.Address, err)
 			}
 		}
@@ -112,15 +112,15 @@
 	}
 	if out.method == Consistent {
 		if points > maxRingPoints {
-			return nil, fmt.Errorf("pool %q: weights of %d in all are too many for a consistent hash", p.Name, out.totalWeight)
+			return nil, fmt.Errorf("pool %q: the total weight of %d is too large for a consistent hash", p.Name, out.totalWeight)
 		}
 		out.buildRing()
 	}
 	return out, nil
 }
 
-// Span reads a time as nginx writes it: a number of seconds, or with ms, s, m, h, d.
-func Span(text string) (time.Duration, error) {
+// ParseDuration parses a time in the notation of nginx: a number of seconds, or a number with ms, s, m, h or d.
+func ParseDuration(text string) (time.Duration, error) {
 	if n, err := strconv.Atoi(text); err == nil && n >= 0 && n < 1e9 {
 		return time.Duration(n) * time.Second, nil
 	}
@@ -132,41 +132,41 @@
 	if d, err := time.ParseDuration(text); err == nil && d >= 0 {
 		return d, nil
 	}
-	return 0, fmt.Errorf("%q is no time", text)
+	return 0, fmt.Errorf("invalid duration %q", text)
 }
 
-// Members is all of them.
+// Members returns all members.
 func (p *Pool) Members() []*Member { return p.members }
 
-// Ask is what a choice goes by.
+// Ask holds what a selection depends on.
 type Ask struct {
-	Key    string       // of a hash
+	Key    string       // the hash key
 	Remote string       // the client's address
-	Tried  map[int]bool // members that this request has been at
+	Tried  map[int]bool // indexes of the members that this request has already been sent to
 }
 
-// Pick chooses a member, which counts as taken until Done; false: none is eligible.
-func (p *Pool) Pick(now time.Duration, a Ask) (*Member, bool) {
+// Pick selects a member and counts a connection to it until Done; false: none is eligible.
+func (p *Pool) Pick(now time.Duration, criteria Ask) (*Member, bool) {
 	var m *Member
 	switch p.method {
 	case IPHash:
-		m = p.pickIPHash(now, a)
+		m = p.pickIPHash(now, criteria)
 	case Hash:
-		m = p.pickHash(now, a)
+		m = p.pickHash(now, criteria)
 	case Consistent:
-		m = p.pickConsistent(now, a)
+		m = p.pickConsistent(now, criteria)
 	case LeastConn:
-		m = p.pickLeastConn(now, a, false)
+		m = p.pickLeastConn(now, criteria, false)
 	case Random:
-		m = p.pickRandomTwo(now, a)
+		m = p.pickRandomTwo(now, criteria)
 	default:
-		m = p.pickRoundRobin(now, a, false, nil)
+		m = p.pickRoundRobin(now, criteria, false, nil)
 	}
-	if m == nil { // backups, in a rotation of their own
+	if m == nil { // the backups have criteria round robin of their own
 		if p.method == LeastConn {
-			m = p.pickLeastConn(now, a, true)
+			m = p.pickLeastConn(now, criteria, true)
 		} else {
-			m = p.pickRoundRobin(now, a, true, nil)
+			m = p.pickRoundRobin(now, criteria, true, nil)
 		}
 	}
 	if m == nil {
@@ -176,17 +176,17 @@
 	return m, true
 }
 
-// eligible tells whether a member may have a request.
-func (m *Member) eligible(now time.Duration, a Ask) bool {
-	return !m.Down && !a.Tried[m.index] && (m.MaxConns == 0 || m.conns < m.MaxConns) &&
-		(m.MaxFails == 0 || m.fails < m.MaxFails || now-m.checked > m.FailTimeout)
+// eligible reports whether a request may be sent to the member.
+func (m *Member) eligible(now time.Duration, criteria Ask) bool {
+	return !m.Down && !criteria.Tried[m.index] && (m.MaxConns == 0 || m.conns < m.MaxConns) &&
+		(m.MaxFails == 0 || m.fails < m.MaxFails || now-m.failWindowStart > m.FailTimeout)
 }
 
-// pickRoundRobin is smooth weighted round robin among members that only accepts.
-func (p *Pool) pickRoundRobin(now time.Duration, a Ask, backup bool, only func(*Member) bool) (best *Member) {
+// pickRoundRobin selects by smooth weighted round robin among the members that accept allows.
+func (p *Pool) pickRoundRobin(now time.Duration, criteria Ask, backup bool, accept func(*Member) bool) (best *Member) {
 	total := 0
 	for _, m := range p.members {
-		if m.Backup != backup || !m.eligible(now, a) || only != nil && !only(m) {
+		if m.Backup != backup || !m.eligible(now, criteria) || accept != nil && !accept(m) {
 			continue
 		}
 		m.currentWeight += m.effectiveWeight
@@ -205,33 +205,33 @@
 	return best
 }
 
-// startFailWindow begins the next time of failures.
+// startFailWindow starts a new period for counting failures if the last one is over.
 func (m *Member) startFailWindow(now time.Duration) {
-	if now-m.checked > m.FailTimeout {
-		m.checked = now
+	if now-m.failWindowStart > m.FailTimeout {
+		m.failWindowStart = now
 	}
 }
 
-// Done says how a request to a member ended.
+// Done reports how a request to a member ended.
 func (p *Pool) Done(now time.Duration, m *Member, failed bool) {
 	m.conns--
 	switch {
-	case len(p.members) == 1: // there is no other: it is never left out
+	case len(p.members) == 1: // a single member is never excluded
 		m.fails = 0
 	case failed:
 		m.fails++
-		m.lastFailure, m.checked = now, now
+		m.lastFailure, m.failWindowStart = now, now
 		if m.MaxFails > 0 {
 			m.effectiveWeight = max(0, m.effectiveWeight-m.Weight/m.MaxFails)
 		}
-	case m.lastFailure < m.checked: // a trial after the time has gone well
+	case m.lastFailure < m.failWindowStart: // a trial after fail_timeout succeeded
 		m.fails = 0
 	}
 }
 
-// pickIPHash is ip_hash: an IPv4 client's first three octets, an IPv6 client's whole address.
-func (p *Pool) pickIPHash(now time.Duration, a Ask) *Member {
-	address, err := netip.ParseAddr(a.Remote)
+// pickIPHash is ip_hash: it hashes the first three octets of an IPv4 address, or a whole IPv6 address.
+func (p *Pool) pickIPHash(now time.Duration, criteria Ask) *Member {
+	address, err := netip.ParseAddr(criteria.Remote)
 	bytes := []byte{0, 0, 0}
 	if err == nil {
 		if bytes = address.Unmap().AsSlice(); len(bytes) == 4 {
@@ -243,19 +243,19 @@
 		for _, b := range bytes {
 			hash = (hash*113 + uint32(b)) % 6271
 		}
-		if m := p.memberAtWeight(int(hash) % p.totalWeight); m.eligible(now, a) {
+		if m := p.memberAtWeight(int(hash) % p.totalWeight); m.eligible(now, criteria) {
 			m.startFailWindow(now)
 			return m
 		}
 	}
-	return p.pickRoundRobin(now, a, false, nil)
+	return p.pickRoundRobin(now, criteria, false, nil)
 }
 
-// memberAtWeight is the member in whose part of all weights a number lies.
-func (p *Pool) memberAtWeight(w int) *Member {
+// memberAtWeight returns the member at an offset in the sum of all weights.
+func (p *Pool) memberAtWeight(offset int) *Member {
 	for _, m := range p.members {
 		if !m.Backup {
-			if w -= m.Weight; w < 0 {
+			if offset -= m.Weight; offset < 0 {
 				return m
 			}
 		}
@@ -263,24 +263,25 @@
 	return p.members[len(p.members)-1]
 }
 
-// pickHash is hash: by CRC-32 over weights. A server that leaves moves most keys.
-func (p *Pool) pickHash(now time.Duration, a Ask) *Member {
+// pickHash is hash without consistent: CRC-32 of the key, modulo the total weight. Most keys move when a server is
+// removed.
+func (p *Pool) pickHash(now time.Duration, criteria Ask) *Member {
 	hash := uint32(0)
 	for n := range maxPicks {
-		text := a.Key
+		text := criteria.Key
 		if n > 0 {
-			text = strconv.Itoa(n) + a.Key
+			text = strconv.Itoa(n) + criteria.Key
 		}
 		hash += crc32.ChecksumIEEE([]byte(text)) >> 16 & 0x7fff
-		if m := p.memberAtWeight(int(hash) % p.totalWeight); m.eligible(now, a) {
+		if m := p.memberAtWeight(int(hash) % p.totalWeight); m.eligible(now, criteria) {
 			m.startFailWindow(now)
 			return m
 		}
 	}
-	return p.pickRoundRobin(now, a, false, nil)
+	return p.pickRoundRobin(now, criteria, false, nil)
 }
 
-// buildRing lays out the points of a consistent hash, as ketama libraries do.
+// buildRing computes the points of a consistent hash in the same way as the ketama libraries.
 func (p *Pool) buildRing() {
 	for _, m := range p.members {
 		if m.Backup {
@@ -291,11 +292,11 @@
 			host, port = m.Address, ""
 		}
 		base := crc32.ChecksumIEEE([]byte(host + "\x00" + port))
-		var before [4]byte
+		var previous [4]byte
 		for range m.Weight * pointsPerWeight {
-			hash := crc32.Update(base, crc32.IEEETable, before[:])
+			hash := crc32.Update(base, crc32.IEEETable, previous[:])
 			p.points = append(p.points, point{hash, m.Address})
-			binary.LittleEndian.PutUint32(before[:], hash)
+			binary.LittleEndian.PutUint32(previous[:], hash)
 		}
 	}
 	slices.SortStableFunc(p.points, func(a, b point) int {
@@ -310,10 +311,10 @@
 	p.points = slices.CompactFunc(p.points, func(a, b point) bool { return a.hash == b.hash })
 }
 
-// pickConsistent is the member at the first point from the key's on that is eligible.
-func (p *Pool) pickConsistent(now time.Duration, a Ask) *Member {
-	hash := crc32.ChecksumIEEE([]byte(a.Key))
-	i, _ := slices.BinarySearchFunc(p.points, hash, func(x point, h uint32) int {
+// pickConsistent selects the first eligible member on the ring, starting at the key's hash.
+func (p *Pool) pickConsistent(now time.Duration, criteria Ask) *Member {
+	hash := crc32.ChecksumIEEE([]byte(criteria.Key))
+	start, _ := slices.BinarySearchFunc(p.points, hash, func(x point, h uint32) int {
 		switch {
 		case x.hash < h:
 			return -1
@@ -323,35 +324,35 @@
 		return 0
 	})
 	for n := range maxPicks {
-		at := p.points[(i+n)%len(p.points)].address
-		if m := p.pickRoundRobin(now, a, false, func(m *Member) bool { return m.Address == at }); m != nil {
+		address := p.points[(start+n)%len(p.points)].address
+		if m := p.pickRoundRobin(now, criteria, false, func(m *Member) bool { return m.Address == address }); m != nil {
 			return m
 		}
 	}
-	return p.pickRoundRobin(now, a, false, nil)
+	return p.pickRoundRobin(now, criteria, false, nil)
 }
 
-// pickLeastConn is the member with the least connections for its weight; of equals, the rotation's.
-func (p *Pool) pickLeastConn(now time.Duration, a Ask, backup bool) *Member {
+// pickLeastConn selects the member with the fewest connections per weight; round robin among equals.
+func (p *Pool) pickLeastConn(now time.Duration, criteria Ask, backup bool) *Member {
 	var best *Member
 	for _, m := range p.members {
-		if m.Backup == backup && m.eligible(now, a) && (best == nil || m.conns*best.Weight < best.conns*m.Weight) {
+		if m.Backup == backup && m.eligible(now, criteria) && (best == nil || m.conns*best.Weight < best.conns*m.Weight) {
 			best = m
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	conns, weight := best.conns, best.Weight // best moves with the rotation
-	return p.pickRoundRobin(now, a, backup, func(m *Member) bool { return m.conns*weight == conns*m.Weight })
+	conns, weight := best.conns, best.Weight // fixed before round robin updates best
+	return p.pickRoundRobin(now, criteria, backup, func(m *Member) bool { return m.conns*weight == conns*m.Weight })
 }
 
-// pickRandomTwo draws two by their weights, and takes the less busy.
-func (p *Pool) pickRandomTwo(now time.Duration, a Ask) *Member {
+// pickRandomTwo draws two members by weight and selects the less loaded one.
+func (p *Pool) pickRandomTwo(now time.Duration, criteria Ask) *Member {
 	var first *Member
 	for range maxPicks {
 		m := p.memberAtWeight(p.rng.IntN(p.totalWeight))
-		if !m.eligible(now, a) || m == first {
+		if !m.eligible(now, criteria) || m == first {
 			continue
 		}
 		if first == nil {
@@ -368,5 +369,5 @@
 		first.startFailWindow(now)
 		return first
 	}
-	return p.pickRoundRobin(now, a, false, nil)
+	return p.pickRoundRobin(now, criteria, false, nil)
 }
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -26,7 +26,7 @@
 	return routes.Member{Address: fmt.Sprintf("127.0.0.1:%d", n), Weight: weight}
 }
 
-// pickPort is the address of the next choice, which ends at once.
+// pickPort returns the port of the next member selected; its request ends at once.
 func pickPort(p *Pool, now time.Duration, a Ask, failed bool) string {
 	m, ok := p.Pick(now, a)
 	if !ok {
@@ -36,7 +36,7 @@
 	return m.Address[strings.LastIndexByte(m.Address, ':')+1:]
 }
 
-// The documented example of smooth rotation: weights 5, 1, 1.
+// The documented example of smooth weighted round robin: weights 5, 1 and 1.
 func TestSmoothRoundRobin(t *testing.T) {
 	p := newPool(t, "", "", member(1, 5), member(2, 1), member(3, 1))
 	got := ""
@@ -46,47 +46,47 @@
 	require.Equal(t, "11213111121311", got)
 }
 
-// Shares by weight are within 2% over 10,000 requests, with weights that sum oddly and a bound of connections;
-// backups get nothing while a primary is eligible.
+// Shares follow the weights to within 2% over 10,000 requests, with weights of an uneven sum; max_conns is kept,
+// and backups get nothing while a primary is eligible.
 func TestWeightSharesAndBackups(t *testing.T) {
 	backup := member(9, 100)
 	backup.Backup = true
 	p := newPool(t, "", "", member(1, 7), member(2, 3), member(3, 3), member(4, 1), backup)
-	count := map[string]int{}
+	requests := map[string]int{}
 	for range 10_000 {
-		count[pickPort(p, 0, Ask{}, false)]++
+		requests[pickPort(p, 0, Ask{}, false)]++
 	}
 	for address, weight := range map[string]int{"1": 7, "2": 3, "3": 3, "4": 1} {
-		require.InDelta(t, float64(weight)/14, float64(count[address])/10_000, 0.02)
+		require.InDelta(t, float64(weight)/14, float64(requests[address])/10_000, 0.02)
 	}
-	require.Zero(t, count["9"])
+	require.Zero(t, requests["9"])
 
-	one := member(1, 5)
-	one.MaxConns = 2
-	p = newPool(t, "", "", one, member(2, 1), backup)
-	var held []*Member
+	limited := member(1, 5)
+	limited.MaxConns = 2
+	p = newPool(t, "", "", limited, member(2, 1), backup)
+	var selected []*Member
 	for range 7 {
 		m, ok := p.Pick(0, Ask{})
 		require.True(t, ok)
 		require.NotEqual(t, "127.0.0.1:9", m.Address)
-		held = append(held, m)
+		selected = append(selected, m)
 	}
 	n := 0
-	for _, m := range held {
+	for _, m := range selected {
 		if m.Address == "127.0.0.1:1" {
 			n++
 		}
 	}
-	require.Equal(t, 2, n, "beyond max_conns")
+	require.Equal(t, 2, n, "max_conns exceeded")
 }
 
-// A primary that fails max_fails times within fail_timeout gets nothing until that has passed; with all of them
-// so the backup serves; a trial that goes well brings one back.
+// A primary that fails max_fails times within fail_timeout gets no requests until fail_timeout has passed; while
+// all are excluded the backup serves; a successful trial brings one back.
 func TestFailuresAndRecovery(t *testing.T) {
-	two, backup := member(1, 5), member(9, 1)
-	fails := 2
-	two.MaxFails, two.FailTime, backup.Backup = &fails, "5s", true
-	p := newPool(t, "", "", two, member(2, 1), backup)
+	lenient, backup := member(1, 5), member(9, 1)
+	maxFails := 2
+	lenient.MaxFails, lenient.FailTime, backup.Backup = &maxFails, "5s", true
+	p := newPool(t, "", "", lenient, member(2, 1), backup)
 	now := time.Minute
 	for _, m := range p.members[:2] {
 		for m.eligible(now, Ask{}) {
@@ -98,21 +98,21 @@
 		require.Equal(t, "9", pickPort(p, now, Ask{}, false))
 	}
 	now += 5*time.Second + 1
-	require.Equal(t, "1", pickPort(p, now, Ask{}, true), "one trial")
-	require.Equal(t, "9", pickPort(p, now, Ask{}, false), "which failed")
+	require.Equal(t, "1", pickPort(p, now, Ask{}, true), "one trial after fail_timeout")
+	require.Equal(t, "9", pickPort(p, now, Ask{}, false), "excluded again after the failed trial")
 	now += 5*time.Second + 1
-	count := map[string]int{}
+	requests := map[string]int{}
 	for range 600 {
-		count[pickPort(p, now, Ask{}, false)]++
+		requests[pickPort(p, now, Ask{}, false)]++
 		now += time.Millisecond
 	}
-	require.Zero(t, count["9"])
-	require.InDelta(t, 500, count["1"], 30, "its weight comes back step by step: %v", count)
+	require.Zero(t, requests["9"])
+	require.InDelta(t, 500, requests["1"], 30, "its weight recovers step by step: %v", requests)
 	require.Equal(t, "", pickPort(newPool(t, "", "", routes.Member{Address: "a:1", Down: true}), 0, Ask{}, false))
-	require.Equal(t, "2", pickPort(p, now, Ask{Tried: map[int]bool{0: true}}, false), "not where it has been")
+	require.Equal(t, "2", pickPort(p, now, Ask{Tried: map[int]bool{0: true}}, false), "a member that was tried is not selected again")
 }
 
-// For every key the consistent hash has the oracle's server; once one leaves, only its keys move.
+// The consistent hash selects the oracle's server for every key; when a server is removed, only its keys move.
 func TestConsistentHash(t *testing.T) {
 	addresses, weights := []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:8080", "10.0.0.4:80"}, []int{1, 2, 1, 3}
 	var members []routes.Member
@@ -120,28 +120,28 @@
 		members = append(members, routes.Member{Address: a, Weight: weights[i]})
 	}
 	p := newPool(t, "consistent", "$request_uri", members...)
-	less := append([]routes.Member{}, members...)
-	less[1].Down = true
-	q := newPool(t, "consistent", "$request_uri", less...)
-	moved, share := 0, map[string]int{}
+	reduced := append([]routes.Member{}, members...)
+	reduced[1].Down = true
+	reducedPool := newPool(t, "consistent", "$request_uri", reduced...)
+	moved, keysOf := 0, map[string]int{}
 	for n := range 3000 {
 		key := "/lecture/" + strconv.Itoa(n)
 		m, _ := p.Pick(0, Ask{Key: key})
 		require.Equal(t, nginxmeaning.Ring(addresses, weights, key), m.Address)
-		share[m.Address]++
-		k, ok := q.Pick(0, Ask{Key: key})
+		keysOf[m.Address]++
+		remaining, ok := reducedPool.Pick(0, Ask{Key: key})
 		require.True(t, ok)
-		require.NotEqual(t, "10.0.0.2:80", k.Address)
-		if k.Address != m.Address {
-			require.Equal(t, "10.0.0.2:80", m.Address, "a key moved that need not")
+		require.NotEqual(t, "10.0.0.2:80", remaining.Address)
+		if remaining.Address != m.Address {
+			require.Equal(t, "10.0.0.2:80", m.Address, "a key of a remaining server moved")
 			moved++
 		}
 	}
-	require.Equal(t, share["10.0.0.2:80"], moved)
-	require.InDelta(t, 3.0/7, float64(share["10.0.0.4:80"])/3000, 0.08)
+	require.Equal(t, keysOf["10.0.0.2:80"], moved)
+	require.InDelta(t, 3.0/7, float64(keysOf["10.0.0.4:80"])/3000, 0.08)
 }
 
-// ip_hash goes by an IPv4 client's first three octets, and the same server serves it while it is there.
+// ip_hash uses the first three octets of an IPv4 address, and the same server serves a client while it is there.
 func TestIPHash(t *testing.T) {
 	p := newPool(t, "ip_hash", "", member(1, 1), member(2, 2), member(3, 1))
 	oracle := func(octets [3]byte) string {
@@ -164,7 +164,7 @@
 	require.NotEmpty(t, pickPort(p, 0, Ask{Remote: "2001:db8::1"}, false))
 }
 
-// hash has the server in whose part of the weights the key's CRC-32 lies.
+// hash selects the server whose share of the weights contains the CRC-32 of the key.
 func TestHash(t *testing.T) {
 	p := newPool(t, "hash", "$arg_k", member(1, 3), member(2, 1))
 	share := 0
@@ -180,7 +180,7 @@
 	require.InDelta(t, 0.75, float64(share)/4000, 0.03)
 }
 
-// The least busy for its weight, and the less busy of two.
+// least_conn selects the least loaded member per weight; random selects the less loaded of two.
 func TestLeastConnAndRandom(t *testing.T) {
 	p := newPool(t, "least_conn", "", member(1, 2), member(2, 1))
 	for range 30 {
@@ -194,24 +194,24 @@
 		require.True(t, ok)
 	}
 	for _, m := range p.members {
-		require.Less(t, math.Abs(float64(m.conns)-1000), 20.0, "two choices keep them even")
+		require.Less(t, math.Abs(float64(m.conns)-1000), 20.0, "two choices keep the load even")
 	}
 }
 
-// What no pool can be is refused.
+// Invalid pools are rejected, and durations are parsed as nginx does.
 func TestInvalidPools(t *testing.T) {
 	for want, p := range map[string]routes.Pool{
-		"no method":    {Method: "best", Members: []routes.Member{member(1, 1)}},
-		"0 members":    {},
-		"missing port": {Members: []routes.Member{{Address: "a"}}},
-		"weight":       {Members: []routes.Member{member(1, 70_000)}},
-		"no time":      {Members: []routes.Member{{Address: "a:1", FailTime: "soon"}}},
+		"unknown method \"best\"": {Method: "best", Members: []routes.Member{member(1, 1)}},
+		"0 members, must be":      {},
+		"missing port":            {Members: []routes.Member{{Address: "a"}}},
+		"invalid weight":          {Members: []routes.Member{member(1, 70_000)}},
+		"invalid duration":        {Members: []routes.Member{{Address: "a:1", FailTime: "soon"}}},
 	} {
 		_, err := New(&p, 1)
 		require.ErrorContains(t, err, want)
 	}
 	for text, want := range map[string]time.Duration{"10": 10 * time.Second, "500ms": 500 * time.Millisecond, "2m": 2 * time.Minute, "1d": 24 * time.Hour} {
-		d, err := Span(text)
+		d, err := ParseDuration(text)
 		require.NoError(t, err)
 		require.Equal(t, want, d)
 	}
