--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -162,7 +162,7 @@
 	default:
 		m = p.pickRoundRobin(now, criteria, false, nil)
 	}
-	if m == nil { // the backups have criteria round robin of their own
+	if m == nil { // the backups have their own round robin
 		if p.method == LeastConn {
 			m = p.pickLeastConn(now, criteria, true)
 		} else {
--- a/internal/routes/decide.go
+++ b/internal/routes/decide.go
@@ -5,136 +5,136 @@
 	"strings"
 )
 
-// maxInternalRedirects is how often a request may be taken from one location to another before it is a loop.
+// maxInternalRedirects limits how often a request may be redirected from one location to another, to end loops.
 const maxInternalRedirects = 10
 
-// Decide tells what becomes of a request.
-func (t *Table) Decide(q Request) Decision {
-	s := &evaluation{table: t, request: q}
-	d := s.decide()
-	d.Why = s.why
+// Decide returns how a request is handled.
+func (t *Table) Decide(request Request) Decision {
+	e := &evaluation{table: t, request: request}
+	d := e.decide()
+	d.Why = e.why
 	return d
 }
 
-func (s *evaluation) decide() Decision {
-	l := s.table.listenerFor(s.request.Listen)
+func (e *evaluation) decide() Decision {
+	l := e.table.listenerFor(e.request.Listen)
 	if l == nil {
-		s.trace("nothing listens at %s", s.request.Listen)
+		e.trace("no l at %s", e.request.Listen)
 		return Decision{Status: 404}
 	}
-	s.host = strings.ToLower(s.request.Host)
-	if h, _, err := net.SplitHostPort(s.host); err == nil {
-		s.host = h
+	e.host = strings.ToLower(e.request.Host)
+	if host, _, err := net.SplitHostPort(e.host); err == nil {
+		e.host = host
 	}
-	s.host = strings.TrimSuffix(s.host, ".")
-	n, re, found := l.hosts.match(s.host)
+	e.host = strings.TrimSuffix(e.host, ".")
+	index, re, found := l.hosts.match(e.host)
 	if !found {
-		n = l.defaultServer
-		s.trace("no server has the name %q: the default of %s", s.host, s.request.Listen)
+		index = l.defaultServer
+		e.trace("no server is named %q: using the default server of %s", e.host, e.request.Listen)
 	} else if re != nil {
-		s.setCaptures(re, re.FindStringSubmatch(s.host))
+		e.setCaptures(re, re.FindStringSubmatch(e.host))
 	}
-	s.server = l.servers[n]
-	if s.host == "" {
-		s.host = s.server.name()
+	e.server = l.servers[index]
+	if e.host == "" {
+		e.host = e.server.name()
 	}
-	s.trace("server %q %s", s.server.name(), s.server.Source)
-	d := Decision{Server: s.server.name()}
+	e.trace("server %q %s", e.server.name(), e.server.Source)
+	d := Decision{Server: e.server.name()}
 	var err error
-	if s.path, s.args, err = Normalise(s.request.Target, !s.server.Keep); err != nil {
-		s.trace("the URI is malformed")
+	if e.path, e.args, err = Normalise(e.request.Target, !e.server.Keep); err != nil {
+		e.trace("malformed URI")
 		d.Status = 400
 		return d
 	}
-	if _, done := s.runSteps(s.server.steps, &d); done {
+	if _, done := e.runSteps(e.server.steps, &d); done {
 		return d
 	}
 	for range maxInternalRedirects {
-		loc, how := s.findLocation(s.server.root)
-		if how == slashRedirect {
-			d.Location, d.Status, d.Text = loc.String(), 301, Escape(s.path)+"/"
-			if s.args != "" {
-				d.Text += "?" + s.args
+		loc, kind := e.findLocation(e.server.root)
+		if kind == slashRedirect {
+			d.Location, d.Status, d.Text = loc.String(), 301, Escape(e.path)+"/"
+			if e.args != "" {
+				d.Text += "?" + e.args
 			}
-			s.trace("location %s ends in a slash: redirected to %s", loc, d.Text)
+			e.trace("location %s ends in a slash: redirecting to %s", loc, d.Text)
 			return d
 		}
 		if loc == nil {
-			s.trace("no location has %s", s.path)
+			e.trace("no location matches %s", e.path)
 			d.Status = 404
 			return d
 		}
-		again, done := s.enterLocation(loc, &d)
+		again, done := e.enterLocation(loc, &d)
 		if !again || done {
 			return d
 		}
 	}
-	s.trace("the locations lead in a circle")
+	e.trace("too many internal redirects")
 	d.Status, d.Pool = 500, ""
 	return d
 }
 
-// listenerFor finds a listening address; one without a host takes what no other does.
+// listenerFor returns the listener for an address; one without a host accepts what no other does.
 func (t *Table) listenerFor(address string) *listener {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil
 	}
-	var any *listener
+	var wildcard *listener
 	for _, l := range t.listeners {
 		if l.port == port && l.host == host && host != "" {
 			return l
 		}
 		if l.port == port && l.host == "" {
-			any = l
+			wildcard = l
 		}
 	}
-	return any
+	return wildcard
 }
 
-// matchKind is how far the search at a level came.
+// matchKind is the result of the search at one level.
 type matchKind int
 
 const (
 	noMatch       matchKind = iota
-	prefixMatch             // a prefix, which a regular expression may yet win over
-	finalMatch              // nothing wins over it
-	slashRedirect           // the path lacks the slash that the location ends in: a redirect is owed
+	prefixMatch             // a prefix, over which a regular expression may still take precedence
+	finalMatch              // nothing takes precedence over it
+	slashRedirect           // the path lacks the slash that the location ends in, and a redirect adds it
 )
 
-// findLocation chooses the location: an exact one, else the longest prefix and what is nested there, else the first
-// regular expression, unless the prefix forbids those. What is nested is tried, its regular expressions too,
-// before the regular expressions beside.
-func (s *evaluation) findLocation(l *level) (found *location, how matchKind) {
+// findLocation selects the location: an exact match, else the longest prefix and the locations nested in it, else
+// the first regular expression, unless the prefix excludes these. Nested locations, including regular expressions,
+// are tried before the regular expressions of the same level.
+func (e *evaluation) findLocation(l *level) (found *location, kind matchKind) {
 	if l == nil {
 		return nil, noMatch
 	}
-	if c := l.exact[s.path]; c != nil {
-		return c, finalMatch
+	if loc := l.exact[e.path]; loc != nil {
+		return loc, finalMatch
 	}
-	if c := l.slashLocation(s.path); c != nil {
-		return c, slashRedirect
+	if loc := l.slashLocation(e.path); loc != nil {
+		return loc, slashRedirect
 	}
-	best := l.prefixes.longestPrefix(s.path)
+	best := l.prefixes.longestPrefix(e.path)
 	if best != nil {
-		inner, how := s.findLocation(best.nested)
-		if how >= finalMatch {
-			return inner, how
+		nested, kind := e.findLocation(best.nested)
+		if kind >= finalMatch {
+			return nested, kind
 		}
-		if found = best; inner != nil {
-			found = inner
+		if found = best; nested != nil {
+			found = nested
 		}
 	}
 	if best == nil || best.Modifier != "^~" {
-		for _, c := range l.regex {
-			if m := c.re.FindStringSubmatch(s.path); m != nil {
-				s.setCaptures(c.re, m)
-				if inner, how := s.findLocation(c.nested); how == slashRedirect {
-					return inner, how
-				} else if inner != nil {
-					return inner, finalMatch
+		for _, loc := range l.regex {
+			if match := loc.re.FindStringSubmatch(e.path); match != nil {
+				e.setCaptures(loc.re, match)
+				if nested, kind := e.findLocation(loc.nested); kind == slashRedirect {
+					return nested, kind
+				} else if nested != nil {
+					return nested, finalMatch
 				}
-				return c, finalMatch
+				return loc, finalMatch
 			}
 		}
 	}
@@ -144,160 +144,161 @@
 	return found, prefixMatch
 }
 
-// slashLocation is the location that passes on and ends in a slash, which the path is but for that; nil where there is
-// none, or another has the path itself.
+// slashLocation returns the location with a pass whose pattern is the path plus a slash; nil if there is none, or
+// another location has the path itself.
 func (l *level) slashLocation(path string) *location {
 	if l.prefixes.get(path) != nil {
 		return nil
 	}
-	exact, inclusive := l.exact[path+"/"], l.prefixes.get(path+"/")
-	switch owed := exact != nil && exact.hasPass || inclusive != nil && inclusive.hasPass; {
-	case !owed:
+	exact, prefix := l.exact[path+"/"], l.prefixes.get(path+"/")
+	switch redirects := exact != nil && exact.hasPass || prefix != nil && prefix.hasPass; {
+	case !redirects:
 		return nil
 	case exact != nil:
 		return exact
 	}
-	return inclusive
+	return prefix
 }
 
-// enterLocation does what a location says. again: another is to be looked for.
-func (s *evaluation) enterLocation(loc *location, d *Decision) (again, done bool) {
+// enterLocation carries out the directives of a location. again: another location has to be selected.
+func (e *evaluation) enterLocation(loc *location, d *Decision) (again, done bool) {
 	d.Location = loc.String()
-	s.trace("location %s %s", loc, loc.Source)
-	s.uriChangedHere = false
-	broke, done := s.runSteps(loc.steps, d)
+	e.trace("location %s %s", loc, loc.Source)
+	e.uriChangedHere = false
+	broke, done := e.runSteps(loc.steps, d)
 	if done {
 		return false, true
 	}
-	if s.uriChangedHere && !broke {
-		s.trace("the URI became %s", s.path)
+	if e.uriChangedHere && !broke {
+		e.trace("the URI is now %s: selecting a location again", e.path)
 		return true, false
 	}
-	for _, c := range loc.steps {
-		if c.action == "named" {
-			next := s.server.named[c.name]
+	for _, step := range loc.steps {
+		if step.action == "named" {
+			next := e.server.named[step.name]
 			if next == nil {
 				d.Status = 500
 				return false, true
 			}
-			return s.enterLocation(next, d)
+			return e.enterLocation(next, d)
 		}
 	}
 	if !loc.hasPass {
-		s.trace("nothing is passed on from here")
+		e.trace("the location has no pass")
 		d.Status = 404
 		return false, true
 	}
-	s.proxyPass(loc, d)
+	e.proxyPass(loc, d)
 	return false, true
 }
 
-// proxyPass names the pool and the URI for its servers.
-func (s *evaluation) proxyPass(loc *location, d *Decision) {
-	to := loc.pass.eval(s)
-	pool, uri, has := strings.Cut(to, "/")
+// proxyPass sets the pool and the URI for its servers.
+func (e *evaluation) proxyPass(loc *location, d *Decision) {
+	target := loc.pass.eval(e)
+	pool, uri, hasURI := strings.Cut(target, "/")
 	for _, h := range loc.headers {
-		d.Headers = append(d.Headers, [2]string{h.name, h.value.eval(s)})
+		d.Headers = append(d.Headers, [2]string{h.name, h.value.eval(e)})
 	}
 	for _, l := range loc.Limits {
-		if key := s.table.zones[l.Zone].eval(s); key != "" {
+		if key := e.table.zones[l.Zone].eval(e); key != "" {
 			d.Limits = append(d.Limits, Limited{l, key})
-			s.trace("limit %s of %q", l.Zone, key)
+			e.trace("limit zone %s, key %q", l.Zone, key)
 		}
 	}
 	d.Pool, d.Scheme, d.Within, d.Tries, d.RepeatAll = pool, loc.scheme, loc.timeout, loc.Tries, loc.RepeatAll
-	if has {
+	if hasURI {
 		uri = "/" + uri
 	}
-	raw := s.request.Target
+	raw := e.request.Target
 	if rest, ok := cutSchemeAndHost(raw); ok {
 		raw = rest
 	}
 	raw, _, _ = strings.Cut(raw, "#")
 	switch {
-	case loc.hasVariables && has: // as it stands
+	case loc.hasVariables && hasURI: // as in nginx, a pass with variables and a URI is used unchanged
 		d.URI = uri
-	case !has && !s.uriChanged: // as the client wrote it
+	case !hasURI && !e.uriChanged: // as the client sent it
 		d.URI = raw
 	default:
-		if d.URI = Escape(s.path); has && !s.rewroteWithBreak { // a rewrite that ends in break has it ignored
-			d.URI = uri + Escape(strings.TrimPrefix(s.path, loc.Pattern))
+		if d.URI = Escape(e.path); hasURI && !e.rewroteWithBreak { // after a rewrite that ends in break, the URI of the pass is ignored
+			d.URI = uri + Escape(strings.TrimPrefix(e.path, loc.Pattern))
 		}
-		if s.args != "" {
-			d.URI += "?" + s.args
+		if e.args != "" {
+			d.URI += "?" + e.args
 		}
 	}
-	if key, ok := s.table.keys[pool]; ok {
-		d.Key = key.eval(s)
+	if key, ok := e.table.keys[pool]; ok {
+		d.Key = key.eval(e)
 	}
-	s.trace("pool %s gets %s", d.Pool, d.URI)
+	e.trace("passing to pool %s with the URI %s", d.Pool, d.URI)
 }
 
-// runSteps does rewriting directives in order. broke: no other location is to be looked for; done: it is answered.
-func (s *evaluation) runSteps(all []step, d *Decision) (broke, done bool) {
-	for i := range all {
-		c := &all[i]
-		switch c.action {
+// runSteps carries out rewrite directives in order. broke: no other location is to be selected; done: the request
+// is answered.
+func (e *evaluation) runSteps(steps []step, d *Decision) (broke, done bool) {
+	for i := range steps {
+		step := &steps[i]
+		switch step.action {
 		case "break":
-			s.rewroteWithBreak = s.rewroteWithBreak || s.uriChangedHere
+			e.rewroteWithBreak = e.rewroteWithBreak || e.uriChangedHere
 			return true, false
 		case "set":
-			if s.variables == nil {
-				s.variables = map[string]string{}
+			if e.variables == nil {
+				e.variables = map[string]string{}
 			}
-			s.variables[c.name] = c.args[0].eval(s)
+			e.variables[step.name] = step.args[0].eval(e)
 		case "return":
-			d.Status = c.code
-			if len(c.args) > 0 {
-				d.Text = c.args[0].eval(s)
+			d.Status = step.code
+			if len(step.args) > 0 {
+				d.Text = step.args[0].eval(e)
 			}
-			s.trace("return %d", c.code)
+			e.trace("return %d", step.code)
 			return false, true
 		case "if":
-			if s.conditionHolds(c) {
-				s.trace("the condition on %s holds", c.args[0].eval(s))
-				if broke, done := s.runSteps(c.body, d); broke || done {
+			if e.conditionHolds(step) {
+				e.trace("the if condition on %s is true", step.args[0].eval(e))
+				if broke, done := e.runSteps(step.body, d); broke || done {
 					return broke, done
 				}
 			}
 		case "rewrite":
-			m := c.re.FindStringSubmatch(s.path)
-			if m == nil {
+			match := step.re.FindStringSubmatch(e.path)
+			if match == nil {
 				continue
 			}
-			s.setCaptures(c.re, m)
-			to := c.args[0].eval(s)
-			away := strings.HasPrefix(to, "http://") || strings.HasPrefix(to, "https://")
-			path, args, has := strings.Cut(to, "?")
-			if !c.dropArgs && s.args != "" {
-				if has && args != "" {
+			e.setCaptures(step.re, match)
+			replacement := step.args[0].eval(e)
+			external := strings.HasPrefix(replacement, "http://") || strings.HasPrefix(replacement, "https://")
+			path, args, hasArgs := strings.Cut(replacement, "?")
+			if !step.dropArgs && e.args != "" {
+				if hasArgs && args != "" {
 					args += "&"
 				}
-				args += s.args
+				args += e.args
 			}
-			if away || c.flag == "redirect" || c.flag == "permanent" {
-				if d.Status = 302; c.flag == "permanent" {
+			if external || step.flag == "redirect" || step.flag == "permanent" {
+				if d.Status = 302; step.flag == "permanent" {
 					d.Status = 301
 				}
-				if d.Text = path; !away {
+				if d.Text = path; !external {
 					d.Text = Escape(path)
 				}
 				if args != "" {
 					d.Text += "?" + args
 				}
-				s.trace("redirected to %s", d.Text)
+				e.trace("redirecting to %s", d.Text)
 				return false, true
 			}
-			if path == "" || path[0] != '/' { // nginx passes it on as it is; nobody can find it
+			if path == "" || path[0] != '/' { // nginx passes such a path on as it is; no location could match it
 				path = "/" + path
 			}
-			s.path, s.args, s.uriChanged, s.uriChangedHere = path, args, true, true
-			s.trace("rewritten to %s", path)
-			switch c.flag {
+			e.path, e.args, e.uriChanged, e.uriChangedHere = path, args, true, true
+			e.trace("rewritten to %s", path)
+			switch step.flag {
 			case "last":
 				return false, false
 			case "break":
-				s.rewroteWithBreak = true
+				e.rewroteWithBreak = true
 				return true, false
 			}
 		}
@@ -305,17 +306,17 @@
 	return false, false
 }
 
-func (s *evaluation) conditionHolds(c *step) bool {
-	v := c.args[0].eval(s)
+func (e *evaluation) conditionHolds(step *step) bool {
+	value := step.args[0].eval(e)
 	switch {
-	case c.re != nil:
-		m := c.re.FindStringSubmatch(v)
-		if m != nil {
-			s.setCaptures(c.re, m)
+	case step.re != nil:
+		match := step.re.FindStringSubmatch(value)
+		if match != nil {
+			e.setCaptures(step.re, match)
 		}
-		return (m != nil) != c.negated
-	case len(c.args) == 2:
-		return (v == c.args[1].eval(s)) != c.negated
+		return (match != nil) != step.negated
+	case len(step.args) == 2:
+		return (value == step.args[1].eval(e)) != step.negated
 	}
-	return v != "" && v != "0"
+	return value != "" && value != "0"
 }
--- a/internal/routes/hosts.go
+++ b/internal/routes/hosts.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// hostTable finds a name: exact, then the longest *.x, then the longest x.*, then the first regex. Names are
-// looked up label by label, so their number costs nothing.
+// hostTable finds a server name: exact, then the longest *.x, then the longest x.*, then the first regular
+// expression. Names are looked up label by label, so the cost does not grow with their number.
 type hostTable struct {
 	exact            map[string]int
-	leadingWildcard  map[string]int // of "*.x", by x
-	trailingWildcard map[string]int // of "x.*", by x
+	leadingWildcard  map[string]int // "*.x", by x
+	trailingWildcard map[string]int // "x.*", by x
 	regex            []hostRegex
 }
 
@@ -24,52 +24,52 @@
 	return &hostTable{exact: map[string]int{}, leadingWildcard: map[string]int{}, trailingWildcard: map[string]int{}}
 }
 
-// add puts a name in; the first of two equal ones counts.
-func (h *hostTable) add(name string, n int) error {
-	put := func(to map[string]int, key string) {
+// add inserts a name; the first of two equal ones is used.
+func (h *hostTable) add(name string, index int) error {
+	insert := func(to map[string]int, key string) {
 		if _, ok := to[key]; !ok {
-			to[key] = n
+			to[key] = index
 		}
 	}
-	if re, ok := strings.CutPrefix(name, "~"); ok {
-		c, err := compileRegex(re, true)
+	if pattern, ok := strings.CutPrefix(name, "~"); ok {
+		re, err := compileRegex(pattern, true)
 		if err != nil {
 			return err
 		}
-		h.regex = append(h.regex, hostRegex{c, n})
+		h.regex = append(h.regex, hostRegex{re, index})
 		return nil
 	}
 	name = strings.ToLower(name)
 	switch {
 	case strings.HasPrefix(name, "*."):
-		put(h.leadingWildcard, name[2:])
+		insert(h.leadingWildcard, name[2:])
 	case strings.HasPrefix(name, "."):
-		put(h.exact, name[1:])
-		put(h.leadingWildcard, name[1:])
+		insert(h.exact, name[1:])
+		insert(h.leadingWildcard, name[1:])
 	case strings.HasSuffix(name, ".*"):
-		put(h.trailingWildcard, name[:len(name)-2])
+		insert(h.trailingWildcard, name[:len(name)-2])
 	default:
-		put(h.exact, name)
+		insert(h.exact, name)
 	}
 	if strings.Contains(strings.Trim(name, "*"), "*") {
-		return fmt.Errorf("the name %q has a star inside", name)
+		return fmt.Errorf("host name %q: a wildcard must be the first or the last label", name)
 	}
 	return nil
 }
 
-// lookup looks a name up, in small letters and without its port.
+// lookup finds a name, given in lower case and without a port.
 func (h *hostTable) lookup(name string) (int, bool) {
-	n, _, ok := h.match(name)
-	return n, ok
+	index, _, ok := h.match(name)
+	return index, ok
 }
 
 func (h *hostTable) match(name string) (int, *regexp.Regexp, bool) {
 	if n, ok := h.exact[name]; ok {
 		return n, nil, true
 	}
-	for rest := name; ; { // the longest ending first
-		_, after, more := strings.Cut(rest, ".")
-		if !more {
+	for rest := name; ; { // the longest suffix first
+		_, after, hasDot := strings.Cut(rest, ".")
+		if !hasDot {
 			break
 		}
 		if n, ok := h.leadingWildcard[after]; ok {
@@ -77,7 +77,7 @@
 		}
 		rest = after
 	}
-	for i := strings.LastIndexByte(name, '.'); i > 0; i = strings.LastIndexByte(name[:i], '.') { // the longest beginning first
+	for i := strings.LastIndexByte(name, '.'); i > 0; i = strings.LastIndexByte(name[:i], '.') { // the longest prefix first
 		if n, ok := h.trailingWildcard[name[:i]]; ok {
 			return n, nil, true
 		}
--- a/internal/routes/model.go
+++ b/internal/routes/model.go
@@ -1,11 +1,11 @@
-// Package routes decides what becomes of a plain HTTP request: which virtual host, which location, what its
-// URI becomes, and which pool gets it. It does no I/O. Its order of choice is nginx's as published, so
-// that imported files mean what they meant: see docs/import-design.md.
+// Package routes decides how a plain HTTP request is handled: by which virtual host and location, with which URI,
+// and by which pool. It does no I/O. The order of selection is the one that nginx documents, so that imported
+// files keep their meaning: see docs/import-design.md.
 package routes
 
 import "time"
 
-// Config is routes as they are written, by hand or by the importer.
+// Config holds routes as they are configured, by hand or by the importer.
 type Config struct {
 	Servers []Server  `toml:"server"`
 	Pools   []Pool    `toml:"pool,omitempty"`
@@ -23,29 +23,29 @@
 	Source    string     `toml:"source,omitempty"`
 }
 
-// Listen is an address that a server is reached at.
+// Listen is an address that a server listens on.
 type Listen struct {
-	Address string `toml:"address"` // host:port, or :port for any
+	Address string `toml:"address"` // host:port, or :port for all addresses
 	Default bool   `toml:"default,omitempty"`
 	TLS     bool   `toml:"tls,omitempty"`
 }
 
-// Location is one of a server, or of another.
+// Location is a location of a server, or nested in another location.
 type Location struct {
 	Modifier  string      `toml:"modifier,omitempty"` // "", "=", "^~", "~", "~*", "@"
 	Pattern   string      `toml:"pattern"`
 	Steps     []Step      `toml:"step,omitempty"`
 	Pass      string      `toml:"pass,omitempty"`    // scheme://pool[URI], with variables
-	Headers   [][2]string `toml:"headers,omitempty"` // for the pool's servers: names and values with variables; empty: not passed on
+	Headers   [][2]string `toml:"headers,omitempty"` // names and values, with variables, for the pool's servers; empty value: not passed on
 	Limits    []Limit     `toml:"limit,omitempty"`
-	Within    string      `toml:"within,omitempty"`     // of a request, all attempts, as "30s"; empty: the front's
-	Tries     int         `toml:"tries,omitempty"`      // servers that a request may go to; 0: as many as the module allows
-	RepeatAll bool        `toml:"repeat_all,omitempty"` // what may have run may be sent again, whatever its method
+	Within    string      `toml:"within,omitempty"`     // of a request with all its attempts, such as "30s"; empty: that of the front
+	Tries     int         `toml:"tries,omitempty"`      // servers that a request may be sent to; 0: as many as the decision module allows
+	RepeatAll bool        `toml:"repeat_all,omitempty"` // requests that may have been processed may be sent again, whatever their method
 	Locations []Location  `toml:"location,omitempty"`
 	Source    string      `toml:"source,omitempty"`
 }
 
-// String is the location as it stands in a file.
+// String returns the location as it is written in a file.
 func (l *Location) String() string {
 	switch l.Modifier {
 	case "":
@@ -56,11 +56,11 @@
 	return l.Modifier + " " + l.Pattern
 }
 
-// Step is one of the rewriting module's directives, done in order.
+// Step is a directive of the rewrite module; they are carried out in order.
 type Step struct {
 	Do    string   `toml:"do"` // "rewrite", "return", "set", "if", "break", "named"
 	Args  []string `toml:"args,omitempty"`
-	Steps []Step   `toml:"step,omitempty"` // of an if
+	Steps []Step   `toml:"step,omitempty"` // the body of an if
 }
 
 // Pool is a group of servers.
@@ -83,7 +83,7 @@
 	FailTime string `toml:"fail_timeout,omitempty"`
 }
 
-// Mapping is a variable whose value another one chooses.
+// Mapping is a variable whose value depends on another value.
 type Mapping struct {
 	Name  string      `toml:"name"`
 	Kind  string      `toml:"kind"` // "map", "split", "geo"
@@ -93,21 +93,21 @@
 	Hosts bool        `toml:"hostnames,omitempty"`
 }
 
-// Zone is what limits count by: a key with variables; an empty one is not counted.
+// Zone is a shared counter for limits, per key: a text with variables. Requests with an empty key are not counted.
 type Zone struct {
 	Name string  `toml:"name"`
 	Key  string  `toml:"key"`
-	Rate float64 `toml:"rate,omitempty"` // requests a second; 0: it counts requests at one time
-	Keys int     `toml:"keys"`           // that are remembered
+	Rate float64 `toml:"rate,omitempty"` // requests per second; 0: the zone counts concurrent requests
+	Keys int     `toml:"keys"`           // the number of keys that are kept
 }
 
-// Limit is a zone's at a location.
+// Limit applies a zone to a location.
 type Limit struct {
 	Zone    string  `toml:"zone"`
 	Burst   float64 `toml:"burst,omitempty"`
 	Delay   float64 `toml:"delay,omitempty"`
 	NoDelay bool    `toml:"nodelay,omitempty"`
-	Most    int     `toml:"most,omitempty"` // listenerFor one time
+	Most    int     `toml:"most,omitempty"` // concurrent requests
 	DryRun  bool    `toml:"dry_run,omitempty"`
 }
 
@@ -117,31 +117,31 @@
 	Key string
 }
 
-// Request is what routes look at.
+// Request holds the properties of a request that routes depend on.
 type Request struct {
-	Listen string // the address it came to
+	Listen string // the address that it was received on
 	TLS    bool
 	Host   string
 	Method string
-	Target string // as the client wrote it
-	Remote string // the client's address, without its port
+	Target string // as the client sent it
+	Remote string // the client's address, without port
 	Header func(name string) string
 }
 
-// Decision is what becomes of a request.
+// Decision is how a request is handled.
 type Decision struct {
 	Server    string      // the first name of the virtual host
-	Location  string      // as it stands in the file; empty: none
-	Pool      string      // empty: it is answered here
+	Location  string      // as it is written in the file; empty: none
+	Pool      string      // empty: the dispatcher answers itself
 	Scheme    string      // of the pool's servers
 	URI       string      // for the pool's servers
-	Key       string      // of the pool's hash, if it has one
-	Headers   [][2]string // for the pool's servers, in place of the client's of the same names; empty: none
+	Key       string      // the hash key of the pool, if it has one
+	Headers   [][2]string // for the pool's servers, replacing the client's headers of these names; empty value: not passed on
 	Limits    []Limited
-	Within    time.Duration // of the request; 0: the front's
-	Tries     int           // servers that it may go to; 0: as many as the module allows
-	RepeatAll bool          // it may be sent again though it may have run
-	Status    int           // of an answer given here
-	Text      string        // its body, or where it redirects to
-	Why       []string      // step by step
+	Within    time.Duration // time limit of the request; 0: that of the front
+	Tries     int           // servers that it may be sent to; 0: as many as the decision module allows
+	RepeatAll bool          // it may be sent again although it may have been processed
+	Status    int           // of an answer that the dispatcher gives itself
+	Text      string        // the body of that answer, or the target of its redirect
+	Why       []string      // a line for each step of the decision
 }
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// Table is routes compiled: it does not change, and any number of goroutines may ask it.
+// Table is compiled routes. It is immutable and may be used by several goroutines at once.
 type Table struct {
 	listeners []*listener
 	vars      map[string]*mapping
 	pools     map[string]*Pool
-	keys      map[string]template // of pools that choose by hash
-	zones     map[string]template // of limits
+	keys      map[string]template // of pools that select by hash
+	zones     map[string]template // keys of limits, by zone
 }
 
-// addListen is all servers of an address.
+// listener holds all servers of an address.
 type listener struct {
-	host, port    string // host empty: any
+	host, port    string // an empty host accepts any address
 	hosts         *hostTable
 	servers       []*server
 	defaultServer int
-	hasDefault    bool // a server says that it is the default
+	hasDefault    bool // a server is marked as the default
 }
 
 type server struct {
@@ -43,7 +43,7 @@
 	return ""
 }
 
-// compileLevel is the locations of one place in a file.
+// level holds the locations of one block.
 type level struct {
 	exact    map[string]*location
 	prefixes trie
@@ -56,15 +56,15 @@
 	re           *regexp.Regexp
 	nested       *level
 	scheme       string
-	pass         template // pool, and URI where there is one
-	hasURI       bool     // a URI stands after the pool
+	pass         template // the pool, and the URI if there is one
+	hasURI       bool     // a URI follows the pool
 	hasVariables bool
 	hasPass      bool
 	headers      []headerField
 	timeout      time.Duration
 }
 
-// headerField is a header field for servers.
+// headerField is a header sent to servers.
 type headerField struct {
 	name  string
 	value template
@@ -79,19 +79,19 @@
 	name     string
 	negated  bool
 	body     []step
-	dropArgs bool // the replacement ends in "?": old arguments go
+	dropArgs bool // the replacement ends in "?": the old arguments are dropped
 }
 
-// maxNesting bounds locations within locations, and ifs.
+// maxNesting limits the depth of nested locations, and of nested if blocks.
 const maxNesting = 16
 
-// Compile checks and compiles routes.
+// Compile validates and compiles routes.
 func Compile(c *Config) (*Table, error) {
 	t := &Table{vars: map[string]*mapping{}, pools: map[string]*Pool{}, keys: map[string]template{}, zones: map[string]template{}}
 	for i := range c.Pools {
 		p := &c.Pools[i]
 		if t.pools[p.Name] != nil {
-			return nil, fmt.Errorf("the pool %q is there twice", p.Name)
+			return nil, fmt.Errorf("duplicate pool %q", p.Name)
 		}
 		t.pools[p.Name] = p
 		if p.Key != "" {
@@ -105,10 +105,10 @@
 	for _, z := range c.Zones {
 		key, err := parseTemplate(z.Key)
 		if err != nil || z.Rate < 0 || z.Keys < 1 {
-			return nil, fmt.Errorf("zone %q: key %q, %v a second, %d keys", z.Name, z.Key, z.Rate, z.Keys)
+			return nil, fmt.Errorf("zone %q: invalid key %q, rate %v per second or number of keys %d", z.Name, z.Key, z.Rate, z.Keys)
 		}
-		if _, twice := t.zones[z.Name]; twice {
-			return nil, fmt.Errorf("the zone %q is there twice", z.Name)
+		if _, duplicate := t.zones[z.Name]; duplicate {
+			return nil, fmt.Errorf("duplicate zone %q", z.Name)
 		}
 		t.zones[z.Name] = key
 	}
@@ -124,11 +124,11 @@
 		if err != nil {
 			return nil, fmt.Errorf("server %d %v: %w", i, c.Servers[i].Names, err)
 		}
-		at := s.Listen
-		if len(at) == 0 {
-			at = []Listen{{Address: ":80"}}
+		listens := s.Listen
+		if len(listens) == 0 {
+			listens = []Listen{{Address: ":80"}}
 		}
-		for _, l := range at {
+		for _, l := range listens {
 			if err := t.addListen(l, s); err != nil {
 				return nil, err
 			}
@@ -151,16 +151,16 @@
 		t.listeners = append(t.listeners, &listener{host: host, port: port, hosts: newHostTable()})
 	}
 	l := t.listeners[i]
-	n := len(l.servers)
+	index := len(l.servers)
 	l.servers = append(l.servers, s)
 	if at.Default {
 		if l.hasDefault {
 			return fmt.Errorf("listen %q has two default servers", at.Address)
 		}
-		l.defaultServer, l.hasDefault = n, true
+		l.defaultServer, l.hasDefault = index, true
 	}
 	for _, name := range s.Names {
-		if err := l.hosts.add(name, n); err != nil {
+		if err := l.hosts.add(name, index); err != nil {
 			return err
 		}
 	}
@@ -182,58 +182,58 @@
 		return nil, nil
 	}
 	if depth > maxNesting {
-		return nil, errors.New("locations are nested too deep")
+		return nil, errors.New("locations are nested too deeply")
 	}
 	l := &level{exact: map[string]*location{}}
 	for i := range all {
-		c := &location{Location: &all[i]}
+		loc := &location{Location: &all[i]}
 		var err error
-		if c.steps, err = compileSteps(c.Steps, 0); err == nil {
-			err = c.compilePass()
+		if loc.steps, err = compileSteps(loc.Steps, 0); err == nil {
+			err = loc.compilePass()
 		}
-		if c.Within != "" {
-			if c.timeout, err = time.ParseDuration(c.Within); err != nil || c.timeout <= 0 {
-				return nil, fmt.Errorf("location %s: within %q is no time", c, c.Within)
+		if loc.Within != "" {
+			if loc.timeout, err = time.ParseDuration(loc.Within); err != nil || loc.timeout <= 0 {
+				return nil, fmt.Errorf("location %s: within: invalid duration %q", loc, loc.Within)
 			}
 		}
-		for _, h := range c.Headers {
-			v, e := parseTemplate(h[1])
-			if e != nil || h[0] == "" {
-				return nil, fmt.Errorf("location %s: header %q", c, h)
+		for _, header := range loc.Headers {
+			v, headerErr := parseTemplate(header[1])
+			if headerErr != nil || header[0] == "" {
+				return nil, fmt.Errorf("location %s: invalid header %q", loc, header)
 			}
-			c.headers = append(c.headers, headerField{h[0], v})
+			loc.headers = append(loc.headers, headerField{header[0], v})
 		}
-		for _, l := range c.Limits {
+		for _, l := range loc.Limits {
 			if _, ok := t.zones[l.Zone]; !ok {
-				return nil, fmt.Errorf("location %s: no zone %q", c, l.Zone)
+				return nil, fmt.Errorf("location %s: unknown zone %q", loc, l.Zone)
 			}
 		}
 		if err == nil {
-			c.nested, err = t.compileLevel(s, c.Locations, depth+1)
+			loc.nested, err = t.compileLevel(s, loc.Locations, depth+1)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("location %s: %w", c, err)
+			return nil, fmt.Errorf("location %s: %w", loc, err)
 		}
-		twice := false
-		switch c.Modifier {
+		duplicate := false
+		switch loc.Modifier {
 		case "=":
-			twice = l.exact[c.Pattern] != nil
-			l.exact[c.Pattern] = c
+			duplicate = l.exact[loc.Pattern] != nil
+			l.exact[loc.Pattern] = loc
 		case "", "^~":
-			twice = !l.prefixes.insert(c.Pattern, c)
+			duplicate = !l.prefixes.insert(loc.Pattern, loc)
 		case "~", "~*":
-			if c.re, err = compileRegex(c.Pattern, c.Modifier == "~*"); err != nil {
+			if loc.re, err = compileRegex(loc.Pattern, loc.Modifier == "~*"); err != nil {
 				return nil, err
 			}
-			l.regex = append(l.regex, c)
+			l.regex = append(l.regex, loc)
 		case "@":
-			twice = s.named[c.Pattern] != nil || depth > 0
-			s.named[c.Pattern] = c
+			duplicate = s.named[loc.Pattern] != nil || depth > 0
+			s.named[loc.Pattern] = loc
 		default:
-			return nil, fmt.Errorf("location: no modifier %q", c.Modifier)
+			return nil, fmt.Errorf("location: unknown modifier %q", loc.Modifier)
 		}
-		if twice {
-			return nil, fmt.Errorf("location %s is there twice, or where it may not be", c)
+		if duplicate {
+			return nil, fmt.Errorf("location %s is a duplicate or not allowed here", loc)
 		}
 	}
 	return l, nil
@@ -245,7 +245,7 @@
 	}
 	scheme, rest, ok := strings.Cut(l.Pass, "://")
 	if !ok || scheme != "http" && scheme != "https" {
-		return fmt.Errorf("pass %q: it needs http:// or https://", l.Pass)
+		return fmt.Errorf("pass %q must begin with http:// or https://", l.Pass)
 	}
 	var err error
 	if l.pass, err = parseTemplate(rest); err != nil {
@@ -253,48 +253,48 @@
 	}
 	l.scheme, l.hasPass, l.hasVariables, l.hasURI = scheme, true, l.pass.hasVariables(), strings.Contains(rest, "/")
 	if l.hasURI && !l.hasVariables && (l.Modifier == "~" || l.Modifier == "~*" || l.Modifier == "@") {
-		return fmt.Errorf("pass %q: a URI has no meaning in a location by regular expression or name", l.Pass)
+		return fmt.Errorf("pass %q: a URI is not allowed in a location with a regular expression or a name", l.Pass)
 	}
 	return nil
 }
 
-// trie finds the longest prefix: one edge a byte run, children by their first byte.
+// trie is a radix tree that finds the longest prefix; children are keyed by their first byte.
 type trie struct {
 	edge     string
 	value    *location
 	children map[byte]*trie
 }
 
-// insert adds a prefix; false: it is there.
-func (t *trie) insert(key string, v *location) bool {
+// insert adds a prefix; false: it is a duplicate.
+func (t *trie) insert(key string, loc *location) bool {
 	for key != "" {
-		c := t.children[key[0]]
-		if c == nil {
+		child := t.children[key[0]]
+		if child == nil {
 			if t.children == nil {
 				t.children = map[byte]*trie{}
 			}
-			t.children[key[0]] = &trie{edge: key, value: v}
+			t.children[key[0]] = &trie{edge: key, value: loc}
 			return true
 		}
-		n := 0
-		for n < len(key) && n < len(c.edge) && key[n] == c.edge[n] {
-			n++
+		common := 0
+		for common < len(key) && common < len(child.edge) && key[common] == child.edge[common] {
+			common++
 		}
-		if n < len(c.edge) { // the edge is parted
-			c2 := *c
-			c2.edge = c.edge[n:]
-			*c = trie{edge: c.edge[:n], children: map[byte]*trie{c2.edge[0]: &c2}}
+		if common < len(child.edge) { // split the edge
+			tail := *child
+			tail.edge = child.edge[common:]
+			*child = trie{edge: child.edge[:common], children: map[byte]*trie{tail.edge[0]: &tail}}
 		}
-		t, key = c, key[n:]
+		t, key = child, key[common:]
 	}
 	if t.value != nil {
 		return false
 	}
-	t.value = v
+	t.value = loc
 	return true
 }
 
-// longestPrefix is the value of the longest prefix of a path.
+// longestPrefix returns the value of the longest prefix of a path, nil if there is none.
 func (t *trie) longestPrefix(path string) (best *location) {
 	for {
 		if t.value != nil {
@@ -303,114 +303,114 @@
 		if path == "" {
 			return best
 		}
-		c := t.children[path[0]]
-		if c == nil || !strings.HasPrefix(path, c.edge) {
+		child := t.children[path[0]]
+		if child == nil || !strings.HasPrefix(path, child.edge) {
 			return best
 		}
-		t, path = c, path[len(c.edge):]
+		t, path = child, path[len(child.edge):]
 	}
 }
 
-// get is the value at a key.
+// get returns the value of a key, nil if there is none.
 func (t *trie) get(key string) *location {
 	for key != "" {
-		c := t.children[key[0]]
-		if c == nil || !strings.HasPrefix(key, c.edge) {
+		child := t.children[key[0]]
+		if child == nil || !strings.HasPrefix(key, child.edge) {
 			return nil
 		}
-		t, key = c, key[len(c.edge):]
+		t, key = child, key[len(child.edge):]
 	}
 	return t.value
 }
 
 func compileSteps(all []Step, depth int) (out []step, err error) {
 	if depth > maxNesting {
-		return nil, errors.New("ifs are nested too deep")
+		return nil, errors.New("if blocks are nested too deeply")
 	}
 	for _, s := range all {
-		c := step{action: s.Do}
+		compiled := step{action: s.Do}
 		texts := s.Args
 		switch s.Do {
 		case "rewrite":
 			if len(s.Args) < 2 || len(s.Args) > 3 {
-				return nil, fmt.Errorf("rewrite needs a pattern, a replacement and perhaps a flag, not %q", s.Args)
+				return nil, fmt.Errorf("rewrite needs a pattern, a replacement and an optional flag, got %q", s.Args)
 			}
-			if c.re, err = compileRegex(s.Args[0], false); err != nil {
+			if compiled.re, err = compileRegex(s.Args[0], false); err != nil {
 				return nil, err
 			}
 			if len(s.Args) == 3 {
-				if c.flag = s.Args[2]; !slices.Contains([]string{"last", "break", "redirect", "permanent"}, c.flag) {
-					return nil, fmt.Errorf("rewrite has no flag %q", c.flag)
+				if compiled.flag = s.Args[2]; !slices.Contains([]string{"last", "break", "redirect", "permanent"}, compiled.flag) {
+					return nil, fmt.Errorf("rewrite has no flag %q", compiled.flag)
 				}
 			}
-			to, cut := strings.CutSuffix(s.Args[1], "?")
-			c.dropArgs, texts = cut, []string{to}
+			replacement, dropArgs := strings.CutSuffix(s.Args[1], "?")
+			compiled.dropArgs, texts = dropArgs, []string{replacement}
 		case "return":
 			if len(s.Args) < 1 || len(s.Args) > 2 {
-				return nil, fmt.Errorf("return needs a code or a URL, not %q", s.Args)
+				return nil, fmt.Errorf("return needs a code or a URL, got %q", s.Args)
 			}
 			texts = s.Args[1:]
-			if c.code, err = strconv.Atoi(s.Args[0]); err != nil {
+			if compiled.code, err = strconv.Atoi(s.Args[0]); err != nil {
 				if len(s.Args) > 1 {
 					return nil, fmt.Errorf("return: %q is no code", s.Args[0])
 				}
-				c.code, texts, err = 302, s.Args, nil
-			} else if c.code < 0 || c.code > 999 {
-				return nil, fmt.Errorf("return: %d is no code", c.code)
+				compiled.code, texts, err = 302, s.Args, nil
+			} else if compiled.code < 0 || compiled.code > 999 {
+				return nil, fmt.Errorf("return: %d is no code", compiled.code)
 			}
 		case "set":
 			if len(s.Args) != 2 || !strings.HasPrefix(s.Args[0], "$") || !isName(s.Args[0][1:]) {
-				return nil, fmt.Errorf("set needs a variable and a value, not %q", s.Args)
+				return nil, fmt.Errorf("set needs a variable and a value, got %q", s.Args)
 			}
-			c.name, texts = s.Args[0][1:], s.Args[1:]
+			compiled.name, texts = s.Args[0][1:], s.Args[1:]
 		case "break":
 		case "named":
 			texts = nil
 			if len(s.Args) == 1 {
-				c.name = s.Args[0]
+				compiled.name = s.Args[0]
 			}
 		case "if":
-			if err := c.compileCondition(s.Args); err != nil {
+			if err := compiled.compileCondition(s.Args); err != nil {
 				return nil, err
 			}
-			if len(s.Args) == 3 && c.re == nil {
+			if len(s.Args) == 3 && compiled.re == nil {
 				texts = []string{s.Args[0], s.Args[2]}
 			} else {
 				texts = s.Args[:1]
 			}
-			if c.body, err = compileSteps(s.Steps, depth+1); err != nil {
+			if compiled.body, err = compileSteps(s.Steps, depth+1); err != nil {
 				return nil, err
 			}
 		default:
-			return nil, fmt.Errorf("no step %q", s.Do)
+			return nil, fmt.Errorf("unknown step %q", s.Do)
 		}
 		for _, text := range texts {
 			v, err := parseTemplate(text)
 			if err != nil {
 				return nil, err
 			}
-			c.args = append(c.args, v)
+			compiled.args = append(compiled.args, v)
 		}
-		out = append(out, c)
+		out = append(out, compiled)
 	}
 	return out, nil
 }
 
-// compileCondition reads that of an if: a variable, or a variable, an operator and a value.
+// compileCondition parses the condition of an if: a variable, or a variable, an operator and a value.
 func (c *step) compileCondition(args []string) (err error) {
 	if len(args) != 1 && len(args) != 3 || len(args) > 0 && !strings.HasPrefix(args[0], "$") {
-		return fmt.Errorf("if: %q is no condition that has a meaning here", args)
+		return fmt.Errorf("if: unsupported condition %q", args)
 	}
 	if len(args) == 1 {
 		return nil
 	}
-	op, not := strings.CutPrefix(args[1], "!")
-	switch c.negated = not; op {
+	op, negated := strings.CutPrefix(args[1], "!")
+	switch c.negated = negated; op {
 	case "=":
 	case "~", "~*":
 		c.re, err = compileRegex(args[2], op == "~*")
 	default:
-		return fmt.Errorf("if: no operator %q", args[1])
+		return fmt.Errorf("if: unknown operator %q", args[1])
 	}
 	return err
 }
--- a/internal/routes/uri.go
+++ b/internal/routes/uri.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// ErrBadURI is a target that no location can have.
-var ErrBadURI = errors.New("routes: a malformed URI")
+// ErrBadURI is returned for a malformed request target.
+var ErrBadURI = errors.New("routes: malformed URI")
 
-// Normalise decodes a target's path and resolves ".", ".." and, where merge is set, double slashes; it
-// parts it from its arguments. The result begins with a slash.
+// Normalise decodes the path of a target, resolves ".", ".." and, if merge is set, multiple slashes, and splits
+// off the arguments. The path begins with a slash.
 func Normalise(target string, merge bool) (path, args string, err error) {
 	if rest, ok := cutSchemeAndHost(target); ok {
 		target = rest
@@ -44,7 +44,7 @@
 	return "", "", ErrBadURI
 }
 
-// cutSchemeAndHost takes the scheme and host off a target.
+// cutSchemeAndHost removes the scheme and host from a target in absolute form.
 func cutSchemeAndHost(target string) (string, bool) {
 	for _, scheme := range []string{"http://", "https://"} {
 		if len(target) > len(scheme) && strings.EqualFold(target[:len(scheme)], scheme) {
@@ -61,7 +61,8 @@
 	return target, false
 }
 
-// resolveDots takes dots, and double slashes, out of a decoded path; false: it leads above the root.
+// resolveDots resolves dot segments, and multiple slashes if merge is set, in a decoded path; false: it leads
+// above the root.
 func resolveDots(path string, merge bool) (string, bool) {
 	if !strings.Contains(path, "/.") && (!merge || !strings.Contains(path, "//")) {
 		return path, true
@@ -103,7 +104,7 @@
 	return -1
 }
 
-// Escape writes a decoded path for a request line.
+// Escape encodes a decoded path for a request line.
 func Escape(path string) string {
 	const digits = "0123456789ABCDEF"
 	plain := true
--- a/internal/routes/vars.go
+++ b/internal/routes/vars.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// evaluation is a request on its way through the routes.
+// evaluation is the state of a request while it is evaluated.
 type evaluation struct {
 	table            *Table
 	request          Request
@@ -18,18 +18,19 @@
 	server           *server
 	path             string // decoded
 	args             string
-	uriChanged       bool // by a rewrite: the raw target counts no more
-	uriChangedHere   bool // by one since the location was entered
-	rewroteWithBreak bool // by one that ends in break: what the location had of the path counts no more either
+	uriChanged       bool // by a rewrite: the raw target is no longer used
+	uriChangedHere   bool // by a rewrite in the current location
+	rewroteWithBreak bool // by a rewrite that ends in break: the URI of the pass is no longer used either
 	captures         []string
 	namedCaptures    map[string]string
 	variables        map[string]string
-	variableDepth    int // of variables within variables
+	variableDepth    int // of variables that refer to variables
 	why              []string
 }
 
-func (s *evaluation) trace(format string, args ...any) {
-	s.why = append(s.why, fmt.Sprintf(format, args...))
+// trace adds a line to the explanation of the decision.
+func (e *evaluation) trace(format string, args ...any) {
+	e.why = append(e.why, fmt.Sprintf(format, args...))
 }
 
 // template is a text with variables.
@@ -37,10 +38,10 @@
 
 type part struct {
 	text string
-	name string // of a variable; empty: text
+	name string // of a variable; empty: the part is text
 }
 
-// parseTemplate reads $name and ${name}.
+// parseTemplate parses a text with $name and ${name}.
 func parseTemplate(text string) (t template, err error) {
 	for text != "" {
 		i := strings.IndexByte(text, '$')
@@ -55,7 +56,7 @@
 		if text[0] == '{' {
 			name, rest, ok := strings.Cut(text[1:], "}")
 			if !ok || !isName(name) {
-				return t, fmt.Errorf("a variable without its end in %q", "$"+text)
+				return t, fmt.Errorf("unterminated variable in %q", "$"+text)
 			}
 			t.parts, text = append(t.parts, part{name: name}), rest
 			continue
@@ -68,7 +69,7 @@
 				n++
 			}
 		}
-		if n == 0 { // a dollar that begins no name stands for itself
+		if n == 0 { // a dollar that begins no name is literal
 			t.parts = append(t.parts, part{text: "$"})
 			continue
 		}
@@ -90,7 +91,7 @@
 	return s != ""
 }
 
-// hasVariables tells whether there are any.
+// hasVariables reports whether the text contains any variables.
 func (t template) hasVariables() bool {
 	for _, p := range t.parts {
 		if p.name != "" {
@@ -100,7 +101,7 @@
 	return false
 }
 
-func (t template) eval(s *evaluation) string {
+func (t template) eval(e *evaluation) string {
 	if len(t.parts) == 1 && t.parts[0].name == "" {
 		return t.parts[0].text
 	}
@@ -109,77 +110,77 @@
 		if p.name == "" {
 			b.WriteString(p.text)
 		} else {
-			b.WriteString(s.variable(p.name))
+			b.WriteString(e.variable(p.name))
 		}
 	}
 	return b.String()
 }
 
-// maxVariableDepth bounds variables that name each other.
+// maxVariableDepth limits how deeply variables may refer to each other.
 const maxVariableDepth = 16
 
-func (s *evaluation) variable(name string) string {
-	if v, ok := s.variables[name]; ok {
+func (e *evaluation) variable(name string) string {
+	if v, ok := e.variables[name]; ok {
 		return v
 	}
 	if n, err := strconv.Atoi(name); err == nil {
-		if n < len(s.captures) {
-			return s.captures[n]
+		if n < len(e.captures) {
+			return e.captures[n]
 		}
 		return ""
 	}
-	if v, ok := s.namedCaptures[name]; ok {
+	if v, ok := e.namedCaptures[name]; ok {
 		return v
 	}
-	if m := s.table.vars[name]; m != nil {
-		if s.variableDepth++; s.variableDepth > maxVariableDepth {
+	if m := e.table.vars[name]; m != nil {
+		if e.variableDepth++; e.variableDepth > maxVariableDepth {
 			return ""
 		}
-		defer func() { s.variableDepth-- }()
-		return m.eval(s)
+		defer func() { e.variableDepth-- }()
+		return m.eval(e)
 	}
 	switch name {
 	case "uri", "document_uri":
-		return s.path
+		return e.path
 	case "request_uri":
-		return s.request.Target
+		return e.request.Target
 	case "args", "query_string":
-		return s.args
+		return e.args
 	case "is_args":
-		if s.args != "" {
+		if e.args != "" {
 			return "?"
 		}
 		return ""
 	case "host":
-		return s.host
+		return e.host
 	case "http_host":
-		return s.request.Host
+		return e.request.Host
 	case "request_method":
-		return s.request.Method
+		return e.request.Method
 	case "scheme":
-		if s.request.TLS {
+		if e.request.TLS {
 			return "https"
 		}
 		return "http"
 	case "https":
-		if s.request.TLS {
+		if e.request.TLS {
 			return "on"
 		}
 		return ""
 	case "remote_addr", "binary_remote_addr":
-		return s.request.Remote
+		return e.request.Remote
 	case "server_name":
-		return s.server.name()
+		return e.server.name()
 	case "server_port":
-		return s.request.Listen[strings.LastIndexByte(s.request.Listen, ':')+1:]
+		return e.request.Listen[strings.LastIndexByte(e.request.Listen, ':')+1:]
 	case "proxy_add_x_forwarded_for":
-		if before := s.header("X-Forwarded-For"); before != "" {
-			return before + ", " + s.request.Remote
+		if previous := e.header("X-Forwarded-For"); previous != "" {
+			return previous + ", " + e.request.Remote
 		}
-		return s.request.Remote
+		return e.request.Remote
 	}
 	if arg, ok := strings.CutPrefix(name, "arg_"); ok {
-		for p := range strings.SplitSeq(s.args, "&") {
+		for p := range strings.SplitSeq(e.args, "&") {
 			if k, v, _ := strings.Cut(p, "="); strings.EqualFold(k, arg) {
 				return v
 			}
@@ -187,7 +188,7 @@
 		return ""
 	}
 	if cookie, ok := strings.CutPrefix(name, "cookie_"); ok {
-		for p := range strings.SplitSeq(s.header("Cookie"), ";") {
+		for p := range strings.SplitSeq(e.header("Cookie"), ";") {
 			if k, v, _ := strings.Cut(strings.TrimSpace(p), "="); k == cookie {
 				return v
 			}
@@ -195,25 +196,25 @@
 		return ""
 	}
 	if field, ok := strings.CutPrefix(name, "http_"); ok {
-		return s.header(strings.ReplaceAll(field, "_", "-"))
+		return e.header(strings.ReplaceAll(field, "_", "-"))
 	}
 	return ""
 }
 
-func (s *evaluation) header(name string) string {
-	if s.request.Header == nil {
+func (e *evaluation) header(name string) string {
+	if e.request.Header == nil {
 		return ""
 	}
-	return s.request.Header(name)
+	return e.request.Header(name)
 }
 
-// mapping is a Mapping compiled.
+// mapping is a compiled Mapping.
 type mapping struct {
 	kind         string
 	from         template
 	exact        map[string]template
 	hosts        *hostTable
-	values       []template // by the hosts' index
+	values       []template // by the index in hosts
 	regex        []regexCase
 	nets         []netCase
 	splits       []splitCase
@@ -231,7 +232,7 @@
 }
 
 type splitCase struct {
-	upperBound uint64 // of the hash
+	upperBound uint64 // of the hash, exclusive
 	value      template
 }
 
@@ -247,7 +248,7 @@
 	if m.Hosts {
 		out.hosts = newHostTable()
 	}
-	sum := 0.0
+	total := 0.0
 	for _, c := range m.Cases {
 		value, err := parseTemplate(c[1])
 		if err != nil {
@@ -258,25 +259,25 @@
 			percent, ok := strings.CutSuffix(pattern, "%")
 			n, err := strconv.ParseFloat(percent, 64)
 			if pattern == "*" {
-				n, ok, err = 100-sum, true, nil
+				n, ok, err = 100-total, true, nil
 			}
-			if sum += n; !ok || err != nil || n < 0 || sum > 100.0001 {
-				return nil, fmt.Errorf("split_clients: %q, in all %v%%", pattern, sum)
+			if total += n; !ok || err != nil || n < 0 || total > 100.0001 {
+				return nil, fmt.Errorf("split_clients: invalid share %q, total %v%%", pattern, total)
 			}
-			below := uint64(math.Round(sum*100)) * 0xffffffff / 10000
+			upperBound := uint64(math.Round(total*100)) * 0xffffffff / 10000
 			if pattern == "*" {
-				below = 1 << 32
+				upperBound = 1 << 32
 			}
-			out.splits = append(out.splits, splitCase{below, value})
+			out.splits = append(out.splits, splitCase{upperBound, value})
 		case m.Kind == "geo":
 			if !strings.Contains(pattern, "/") {
 				pattern += map[bool]string{true: "/128", false: "/32"}[strings.Contains(pattern, ":")]
 			}
-			net, err := netip.ParsePrefix(pattern)
+			network, err := netip.ParsePrefix(pattern)
 			if err != nil {
 				return nil, fmt.Errorf("geo: %w", err)
 			}
-			out.nets = append(out.nets, netCase{net.Masked(), value})
+			out.nets = append(out.nets, netCase{network.Masked(), value})
 		case strings.HasPrefix(pattern, "~"):
 			re, err := compileRegex(strings.TrimPrefix(pattern[1:], "*"), strings.HasPrefix(pattern, "~*"))
 			if err != nil {
@@ -295,56 +296,58 @@
 	return out, nil
 }
 
-func (m *mapping) eval(s *evaluation) string {
-	from := m.from.eval(s)
+func (m *mapping) eval(e *evaluation) string {
+	from := m.from.eval(e)
 	switch m.kind {
 	case "split":
-		h := uint64(murmur2(from))
+		hash := uint64(murmur2(from))
 		for _, c := range m.splits {
-			if h < c.upperBound {
-				return c.value.eval(s)
+			if hash < c.upperBound {
+				return c.value.eval(e)
 			}
 		}
 		return ""
 	case "geo":
-		a, err := netip.ParseAddr(from)
+		address, err := netip.ParseAddr(from)
 		best, value := -1, m.defaultValue
 		for _, c := range m.nets {
-			if err == nil && c.net.Bits() > best && c.net.Contains(a) {
+			if err == nil && c.net.Bits() > best && c.net.Contains(address) {
 				best, value = c.net.Bits(), c.value
 			}
 		}
-		return value.eval(s)
+		return value.eval(e)
 	}
 	if m.hosts != nil {
 		if n, ok := m.hosts.lookup(strings.ToLower(from)); ok {
-			return m.values[n].eval(s)
+			return m.values[n].eval(e)
 		}
 	} else if v, ok := m.exact[strings.ToLower(from)]; ok {
-		return v.eval(s)
+		return v.eval(e)
 	}
 	for _, c := range m.regex {
-		if found := c.re.FindStringSubmatch(from); found != nil {
-			s.setCaptures(c.re, found)
-			return c.value.eval(s)
+		if match := c.re.FindStringSubmatch(from); match != nil {
+			e.setCaptures(c.re, match)
+			return c.value.eval(e)
 		}
 	}
-	return m.defaultValue.eval(s)
+	return m.defaultValue.eval(e)
 }
 
-func (s *evaluation) setCaptures(re *regexp.Regexp, found []string) {
-	s.captures = found
+// setCaptures stores the groups of a match for variables such as $1 and $name.
+func (e *evaluation) setCaptures(re *regexp.Regexp, match []string) {
+	e.captures = match
 	for i, name := range re.SubexpNames() {
 		if name != "" {
-			if s.namedCaptures == nil {
-				s.namedCaptures = map[string]string{}
+			if e.namedCaptures == nil {
+				e.namedCaptures = map[string]string{}
 			}
-			s.namedCaptures[name] = found[i]
+			e.namedCaptures[name] = match[i]
 		}
 	}
 }
 
-// compileRegex compiles what PCRE and RE2 have alike; an error says what only PCRE has.
+// compileRegex compiles a pattern in the syntax that PCRE and RE2 share. The importer recognizes the error by the
+// words "only PCRE".
 func compileRegex(pattern string, fold bool) (*regexp.Regexp, error) {
 	p := pattern
 	if fold {
@@ -352,12 +355,12 @@
 	}
 	re, err := regexp.Compile(p)
 	if err != nil {
-		return nil, fmt.Errorf("the regular expression %q has what only PCRE has: %w", pattern, err)
+		return nil, fmt.Errorf("regular expression %q uses a feature that only PCRE has: %w", pattern, err)
 	}
 	return re, nil
 }
 
-// murmur2 is Appleby's MurmurHash2 with seed 0, by which split_clients parts its keys.
+// murmur2 is Appleby's MurmurHash2 with seed 0, the hash that split_clients uses.
 func murmur2(text string) uint32 {
 	const m = 0x5bd1e995
 	data := []byte(text)
