--- a/internal/listclock/clock.go
+++ b/internal/listclock/clock.go
@@ -178,7 +178,7 @@
 // Moved reports that the list has a new address from now on.
 func (c *Clock) Moved(now time.Duration) { c.movedAt = c.advance(now) }
 
-// Rest stops all calls until the next Called: the list arrives from other dispatchers.
+// Rest stops all calls until the next [Clock.Called]: the list arrives from other dispatchers.
 func (c *Clock) Rest(now time.Duration) {
 	c.advance(now)
 	c.state, c.listStartedAt, c.movedAt, c.silentSince, c.paused = idle, -1, -1, -1, true
--- a/internal/routes/decide.go
+++ b/internal/routes/decide.go
@@ -19,7 +19,7 @@
 func (e *evaluation) decide() Decision {
 	l := e.table.listenerFor(e.request.Listen)
 	if l == nil {
-		e.trace("no l at %s", e.request.Listen)
+		e.trace("no listener at %s", e.request.Listen)
 		return Decision{Status: 404}
 	}
 	e.host = strings.ToLower(e.request.Host)
@@ -80,16 +80,16 @@
 	if err != nil {
 		return nil
 	}
-	var wildcard *listener
+	var any *listener
 	for _, l := range t.listeners {
 		if l.port == port && l.host == host && host != "" {
 			return l
 		}
 		if l.port == port && l.host == "" {
-			wildcard = l
+			any = l
 		}
 	}
-	return wildcard
+	return any
 }
 
 // matchKind is the result of the search at one level.
