--- a/decide/api.go
+++ b/decide/api.go
@@ -92,7 +92,7 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Aim       time.Duration // full worth inside Aim + Stretch x own work
+	Aim       time.Duration // isFull worth inside Aim + Stretch x own work
 	Stretch   float64
 	Deadline  time.Duration
 	Worth     float64
@@ -123,7 +123,7 @@
 	MaxRetryAfter time.Duration
 	// ConnectTimeout: a connection not made by then fails.
 	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // idle connections are closed after this long
+	ConnIdle       time.Duration // connIdle connections are closed after this long
 }
 
 // Rules holds the figures behind the rules.
@@ -136,7 +136,7 @@
 	FallWindow   time.Duration
 	MustAskIn    time.Duration
 	Budget       *AttemptBudget // nil: no such rule
-	GoneIsAdvice bool           // of the list's states only draining binds
+	GoneIsAdvice bool           // reservableSlots the list's states only draining binds
 }
 
 // AttemptBudget bounds attempts beyond each request's first: in any Span, Spare and
@@ -175,7 +175,7 @@
 	MarksRetries            bool          // clients mark their later tries
 	Progress                time.Duration // gap between progress notes; 0: none
 	Rated                   bool          // worker ratings mean something
-	Leasing                 Leasing       // of the budget for cold workers
+	Leasing                 Leasing       // reservableSlots the budget for cold workers
 	// Policies has one policy for each class; nil derives them.
 	Policies []Policy
 }
@@ -420,9 +420,9 @@
 // New returns a dispatcher that has just started and holds nothing.
 func New(s Settings) (*Dispatcher, error) {
 	d := &Dispatcher{
-		rng: s.random(), admitted: 1, mostIdle: s.Limits.ConnIdle * 3 / 5,
+		rng: s.newRand(), admitted: 1, maxIdle: s.Limits.ConnIdle * 3 / 5,
 		workers: map[uint32]*worker{}, kinds: map[int]*kindStat{}, cordons: map[uint32]bool{},
-		requests: map[uint32]*request{}, keys: map[uint64]demand{}, peers: map[int]*peer{}, unplaced: map[likeness]unplaced{}, sums: map[uint32]*loadSum{}, bad: tally{N: errMemory},
+		requests: map[uint32]*request{}, keyDemand: map[uint64]demand{}, peers: map[int]*peer{}, unplaced: map[placementKey]unplaced{}, peerSums: map[uint32]*loadSum{}, errors: tally{N: errorSamples},
 	}
 	if err := d.Retune(s); err != nil {
 		return nil, err
@@ -435,23 +435,23 @@
 // are no more stay, marked so. Requests in hand keep the class that they came with.
 func (d *Dispatcher) Retune(s Settings) error {
 	if s.Policies == nil && len(s.Classes) > 0 {
-		s.Policies = derive(s)
+		s.Policies = defaultPolicies(s)
 	}
 	if err := s.check(); err != nil {
 		return fmt.Errorf("decide: %w", err)
 	}
-	if len(s.Classes) < len(d.classes) || len(s.Tenants) < len(d.tenants) {
+	if len(s.Classes) < len(d.classes) || len(s.Tenants) < len(d.tenantDemand) {
 		return errors.New("decide: a class or tenant has lost its number")
 	}
-	d.unlearn(s)
-	d.s = s
-	d.budget = AttemptBudget{Spare: extraSpare, PerRequest: extraShare, Span: max(s.Classes[s.First].Deadline, time.Second)}
+	d.dropOutdated(s)
+	d.settings = s
+	d.budget = AttemptBudget{Spare: extraBase, PerRequest: extraPerRequest, Span: max(s.Classes[s.First].Deadline, time.Second)}
 	if s.Rules.Budget != nil {
 		d.budget = *s.Rules.Budget
 	}
-	d.tenants = append(d.tenants, make([]demand, len(s.Tenants)-len(d.tenants))...)
+	d.tenantDemand = append(d.tenantDemand, make([]demand, len(s.Tenants)-len(d.tenantDemand))...)
 	for i, p := range s.Policies {
-		c := &class{errs: tally{N: errMemory}}
+		c := &class{errors: tally{N: errorSamples}}
 		if i < len(d.classes) {
 			if c = d.classes[i]; c.Class != s.Classes[i] {
 				c = d.redefine(i, s.Classes[i])
@@ -459,7 +459,7 @@
 			d.classes[i] = c
 		} else {
 			d.classes = append(d.classes, c)
-			d.order = append(d.order, 2*i, 2*i+1)
+			d.queueOrder = append(d.queueOrder, 2*i, 2*i+1)
 			d.queues = append(d.queues, nil, nil)
 		}
 		c.Class, c.followup, c.blocks = s.Classes[i], p.Followup, nil
@@ -467,72 +467,72 @@
 			c.blocks = append(c.blocks, &block{Block: b})
 		}
 		all := []Label{{Zone: Any, Kind: c.Kind}}
-		c.deflt = &block{Block: Block{Workers: all, Strategy: Platform, Invalidate: Invalidate{Rule: Overload}}}
+		c.defaultBlock = &block{Block: Block{Workers: all, Strategy: Platform, Invalidate: Invalidate{Rule: Overload}}}
 	}
-	d.count()
+	d.updateActiveClasses()
 	for _, w := range d.workers {
-		for range len(d.classes) - len(w.errs) {
-			w.errs, w.refusals = append(w.errs, tally{N: 3}), append(w.refusals, refusal{})
+		for range len(d.classes) - len(w.classErrors) {
+			w.classErrors, w.refusals = append(w.classErrors, tally{N: 3}), append(w.refusals, refusal{})
 		}
 	}
-	d.stale, d.freed, d.ordered = true, true, 0
+	d.blocksStale, d.mayHaveRoom, d.sortAfter = true, true, 0
 	return nil
 }
 
 // Handle takes what has happened by now and returns what to do, in order.
 func (d *Dispatcher) Handle(now time.Duration, events []Event) []Action {
-	d.out = nil
-	d.turn(now)
+	d.actions = nil
+	d.beginBatch(now)
 	for _, e := range events {
 		switch e := e.(type) {
 		case ListFull:
-			d.list(e.Workers, true)
-			if e.Cached && d.s.Subscribe {
-				d.ask(ListFailed{})
+			d.updateList(e.Workers, true)
+			if e.Cached && d.settings.Subscribe {
+				d.scheduleSubscribe(ListFailed{})
 			}
 		case ListDelta:
-			d.list(e.Workers, false)
+			d.updateList(e.Workers, false)
 		case ListFailed:
-			d.note(&d.listLost, true, "worker list lost", "")
-			d.ask(e)
+			d.logCondition(&d.listLost, true, "worker list lost", "")
+			d.scheduleSubscribe(e)
 		case Request:
 			d.arrive(e)
 		case StreamStarted:
-			d.noted(e.Request, e.Attempt, e)
+			d.attemptReported(e.Request, e.Attempt, e)
 		case Passed:
-			d.passed(e)
+			d.gatedAttemptSent(e)
 		case Taken:
-			if _, a := d.attempt(e.Request, e.Attempt); a != nil {
-				a.taken, d.confirms = true, true
+			if _, a := d.openAttempt(e.Request, e.Attempt); a != nil {
+				a.accepted, d.confirmsAttempts = true, true
 			}
 		case JobStarted:
-			d.noted(e.Request, e.Attempt, e)
+			d.attemptReported(e.Request, e.Attempt, e)
 		case JobProgress:
-			d.noted(e.Request, e.Attempt, e)
+			d.attemptReported(e.Request, e.Attempt, e)
 		case AttemptEnded:
-			d.ended(e)
+			d.attemptEnded(e)
 		case RequestLapsed:
 			if r := d.requests[e.Request]; r != nil {
-				d.close(r)
+				d.closeRequest(r)
 			}
 		case Wake:
-			d.armed = false
+			d.timerSet = false
 		case Probed:
-			d.probed(e)
+			d.probeEnded(e)
 		case PeerSaid:
-			d.heard(e)
+			d.peerMessage(e)
 		case Cordon:
-			d.cordon(e.Worker, e.Out)
+			d.setCordon(e.Worker, e.Out)
 		case Lease:
-			d.leased(e)
+			d.addLease(e)
 		case Holds:
-			d.holds(e)
+			d.setReservations(e)
 		case Advise:
-			d.advise(e.Memory)
+			d.warmStart(e.Memory)
 		case Relieve:
-			d.remember(e.Memory)
+			d.restore(e.Memory)
 		}
 	}
-	d.settle()
-	return d.out
+	d.finishBatch()
+	return d.actions
 }
--- a/decide/arith.go
+++ b/decide/arith.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// since drops from the front what is older than from.
-func since(times []time.Duration, from time.Duration) []time.Duration {
+// dropBefore drops from the front what is older than from.
+func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
 	for len(times) > 0 && times[0] < from {
 		times = times[1:]
 	}
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -20,7 +20,7 @@
 		w.now = started + time.Duration(n)*100*ms
 		w.list[1] = Worker{ID: 1, State: Ready, Started: started}
 		for _, c := range w.d.classes {
-			c.run, c.logRun, c.jobs = run.Seconds(), math.Log(run.Seconds()), 1
+			c.meanRun, c.meanLogRun, c.jobs = run.Seconds(), math.Log(run.Seconds()), 1
 		}
 		w.handle(ListDelta{Workers: []Worker{w.list[1]}})
 		for w.now < started+3*time.Second {
@@ -69,10 +69,10 @@
 		w.list[1] = Worker{ID: 1, State: Ready, Started: started}
 		w.handle(ListDelta{Workers: []Worker{w.list[1]}})
 		wk := w.d.workers[1]
-		r := &request{Request: Request{Slots: 1}, c: w.d.classes[0]}
+		r := &request{Request: Request{Slots: 1}, class: w.d.classes[0]}
 		w.d.coldTurn(wk, r)
 		w.d.now = started + after
-		rate += s.Rules.FallWindow.Seconds() / (w.d.coldAt(wk, w.d.now, w.d.pace().Seconds()) - w.d.now).Seconds()
+		rate += s.Rules.FallWindow.Seconds() / (w.d.coldBudgetAt(wk, w.d.now, w.d.pace().Seconds()) - w.d.now).Seconds()
 		if w.d.coldTurn(wk, r) {
 			open++
 		}
@@ -86,8 +86,8 @@
 // and gave long ones turns at a worker in its first seconds; or one long job for the size of all workers.
 func TestFewJobsTellNoColdWorker(t *testing.T) {
 	learn := func(w *world, class int, run time.Duration) {
-		a := &attempt{w: w.d.workers[1], sent: w.d.now - run, begun: w.d.now - run, started: true}
-		w.d.learn(&request{Request: Request{Slots: 1}, c: w.d.classes[class], arrived: a.sent}, a)
+		a := &attempt{worker: w.d.workers[1], sentAt: w.d.now - run, startedAt: w.d.now - run, started: true}
+		w.d.learnRun(&request{Request: Request{Slots: 1}, class: w.d.classes[class], arrived: a.sentAt}, a)
 	}
 	c := newThrong(t, 300, append(warmWorkers(170), Worker{ID: 5000, State: Ready, Started: time.Hour}))
 	for i, w := range c.worlds[2:] {
@@ -96,7 +96,7 @@
 		}
 		learn(w, 1, 200*ms)
 		for d := w.d; d.now < time.Hour+8*time.Second; d.now += 100 * ms {
-			if d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, c: d.classes[1]}) {
+			if d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, class: d.classes[1]}) {
 				t.Fatalf("dispatcher %d: a long job %v after the start, by the run of one", i, d.now-time.Hour)
 			}
 		}
@@ -128,7 +128,7 @@
 			w.handle(Wake{})
 		}
 		w.handle(JobStarted{j.ID, 0})
-		if late := w.d.workers[1].late.Share > 0; late == cold {
+		if late := w.d.workers[1].lateStarts.Share > 0; late == cold {
 			t.Errorf("cold %v: held against it %v", cold, late)
 		}
 	}
--- a/decide/conn_test.go
+++ b/decide/conn_test.go
@@ -38,27 +38,27 @@
 				if i%4 == 1 { // the safe class is the first to try an age
 					class = 0
 				}
-				r := &request{Request: Request{Class: class, Slots: 1}, c: w.d.classes[class]}
-				wk.conns, wk.freed = 1, w.d.now
+				r := &request{Request: Request{Class: class, Slots: 1}, class: w.d.classes[class]}
+				wk.conns, wk.connFreedAt = 1, w.d.now
 				w.d.now += idle
-				w.d.out = nil
-				a := &attempt{w: wk, sent: w.d.now, note: w.d.now}
-				w.d.connect(r, a, false)
+				w.d.actions = nil
+				a := &attempt{worker: wk, sentAt: w.d.now, lastReport: w.d.now}
+				w.d.predictConn(r, a, false)
 				if i%2 == 1 {
-					if released = len(w.d.out) > 0; released {
+					if released = len(w.d.actions) > 0; released {
 						outcome = OK
 					}
-				} else if len(w.d.out) > 0 {
+				} else if len(w.d.actions) > 0 {
 					t.Fatal("a young connection was closed")
 				}
 				w.d.now += 10 * ms
-				w.d.judgeConn(r, a, outcome)
+				w.d.recordConnEnd(r, a, outcome)
 			}
 			if released != tt.want {
 				t.Errorf("an old connection is closed first: %v, want %v", released, tt.want)
 			}
-			if wk.open != 0 {
-				t.Errorf("%d connections in use after the last end", wk.open)
+			if wk.connsInUse != 0 {
+				t.Errorf("%d connections in use after the last end", wk.connsInUse)
 			}
 		})
 	}
@@ -72,13 +72,13 @@
 	s.Limits.ConnIdle = 16 * time.Second
 	w := fleet(t, s, 1)
 	wk := w.d.workers[1]
-	r := &request{Request: Request{ID: 7, Slots: 1}, c: w.d.classes[0], arrived: w.d.now, due: w.d.now + time.Hour}
+	r := &request{Request: Request{ID: 7, Slots: 1}, class: w.d.classes[0], arrived: w.d.now, deadline: w.d.now + time.Hour}
 	w.d.requests[7] = r
 	if !w.d.send(r, wk) {
 		t.Fatal("not sent")
 	}
-	w.d.ended(AttemptEnded{Request: 7, Outcome: Reset, Kept: time.Second})
-	if wk.strikes != 0 {
+	w.d.attemptEnded(AttemptEnded{Request: 7, Outcome: Reset, Kept: time.Second})
+	if wk.failures != 0 {
 		t.Error("the worker lost its trust")
 	}
 	if got := w.d.idleLimit(Safe); got != time.Second/2 {
@@ -107,7 +107,7 @@
 				return j, s.Fresh
 			}
 		}
-		t.Fatalf("class %d was not sent: strikes %d", class, w.d.workers[1].strikes)
+		t.Fatalf("class %d was not sent: strikes %d", class, w.d.workers[1].failures)
 		return nil, false
 	}
 	one, _ := send(2)
@@ -118,7 +118,7 @@
 	lost, _ := send(2) // its connection carries nothing, and it is taken to queue
 	w.now += 500 * ms
 	w.handle(Wake{})
-	if w.d.silent > 0 {
+	if w.d.silentUntil > 0 {
 		t.Error("its worker may be silent, not the connection")
 	}
 	alive := func() { // the worker tells of another job
@@ -138,7 +138,7 @@
 	w.handle(w.end(lost, 0, TimedOut, nil))
 	w.now += s.Limits.ConnIdle
 	alive()
-	if w.now < w.d.silent {
+	if w.now < w.d.silentUntil {
 		t.Error("connections are never trusted again")
 	}
 }
--- a/decide/cordon_test.go
+++ b/decide/cordon_test.go
@@ -44,7 +44,7 @@
 			t.Errorf("it counts as warm: %v", d)
 		}
 		var at []time.Duration
-		for w.now < began+owedWithin {
+		for w.now < began+uncordonedWithin {
 			w.now += 20 * ms
 			j := w.arrive(0, time.Second)
 			for _, a := range w.handle(Wake{}, j.Request) {
@@ -74,7 +74,7 @@
 	w := fleet(t, site(1, true, false, false), 2)
 	w.handle(Cordon{Worker: 1, Out: true})
 	w.handle(Cordon{Worker: 1})
-	if n := len(w.d.owed); n != 1 {
+	if n := len(w.d.firstJobQueue); n != 1 {
 		t.Errorf("%d entries for one worker", n)
 	}
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -13,66 +13,66 @@
 
 // Dimensionless tuning; every time below is derived from the settings or learned.
 const (
-	firstCeiling  = 1.0     // slots a worker gets before it has shown anything
-	leastCeiling  = 1.0 / 4 // a ceiling below one slot only has more to earn back
-	ceilingStep   = 0.5     // ceiling gained by a prompt start at the ceiling
-	endStep       = 0.05    // by an end in time, where starts are not told: a run later, and less sure
-	promptShare   = 0.1     // a start later than this share of the aim came out of a queue
-	progressSlack = 1.5     // progress intervals without a note that mean standing still
-	maxStrikes    = 6       // doublings of the readmission backoff
-	coldShare     = 0.5     // part of the cold budget that is used at all
-	coldLength    = 1.25    // of what a dispatcher's turn there is for, that a job may last
-	speedMemory   = 64.0    // jobs that a worker's speed is judged on
-	speedPrior    = 8.0     // jobs of its kind that a worker's own speed must outweigh at most,
-	sizePrior     = 2.0     // jobs that must be outweighed before a worker's size is reckoned from their runs,
-	slowPrior     = 0.5     // or a kind, one of several, to take so much longer in the log than the mean
-	speedSeen     = 2.5     // and times as many as there are workers to a dispatcher: many see few jobs of each
-	extraShare    = 0.5     // further attempts for a request, where no rule says how many,
-	extraSpare    = 5.0     // and so many on top, in the time that a client waits
-	sortPace      = 16      // workers for which one job may have the fleet sorted; four times as many an aim
-	looksPerStep  = 256     // workers looked at for held requests in each step between sweeps, while nothing happens
-	lateMemory    = 8.0     // starts at a worker that its share of late ones is judged on
-	admitCut      = 0.95    // of the share let out, for a request that was not started soon
-	admitStep     = 0.04    // regained by one that was
-	muchWorth     = 1.2     // times the mean class's, above which a request does not wait for a token
-	mostTokens    = 4.0     // saved up, so that a seldom used dispatcher need not wait for the next
-	leastAdmitted = 0.25    // always let out
-	hungRuns      = 4       // typical runs without a sign of life from its worker that a job may take,
-	hungStarts    = 2       // on top of so many times what attempts lately took to start: a queue is no hang
-	freshMemory   = 4.0     // first jobs at workers not known that those to come are judged by
-	freshProbes   = 4       // probes that such a one may leave unanswered before it gets a trial
-	freshDoubt    = 0.5     // and the share that came to nothing from which on they are in doubt
-	shareSlack    = 4.0 / 3 // of the usual tenant's use of its share, that another may have
-	errMemory     = 8.0     // jobs at a worker that its share of errors is judged on,
-	errMargin     = 0.3     // and by how much it must be above that of all,
-	waryMargin    = 0.1     // or for jobs that must not run twice
-	zoneMemory    = 16.0    // attempts over which a zone is judged
-	zoneMargin    = 0.1     // by which it must do worse than the best
-	answerMargin  = 16      // part of its budget by which a request is answered early: a stall must not miss it
-	partySize     = 32      // dispatchers that tell each other of their load
-	unsafeShare   = 0.3     // of the failures at an idle age that bar it for unsafe jobs
-	ageMemory     = 6.0     // sends at an idle age that it is judged on
-	fewHeld       = 3       // workers to a request held, up to which keyed ones may go further
-	widen         = 4.0     // by so many keepers for each aim that they have waited
-	longRun       = 1.5     // of the usual job's, from which on a job goes anywhere
-	keptSlots     = 2.0     // of each of its keepers that the jobs of a key fill
-	confirmPart   = 2       // part of its aim for which a job may lack its worker's confirmation,
-	confirmTimes  = 5       // times as long where it is waited for until its deadline
-	idleDouble    = 4       // windows of the rule on cold workers in which trust in idle connections doubles
-	recheck       = 8       // one in so many repeatable jobs still tries an old connection
-	moveShare     = 0.01    // of the requests, that are moved from where they queue: they may run twice
-	ringPoints    = 8       // places of a worker on the ring of keys
-	sweepTicks    = 4       // granularity steps between sweeps
-	minSweep      = 5 * time.Millisecond
+	initialCeiling         = 1.0     // learnedSize a worker gets before it has shown anything
+	minCeiling             = 1.0 / 4 // a ceiling below one slot only has more to earn back
+	ceilingStep            = 0.5     // ceiling gained by a prompt start at the ceiling
+	endCeilingStep         = 0.05    // by an end in time, where starts are not told: a run later, and less sure
+	promptAimShare         = 0.1     // a start later than this share of the aim came out of a queue
+	progressSlackIntervals = 1.5     // progress intervals without a note that mean standing still
+	maxFailures            = 6       // doublings of the readmission backoff
+	coldBudgetShare        = 0.5     // coldTurnShare of the cold budget that is used at all
+	coldJobStretch         = 1.25    // reservableSlots what a dispatcher's turn there is for, that a job may last
+	speedSamples           = 64.0    // jobs that a worker's speed is judged on
+	speedPriorJobs         = 8.0     // jobs of its kind that a worker's own speed must outweigh at most,
+	sizePriorJobs          = 2.0     // jobs that must be outweighed before a worker's size is reckoned from their runs,
+	unknownKindSlowness    = 0.5     // or a kind, one of several, to take so much longer in the log than the mean
+	speedPriorPerWorker    = 2.5     // and times as many as there are workers to a dispatcher: many see few jobs of each
+	extraPerRequest        = 0.5     // further attempts for a request, where no rule says how many,
+	extraBase              = 5.0     // and so many on top, in the time that a client waits
+	resortDivisor          = 16      // workers for which one job may have the fleet sorted; four times as many an aim
+	scansPerStep           = 256     // workers looked at for held requests in each step between sweeps, while nothing happens
+	lateStartSamples       = 8.0     // startDelays at a worker that its share of late ones is judged on
+	admitFactor            = 0.95    // reservableSlots the share let out, for a request that was not started soon
+	admitStep              = 0.04    // regained by one that was
+	highWorthFactor        = 1.2     // times the mean class's, above which a request does not wait for a token
+	maxTokens              = 4.0     // saved up, so that a seldom used dispatcher need not wait for the next
+	minAdmitted            = 0.25    // always let out
+	unresponsiveRuns       = 4       // typical runs without a sign of life from its worker that a job may take,
+	unresponsiveStarts     = 2       // active top of so many times what attempts lately took to start: a queue is no hang
+	firstJobSamples        = 4.0     // first jobs at workers not known that those to come are judged by
+	firstJobProbes         = 4       // probes that such a one may leave unanswered before it gets a trial
+	firstJobFailShare      = 0.5     // and the share that came to nothing from which on they are in doubt
+	tenantShareSlack       = 4.0 / 3 // reservableSlots the usual tenant's use of its share, that another may have
+	errorSamples           = 8.0     // jobs at a worker that its share of errors is judged on,
+	errorMargin            = 0.3     // and by how much it must be above that of all,
+	unsafeErrorMargin      = 0.1     // or for jobs that must not run twice
+	zoneSamples            = 16.0    // attempts over which a zone is judged
+	zoneMargin             = 0.1     // by which it must do worse than the best
+	answerMarginParts      = 16      // coldTurnShare of its budget by which a request is answered early: a stall must not miss it
+	peerGroupSize          = 32      // dispatchers that tell each other of their load
+	unsafeFailShare        = 0.3     // reservableSlots the failures at an idle age that bar it for unsafe jobs
+	idleAgeSamples         = 6.0     // sends at an idle age that it is judged on
+	fewHeldDivisor         = 3       // workers to a request held, up to which keyed ones may go further
+	widenPerAim            = 4.0     // by so many keepers for each aim that they have waited
+	longRunFactor          = 1.5     // reservableSlots the usual job's, from which on a job goes anywhere
+	slotsPerKeyWorker      = 2.0     // reservableSlots each of its keepers that the jobs of a key fill
+	confirmAimParts        = 2       // coldTurnShare of its aim for which a job may lack its worker's confirmation,
+	confirmDeadlineFactor  = 5       // times as long where it is waited for until its deadline
+	idleDoubleWindows      = 4       // windows of the rule on cold workers in which trust in idle connections doubles
+	idleRecheck            = 8       // one in so many repeatable jobs still tries an old connection
+	maxMovedShare          = 0.01    // reservableSlots the requests, that are moved from where they queue: they may run twice
+	ringPointsPerWorker    = 8       // places of a worker on the ring of keys
+	sweepSteps             = 4       // granularity steps between sweeps
+	minSweepInterval       = 5 * time.Millisecond
 
-	owedWithin = 4 * time.Second // a worker put back by hand has had a turn: people watch for it
-	keyMemory  = 4 * time.Second // over which a tenant's requests are counted; a key's over the time to warm up
+	uncordonedWithin = 4 * time.Second // a worker put back by hand has had a turn: people watch for it
+	tenantWindow     = 4 * time.Second // overShare which a tenant's requests are counted; a key's over the time to warm up
 )
 
-// derive makes the policies that are not given: for requests with a key the workers that keep what it
+// defaultPolicies makes the policies that are not given: for requests with a key the workers that keep what it
 // needs, those of the own zone before all, then own zone, then the others, each best_first, ending in the
 // default tag. A keeper in each zone costs one more fetch of a key, crossing to the only one a price each time.
-func derive(s Settings) []Policy {
+func defaultPolicies(s Settings) []Policy {
 	rule := Invalidate{Rule: MaxConcurrentInvocations, Threshold: math.MaxInt32}
 	if s.ReportsFree {
 		rule = Invalidate{Rule: Overload}
@@ -88,121 +88,121 @@
 	return ps
 }
 
-// turn begins a batch. One later than its timer follows a stall of this dispatcher itself, and finds all that came since.
-func (d *Dispatcher) turn(now time.Duration) {
-	d.now, d.late, d.batch = max(d.now, now), 0, d.batch+1
-	if late := d.now - d.wakeAt; d.armed && late > d.step() {
-		d.late, d.stall = late, min(max(late, d.stall), d.s.Rules.FallWindow)
+// beginBatch begins a batch. One later than its timer follows a stall of this dispatcher itself, and finds all that came since.
+func (d *Dispatcher) beginBatch(now time.Duration) {
+	d.now, d.batchDelay, d.batch = max(d.now, now), 0, d.batch+1
+	if late := d.now - d.timerDue; d.timerSet && late > d.sweepInterval() {
+		d.batchDelay, d.maxBatchDelay = late, min(max(late, d.maxBatchDelay), d.settings.Rules.FallWindow)
 	}
 }
 
-// settle acts on a batch, after all its news: an answer that came with the timer must not be refused.
-func (d *Dispatcher) settle() {
-	if !d.armed {
+// finishBatch acts on a batch, after all its news: an answer that came with the timer must not be refused.
+func (d *Dispatcher) finishBatch() {
+	if !d.timerSet {
 		d.sweep()
 	}
-	d.drain()
-	d.tell()
-	if !d.armed && (len(d.live) > 0 || d.asked > 0) {
-		d.armed, d.wakeAt = true, d.now+d.step()
-		d.do(WakeMe{After: d.step()})
+	d.placeHeld()
+	d.sendLoad()
+	if !d.timerSet && (len(d.liveRequests) > 0 || d.subscribeAt > 0) {
+		d.timerSet, d.timerDue = true, d.now+d.sweepInterval()
+		d.emit(WakeMe{After: d.sweepInterval()})
 	}
 }
 
-// cordon leaves a worker out by hand, whatever the list says, or puts it back. By then it may have been started
+// setCordon leaves a worker out by hand, whatever the list says, or puts it back. By then it may have been started
 // anew: nothing is known of it, it counts as cold, and it is owed a first job so that it is seen to be used.
-func (d *Dispatcher) cordon(id uint32, out bool) {
+func (d *Dispatcher) setCordon(id uint32, out bool) {
 	w, was := d.workers[id], d.cordons[id]
 	if d.cordons[id] = out; !out {
 		delete(d.cordons, id)
 	}
 	if w != nil && was && !out {
-		l, listed, unlisted := w.Worker, w.listed, w.unlisted
+		l, listed, unlisted := w.Worker, w.lastListed, w.unlisted
 		l.Started, w.State = d.now, Gone // for what is out there
-		w = d.begin(l)
-		w.State, w.listed, w.unlisted, w.owed = l.State, listed, unlisted, true
-		d.owe(w)
+		w = d.addWorker(l)
+		w.State, w.lastListed, w.unlisted, w.firstJobDue = l.State, listed, unlisted, true
+		d.queueFirstJob(w)
 	} else if w != nil {
 		w.cordoned = out
 	}
 	d.recount()
-	d.stale, d.freed, d.ordered = true, true, 0
+	d.blocksStale, d.mayHaveRoom, d.sortAfter = true, true, 0
 }
 
-// firstJob is a worker to be used before others: put back by hand, for one job that can be repeated, or cold.
-func (d *Dispatcher) firstJob(r *request) *worker {
-	d.owed = slices.DeleteFunc(d.owed, func(w *worker) bool { return !w.owed && !d.untried(w) || d.workers[w.ID] != w })
-	for _, w := range d.owed {
-		first := r.c.Effect == Safe && w.own == 0 || !w.owed && !d.s.Leasing.On
-		if first && len(r.attempts)+len(r.Order) == 0 && (r.c.Kind == Any || r.c.Kind == w.Kind) && d.valid(r, w, Invalidate{Rule: Overload}) {
+// firstJobWorker is a worker to be used before others: put back by hand, for one job that can be repeated, or cold.
+func (d *Dispatcher) firstJobWorker(r *request) *worker {
+	d.firstJobQueue = slices.DeleteFunc(d.firstJobQueue, func(w *worker) bool { return !w.firstJobDue && !d.preferWhileCold(w) || d.workers[w.ID] != w })
+	for _, w := range d.firstJobQueue {
+		first := r.class.Effect == Safe && w.ownSlots == 0 || !w.firstJobDue && !d.settings.Leasing.On
+		if first && len(r.attempts)+len(r.Order) == 0 && (r.class.Kind == Any || r.class.Kind == w.Kind) && d.valid(r, w, Invalidate{Rule: Overload}) {
 			return w
 		}
 	}
 	return nil
 }
 
-// list takes lines of the worker list.
-func (d *Dispatcher) list(lines []Worker, whole bool) {
-	d.note(&d.listLost, false, "", "worker list back")
+// updateList takes lines of the worker list.
+func (d *Dispatcher) updateList(lines []Worker, whole bool) {
+	d.logCondition(&d.listLost, false, "", "worker list back")
 	d.upsert(lines, whole)
-	d.failures, d.asked, d.stale, d.freed = 0, 0, true, true
+	d.subscribeFailures, d.subscribeAt, d.blocksStale, d.mayHaveRoom = 0, 0, true, true
 }
 
-// believe takes what a line of the list, or its absence from a whole one, says of a worker. Draining stays for its
+// applyState takes what a line of the list, or its absence from a whole one, says of a worker. Draining stays for its
 // process, whatever an older list says. Gone ends it, unless that is advice: then one that has served leaves with its
 // first strike. Guards against lists that are old or short of live workers, for one attempt at one truly gone.
-func (d *Dispatcher) believe(w *worker, said WorkerState) {
+func (d *Dispatcher) applyState(w *worker, said WorkerState) {
 	w.unlisted = said == Gone
 	switch {
 	case said == Draining:
 		w.State = Draining
-	case said == Gone && w.State == Ready && !d.s.Rules.GoneIsAdvice:
-		d.drop(w)
+	case said == Gone && w.State == Ready && !d.settings.Rules.GoneIsAdvice:
+		d.dropWorker(w)
 	}
 }
 
-// reorder sorts the fleet and fills the blocks once the list has changed or a job was learned
+// sortFleet sorts the fleet and fills the blocks once the list has changed or a job was learned
 // from. Its cost grows with the fleet, so it may not act for each request.
-func (d *Dispatcher) reorder() {
-	if !d.stale && d.learned <= len(d.fleet)/sortPace || d.now < d.ordered && len(d.fleet) > 0 {
+func (d *Dispatcher) sortFleet() {
+	if !d.blocksStale && d.learnedSinceSort <= len(d.fleet)/resortDivisor || d.now < d.sortAfter && len(d.fleet) > 0 {
 		return
 	}
-	d.ordered, d.learned = d.now+d.s.Classes[d.s.First].Aim*time.Duration(1+len(d.fleet)/(4*sortPace)), 0
-	changed := d.stale
-	if d.stale, d.freed = false, d.freed || changed; changed {
+	d.sortAfter, d.learnedSinceSort = d.now+d.settings.Classes[d.settings.First].Aim*time.Duration(1+len(d.fleet)/(4*resortDivisor)), 0
+	changed := d.blocksStale
+	if d.blocksStale, d.mayHaveRoom = false, d.mayHaveRoom || changed; changed {
 		d.fleet = slices.AppendSeq(d.fleet[:0], maps.Values(d.workers))
 		d.fleet = slices.DeleteFunc(d.fleet, func(w *worker) bool {
-			return !w.ready() || w.unlisted && (w.strikes > 0 || w.lived == 0) && !d.outage()
+			return !w.ready() || w.unlisted && (w.failures > 0 || w.lastAlive == 0) && !d.outage()
 		})
 		slices.SortFunc(d.fleet, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	maps.DeleteFunc(d.keys, func(_ uint64, k demand) bool { return d.now-k.Last > 2*d.s.Rules.Cold })
+	maps.DeleteFunc(d.keyDemand, func(_ uint64, k demand) bool { return d.now-k.Last > 2*d.settings.Rules.Cold })
 	best := slices.Clone(d.fleet)
 	// Weighted rendezvous hashing: each dispatcher (or party) has its own order, heads spread by capacity.
 	// With few dispatchers speed decides; of those who chose a worker alike, late starts make some leave.
-	sharp := float64(len(d.fleet)) / float64(d.s.Dispatchers)
+	sharp := float64(len(d.fleet)) / float64(d.settings.Dispatchers)
 	for _, w := range best {
-		if d.doubted(w) && d.now >= w.retryAt {
+		if d.unproven(w) && d.now >= w.retryAt {
 			w.probes++
-			d.judge(w, maxStrikes)
-			w.retryAt = d.now + d.backoff(d.s.Rules.FallWindow, min(w.probes, maxStrikes))
-			d.do(Probe{Worker: w.ID})
+			d.setFailures(w, maxFailures)
+			w.retryAt = d.now + d.backoff(d.settings.Rules.FallWindow, min(w.probes, maxFailures))
+			d.emit(Probe{Worker: w.ID})
 		}
-		own, slow, size := uniform(uint64(w.ID), uint64(d.party())+1), d.slowness(w), 1.0
-		if d.s.Rated && w.Rating > 0 {
+		own, slow, size := uniform(uint64(w.ID), uint64(d.peerGroup())+1), d.slowness(w), 1.0
+		if d.settings.Rated && w.Rating > 0 {
 			size = w.Rating
 		} else {
 			slow *= 1 + 1/sharp
 		}
-		w.rank = -math.Log(own) * math.Exp(sharp*slow+w.late.Share) / size
+		w.rank = -math.Log(own) * math.Exp(sharp*slow+w.lateStarts.Share) / size
 	}
 	slices.SortStableFunc(best, func(a, b *worker) int { return cmp.Compare(a.rank, b.rank) })
-	d.fill(best, changed)
-	density := func(q int) float64 { // of an odd queue, whose requests are late, what that leaves
+	d.fillBlocks(best, changed)
+	density := func(q int) float64 { // reservableSlots an odd queue, whose requests are late, what that leaves
 		c := d.classes[q/2]
 		return c.Worth * math.Pow(c.LateWorth, float64(q%2)) / c.mean()
 	}
-	slices.SortStableFunc(d.order, func(a, b int) int { return cmp.Compare(density(b), density(a)) })
+	slices.SortStableFunc(d.queueOrder, func(a, b int) int { return cmp.Compare(density(b), density(a)) })
 }
 
 func (d *Dispatcher) arrive(q Request) {
@@ -211,82 +211,82 @@
 	}
 	c := d.classes[q.Class]
 	q.Slots = cmp.Or(max(q.Slots, 0), 1)
-	r := &request{Request: q, c: c, arrived: d.now, due: d.now + q.Budget}
+	r := &request{Request: q, class: c, arrived: d.now, deadline: d.now + q.Budget}
 	// A client's later try has less time left: its aim began with the first. Unmarked, one with
 	// most of the time gone is rather a client in a hurry, who would be taken for late at once.
-	c.budget = max(c.budget, q.Budget)
-	if gone := c.budget - q.Budget; q.Repeat || !d.s.MarksRetries && gone <= c.budget/2 {
+	c.maxBudget = max(c.maxBudget, q.Budget)
+	if gone := c.maxBudget - q.Budget; q.Repeat || !d.settings.MarksRetries && gone <= c.maxBudget/2 {
 		r.arrived -= gone
 	}
-	r.limit = min(r.arrived+c.Aim, r.due)
-	d.requests[q.ID], r.over = r, d.overShare(q.Tenant)
-	d.taken = append(d.taken, d.now)
-	d.live = append(d.live, r)
-	if k := d.keys[q.Key]; q.Key != 0 {
-		if len(d.keys) == 0 {
-			d.stale, d.ordered = true, 0
+	r.aimEnd = min(r.arrived+c.Aim, r.deadline)
+	d.requests[q.ID], r.overShare = r, d.exceedsShare(q.Tenant)
+	d.arrivals = append(d.arrivals, d.now)
+	d.liveRequests = append(d.liveRequests, r)
+	if k := d.keyDemand[q.Key]; q.Key != 0 {
+		if len(d.keyDemand) == 0 {
+			d.blocksStale, d.sortAfter = true, 0
 		}
-		k.bump(d.now, d.s.Rules.Cold)
-		d.keyed.bump(d.now, d.s.Rules.Cold)
-		d.keys[q.Key] = k
-	}
-	d.tokens = min(mostTokens, d.tokens+d.admitted)
-	d.freed = d.freed || q.Held // what it finds others of its class do not
-	d.hold(r, false)
-	if d.s.Limits.Open <= 0 || len(d.requests) <= d.s.Limits.Open {
+		k.increment(d.now, d.settings.Rules.Cold)
+		d.keyedDemand.increment(d.now, d.settings.Rules.Cold)
+		d.keyDemand[q.Key] = k
+	}
+	d.tokens = min(maxTokens, d.tokens+d.admitted)
+	d.mayHaveRoom = d.mayHaveRoom || q.Held // what it finds others of its class do not
+	d.enqueue(r, false)
+	if d.settings.Limits.Open <= 0 || len(d.requests) <= d.settings.Limits.Open {
 		return
 	}
-	for _, q := range slices.Backward(d.order) { // bounded: of what was never sent, the least worth makes room
+	for _, q := range slices.Backward(d.queueOrder) { // bounded: of what was never sent, the least worth makes room
 		for i, o := range slices.Backward(d.queues[q]) {
 			if o.held && o.queue == q && len(o.attempts) == 0 {
 				d.queues[q] = slices.Delete(d.queues[q], i, i+1) // or it would wait there behind all that is held
-				d.answer(o)
+				d.answerFinal(o)
 				return
 			}
 		}
 	}
 }
 
-// overShare tells whether a request is beyond its tenant's share, by chance as often as the
+// exceedsShare tells whether a request is beyond its tenant's share, by chance as often as the
 // tenant's traffic here is. More traffic of all tenants is this dispatcher's own larger part.
-func (d *Dispatcher) overShare(tenant int) bool {
-	if tenant >= len(d.tenants) || d.s.Tenants[tenant].Left {
+func (d *Dispatcher) exceedsShare(tenant int) bool {
+	if tenant >= len(d.tenantDemand) || d.settings.Tenants[tenant].Left {
 		return false
 	}
-	d.tenants[tenant].bump(d.now, keyMemory)
+	d.tenantDemand[tenant].increment(d.now, tenantWindow)
 	used := func(i int) float64 {
-		part := d.s.Tenants[i].QuotaPerSecond / float64(d.s.Dispatchers) * keyMemory.Seconds()
-		return certain(d.tenants[i].at(d.now, keyMemory)) / max(part, 1e-9)
+		part := d.settings.Tenants[i].QuotaPerSecond / float64(d.settings.Dispatchers) * tenantWindow.Seconds()
+		return aboveNoise(d.tenantDemand[i].at(d.now, tenantWindow)) / max(part, 1e-9)
 	}
 	var usage []float64
-	for i := range d.tenants {
-		if !d.s.Tenants[i].Left {
+	for i := range d.tenantDemand {
+		if !d.settings.Tenants[i].Left {
 			usage = append(usage, used(i))
 		}
 	}
 	slices.Sort(usage)
-	return d.rng.Float64()*used(tenant) > max(1, shareSlack*usage[len(usage)/2])
+	return d.rng.Float64()*used(tenant) > max(1, tenantShareSlack*usage[len(usage)/2])
 }
 
-// crowded takes whether a request was not started soon. While many are not, wherever, only a part of the
+// adjustAdmission takes whether a request was not started soon. While many are not, wherever, only a part of the
 // first attempts is let out, the most worth first: ceilings of a job or two cannot show overload.
-func (d *Dispatcher) crowded(yes bool) {
+func (d *Dispatcher) adjustAdmission(yes bool) {
 	if yes {
-		d.admitted = max(leastAdmitted, d.admitted*admitCut)
+		d.admitted = max(minAdmitted, d.admitted*admitFactor)
 	} else {
 		d.admitted = min(1, d.admitted+admitStep)
 	}
-	d.note(&d.shedding, d.admitted < 0.5, "workers are crowded: under half of the requests are let out",
+	d.logCondition(&d.shedding, d.admitted < 0.5, "workers are crowded: under half of the requests are let out",
 		"workers are no longer crowded")
 }
 
-// hold queues a request here: it can still move, which it cannot at a worker.
-func (d *Dispatcher) hold(r *request, front bool) {
+// enqueue queues a request here: it can still move, which it cannot at a worker.
+func (d *Dispatcher) enqueue(r *request, front bool) {
 	if r.held || r.done {
 		return
 	}
-	r.held, r.queue, r.looked = true, 2*r.Class, 0
-	if d.now >= r.limit || r.over {
+	r.held, r.queue, r.failedRound = true, 2*r.Class, 0
+	if d.now >= r.aimEnd || r.overShare {
 		r.queue++
 	}
 	if q := &d.queues[r.queue]; front {
@@ -296,11 +296,11 @@
 	}
 }
 
-// drain places held requests, the most worth per run time first.
-func (d *Dispatcher) drain() {
-	d.reorder()
-	d.lookAgain(looksPerStep)
-	for _, q := range d.order {
+// placeHeld places held requests, the most worth per run time first.
+func (d *Dispatcher) placeHeld() {
+	d.sortFleet()
+	d.beginRound(scansPerStep)
+	for _, q := range d.queueOrder {
 		if d.classes[q/2].stuck {
 			continue // the last of its requests found no valid worker, and nothing has changed
 		}
@@ -310,24 +310,24 @@
 				continue // answered or moved to the late queue
 			}
 			first := len(r.attempts) == 0 && d.admitted < 1
-			waits := first && d.tokens < 1 && r.c.Worth <= muchWorth*d.worth() // else the others pay
-			if w := d.look(r, waits); w != nil && d.send(r, w) {
+			waits := first && d.tokens < 1 && r.class.Worth <= highWorthFactor*d.meanWorth() // else the others pay
+			if w := d.findWorker(r, waits); w != nil && d.send(r, w) {
 				if r.held = false; first {
-					d.tokens = max(-mostTokens, d.tokens-1)
+					d.tokens = max(-maxTokens, d.tokens-1)
 				}
 				continue
 			}
-			if r.c.followup == Fail && r.out == 0 && d.now >= r.retryAt {
-				d.answer(r)
+			if r.class.followup == Fail && r.outstanding == 0 && d.now >= r.retryAt {
+				d.answerFinal(r)
 				continue
 			}
 			d.queues[q][n] = r
 			n++
-			if d.byKey(r) || len(r.Order) > 0 || d.now < r.retryAt {
+			if d.routesByKey(r) || len(r.Order) > 0 || d.now < r.retryAt {
 				continue // the next has another key or order and so other workers
 			}
-			r.c.stuck = len(r.attempts) == 0
-			if r.c.stuck || n >= d.s.Limits.Attempts { // the rest would find the same workers invalid
+			r.class.stuck = len(r.attempts) == 0
+			if r.class.stuck || n >= d.settings.Limits.Attempts { // the rest would find the same workers invalid
 				n += copy(d.queues[q][n:], d.queues[q][i+1:])
 				break
 			}
@@ -339,56 +339,56 @@
 
 // pick walks the class's policy from the top, then the default tag.
 func (d *Dispatcher) pick(r *request) *worker {
-	if d.closed(r) {
+	if d.sendForbidden(r) {
 		return nil
 	}
-	d.shun()
+	d.drawAvoidedZones()
 	// While connecting takes long, a move costs more than a queue, but to an open connection.
-	d.openOnly = r.out > 0 && d.setup() > d.grace(r, nil)
-	for _, id := range r.Order { // of whoever routed it; the rules hold all the same
+	d.openOnly = r.outstanding > 0 && d.connSetup() > d.startGrace(r, nil)
+	for _, id := range r.Order { // reservableSlots whoever routed it; the rules hold all the same
 		if w := d.workers[id]; w != nil && d.valid(r, w, Invalidate{Rule: Overload}) {
 			return w
 		}
 	}
-	if w := d.firstJob(r); w != nil || len(r.Order) > 0 {
+	if w := d.firstJobWorker(r); w != nil || len(r.Order) > 0 {
 		return w
 	}
-	keyed := d.byKey(r)
-	for i, b := range r.c.blocks {
+	keyed := d.routesByKey(r)
+	for i, b := range r.class.blocks {
 		if b.ByKey && !keyed {
 			continue
 		}
-		if b.ByKey && i > 0 && !d.crosses(r, r.c.blocks[i-1], b) {
+		if b.ByKey && i > 0 && !d.mayCrossZones(r, r.class.blocks[i-1], b) {
 			return nil
 		}
-		if w := d.walk(b, r); w != nil {
+		if w := d.firstValid(b, r); w != nil {
 			return w
 		}
-		if last := i+1 == len(r.c.blocks) || !r.c.blocks[i+1].ByKey; b.ByKey && last {
-			return nil // held for those that keep what it needs
+		if last := i+1 == len(r.class.blocks) || !r.class.blocks[i+1].ByKey; b.ByKey && last {
+			return nil // heldCount for those that keep what it needs
 		}
 	}
-	if r.c.followup == Fail {
+	if r.class.followup == Fail {
 		return nil
 	}
-	return d.walk(r.c.deflt, r)
+	return d.firstValid(r.class.defaultBlock, r)
 }
 
-// byKey tells whether a request goes to the keepers of its key. To a job that runs for longer than the usual a fetch
+// routesByKey tells whether a request goes to the keepers of its key. To a job that runs for longer than the usual a fetch
 // is little, and an even load more.
-func (d *Dispatcher) byKey(r *request) bool {
-	return r.Key > 0 && r.c.typical().Seconds() <= longRun*cmp.Or(d.usual(0), math.Inf(1))
+func (d *Dispatcher) routesByKey(r *request) bool {
+	return r.Key > 0 && r.class.typical().Seconds() <= longRunFactor*cmp.Or(d.meanTypicalRun(0), math.Inf(1))
 }
 
-// crosses tells whether a request may go on from the keepers of its own zone to those of all: where it finds the zone
+// mayCrossZones tells whether a request may go on from the keepers of its own zone to those of all: where it finds the zone
 // lost, or crossing has no price. Else a move there costs more than it brings on.
-func (d *Dispatcher) crosses(r *request, from, to *block) bool {
-	return d.s.Prices.CrossZone == 0 || !from.within(d.s.Zone) || to.within(d.s.Zone) || len(from.members) == 0 ||
-		d.zone(d.s.Zone).shunned || r.any(func(a *attempt) bool { return a.neverRan || a.broke > 0 })
+func (d *Dispatcher) mayCrossZones(r *request, from, to *block) bool {
+	return d.settings.Prices.CrossZone == 0 || !from.allInZone(d.settings.Zone) || to.allInZone(d.settings.Zone) || len(from.members) == 0 ||
+		d.zone(d.settings.Zone).avoided || r.anyAttempt(func(a *attempt) bool { return a.neverRan || a.brokeAt > 0 })
 }
 
-// walk returns the block's first valid worker in the order of its strategy.
-func (d *Dispatcher) walk(b *block, r *request) *worker {
+// firstValid returns the block's first valid worker in the order of its strategy.
+func (d *Dispatcher) firstValid(b *block, r *request) *worker {
 	n := len(b.members)
 	if n == 0 {
 		return nil
@@ -398,8 +398,8 @@
 	switch {
 	case b.ByKey:
 		start, _ = slices.BinarySearch(b.ring, hash(r.Key, 0))
-		reach = d.keepers(r)
-		crowd = min(reach, 1+(d.s.Dispatchers-1)/int(d.size(b.members[0]))) // more would overrun one
+		reach = d.keyWorkers(r)
+		crowd = min(reach, 1+(d.settings.Dispatchers-1)/int(d.size(b.members[0]))) // more would overrun one
 	case b.Strategy == Platform:
 		h := hash(cmp.Or(r.Key, uint64(r.Class)+1), 0)
 		start, step = int(h%uint64(n)), coprime(int(h>>32%uint64(n)), n)
@@ -414,57 +414,57 @@
 		if crowd--; crowd <= 0 && best != nil {
 			break
 		}
-		if 2*w.strikes <= maxStrikes && !w.zone.shunned { // no more than full
+		if 2*w.failures <= maxFailures && !w.zone.avoided { // no more than full
 			reach--
 		}
 	}
 	return best
 }
 
-// keepers is how many workers along the ring a request may go to: one, and more the more of a worker its key's jobs
+// keyWorkers is how many workers along the ring a request may go to: one, and more the more of a worker its key's jobs
 // fill. What a job needs is fetched where it lacks, which takes longer than a wait and pushes out what others need. Of a
 // key's share the request itself tells nothing: among many dispatchers, each would call its keys hot.
-func (d *Dispatcher) keepers(r *request) int {
-	share := certain(d.keys[r.Key].at(d.now, d.s.Rules.Cold)-1) / max(1, d.keyed.at(d.now, d.s.Rules.Cold))
+func (d *Dispatcher) keyWorkers(r *request) int {
+	share := aboveNoise(d.keyDemand[r.Key].at(d.now, d.settings.Rules.Cold)-1) / max(1, d.keyedDemand.at(d.now, d.settings.Rules.Cold))
 	wider := 0
-	if d.held() <= len(d.fleet)/fewHeld { // others have room: a fetch there costs nobody his place
-		wider = int(widen * float64(d.now-r.arrived) / float64(max(r.c.Aim, 1)))
+	if d.heldCount() <= len(d.fleet)/fewHeldDivisor { // others have room: a fetch there costs nobody his place
+		wider = int(widenPerAim * float64(d.now-r.arrived) / float64(max(r.class.Aim, 1)))
 	}
-	rate := cmp.Or(d.agreed(), d.keyed.N/d.s.Rules.Cold.Seconds()*float64(d.s.Dispatchers))
-	return 1 + wider + int(share*rate*cmp.Or(d.usual(0), r.c.mean())/keptSlots)
+	rate := cmp.Or(d.agreedRate(), d.keyedDemand.N/d.settings.Rules.Cold.Seconds()*float64(d.settings.Dispatchers))
+	return 1 + wider + int(share*rate*cmp.Or(d.meanTypicalRun(0), r.class.mean())/slotsPerKeyWorker)
 }
 
-// lastResort ends the default tag's hold with its pick of a random healthy worker, full as it may be. It
+// lastResortWorker ends the default tag's hold with its pick of a random healthy worker, full as it may be. It
 // acts only while nothing else waits, and room is not told: then ceilings may be wrong, else it would only add to a queue.
-func (d *Dispatcher) lastResort(r *request) *worker {
-	if d.s.ReportsFree && !d.s.TellsStart || r.c.followup == Fail || len(r.attempts) > 0 || d.held() > 1 || d.waiting > 0 {
+func (d *Dispatcher) lastResortWorker(r *request) *worker {
+	if d.settings.ReportsFree && !d.settings.TellsStart || r.class.followup == Fail || len(r.attempts) > 0 || d.heldCount() > 1 || d.waitingJobs > 0 {
 		return nil
 	}
-	return d.random(r.c.deflt, func(w *worker) bool {
+	return d.random(r.class.defaultBlock, func(w *worker) bool {
 		named := len(r.Order) == 0 || slices.Contains(r.Order, w.ID)
-		return named && w.strikes == 0 && !d.forbidden(r, w)
+		return named && w.failures == 0 && !d.forbidden(r, w)
 	})
 }
 
 // valid applies a block's invalidate rule after its precondition.
 func (d *Dispatcher) valid(r *request, w *worker, inv Invalidate) bool {
-	refused := (d.now < w.refusals[r.Class].Until || r.c.Effect == Unsafe && d.now < w.wary) && !d.outage()
-	if inv.Rule != CapacityUsed && !r.Held && d.full(w) || !w.ready() || refused || w.zone.shunned || d.openOnly && w.conns <= w.open {
+	refused := (d.now < w.refusals[r.Class].Until || r.class.Effect == Unsafe && d.now < w.unsafeBarredUntil) && !d.outage()
+	if inv.Rule != CapacityUsed && !r.Held && d.noRoom(w) || !w.ready() || refused || w.zone.avoided || d.openOnly && w.conns <= w.connsInUse {
 		return false
 	}
 	// Unreachable, but for one trial at a time, of a job that can be repeated and has not been
 	// one: where a whole zone is cut off, trials must not eat up its attempts.
-	asked := d.doubted(w) && w.probes < freshProbes // and not yet tried
-	trial := d.now >= w.retryAt && !asked && (len(r.attempts) == 0 && r.c.Effect != Unsafe || d.outage())
-	if w.strikes > 0 && !trial {
+	asked := d.unproven(w) && w.probes < firstJobProbes // and not yet tried
+	trial := d.now >= w.retryAt && !asked && (len(r.attempts) == 0 && r.class.Effect != Unsafe || d.outage())
+	if w.failures > 0 && !trial {
 		return false
 	}
-	if d.forbidden(r, w) || r.any(func(a *attempt) bool { // nor in a zone where it broke off, without life since
-		return a.w == w && (!a.over || a.erred) || a.broke > w.zone.lived && a.w.zone == w.zone && len(d.zones) > 1
+	if d.forbidden(r, w) || r.anyAttempt(func(a *attempt) bool { // nor in a zone where it broke off, without life since
+		return a.worker == w && (!a.ended || a.errored) || a.brokeAt > w.zone.lastAlive && a.worker.zone == w.zone && len(d.zones) > 1
 	}) {
 		return false
 	}
-	if w.strikes > 0 || r.Held {
+	if w.failures > 0 || r.Held {
 		return true // a trial, whatever ghosts are held against the worker, or its slots are kept for it
 	}
 	used, mem, size := d.load(w)
@@ -473,122 +473,122 @@
 		return used*100 < inv.Threshold*size
 	case MaxConcurrentInvocations:
 		ceiling := math.Floor(*d.ceiling(w))
-		if r.late && d.allTell() {
+		if r.late && d.allShareLoad() {
 			ceiling-- // a late job leaves room for one in time
-		} else if r.over {
+		} else if r.overShare {
 			return used+r.Slots <= ceiling/2 // and one over its tenant's share more of it
 		}
-		return w.own+w.ghost+r.Slots <= inv.Threshold && used+r.Slots <= max(r.Slots, ceiling)
+		return w.ownSlots+w.abandoned+r.Slots <= inv.Threshold && used+r.Slots <= max(r.Slots, ceiling)
 	}
-	return used+r.Slots <= max(size, r.Slots) && (!d.s.ReportsFree || mem+r.Memory <= max(size, r.Memory))
+	return used+r.Slots <= max(size, r.Slots) && (!d.settings.ReportsFree || mem+r.Memory <= max(size, r.Memory))
 }
 
-// doubted tells whether a worker may be a ghost, of a list that is not ours: it never showed life, and first jobs
+// unproven tells whether a worker may be a ghost, of a list that is not ours: it never showed life, and first jobs
 // at such came to nothing. It is probed, and gets trials once some probes went unanswered.
-func (d *Dispatcher) doubted(w *worker) bool {
-	return w.lived == 0 && d.served && d.s.Limits.Probes && d.fresh.Share > freshDoubt
+func (d *Dispatcher) unproven(w *worker) bool {
+	return w.lastAlive == 0 && d.sawLife && d.settings.Limits.Probes && d.firstJobs.Share > firstJobFailShare
 }
 
-// probed takes the answer. It proves a worker in doubt; it is no verdict on one whose jobs tell more.
-func (d *Dispatcher) probed(e Probed) {
+// probeEnded takes the answer. It proves a worker in doubt; it is no verdict on one whose jobs tell more.
+func (d *Dispatcher) probeEnded(e Probed) {
 	if w := d.workers[e.Worker]; w != nil {
-		d.report(w, e.Report)
-		if e.Outcome == OK && w.lived == 0 {
-			d.judge(w, 0)
-			w.lived, d.freed = d.now, true
+		d.recordReport(w, e.Report)
+		if e.Outcome == OK && w.lastAlive == 0 {
+			d.setFailures(w, 0)
+			w.lastAlive, d.mayHaveRoom = d.now, true
 		}
 	}
 }
 
-// shun draws the zones whose workers are invalid for one pick: the more often the more of the
+// drawAvoidedZones draws the zones whose workers are invalid for one pick: the more often the more of the
 // attempts there fare worse than in the best zone, by more than four prices of crossing.
-func (d *Dispatcher) shun() {
+func (d *Dispatcher) drawAvoidedZones() {
 	best := math.Inf(1)
 	for _, z := range d.zones {
-		best = min(best, z.bad.Share)
+		best = min(best, z.poorAttempts.Share)
 	}
 	for _, z := range d.zones {
-		excess := z.bad.Share - best - max(zoneMargin, 4*d.s.Prices.CrossZone)
-		z.shunned = excess > 0 && d.rng.Float64() < 2*excess
+		excess := z.poorAttempts.Share - best - max(zoneMargin, 4*d.settings.Prices.CrossZone)
+		z.avoided = excess > 0 && d.rng.Float64() < 2*excess
 	}
 }
 
 // outage tells whether no worker is trusted: then the least bad must do.
-func (d *Dispatcher) outage() bool { return d.trusted <= 0 }
+func (d *Dispatcher) outage() bool { return d.trustedWorkers <= 0 }
 
 // load is a worker's slots and memory in use, as far as known here, and its size for this dispatcher.
 func (d *Dispatcher) load(w *worker) (used, mem, size float64) {
 	used, mem = d.inUse(w)
-	size = cmp.Or(w.slots, d.kind(w.Kind).Slots) // one not heard of yet is as large as its kind
-	if size == 0 || d.s.TellsStart {
+	size = cmp.Or(w.learnedSize, d.kind(w.Kind).Slots) // one not heard of yet is as large as its kind
+	if size == 0 || d.settings.TellsStart {
 		return used, mem, math.Floor(*d.ceiling(w))
 	}
 	return used, mem, max(1, math.Floor(size*d.warmth(w)))
 }
 
-// unseen tells whether jobs of others may fill a worker unseen: no start notes, and not all tell.
-func (d *Dispatcher) unseen() bool { return !d.s.TellsStart && d.parties() > 1 }
+// hasUnseenLoad tells whether jobs of others may fill a worker unseen: no start notes, and not all tell.
+func (d *Dispatcher) hasUnseenLoad() bool { return !d.settings.TellsStart && d.peerGroups() > 1 }
 
-// closed tells whether a request may not be sent to any worker.
-func (d *Dispatcher) closed(r *request) bool {
-	return r.done || r.streaming || r.sent() >= d.s.Limits.Attempts || d.now >= r.due || // rule 1
-		r.out > 0 && !d.s.Limits.SecondCopies || r.sent() > 0 && !d.affordable() // rule 5
+// sendForbidden tells whether a request may not be sent to any worker.
+func (d *Dispatcher) sendForbidden(r *request) bool {
+	return r.done || r.streaming || r.sentAttempts() >= d.settings.Limits.Attempts || d.now >= r.deadline || // rule 1
+		r.outstanding > 0 && !d.settings.Limits.SecondCopies || r.sentAttempts() > 0 && !d.withinBudget() // rule 5
 }
 
 // forbidden is the gate of the rules on sending: every attempt passes it.
 func (d *Dispatcher) forbidden(r *request, w *worker) bool {
-	if d.closed(r) || !w.ready() || d.withheld(r, w) { // rule 3: nothing new once told that it drains or is gone, or left out by hand
+	if d.sendForbidden(r) || !w.ready() || d.blockedByReservations(r, w) { // rule 3: nothing new once told that it drains or is gone, or left out by hand
 		return true
 	}
 	for _, a := range r.attempts { // rule 2: an earlier attempt that may have run binds the next
-		if a.neverRan || r.c.Effect == Safe {
+		if a.neverRan || r.class.Effect == Safe {
 			continue
 		}
-		if r.c.Effect == Unsafe || d.now-a.sent >= r.c.Window ||
-			r.c.Scope == ScopeZone && a.w.Zone != w.Zone || r.c.Scope == ScopeCell && a.w.Cell != w.Cell {
+		if r.class.Effect == Unsafe || d.now-a.sentAt >= r.class.Window ||
+			r.class.Scope == ScopeZone && a.worker.Zone != w.Zone || r.class.Scope == ScopeCell && a.worker.Cell != w.Cell {
 			return true
 		}
 	}
-	return d.warmth(w) < 1 && (d.now < w.coldNext || !d.coldTurn(w, r)) && d.lease(r, w) == 0 // rule 4; most are not due: first, it is cheap
+	return d.warmth(w) < 1 && (d.now < w.nextColdSend || !d.coldTurn(w, r)) && d.findLease(r, w) == 0 // rule 4; most are not due: first, it is cheap
 }
 
-// affordable tells whether the budget allows one more attempt beyond a first (move, retry or copy), in any
+// withinBudget tells whether the budget allows one more attempt beyond a first (move, retry or copy), in any
 // window that ends now. Where no rule sets it, it keeps retries from becoming most of the load.
-func (d *Dispatcher) affordable() bool {
-	d.extras, d.taken = since(d.extras, d.now-d.budget.Span), since(d.taken, d.now-d.budget.Span+1)
-	return float64(len(d.extras)+1) <= d.budget.Spare+d.budget.PerRequest*float64(len(d.taken))
+func (d *Dispatcher) withinBudget() bool {
+	d.extraAttempts, d.arrivals = dropBefore(d.extraAttempts, d.now-d.budget.Span), dropBefore(d.arrivals, d.now-d.budget.Span+1)
+	return float64(len(d.extraAttempts)+1) <= d.budget.Spare+d.budget.PerRequest*float64(len(d.arrivals))
 }
 
-// coldAt is when this dispatcher's share of a cold worker's budget, from a time on, has come to so many slot
+// coldBudgetAt is when this dispatcher's share of a cold worker's budget, from a time on, has come to so many slot
 // seconds: it grows at the worker's size by its warmth.
-func (d *Dispatcher) coldAt(w *worker, from time.Duration, work float64) time.Duration {
-	rate, least := d.plan(w)*d.part(), d.s.Rules.ColdFrom
-	grows, now := (1-least)/d.s.Rules.Cold.Seconds(), d.s.Rules.warmth(from-w.Started)
-	return from + max(d.step(), time.Duration((math.Sqrt(now*now+2*grows*work/rate)-now)/grows*float64(time.Second)))
+func (d *Dispatcher) coldBudgetAt(w *worker, from time.Duration, work float64) time.Duration {
+	rate, least := d.coldBudget(w)*d.coldTurnShare(), d.settings.Rules.ColdFrom
+	grows, now := (1-least)/d.settings.Rules.Cold.Seconds(), d.settings.Rules.warmth(from-w.Started)
+	return from + max(d.sweepInterval(), time.Duration((math.Sqrt(now*now+2*grows*work/rate)-now)/grows*float64(time.Second)))
 }
 
 // coldTurn tells whether a cold worker may have a job from here: in turns from the start that the list tells, lest all
 // send when they hear of it. Unused they lapse, lest they burst. A job longer than a turn is for waits until two fit the
 // plan, and has a turn as much more seldom: among many dispatchers, no later turn of the same one makes up for it.
 func (d *Dispatcher) coldTurn(w *worker, r *request) bool {
-	place, n := d.turns()
-	half, window := d.s.Rules.Cold/2, d.s.Rules.FallWindow // by half the time to warm up each has had a turn:
-	two := d.plan(w) * d.warmth(w) * window.Seconds() / 2
-	used := min(1, float64(d.takenSince(d.now-2*window)-1)) // part of the turns: where requests are few, most lapse
-	unit := min(d.longest(), max(d.pace().Seconds(), used*d.usualUpTo(two), d.plan(w)*d.part()*half.Seconds()*d.s.Rules.warmth(half/2)))
-	if w.coldNext == 0 {
+	place, n := d.coldTurns()
+	half, window := d.settings.Rules.Cold/2, d.settings.Rules.FallWindow // by half the time to warm up each has had a turn:
+	two := d.coldBudget(w) * d.warmth(w) * window.Seconds() / 2
+	used := min(1, float64(d.arrivalsSince(d.now-2*window)-1)) // coldTurnShare of the turns: where requests are few, most lapse
+	unit := min(d.longestMeanRun(), max(d.pace().Seconds(), used*d.meanRunUpTo(two), d.coldBudget(w)*d.coldTurnShare()*half.Seconds()*d.settings.Rules.warmth(half/2)))
+	if w.nextColdSend == 0 {
 		turn := float64((hash(uint64(w.ID), uint64(w.Started))+uint64(place))%uint64(n)) + 0.5
-		w.coldNext = d.coldAt(w, w.Started, unit*turn/float64(n))
-		if w.owed {
-			w.coldNext = min(w.coldNext, w.Started+time.Duration(float64(owedWithin)*turn/float64(n)))
+		w.nextColdSend = d.coldBudgetAt(w, w.Started, unit*turn/float64(n))
+		if w.firstJobDue {
+			w.nextColdSend = min(w.nextColdSend, w.Started+time.Duration(float64(uncordonedWithin)*turn/float64(n)))
 		}
 	}
-	for d.now-w.coldNext > window && !w.owed {
-		w.coldNext = d.coldAt(w, w.coldNext, unit)
+	for d.now-w.nextColdSend > window && !w.firstJobDue {
+		w.nextColdSend = d.coldBudgetAt(w, w.nextColdSend, unit)
 	}
-	work, luck := r.Slots*r.c.wary(), uniform(hash(uint64(w.ID), uint64(w.coldNext)), uint64(place))
-	fits := work <= max(two, coldLength*unit) && (w.owed || work*used*luck <= coldLength*unit)
-	return d.now >= w.coldNext && place >= 0 && fits
+	work, luck := r.Slots*r.class.cautiousMean(), uniform(hash(uint64(w.ID), uint64(w.nextColdSend)), uint64(place))
+	fits := work <= max(two, coldJobStretch*unit) && (w.firstJobDue || work*used*luck <= coldJobStretch*unit)
+	return d.now >= w.nextColdSend && place >= 0 && fits
 }
 
 // send starts an attempt if the gate lets it.
@@ -596,453 +596,453 @@
 	if d.forbidden(r, w) {
 		return false
 	}
-	a := &attempt{w: w, sent: d.now, note: d.now, gated: r.Gated}
-	fresh := r.c.Effect == Unsafe && d.now < d.silent // on a silent connection it would be lost
-	d.connect(r, a, fresh)
-	lease := d.spend(r, w)
-	d.do(Send{Request: r.ID, Worker: w.ID, MostIdle: d.idleLimit(r.c.Effect), Fresh: fresh, Lease: lease})
-	if a.extra = r.sent() > 0; a.extra {
-		d.extras = append(d.extras, d.now)
+	a := &attempt{worker: w, sentAt: d.now, lastReport: d.now, gated: r.Gated}
+	fresh := r.class.Effect == Unsafe && d.now < d.silentUntil // active a silent connection it would be lost
+	d.predictConn(r, a, fresh)
+	lease := d.takeLease(r, w)
+	d.emit(Send{Request: r.ID, Worker: w.ID, MostIdle: d.idleLimit(r.class.Effect), Fresh: fresh, Lease: lease})
+	if a.extra = r.sentAttempts() > 0; a.extra {
+		d.extraAttempts = append(d.extraAttempts, d.now)
 	}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	w.own, w.mem = w.own+r.Slots, w.mem+r.Memory
-	d.moved, w.owed = true, false
-	if w.strikes > 0 {
-		w.retryAt = d.now + d.backoff(d.pace(), w.strikes)
+	r.outstanding++
+	w.ownSlots, w.ownMemory = w.ownSlots+r.Slots, w.ownMemory+r.Memory
+	d.loadChanged, w.firstJobDue = true, false
+	if w.failures > 0 {
+		w.retryAt = d.now + d.backoff(d.pace(), w.failures)
 	}
 	if d.warmth(w) < 1 && lease == 0 {
-		w.coldNext = d.coldAt(w, max(w.coldNext, d.now-d.s.Rules.FallWindow), r.Slots*r.c.wary())
+		w.nextColdSend = d.coldBudgetAt(w, max(w.nextColdSend, d.now-d.settings.Rules.FallWindow), r.Slots*r.class.cautiousMean())
 	}
 	return true
 }
 
-// connect foresees which connection an attempt will go out on. Idle ones may be dropped unseen: one idle for
+// predictConn foresees which connection an attempt will go out on. Idle ones may be dropped unseen: one idle for
 // an age at which sends fail is closed first, but now and then a repeatable job shows if they still do.
-func (d *Dispatcher) connect(r *request, a *attempt, fresh bool) {
-	w := a.w
-	a.idle = d.now - w.freed
-	if idle := w.conns > w.open; idle && d.s.Limits.ConnIdle > 0 && a.idle >= d.s.Limits.ConnIdle {
-		w.conns = w.open
-	} else if idle && d.dropped(a.idle, r.c.Effect) && (r.c.Effect == Unsafe || d.rng.IntN(recheck) > 0) {
-		d.do(Release{Worker: w.ID})
-		w.conns = w.open
-	}
-	w.open++
-	if a.fresh = fresh || w.open > w.conns; a.fresh {
-		w.conns, a.idle = max(w.conns, w.open), 0
+func (d *Dispatcher) predictConn(r *request, a *attempt, fresh bool) {
+	w := a.worker
+	a.connIdle = d.now - w.connFreedAt
+	if idle := w.conns > w.connsInUse; idle && d.settings.Limits.ConnIdle > 0 && a.connIdle >= d.settings.Limits.ConnIdle {
+		w.conns = w.connsInUse
+	} else if idle && d.idleSendsFail(a.connIdle, r.class.Effect) && (r.class.Effect == Unsafe || d.rng.IntN(idleRecheck) > 0) {
+		d.emit(Release{Worker: w.ID})
+		w.conns = w.connsInUse
+	}
+	w.connsInUse++
+	if a.newConn = fresh || w.connsInUse > w.conns; a.newConn {
+		w.conns, a.connIdle = max(w.conns, w.connsInUse), 0
 	}
 }
 
 // idleLimit is how long a connection that is used may have been idle. Some drop idle ones unseen, long before the time
 // in the settings: what broke halves the limit for all, it grows back, and repeatable jobs try first how far.
 func (d *Dispatcher) idleLimit(effect Effect) time.Duration {
-	grown := float64(d.mostIdle) * math.Exp2((d.now-d.idleAt).Seconds()/(idleDouble*max(d.s.Rules.FallWindow, 1).Seconds()))
+	grown := float64(d.maxIdle) * math.Exp2((d.now-d.maxIdleSetAt).Seconds()/(idleDoubleWindows*max(d.settings.Rules.FallWindow, 1).Seconds()))
 	if effect == Unsafe {
 		grown /= 2
 	}
-	return max(1, time.Duration(min(grown, float64(d.s.Limits.ConnIdle*3/5))))
+	return max(1, time.Duration(min(grown, float64(d.settings.Limits.ConnIdle*3/5))))
 }
 
-// broke takes that a kept connection broke under a request: of what is dropped unseen, not of its worker.
-func (d *Dispatcher) broke(idle time.Duration) {
-	d.mostIdle, d.idleAt = min(d.idleLimit(Safe), idle)/2, d.now
+// brokeAt takes that a kept connection broke under a request: of what is dropped unseen, not of its worker.
+func (d *Dispatcher) idleConnBroke(idle time.Duration) {
+	d.maxIdle, d.maxIdleSetAt = min(d.idleLimit(Safe), idle)/2, d.now
 }
 
-// dropped tells whether sends on connections idle for so long, or for less, fail more often than on young
+// idleSendsFail tells whether sends on connections idle for so long, or for less, fail more often than on young
 // ones (other troubles strike at any age). For an unsafe job an unknown age counts as one that fails.
-func (d *Dispatcher) dropped(idle time.Duration, effect Effect) bool {
-	k, young, most := d.ageOf(idle), d.ages[0].Share, 0.5
+func (d *Dispatcher) idleSendsFail(idle time.Duration, effect Effect) bool {
+	k, young, most := d.idleBucket(idle), d.idleFailures[0].Share, 0.5
 	if effect == Unsafe {
-		most = unsafeShare
+		most = unsafeFailShare
 	}
-	return k > 0 && effect == Unsafe && d.ages[k].N == 0 || slices.ContainsFunc(d.ages[1:k+1],
+	return k > 0 && effect == Unsafe && d.idleFailures[k].N == 0 || slices.ContainsFunc(d.idleFailures[1:k+1],
 		func(t tally) bool { return t.Share > young+(1-young)*most })
 }
 
-// answer is the gate of final answers: a refusal where it is harmless, else a failure, only once.
-func (d *Dispatcher) answer(r *request) {
+// answerFinal is the gate of final answers: a refusal where it is harmless, else a failure, only once.
+func (d *Dispatcher) answerFinal(r *request) {
 	if r.done || r.streaming {
 		return
 	}
-	if !r.any(func(a *attempt) bool { // harmless
-		again := r.c.Effect == Safe || r.c.Effect == Keyed && r.c.Scope == ScopeAll && d.now-a.sent < r.c.Window
+	if !r.anyAttempt(func(a *attempt) bool { // harmless
+		again := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll && d.now-a.sentAt < r.class.Window
 		return !a.neverRan && !again
 	}) {
 		after := time.Duration(0)
-		if d.s.Limits.RetryAfter && (r.errs > 1 || len(r.attempts) == 0) { // else another try may fare better
-			after = min(d.s.Limits.MaxRetryAfter, d.backoff(r.c.Aim, 1))
+		if d.settings.Limits.RetryAfter && (r.errors > 1 || len(r.attempts) == 0) { // else another try may fare better
+			after = min(d.settings.Limits.MaxRetryAfter, d.backoff(r.class.Aim, 1))
 		}
-		d.do(Refuse{Request: r.ID, RetryAfter: after})
+		d.emit(Refuse{Request: r.ID, RetryAfter: after})
 	} else {
-		d.do(FailRequest{Request: r.ID})
+		d.emit(FailRequest{Request: r.ID})
 	}
-	d.close(r)
+	d.closeRequest(r)
 }
 
-// close ends a request here and calls off what is still out.
-func (d *Dispatcher) close(r *request) {
+// closeRequest ends a request here and calls off what is still out.
+func (d *Dispatcher) closeRequest(r *request) {
 	r.done, r.held = true, false
 	for i, a := range r.attempts {
-		if !a.over && d.s.Limits.Cancel && !r.streaming {
-			d.do(Cancel{Request: r.ID, Attempt: i})
+		if !a.ended && d.settings.Limits.Cancel && !r.streaming {
+			d.emit(Cancel{Request: r.ID, Attempt: i})
 		}
 	}
-	if r.out == 0 {
+	if r.outstanding == 0 {
 		delete(d.requests, r.ID)
 	}
 }
 
-// grace is how long an attempt may take to start before it is taken to queue.
-func (d *Dispatcher) grace(r *request, a *attempt) time.Duration {
-	g := d.s.Granularity + time.Duration(promptShare*float64(r.c.Aim))
+// startGrace is how long an attempt may take to start before it is taken to queue.
+func (d *Dispatcher) startGrace(r *request, a *attempt) time.Duration {
+	g := d.settings.Granularity + time.Duration(promptAimShare*float64(r.class.Aim))
 	if a != nil {
-		if g += a.w.lead; a.fresh {
-			g += d.setup()
+		if g += a.worker.minStartDelay; a.newConn {
+			g += d.connSetup()
 		}
 	}
 	return g
 }
 
-// begun takes word that an attempt runs: the best sign of whether it queued.
-func (d *Dispatcher) begun(r *request, a *attempt) {
+// startedAt takes word that an attempt runs: the best sign of whether it queued.
+func (d *Dispatcher) attemptStarted(r *request, a *attempt) {
 	if a.started {
 		return
 	}
-	a.started, a.note, a.begun = true, d.now, d.now
-	w := a.w
-	w.running += r.Slots
-	if !d.s.TellsStart {
+	a.started, a.lastReport, a.startedAt = true, d.now, d.now
+	w := a.worker
+	w.runningSlots += r.Slots
+	if !d.settings.TellsStart {
 		return
 	}
 	// After a stall of our own the delay is an upper bound and no sign of queueing.
-	delay := d.now - a.sent
-	d.fared(a, delay-d.late > r.c.Aim/2)
-	d.crowded(d.now-r.attempts[0].sent-d.late > r.c.Aim)
-	prompt := delay-d.late <= d.grace(r, a)
-	if d.s.Rules.warmth(a.sent-w.Started) >= 1 { // what was late at a cold one says nothing of it warm: few would go back
-		w.late.add(!prompt, lateMemory)
-	}
-	d.sawStart(a, delay-d.late)
+	delay := d.now - a.sentAt
+	d.countForZone(a, delay-d.batchDelay > r.class.Aim/2)
+	d.adjustAdmission(d.now-r.attempts[0].sentAt-d.batchDelay > r.class.Aim)
+	prompt := delay-d.batchDelay <= d.startGrace(r, a)
+	if d.settings.Rules.warmth(a.sentAt-w.Started) >= 1 { // what was late at a cold one says nothing of it warm: few would go back
+		w.lateStarts.add(!prompt, lateStartSamples)
+	}
+	d.recordStart(a, delay-d.batchDelay)
 	if prompt {
-		if !a.fresh && (w.lead == 0 || delay < w.lead) {
-			w.lead = delay
+		if !a.newConn && (w.minStartDelay == 0 || delay < w.minStartDelay) {
+			w.minStartDelay = delay
 		}
-		if used, mem, size := d.load(w); used+r.Slots > size || d.s.ReportsFree && mem+r.Memory > size { // another such would not fit
+		if used, mem, size := d.load(w); used+r.Slots > size || d.settings.ReportsFree && mem+r.Memory > size { // another such would not fit
 			*d.ceiling(w) += ceilingStep
 		}
-	} else if !a.queued || d.allTell() { // lowered when it was seen to queue
-		d.lower(w)
+	} else if !a.queued || d.allShareLoad() { // lowered when it was seen to queue
+		d.lowerCeiling(w)
 	}
-	d.kind(w.Kind).Slots = max(d.kind(w.Kind).Slots, w.running)
-	d.alive(w)
+	d.kind(w.Kind).Slots = max(d.kind(w.Kind).Slots, w.runningSlots)
+	d.recordLife(w)
 }
 
 // ceiling is what a worker may hold. Where all dispatchers tell each other of their load it is
 // one for all workers of a kind, of all their jobs; else each worker's, of our own jobs.
 func (d *Dispatcher) ceiling(w *worker) *float64 {
-	if d.allTell() {
+	if d.allShareLoad() {
 		return &d.kind(w.Kind).Ceiling
 	}
 	return &w.ceiling
 }
 
-// allTell is whether all dispatchers hear of each other's load.
-func (d *Dispatcher) allTell() bool { return d.tells() && d.parties() == 1 }
+// allShareLoad is whether all dispatchers hear of each other's load.
+func (d *Dispatcher) allShareLoad() bool { return d.sharesLoad() && d.peerGroups() == 1 }
 
-// lower cuts a worker's ceiling to what it runs for this dispatcher; if that is nothing, below one slot, to earn back.
-func (d *Dispatcher) lower(w *worker) {
-	if d.allTell() {
+// lowerCeiling cuts a worker's ceiling to what it runs for this dispatcher; if that is nothing, below one slot, to earn back.
+func (d *Dispatcher) lowerCeiling(w *worker) {
+	if d.allShareLoad() {
 		k := d.kind(w.Kind)
-		k.Ceiling = max(firstCeiling, k.Slots, k.Ceiling-ceilingStep)
-	} else if w.running > 0 {
-		w.ceiling = min(w.ceiling, w.running)
+		k.Ceiling = max(initialCeiling, k.Slots, k.Ceiling-ceilingStep)
+	} else if w.runningSlots > 0 {
+		w.ceiling = min(w.ceiling, w.runningSlots)
 	} else {
-		w.ceiling = max(leastCeiling, min(w.ceiling, 1)/2)
+		w.ceiling = max(minCeiling, min(w.ceiling, 1)/2)
 	}
 }
 
-// strike lowers a worker's health, by silence, refusals, failed connections, resets and queueing alike.
-func (d *Dispatcher) strike(w *worker) {
-	d.lower(w)
+// recordFailure lowers a worker's health, by silence, refusals, failed connections, resets and queueing alike.
+func (d *Dispatcher) recordFailure(w *worker) {
+	d.lowerCeiling(w)
 	if d.now < w.retryAt {
 		return // one episode
 	}
-	d.judge(w, min(w.strikes+1, maxStrikes))
-	w.retryAt = d.now + d.backoff(d.pace(), w.strikes)
+	d.setFailures(w, min(w.failures+1, maxFailures))
+	w.retryAt = d.now + d.backoff(d.pace(), w.failures)
 }
 
-// judge sets a worker's strikes and keeps the count of those that are trusted.
-func (d *Dispatcher) judge(w *worker, strikes int) {
-	if listed := d.workers[w.ID] == w && w.ready(); listed && (w.strikes > 0) != (strikes > 0) {
-		if d.trusted++; strikes > 0 {
-			d.trusted -= 2
+// setFailures sets a worker's strikes and keeps the count of those that are trusted.
+func (d *Dispatcher) setFailures(w *worker, strikes int) {
+	if listed := d.workers[w.ID] == w && w.ready(); listed && (w.failures > 0) != (strikes > 0) {
+		if d.trustedWorkers++; strikes > 0 {
+			d.trustedWorkers -= 2
 		}
 	}
-	w.strikes = strikes
-	d.stale = d.stale || w.unlisted
-	d.note(&w.suspect, 2*strikes > maxStrikes, "worker %d suspected", "worker %d readmitted", w.ID)
+	w.failures = strikes
+	d.blocksStale = d.blocksStale || w.unlisted
+	d.logCondition(&w.suspect, 2*strikes > maxFailures, "worker %d suspected", "worker %d readmitted", w.ID)
 }
 
-// refused takes a worker's word that it is full: no more of that class for a while. Said at once it speaks
+// workerRefused takes a worker's word that it is full: no more of that class for a while. Said at once it speaks
 // of the whole worker, slowly perhaps of the class: guards against throttles, quotas, false refusals.
-func (d *Dispatcher) refused(r *request, a *attempt) {
-	f := &a.w.refusals[r.Class]
-	f.N = min(f.N+1, maxStrikes)
-	f.Until = d.now + d.backoff(r.c.Aim, f.N)
-	if d.now-a.sent-d.late <= d.grace(r, a) {
-		d.crowded(true)
-		d.strike(a.w)
+func (d *Dispatcher) workerRefused(r *request, a *attempt) {
+	f := &a.worker.refusals[r.Class]
+	f.N = min(f.N+1, maxFailures)
+	f.Until = d.now + d.backoff(r.class.Aim, f.N)
+	if d.now-a.sentAt-d.batchDelay <= d.startGrace(r, a) {
+		d.adjustAdmission(true)
+		d.recordFailure(a.worker)
 	}
 }
 
-// erred takes whether a job ended in an error, which bars its class there for a while where errors of the class come
+// errored takes whether a job ended in an error, which bars its class there for a while where errors of the class come
 // more often than elsewhere: not for requests that fail wherever they go, and whatever else the worker starts well.
 // What may fail but once waits, from the first error on, until jobs have fared well there again.
-func (d *Dispatcher) erred(w *worker, c int, yes bool) {
-	w.errs[c].add(yes, errMemory)
-	w.bad.add(yes, errMemory)
-	d.classes[c].errs.add(yes, 8*errMemory)
-	d.bad.add(yes, 8*errMemory)
-	if yes && w.errs[c].Share > d.classes[c].errs.Share+errMargin {
+func (d *Dispatcher) recordJobEnd(w *worker, c int, yes bool) {
+	w.classErrors[c].add(yes, errorSamples)
+	w.errors.add(yes, errorSamples)
+	d.classes[c].errors.add(yes, 8*errorSamples)
+	d.errors.add(yes, 8*errorSamples)
+	if yes && w.classErrors[c].Share > d.classes[c].errors.Share+errorMargin {
 		f := &w.refusals[c]
-		f.N = min(f.N+1, maxStrikes)
+		f.N = min(f.N+1, maxFailures)
 		f.Until = d.now + d.backoff(d.classes[c].Aim, f.N)
 	}
-	if w.bad.Share <= d.bad.Share+waryMargin {
-		w.wary = 0
+	if w.errors.Share <= d.errors.Share+unsafeErrorMargin {
+		w.unsafeBarredUntil = 0
 	} else if yes {
-		w.wary = d.now + d.longestDeadline()
+		w.unsafeBarredUntil = d.now + d.longestDeadline()
 	}
 }
 
-// alive takes a sign of life.
-func (d *Dispatcher) alive(w *worker) {
-	d.moved = d.moved || w.ghost > 0
-	w.ghost, w.lived, w.zone.lived, d.served = 0, d.now, d.now, true
-	w.retryAt, d.freed = d.now, true
-	if w.strikes > 0 {
-		d.judge(w, w.strikes/2)
+// recordLife takes a sign of life.
+func (d *Dispatcher) recordLife(w *worker) {
+	d.loadChanged = d.loadChanged || w.abandoned > 0
+	w.abandoned, w.lastAlive, w.zone.lastAlive, d.sawLife = 0, d.now, d.now, true
+	w.retryAt, d.mayHaveRoom = d.now, true
+	if w.failures > 0 {
+		d.setFailures(w, w.failures/2)
 	}
 }
 
-// ended takes an attempt's outcome.
-func (d *Dispatcher) ended(e AttemptEnded) {
-	r, a := d.attempt(e.Request, e.Attempt)
+// attemptEnded takes an attempt's outcome.
+func (d *Dispatcher) attemptEnded(e AttemptEnded) {
+	r, a := d.openAttempt(e.Request, e.Attempt)
 	if a == nil {
 		return
 	}
-	w := a.w
-	if w.lived == 0 && e.Outcome != Moot && e.Outcome != Cancelled {
-		d.fresh.add(e.Outcome != OK, freshMemory)
+	w := a.worker
+	if w.lastAlive == 0 && e.Outcome != Moot && e.Outcome != Cancelled {
+		d.firstJobs.add(e.Outcome != OK, firstJobSamples)
 	}
-	a.over, a.neverRan, a.erred = true, e.Outcome.NeverRan(), e.Outcome == Errored
-	d.report(w, e.Report) // which still counts this attempt
-	r.out--
-	w.own, w.mem = w.own-r.Slots, w.mem-r.Memory
-	d.freed, d.moved = d.freed || e.Outcome != Moot || r.done, true
+	a.ended, a.neverRan, a.errored = true, e.Outcome.NeverRan(), e.Outcome == Errored
+	d.recordReport(w, e.Report) // which still counts this attempt
+	r.outstanding--
+	w.ownSlots, w.ownMemory = w.ownSlots-r.Slots, w.ownMemory-r.Memory
+	d.mayHaveRoom, d.loadChanged = d.mayHaveRoom || e.Outcome != Moot || r.done, true
 	if a.started {
-		w.running -= r.Slots
+		w.runningSlots -= r.Slots
 	}
-	kept := e.Kept > 0 && e.Outcome == Reset && !a.started && a.note == a.sent
-	if a.idle = cmp.Or(e.Kept, a.idle); kept {
-		d.broke(e.Kept)
+	kept := e.Kept > 0 && e.Outcome == Reset && !a.started && a.lastReport == a.sentAt
+	if a.connIdle = cmp.Or(e.Kept, a.connIdle); kept {
+		d.idleConnBroke(e.Kept)
 	}
-	d.judgeConn(r, a, e.Outcome)
+	d.recordConnEnd(r, a, e.Outcome)
 	if e.Outcome != Cancelled && e.Outcome != Moot {
-		d.fared(a, e.Outcome != OK && !a.started && !kept)
+		d.countForZone(a, e.Outcome != OK && !a.started && !kept)
 	}
 	switch e.Outcome {
 	case OK:
 		w.refusals[r.Class].N /= 2
-		d.erred(w, r.Class, false)
-		d.learn(r, a)
-		d.alive(w)
+		d.recordJobEnd(w, r.Class, false)
+		d.learnRun(r, a)
+		d.recordLife(w)
 	case TimedOut, Cancelled:
 		// At a worker that is not trusted it goes on occupying its slots: a hung one must not earn room by
 		// failing. The next sign of life frees them; without a strike no trial would follow.
 		if e.Outcome == TimedOut {
-			d.strike(w)
+			d.recordFailure(w)
 		}
-		if w.strikes > 0 {
-			w.ghost += r.Slots
+		if w.failures > 0 {
+			w.abandoned += r.Slots
 		}
 	case Full:
-		d.refused(r, a)
+		d.workerRefused(r, a)
 	case Errored:
-		r.errs++
-		d.erred(w, r.Class, true)
+		r.errors++
+		d.recordJobEnd(w, r.Class, true)
 	case ConnectFailed, Reset:
 		if !kept {
-			a.broke = d.now
-			d.strike(w)
+			a.brokeAt = d.now
+			d.recordFailure(w)
 		}
 	case Moot: // never sent: it does not count, and the next waits for longer than the last
-		if i := slices.Index(d.extras, a.sent); i >= 0 && a.extra {
-			d.extras = slices.Delete(d.extras, i, i+1)
+		if i := slices.Index(d.extraAttempts, a.sentAt); i >= 0 && a.extra {
+			d.extraAttempts = slices.Delete(d.extraAttempts, i, i+1)
 		}
 		r.unsent++
-		r.retryAt = d.now + d.step()*time.Duration(min(mostPause, 1<<min(r.unsent-1, maxStrikes)))
+		r.retryAt = d.now + d.sweepInterval()*time.Duration(min(maxPauseSteps, 1<<min(r.unsent-1, maxFailures)))
 	}
 	switch {
 	case r.done:
-		if r.out == 0 {
+		if r.outstanding == 0 {
 			delete(d.requests, r.ID)
 		}
 	case e.Over:
 		r.streaming = false
-		d.close(r)
-	case r.out == 0:
-		d.again(r)
+		d.closeRequest(r)
+	case r.outstanding == 0:
+		d.retryOrAnswer(r)
 	}
 }
 
-// spent tells whether a request has no permitted attempt left: it is given up at once, not held. One
+// exhausted tells whether a request has no permitted attempt left: it is given up at once, not held. One
 // that failed at two workers fails wherever it goes, and is not to use up the budget of others.
-func (d *Dispatcher) spent(r *request) bool {
-	return r.sent() >= d.s.Limits.Attempts || r.errs > 1 || r.any(func(a *attempt) bool {
-		return !a.neverRan && (r.c.Effect == Unsafe || r.c.Effect == Keyed && d.now-a.sent >= r.c.Window)
+func (d *Dispatcher) exhausted(r *request) bool {
+	return r.sentAttempts() >= d.settings.Limits.Attempts || r.errors > 1 || r.anyAttempt(func(a *attempt) bool {
+		return !a.neverRan && (r.class.Effect == Unsafe || r.class.Effect == Keyed && d.now-a.sentAt >= r.class.Window)
 	})
 }
 
-// again holds a request whose attempts have all ended, if it may go out once more.
-func (d *Dispatcher) again(r *request) {
-	if d.spent(r) || r.sent() > 0 && !d.affordable() {
-		d.answer(r)
+// retryOrAnswer holds a request whose attempts have all ended, if it may go out once more.
+func (d *Dispatcher) retryOrAnswer(r *request) {
+	if d.exhausted(r) || r.sentAttempts() > 0 && !d.withinBudget() {
+		d.answerFinal(r)
 		return
 	}
-	d.hold(r, true)
+	d.enqueue(r, true)
 }
 
-// learn takes the run time of an attempt that was served.
-func (d *Dispatcher) learn(r *request, a *attempt) {
-	from := a.sent
-	if a.started && d.s.TellsStart {
-		from = a.begun
+// learnRun takes the run time of an attempt that was served.
+func (d *Dispatcher) learnRun(r *request, a *attempt) {
+	from := a.sentAt
+	if a.started && d.settings.TellsStart {
+		from = a.startedAt
 	}
 	run := max((d.now - from).Seconds(), 1e-4)
-	c, w := r.c, a.w
-	d.learned++
-	c.took(run)
-	if !d.s.TellsStart { // the end must say what the start would have
-		if d.crowded(false); run > c.Aim.Seconds()+c.Stretch*c.typical().Seconds() {
-			*d.ceiling(w) = max(firstCeiling, *d.ceiling(w)-ceilingStep)
-		} else if w.own+2*r.Slots > math.Floor(*d.ceiling(w)) {
-			*d.ceiling(w) += endStep
+	c, w := r.class, a.worker
+	d.learnedSinceSort++
+	c.addRun(run)
+	if !d.settings.TellsStart { // the end must say what the start would have
+		if d.adjustAdmission(false); run > c.Aim.Seconds()+c.Stretch*c.typical().Seconds() {
+			*d.ceiling(w) = max(initialCeiling, *d.ceiling(w)-ceilingStep)
+		} else if w.ownSlots+2*r.Slots > math.Floor(*d.ceiling(w)) {
+			*d.ceiling(w) += endCeilingStep
 		}
 	}
-	d.deviates(c, w, run)
+	d.addDeviation(c, w, run)
 }
 
 // sweep looks at everything that time alone changes.
 func (d *Dispatcher) sweep() {
-	if d.asked > 0 && d.now >= d.asked {
-		d.asked, d.called = 0, d.now
-		d.do(Subscribe{})
+	if d.subscribeAt > 0 && d.now >= d.subscribeAt {
+		d.subscribeAt, d.subscribedAt = 0, d.now
+		d.emit(Subscribe{})
 	}
-	if d.s.Limits.PeerMessages && d.now-d.peersAt >= d.tellEvery() {
-		d.peersAt = d.now
+	if d.settings.Limits.PeerMessages && d.now-d.peersCheckedAt >= d.peerInterval() {
+		d.peersCheckedAt = d.now
 		for _, p := range d.peers {
-			if d.now-p.heard >= 3*d.tellEvery() {
-				d.forget(p)
+			if d.now-p.lastMessage >= 3*d.peerInterval() {
+				d.forgetPeer(p)
 			}
 		}
 	}
-	n, waiting, running, jam := 0, 0, 0, d.s.TellsStart && d.s.Limits.Cancel && d.waiting > d.running
-	for _, r := range d.live {
+	n, waiting, running, jam := 0, 0, 0, d.settings.TellsStart && d.settings.Limits.Cancel && d.waitingJobs > d.runningJobs
+	for _, r := range d.liveRequests {
 		if r.done {
 			continue
 		}
 		for _, a := range r.attempts {
-			if !a.over && a.queued && !a.started {
+			if !a.ended && a.queued && !a.started {
 				waiting++
-			} else if !a.over && a.started {
+			} else if !a.ended && a.started {
 				running++
 			}
 		}
-		d.live[n] = r
+		d.liveRequests[n] = r
 		n++
-		due := d.now+max(2*d.step(), min(d.stall, r.Budget/4), r.Budget/answerMargin) >= r.due // rule 1: in time
-		if !r.streaming && (due || r.held && r.out == 0 && len(r.attempts) > 0 && d.spent(r)) {
-			d.answer(r)
+		due := d.now+max(2*d.sweepInterval(), min(d.maxBatchDelay, r.Budget/4), r.Budget/answerMarginParts) >= r.deadline // rule 1: in time
+		if !r.streaming && (due || r.held && r.outstanding == 0 && len(r.attempts) > 0 && d.exhausted(r)) {
+			d.answerFinal(r)
 			continue
 		}
-		d.watch(r)
-		waits := jam && !r.any(func(a *attempt) bool { return !a.over && (a.started || !a.queued) })
-		if !r.held && waits && !r.Patient && d.now >= r.limit+r.lasts() && r.c.LateWorth == 0 {
+		d.checkAttempts(r)
+		waits := jam && !r.anyAttempt(func(a *attempt) bool { return !a.ended && (a.started || !a.queued) })
+		if !r.held && waits && !r.Patient && d.now >= r.aimEnd+r.lateStartAllowance() && r.class.LateWorth == 0 {
 			// Queued and too late to be worth anything: guards against queues that only make late
 			// answers. What cannot be called off would run all the same, and again for the next try.
-			d.answer(r)
+			d.answerFinal(r)
 			continue
 		}
-		if r.held && d.now >= r.limit && !r.late { // once: it is not held anew at each sweep
+		if r.held && d.now >= r.aimEnd && !r.late { // once: it is not held anew at each sweep
 			r.held, r.late = false, true
-			switch w := d.lastResort(r); {
+			switch w := d.lastResortWorker(r); {
 			case w != nil && d.send(r, w):
-			case r.c.LateWorth > 0 || r.Patient:
-				d.hold(r, false)
+			case r.class.LateWorth > 0 || r.Patient:
+				d.enqueue(r, false)
 			default:
-				d.answer(r)
+				d.answerFinal(r)
 			}
 		}
 	}
-	clear(d.live[n:])
-	d.live, d.waiting, d.running = d.live[:n], waiting, running
-	d.note(&d.crowd, waiting > running, "jobs queue at the workers: late ones are called off",
+	clear(d.liveRequests[n:])
+	d.liveRequests, d.waitingJobs, d.runningJobs = d.liveRequests[:n], waiting, running
+	d.logCondition(&d.jobsQueue, waiting > running, "jobs queue at the workers: late ones are called off",
 		"jobs no longer queue at the workers")
-	d.note(&d.dark, len(d.fleet) > 0 && d.outage(), "no worker is trusted: the least bad are tried",
+	d.logCondition(&d.noneTrusted, len(d.fleet) > 0 && d.outage(), "no worker is trusted: the least bad are tried",
 		"some workers are trusted again")
 }
 
-// watch looks for attempts that queue or stand still, and moves what may be moved.
-func (d *Dispatcher) watch(r *request) {
+// checkAttempts looks for attempts that queue or stand still, and moves what may be moved.
+func (d *Dispatcher) checkAttempts(r *request) {
 	for i, a := range r.attempts {
-		if a.over || a.gated || r.streaming {
+		if a.ended || a.gated || r.streaming {
 			continue
 		}
 		// Confirmations come at once or never: then the connection has gone silent, whatever else its worker
 		// does. What can be repeated goes elsewhere; this says nothing of the worker.
-		unconfirmed := d.confirms && !a.taken && !a.started && d.now-a.sent-d.late > r.confirmWithin()+d.setup()
-		if unconfirmed && !a.fresh && a.w.lived > a.sent {
-			d.silent = d.now + d.s.Limits.ConnIdle // others of its time may be silent too
+		unconfirmed := d.confirmsAttempts && !a.accepted && !a.started && d.now-a.sentAt-d.batchDelay > r.confirmWithin()+d.connSetup()
+		if unconfirmed && !a.newConn && a.worker.lastAlive > a.sentAt {
+			d.silentUntil = d.now + d.settings.Limits.ConnIdle // others of its time may be silent too
 		}
-		if unconfirmed && !a.lost && r.c.Effect == Safe && d.s.Limits.Cancel && !d.spent(r) {
-			a.lost = true
-			d.do(Cancel{Request: r.ID, Attempt: i})
+		if unconfirmed && !a.connLost && r.class.Effect == Safe && d.settings.Limits.Cancel && !d.exhausted(r) {
+			a.connLost = true
+			d.emit(Cancel{Request: r.ID, Attempt: i})
 			continue
 		}
-		hung := d.now-a.sent-d.late > max(r.c.Aim, hungRuns*r.c.typical()+hungStarts*d.usualStart()) && a.w.lived < a.sent // no life since
-		if d.s.TellsStart && !a.started && d.now-a.sent > d.grace(r, a) {
+		hung := d.now-a.sentAt-d.batchDelay > max(r.class.Aim, unresponsiveRuns*r.class.typical()+unresponsiveStarts*d.meanStartDelay()) && a.worker.lastAlive < a.sentAt // no life since
+		if d.settings.TellsStart && !a.started && d.now-a.sentAt > d.startGrace(r, a) {
 			first := !a.queued
 			if a.queued = true; first {
-				d.sawSetup(a, 2*(d.now-a.sent)) // at least so long
+				d.recordConnSetup(a, 2*(d.now-a.sentAt)) // loggedAt least so long
 				// What a job with a key needs is fetched elsewhere; among many, who meet it seldom, its queue is others'.
-				a.stays = !d.movable(r) || r.Key > 0 && (r.c.Effect != Safe || d.s.Dispatchers <= len(d.fleet))
+				a.stays = !d.mayMove(r) || r.Key > 0 && (r.class.Effect != Safe || d.settings.Dispatchers <= len(d.fleet))
 			}
-			if full := first && !d.allTell(); hung || full && !a.stays {
-				d.strike(a.w)
+			if full := first && !d.allShareLoad(); hung || full && !a.stays {
+				d.recordFailure(a.worker)
 			} else if full {
-				d.lower(a.w) // at once: it may stand still, and would be sent more until one has run
+				d.lowerCeiling(a.worker) // loggedAt once: it may stand still, and would be sent more until one has run
 			}
 			if a.stays && !hung {
 				continue // a queue is no ill health
 			}
-			if w := d.pick(r); w != nil && d.s.Limits.Cancel && d.send(r, w) {
-				d.do(Cancel{Request: r.ID, Attempt: i})
+			if w := d.pick(r); w != nil && d.settings.Limits.Cancel && d.send(r, w) {
+				d.emit(Cancel{Request: r.ID, Attempt: i})
 			}
 			return
 		}
-		standing := d.s.Progress > 0 && (a.started || !d.s.TellsStart) && float64(d.now-a.note) > progressSlack*float64(d.s.Progress)
+		standing := d.settings.Progress > 0 && (a.started || !d.settings.TellsStart) && float64(d.now-a.lastReport) > progressSlackIntervals*float64(d.settings.Progress)
 		// It may queue behind jobs of others unseen: a copy that starts at its aim still ends in time.
-		unheard := d.unseen() && a.note == a.sent && r.c.Effect == Safe && d.now-a.sent > r.c.Aim
-		if hung && !a.queued && !d.s.TellsStart && a.w.lived == 0 {
-			d.fresh.add(true, freshMemory)
+		unheard := d.hasUnseenLoad() && a.lastReport == a.sentAt && r.class.Effect == Safe && d.now-a.sentAt > r.class.Aim
+		if hung && !a.queued && !d.settings.TellsStart && a.worker.lastAlive == 0 {
+			d.firstJobs.add(true, firstJobSamples)
 		}
 		a.queued = a.queued || hung
 		if standing || hung {
-			d.strike(a.w)
+			d.recordFailure(a.worker)
 		}
-		if (standing || unheard || hung) && r.out == 1 {
+		if (standing || unheard || hung) && r.outstanding == 1 {
 			if w := d.pick(r); w != nil {
 				d.send(r, w)
 			}
@@ -1051,39 +1051,39 @@
 	}
 }
 
-// movable tells whether one more job that queues is to be moved. Nobody tells whether its worker then drops it: where it does
+// mayMove tells whether one more job that queues is to be moved. Nobody tells whether its worker then drops it: where it does
 // not, both run and more queue. So few are, of those that late are of use or waited for where they are; else it is that or nothing.
-func (d *Dispatcher) movable(r *request) bool {
-	return d.affordable() && (r.c.LateWorth == 0 && !r.Patient || float64(len(d.extras)+1) <= moveShare*float64(len(d.taken)))
+func (d *Dispatcher) mayMove(r *request) bool {
+	return d.withinBudget() && (r.class.LateWorth == 0 && !r.Patient || float64(len(d.extraAttempts)+1) <= maxMovedShare*float64(len(d.arrivals)))
 }
 
-// tells is whether load is told at all: where starts are told, a part of the others' would say
+// sharesLoad is whether load is told at all: where starts are told, a part of the others' would say
 // less than ceilings do, and would cost more messages than there are jobs.
-func (d *Dispatcher) tells() bool {
-	return d.s.Limits.PeerMessages && d.s.Dispatchers > 1 && (!d.s.TellsStart || d.parties() == 1)
+func (d *Dispatcher) sharesLoad() bool {
+	return d.settings.Limits.PeerMessages && d.settings.Dispatchers > 1 && (!d.settings.TellsStart || d.peerGroups() == 1)
 }
 
-// tell sends the peers this dispatcher's load on each worker: what has changed, all of it now and then.
+// sendLoad sends the peers this dispatcher's load on each worker: what has changed, all of it now and then.
 // With more dispatchers than a few, only its party, which uses the same workers first.
-func (d *Dispatcher) tell() {
-	if !d.tells() {
+func (d *Dispatcher) sendLoad() {
+	if !d.sharesLoad() {
 		return
 	}
-	whole := d.toldAll == 0 || d.now-d.toldAll >= d.tellEvery()
-	if !whole && !d.moved {
+	whole := d.fullLoadSentAt == 0 || d.now-d.fullLoadSentAt >= d.peerInterval()
+	if !whole && !d.loadChanged {
 		return
 	}
-	body := d.loads(whole)
+	body := d.loadMessage(whole)
 	if !whole && len(body) == 1 {
 		return
 	}
-	if d.s.Dispatchers <= partySize {
-		d.do(TellPeers{To: Any, Body: body})
+	if d.settings.Dispatchers <= peerGroupSize {
+		d.emit(TellPeers{To: Any, Body: body})
 		return
 	}
-	for n := d.party(); n < d.s.Dispatchers; n += d.parties() {
-		if n != d.s.Dispatcher {
-			d.do(TellPeers{To: n, Body: body})
+	for n := d.peerGroup(); n < d.settings.Dispatchers; n += d.peerGroups() {
+		if n != d.settings.Dispatcher {
+			d.emit(TellPeers{To: n, Body: body})
 		}
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -15,7 +15,7 @@
 	now    time.Duration
 	slots  int
 	run    func(class int, worker uint32) time.Duration
-	busy   map[uint32][]*throngJob // at work, then queued
+	busy   map[uint32][]*throngJob // loggedAt work, then queued
 	sends  []*throngJob
 	lost   int // requests refused
 }
@@ -173,7 +173,7 @@
 	c := newThrong(t, 80, workers)
 	keys := func() (int, uint64) { return 0, 1 + uint64(c.rng.ExpFloat64()*2) }
 	c.play(10*time.Second, 60, keys)
-	c.sends = nil // of a few requests none can tell which keys are hot
+	c.sends = nil // reservableSlots a few requests none can tell which keys are hot
 	c.play(10*time.Second, 60, keys)
 	waited := 0
 	for _, k := range c.sends {
@@ -254,8 +254,8 @@
 func TestOneRequestIsNoShare(t *testing.T) {
 	c := newThrong(t, 80, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
 	for i, w := range c.worlds {
-		w.d.s.Tenants = []Tenant{{QuotaPerSecond: 80}, {QuotaPerSecond: 12}, {QuotaPerSecond: 12}}
-		w.d.tenants = make([]demand, 3)
+		w.d.settings.Tenants = []Tenant{{QuotaPerSecond: 80}, {QuotaPerSecond: 12}, {QuotaPerSecond: 12}}
+		w.d.tenantDemand = make([]demand, 3)
 		j := w.arrive(1, 25*time.Second)
 		j.Tenant, j.Key = 1, 5
 		w.handle(j.Request)
@@ -270,8 +270,8 @@
 func TestLongJobsReachWarmingWorkers(t *testing.T) {
 	workers := warmWorkers(8)
 	c := newThrong(t, 80, workers)
-	for _, w := range c.worlds { // agreed rates that a worker of five slots could just do
-		w.d.s.Tenants[0].QuotaPerSecond *= 1.6
+	for _, w := range c.worlds { // agreedRate rates that a worker of five slots could just do
+		w.d.settings.Tenants[0].QuotaPerSecond *= 1.6
 	}
 	mixed := func() (int, uint64) { return int(c.rng.Uint32() % 4 / 3), 0 }
 	c.play(40*time.Second, 20, mixed) // ten jobs each, by which their runs are known
@@ -323,7 +323,7 @@
 	w := newThrong(t, 1, workers).worlds[0]
 	w.keyed(8)
 	j := w.arrive(0, 5*time.Second)
-	j.Key, w.d.keys[7] = 7, demand{N: 100, Last: w.now} // with several keepers in either zone
+	j.Key, w.d.keyDemand[7] = 7, demand{N: 100, Last: w.now} // with several keepers in either zone
 	w.handle(j.Request)
 	w.handle(w.end(j, 0, ConnectFailed, nil))
 	if len(j.tries) != 2 || j.tries[0].w.Zone != 0 || j.tries[1].w.Zone != 1 {
@@ -340,8 +340,8 @@
 		if n == 10 || n == 15 {
 			id, run = 1, 1800*ms
 		}
-		a := &attempt{w: w.d.workers[id], sent: w.d.now - run, begun: w.d.now - run, started: true}
-		w.d.learn(&request{Request: Request{Slots: 1}, c: w.d.classes[0], arrived: a.sent}, a)
+		a := &attempt{worker: w.d.workers[id], sentAt: w.d.now - run, startedAt: w.d.now - run, started: true}
+		w.d.learnRun(&request{Request: Request{Slots: 1}, class: w.d.classes[0], arrived: a.sentAt}, a)
 	}
 	if one, two := w.d.slowness(w.d.workers[1]), w.d.slowness(w.d.workers[2]); one-two < 0.5 {
 		t.Errorf("six times slower, which counts as %.2f and %.2f in logs", one, two)
@@ -356,7 +356,7 @@
 		got := false
 		for _, w := range c.worlds {
 			for d := w.d; d.now < time.Hour+11*time.Second; d.now += 100 * ms {
-				got = got || d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, c: d.classes[1]})
+				got = got || d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, class: d.classes[1]})
 			}
 		}
 		if got != want {
--- a/decide/further_test.go
+++ b/decide/further_test.go
@@ -95,7 +95,7 @@
 				d.now += 100 * ms
 				for tenant, n := range tt.rates {
 					for range n {
-						if d.overShare(tenant) {
+						if d.exceedsShare(tenant) {
 							over[tenant] += 1 / float64(200*n)
 						}
 					}
@@ -109,7 +109,7 @@
 			}
 		})
 	}
-	if newWorld(t, site(1, true, false, false)).d.overShare(3) {
+	if newWorld(t, site(1, true, false, false)).d.exceedsShare(3) {
 		t.Error("a tenant where there are none is over its share")
 	}
 }
@@ -120,11 +120,11 @@
 	wk := w.d.workers[1]
 	wk.ceiling = 4
 	for i := range 4 {
-		r := &request{Request: Request{Slots: 1}, c: w.d.classes[0], due: w.now + time.Second, over: true}
+		r := &request{Request: Request{Slots: 1}, class: w.d.classes[0], deadline: w.now + time.Second, overShare: true}
 		if got := w.d.valid(r, wk, Invalidate{MaxConcurrentInvocations, 100}); got != (i < 2) {
 			t.Errorf("with %d at work: room %v", i, got)
 		}
-		wk.own++
+		wk.ownSlots++
 	}
 }
 
@@ -135,8 +135,8 @@
 		s := site(1, false, false, false)
 		s.Progress = 0
 		w := fleet(t, s, 1)
-		w.d.admitted, w.d.tokens = 0.5, mostTokens
-		w.d.classes[0].jobs, w.d.classes[0].logRun = 50, -3 // 50 ms is usual
+		w.d.admitted, w.d.tokens = 0.5, maxTokens
+		w.d.classes[0].jobs, w.d.classes[0].meanLogRun = 50, -3 // 50 ms is usual
 		for range 6 {
 			w.place(0)
 			w.now += run
@@ -175,10 +175,10 @@
 		}
 		w.handle(ListFull{Workers: lines})
 		for range 4 {
-			w.d.fresh.add(true, freshMemory)
+			w.d.firstJobs.add(true, firstJobSamples)
 		}
 		w.now += 500 * ms
-		w.d.stale, w.d.ordered = true, 0
+		w.d.blocksStale, w.d.sortAfter = true, 0
 		asked := map[uint32]bool{}
 		for _, a := range w.handle(Wake{}) {
 			if p, ok := a.(Probe); ok {
@@ -188,19 +188,19 @@
 		if want := 0; probes && len(asked) != 8 || !probes && len(asked) != want {
 			t.Errorf("probes allowed %v: %d were probed", probes, len(asked))
 		}
-		if trusted := w.d.workers[5].strikes == 0; trusted == probes {
+		if trusted := w.d.workers[5].failures == 0; trusted == probes {
 			t.Errorf("probes allowed %v: a newcomer is trusted %v", probes, trusted)
 		}
-		try := &request{Request: Request{Slots: 1}, c: w.d.classes[0], due: w.now + time.Minute}
-		for n := range freshProbes + 1 {
+		try := &request{Request: Request{Slots: 1}, class: w.d.classes[0], deadline: w.now + time.Minute}
+		for n := range firstJobProbes + 1 {
 			wk := w.d.workers[7]
 			wk.probes, wk.retryAt = n, w.now
-			if ok := w.d.valid(try, wk, Invalidate{MaxConcurrentInvocations, 9}); probes && ok != (n == freshProbes) {
+			if ok := w.d.valid(try, wk, Invalidate{MaxConcurrentInvocations, 9}); probes && ok != (n == firstJobProbes) {
 				t.Errorf("after %d unanswered probes a trial: %v", n, ok)
 			}
 		}
 		w.handle(Probed{Worker: 5, Outcome: OK}, Probed{Worker: 6, Outcome: TimedOut}, Probed{Worker: 99, Outcome: OK})
-		if w.d.workers[5].strikes != 0 || probes && w.d.workers[6].strikes == 0 {
+		if w.d.workers[5].failures != 0 || probes && w.d.workers[6].failures == 0 {
 			t.Error("an answered probe did not clear its worker, or a lost one did")
 		}
 	}
@@ -230,8 +230,8 @@
 		w.now += 10 * ms
 		w.handle(Wake{})
 	}
-	if w.d.workers[first].strikes == 0 || len(j.tries) != 2 || j.tries[1].w.ID == first {
-		t.Errorf("strikes %d, attempts %d", w.d.workers[first].strikes, len(j.tries))
+	if w.d.workers[first].failures == 0 || len(j.tries) != 2 || j.tries[1].w.ID == first {
+		t.Errorf("strikes %d, attempts %d", w.d.workers[first].failures, len(j.tries))
 	}
 }
 
@@ -250,13 +250,13 @@
 		cancelled := false
 		for range 40 {
 			w.now += 10 * ms
-			w.d.wakeAt = w.now
+			w.d.timerDue = w.now
 			for _, a := range w.handle(Wake{}, JobProgress{first.ID, 0, 0.5}) {
 				c, ok := a.(Cancel)
 				cancelled = cancelled || ok && c.Request == j.ID
 			}
 		}
-		if lost := w.d.requests[j.ID] != nil && w.d.requests[j.ID].attempts[0].lost; lost != (!confirmed && class == 0) || lost && !cancelled {
+		if lost := w.d.requests[j.ID] != nil && w.d.requests[j.ID].attempts[0].connLost; lost != (!confirmed && class == 0) || lost && !cancelled {
 			t.Errorf("class %d, confirmed %v: given up %v", class, confirmed, lost)
 		}
 	}
@@ -359,7 +359,7 @@
 func TestPatientJobsAreConfirmedLater(t *testing.T) {
 	for patient, within := range map[bool]time.Duration{false: 60 * ms, true: 260 * ms} { // past half of the aim of 100 ms, and five times that
 		w := fleet(t, site(1, false, false, false), 3)
-		w.d.confirms = true
+		w.d.confirmsAttempts = true
 		j := w.arrive(0, time.Second)
 		j.Patient = patient
 		w.handle(j.Request)
@@ -383,11 +383,11 @@
 	j := w.arrive(0, time.Second)
 	w.handle(j.Request)
 	r := w.d.requests[j.ID]
-	r.attempts = append(r.attempts, &attempt{w: r.attempts[0].w, sent: w.now, note: w.now})
-	r.out++
-	w.d.extras = []time.Duration{w.now} // another request's, of the same moment
+	r.attempts = append(r.attempts, &attempt{worker: r.attempts[0].worker, sentAt: w.now, lastReport: w.now})
+	r.outstanding++
+	w.d.extraAttempts = []time.Duration{w.now} // another request's, of the same moment
 	w.d.Handle(w.now, []Event{AttemptEnded{Request: j.ID, Outcome: Moot}})
-	if len(w.d.extras) != 1 {
-		t.Errorf("%d further attempts are counted, one was sent", len(w.d.extras))
+	if len(w.d.extraAttempts) != 1 {
+		t.Errorf("%d further attempts are counted, one was sent", len(w.d.extraAttempts))
 	}
 }
--- a/decide/gated_test.go
+++ b/decide/gated_test.go
@@ -21,7 +21,7 @@
 	}
 	wait(50)
 	require.Len(t, j.tries, 1, "no worker has it")
-	require.Zero(t, w.d.workers[first].strikes)
+	require.Zero(t, w.d.workers[first].failures)
 	w.handle(Passed{j.ID, 0})
 	require.Len(t, j.tries, 1, "it has only just gone out")
 	wait(50)
--- a/decide/held_test.go
+++ b/decide/held_test.go
@@ -44,7 +44,7 @@
 	for id := range d.requests {
 		d.Handle(now, []Event{JobStarted{Request: id}})
 	}
-	if got := d.held(); got < held/2 {
+	if got := d.heldCount(); got < held/2 {
 		tb.Fatalf("%d requests held of %d", got, held)
 	}
 	return d, now
@@ -57,12 +57,12 @@
 	for kind := range heldKinds {
 		for _, workers := range []int{50, 200, 800} {
 			d, now := heldFleet(t, workers, held, kind)
-			before := d.examined
+			before := d.scans
 			for range steps {
-				now += d.step()
+				now += d.sweepInterval()
 				d.Handle(now, []Event{Wake{}})
 			}
-			if mean := (d.examined - before) / steps; mean > most {
+			if mean := (d.scans - before) / steps; mean > most {
 				t.Errorf("%d requests %s, %d workers: %d looks at a worker in a batch without news, at most %d", held, kind, workers, mean, most)
 			} else {
 				t.Logf("%s, %d: %d", kind, workers, mean)
@@ -83,7 +83,7 @@
 						d, now = heldFleet(b, size[0], size[1], kind)
 						b.StartTimer()
 					}
-					now += d.step()
+					now += d.sweepInterval()
 					d.Handle(now, []Event{Wake{}})
 				}
 			})
@@ -96,16 +96,16 @@
 	for kind := range heldKinds {
 		d, now := heldFleet(t, 50, 20, kind)
 		for range 20 { // rounds without news
-			now += d.step()
+			now += d.sweepInterval()
 			d.Handle(now, []Event{Wake{}})
 		}
-		held := d.held()
+		held := d.heldCount()
 		for id, r := range d.requests {
-			if r.out == 1 {
+			if r.outstanding == 1 {
 				d.Handle(now, []Event{AttemptEnded{Request: id, Over: true}})
 			}
 		}
-		if left := d.held(); left > held/2 {
+		if left := d.heldCount(); left > held/2 {
 			t.Errorf("%d of %d requests %s are held while the workers are idle", left, held, kind)
 		}
 	}
@@ -115,8 +115,8 @@
 func TestRoundsComeWhileOthersAreLookedAt(t *testing.T) {
 	d, now := heldFleet(t, 200, 20, "with many keys")
 	rounds := d.rounds
-	for n := range 2 * mostPause {
-		now += d.step()
+	for n := range 2 * maxPauseSteps {
+		now += d.sweepInterval()
 		events := []Event{Wake{}}
 		for i := range 100 {
 			id := 10000 + 100*n + i
@@ -125,6 +125,6 @@
 		d.Handle(now, events)
 	}
 	if d.rounds < rounds+2 {
-		t.Errorf("%d rounds in %d steps", d.rounds-rounds, 2*mostPause)
+		t.Errorf("%d rounds in %d steps", d.rounds-rounds, 2*maxPauseSteps)
 	}
 }
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// keyed sends a request with a key in and returns the worker it went to, 0 for none.
+// keyedDemand sends a request with a key in and returns the worker it went to, 0 for none.
 func (w *world) keyed(key uint64) (uint32, *job) {
 	w.t.Helper()
 	j := w.arrive(0, time.Second)
@@ -80,9 +80,9 @@
 			}
 		}
 		r := w.d.requests[j.ID]
-		before := w.d.keepers(r)
-		w.d.now += r.c.Aim
-		if further := w.d.keepers(r) > before; further == many {
+		before := w.d.keyWorkers(r)
+		w.d.now += r.class.Aim
+		if further := w.d.keyWorkers(r) > before; further == many {
 			t.Errorf("many wait %v: goes further %v", many, further)
 		}
 	}
@@ -92,8 +92,8 @@
 func TestHotKeyHasMoreKeepers(t *testing.T) {
 	w := fleet(t, site(1, true, false, false), 8)
 	w.keyed(5)
-	w.d.keyed = demand{N: 400, Last: w.now}
-	w.d.keys[5] = w.d.keyed
+	w.d.keyedDemand = demand{N: 400, Last: w.now}
+	w.d.keyDemand[5] = w.d.keyedDemand
 	var at []uint32
 	for range 3 {
 		if got, _ := w.keyed(5); got != 0 && !slices.Contains(at, got) {
@@ -112,11 +112,11 @@
 		s := site(1, true, false, false)
 		w := fleet(t, s, 8)
 		first, j := w.keyed(5)
-		w.d.keys[5] = demand{N: 50, Last: w.now}
+		w.d.keyDemand[5] = demand{N: 50, Last: w.now}
 		for range 50 {
 			w.now += 10 * ms
 			if alive {
-				w.d.alive(w.d.workers[first])
+				w.d.recordLife(w.d.workers[first])
 			}
 			w.handle(Wake{})
 		}
@@ -147,10 +147,10 @@
 // and are given up after a second worker; a worker that fails what others serve is found.
 func TestErrorsAgainstTheFleets(t *testing.T) {
 	w := fleet(t, site(1, true, false, false), 6)
-	struck, before := 0, w.d.trusted
+	struck, before := 0, w.d.trustedWorkers
 	for range 300 {
 		w.now += 20 * ms
-		struck, before = struck+max(0, before-w.d.trusted), w.d.trusted
+		struck, before = struck+max(0, before-w.d.trustedWorkers), w.d.trustedWorkers
 		w.place(0)
 		for _, id := range w.order {
 			j := w.jobs[id]
@@ -186,18 +186,18 @@
 func TestErrorsOfOneClassBarIt(t *testing.T) {
 	w := fleet(t, site(1, true, false, false), 2)
 	for range 20 {
-		w.d.erred(w.d.workers[2], 0, false)
+		w.d.recordJobEnd(w.d.workers[2], 0, false)
 	}
 	bad := w.d.workers[1]
-	unsafe := &request{Request: Request{Class: 2, Slots: 1}, c: w.d.classes[2], due: w.now + time.Hour}
+	unsafe := &request{Request: Request{Class: 2, Slots: 1}, class: w.d.classes[2], deadline: w.now + time.Hour}
 	valid := func() bool { return w.d.valid(unsafe, bad, Invalidate{Rule: Overload}) }
 	w.d.now = w.now
 	if !valid() {
 		t.Fatal("an unsafe job has no room")
 	}
 	for range 3 {
-		w.d.erred(bad, 0, true)
-		w.d.alive(bad)
+		w.d.recordJobEnd(bad, 0, true)
+		w.d.recordLife(bad)
 		if valid() {
 			t.Error("an unsafe job goes where one has just failed")
 		}
@@ -210,7 +210,7 @@
 		t.Error("an unsafe job is the one to try it")
 	}
 	for range 16 {
-		w.d.erred(bad, 0, false)
+		w.d.recordJobEnd(bad, 0, false)
 	}
 	if !valid() {
 		t.Error("it is barred though others fare well there")
@@ -224,7 +224,7 @@
 		w := fleet(t, site(1, true, false, false), 8)
 		for i, run := range []time.Duration{50 * ms, 50 * ms, 400 * ms} {
 			c := w.d.classes[i]
-			c.jobs, c.run, c.logRun = 100/float64(1+i), run.Seconds(), math.Log(run.Seconds())
+			c.jobs, c.meanRun, c.meanLogRun = 100/float64(1+i), run.Seconds(), math.Log(run.Seconds())
 		}
 		w.keyed(5)
 		j := w.arrive(class, time.Second)
@@ -260,8 +260,8 @@
 			t.Errorf("price %v: %d of 20 crossed", price, crossed)
 		}
 		r := w.d.requests[last.ID]
-		w.d.zone(0).shunned = true
-		if !w.d.crosses(r, r.c.blocks[0], r.c.blocks[1]) {
+		w.d.zone(0).avoided = true
+		if !w.d.mayCrossZones(r, r.class.blocks[0], r.class.blocks[1]) {
 			t.Error("stays in a zone that is shunned")
 		}
 	}
--- a/decide/lease.go
+++ b/decide/lease.go
@@ -27,38 +27,38 @@
 }
 
 const (
-	mostLeases = 16                    // kept for one worker; further ones are not needed
-	askAgain   = 20 * time.Millisecond // between asking for two
+	maxLeasesPerWorker   = 16                    // kept for one worker; further ones are not needed
+	leaseRequestInterval = 20 * time.Millisecond // between asking for two
 )
 
-// turns is this dispatcher's turn for cold workers, and of how many.
-func (d *Dispatcher) turns() (turn, n int) {
-	if l := d.s.Leasing; l.On {
+// coldTurns is this dispatcher's turn for cold workers, and of how many.
+func (d *Dispatcher) coldTurns() (turn, n int) {
+	if l := d.settings.Leasing; l.On {
 		return l.Turn, max(1, l.Turns)
 	}
-	return d.s.Dispatcher, d.s.Dispatchers
+	return d.settings.Dispatcher, d.settings.Dispatchers
 }
 
-// part of the budget for cold workers that each turn has.
-func (d *Dispatcher) part() float64 {
-	if l := d.s.Leasing; l.On {
+// coldTurnShare of the budget for cold workers that each turn has.
+func (d *Dispatcher) coldTurnShare() float64 {
+	if l := d.settings.Leasing; l.On {
 		return l.Share / float64(max(1, l.Turns))
 	}
-	return 1 / float64(d.s.Dispatchers)
+	return 1 / float64(d.settings.Dispatchers)
 }
 
 // leaseWork is what a request counts as under a lease: what it presses with in one window.
 func (d *Dispatcher) leaseWork(r *request) float64 {
-	work := max(r.c.mean(), r.Work.Seconds())
-	if w := d.s.Rules.FallWindow.Seconds(); w > 0 {
+	work := max(r.class.mean(), r.Work.Seconds())
+	if w := d.settings.Rules.FallWindow.Seconds(); w > 0 {
 		work = min(work, w)
 	}
 	return work * r.Slots
 }
 
-// lease finds what lets a request go to a cold worker out of turn. Where there is nothing it is asked for.
-func (d *Dispatcher) lease(r *request, w *worker) (id uint64) {
-	if !d.s.Leasing.On {
+// findLease finds what lets a request go to a cold worker out of turn. Where there is nothing it is asked for.
+func (d *Dispatcher) findLease(r *request, w *worker) (id uint64) {
+	if !d.settings.Leasing.On {
 		return 0
 	}
 	work := d.leaseWork(r)
@@ -68,34 +68,34 @@
 			return l.ID
 		}
 	}
-	if d.now-w.asked >= askAgain || w.asked == 0 {
-		w.asked = d.now
-		d.do(WantLease{Worker: w.ID, Started: w.Started, Work: work})
+	if d.now-w.leaseAskedAt >= leaseRequestInterval || w.leaseAskedAt == 0 {
+		w.leaseAskedAt = d.now
+		d.emit(WantLease{Worker: w.ID, Started: w.Started, Work: work})
 	}
 	return 0
 }
 
-// untried tells whether a cold worker is to be used from here before others, whenever it may be: else, with room
+// preferWhileCold tells whether a cold worker is to be used from here before others, whenever it may be: else, with room
 // elsewhere, turns would lapse unused and it would not get warm. Where the budget is leased that is one job, which a
 // lease may be asked for, else one at a time.
-func (d *Dispatcher) untried(w *worker) bool {
-	return d.warmth(w) < 1 && (!d.s.Leasing.On || w.lived == 0)
+func (d *Dispatcher) preferWhileCold(w *worker) bool {
+	return d.warmth(w) < 1 && (!d.settings.Leasing.On || w.lastAlive == 0)
 }
 
-// spend takes the lease, if any, that a request goes to a worker by; else its turn is taken.
-func (d *Dispatcher) spend(r *request, w *worker) (id uint64) {
+// takeLease takes the lease, if any, that a request goes to a worker by; else its turn is taken.
+func (d *Dispatcher) takeLease(r *request, w *worker) (id uint64) {
 	if d.warmth(w) >= 1 || d.coldTurn(w, r) {
 		return 0
 	}
-	id = d.lease(r, w)
+	id = d.findLease(r, w)
 	w.leases = slices.DeleteFunc(w.leases, func(l Lease) bool { return l.ID == id })
 	return id
 }
 
-// leased takes a lease.
-func (d *Dispatcher) leased(l Lease) {
-	if w := d.workers[l.Worker]; w != nil && l.ID != 0 && len(w.leases) < mostLeases {
+// addLease takes a lease.
+func (d *Dispatcher) addLease(l Lease) {
+	if w := d.workers[l.Worker]; w != nil && l.ID != 0 && len(w.leases) < maxLeasesPerWorker {
 		w.leases = append(w.leases, l)
-		d.freed = true
+		d.mayHaveRoom = true
 	}
 }
--- a/decide/lease_test.go
+++ b/decide/lease_test.go
@@ -79,11 +79,11 @@
 		w.handle(ListDelta{Workers: []Worker{w.list[1]}})
 		wk := w.d.workers[1]
 		warm := s.Rules.ColdFrom
-		gap := (w.d.coldAt(wk, w.d.now, 0.01) - w.d.now).Seconds()
-		if warm += (1 - warm) * gap / s.Rules.Cold.Seconds(); gap*0.25/64*coldShare*s.Rules.FallMultiple*warm < 0.0099 {
+		gap := (w.d.coldBudgetAt(wk, w.d.now, 0.01) - w.d.now).Seconds()
+		if warm += (1 - warm) * gap / s.Rules.Cold.Seconds(); gap*0.25/64*coldBudgetShare*s.Rules.FallMultiple*warm < 0.0099 {
 			t.Errorf("10 ms of work each %v s is more than a place's part", gap)
 		}
-		if w.d.coldTurn(wk, &request{Request: Request{Slots: 1}, c: w.d.classes[0]}) && turn < 0 {
+		if w.d.coldTurn(wk, &request{Request: Request{Slots: 1}, class: w.d.classes[0]}) && turn < 0 {
 			t.Error("a dispatcher without a place has a turn")
 		}
 	}
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -43,7 +43,7 @@
 			w := newWorld(t, s)
 			w.list[1] = ready
 			w.handle(ListFull{Workers: []Worker{ready}})
-			w.d.workers[1].lived = w.now // it has served
+			w.d.workers[1].lastAlive = w.now // it has served
 			w.handle(tt.events...)
 			w.now += time.Second // past the next sort
 			if got, _ := w.place(0); (got == 1) != tt.want {
@@ -155,15 +155,15 @@
 					t.Errorf("%d dispatchers: asked for again after %v, want %v to %v", dispatchers, after, from, to)
 				}
 			}
-			for range evenTurns {
-				again(ListFailed{}, 3*time.Second, nextSpread/2, nextSpread)
+			for range evenRetries {
+				again(ListFailed{}, 3*time.Second, retrySpread/2, retrySpread)
 			}
-			again(ListFailed{}, 3*time.Second, growth*nextSpread/2, growth*nextSpread)
-			again(ListFailed{}, 3*time.Second, growth*growth*nextSpread/2, growth*growth*nextSpread)
+			again(ListFailed{}, 3*time.Second, retryGrowth*retrySpread/2, retryGrowth*retrySpread)
+			again(ListFailed{}, 3*time.Second, retryGrowth*retryGrowth*retrySpread/2, retryGrowth*retryGrowth*retrySpread)
 			for range 12 {
-				again(ListFailed{Nobody: true}, 3*time.Second, nextSpread/2, nextSpread)
+				again(ListFailed{Nobody: true}, 3*time.Second, retrySpread/2, retrySpread)
 			}
-			again(ListFailed{}, 3*time.Second, nextSpread/2, nextSpread)
+			again(ListFailed{}, 3*time.Second, retrySpread/2, retrySpread)
 			var soonest, latest time.Duration = time.Hour, 0
 			for range 20 { // watches that had no news, each long after its call: all over the spread, from its beginning on
 				after := asks(w, ListFailed{}, time.Minute)
@@ -178,7 +178,7 @@
 		asks(w, ListFailed{}, 0)
 		for range 20 { // calls that the list's clock makes, long after the last of the module's own
 			w.now += time.Minute
-			if after := asks(w, ListFailed{After: time.Second}, 0); after < nextSpread/2 {
+			if after := asks(w, ListFailed{After: time.Second}, 0); after < retrySpread/2 {
 				t.Errorf("a call that failed after a second was taken for a watch, and repeated after %v", after)
 			}
 		}
--- a/decide/memory.go
+++ b/decide/memory.go
@@ -13,7 +13,7 @@
 	Workers       []WorkerMemory
 	Classes       []ClassMemory // one for each class
 	Kinds         map[int]kindStat
-	Zones         map[int]tally // of attempts that fared badly
+	Zones         map[int]tally // reservableSlots attempts that fared badly
 	Keys          map[uint64]demand
 	Tenants       []demand
 	Requests      []RequestMemory
@@ -38,7 +38,7 @@
 	RetryAt, Lived, ColdNext, Lead time.Duration
 	Late, Bad                      tally
 	Wary                           time.Duration
-	Errs                           []tally // of each class
+	Errs                           []tally // reservableSlots each class
 	Refusals                       []refusal
 }
 
@@ -65,49 +65,49 @@
 	Ended, NeverRan, Erred, Started, Queued, Taken, Lost, Fared, New bool
 }
 
-// mostKeys is of how many keys the demand is handed over: it is learned anew within seconds.
-const mostKeys = 4096
+// maxSnapshotKeys is of how many keys the demand is handed over: it is learned anew within seconds.
+const maxSnapshotKeys = 4096
 
 // Memory is what this dispatcher knows by now.
 func (d *Dispatcher) Memory() Memory {
 	m := Memory{
-		Kinds: map[int]kindStat{}, Zones: map[int]tally{}, Keys: map[uint64]demand{}, Tenants: d.tenants, Taken: d.taken, Extras: d.extras,
-		Admitted: d.admitted, Tokens: d.tokens, Fresh: d.fresh, Bad: d.bad, MostIdle: d.mostIdle, IdleAt: d.idleAt, Silent: d.silent, Ages: d.ages,
-		Setups: d.setups, Served: d.served, Confirms: d.confirms,
+		Kinds: map[int]kindStat{}, Zones: map[int]tally{}, Keys: map[uint64]demand{}, Tenants: d.tenantDemand, Taken: d.arrivals, Extras: d.extraAttempts,
+		Admitted: d.admitted, Tokens: d.tokens, Fresh: d.firstJobs, Bad: d.errors, MostIdle: d.maxIdle, IdleAt: d.maxIdleSetAt, Silent: d.silentUntil, Ages: d.idleFailures,
+		Setups: d.connSetups, Served: d.sawLife, Confirms: d.confirmsAttempts,
 	}
 	for _, w := range d.workers {
 		l := WorkerMemory{
-			Worker: w.Worker, Ceiling: w.ceiling, Slots: w.slots, Ghost: w.ghost, Dev: w.dev, N: w.n,
-			Strikes: w.strikes, Probes: w.probes, RetryAt: w.retryAt, Lived: w.lived, ColdNext: w.coldNext, Lead: w.lead,
-			Late: w.late, Bad: w.bad, Wary: w.wary, Owed: w.owed, Errs: w.errs, Refusals: w.refusals,
+			Worker: w.Worker, Ceiling: w.ceiling, Slots: w.learnedSize, Ghost: w.abandoned, Dev: w.logDeviation, N: w.deviationWeight,
+			Strikes: w.failures, Probes: w.probes, RetryAt: w.retryAt, Lived: w.lastAlive, ColdNext: w.nextColdSend, Lead: w.minStartDelay,
+			Late: w.lateStarts, Bad: w.errors, Wary: w.unsafeBarredUntil, Owed: w.firstJobDue, Errs: w.classErrors, Refusals: w.refusals,
 		}
 		m.Workers = append(m.Workers, l)
 	}
 	for _, c := range d.classes {
-		m.Classes = append(m.Classes, ClassMemory{c.run, c.logRun, c.jobs, c.budget, c.errs})
+		m.Classes = append(m.Classes, ClassMemory{c.meanRun, c.meanLogRun, c.jobs, c.maxBudget, c.errors})
 	}
 	for id, k := range d.kinds {
 		m.Kinds[id] = *k
 	}
 	for _, z := range d.zones {
-		m.Zones[z.id] = z.bad
+		m.Zones[z.id] = z.poorAttempts
 	}
-	for k, n := range d.keys {
-		if len(m.Keys) < mostKeys {
+	for k, n := range d.keyDemand {
+		if len(m.Keys) < maxSnapshotKeys {
 			m.Keys[k] = n
 		}
 	}
-	for _, r := range d.live {
+	for _, r := range d.liveRequests {
 		if r.done {
 			continue
 		}
 		l := RequestMemory{
-			Request: r.Request, Arrived: r.arrived, Due: r.due, Limit: r.limit, Late: r.late, Over: r.over, Errs: r.errs, Unsent: r.unsent,
+			Request: r.Request, Arrived: r.arrived, Due: r.deadline, Limit: r.aimEnd, Late: r.late, Over: r.overShare, Errs: r.errors, Unsent: r.unsent,
 		}
 		for _, a := range r.attempts {
 			l.Attempts = append(l.Attempts, AttemptMemory{
-				a.w.Worker, a.sent, a.note, a.begun, a.idle,
-				a.over, a.neverRan, a.erred, a.started, a.queued, a.taken, a.lost, a.fared, a.fresh,
+				a.worker.Worker, a.sentAt, a.lastReport, a.startedAt, a.connIdle,
+				a.ended, a.neverRan, a.errored, a.started, a.queued, a.accepted, a.connLost, a.zoneCounted, a.newConn,
 			})
 		}
 		m.Requests = append(m.Requests, l)
@@ -127,12 +127,12 @@
 	return a
 }
 
-// advise takes advice: only of what is not known better by now. It never says that a worker is warm or fit.
-func (d *Dispatcher) advise(m Memory) {
+// warmStart takes advice: only of what is not known better by now. It never says that a worker is warm or fit.
+func (d *Dispatcher) warmStart(m Memory) {
 	sane := func(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 	for i, l := range m.Classes[:min(len(m.Classes), len(d.classes))] {
 		if c := d.classes[i]; c.jobs == 0 && l.Jobs > 0 && sane(l.Run) && sane(l.Jobs) && !math.IsNaN(l.LogRun) && !math.IsInf(l.LogRun, 0) {
-			c.run, c.logRun, c.jobs = l.Run, l.LogRun, min(l.Jobs, speedPrior) // soon outweighed
+			c.meanRun, c.meanLogRun, c.jobs = l.Run, l.LogRun, min(l.Jobs, speedPriorJobs) // soon outweighed
 		}
 	}
 	for id, k := range m.Kinds {
@@ -146,13 +146,13 @@
 		}
 	}
 	d.recount()
-	d.stale, d.freed, d.ordered = true, true, 0
+	d.blocksStale, d.mayHaveRoom, d.sortAfter = true, true, 0
 }
 
-// remember takes over what another process of this dispatcher knew.
-func (d *Dispatcher) remember(m Memory) {
-	d.taken, d.extras, d.admitted, d.tokens, d.fresh, d.bad = m.Taken, m.Extras, m.Admitted, m.Tokens, m.Fresh, m.Bad
-	d.silent, d.mostIdle, d.idleAt, d.ages, d.setups, d.served, d.confirms = m.Silent, m.MostIdle, m.IdleAt, m.Ages, m.Setups, m.Served, m.Confirms
+// restore takes over what another process of this dispatcher knew.
+func (d *Dispatcher) restore(m Memory) {
+	d.arrivals, d.extraAttempts, d.admitted, d.tokens, d.firstJobs, d.errors = m.Taken, m.Extras, m.Admitted, m.Tokens, m.Fresh, m.Bad
+	d.silentUntil, d.maxIdle, d.maxIdleSetAt, d.idleFailures, d.connSetups, d.sawLife, d.confirmsAttempts = m.Silent, m.MostIdle, m.IdleAt, m.Ages, m.Setups, m.Served, m.Confirms
 	for _, l := range m.Workers {
 		if d.workers[l.ID] == nil && l.State == Draining { // a later list may name it again
 			if d.upsert([]Worker{l.Worker}, false); d.workers[l.ID] != nil {
@@ -164,81 +164,81 @@
 			w.Started = l.Started
 		}
 		if w != nil && w.Started == l.Started { // else it has been started anew
-			w.ceiling, w.slots, w.ghost, w.dev, w.n, w.lead = l.Ceiling, l.Slots, l.Ghost, l.Dev, l.N, l.Lead
-			w.probes, w.retryAt, w.lived, w.coldNext, w.late = l.Probes, l.RetryAt, l.Lived, l.ColdNext, l.Late
-			w.bad, w.wary = l.Bad, l.Wary
-			copy(w.errs, l.Errs)
+			w.ceiling, w.learnedSize, w.abandoned, w.logDeviation, w.deviationWeight, w.minStartDelay = l.Ceiling, l.Slots, l.Ghost, l.Dev, l.N, l.Lead
+			w.probes, w.retryAt, w.lastAlive, w.nextColdSend, w.lateStarts = l.Probes, l.RetryAt, l.Lived, l.ColdNext, l.Late
+			w.errors, w.unsafeBarredUntil = l.Bad, l.Wary
+			copy(w.classErrors, l.Errs)
 			copy(w.refusals, l.Refusals)
 			if l.State == Draining { // for its process, whatever an older list says
 				w.State = Draining
 			}
-			w.strikes = l.Strikes
-			if w.owed = l.Owed; w.owed {
-				d.owe(w)
+			w.failures = l.Strikes
+			if w.firstJobDue = l.Owed; w.firstJobDue {
+				d.queueFirstJob(w)
 			}
 		}
 	}
 	d.recount()
 	for i, l := range m.Classes[:min(len(m.Classes), len(d.classes))] {
 		if c := d.classes[i]; l != (ClassMemory{}) { // else nothing is told of it
-			c.run, c.logRun, c.jobs, c.budget, c.errs = l.Run, l.LogRun, l.Jobs, l.Budget, l.Errs
+			c.meanRun, c.meanLogRun, c.jobs, c.maxBudget, c.errors = l.Run, l.LogRun, l.Jobs, l.Budget, l.Errs
 		}
 	}
 	for id, k := range m.Kinds {
 		*d.kind(id) = k
 	}
 	for id, bad := range m.Zones {
-		d.zone(id).bad = bad
+		d.zone(id).poorAttempts = bad
 	}
-	d.keyed = demand{Last: d.now} // against their sum keys are hot or not
+	d.keyedDemand = demand{Last: d.now} // against their sum keys are hot or not
 	for k, n := range m.Keys {
-		d.keys[k] = n
-		d.keyed.N += n.at(d.now, d.s.Rules.Cold)
+		d.keyDemand[k] = n
+		d.keyedDemand.N += n.at(d.now, d.settings.Rules.Cold)
 	}
-	copy(d.tenants, m.Tenants)
+	copy(d.tenantDemand, m.Tenants)
 	slices.SortFunc(m.Requests, func(a, b RequestMemory) int {
 		return cmp.Or(cmp.Compare(a.Arrived, b.Arrived), cmp.Compare(a.ID, b.ID))
 	})
 	for _, l := range m.Requests {
-		d.resume(l)
+		d.restoreRequest(l)
 	}
-	d.stale, d.freed, d.ordered = true, true, 0
+	d.blocksStale, d.mayHaveRoom, d.sortAfter = true, true, 0
 }
 
-// resume goes on with a request that another process of this dispatcher had in hand.
-func (d *Dispatcher) resume(l RequestMemory) {
+// restoreRequest goes on with a request that another process of this dispatcher had in hand.
+func (d *Dispatcher) restoreRequest(l RequestMemory) {
 	if l.Class < 0 || l.Class >= len(d.classes) || d.requests[l.ID] != nil {
 		return
 	}
 	r := &request{
-		Request: l.Request, c: d.classes[l.Class], arrived: l.Arrived, due: l.Due, limit: l.Limit,
-		late: l.Late, over: l.Over, errs: l.Errs, unsent: min(max(l.Unsent, 0), len(l.Attempts)),
+		Request: l.Request, class: d.classes[l.Class], arrived: l.Arrived, deadline: l.Due, aimEnd: l.Limit,
+		late: l.Late, overShare: l.Over, errors: l.Errs, unsent: min(max(l.Unsent, 0), len(l.Attempts)),
 	}
 	for _, t := range l.Attempts {
 		w := d.workers[t.Worker.ID]
 		if w == nil || w.Started != t.Worker.Started { // that process of it has gone
 			t.Worker.State = Gone
-			w = &worker{Worker: t.Worker, zone: d.zone(t.Worker.Zone), peers: &loadSum{},
-				errs: make([]tally, len(d.classes)), refusals: make([]refusal, len(d.classes))}
+			w = &worker{Worker: t.Worker, zone: d.zone(t.Worker.Zone), peerLoad: &loadSum{},
+				classErrors: make([]tally, len(d.classes)), refusals: make([]refusal, len(d.classes))}
 		}
 		a := &attempt{
-			w: w, sent: t.Sent, note: t.Note, begun: t.Begun, idle: t.Idle, over: t.Ended, neverRan: t.NeverRan,
-			erred: t.Erred, started: t.Started, queued: t.Queued, taken: t.Taken, lost: t.Lost, fared: t.Fared, fresh: t.New,
+			worker: w, sentAt: t.Sent, lastReport: t.Note, startedAt: t.Begun, connIdle: t.Idle, ended: t.Ended, neverRan: t.NeverRan,
+			errored: t.Erred, started: t.Started, queued: t.Queued, accepted: t.Taken, connLost: t.Lost, zoneCounted: t.Fared, newConn: t.New,
 		}
 		r.attempts = append(r.attempts, a)
-		if a.over {
+		if a.ended {
 			continue
 		}
-		r.out++
-		w.own, w.mem, w.open = w.own+r.Slots, w.mem+r.Memory, w.open+1
-		w.conns = w.open // none idle: the connections stayed there
+		r.outstanding++
+		w.ownSlots, w.ownMemory, w.connsInUse = w.ownSlots+r.Slots, w.ownMemory+r.Memory, w.connsInUse+1
+		w.conns = w.connsInUse // none idle: the connections stayed there
 		if a.started {
-			w.running += r.Slots
+			w.runningSlots += r.Slots
 		}
 	}
 	d.requests[r.ID] = r
-	d.live = append(d.live, r)
-	if r.out == 0 {
-		d.hold(r, false)
+	d.liveRequests = append(d.liveRequests, r)
+	if r.outstanding == 0 {
+		d.enqueue(r, false)
 	}
 }
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -57,10 +57,10 @@
 	for key := range uint64(200) {
 		w.keyed(1 + key%20)
 	}
-	r := &request{Request: Request{Key: 5, Slots: 1}, c: w.d.classes[0], arrived: w.now}
-	before := w.d.keepers(r)
+	r := &request{Request: Request{Key: 5, Slots: 1}, class: w.d.classes[0], arrived: w.now}
+	before := w.d.keyWorkers(r)
 	w.relieve()
-	if after := w.d.keepers(r); after > before+1 {
+	if after := w.d.keyWorkers(r); after > before+1 {
 		t.Errorf("%d keepers of one key, %d once another process has taken over", before, after)
 	}
 }
@@ -84,8 +84,8 @@
 	w.handle(JobStarted{sent[0].ID, 0})
 	w.relieve()
 	k := w.d.workers[1]
-	if k.own != 2 || k.running != 1 || k.ceiling != 3 || k.lived != w.now {
-		t.Errorf("own %v, running %v, ceiling %v, lived %v", k.own, k.running, k.ceiling, k.lived)
+	if k.ownSlots != 2 || k.runningSlots != 1 || k.ceiling != 3 || k.lastAlive != w.now {
+		t.Errorf("own %v, running %v, ceiling %v, lived %v", k.ownSlots, k.runningSlots, k.ceiling, k.lastAlive)
 	}
 	w.now += 10 * time.Millisecond
 	if got, _ := w.place(2); got != 1 {
--- a/decide/moves_test.go
+++ b/decide/moves_test.go
@@ -13,7 +13,7 @@
 func TestFewQueuedJobsMove(t *testing.T) {
 	moves, struck, windows := moved(t, 0.5, false)
 	require.LessOrEqual(t, struck, moves, "workers struck for a queue")
-	require.LessOrEqual(t, moves, int(moveShare*200)+1, "two in each of %d windows were too many for a fleet of hundreds", windows)
+	require.LessOrEqual(t, moves, int(maxMovedShare*200)+1, "two in each of %d windows were too many for a fleet of hundreds", windows)
 }
 
 // TestWhatIsWorthNothingLateMoves: a job whose class earns nothing late is lost if it stays in its queue, and its client asks
@@ -32,7 +32,7 @@
 	require.LessOrEqual(t, struck, moves, "workers struck for a queue")
 }
 
-// moved has 200 jobs queue at first and tells how many moved, and in how many windows of the rule on attempts.
+// loadChanged has 200 jobs queue at first and tells how many moved, and in how many windows of the rule on attempts.
 func moved(t *testing.T, lateWorth float64, patient bool) (moves, struck, windows int) {
 	s := site(1, true, false, false)
 	s.Classes[0].LateWorth = lateWorth
@@ -47,7 +47,7 @@
 		w.handle(Wake{})
 		if len(j.tries) == 2 {
 			moves++
-		} else if w.d.workers[first].strikes > 0 {
+		} else if w.d.workers[first].failures > 0 {
 			struck++
 		}
 		w.handle(JobStarted{j.ID, len(j.tries) - 1})
@@ -74,7 +74,7 @@
 		w.handle(Wake{})
 	}
 	require.Greater(t, len(j.tries), 1)
-	require.Positive(t, w.d.workers[first].strikes)
+	require.Positive(t, w.d.workers[first].failures)
 }
 
 // TestQueueOfOthersIsNoHang: among many dispatchers one has a job or two at a worker, and hears nothing of it while those of
@@ -168,7 +168,7 @@
 	for _, v := range w.d.workers {
 		v.ceiling = 6
 	}
-	w.d.extras = []time.Duration{w.now, w.now, w.now} // no more moves
+	w.d.extraAttempts = []time.Duration{w.now, w.now, w.now} // no more moves
 	sent := 0
 	for range 6 {
 		if _, j := w.place(0); len(j.tries) > 0 {
--- a/decide/order_test.go
+++ b/decide/order_test.go
@@ -44,7 +44,7 @@
 	w.handle(Cordon{Worker: 2, Out: true})
 	w.now += time.Second
 	w.handle(Cordon{Worker: 2})
-	for end := w.now + owedWithin; w.now < end; {
+	for end := w.now + uncordonedWithin; w.now < end; {
 		w.now += 20 * ms
 		j := w.arrive(0, time.Second)
 		j.Order = []uint32{3}
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -21,7 +21,7 @@
 	return w
 }
 
-// place sends one request of a class in and returns the worker it went to, 0 for none.
+// moveWorker sends one request of a class in and returns the worker it went to, 0 for none.
 func (w *world) place(class int) (uint32, *job) {
 	w.t.Helper()
 	j := w.arrive(class, time.Second)
@@ -116,7 +116,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := withPolicy(site(1, false, true, false), []Block{{Workers: only(1), Strategy: BestFirst, Invalidate: tt.inv}}, Fail)
 			w := fleet(t, s, 1)
-			w.d.workers[1].slots, w.d.workers[1].ceiling = tt.slots, 3
+			w.d.workers[1].learnedSize, w.d.workers[1].ceiling = tt.slots, 3
 			taken := 0
 			for range 6 {
 				if got, _ := w.place(0); got == 1 {
@@ -251,7 +251,7 @@
 		w.handle(Wake{}, JobStarted{j.ID, 0})
 		w.now += 8 * ms
 		w.handle(Wake{}, w.end(j, 0, OK, nil))
-		if trusted := w.d.workers[1].ceiling > firstCeiling; trusted != stalled {
+		if trusted := w.d.workers[1].ceiling > initialCeiling; trusted != stalled {
 			t.Errorf("stalled %v: ceiling raised %v", stalled, trusted)
 		}
 	}
@@ -344,7 +344,7 @@
 	w.handle(JobProgress{j.ID, 0, 0.9})
 	w.now += 20 * ms
 	w.handle(w.end(j, 0, OK, nil))
-	if run := w.d.classes[0].run; run < 0.51 || run > 0.53 {
+	if run := w.d.classes[0].meanRun; run < 0.51 || run > 0.53 {
 		t.Errorf("run time %v, want 0.52", run)
 	}
 }
@@ -449,7 +449,7 @@
 	heard := newWorld(t, site(2, false, true, true))
 	now := w.now + 20*time.Second
 	for i := range 100 {
-		w.d.workers[uint32(i+1)].own, w.d.moved = 1, true
+		w.d.workers[uint32(i+1)].ownSlots, w.d.loadChanged = 1, true
 	}
 	for range 4 {
 		for _, a := range w.d.Handle(now, nil) {
@@ -498,18 +498,18 @@
 		t.Run(tt.name, func(t *testing.T) {
 			w := fleet(t, site(1, true, false, false), 2)
 			struck, other := w.d.workers[1], w.d.workers[2]
-			w.d.judge(struck, 3)
+			w.d.setFailures(struck, 3)
 			if tt.outage {
-				w.d.judge(other, 3)
+				w.d.setFailures(other, 3)
 			}
-			r := &request{Request: Request{Class: tt.class, Slots: 1}, c: w.d.classes[tt.class], due: w.now + time.Second}
+			r := &request{Request: Request{Class: tt.class, Slots: 1}, class: w.d.classes[tt.class], deadline: w.now + time.Second}
 			for range tt.attempts {
-				r.attempts = append(r.attempts, &attempt{w: other, over: true, neverRan: true})
+				r.attempts = append(r.attempts, &attempt{worker: other, ended: true, neverRan: true})
 			}
 			if got := w.d.valid(r, struck, Invalidate{Rule: Overload}); got != tt.want {
 				t.Errorf("valid %v, want %v", got, tt.want)
 			}
-			struck.ghost = 2 // once, ghosts barred a worker from the trial that would free them
+			struck.abandoned = 2 // once, ghosts barred a worker from the trial that would free them
 			if got := w.d.valid(r, struck, Invalidate{Rule: Overload}); got != tt.want {
 				t.Errorf("valid %v with ghost slots, want %v", got, tt.want)
 			}
@@ -576,7 +576,7 @@
 	w := fleet(t, s, 1)
 	for i := range 300 {
 		w.place(i % 2)
-		if held := w.d.held(); held > s.Limits.Open {
+		if held := w.d.heldCount(); held > s.Limits.Open {
 			t.Fatalf("%d wait after %d requests", held, i+1)
 		}
 	}
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -49,7 +49,7 @@
 	if w.d.Retune(s) == nil {
 		t.Error("a class has lost its number")
 	}
-	if s.Limits.Attempts = 0; w.d.Retune(s) == nil || w.d.s.Limits.Attempts != 1 {
+	if s.Limits.Attempts = 0; w.d.Retune(s) == nil || w.d.settings.Limits.Attempts != 1 {
 		t.Error("settings that cannot be followed count")
 	}
 }
@@ -78,7 +78,7 @@
 	s.Tenants = []Tenant{{QuotaPerSecond: 500}, {QuotaPerSecond: 7}}
 	w := fleet(t, s, 3)
 	for _, c := range w.d.classes {
-		c.run, c.logRun, c.jobs = c.Aim.Seconds(), math.Log(c.Aim.Seconds()), 40
+		c.meanRun, c.meanLogRun, c.jobs = c.Aim.Seconds(), math.Log(c.Aim.Seconds()), 40
 	}
 	for _, r := range w.d.workers {
 		r.refusals[2].Until, r.refusals[3].Until = w.now+time.Minute, w.now+time.Minute
@@ -93,8 +93,8 @@
 	d := w.d
 	_, avoided := d.Fleet()
 	for name, is := range map[string][2]any{
-		"pace": {d.pace(), 200 * ms}, "longest deadline": {d.longestDeadline(), 4 * time.Second}, "longest run": {math.Round(1000 * d.longest()), 300.0},
-		"agreed rate": {d.agreed(), 7.0}, "usual run": {d.usual(0) < 0.31, true}, "mean worth": {d.worth(), 2.5}, "avoided": {avoided, 3},
+		"pace": {d.pace(), 200 * ms}, "longest deadline": {d.longestDeadline(), 4 * time.Second}, "longest run": {math.Round(1000 * d.longestMeanRun()), 300.0},
+		"agreed rate": {d.agreedRate(), 7.0}, "usual run": {d.meanTypicalRun(0) < 0.31, true}, "mean worth": {d.meanWorth(), 2.5}, "avoided": {avoided, 3},
 		"span of attempts": {d.budget.Span, 4 * time.Second},
 	} {
 		if is[0] != is[1] {
@@ -102,7 +102,7 @@
 		}
 	}
 	w.handle(Wake{})
-	if at := w.d.ordered - w.now; at != 200*ms {
+	if at := w.d.sortAfter - w.now; at != 200*ms {
 		t.Errorf("the fleet is sorted again after %v", at)
 	}
 }
@@ -113,15 +113,15 @@
 	s := site(1, true, false, false)
 	s.Classes[0].Deadline = 10 * time.Second
 	w := fleet(t, s, 1)
-	w.d.classes[0].run, w.d.classes[0].jobs = 60, 200
+	w.d.classes[0].meanRun, w.d.classes[0].jobs = 60, 200
 	w.handle(w.arrive(0, 10*time.Second).Request)
 	kept := s
 	kept.Classes = slices.Clone(s.Classes)
 	kept.Classes[0].Worth, kept.Classes[0].Effect = 77, Unsafe
-	if err := w.d.Retune(kept); err != nil || w.d.classes[0].jobs != 200 || w.d.classes[0].budget != 10*time.Second {
+	if err := w.d.Retune(kept); err != nil || w.d.classes[0].jobs != 200 || w.d.classes[0].maxBudget != 10*time.Second {
 		t.Errorf("what a job is worth says nothing of how long it runs: %v", err)
 	}
-	w.d.workers[1].refusals[0], w.d.workers[1].errs[0] = refusal{3, w.now + time.Minute}, tally{8, 1}
+	w.d.workers[1].refusals[0], w.d.workers[1].classErrors[0] = refusal{3, w.now + time.Minute}, tally{8, 1}
 	next := s
 	next.Classes = slices.Clone(s.Classes)
 	next.Classes[0].Aim, next.Classes[0].Deadline = 300*ms, 6*time.Second
@@ -129,13 +129,13 @@
 		t.Fatal(err)
 	}
 	w.s = next
-	if c := w.d.classes[0]; c.run != 0 || c.jobs != 0 || w.d.workers[1].refusals[0].N != 0 || w.d.workers[1].errs[0].Share != 0 {
+	if c := w.d.classes[0]; c.meanRun != 0 || c.jobs != 0 || w.d.workers[1].refusals[0].N != 0 || w.d.workers[1].classErrors[0].Share != 0 {
 		t.Error("what was learned of the jobs of before is kept")
 	}
 	j := w.arrive(0, 6*time.Second)
 	w.handle(j.Request)
-	if r := w.d.requests[j.ID]; r.limit != w.now+300*ms {
-		t.Errorf("its aim is over in %v", r.limit-w.now)
+	if r := w.d.requests[j.ID]; r.aimEnd != w.now+300*ms {
+		t.Errorf("its aim is over in %v", r.aimEnd-w.now)
 	}
 }
 
@@ -166,28 +166,28 @@
 	w := newWorld(t, s)
 	w.list[1] = Worker{ID: 1, State: Ready, Started: w.now - time.Second}
 	w.handle(ListFull{Workers: []Worker{w.list[1]}})
-	w.d.workers[1].coldNext = w.now + time.Minute
-	w.d.ages[4], w.d.setups, w.d.stall = tally{6, 1}, [4]time.Duration{time.Second, time.Second, time.Second, time.Second}, time.Minute
+	w.d.workers[1].nextColdSend = w.now + time.Minute
+	w.d.idleFailures[4], w.d.connSetups, w.d.maxBatchDelay = tally{6, 1}, [4]time.Duration{time.Second, time.Second, time.Second, time.Second}, time.Minute
 	same := s
 	same.Prices.Waste = 0.5
-	if err := w.d.Retune(same); err != nil || w.d.workers[1].coldNext == 0 || w.d.ages[4].N == 0 {
+	if err := w.d.Retune(same); err != nil || w.d.workers[1].nextColdSend == 0 || w.d.idleFailures[4].N == 0 {
 		t.Errorf("a price says nothing of these: %v", err)
 	}
-	w.d.order[0], w.d.order[3] = w.d.order[3], w.d.order[0]
+	w.d.queueOrder[0], w.d.queueOrder[3] = w.d.queueOrder[3], w.d.queueOrder[0]
 	next := s
 	next.Dispatchers, next.Limits.ConnIdle, next.Limits.ConnectTimeout, next.Rules.FallWindow = 1, 4*time.Second, 50*ms, 500*ms
 	if err := w.d.Retune(next); err != nil {
 		t.Fatal(err)
 	}
-	if d := w.d; d.workers[1].coldNext != 0 || d.ages[4].N != 0 || d.setup() != 50*ms || d.stall != 500*ms || !slices.IsSorted(d.order) {
-		t.Errorf("turn %v, ages %v, setup %v, stall %v", d.workers[1].coldNext, d.ages, d.setup(), d.stall)
+	if d := w.d; d.workers[1].nextColdSend != 0 || d.idleFailures[4].N != 0 || d.connSetup() != 50*ms || d.maxBatchDelay != 500*ms || !slices.IsSorted(d.queueOrder) {
+		t.Errorf("turn %v, ages %v, setup %v, stall %v", d.workers[1].nextColdSend, d.idleFailures, d.connSetup(), d.maxBatchDelay)
 	}
 	warm := next
 	warm.Rules.Cold = 0
-	if err := w.d.Retune(warm); err != nil || len(w.d.owed) != 0 {
-		t.Errorf("%d are owed a job where none is cold: %v", len(w.d.owed), err)
+	if err := w.d.Retune(warm); err != nil || len(w.d.firstJobQueue) != 0 {
+		t.Errorf("%d are owed a job where none is cold: %v", len(w.d.firstJobQueue), err)
 	}
-	if err := w.d.Retune(next); err != nil || len(w.d.owed) != 1 {
-		t.Errorf("%d are owed a job: %v", len(w.d.owed), err)
+	if err := w.d.Retune(next); err != nil || len(w.d.firstJobQueue) != 1 {
+		t.Errorf("%d are owed a job: %v", len(w.d.firstJobQueue), err)
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// sent is how many attempts of a job went out, or may have.
+// sentAttempts is how many attempts of a job went out, or may have.
 func (j *job) sent() (n int) {
 	for _, tr := range j.tries {
 		if !tr.moot {
@@ -334,8 +334,8 @@
 		}
 	}
 	for _, wk := range w.d.fleet {
-		if wk.own != 0 || wk.running != 0 {
-			t.Errorf("worker %d keeps %v slots and %v running", wk.ID, wk.own, wk.running)
+		if wk.ownSlots != 0 || wk.runningSlots != 0 {
+			t.Errorf("worker %d keeps %v slots and %v running", wk.ID, wk.ownSlots, wk.runningSlots)
 		}
 	}
 }
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// crowd is a site with so many dispatchers that one meets a worker seldom.
+// jobsQueue is a site with so many dispatchers that one meets a worker seldom.
 func crowd(starts, reports, peers bool) Settings {
 	s := site(1, starts, reports, peers)
 	s.Dispatchers = 100
@@ -18,13 +18,13 @@
 	for _, active := range []float64{4, 1} {
 		w := fleet(t, crowd(false, true, true), 2)
 		for _, wk := range w.d.workers {
-			wk.slots = 4
+			wk.learnedSize = 4
 		}
 		first, j := w.place(0)
 		w.now += 100 * ms
 		w.handle(w.end(j, 0, OK, &Report{Active: active, FreeSlots: 0, FreeMemory: -1}))
 		at := w.d.workers[first]
-		at.own = 1 // and another job of ours
+		at.ownSlots = 1 // and another job of ours
 		if got, _ := w.place(0); (got == first) != (active == 1) {
 			t.Errorf("with %v reported held, the next job went to %d, the first to %d", active, got, first)
 		}
@@ -45,16 +45,16 @@
 			told[m.To] = m.Body
 		}
 	}
-	if len(told) == 0 || len(told) > partySize {
+	if len(told) == 0 || len(told) > peerGroupSize {
 		t.Fatalf("told %d peers", len(told))
 	}
 	for n, body := range told {
 		peer := fleet(t, s, 2)
-		if n%w.d.parties() != w.d.party() || n == s.Dispatcher {
+		if n%w.d.peerGroups() != w.d.peerGroup() || n == s.Dispatcher {
 			t.Errorf("told dispatcher %d", n)
 		}
 		peer.handle(PeerSaid{Peer: 3, Body: body})
-		if got := peer.d.workers[j.tries[0].w.ID].foreign; got != 3 {
+		if got := peer.d.workers[j.tries[0].w.ID].foreignSlots; got != 3 {
 			t.Errorf("the peer takes others to hold %v, want 3", got)
 		}
 	}
@@ -103,10 +103,10 @@
 			w.d.now += 50 * ms
 		}
 		r := w.d.requests[j.ID]
-		w.d.refused(r, r.attempts[0])
-		same := &request{Request: Request{Class: 0, Slots: 1}, c: w.d.classes[0], due: w.now + time.Second}
-		other := &request{Request: Request{Class: 2, Slots: 1}, c: w.d.classes[2], due: w.now + time.Second}
-		w.d.workers[1].ceiling, w.d.trusted = 5, max(w.d.trusted, 1)
+		w.d.workerRefused(r, r.attempts[0])
+		same := &request{Request: Request{Class: 0, Slots: 1}, class: w.d.classes[0], deadline: w.now + time.Second}
+		other := &request{Request: Request{Class: 2, Slots: 1}, class: w.d.classes[2], deadline: w.now + time.Second}
+		w.d.workers[1].ceiling, w.d.trustedWorkers = 5, max(w.d.trustedWorkers, 1)
 		if w.d.valid(same, w.d.workers[1], Invalidate{Rule: Overload}) {
 			t.Errorf("slow %v: valid for the class that was refused", slow)
 		}
@@ -124,7 +124,7 @@
 // most: among many no two meet at one dispatcher, and as much of it was held back as of the rest.
 func TestAdmission(t *testing.T) {
 	for i, late := range []bool{true, false, true} {
-		class := 2 * (i / 2) // worth 5, 9 and 10
+		class := 2 * (i / 2) // meanWorth 5, 9 and 10
 		w := fleet(t, crowd(true, false, false), 100)
 		sent := 0
 		for i := range 120 {
@@ -133,14 +133,14 @@
 			if at == 0 {
 				continue
 			}
-			w.d.crowded(late)
+			w.d.adjustAdmission(late)
 			if i >= 60 {
 				sent++
 			}
 			w.handle(JobStarted{j.ID, 0}, w.end(j, 0, OK, nil))
 			w.d.admitted = min(w.d.admitted, 1)
 			if late {
-				w.d.crowded(late)
+				w.d.adjustAdmission(late)
 			}
 		}
 		if (sent < 60) != (late && class == 0) {
@@ -160,7 +160,7 @@
 	}
 	s.Policies = nil
 	w := fleet(t, s, 100)
-	w.d.admitted, w.d.tokens = leastAdmitted, 0
+	w.d.admitted, w.d.tokens = minAdmitted, 0
 	if at, _ := w.place(3); at != 0 {
 		t.Error("sent without a token")
 	}
@@ -173,9 +173,9 @@
 		s := site(1, true, false, false)
 		s.Classes[0].LateWorth = 0 // else it stays: few of those move
 		w := fleet(t, s, 2)
-		for i := range w.d.setups {
+		for i := range w.d.connSetups {
 			if slow {
-				w.d.setups[i] = 80 * ms
+				w.d.connSetups[i] = 80 * ms
 			}
 		}
 		_, j := w.place(0)
@@ -226,14 +226,14 @@
 			w.now += ms
 			if late && at == first {
 				w.now += 50 * ms // and no timer in between
-				w.d.wakeAt = w.now
+				w.d.timerDue = w.now
 			}
 			w.handle(JobStarted{j.ID, 0})
 			w.now += 100 * ms
-			w.d.wakeAt = w.now
+			w.d.timerDue = w.now
 			w.handle(w.end(j, 0, OK, nil))
 		}
-		w.d.ordered = 0
+		w.d.sortAfter = 0
 		w.handle()
 		if left := w.d.classes[0].blocks[2].members[0].ID != first; left != late {
 			t.Errorf("late %v: the head was left %v", late, left)
