--- a/decide/estimate.go
+++ b/decide/estimate.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Estimators: what the events so far tell of classes, workers, zones and connections. They choose nothing.
+// Estimators of classes, workers, zones and connections, updated by events. They make no decisions.
 
 // tally is the share of bad events among the last few.
 type tally struct{ N, Share float64 }
 
+// add counts an event; memory is the number of events that the share is taken over.
 func (t *tally) add(bad bool, memory float64) {
 	t.N = min(t.N+1, memory)
 	t.Share -= t.Share / t.N
@@ -19,25 +20,27 @@
 	}
 }
 
-// demand is how often a key or a tenant was asked for lately, fading.
+// demand is an exponentially decaying count of requests, of one key or tenant.
 type demand struct {
 	N    float64
 	Last time.Duration
 }
 
+// at returns the count at a time; it decays by a factor of e within memory.
 func (k demand) at(now, memory time.Duration) float64 {
 	return k.N * math.Exp(-(now-k.Last).Seconds()/max(memory.Seconds(), 1))
 }
 
+// increment counts one more request.
 func (k *demand) increment(now, memory time.Duration) { k.N, k.Last = 1+k.at(now, memory), now }
 
-// aboveNoise is the part of a count that is beyond what chance alone brings.
+// aboveNoise returns the part of a count that exceeds its statistical noise, taken as its square root.
 func aboveNoise(n float64) float64 { return max(0, n-math.Sqrt(max(0, n))) }
 
-// average is a mean that follows the last few values.
+// average is a moving mean over the last averageSamples values.
 type average struct{ mean, n float64 }
 
-// averageSamples is how many of them.
+// averageSamples bounds the weight of the values seen before.
 const averageSamples = 16.0
 
 func (a *average) add(value float64) {
@@ -45,11 +48,13 @@
 	a.mean += (value - a.mean) / a.n
 }
 
-// kindStat is what is known of a kind of worker: run times against the mean, size, and the common ceiling.
+// kindStat is what was learned of a kind of worker: the deviation of its log run times and their weight, its
+// size, and the ceiling that its workers share.
 type kindStat struct{ Dev, N, Slots, Ceiling float64 }
 
-// countForZone takes whether an attempt was started promptly, for its zone. One dispatcher meets a
-// worker too seldom to learn of it; what strikes a zone (loss, cut, shifted traffic) it can tell.
+// countForZone counts, for its worker's zone, whether an attempt fared badly: it failed or was started late.
+// One dispatcher has too few attempts at a worker to judge it by them, but enough in a zone to see what
+// concerns the whole zone (packet loss, a partition, shifted traffic).
 func (d *Dispatcher) countForZone(a *attempt, badly bool) {
 	if a.zoneCounted {
 		return
@@ -57,45 +62,46 @@
 	a.zoneCounted = true
 	for _, z := range d.zones {
 		if z != a.worker.zone {
-			z.poorAttempts.Share *= 1 - 1/(4*zoneSamples) // what was bad is tried again
+			z.poorAttempts.Share *= 1 - 1/(4*zoneSamples) // so that a zone that was bad is tried again
 		}
 	}
 	a.worker.zone.poorAttempts.add(badly, zoneSamples)
 }
 
-// recordConnEnd takes what the end of an attempt says of the connection that it went out on.
+// recordConnEnd records what an attempt's outcome tells about the connection that it was sent on.
 func (d *Dispatcher) recordConnEnd(r *request, a *attempt, o Outcome) {
 	w := a.worker
 	w.connsInUse--
-	silent := !a.started && a.lastReport == a.sentAt
-	bad := silent && (o == Reset || o == TimedOut || o == Cancelled && d.now-a.sentAt > r.class.Aim) // not just moved
+	unanswered := !a.started && a.lastReport == a.sentAt
+	bad := unanswered && (o == Reset || o == TimedOut || o == Cancelled && d.now-a.sentAt > r.class.Aim) // an early cancellation only means that the job was moved
 	if bad || o == ConnectFailed || o == Cancelled {
 		w.conns = max(w.connsInUse, w.conns-1)
 	} else {
 		w.connFreedAt = d.now
 	}
-	if (!silent || bad || o == OK) && o != ConnectFailed && o != Moot {
+	if (!unanswered || bad || o == OK) && o != ConnectFailed && o != Moot {
 		d.idleFailures[d.idleBucket(a.connIdle)].add(bad, idleAgeSamples)
 	}
 }
 
-// recordReport takes a worker's own figures: its size while it has room, where it tells what it holds besides.
-func (d *Dispatcher) recordReport(w *worker, p *Report) {
-	if p != nil && p.Active >= 0 && d.hasUnseenLoad() {
+// recordReport records a worker's load report: its size while it has free slots, and the load from elsewhere
+// where jobs of others may go unseen.
+func (d *Dispatcher) recordReport(w *worker, report *Report) {
+	if report != nil && report.Active >= 0 && d.hasUnseenLoad() {
 		w.foreignSlots, w.foreignAt, w.foreignUnsent = 0, d.now, true
 		used, _, _ := d.load(w)
-		w.foreignSlots = max(0, p.Active-used)
+		w.foreignSlots = max(0, report.Active-used)
 	}
-	// With little memory free, what it holds may be waiting for memory beside a free slot.
-	if p == nil || p.Active < 0 || p.FreeSlots <= 0 || p.FreeMemory >= 0 && p.FreeMemory < 1 {
+	// With little memory free, some active jobs may be waiting for memory while slots are free.
+	if report == nil || report.Active < 0 || report.FreeSlots <= 0 || report.FreeMemory >= 0 && report.FreeMemory < 1 {
 		return
 	}
-	w.learnedSize = math.Round(p.FreeSlots + p.Active)
+	w.learnedSize = math.Round(report.FreeSlots + report.Active)
 	d.kind(w.Kind).Slots = max(d.kind(w.Kind).Slots, w.learnedSize)
 }
 
-// idleBucket is the place of an idle time among the tallies: under a 64th of what connections live,
-// then by doublings.
+// idleBucket returns the index in idleFailures for an idle time: up to 1/64 of the connections' lifetime, then
+// by doublings.
 func (d *Dispatcher) idleBucket(idle time.Duration) int {
 	n := 0
 	for t := d.settings.Limits.ConnIdle / 64; idle > t && n < len(d.idleFailures)-1; t *= 2 {
@@ -104,13 +110,14 @@
 	return n
 }
 
-// addRun takes a run of so many seconds into the class's mean.
+// addRun adds a run, in seconds, to the class's mean.
 func (c *class) addRun(run float64) {
 	c.jobs = min(c.jobs+1, 4*speedSamples)
 	c.meanRun += (run - c.meanRun) / c.jobs
 }
 
-// addDeviation takes a run into the class's mean log, and how far it was from that into its worker's speed and the kind's.
+// addDeviation adds a run to the class's mean log run, and its deviation from that to the speed of the worker
+// and of its kind.
 func (d *Dispatcher) addDeviation(c *class, w *worker, run float64) {
 	c.meanLogRun += (math.Log(run) - c.meanLogRun) / c.jobs
 	dev, k := math.Log(run)-c.meanLogRun, d.kind(w.Kind)
@@ -118,68 +125,73 @@
 	k.Dev, k.N = k.Dev*(1-1/speedSamples)+dev, k.N*(1-1/speedSamples)+1
 }
 
-// typical is the geometric mean of the class's run time, its aim until known.
+// typical returns the geometric mean of the class's run times, its aim while none is known.
 func (c *class) typical() time.Duration {
 	if c.jobs == 0 {
 		return c.Aim
 	}
-	if c.typicalRun == 0 || c.typicalOf != c.meanLogRun { // subscribeAt for each request and worker
+	if c.typicalRun == 0 || c.typicalOf != c.meanLogRun { // cached: it is called for each request and worker
 		c.typicalRun, c.typicalOf = time.Duration(math.Exp(c.meanLogRun)*float64(time.Second)), c.meanLogRun
 	}
 	return c.typicalRun
 }
 
-// mean is the class's mean run in seconds, while unknown its aim.
+// mean returns the class's mean run in seconds, its aim while none is known.
 func (c *class) mean() float64 { return max(c.meanRun, c.typical().Seconds(), 1e-3) }
 
-// cautiousMean is the class's mean run in seconds as far as a rule depends on it: one that was short may not outweigh the aim.
+// cautiousMean returns the class's mean run in seconds, for use in rules: while few runs are known, a mean
+// below the aim is weighted with the aim.
 func (c *class) cautiousMean() float64 {
 	return max(c.mean(), (speedPriorJobs*c.Aim.Seconds()+c.jobs*c.mean())/(speedPriorJobs+c.jobs))
 }
 
-// slowness is a worker's log run time against the mean, its kind's where little is known.
+// slowness returns the deviation of a worker's log run time from the mean, that of its kind while little is
+// known of the worker.
 func (d *Dispatcher) slowness(w *worker) float64 {
 	k := d.kind(w.Kind)
 	prior := min(speedPriorJobs, speedPriorPerWorker*float64(len(d.fleet))/float64(d.settings.Dispatchers))
 	return (w.logDeviation + prior*k.Dev/(k.N+prior)) / max(w.deviationWeight+prior, 1e-9)
 }
 
-// arrivalsSince is how many requests came from a time on, of those that are remembered. It is asked for each pick at a cold worker.
+// arrivalsSince returns how many of the recorded requests arrived since a time. A binary search, since it runs
+// for each pick at a cold worker.
 func (d *Dispatcher) arrivalsSince(from time.Duration) int {
 	i, _ := slices.BinarySearch(d.arrivals, from)
 	return len(d.arrivals) - i
 }
 
-// kindSlowness is the log run time of a worker's kind against the mean. One of several that is not known may be slow.
+// kindSlowness returns the deviation of the log run time of a worker's kind from the mean. Where there are
+// several kinds, a kind that little is known of is assumed to be slow.
 func (d *Dispatcher) kindSlowness(w *worker) float64 {
-	k, doubt := d.kind(w.Kind), 0.0
+	k, prior := d.kind(w.Kind), 0.0
 	if d.severalKinds {
-		doubt = unknownKindSlowness * sizePriorJobs
+		prior = unknownKindSlowness * sizePriorJobs
 	}
-	return (k.Dev + doubt) / (k.N + sizePriorJobs)
+	return (k.Dev + prior) / (k.N + sizePriorJobs)
 }
 
-// longestMeanRun is the mean run of the class that runs longest, in seconds.
+// longestMeanRun returns the mean run, in seconds, of the class with the longest one.
 func (d *Dispatcher) longestMeanRun() float64 {
-	most := 0.0
+	longest := 0.0
 	for _, c := range d.activeClasses {
-		most = max(most, c.mean())
+		longest = max(longest, c.mean())
 	}
-	return most
+	return longest
 }
 
-// recordStart takes how long after its sending an attempt was started.
+// recordStart records the delay from an attempt's sending to its start.
 func (d *Dispatcher) recordStart(a *attempt, delay time.Duration) {
 	d.learnedSinceSort++
 	d.startDelays.add(delay.Seconds())
 	d.recordConnSetup(a, delay)
 }
 
-// meanStartDelay is how long after its sending an attempt is started lately, wherever it went.
+// meanStartDelay returns the recent mean delay from sending to start, over all workers.
 func (d *Dispatcher) meanStartDelay() time.Duration {
 	return time.Duration(d.startDelays.mean * float64(time.Second))
 }
 
+// recordConnSetup records the delay that an attempt on a new connection had beyond its worker's least.
 func (d *Dispatcher) recordConnSetup(a *attempt, delay time.Duration) {
 	if a.newConn {
 		copy(d.connSetups[1:], d.connSetups[:])
@@ -187,7 +199,7 @@
 	}
 }
 
-// agreedRate is how many requests a second the tenants have agreed, at all dispatchers together.
+// agreedRate returns the requests per second that the tenants have agreed, over all dispatchers.
 func (d *Dispatcher) agreedRate() (rate float64) {
 	for _, t := range d.settings.Tenants {
 		if !t.Left {
@@ -197,17 +209,17 @@
 	return rate
 }
 
-// meanTypicalRun is the run of a job of whatever class, in seconds: the mean of what is typical of each, as if so many more jobs
-// of no length had been seen. 0 while not known.
-func (d *Dispatcher) meanTypicalRun(more float64) float64 {
+// meanTypicalRun returns the mean over all jobs of their classes' typical runs, in seconds; zeroJobs jobs of no
+// length are counted besides. 0 while nothing is known.
+func (d *Dispatcher) meanTypicalRun(zeroJobs float64) float64 {
 	run, jobs := 0.0, 0.0
 	for _, c := range d.activeClasses {
 		run, jobs = run+c.jobs*c.typical().Seconds(), jobs+c.jobs
 	}
-	return run / max(jobs+more, 1)
+	return run / max(jobs+zeroJobs, 1)
 }
 
-// meanRunUpTo is the mean run in seconds of the jobs seen of those classes whose mean is no longer than a limit; 0 while
+// meanRunUpTo returns the mean run, in seconds, of the jobs in classes whose mean is within a limit; 0 while
 // not known.
 func (d *Dispatcher) meanRunUpTo(limit float64) float64 {
 	run, jobs := 0.0, 0.0
@@ -219,17 +231,17 @@
 	return run / max(jobs, 1)
 }
 
-// connSetup is what a new connection adds to the start of a job: the least of the last few, since
-// queues add to some only. Guards against taking slow connecting for queueing everywhere.
+// connSetup returns the delay that a new connection adds to the start of a job: the least of the last few,
+// since queueing adds to some of them only. Without it, slow connecting would be taken for queueing everywhere.
 func (d *Dispatcher) connSetup() time.Duration { return slices.Min(d.connSetups[:]) }
 
-// foreignLoad is what a worker held for dispatchers that tell nothing here, by its last report; it
-// fades as their jobs end. The larger the fleet of dispatchers, the more of the load it is.
+// foreignLoad returns the slots that a worker used for dispatchers that share no load with this one, by its
+// last report, decaying as those jobs end. The more dispatchers there are, the larger its part of the load.
 func (d *Dispatcher) foreignLoad(w *worker) float64 {
 	return w.foreignSlots * math.Exp(-(d.now-w.foreignAt).Seconds()/d.longestMeanRun())
 }
 
-// inUse is a worker's slots and memory in use, as far as known here.
+// inUse returns a worker's slots and memory in use, as far as they are known here.
 func (d *Dispatcher) inUse(w *worker) (slots, mem float64) {
 	slots, mem = w.ownSlots+w.abandoned, w.ownMemory
 	if w.peerLoad != nil {
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -15,7 +15,7 @@
 	now    time.Duration
 	slots  int
 	run    func(class int, worker uint32) time.Duration
-	busy   map[uint32][]*throngJob // loggedAt work, then queued
+	busy   map[uint32][]*throngJob // at work, then queued
 	sends  []*throngJob
 	lost   int // requests refused
 }
@@ -173,7 +173,7 @@
 	c := newThrong(t, 80, workers)
 	keys := func() (int, uint64) { return 0, 1 + uint64(c.rng.ExpFloat64()*2) }
 	c.play(10*time.Second, 60, keys)
-	c.sends = nil // reservableSlots a few requests none can tell which keys are hot
+	c.sends = nil // of a few requests none can tell which keys are hot
 	c.play(10*time.Second, 60, keys)
 	waited := 0
 	for _, k := range c.sends {
@@ -270,7 +270,7 @@
 func TestLongJobsReachWarmingWorkers(t *testing.T) {
 	workers := warmWorkers(8)
 	c := newThrong(t, 80, workers)
-	for _, w := range c.worlds { // agreedRate rates that a worker of five slots could just do
+	for _, w := range c.worlds { // agreed rates that a worker of five slots could just do
 		w.d.settings.Tenants[0].QuotaPerSecond *= 1.6
 	}
 	mixed := func() (int, uint64) { return int(c.rng.Uint32() % 4 / 3), 0 }
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// keyedDemand sends a request with a key in and returns the worker it went to, 0 for none.
+// keyed sends a request with a key in and returns the worker it went to, 0 for none.
 func (w *world) keyed(key uint64) (uint32, *job) {
 	w.t.Helper()
 	j := w.arrive(0, time.Second)
--- a/decide/look.go
+++ b/decide/look.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// A held request for which no worker was valid is looked at again only in the next round: once something has
-// happened that may have made a worker valid, or time alone may have.
+// Placement rounds. A held request for which no worker was valid is tried again only in the next round, which begins
+// once something has happened that may have made a worker valid, or after a pause, since time alone may have.
 
-// scanCost is what a look at a request costs beside the workers that are looked at for it, in such.
+// scanCost is what a search for one request costs besides the workers examined, in workers examined.
 const scanCost = 8
 
-// maxPauseSteps is the longest time between two rounds of looks, in steps of the timer.
+// maxPauseSteps is the longest time between two rounds, in sweep intervals.
 const maxPauseSteps = 64
 
-// covers tells whether a request like it that asks for as much, and came no sooner, finds none either.
+// covers reports whether a request with the same placement key can have no valid worker either: it asks for as
+// much, its known work is as long, and it came no sooner and is due no sooner.
 func (u unplaced) covers(r *request) bool {
-	work := u.work == r.Work || u.work > 0 && u.work < r.Work // 0 is not known
+	work := u.work == r.Work || u.work > 0 && u.work < r.Work // 0: not known
 	return work && r.Slots >= u.slots && r.Memory >= u.memory && r.arrived >= u.arrived && r.deadline >= u.deadline
 }
 
-// beginRound begins a round of looks at all held requests if one is due: once something has happened that may have made
-// a worker valid, else as long after the last as that looked at so many workers a step of the timer.
+// beginRound begins a placement round over all held requests if one is due: once something has happened that
+// may have made a worker valid, else after a pause of one sweep interval for each perStep workers examined in
+// the last round.
 func (d *Dispatcher) beginRound(perStep int) {
 	pause := d.sweepInterval() * time.Duration(min(maxPauseSteps, 1+(d.scans-d.roundStartScans)/perStep))
 	if !d.mayHaveRoom && d.rounds > 0 && d.now < d.roundStartedAt+pause {
@@ -35,8 +37,9 @@
 	}
 }
 
-// findWorker picks a worker for a held request, unless none can have become valid since the last look. One that has to wait
-// for its turn to be let out, or after an attempt that was never sent, is not looked at.
+// findWorker picks a worker for a held request, unless none can have become valid since the last round. It
+// doesn't try for a request that waits for a token or, after an attempt that was never sent, for its next
+// attempt.
 func (d *Dispatcher) findWorker(r *request, waits bool) *worker {
 	if waits || r.failedRound == d.rounds || d.now < r.retryAt {
 		return nil
@@ -57,14 +60,15 @@
 	return nil
 }
 
-// isFull tells whether a worker has room for no request, by what it holds or because it rests after a failure.
+// noRoom reports whether a worker has no room for any request: its slots are in use, or it is untrusted and its
+// next trial is not due.
 func (d *Dispatcher) noRoom(w *worker) bool {
 	d.scans++
 	if w.fullInBatch != d.batch {
 		used, _, size := d.load(w)
-		noRoom := used > 0 && used >= max(size, math.Floor(*d.ceiling(w)))
-		noRoom = noRoom && (!d.settings.Leasing.On || d.warmth(w) >= 1) // a lease is asked for ahead of room
-		w.fullInBatch, w.isFull = d.batch, w.failures == 0 && noRoom || w.failures > 0 && d.now < w.retryAt
+		inUse := used > 0 && used >= max(size, math.Floor(*d.ceiling(w)))
+		inUse = inUse && (!d.settings.Leasing.On || d.warmth(w) >= 1) // a lease is requested before there is room
+		w.fullInBatch, w.isFull = d.batch, w.failures == 0 && inUse || w.failures > 0 && d.now < w.retryAt
 	}
 	return w.isFull
 }
--- a/decide/mass_model_test.go
+++ b/decide/mass_model_test.go
@@ -119,7 +119,7 @@
 	Class
 	share float64
 	work  float64 // mean seconds at speed 1
-	sigma float64 // reservableSlots the logarithm
+	sigma float64 // of the logarithm
 }
 
 // massTerms is a deployment's traffic, kinds of encoder and settings.
--- a/decide/moves_test.go
+++ b/decide/moves_test.go
@@ -32,7 +32,7 @@
 	require.LessOrEqual(t, struck, moves, "workers struck for a queue")
 }
 
-// loadChanged has 200 jobs queue at first and tells how many moved, and in how many windows of the rule on attempts.
+// moved has 200 jobs queue at first and tells how many moved, and in how many windows of the rule on attempts.
 func moved(t *testing.T, lateWorth float64, patient bool) (moves, struck, windows int) {
 	s := site(1, true, false, false)
 	s.Classes[0].LateWorth = lateWorth
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -21,7 +21,7 @@
 	return w
 }
 
-// moveWorker sends one request of a class in and returns the worker it went to, 0 for none.
+// place sends one request of a class in and returns the worker it went to, 0 for none.
 func (w *world) place(class int) (uint32, *job) {
 	w.t.Helper()
 	j := w.arrive(class, time.Second)
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// sentAttempts is how many attempts of a job went out, or may have.
+// sent is how many attempts of a job went out, or may have.
 func (j *job) sent() (n int) {
 	for _, tr := range j.tries {
 		if !tr.moot {
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// jobsQueue is a site with so many dispatchers that one meets a worker seldom.
+// crowd is a site with so many dispatchers that one meets a worker seldom.
 func crowd(starts, reports, peers bool) Settings {
 	s := site(1, starts, reports, peers)
 	s.Dispatchers = 100
@@ -124,7 +124,7 @@
 // most: among many no two meet at one dispatcher, and as much of it was held back as of the rest.
 func TestAdmission(t *testing.T) {
 	for i, late := range []bool{true, false, true} {
-		class := 2 * (i / 2) // meanWorth 5, 9 and 10
+		class := 2 * (i / 2) // worth 5, 9 and 10
 		w := fleet(t, crowd(true, false, false), 100)
 		sent := 0
 		for i := range 120 {
--- a/decide/state.go
+++ b/decide/state.go
@@ -10,108 +10,113 @@
 	"time"
 )
 
+// class is a class of requests with its policy and what was learned of its jobs.
 type class struct {
 	Class
-	meanRun, meanLogRun, jobs float64 // mean and mean log of run seconds, and their weight
-	typicalRun                time.Duration
-	typicalOf                 float64 // the meanLogRun that usual is of
+	meanRun, meanLogRun, jobs float64       // mean run and mean log run, in seconds, and their weight
+	typicalRun                time.Duration // cached result of typical
+	typicalOf                 float64       // the meanLogRun that typicalRun was computed from
 	blocks                    []*block
-	defaultBlock              *block // the default tag: all ready workers of the kind, platform
+	defaultBlock              *block // the default tag: all ready workers of the kind, strategy platform
 	followup                  Followup
-	maxBudget                 time.Duration // reservableSlots a first try: the longest seen
-	stuck                     bool          // no worker is valid for its requests
-	errors                    tally         // jobs that ended in an error, at all workers
+	maxBudget                 time.Duration // the longest budget seen, taken as that of a first try
+	stuck                     bool          // no worker is valid for its requests in this round
+	errors                    tally         // share of jobs, at all workers, that ended in an error
 }
 
+// block is a block of a policy with the workers it selects.
 type block struct {
 	Block
 	members []*worker // in the order of the strategy
-	ring    []uint64  // reservableSlots a block by key: the places of its members on the hash ring
+	ring    []uint64  // hash ring positions of the members; only for a block by key
 }
 
+// worker is one process of a worker, as this dispatcher sees it.
 type worker struct {
 	Worker
-	ownSlots, ownMemory           float64 // learnedSize and memory of this dispatcher's attempts out
-	runningSlots                  float64 // reservableSlots those, the slots of attempts known to run
-	abandoned                     float64 // learnedSize of attempts given up on; occupied until the worker shows life
-	ceiling                       float64 // learnedSinceSort max_concurrent_invocations of this dispatcher
-	foreignSlots                  float64 // load of dispatchers that tell nothing here, when seen in a report
-	foreignAt                     time.Duration
-	foreignUnsent                 bool    // a report that the peers have not been told of
-	learnedSize                   float64 // learnedSinceSort size, 0 when not known
-	failures                      int     // health: 0 is trusted
-	retryAt                       time.Duration
+	ownSlots, ownMemory           float64       // slots and memory of this dispatcher's outstanding attempts
+	runningSlots                  float64       // slots of the outstanding attempts known to run
+	abandoned                     float64       // slots of attempts given up on; they count as used until the worker shows life
+	ceiling                       float64       // learned max_concurrent_invocations for this dispatcher
+	foreignSlots                  float64       // load of dispatchers that share no load with this one, by the last report
+	foreignAt                     time.Duration // when foreignSlots was set
+	foreignUnsent                 bool          // the peers have not received foreignSlots yet
+	learnedSize                   float64       // slots, 0 when not known
+	failures                      int           // consecutive failures; 0: trusted
+	retryAt                       time.Duration // when an untrusted worker may get the next trial
 	lastAlive                     time.Duration // last sign of life
-	probes                        int           // while in doubt
-	minStartDelay                 time.Duration // least send-to-start delay seen, 0 when none
-	logDeviation, deviationWeight float64       // sum and weight of log run time against the class
-	nextColdSend                  time.Duration // while cold: no send before,
-	leases                        []Lease       // but by these,
-	leaseAskedAt                  time.Duration // last asked for then
+	probes                        int           // sent while the worker is unproven
+	minStartDelay                 time.Duration // least delay from sending to start, 0 when none is known
+	logDeviation, deviationWeight float64       // sum and weight of the log run times' deviation from the class's mean
+	nextColdSend                  time.Duration // while cold: this dispatcher's next turn
+	leases                        []Lease       // while cold: they allow sends out of turn
+	leaseAskedAt                  time.Duration // when a lease was last asked for
 	suspect                       condition
-	refusals                      []refusal     // reservableSlots each class
-	lateStarts                    tally         // startDelays that came late
-	classErrors                   []tally       // jobs of each class that ended in an error,
-	errors                        tally         // and of all
-	unsafeBarredUntil             time.Duration // nothing that must not run twice before
+	refusals                      []refusal     // by class
+	lateStarts                    tally         // share of starts that came late
+	classErrors                   []tally       // by class: share of jobs that ended in an error
+	errors                        tally         // the same of all classes together
+	unsafeBarredUntil             time.Duration // no unsafe jobs before
 	zone                          *zoneStat
-	sentLoad                      [2]uint8 // load last told to the peers
-	peerLoad                      *loadSum // load that the peers tell of
+	sentLoad                      [2]uint8 // load last sent to the peers
+	peerLoad                      *loadSum // load that the peers report
 	lastListed                    int      // number of the last list that named it
 	unlisted                      bool     // the last list left it out or called it gone
-	cordoned                      bool     // left out by hand
-	firstJobDue                   bool     // put back by hand and not used since
-	rank                          float64  // moveWorker in the blocks
-	isFull                        bool     // no request finds room here,
-	fullInBatch                   int      // as of this batch
-	reservations                  []Span   // by gangs,
-	reservableSlots               float64  // reservableSlots so many slots
-	// Connections as foreseen here: attempts out, connections open, when one was last freed.
+	cordoned                      bool
+	firstJobDue                   bool    // uncordoned and not used since
+	rank                          float64 // sort key in blocks; the lowest goes first
+	isFull                        bool    // no request finds room here, as of batch fullInBatch
+	fullInBatch                   int
+	reservations                  []Span  // by gangs
+	reservableSlots               float64 // the worker's slots, as told with the reservations
+	// Connections as predicted here: in use by attempts, open, and when one was last freed.
 	connsInUse, conns int
 	connFreedAt       time.Duration
 }
 
-// refusal is a worker's word that it takes no more of a class.
+// refusal bars a class from a worker that has refused a job of it.
 type refusal struct {
 	N     int // doublings of the backoff
 	Until time.Duration
 }
 
+// attempt is one sending of a request to a worker.
 type attempt struct {
 	worker             *worker
-	sentAt, lastReport time.Duration // note: the last word of it
+	sentAt, lastReport time.Duration // lastReport: when the worker last reported on it, at first sentAt
 	startedAt          time.Duration
 	ended, neverRan    bool
 	errored            bool
-	brokeAt            time.Duration // could not connect, or lost it
-	started, queued    bool
-	stays              bool          // it queues and is not moved
-	gated              bool          // it waits for leave to go out: no worker has it
+	brokeAt            time.Duration // when connecting failed or the connection broke
+	started, queued    bool          // queued: taken to wait in its worker's queue
+	stays              bool          // queued, and not to be moved to another worker
+	gated              bool          // it waits for permission to go out: no worker has it
 	extra              bool          // it counts for the budget of further attempts
-	accepted, connLost bool          // the worker has it; its connection carries nothing
-	zoneCounted        bool          // counted for its zone
-	newConn            bool          // active a new connection
-	connIdle           time.Duration // for how long its connection was not in use
+	accepted, connLost bool          // confirmed by the worker; cancelled because its connection carries nothing
+	zoneCounted        bool          // its result is counted for its zone
+	newConn            bool          // sent on a new connection
+	connIdle           time.Duration // how long its connection had been idle
 }
 
+// request is a request that has not had its final answer, or has attempts outstanding.
 type request struct {
 	Request
 	class                     *class
-	arrived, deadline, aimEnd time.Duration // due: the deadline; limit: held in time until then
+	arrived, deadline, aimEnd time.Duration // aimEnd: held as in time until then
 	attempts                  []*attempt
-	outstanding               int
+	outstanding               int // attempts that have not ended
 	done, streaming           bool
-	late                      bool // heldCount past its limit
-	errors                    int  // attempts that ended in an error
-	overShare                 bool // beyond its tenant's share
-	held                      bool
-	queue                     int           // where it is held
-	failedRound               int           // the round of looks in which no worker was valid for it
-	unsent                    int           // attempts that were never sent,
-	retryAt                   time.Duration // and when the next may be made
+	late                      bool          // held past aimEnd
+	errors                    int           // attempts that ended in an error
+	overShare                 bool          // beyond its tenant's share
+	held                      bool          // waits in a queue of this dispatcher
+	queue                     int           // index of that queue
+	failedRound               int           // the round in which no worker was valid for it
+	unsent                    int           // attempts that were never sent
+	retryAt                   time.Duration // earliest time of the next attempt after one that was never sent
 }
 
-// placementKey is what requests that have not been sent yet share if the same workers may be valid for them.
+// placementKey groups requests without attempts for which the same workers may be valid.
 type placementKey struct {
 	queue int
 	key   uint64
@@ -120,109 +125,111 @@
 
 func (r *request) placementKey() placementKey { return placementKey{r.queue, r.Key, r.Held} }
 
-// unplaced is a request that found no valid worker in this round.
+// unplaced describes a request for which no worker was valid in this round.
 type unplaced struct {
 	slots, memory           float64
 	work, arrived, deadline time.Duration
 }
 
-// condition is a state that the people on call are told of.
+// condition is a state whose changes are logged.
 type condition struct {
 	active   bool
-	loggedAt time.Duration // reservableSlots the last line
+	loggedAt time.Duration // when the last change was logged
 }
 
-// zoneStat is the share of attempts in a zone that fared badly, fading.
+// zoneStat is what was learned of a zone.
 type zoneStat struct {
 	id           int
-	poorAttempts tally
+	poorAttempts tally         // share of attempts that failed or started late
 	lastAlive    time.Duration // last sign of life of any worker there
-	avoided      bool          // in the pick at hand
+	avoided      bool          // its workers are invalid for the current pick
 }
 
+// peer is another dispatcher and the load that it reported.
 type peer struct {
 	lastMessage time.Duration
 	load        map[uint32][2]uint8
 }
 
-// loadSum is the slots and memory that all peers together tell of at a worker, in eighths.
+// loadSum is the slots and memory in use at a worker by all peers together, in eighths.
 type loadSum [2]int
 
+// replace replaces one peer's part of the sum.
 func (s *loadSum) replace(from, to [2]uint8) {
 	for i := range s {
 		s[i] += int(to[i]) - int(from[i])
 	}
 }
 
-// Dispatcher decides for one dispatcher. It is not safe for concurrent use.
+// Dispatcher is the state of one dispatcher. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings                         Settings
 	now                              time.Duration
 	rng                              *rand.Rand
 	classes                          []*class
-	activeClasses                    []*class // those that the settings have
+	activeClasses                    []*class // classes that the settings still have
 	workers                          map[uint32]*worker
-	fleet                            []*worker // by ID
+	fleet                            []*worker // usable workers by ID
 	kinds                            map[int]*kindStat
 	zones                            []*zoneStat
 	requests                         map[uint32]*request
 	keyDemand                        map[uint64]demand
-	keyedDemand                      demand // requests with a key
+	keyedDemand                      demand // all requests with a key
 	tenantDemand                     []demand
-	errors                           tally        // jobs that ended in an error
-	sawLife                          bool         // a worker has shown life
-	firstJobs                        tally        // first jobs at workers not yet known to live that came to nothing
-	liveRequests                     []*request   // by arrival; swept
-	queues                           [][]*request // heldCount requests: two for each class, in time and late
-	queueOrder                       []int        // queues by worth per run time
+	errors                           tally        // share of jobs that ended in an error
+	sawLife                          bool         // some worker has shown life
+	firstJobs                        tally        // failed share of the jobs at workers that have shown no life yet
+	liveRequests                     []*request   // by arrival; those that are done are removed at each sweep
+	queues                           [][]*request // held requests: two queues for each class, in time and late
+	queueOrder                       []int        // indexes of queues, by worth per run time
 	sortAfter                        time.Duration
 	blocksStale                      bool // blocks must be rebuilt
 	timerSet                         bool
-	subscribeAt, subscribedAt        time.Duration // when to ask for the list (0: not wanted), and when that last was
+	subscribeAt, subscribedAt        time.Duration // next call for the worker list (0: none is due), and the last one
 	subscribeFailures                int
 	peers                            map[int]*peer
 	listLost, jobsQueue, noneTrusted condition
 	shedding                         condition
-	admitted, tokens                 float64 // share of first attempts that is let out, and those saved up
-	waitingJobs, runningJobs         int     // attempts out in a worker's queue, and at work, at the last sweep
+	admitted, tokens                 float64 // share of first attempts that is admitted, and tokens saved up for them
+	waitingJobs, runningJobs         int     // outstanding attempts queued at workers, and running, at the last sweep
 	fullLoadSentAt, peersCheckedAt   time.Duration
-	connSetups                       [4]time.Duration // what the last new connections added to a job's start
-	startDelays                      average          // seconds from attempts' sending to their start
-	openOnly                         bool             // in the pick at hand: only workers with an idle connection
-	confirmsAttempts                 bool             // workers tell at once that they have an attempt
-	silentUntil                      time.Duration    // kept connections may carry nothing until then
+	connSetups                       [4]time.Duration // delay that the latest new connections added to a job's start
+	startDelays                      average          // seconds from an attempt's sending to its start
+	openOnly                         bool             // the current pick is for workers with an idle connection only
+	confirmsAttempts                 bool             // workers confirm attempts at once
+	silentUntil                      time.Duration    // until then kept connections may carry nothing
 	maxIdle                          time.Duration    // a kept connection broke after twice that, at maxIdleSetAt
 	maxIdleSetAt                     time.Duration
-	idleFailures                     [8]tally                  // sends that failed, by how long their connection was idle
-	timerDue                         time.Duration             // when the timer was asked for
-	batchDelay, maxBatchDelay        time.Duration             // by how much this batch came too late, and the longest such
-	budget                           AttemptBudget             // the rule's or, without one, our own
-	arrivals, extraAttempts          []time.Duration           // requests and further attempts inside the budget's window
-	peerSums                         map[uint32]*loadSum       // reservableSlots what the peers tell, by worker
-	listCount, learnedSinceSort      int                       // worker lists taken; jobs learned from since the last sort
-	maxListed, maxReady              int                       // workers listed at a time, so far, and of those ready
+	idleFailures                     [8]tally                  // share of failed sends, by how long the connection was idle
+	timerDue                         time.Duration             // when the timer should fire
+	batchDelay, maxBatchDelay        time.Duration             // delay of this batch after its timer, and the longest so far
+	budget                           AttemptBudget             // the rule's, or the package's own
+	arrivals, extraAttempts          []time.Duration           // times of requests and of further attempts in the budget's window
+	peerSums                         map[uint32]*loadSum       // reported load of all peers, by worker
+	listCount, learnedSinceSort      int                       // worker lists processed; jobs learned from since the last sort
+	maxListed, maxReady              int                       // most workers listed, and ready, at a time so far
 	mayHaveRoom                      bool                      // something happened that may have made a worker valid
-	rounds                           int                       // reservableSlots looks at held requests, since the beginning
-	roundStartedAt                   time.Duration             // when the last of them began,
-	roundStartScans                  int                       // and how many workers had been looked at by then
+	rounds                           int                       // placement rounds since the beginning
+	roundStartedAt                   time.Duration             // start of the last round
+	roundStartScans                  int                       // scans at that time
 	unplaced                         map[placementKey]unplaced // in this round
-	batch                            int                       // number of the batch at hand
-	scans                            int                       // how often a worker was looked at for a request
-	loadChanged                      bool                      // this dispatcher's load at a worker since the last message
-	cordons                          map[uint32]bool           // left out by hand
-	firstJobQueue                    []*worker                 // to be used before others: put back by hand and owed a first job, or cold
-	trustedWorkers                   int                       // ready workers without a strike
-	severalKinds                     bool                      // the workers known are of more than one kind
+	batch                            int                       // number of the current batch
+	scans                            int                       // workers examined for requests so far
+	loadChanged                      bool                      // own load at some worker has changed since the last message
+	cordons                          map[uint32]bool           // workers cordoned
+	firstJobQueue                    []*worker                 // uncordoned or cold workers, to be used before others
+	trustedWorkers                   int                       // ready workers without failures
+	severalKinds                     bool                      // the known workers are of more than one kind
 	actions                          []Action
 }
 
-// sentAttempts is how many of a request's attempts went out, or may have.
+// sentAttempts returns how many attempts of the request were sent, or may have been.
 func (r *request) sentAttempts() int { return len(r.attempts) - r.unsent }
 
-// anyAttempt tells whether an attempt of the request is as f says.
+// anyAttempt reports whether f holds for an attempt of the request.
 func (r *request) anyAttempt(f func(*attempt) bool) bool { return slices.ContainsFunc(r.attempts, f) }
 
-// zone is what is known of a zone.
+// zone returns the state of a zone, a new one where the zone is not known.
 func (d *Dispatcher) zone(id int) *zoneStat {
 	i := slices.IndexFunc(d.zones, func(z *zoneStat) bool { return z.id == id })
 	if i < 0 {
@@ -232,7 +239,7 @@
 	return d.zones[i]
 }
 
-// logCondition logs a change of a condition for the people on call, each seldom enough to read.
+// logCondition logs a change of a condition, at most one in each fall window.
 func (d *Dispatcher) logCondition(c *condition, on bool, begins, ends string, args ...any) {
 	if on == c.active || c.loggedAt > 0 && d.now-c.loggedAt < d.settings.Rules.FallWindow {
 		return
@@ -244,6 +251,7 @@
 	d.emit(Log{Text: fmt.Sprintf(begins, args...)})
 }
 
+// selects reports whether a label of the block matches the worker.
 func (b *block) selects(w *worker) bool {
 	return slices.ContainsFunc(b.Workers, func(l Label) bool {
 		return (l.Zone == Any || l.Zone == w.Zone) && (l.Kind == Any || l.Kind == w.Kind) &&
@@ -251,11 +259,12 @@
 	})
 }
 
-// allInZone tells whether all of a block's workers are of one zone.
+// allInZone reports whether the block's labels name no other zone.
 func (b *block) allInZone(zone int) bool {
 	return !slices.ContainsFunc(b.Workers, func(l Label) bool { return l.Zone != zone })
 }
 
+// openAttempt returns a request and its n-th attempt, or nil where the attempt is not known or has ended.
 func (d *Dispatcher) openAttempt(id uint32, n int) (*request, *attempt) {
 	r := d.requests[id]
 	if r == nil || n < 0 || n >= len(r.attempts) || r.attempts[n].ended {
@@ -271,13 +280,13 @@
 	return d.kinds[k]
 }
 
-// pace is the time scale of this deployment's jobs: the shortest class's typical run.
+// pace returns the time scale of the jobs: the typical run of the class with the shortest one.
 func (d *Dispatcher) pace() time.Duration {
 	shorter := func(a, b *class) int { return cmp.Compare(a.typical(), b.typical()) }
 	return slices.MinFunc(d.activeClasses, shorter).typical()
 }
 
-// longestDeadline is of all classes.
+// longestDeadline returns the longest deadline of all classes.
 func (d *Dispatcher) longestDeadline() (most time.Duration) {
 	for _, c := range d.activeClasses {
 		most = max(most, c.Deadline)
@@ -285,13 +294,14 @@
 	return most
 }
 
-// upsert takes lines of the worker list: of a new process nothing is known.
+// upsert applies lines of the worker list. A line with a later start is of a new process, of which nothing is
+// known.
 func (d *Dispatcher) upsert(lines []Worker, whole bool) {
 	d.listCount++
 	renumbered := false
 	for _, l := range lines {
 		w := d.workers[l.ID]
-		if w != nil && l.State == Ready && l.Started < w.Started { // an old list, of an earlier process
+		if w != nil && l.State == Ready && l.Started < w.Started { // an old list that names an earlier process
 			w.lastListed, w.unlisted = d.listCount, false
 			continue
 		}
@@ -304,10 +314,10 @@
 			w = d.addWorker(l)
 		}
 		renumbered = d.moveWorker(w, l) || renumbered
-		said, held, started := l.State, w.State, max(w.Started, l.Started)
+		listed, current, started := l.State, w.State, max(w.Started, l.Started)
 		w.Worker, w.lastListed = l, d.listCount
-		w.Started, w.State = started, held
-		d.applyState(w, said)
+		w.Started, w.State = started, current
+		d.applyState(w, listed)
 	}
 	var unlisted []*worker
 	for _, w := range d.workers {
@@ -323,7 +333,7 @@
 		d.dropEmptyZones()
 	}
 	listed := len(d.workers) - len(unlisted)
-	if d.maxListed = max(d.maxListed, listed); len(unlisted) > d.maxListed { // bounded: those named last stay
+	if d.maxListed = max(d.maxListed, listed); len(unlisted) > d.maxListed { // keep those listed last, to bound the number
 		slices.SortFunc(unlisted, func(a, b *worker) int {
 			return cmp.Or(cmp.Compare(b.lastListed, a.lastListed), cmp.Compare(a.ID, b.ID))
 		})
@@ -333,7 +343,7 @@
 	}
 }
 
-// addWorker begins to know a worker's process: nothing is known of it.
+// addWorker adds a worker's process, of which nothing is known yet.
 func (d *Dispatcher) addWorker(l Worker) *worker {
 	l.State = Ready
 	w := &worker{
@@ -346,14 +356,14 @@
 	return w
 }
 
-// queueFirstJob has a worker used before others, once.
+// queueFirstJob adds a worker to those that are used before others.
 func (d *Dispatcher) queueFirstJob(w *worker) {
 	if !slices.Contains(d.firstJobQueue, w) {
 		d.firstJobQueue = append(d.firstJobQueue, w)
 	}
 }
 
-// heldCount is how many requests wait here.
+// heldCount returns the number of requests held here.
 func (d *Dispatcher) heldCount() (n int) {
 	for _, q := range d.queues {
 		n += len(q)
@@ -361,10 +371,10 @@
 	return n
 }
 
-// ready tells whether a worker may be used, as far as the list and people say.
+// ready reports whether the list and the cordons allow the worker's use.
 func (w *worker) ready() bool { return w.State == Ready && !w.cordoned }
 
-// recount counts the workers that are trusted, and sees whether all are of one kind.
+// recount counts the trusted workers, and notes whether the workers are of several kinds.
 func (d *Dispatcher) recount() {
 	ready, kind := 0, Any
 	d.trustedWorkers, d.severalKinds = 0, false
@@ -380,21 +390,21 @@
 	d.maxReady = max(d.maxReady, ready)
 }
 
-// dropWorker forgets a worker; what still refers to it sees that it is gone.
+// dropWorker removes a worker; attempts that still refer to it find it gone.
 func (d *Dispatcher) dropWorker(w *worker) {
 	w.State = Gone
 	delete(d.workers, w.ID)
 }
 
-// fillBlocks puts the workers into the blocks in the order given, those of platform blocks by ID
-// and those of blocks by key, if the fleet has changed, on a hash ring.
+// fillBlocks sets the members of all blocks in the order given; platform blocks are ordered by ID, and blocks
+// by key, which are rebuilt only if the fleet has changed, by hash ring.
 func (d *Dispatcher) fillBlocks(best []*worker, changed bool) {
 	var rings []placedRing
 	for _, c := range d.allClasses() {
 		for _, b := range append(c.blocks, c.defaultBlock) {
 			from := best
 			if b.ByKey {
-				if changed && len(d.keyDemand) > 0 { // where none are sent it would be work for nothing
+				if changed && len(d.keyDemand) > 0 { // without keyed requests a ring is not needed
 					rings = b.shareRing(c, d.fleet, rings)
 				}
 				continue
@@ -412,13 +422,13 @@
 	}
 }
 
-// placedRing is a block whose workers are on the hash ring as of this list, and its class's kind of worker.
+// placedRing is a block whose hash ring is built for the current list, and its class's kind of worker.
 type placedRing struct {
 	block *block
 	kind  int
 }
 
-// shareRing places the block, or takes over the ring of one that has the same workers.
+// shareRing takes the ring of a block that selects the same workers, or builds one.
 func (b *block) shareRing(c *class, fleet []*worker, rings []placedRing) []placedRing {
 	for _, p := range rings {
 		if p.kind == c.Kind && slices.EqualFunc(p.block.Workers, b.Workers, Label.equal) {
@@ -426,7 +436,7 @@
 			return rings
 		}
 	}
-	b.ring, b.members = nil, nil // the old ones may be another block's too
+	b.ring, b.members = nil, nil // the old slices may be shared with another block
 	b.buildRing(c, fleet)
 	return append(rings, placedRing{b, c.Kind})
 }
@@ -435,8 +445,8 @@
 	return l.Zone == o.Zone && l.Kind == o.Kind && slices.Equal(l.IDs, o.IDs) && (l.IDs == nil) == (o.IDs == nil)
 }
 
-// moveWorker puts the block's workers on the hash ring, each at several points: so what one cannot
-// take is spread over many others, and little moves when the fleet changes.
+// buildRing puts the block's workers on the hash ring, each at several points: what one worker cannot take is
+// then spread over many others, and few keys move when the fleet changes.
 func (b *block) buildRing(c *class, fleet []*worker) {
 	at := map[uint64]*worker{}
 	for _, w := range fleet {
@@ -448,13 +458,13 @@
 	}
 	b.ring, b.members = b.ring[:0], b.members[:0]
 	for _, p := range slices.Sorted(maps.Keys(at)) {
-		if n := len(b.members); n == 0 || b.members[n-1] != at[p] { // neighbours differ
+		if n := len(b.members); n == 0 || b.members[n-1] != at[p] { // merge neighbouring points of one worker
 			b.ring, b.members = append(b.ring, p), append(b.members, at[p])
 		}
 	}
 }
 
-// warmth is the least share of its capacity that a worker can have by now.
+// warmth returns the least share of its full capacity that a worker has now.
 func (d *Dispatcher) warmth(w *worker) float64 {
 	if w.Started == 0 || d.now-w.Started >= d.settings.Rules.Cold {
 		return 1
@@ -462,18 +472,19 @@
 	return d.settings.Rules.warmth(d.now - w.Started)
 }
 
-// warmth is that of a worker while it is cold, so long after its start.
+// warmth returns that share for a cold worker of this age.
 func (r *Rules) warmth(age time.Duration) float64 {
 	return r.ColdFrom + (1-r.ColdFrom)*float64(age)/float64(r.Cold)
 }
 
-// coldBudget is the part of the rule's budget for a worker that is planned, once it is warm: slot seconds a second.
+// coldBudget returns the part of the rule's budget that is used for a worker once it is warm, in slot seconds
+// per second.
 func (d *Dispatcher) coldBudget(w *worker) float64 {
 	return coldBudgetShare * d.settings.Rules.FallMultiple * d.size(w) * min(1, math.Exp(-d.kindSlowness(w)))
 }
 
-// lateStartAllowance is how long after its aim a request's job may still start and end in time. It counts only for what
-// has its one attempt out: what can go out again, or has not yet, gives its place up sooner.
+// lateStartAllowance returns how long after its aim a request's job may still start and end in time. It is 0 unless the
+// request is unsafe: one that can be sent again, or has not been sent yet, gives up its place in a queue sooner.
 func (r *request) lateStartAllowance() time.Duration {
 	if r.class.Effect != Unsafe {
 		return 0
@@ -481,7 +492,7 @@
 	return time.Duration(max(0, r.class.Stretch-1) * float64(r.class.typical()))
 }
 
-// confirmWithin is how long a request's attempt may lack its worker's confirmation.
+// confirmWithin returns how long an attempt of the request may go without its worker's confirmation.
 func (r *request) confirmWithin() time.Duration {
 	if r.Patient {
 		return confirmDeadlineFactor * r.class.Aim / confirmAimParts
@@ -489,14 +500,15 @@
 	return r.class.Aim / confirmAimParts
 }
 
-// size is what a worker runs at once: as learned, or as large as the fleet must be for what the tenants have agreed.
-// A dispatcher of many sees too little of any worker to learn it; of a few jobs, one long one says too much.
+// size returns how many slots a worker has: the learned size, or what it must be for the fleet to serve the
+// rate that the tenants have agreed. With many dispatchers, each sees too few jobs of a worker to learn its
+// size; and a single long job among few would count for too much.
 func (d *Dispatcher) size(w *worker) float64 {
 	return max(1, w.learnedSize, d.kind(w.Kind).Slots, d.agreedRate()*d.meanTypicalRun(sizePriorJobs)/float64(max(1, d.maxReady)))
 }
 
-// Fleet tells how many workers are listed, and how many of those are avoided now: not ready, not
-// trusted, or barred for every class.
+// Fleet returns how many workers are listed, and how many of those are avoided now: not ready, not trusted, or
+// barred for every class.
 func (d *Dispatcher) Fleet() (listed, avoided int) {
 	for _, w := range d.workers {
 		if w.unlisted || w.State == Gone {
@@ -516,16 +528,17 @@
 
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// backoff doubles base with n and jitters it, so that dispatchers spread out.
+// backoff returns base doubled n-1 times with jitter, so that dispatchers don't act at the same time.
 func (d *Dispatcher) backoff(base time.Duration, n int) time.Duration {
 	return time.Duration(float64(base) * math.Exp2(float64(n-1)) * (0.5 + d.rng.Float64()))
 }
 
+// sweepInterval returns the time between two sweeps.
 func (d *Dispatcher) sweepInterval() time.Duration {
 	return max(minSweepInterval, sweepSteps*d.settings.Granularity)
-} // reservableSlots sweeps
+}
 
-// newRand picks fairly among those of a block's workers that will do.
+// random returns a random one of those members of a block for which ok holds.
 func (d *Dispatcher) random(b *block, ok func(*worker) bool) *worker {
 	var found *worker
 	n := 0
@@ -539,7 +552,7 @@
 	return found
 }
 
-// meanWorth is the mean of what a request of each class is worth.
+// meanWorth returns the mean worth of a request over the classes.
 func (d *Dispatcher) meanWorth() float64 {
 	mean, n := 0.0, 0.0
 	for _, c := range d.activeClasses {
@@ -549,7 +562,7 @@
 	return mean / max(n, 1)
 }
 
-// attemptReported takes word from a worker that an attempt runs or goes on.
+// attemptReported records a worker's report that an attempt has started or makes progress.
 func (d *Dispatcher) attemptReported(id uint32, n int, e Event) {
 	r, a := d.openAttempt(id, n)
 	if a == nil {
