--- a/decide/look.go
+++ b/decide/look.go
@@ -66,9 +66,9 @@
 	d.scans++
 	if w.fullInBatch != d.batch {
 		used, _, size := d.load(w)
-		inUse := used > 0 && used >= max(size, math.Floor(*d.ceiling(w)))
-		inUse = inUse && (!d.settings.Leasing.On || d.warmth(w) >= 1) // a lease is requested before there is room
-		w.fullInBatch, w.isFull = d.batch, w.failures == 0 && inUse || w.failures > 0 && d.now < w.retryAt
+		full := used > 0 && used >= max(size, math.Floor(*d.ceiling(w)))
+		full = full && (!d.settings.Leasing.On || d.warmth(w) >= 1) // a lease is requested before there is room
+		w.fullInBatch, w.isFull = d.batch, w.failures == 0 && full || w.failures > 0 && d.now < w.retryAt
 	}
 	return w.isFull
 }
