--- a/decide/arith.go
+++ b/decide/arith.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// dropBefore drops from the front what is older than from.
+// dropBefore drops the times before from, all at the front.
 func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
 	for len(times) > 0 && times[0] < from {
 		times = times[1:]
@@ -10,7 +10,7 @@
 	return times
 }
 
-// hash mixes two numbers (splitmix64).
+// hash returns a hash of two numbers (splitmix64).
 func hash(a, b uint64) uint64 {
 	x := a + b*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -18,10 +18,10 @@
 	return x ^ x>>31
 }
 
-// uniform is the hash of two numbers as a number between 0 and 1.
+// uniform returns the hash of two numbers, scaled to a number between 0 and 1.
 func uniform(a, b uint64) float64 { return (float64(hash(a, b)>>11) + 0.5) / (1 << 53) }
 
-// coprime returns the first number from want up that is co-prime to n.
+// coprime returns the first number from want up that is coprime to n.
 func coprime(want, n int) int {
 	for s := max(want, 1); ; s++ {
 		a, b := s, n
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -322,7 +322,7 @@
 				continue // answered or moved to the late queue
 			}
 			first := len(r.attempts) == 0 && d.admitted < 1
-			waits := first && d.tokens < 1 && r.class.Worth <= highWorthFactor*d.meanWorth() // or requests of other classes would be delayed instead
+			waits := first && d.tokens < 1 && r.class.Worth <= highWorthFactor*d.meanWorth() // requests of high worth go ahead, on others' tokens
 			if w := d.findWorker(r, waits); w != nil && d.send(r, w) {
 				if r.held = false; first {
 					d.tokens = max(-maxTokens, d.tokens-1)
@@ -474,8 +474,8 @@
 	if w.failures > 0 && !trial {
 		return false
 	}
-	// Neither at a worker that has the request or ended it in an error, nor in a zone where its connection broke without a
-	// sign of life since.
+	// Neither at a worker that has the request or ended it in an error, nor in a zone where its connection broke
+	// without a sign of life since.
 	if d.forbidden(r, w) || r.anyAttempt(func(a *attempt) bool {
 		return a.worker == w && (!a.ended || a.errored) || a.brokeAt > w.zone.lastAlive && a.worker.zone == w.zone && len(d.zones) > 1
 	}) {
--- a/decide/gated.go
+++ b/decide/gated.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// gatedAttemptSent takes that an attempt has leave to go out. What its worker does is timed from now on, and so is the attempt where
-// it counts for the budget of further ones.
+// gatedAttemptSent records that a gated attempt is sent now: its worker's response, and its place in the window
+// of the budget for further attempts, are timed from now on.
 func (d *Dispatcher) gatedAttemptSent(e Passed) {
 	_, a := d.openAttempt(e.Request, e.Attempt)
 	if a == nil || !a.gated {
--- a/decide/hold.go
+++ b/decide/hold.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// Of known work a job is reckoned to take so much longer, and so long at least, before a hold: work is an estimate.
 const (
-	reservedWorkStretch = 1.25
-	reservedWorkMargin  = 50 * time.Millisecond
-	maxReservations     = 256
+	reservedWorkStretch = 1.25                  // factor on a job's known work before a reservation, since work is an estimate
+	reservedWorkMargin  = 50 * time.Millisecond // added to that
+	maxReservations     = 256                   // kept for one worker
 )
 
-// setReservations takes what is held of a worker. Beyond the bound the soonest count.
+// setReservations replaces the reservations at a worker. Beyond the bound the earliest ones are kept.
 func (d *Dispatcher) setReservations(e Holds) {
 	w := d.workers[e.Worker]
 	if w == nil {
-		return // it is told again, like all of the list
+		return // reservations are sent again once it is listed
 	}
 	w.reservations, w.reservableSlots = slices.Clone(e.Spans), e.Slots
 	slices.SortFunc(w.reservations, func(a, b Span) int { return int(a.From - b.From) })
@@ -24,7 +23,8 @@
 	d.mayHaveRoom = true
 }
 
-// blockedByReservations tells whether a request may not have a worker's slots, because they are held while it might run.
+// blockedByReservations reports whether a request must not use a worker's slots, because they are reserved for
+// a time in which it might run.
 func (d *Dispatcher) blockedByReservations(r *request, w *worker) bool {
 	if len(w.reservations) == 0 || r.Held {
 		return false
@@ -34,14 +34,14 @@
 		end = min(end, d.now+time.Duration(reservedWorkStretch*float64(r.Work)*max(1, d.slowness(w))/max(d.warmth(w), 0.01))+reservedWorkMargin)
 	}
 	most := 0.0
-	for _, at := range w.reservations {
-		from, sum := max(at.From, d.now), 0.0
-		if from >= end || from >= at.Until {
+	for _, span := range w.reservations {
+		from, sum := max(span.From, d.now), 0.0
+		if from >= end || from >= span.Until {
 			continue
 		}
-		for _, o := range w.reservations {
-			if o.From <= from && from < o.Until {
-				sum += o.Slots
+		for _, other := range w.reservations {
+			if other.From <= from && from < other.Until {
+				sum += other.Slots
 			}
 		}
 		most = max(most, sum)
--- a/decide/lease.go
+++ b/decide/lease.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// Leasing says how dispatchers that are many, and not all busy, share the budget for cold workers:
-// a part of it in fixed turns, the rest leased out piece by piece by whoever keeps the budget. The
-// zero value: all of it in turns, one for each dispatcher.
+// Leasing says how many dispatchers, not all of them busy, share the budget for cold workers: a part in fixed
+// turns, the rest leased out piece by piece by the budget's owner. The zero value gives all of it out in turns,
+// one for each dispatcher.
 type Leasing struct {
 	On bool
-	// Turn is this dispatcher's, from 0; negative: it has none, and sends nothing without a lease.
+	// Turn is the index of this dispatcher's turn; negative: it has none, and sends nothing to cold workers without a lease.
 	Turn, Turns int
-	// Share of the budget that all turns have together, above 0 and at most 1.
+	// Share is the part of the budget that all turns have together, above 0 and at most 1.
 	Share float64
 }
 
-// Lease lets this dispatcher send one job of so much work to a cold worker.
+// Lease allows this dispatcher to send one job of a certain work to a cold worker.
 type Lease struct {
 	ID     uint64 // not 0
 	Worker uint32
-	// Started is the worker's, as the list tells it: a process that was started since has no use of it.
+	// Started is the worker's start as in the list: the lease does not hold for a process started later.
 	Started time.Duration
-	Work    float64       // seconds of a slot
+	Work    float64       // slot seconds
 	Until   time.Duration // by the module's clock
 }
 
 const (
-	maxLeasesPerWorker   = 16                    // kept for one worker; further ones are not needed
-	leaseRequestInterval = 20 * time.Millisecond // between asking for two
+	maxLeasesPerWorker   = 16                    // kept for one worker; further ones are dropped
+	leaseRequestInterval = 20 * time.Millisecond // least time between two requests for a worker's lease
 )
 
-// coldTurns is this dispatcher's turn for cold workers, and of how many.
+// coldTurns returns the index of this dispatcher's turn for cold workers, negative if it has none, and the
+// number of turns.
 func (d *Dispatcher) coldTurns() (turn, n int) {
 	if l := d.settings.Leasing; l.On {
 		return l.Turn, max(1, l.Turns)
@@ -39,7 +40,7 @@
 	return d.settings.Dispatcher, d.settings.Dispatchers
 }
 
-// coldTurnShare of the budget for cold workers that each turn has.
+// coldTurnShare returns the share of the budget for cold workers that each turn has.
 func (d *Dispatcher) coldTurnShare() float64 {
 	if l := d.settings.Leasing; l.On {
 		return l.Share / float64(max(1, l.Turns))
@@ -47,7 +48,8 @@
 	return 1 / float64(d.settings.Dispatchers)
 }
 
-// leaseWork is what a request counts as under a lease: what it presses with in one window.
+// leaseWork returns the work that a request counts as under a lease, in slot seconds: at most what fits into
+// one fall window.
 func (d *Dispatcher) leaseWork(r *request) float64 {
 	work := max(r.class.mean(), r.Work.Seconds())
 	if w := d.settings.Rules.FallWindow.Seconds(); w > 0 {
@@ -56,7 +58,8 @@
 	return work * r.Slots
 }
 
-// findLease finds what lets a request go to a cold worker out of turn. Where there is nothing it is asked for.
+// findLease returns a lease that lets a request go to a cold worker out of turn. If there is none, it asks for
+// one and returns 0.
 func (d *Dispatcher) findLease(r *request, w *worker) (id uint64) {
 	if !d.settings.Leasing.On {
 		return 0
@@ -75,14 +78,15 @@
 	return 0
 }
 
-// preferWhileCold tells whether a cold worker is to be used from here before others, whenever it may be: else, with room
-// elsewhere, turns would lapse unused and it would not get warm. Where the budget is leased that is one job, which a
-// lease may be asked for, else one at a time.
+// preferWhileCold reports whether a cold worker is used before others whenever that is allowed: otherwise,
+// while others have room, turns would expire unused and the worker would not warm up. Where the budget is
+// leased, this holds for its first job only, for which a lease may be asked.
 func (d *Dispatcher) preferWhileCold(w *worker) bool {
 	return d.warmth(w) < 1 && (!d.settings.Leasing.On || w.lastAlive == 0)
 }
 
-// takeLease takes the lease, if any, that a request goes to a worker by; else its turn is taken.
+// takeLease returns the lease that a request to a worker uses up, or 0 if the worker is warm or the request
+// uses a turn.
 func (d *Dispatcher) takeLease(r *request, w *worker) (id uint64) {
 	if d.warmth(w) >= 1 || d.coldTurn(w, r) {
 		return 0
@@ -92,7 +96,7 @@
 	return id
 }
 
-// addLease takes a lease.
+// addLease stores a lease.
 func (d *Dispatcher) addLease(l Lease) {
 	if w := d.workers[l.Worker]; w != nil && l.ID != 0 && len(w.leases) < maxLeasesPerWorker {
 		w.leases = append(w.leases, l)
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// The text of a message between dispatchers: a byte that tells whether it is
-// whole, then a worker's ID and this dispatcher's slots and memory there and
-// what others were last reported to hold there, in eighths.
+// A load message between dispatchers is a byte that is 1 if the message has the whole load, then an entry for each
+// worker: its ID, this dispatcher's slots and memory there, and the slots used there by others as of the last report,
+// each in eighths.
 const (
-	loadBytes     = 7
-	maxLoadsBytes = 256 - loadBytes
-	unknownLoad   = 255 // where no report came
+	loadBytes     = 7               // size of an entry
+	maxLoadsBytes = 256 - loadBytes // no entry is added to a longer message
+	unknownLoad   = 255             // others' load, where there was no report
 )
 
+// peerLoad is a worker's entry in a load message.
 type peerLoad struct {
 	worker     uint32
 	load       [2]uint8
 	othersLoad uint8
 }
 
+// newLoads returns a load message without entries.
 func newLoads(whole bool) []byte {
 	if whole {
 		return []byte{1}
@@ -28,10 +30,12 @@
 	return []byte{0}
 }
 
-func appendLoad(body []byte, worker uint32, load [2]uint8, rest uint8) []byte {
-	return append(binary.BigEndian.AppendUint32(body, worker), load[0], load[1], rest)
+// appendLoad appends an entry to a load message.
+func appendLoad(body []byte, worker uint32, load [2]uint8, othersLoad uint8) []byte {
+	return append(binary.BigEndian.AppendUint32(body, worker), load[0], load[1], othersLoad)
 }
 
+// parseLoads parses a load message; ok is false if it is malformed.
 func parseLoads(body []byte) (whole bool, loads []peerLoad, ok bool) {
 	if len(body) < 1 || (len(body)-1)%loadBytes != 0 {
 		return false, nil, false
@@ -42,6 +46,7 @@
 	return body[0] == 1, loads, true
 }
 
+// peerMessage applies a peer's load message.
 func (d *Dispatcher) peerMessage(e PeerSaid) {
 	whole, loads, ok := parseLoads(e.Body)
 	if !ok {
@@ -65,7 +70,7 @@
 	}
 }
 
-// forgetPeer takes back what a peer has told.
+// forgetPeer removes the load that a peer has reported.
 func (d *Dispatcher) forgetPeer(p *peer) {
 	for id, l := range p.load {
 		d.peerSum(id).replace(l, [2]uint8{})
@@ -73,7 +78,7 @@
 	clear(p.load)
 }
 
-// peerSum is the sum of what the peers have told of a worker.
+// peerSum returns the load at a worker that the peers report, all together.
 func (d *Dispatcher) peerSum(id uint32) *loadSum {
 	if d.peerSums[id] == nil {
 		d.peerSums[id] = &loadSum{}
@@ -81,36 +86,39 @@
 	return d.peerSums[id]
 }
 
-// loadMessage is this dispatcher's load where it has changed, or all of it, as far as it fits.
+// loadMessage returns a message with this dispatcher's load where it has changed, or all of it, as far as it
+// fits.
 func (d *Dispatcher) loadMessage(whole bool) []byte {
 	d.loadChanged = false
 	body := newLoads(whole)
 	for _, w := range d.fleet {
-		if whole { // a whole message clears what the peers hold; what does not fit follows in the next
+		if whole { // a whole message replaces the load that the peers have; what does not fit follows in the next
 			d.fullLoadSentAt, w.sentLoad = d.now, [2]uint8{}
 		}
 		load := [2]uint8{uint8(min(8*w.ownSlots, 255)), uint8(min(math.Ceil(8*w.ownMemory), 255))}
 		if load == w.sentLoad {
 			continue
 		}
-		rest := uint8(unknownLoad)
+		othersLoad := uint8(unknownLoad)
 		if w.foreignUnsent {
-			rest = uint8(min(math.Round(8*w.foreignSlots), unknownLoad-1))
+			othersLoad = uint8(min(math.Round(8*w.foreignSlots), unknownLoad-1))
 		}
 		if len(body) > maxLoadsBytes {
 			d.loadChanged = true
 			break
 		}
 		w.sentLoad, w.foreignUnsent = load, false
-		body = appendLoad(body, w.ID, load, rest)
+		body = appendLoad(body, w.ID, load, othersLoad)
 	}
 	return body
 }
 
+// peerInterval returns the time between two messages with the whole load; a peer that is silent for three of
+// them is forgotten.
 func (d *Dispatcher) peerInterval() time.Duration { return d.settings.Rules.MustAskIn / 2 }
 
-// peerGroup is the number of the group of dispatchers that tell each other of their load and so
-// can share one order of workers: with hundreds, telling all would cost more than the jobs.
+// peerGroup returns the number of the group of dispatchers that report their load to each other and so can
+// share one order of workers. With hundreds of dispatchers, messages to all would cost more than the jobs.
 func (d *Dispatcher) peerGroup() int {
 	if d.sharesLoad() {
 		return d.settings.Dispatcher % d.peerGroups()
@@ -118,6 +126,7 @@
 	return d.settings.Dispatcher
 }
 
+// peerGroups returns the number of those groups.
 func (d *Dispatcher) peerGroups() int {
 	return (d.settings.Dispatchers + peerGroupSize - 1) / peerGroupSize
 }
--- a/decide/retune.go
+++ b/decide/retune.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// What of the settings of before a dispatcher may keep when others come: nothing but what it knows of workers.
+// A change of settings: a dispatcher keeps what it has learned, and drops what depends on the earlier settings.
 
-// newRand is the source of all that is drawn.
+// newRand returns the source of random numbers for the settings.
 func (s *Settings) newRand() *rand.Rand { return rand.New(rand.NewPCG(s.Seed, uint64(s.Dispatcher))) }
 
-// dropOutdated drops what was reckoned by settings that other ones replace.
+// dropOutdated drops what was computed from settings that the new ones change.
 func (d *Dispatcher) dropOutdated(s Settings) {
-	if len(d.classes) == 0 { // it has just been made
+	if len(d.classes) == 0 { // called by New
 		return
 	}
-	slices.Sort(d.queueOrder) // equals stay as they were
+	slices.Sort(d.queueOrder) // the order in which equal queues were added
 	if s.Seed != d.settings.Seed || s.Dispatcher != d.settings.Dispatcher {
 		d.rng = s.newRand()
 	}
-	if s.Limits.ConnIdle != d.settings.Limits.ConnIdle { // by parts of which ages of connections are told apart
+	if s.Limits.ConnIdle != d.settings.Limits.ConnIdle { // the buckets of idle times depend on it
 		d.idleFailures, d.maxIdle, d.maxIdleSetAt = [8]tally{}, s.Limits.ConnIdle*3/5, 0
 	}
 	for i := range d.connSetups {
@@ -34,7 +34,7 @@
 	}
 }
 
-// resetColdTurns reckons turns of cold workers as after a start.
+// resetColdTurns computes the turns of cold workers as after a start.
 func (d *Dispatcher) resetColdTurns() {
 	d.firstJobQueue = d.firstJobQueue[:0]
 	for _, id := range slices.Sorted(maps.Keys(d.workers)) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// coldSettings is what the turns of cold workers are reckoned by.
+// coldSettings is the settings that the turns of cold workers depend on.
 type coldSettings struct {
 	from, multiple          float64
 	cold, window            time.Duration
@@ -53,23 +53,25 @@
 	leasing                 Leasing
 }
 
+// coldSettings returns the settings that the turns of cold workers depend on.
 func (s *Settings) coldSettings() coldSettings {
 	return coldSettings{s.Rules.ColdFrom, s.Rules.FallMultiple, s.Rules.Cold, s.Rules.FallWindow, s.Dispatcher, s.Dispatchers, s.Leasing}
 }
 
-// SameJobs tells whether what was learned of a class's jobs holds for another definition of it. Worth, effect and window say
-// nothing of the jobs themselves.
+// SameJobs reports whether what was learned of the class's jobs holds for another definition of it. Worth,
+// effect and window say nothing about the jobs.
 func (c Class) SameJobs(other Class) bool {
 	return c.Aim == other.Aim && c.Stretch == other.Stretch && c.Deadline == other.Deadline && c.Kind == other.Kind && c.Stream == other.Stream
 }
 
-// redefine is a class under another definition; what came before keeps the old one. Where its jobs are others, nothing is known of them.
+// redefine returns a class with what was learned of it, for another definition; earlier requests keep the old
+// one. If the jobs differ, what was learned is dropped.
 func (d *Dispatcher) redefine(i int, to Class) *class {
 	c := &class{}
 	*c = *d.classes[i]
 	if !c.SameJobs(to) {
 		c.meanRun, c.meanLogRun, c.jobs, c.maxBudget, c.errors = 0, 0, 0, 0, tally{N: errorSamples}
-		d.startDelays = average{} // reservableSlots queues of those jobs
+		d.startDelays = average{} // start delays include the queueing behind those jobs
 		for _, w := range d.workers {
 			w.classErrors[i], w.refusals[i] = tally{N: 3}, refusal{}
 		}
@@ -77,7 +79,7 @@
 	return c
 }
 
-// updateActiveClasses notes which classes the settings have.
+// updateActiveClasses sets the classes that the settings still have.
 func (d *Dispatcher) updateActiveClasses() {
 	d.activeClasses = d.activeClasses[:0]
 	for _, c := range d.classes {
@@ -87,7 +89,7 @@
 	}
 }
 
-// allClasses is all classes: as they are, and as they were when requests in hand came.
+// allClasses returns the classes, and the earlier definitions that open requests still have.
 func (d *Dispatcher) allClasses() []*class {
 	all := append([]*class(nil), d.classes...)
 	known := map[*class]bool{}
@@ -100,8 +102,8 @@
 	return all
 }
 
-// moveWorker has a worker where a line of the list says, and tells whether the line has another number for that than before: no process
-// moves, so other settings name zones and kinds otherwise.
+// moveWorker sets a worker's zone from its line of the list, and reports whether the line has another zone or
+// kind than before. No process moves, so then other settings number zones and kinds otherwise.
 func (d *Dispatcher) moveWorker(w *worker, l Worker) (renumbered bool) {
 	renumbered = w.Zone != l.Zone || w.Kind != l.Kind
 	if w.zone.id != l.Zone {
@@ -110,7 +112,8 @@
 	return renumbered
 }
 
-// dropEmptyZones forgets the zones that no worker is in: they are of other settings, and none would do as well as one that is not used.
+// dropEmptyZones drops zones without workers: they come from earlier settings, and an unused zone would count
+// as the best.
 func (d *Dispatcher) dropEmptyZones() {
 	d.zones = d.zones[:0]
 	for _, id := range slices.Sorted(maps.Keys(d.workers)) {
--- a/decide/validate.go
+++ b/decide/validate.go
@@ -6,13 +6,13 @@
 	"math"
 )
 
-// check refuses settings that no dispatcher could follow.
+// check returns an error for invalid settings.
 func (s Settings) check() error {
 	if len(s.Classes) == 0 || s.Dispatchers < 1 || s.Limits.Attempts < 1 {
-		return errors.New("settings need a class, a dispatcher and an attempt")
+		return errors.New("settings need at least one class, one dispatcher and one attempt")
 	}
 	if s.First < 0 || s.First >= len(s.Classes) || s.Classes[s.First].Left {
-		return fmt.Errorf("class %d cannot be the first of %d", s.First, len(s.Classes))
+		return fmt.Errorf("first class %d is not one of the %d classes in use", s.First, len(s.Classes))
 	}
 	if len(s.Policies) != len(s.Classes) {
 		return fmt.Errorf("%d policies for %d classes", len(s.Policies), len(s.Classes))
@@ -33,7 +33,7 @@
 	return s.Goal.check()
 }
 
-// check refuses a policy that no dispatcher could follow.
+// check returns an error for an invalid policy.
 func (p Policy) check() error {
 	if p.Followup != Fail && p.Followup != Default {
 		return fmt.Errorf("unknown followup %q", p.Followup)
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// check refuses a budget that no dispatcher could keep.
+// check returns an error for an invalid budget.
 func (b *AttemptBudget) check() error {
 	for _, v := range []float64{b.Spare, b.PerRequest} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// check refuses a punctual part that cannot be judged.
+// check returns an error where the punctual part cannot be computed.
 func (g Goal) check() error {
 	if !(g.Punctual >= 0 && g.Punctual <= 1) || !(g.MissAllowed >= 0 && g.MissAllowed <= 1) {
 		return fmt.Errorf("goal: Punctual %v and MissAllowed %v are no shares", g.Punctual, g.MissAllowed)
