--- a/decide/api.go
+++ b/decide/api.go
@@ -1,6 +1,8 @@
-// Package decide makes the decisions of a dispatcher that pushes jobs to
-// workers by Allocation Priority Policies. The policy itself is in decide.go and look.go;
-// this file holds only the seam: the types that cross it, New and Handle.
+// Package decide makes the decisions of a job dispatcher that pushes jobs to workers by Allocation Priority
+// Policies. It does no input or output and reads no clock: the caller passes events and the time to
+// [Dispatcher.Handle] and carries out the actions that it returns.
+//
+// This file has the package's interface; the decisions are in decide.go and look.go.
 package decide
 
 import (
@@ -22,7 +24,7 @@
 	Platform  Strategy = "platform"
 )
 
-// Rule is what makes a worker of a block invalid, besides being unreachable.
+// Rule is what makes a reachable worker of a block invalid.
 type Rule string
 
 // The invalidate rules.
@@ -41,14 +43,14 @@
 	Default Followup = "default"
 )
 
-// Invalidate is a rule and its threshold: a percentage for CapacityUsed, a
-// count for MaxConcurrentInvocations, nothing for Overload.
+// Invalidate is a rule and its threshold: a percentage for CapacityUsed, a count for MaxConcurrentInvocations,
+// unused for Overload.
 type Invalidate struct {
 	Rule      Rule
 	Threshold float64
 }
 
-// Label selects workers: by zone and kind (Any for all), and by ID where given.
+// Label selects workers by zone and kind (Any for all), and by ID where IDs are given.
 type Label struct {
 	Zone, Kind int
 	IDs        []uint32
@@ -59,28 +61,28 @@
 	Workers    []Label
 	Strategy   Strategy
 	Invalidate Invalidate
-	// ByKey: best_first goes by each request's key, in an order that all dispatchers share;
-	// requests without a key pass the block over.
+	// ByKey: best_first orders the workers by each request's key, the same in all dispatchers;
+	// requests without a key skip the block.
 	ByKey bool
 }
 
-// Policy is the ordered blocks of one class and its followup.
+// Policy is a class's blocks, in order, and its followup.
 type Policy struct {
 	Blocks   []Block
 	Followup Followup
 }
 
-// Effect says how far a request may be repeated.
+// Effect is how far a request may be repeated.
 type Effect int
 
 // The effects.
 const (
-	Safe   Effect = iota // repeat at will
+	Safe   Effect = iota // may be repeated at will
 	Keyed                // a group of workers drops repeats for a while
-	Unsafe               // never run twice
+	Unsafe               // must never run twice
 )
 
-// Scope is the group of workers that drops the repeats of a keyed request.
+// Scope is the group of workers that drops repeats of a keyed request.
 type Scope int
 
 // The scopes.
@@ -92,7 +94,7 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Aim       time.Duration // isFull worth inside Aim + Stretch x own work
+	Aim       time.Duration // full worth within Aim + Stretch x own work
 	Stretch   float64
 	Deadline  time.Duration
 	Worth     float64
@@ -102,85 +104,86 @@
 	Window    time.Duration // how long repeats of a Keyed request are dropped
 	Kind      int           // the kind of worker it needs, or Any
 	Stream    bool
-	Left      bool // the settings have it no more; requests under way may be of it
+	Left      bool // removed from the settings; open requests may still have it
 }
 
 // Tenant is a customer with an agreed rate across all dispatchers.
 type Tenant struct {
 	QuotaPerSecond float64
-	Left           bool // the settings have it no more
+	Left           bool // removed from the settings
 }
 
 // Limits is what the site allows.
 type Limits struct {
-	Attempts      int
-	Open          int
-	Cancel        bool
-	SecondCopies  bool
+	Attempts      int  // for one request
+	Open          int  // open requests; 0: no limit
+	Cancel        bool // attempts can be cancelled
+	SecondCopies  bool // a request may have several attempts at a time
 	Probes        bool
 	PeerMessages  bool
-	RetryAfter    bool
+	RetryAfter    bool // refusals may have one
 	MaxRetryAfter time.Duration
-	// ConnectTimeout: a connection not made by then fails.
+	// ConnectTimeout is the time after which connecting fails.
 	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // connIdle connections are closed after this long
+	ConnIdle       time.Duration // idle connections are closed after this long
 }
 
-// Rules holds the figures behind the rules.
+// Rules holds the parameters of the rules.
 type Rules struct {
 	AnswerSlack  time.Duration
 	DrainGrace   time.Duration
-	ColdFrom     float64
-	Cold         time.Duration
-	FallMultiple float64
+	ColdFrom     float64       // share of its capacity that a worker has at its start
+	Cold         time.Duration // time in which it warms up to all of it
+	FallMultiple float64       // times its capacity that a cold worker may get in a FallWindow
 	FallWindow   time.Duration
-	MustAskIn    time.Duration
-	Budget       *AttemptBudget // nil: no such rule
-	GoneIsAdvice bool           // reservableSlots the list's states only draining binds
+	MustAskIn    time.Duration  // time in which the worker list must be subscribed to
+	Budget       *AttemptBudget // nil: the rules set none
+	GoneIsAdvice bool           // the list's state Gone is only advisory; Draining binds
 }
 
-// AttemptBudget bounds attempts beyond each request's first: in any Span, Spare and
-// PerRequest for each request that arrived in it.
+// AttemptBudget bounds attempts beyond each request's first: in any Span, Spare of them plus PerRequest for
+// each request that arrived in it.
 type AttemptBudget struct {
 	Spare, PerRequest float64
 	Span              time.Duration
 }
 
-// Prices is what is taken off for one unit of each.
+// Prices is the deduction from the result for one unit of each.
 type Prices struct{ CrossZone, Waste, LateFail, Probe, Peer float64 }
 
-// Goal weighs the parts of the result; it is checked, and no decision goes by it now. The parts: what is served of the whole, of the worst window,
-// class and tenant, and punctually: by class and five seconds in full only while at most
-// MissAllowed of the requests that are not refused in time miss their aim.
+// Goal weighs the parts of the result. It is validated, but no decision depends on it now. The parts are the
+// served share of all work, of the worst window, of the worst class and of the worst tenant, and the punctual
+// share by class and five seconds, which counts in full only while at most MissAllowed of the requests that are
+// not refused in time miss their aim.
 type Goal struct{ Whole, WorstWindow, WorstClass, WorstTenant, Punctual, MissAllowed float64 }
 
-// Settings is all that a dispatcher is told at its start.
+// Settings configures a dispatcher.
 type Settings struct {
-	Dispatcher, Dispatchers int
+	Dispatcher, Dispatchers int // index of this dispatcher, and their number
 	Seed                    uint64
 	Zone                    int
 	Granularity             time.Duration
 	Classes                 []Class
-	First                   int // the class whose times pace what no rule does: the first that the settings name
+	First                   int // index of the class whose times apply where no rule sets one: the first in the settings
 	Tenants                 []Tenant
 	OverShareWorth          float64
 	Limits                  Limits
 	Rules                   Rules
 	Prices                  Prices
 	Goal                    Goal
-	Subscribe               bool // the worker list must be asked for
-	Pushed                  bool // it is pushed; asking for it, where that must be, costs nobody anything
-	ReportsFree             bool // load reports carry free slots
-	TellsStart              bool
-	MarksRetries            bool          // clients mark their later tries
-	Progress                time.Duration // gap between progress notes; 0: none
-	Rated                   bool          // worker ratings mean something
-	Leasing                 Leasing       // reservableSlots the budget for cold workers
-	// Policies has one policy for each class; nil derives them.
+	Subscribe               bool          // the worker list must be subscribed to
+	Pushed                  bool          // a local agent pushes the list; subscribing loads no service
+	ReportsFree             bool          // load reports include free slots
+	TellsStart              bool          // the start of jobs is reported
+	MarksRetries            bool          // clients mark their retries
+	Progress                time.Duration // interval of progress reports; 0: there are none
+	Rated                   bool          // worker ratings are meaningful
+	Leasing                 Leasing       // of the budget for cold workers
+	// Policies has one policy for each class; nil: they are derived.
 	Policies []Policy
 }
 
-// WorkerState is what discovery says of a worker.
+// WorkerState is a worker's state as discovery lists it.
 type WorkerState int
 
 // The states.
@@ -195,14 +198,14 @@
 	ID               uint32
 	Zone, Kind, Cell int
 	Rating           float64
-	Started          time.Duration // 0: long ago
+	Started          time.Duration // 0: not recent
 	State            WorkerState
 }
 
-// Report is a worker's own load figures; a negative value was not told.
+// Report is a worker's own load figures; a negative value is not reported.
 type Report struct{ Active, Waiting, FreeSlots, FreeMemory float64 }
 
-// Span is slots that are held for a while.
+// Span is a number of slots that is reserved for a time.
 type Span struct {
 	From, Until time.Duration
 	Slots       float64
@@ -223,10 +226,10 @@
 	Moot
 )
 
-// NeverRan tells whether the outcome proves that the attempt did not run.
+// NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Moot }
 
-// Event is something the dispatcher is told.
+// Event is an input of the dispatcher.
 type Event interface{ event() }
 
 // The events.
@@ -238,44 +241,42 @@
 	}
 	// ListDelta changes the lines it holds.
 	ListDelta struct{ Workers []Worker }
-	// ListFailed: a subscription or a fetch failed; the list stays. Nobody: the call reached nobody, and cost
-	// nobody anything. After: how long before that the call was made, also where it was not this module that asked; 0:
-	// not told.
+	// ListFailed: a subscription or a fetch failed; the list stays. Nobody: the call did not reach the service. After:
+	// how long ago the call was made, even if not by a Subscribe; 0: not known.
 	ListFailed struct {
 		Nobody bool
 		After  time.Duration
 	}
-	// Request has arrived and is owed one final answer.
+	// Request has arrived and must get one final answer.
 	Request struct {
 		ID            uint32
 		Class, Tenant int
 		Key           uint64
 		Budget        time.Duration
-		Work          time.Duration // expected work, 0 when not told
+		Work          time.Duration // expected work, 0 when not known
 		Slots, Memory float64
-		Repeat        bool // a client's later try, where clients mark them
-		// Order, where there is one, is the only workers that it may go to, the first before the next: a route's
-		// rotation or hash. It takes the place of the class's blocks.
+		Repeat        bool // a client's retry, where clients mark them
+		// Order, if not empty, lists the only workers that it may go to, in order of preference: a route's rotation or
+		// hash. It replaces the class's blocks.
 		Order []uint32
-		// Held: it is what slots are held for, by Holds.
+		// Held: slots are reserved for it, by Holds.
 		Held bool
-		// Patient: whoever sent it waits for its end until the deadline, so it is not called off for being late.
+		// Patient: its client waits until the deadline, so it is not given up for being late.
 		Patient bool
-		// Gated: each of its attempts waits for leave before it goes out, and Passed tells of that.
+		// Gated: each of its attempts waits for permission after its Send, and is sent at its Passed event.
 		Gated bool
 	}
-	// StreamStarted: the attempt's answer has begun and belongs to the client.
+	// StreamStarted: the attempt's answer has begun and is passed on to the client.
 	StreamStarted struct {
 		Request uint32
 		Attempt int
 	}
-	// Passed: an attempt of a gated request goes out now.
+	// Passed: an attempt of a gated request is sent now.
 	Passed struct {
 		Request uint32
 		Attempt int
 	}
-	// Taken: the worker has confirmed that it has the attempt. Where this is told at all, it is
-	// told at once.
+	// Taken: the worker has confirmed that it has the attempt. Workers that confirm attempts do so at once.
 	Taken struct {
 		Request uint32
 		Attempt int
@@ -285,24 +286,24 @@
 		Request uint32
 		Attempt int
 	}
-	// JobProgress: the share of the attempt that is done.
+	// JobProgress reports the share of the job that is done.
 	JobProgress struct {
 		Request uint32
 		Attempt int
 		Share   float64
 	}
-	// AttemptEnded is the one outcome of an attempt. Over: the request has ended.
+	// AttemptEnded is the only outcome of an attempt. Over: the request has ended with it.
 	AttemptEnded struct {
 		Request uint32
 		Attempt int
 		Outcome Outcome
 		Over    bool
 		Report  *Report
-		Kept    time.Duration // how long its connection had been idle; 0: new, or not told
+		Kept    time.Duration // how long its connection had been idle; 0: new, or not known
 	}
-	// RequestLapsed: the client has left; nothing more is owed.
+	// RequestLapsed: the client has left, and expects no answer.
 	RequestLapsed struct{ Request uint32 }
-	// Wake is a timer set by a WakeMe.
+	// Wake: a timer set by a WakeMe has fired.
 	Wake struct{ Token uint64 }
 	// Probed is the result of a probe.
 	Probed struct {
@@ -310,24 +311,23 @@
 		Outcome Outcome
 		Report  *Report
 	}
-	// Cordon: people leave a worker out, or put it back.
+	// Cordon: an operator cordons a worker, or removes its cordon.
 	Cordon struct {
 		Worker uint32
 		Out    bool
 	}
-	// Holds replaces what is held of a worker, whoever sends what it is held for. From its start on it counts as used;
-	// until then only what ends in time may fill it: a request of known work, or one whose deadline comes first.
+	// Holds replaces a worker's reservations, for requests of any dispatcher. From its start on a reservation counts as
+	// used; until then its slots may be used by requests that end in time: of known work, or with an earlier deadline.
 	Holds struct {
 		Worker uint32
-		Slots  float64 // that the worker has
+		Slots  float64 // of the worker
 		Spans  []Span
 	}
-	// Relieve: this process takes over from one that has what is here in its memory. Nothing may
-	// have arrived yet.
+	// Relieve: this process takes over from an earlier one with this state. No request may have arrived before.
 	Relieve struct{ Memory Memory }
-	// Advise: an earlier process, which ended some time ago, had learned what is here. It is advice.
+	// Advise: an earlier process, which ended some time ago, had learned this. It is only advisory.
 	Advise struct{ Memory Memory }
-	// PeerSaid is a message of another dispatcher.
+	// PeerSaid is a message from another dispatcher.
 	PeerSaid struct {
 		Peer int
 		Body []byte
@@ -354,7 +354,7 @@
 func (Lease) event()         {}
 func (Holds) event()         {}
 
-// Action is something the dispatcher wants done.
+// Action is something that the caller is to do.
 type Action interface{ action() }
 
 // The actions.
@@ -362,35 +362,35 @@
 	// Send starts an attempt; attempts of a request are numbered from 0 in order.
 	Send struct {
 		Request, Worker uint32
-		Timeout         time.Duration // 0: until the client gives up
-		MostIdle        time.Duration // a connection idle for longer is not to be used; 0: any may be
-		Fresh           bool          // only a new connection is to be used
-		Lease           uint64        // that it goes by; 0: none
+		Timeout         time.Duration // 0: none
+		MostIdle        time.Duration // a connection idle for longer must not be used; 0: no limit
+		Fresh           bool          // only a new connection may be used
+		Lease           uint64        // the lease that it uses; 0: none
 	}
-	// Cancel stops waiting for an attempt.
+	// Cancel cancels an attempt.
 	Cancel struct {
 		Request uint32
 		Attempt int
 	}
-	// Refuse is a final answer: trying again is harmless.
+	// Refuse is a final answer after which a retry does no harm.
 	Refuse struct {
 		Request    uint32
 		RetryAfter time.Duration
 	}
-	// FailRequest is a final answer that promises nothing.
+	// FailRequest is a final answer after which the job may have run.
 	FailRequest struct{ Request uint32 }
-	// WakeMe asks for a Wake after a while.
+	// WakeMe sets a timer, whose Wake comes after this time.
 	WakeMe struct {
 		Token uint64
 		After time.Duration
 	}
-	// Probe checks a worker.
+	// Probe checks whether a worker answers.
 	Probe struct{ Worker uint32 }
 	// Release closes the idle connections to a worker.
 	Release struct{ Worker uint32 }
-	// Subscribe asks discovery for the list's changes from now on.
+	// Subscribe subscribes to the worker list at discovery.
 	Subscribe struct{}
-	// TellPeers sends a message to one other dispatcher, or to all (Any).
+	// TellPeers sends a message to another dispatcher, or to all (Any).
 	TellPeers struct {
 		To   int
 		Body []byte
@@ -399,9 +399,9 @@
 	WantLease struct {
 		Worker  uint32
 		Started time.Duration
-		Work    float64 // seconds of a slot
+		Work    float64 // slot seconds
 	}
-	// Log is a line for the people on call.
+	// Log is a log line for the operators.
 	Log struct{ Text string }
 )
 
@@ -417,7 +417,7 @@
 func (Log) action()         {}
 func (WantLease) action()   {}
 
-// New returns a dispatcher that has just started and holds nothing.
+// New returns a dispatcher that has just started and knows no workers or requests.
 func New(s Settings) (*Dispatcher, error) {
 	d := &Dispatcher{
 		rng: s.newRand(), admitted: 1, maxIdle: s.Limits.ConnIdle * 3 / 5,
@@ -430,9 +430,9 @@
 	return d, nil
 }
 
-// Retune has the dispatcher go by other settings from now on, with all that it knows of workers; an error says
-// that it cannot, and goes by the old ones. Classes and tenants must keep their numbers: those that
-// are no more stay, marked so. Requests in hand keep the class that they came with.
+// Retune changes the settings and keeps what was learned of workers. On an error the old settings stay. Classes
+// and tenants must keep their indexes: those removed from the settings stay in them, marked Left. Open requests
+// keep the class that they arrived with.
 func (d *Dispatcher) Retune(s Settings) error {
 	if s.Policies == nil && len(s.Classes) > 0 {
 		s.Policies = defaultPolicies(s)
@@ -441,7 +441,7 @@
 		return fmt.Errorf("decide: %w", err)
 	}
 	if len(s.Classes) < len(d.classes) || len(s.Tenants) < len(d.tenantDemand) {
-		return errors.New("decide: a class or tenant has lost its number")
+		return errors.New("decide: new settings have fewer classes or tenants than the old ones")
 	}
 	d.dropOutdated(s)
 	d.settings = s
@@ -479,7 +479,7 @@
 	return nil
 }
 
-// Handle takes what has happened by now and returns what to do, in order.
+// Handle processes the events up to now and returns the actions to carry out, in order.
 func (d *Dispatcher) Handle(now time.Duration, events []Event) []Action {
 	d.actions = nil
 	d.beginBatch(now)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -508,7 +508,7 @@
 }
 
 // probeEnded records the result of a probe. Success proves an unproven worker; for others a probe decides
-// nothing, since their jobs tell more.
+// nothing, since their jobs say more.
 func (d *Dispatcher) probeEnded(e Probed) {
 	if w := d.workers[e.Worker]; w != nil {
 		d.recordReport(w, e.Report)
--- a/decide/memory.go
+++ b/decide/memory.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// Memory is what a dispatcher knows, for the process that takes over from it: what it has learned,
-// and the requests in hand with their attempts. What the list tells is told anew.
+// Memory is a dispatcher's state for the process that takes over from it: what it has learned, and the open
+// requests with their attempts. The worker list is not part of it, since the new process gets it from
+// discovery.
 type Memory struct {
 	Workers       []WorkerMemory
-	Classes       []ClassMemory // one for each class
+	Classes       []ClassMemory // by index of the class
 	Kinds         map[int]kindStat
-	Zones         map[int]tally // reservableSlots attempts that fared badly
+	Zones         map[int]tally // share of attempts that failed or started late
 	Keys          map[uint64]demand
 	Tenants       []demand
 	Requests      []RequestMemory
@@ -38,7 +39,7 @@
 	RetryAt, Lived, ColdNext, Lead time.Duration
 	Late, Bad                      tally
 	Wary                           time.Duration
-	Errs                           []tally // reservableSlots each class
+	Errs                           []tally // by class
 	Refusals                       []refusal
 }
 
@@ -49,7 +50,7 @@
 	Errs              tally
 }
 
-// RequestMemory is a request that is owed its answer.
+// RequestMemory is a request that needs its final answer.
 type RequestMemory struct {
 	Request
 	Arrived, Due, Limit time.Duration
@@ -58,17 +59,17 @@
 	Attempts            []AttemptMemory
 }
 
-// AttemptMemory is one attempt of it.
+// AttemptMemory is an attempt of a request.
 type AttemptMemory struct {
 	Worker                                                           Worker
 	Sent, Note, Begun, Idle                                          time.Duration
 	Ended, NeverRan, Erred, Started, Queued, Taken, Lost, Fared, New bool
 }
 
-// maxSnapshotKeys is of how many keys the demand is handed over: it is learned anew within seconds.
+// maxSnapshotKeys bounds the keys whose demand is handed over; it is learned again within seconds.
 const maxSnapshotKeys = 4096
 
-// Memory is what this dispatcher knows by now.
+// Memory returns the dispatcher's state.
 func (d *Dispatcher) Memory() Memory {
 	m := Memory{
 		Kinds: map[int]kindStat{}, Zones: map[int]tally{}, Keys: map[uint64]demand{}, Tenants: d.tenantDemand, Taken: d.arrivals, Extras: d.extraAttempts,
@@ -76,12 +77,12 @@
 		Setups: d.connSetups, Served: d.sawLife, Confirms: d.confirmsAttempts,
 	}
 	for _, w := range d.workers {
-		l := WorkerMemory{
+		saved := WorkerMemory{
 			Worker: w.Worker, Ceiling: w.ceiling, Slots: w.learnedSize, Ghost: w.abandoned, Dev: w.logDeviation, N: w.deviationWeight,
 			Strikes: w.failures, Probes: w.probes, RetryAt: w.retryAt, Lived: w.lastAlive, ColdNext: w.nextColdSend, Lead: w.minStartDelay,
 			Late: w.lateStarts, Bad: w.errors, Wary: w.unsafeBarredUntil, Owed: w.firstJobDue, Errs: w.classErrors, Refusals: w.refusals,
 		}
-		m.Workers = append(m.Workers, l)
+		m.Workers = append(m.Workers, saved)
 	}
 	for _, c := range d.classes {
 		m.Classes = append(m.Classes, ClassMemory{c.meanRun, c.meanLogRun, c.jobs, c.maxBudget, c.errors})
@@ -101,22 +102,23 @@
 		if r.done {
 			continue
 		}
-		l := RequestMemory{
+		saved := RequestMemory{
 			Request: r.Request, Arrived: r.arrived, Due: r.deadline, Limit: r.aimEnd, Late: r.late, Over: r.overShare, Errs: r.errors, Unsent: r.unsent,
 		}
 		for _, a := range r.attempts {
-			l.Attempts = append(l.Attempts, AttemptMemory{
+			saved.Attempts = append(saved.Attempts, AttemptMemory{
 				a.worker.Worker, a.sentAt, a.lastReport, a.startedAt, a.connIdle,
 				a.ended, a.neverRan, a.errored, a.started, a.queued, a.accepted, a.connLost, a.zoneCounted, a.newConn,
 			})
 		}
-		m.Requests = append(m.Requests, l)
+		m.Requests = append(m.Requests, saved)
 	}
 	return m
 }
 
-// Advice is the part of a memory that is true for longer than a process: how long classes run, how large kinds of
-// worker are, and which processes of them had been told to drain. Ceilings, strikes and cold turns are of the moment.
+// Advice returns the part of a memory that stays valid after the process has ended: the run times of classes,
+// the sizes of kinds of worker, and which workers' processes were draining. Ceilings, failures and cold turns
+// are only of the moment.
 func (m Memory) Advice() Memory {
 	a := Memory{Classes: m.Classes, Kinds: m.Kinds}
 	for _, w := range m.Workers {
@@ -127,12 +129,12 @@
 	return a
 }
 
-// warmStart takes advice: only of what is not known better by now. It never says that a worker is warm or fit.
+// warmStart uses advice where nothing better is known yet. It never makes a worker count as warm or healthy.
 func (d *Dispatcher) warmStart(m Memory) {
 	sane := func(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
-	for i, l := range m.Classes[:min(len(m.Classes), len(d.classes))] {
-		if c := d.classes[i]; c.jobs == 0 && l.Jobs > 0 && sane(l.Run) && sane(l.Jobs) && !math.IsNaN(l.LogRun) && !math.IsInf(l.LogRun, 0) {
-			c.meanRun, c.meanLogRun, c.jobs = l.Run, l.LogRun, min(l.Jobs, speedPriorJobs) // soon outweighed
+	for i, saved := range m.Classes[:min(len(m.Classes), len(d.classes))] {
+		if c := d.classes[i]; c.jobs == 0 && saved.Jobs > 0 && sane(saved.Run) && sane(saved.Jobs) && !math.IsNaN(saved.LogRun) && !math.IsInf(saved.LogRun, 0) {
+			c.meanRun, c.meanLogRun, c.jobs = saved.Run, saved.LogRun, min(saved.Jobs, speedPriorJobs) // bounded, so that new runs outweigh it soon
 		}
 	}
 	for id, k := range m.Kinds {
@@ -140,8 +142,8 @@
 			own.Slots = k.Slots
 		}
 	}
-	for _, l := range m.Workers { // for its process, whatever an older list says
-		if w := d.workers[l.ID]; w != nil && l.State == Draining && w.Started == l.Started {
+	for _, saved := range m.Workers { // draining holds for the process, whatever an older list says
+		if w := d.workers[saved.ID]; w != nil && saved.State == Draining && w.Started == saved.Started {
 			w.State = Draining
 		}
 	}
@@ -149,39 +151,39 @@
 	d.blocksStale, d.mayHaveRoom, d.sortAfter = true, true, 0
 }
 
-// restore takes over what another process of this dispatcher knew.
+// restore takes over the state of another process of this dispatcher.
 func (d *Dispatcher) restore(m Memory) {
 	d.arrivals, d.extraAttempts, d.admitted, d.tokens, d.firstJobs, d.errors = m.Taken, m.Extras, m.Admitted, m.Tokens, m.Fresh, m.Bad
 	d.silentUntil, d.maxIdle, d.maxIdleSetAt, d.idleFailures, d.connSetups, d.sawLife, d.confirmsAttempts = m.Silent, m.MostIdle, m.IdleAt, m.Ages, m.Setups, m.Served, m.Confirms
-	for _, l := range m.Workers {
-		if d.workers[l.ID] == nil && l.State == Draining { // a later list may name it again
-			if d.upsert([]Worker{l.Worker}, false); d.workers[l.ID] != nil {
-				d.workers[l.ID].unlisted = true
+	for _, saved := range m.Workers {
+		if d.workers[saved.ID] == nil && saved.State == Draining { // a later list may have it again
+			if d.upsert([]Worker{saved.Worker}, false); d.workers[saved.ID] != nil {
+				d.workers[saved.ID].unlisted = true
 			}
 		}
-		w := d.workers[l.ID]
-		if w != nil && w.Started < l.Started { // an old list, of an earlier process
-			w.Started = l.Started
-		}
-		if w != nil && w.Started == l.Started { // else it has been started anew
-			w.ceiling, w.learnedSize, w.abandoned, w.logDeviation, w.deviationWeight, w.minStartDelay = l.Ceiling, l.Slots, l.Ghost, l.Dev, l.N, l.Lead
-			w.probes, w.retryAt, w.lastAlive, w.nextColdSend, w.lateStarts = l.Probes, l.RetryAt, l.Lived, l.ColdNext, l.Late
-			w.errors, w.unsafeBarredUntil = l.Bad, l.Wary
-			copy(w.classErrors, l.Errs)
-			copy(w.refusals, l.Refusals)
-			if l.State == Draining { // for its process, whatever an older list says
+		w := d.workers[saved.ID]
+		if w != nil && w.Started < saved.Started { // an old list that names an earlier process
+			w.Started = saved.Started
+		}
+		if w != nil && w.Started == saved.Started { // otherwise it has been restarted
+			w.ceiling, w.learnedSize, w.abandoned, w.logDeviation, w.deviationWeight, w.minStartDelay = saved.Ceiling, saved.Slots, saved.Ghost, saved.Dev, saved.N, saved.Lead
+			w.probes, w.retryAt, w.lastAlive, w.nextColdSend, w.lateStarts = saved.Probes, saved.RetryAt, saved.Lived, saved.ColdNext, saved.Late
+			w.errors, w.unsafeBarredUntil = saved.Bad, saved.Wary
+			copy(w.classErrors, saved.Errs)
+			copy(w.refusals, saved.Refusals)
+			if saved.State == Draining { // it holds for the process, whatever an older list says
 				w.State = Draining
 			}
-			w.failures = l.Strikes
-			if w.firstJobDue = l.Owed; w.firstJobDue {
+			w.failures = saved.Strikes
+			if w.firstJobDue = saved.Owed; w.firstJobDue {
 				d.queueFirstJob(w)
 			}
 		}
 	}
 	d.recount()
-	for i, l := range m.Classes[:min(len(m.Classes), len(d.classes))] {
-		if c := d.classes[i]; l != (ClassMemory{}) { // else nothing is told of it
-			c.meanRun, c.meanLogRun, c.jobs, c.maxBudget, c.errors = l.Run, l.LogRun, l.Jobs, l.Budget, l.Errs
+	for i, saved := range m.Classes[:min(len(m.Classes), len(d.classes))] {
+		if c := d.classes[i]; saved != (ClassMemory{}) { // zero: nothing was learned of it
+			c.meanRun, c.meanLogRun, c.jobs, c.maxBudget, c.errors = saved.Run, saved.LogRun, saved.Jobs, saved.Budget, saved.Errs
 		}
 	}
 	for id, k := range m.Kinds {
@@ -190,7 +192,7 @@
 	for id, bad := range m.Zones {
 		d.zone(id).poorAttempts = bad
 	}
-	d.keyedDemand = demand{Last: d.now} // against their sum keys are hot or not
+	d.keyedDemand = demand{Last: d.now} // the total that a key's demand is compared with
 	for k, n := range m.Keys {
 		d.keyDemand[k] = n
 		d.keyedDemand.N += n.at(d.now, d.settings.Rules.Cold)
@@ -199,31 +201,31 @@
 	slices.SortFunc(m.Requests, func(a, b RequestMemory) int {
 		return cmp.Or(cmp.Compare(a.Arrived, b.Arrived), cmp.Compare(a.ID, b.ID))
 	})
-	for _, l := range m.Requests {
-		d.restoreRequest(l)
+	for _, saved := range m.Requests {
+		d.restoreRequest(saved)
 	}
 	d.blocksStale, d.mayHaveRoom, d.sortAfter = true, true, 0
 }
 
-// restoreRequest goes on with a request that another process of this dispatcher had in hand.
-func (d *Dispatcher) restoreRequest(l RequestMemory) {
-	if l.Class < 0 || l.Class >= len(d.classes) || d.requests[l.ID] != nil {
+// restoreRequest takes over an open request from another process of this dispatcher.
+func (d *Dispatcher) restoreRequest(saved RequestMemory) {
+	if saved.Class < 0 || saved.Class >= len(d.classes) || d.requests[saved.ID] != nil {
 		return
 	}
 	r := &request{
-		Request: l.Request, class: d.classes[l.Class], arrived: l.Arrived, deadline: l.Due, aimEnd: l.Limit,
-		late: l.Late, overShare: l.Over, errors: l.Errs, unsent: min(max(l.Unsent, 0), len(l.Attempts)),
-	}
-	for _, t := range l.Attempts {
-		w := d.workers[t.Worker.ID]
-		if w == nil || w.Started != t.Worker.Started { // that process of it has gone
-			t.Worker.State = Gone
-			w = &worker{Worker: t.Worker, zone: d.zone(t.Worker.Zone), peerLoad: &loadSum{},
+		Request: saved.Request, class: d.classes[saved.Class], arrived: saved.Arrived, deadline: saved.Due, aimEnd: saved.Limit,
+		late: saved.Late, overShare: saved.Over, errors: saved.Errs, unsent: min(max(saved.Unsent, 0), len(saved.Attempts)),
+	}
+	for _, savedAttempt := range saved.Attempts {
+		w := d.workers[savedAttempt.Worker.ID]
+		if w == nil || w.Started != savedAttempt.Worker.Started { // that process has ended
+			savedAttempt.Worker.State = Gone
+			w = &worker{Worker: savedAttempt.Worker, zone: d.zone(savedAttempt.Worker.Zone), peerLoad: &loadSum{},
 				classErrors: make([]tally, len(d.classes)), refusals: make([]refusal, len(d.classes))}
 		}
 		a := &attempt{
-			worker: w, sentAt: t.Sent, lastReport: t.Note, startedAt: t.Begun, connIdle: t.Idle, ended: t.Ended, neverRan: t.NeverRan,
-			errored: t.Erred, started: t.Started, queued: t.Queued, accepted: t.Taken, connLost: t.Lost, zoneCounted: t.Fared, newConn: t.New,
+			worker: w, sentAt: savedAttempt.Sent, lastReport: savedAttempt.Note, startedAt: savedAttempt.Begun, connIdle: savedAttempt.Idle, ended: savedAttempt.Ended, neverRan: savedAttempt.NeverRan,
+			errored: savedAttempt.Erred, started: savedAttempt.Started, queued: savedAttempt.Queued, accepted: savedAttempt.Taken, connLost: savedAttempt.Lost, zoneCounted: savedAttempt.Fared, newConn: savedAttempt.New,
 		}
 		r.attempts = append(r.attempts, a)
 		if a.ended {
@@ -231,7 +233,7 @@
 		}
 		r.outstanding++
 		w.ownSlots, w.ownMemory, w.connsInUse = w.ownSlots+r.Slots, w.ownMemory+r.Memory, w.connsInUse+1
-		w.conns = w.connsInUse // none idle: the connections stayed there
+		w.conns = w.connsInUse // no idle ones: connections are not handed over
 		if a.started {
 			w.runningSlots += r.Slots
 		}
--- a/decide/state.go
+++ b/decide/state.go
@@ -68,7 +68,7 @@
 	isFull                        bool    // no request finds room here, as of batch fullInBatch
 	fullInBatch                   int
 	reservations                  []Span  // by gangs
-	reservableSlots               float64 // the worker's slots, as told with the reservations
+	reservableSlots               float64 // the worker's slots, as given with the reservations
 	// Connections as predicted here: in use by attempts, open, and when one was last freed.
 	connsInUse, conns int
 	connFreedAt       time.Duration
