--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -334,8 +334,8 @@
 		}
 	}
 	for _, wk := range w.d.fleet {
-		if wk.own != 0 || wk.running != 0 {
-			t.Errorf("worker %d keeps %v slots and %v running", wk.ID, wk.own, wk.running)
+		if wk.ownSlots != 0 || wk.runningSlots != 0 {
+			t.Errorf("worker %d keeps %v slots and %v running", wk.ID, wk.ownSlots, wk.runningSlots)
 		}
 	}
 }
