--- a/decide/badinput_test.go
+++ b/decide/badinput_test.go
@@ -8,7 +8,7 @@
 
 // TestBadInput: what no dispatcher should be told is passed over: it answers nothing, sends
 // nothing, and leaves the dispatcher able to serve the next request.
-func TestBadInput(t *testing.T) {
+func TestInvalidEventsAreIgnored(t *testing.T) {
 	tests := []struct {
 		name   string
 		events []Event
@@ -26,16 +26,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := fleet(t, crowd(true, true, true), 3)
-			_, j := w.place(0)
+			w := newReadyHarness(t, manyDispatchers(true, true, true), 3)
+			_, j := w.sendRequest(0)
 			for _, a := range w.d.Handle(w.now, tt.events) {
 				switch a.(type) {
 				case Send, Refuse, FailRequest, Cancel:
 					t.Errorf("answered by %T %+v", a, a)
 				}
 			}
-			w.handle(JobStarted{j.ID, 0}, w.end(j, 0, OK, nil))
-			if got, _ := w.place(2); got == 0 {
+			w.handle(JobStarted{j.ID, 0}, w.endAttempt(j, 0, OK, nil))
+			if got, _ := w.sendRequest(2); got == 0 {
 				t.Error("the next request is not sent")
 			}
 		})
@@ -44,20 +44,20 @@
 
 // TestOddBudgetsAndClocks: a request without time is not sent; a clock that stands still,
 // steps back or jumps by seconds breaks no rule (the world checks them on every action).
-func TestOddBudgetsAndClocks(t *testing.T) {
+func TestUnusualBudgetsAndClockSteps(t *testing.T) {
 	for _, budget := range []time.Duration{0, -time.Second, math.MaxInt64 / 4} {
-		w := fleet(t, site(1, true, false, false), 2)
-		j := w.arrive(0, budget)
+		w := newReadyHarness(t, testSettings(1, true, false, false), 2)
+		j := w.newRequest(0, budget)
 		w.handle(j.Request)
-		if sent := len(j.tries) > 0; sent != (budget > 0) {
+		if sent := len(j.attempts) > 0; sent != (budget > 0) {
 			t.Errorf("budget %v: sent %v", budget, sent)
 		}
 	}
-	w := fleet(t, site(1, true, false, false), 2)
-	var jobs []*job
+	w := newReadyHarness(t, testSettings(1, true, false, false), 2)
+	var jobs []*testRequest
 	for _, step := range []time.Duration{0, 0, -time.Minute, time.Minute, 8 * ms, 3 * time.Second, 0, time.Hour} {
 		w.now += step
-		jobs = append(jobs, w.arrive(len(jobs)%3, time.Second))
+		jobs = append(jobs, w.newRequest(len(jobs)%3, time.Second))
 		w.handle(Wake{}, jobs[len(jobs)-1].Request)
 	}
 	w.now += time.Second
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -9,14 +9,14 @@
 // TestColdBudgetOfAllDispatchers: ten dispatchers hear of one start at different
 // times, under more work than the worker can do; each once sent its first job
 // the moment it heard, together 22 times what the worker could do.
-func TestColdBudgetOfAllDispatchers(t *testing.T) {
+func TestAllDispatchersTogetherKeepTheColdBudget(t *testing.T) {
 	const dispatchers, run = 10, 400 * time.Millisecond
 	started := time.Hour
 	sent := []time.Duration{}
 	for n := range dispatchers {
-		s := site(uint64(n), false, true, false)
+		s := testSettings(uint64(n), false, true, false)
 		s.Dispatchers, s.Dispatcher = dispatchers, n
-		w := newWorld(t, s)
+		w := newHarness(t, s)
 		w.now = started + time.Duration(n)*100*ms
 		w.list[1] = Worker{ID: 1, State: Ready, Started: started}
 		for _, c := range w.d.classes {
@@ -25,19 +25,19 @@
 		w.handle(ListDelta{Workers: []Worker{w.list[1]}})
 		for w.now < started+3*time.Second {
 			w.now += 10 * ms
-			j := w.arrive(0, time.Second)
+			j := w.newRequest(0, time.Second)
 			w.handle(Wake{}, j.Request)
-			for _, j := range w.jobs {
-				for i, tr := range j.tries {
+			for _, j := range w.requests {
+				for i, tr := range j.attempts {
 					if !tr.over && w.now-tr.sent >= run {
-						w.handle(w.end(j, i, OK, nil))
+						w.handle(w.endAttempt(j, i, OK, nil))
 						sent = append(sent, tr.sent)
 					}
 				}
 			}
 		}
 	}
-	s := site(0, false, true, false)
+	s := testSettings(0, false, true, false)
 	budget := s.Rules.FallMultiple * s.Rules.ColdFrom * s.Rules.FallWindow.Seconds()
 	if len(sent) == 0 {
 		t.Error("the cold worker got nothing at all")
@@ -58,13 +58,13 @@
 
 // TestColdTurnsLapse: turns that were not used once stayed open, and hundreds of dispatchers
 // could spend theirs at a cold worker at one time.
-func TestColdTurnsLapse(t *testing.T) {
+func TestUnusedColdTurnsExpire(t *testing.T) {
 	started, after := time.Hour, 4*time.Second
 	open, rate := 0, 0.0
 	for n := range 200 {
-		s := site(uint64(n), true, false, false)
+		s := testSettings(uint64(n), true, false, false)
 		s.Dispatchers, s.Dispatcher = 200, n
-		w := newWorld(t, s)
+		w := newHarness(t, s)
 		w.now = started
 		w.list[1] = Worker{ID: 1, State: Ready, Started: started}
 		w.handle(ListDelta{Workers: []Worker{w.list[1]}})
@@ -84,13 +84,13 @@
 
 // TestFewJobsTellNoColdWorker: of 300 dispatchers one that has just started took one short job for the run of its class,
 // and gave long ones turns at a worker in its first seconds; or one long job for the size of all workers.
-func TestFewJobsTellNoColdWorker(t *testing.T) {
-	learn := func(w *world, class int, run time.Duration) {
+func TestFewJobsDoNotDecideColdTurns(t *testing.T) {
+	learn := func(w *harness, class int, run time.Duration) {
 		a := &attempt{w: w.d.workers[1], sent: w.d.now - run, begun: w.d.now - run, started: true}
 		w.d.learn(&request{Request: Request{Slots: 1}, c: w.d.classes[class], arrived: a.sent}, a)
 	}
-	c := newThrong(t, 300, append(warmWorkers(170), Worker{ID: 5000, State: Ready, Started: time.Hour}))
-	for i, w := range c.worlds[2:] {
+	c := newFleetSim(t, 300, append(warmWorkers(170), Worker{ID: 5000, State: Ready, Started: time.Hour}))
+	for i, w := range c.dispatchers[2:] {
 		for range 10 {
 			learn(w, 0, 400*ms)
 		}
@@ -101,7 +101,7 @@
 			}
 		}
 	}
-	few, many := c.worlds[0], c.worlds[1]
+	few, many := c.dispatchers[0], c.dispatchers[1]
 	learn(few, 1, 2400*ms)
 	for range 10 {
 		learn(many, 1, 2400*ms)
@@ -116,10 +116,10 @@
 
 // TestLateWhileColdIsForgotten: starts that were late because a worker was cold once kept it last in the order long after
 // it was warm: nobody sent there, so nothing put it right.
-func TestLateWhileColdIsForgotten(t *testing.T) {
+func TestLateStartsWhileColdAreNotCounted(t *testing.T) {
 	for _, cold := range []bool{true, false} {
-		w := fleet(t, site(1, true, false, false), 1)
-		_, j := w.place(2)
+		w := newReadyHarness(t, testSettings(1, true, false, false), 1)
+		_, j := w.sendRequest(2)
 		if cold {
 			w.d.workers[1].Started = w.now // it was started anew a moment ago
 		}
--- a/decide/conn_test.go
+++ b/decide/conn_test.go
@@ -9,7 +9,7 @@
 // request each, an unsafe one for good. The age at which sends fail is learned, whether they
 // fail by a reset or by silence, and older ones are closed first; a fleet that fails at
 // any age is left alone.
-func TestOldConnectionsAreClosed(t *testing.T) {
+func TestConnectionsOfFailingIdleAgesAreClosed(t *testing.T) {
 	tests := []struct {
 		name       string
 		starts     bool
@@ -24,9 +24,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := site(1, tt.starts, false, false)
+			s := testSettings(1, tt.starts, false, false)
 			s.Limits.ConnIdle = 16 * time.Second
-			w := fleet(t, s, 1)
+			w := newReadyHarness(t, s, 1)
 			wk := w.d.workers[1]
 			released := false
 			for i := range 40 {
@@ -67,10 +67,10 @@
 // What breaks on a connection kept idle tells of whoever drops idle ones, not of the worker:
 // that keeps its trust, and what goes out next goes on younger connections, an unsafe job on
 // still younger ones. With time older ones are tried again.
-func TestBrokenKeptConnectionSparesTheWorker(t *testing.T) {
-	s := site(1, true, false, false)
+func TestBrokenIdleConnectionIsNotHeldAgainstItsWorker(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Limits.ConnIdle = 16 * time.Second
-	w := fleet(t, s, 1)
+	w := newReadyHarness(t, s, 1)
 	wk := w.d.workers[1]
 	r := &request{Request: Request{ID: 7, Slots: 1}, c: w.d.classes[0], arrived: w.d.now, due: w.d.now + time.Hour}
 	w.d.requests[7] = r
@@ -95,13 +95,13 @@
 
 // A kept connection that carries nothing lost a job that must not run twice, again and again. Once
 // one is known (its worker lives, and confirms what comes on others), such jobs go out on new ones.
-func TestUnsafeJobsAvoidSilentConnections(t *testing.T) {
-	s := site(1, true, false, false)
+func TestUnsafeRequestsAvoidSilentConnections(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Limits.ConnIdle = 16 * time.Second
-	w := fleet(t, s, 1)
-	send := func(class int) (*job, bool) {
+	w := newReadyHarness(t, s, 1)
+	send := func(class int) (*testRequest, bool) {
 		w.d.workers[1].ceiling = 9
-		j := w.arrive(class, 10*time.Second)
+		j := w.newRequest(class, 10*time.Second)
 		for _, a := range w.handle(Wake{}, j.Request) {
 			if s, ok := a.(Send); ok && s.Request == j.ID {
 				return j, s.Fresh
@@ -112,7 +112,7 @@
 	}
 	one, _ := send(2)
 	two, _ := send(2)
-	w.handle(Taken{one.ID, 0}, w.end(one, 0, OK, nil), Taken{two.ID, 0}, w.end(two, 0, OK, nil)) // two are kept
+	w.handle(Taken{one.ID, 0}, w.endAttempt(one, 0, OK, nil), Taken{two.ID, 0}, w.endAttempt(two, 0, OK, nil)) // two are kept
 	first, _ := send(2)
 	w.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
 	lost, _ := send(2) // its connection carries nothing, and it is taken to queue
@@ -135,7 +135,7 @@
 	if _, fresh := send(0); fresh {
 		t.Error("a repeatable job needs no new one")
 	}
-	w.handle(w.end(lost, 0, TimedOut, nil))
+	w.handle(w.endAttempt(lost, 0, TimedOut, nil))
 	w.now += s.Limits.ConnIdle
 	alive()
 	if w.now < w.d.silent {
--- a/decide/cordon_test.go
+++ b/decide/cordon_test.go
@@ -10,15 +10,15 @@
 // whichever process decides.
 func TestRulesWithCordons(t *testing.T) {
 	for seed := range uint64(24) {
-		s := budgeted(site(seed, seed&1 != 0, seed&2 != 0, false))
+		s := varyRules(testSettings(seed, seed&1 != 0, seed&2 != 0, false))
 		s.Rules.GoneIsAdvice = false
-		randomDayWith(t, s, 1500, func(w *world, i int) {
+		playRandomEventsWith(t, s, 1500, func(w *harness, i int) {
 			if id := uint32(w.rng.IntN(6) + 1); i%31 == 30 {
-				w.out[id] = !w.out[id]
-				w.handle(Cordon{Worker: id, Out: w.out[id]})
+				w.cordoned[id] = !w.cordoned[id]
+				w.handle(Cordon{Worker: id, Out: w.cordoned[id]})
 			}
 			if i%97 == 96 {
-				w.relieve()
+				w.handOver()
 			}
 		})
 	}
@@ -26,12 +26,12 @@
 
 // One that comes back was restarted meanwhile, though the list may not have said so: it was sent
 // work as if it were warm, or nothing for long. It counts as cold and has a first job soon.
-func TestPutBackIsColdAndUsed(t *testing.T) {
+func TestUncordonedWorkerIsColdAndUsedSoon(t *testing.T) {
 	for n := range 3 {
-		s := site(uint64(n), true, false, false)
+		s := testSettings(uint64(n), true, false, false)
 		s.Dispatchers, s.Dispatcher = 3, n
 		s.Rules.Cold, s.Rules.ColdFrom = 20*time.Second, 0.14
-		w := fleet(t, s, 4)
+		w := newReadyHarness(t, s, 4)
 		w.handle(Cordon{Worker: 2, Out: true}, Cordon{Worker: 2, Out: true})
 		if listed, avoided := w.d.Fleet(); listed != 4 || avoided != 1 {
 			t.Errorf("%d listed, %d avoided", listed, avoided)
@@ -46,16 +46,16 @@
 		var at []time.Duration
 		for w.now < began+owedWithin {
 			w.now += 20 * ms
-			j := w.arrive(0, time.Second)
+			j := w.newRequest(0, time.Second)
 			for _, a := range w.handle(Wake{}, j.Request) {
 				if s, ok := a.(Send); ok && s.Worker == 2 {
 					at = append(at, w.now-began)
 				}
 			}
-			for _, j := range w.jobs {
-				for i, tr := range j.tries {
+			for _, j := range w.requests {
+				for i, tr := range j.attempts {
 					if !tr.over && w.now-tr.sent >= 60*ms {
-						w.handle(w.end(j, i, OK, nil))
+						w.handle(w.endAttempt(j, i, OK, nil))
 					}
 				}
 			}
@@ -70,8 +70,8 @@
 }
 
 // TestOwedOnce: a worker put back by hand counts as cold, too, and was listed twice among those to be used first.
-func TestOwedOnce(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 2)
+func TestUncordonedWorkerIsQueuedOnce(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 2)
 	w.handle(Cordon{Worker: 1, Out: true})
 	w.handle(Cordon{Worker: 1})
 	if n := len(w.d.owed); n != 1 {
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -11,7 +11,7 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, workers := range []int{10, 100, 400} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
-			s := site(1, true, false, false)
+			s := testSettings(1, true, false, false)
 			s.Dispatchers = 2 * workers
 			d, err := New(s)
 			if err != nil {
@@ -47,7 +47,7 @@
 func BenchmarkList(b *testing.B) {
 	for _, workers := range []int{10, 100, 400} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
-			d, err := New(site(1, true, false, false))
+			d, err := New(testSettings(1, true, false, false))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -9,23 +9,23 @@
 
 // throng plays many dispatchers against one fleet of workers, in virtual time: each worker runs so many jobs
 // at once, the rest in a queue, in order.
-type throng struct {
-	worlds []*world
-	rng    *rand.Rand
-	now    time.Duration
-	slots  int
-	run    func(class int, worker uint32) time.Duration
-	busy   map[uint32][]*throngJob // at work, then queued
-	sends  []*throngJob
-	lost   int // requests refused
+type fleetSim struct {
+	dispatchers []*harness
+	rng         *rand.Rand
+	now         time.Duration
+	slots       int
+	runTime     func(class int, worker uint32) time.Duration
+	queues      map[uint32][]*fleetJob // at work, then queued
+	sent        []*fleetJob
+	refused     int // requests refused
 }
 
-type throngJob struct {
-	w                 *world
-	j                 *job
-	n                 int
-	worker            uint32
-	sent, began, ends time.Duration
+type fleetJob struct {
+	dispatcher          *harness
+	request             *testRequest
+	attempt             int
+	worker              uint32
+	sent, started, ends time.Duration
 }
 
 // warmWorkers is a fleet of one zone and kind.
@@ -37,11 +37,11 @@
 }
 
 // newThrong makes n dispatchers with the settings of the large fleet's site, which all know the workers.
-func newThrong(t *testing.T, n int, workers []Worker) *throng {
-	c := &throng{rng: rand.New(rand.NewPCG(1, 1)), now: time.Hour, slots: 4, busy: map[uint32][]*throngJob{}}
-	c.run = func(class int, _ uint32) time.Duration { return []time.Duration{400 * ms, 2400 * ms}[class] }
+func newFleetSim(t *testing.T, n int, workers []Worker) *fleetSim {
+	c := &fleetSim{rng: rand.New(rand.NewPCG(1, 1)), now: time.Hour, slots: 4, queues: map[uint32][]*fleetJob{}}
+	c.runTime = func(class int, _ uint32) time.Duration { return []time.Duration{400 * ms, 2400 * ms}[class] }
 	for i := range n {
-		s := site(uint64(i), true, false, false)
+		s := testSettings(uint64(i), true, false, false)
 		s.Dispatcher, s.Dispatchers, s.Progress = i, n, 0
 		s.Classes = []Class{
 			{Aim: 500 * ms, Stretch: 2.5, Deadline: 5 * time.Second, Worth: 1, Effect: Safe, Kind: Any},
@@ -49,78 +49,78 @@
 		}
 		s.Tenants = []Tenant{{QuotaPerSecond: 3.5 * float64(len(workers))}}
 		s.Rules.Cold, s.Rules.ColdFrom = 24*time.Second, 0.14
-		w := newWorld(t, s)
+		w := newHarness(t, s)
 		w.now = c.now
 		for _, l := range workers {
 			w.list[l.ID] = l
 		}
 		w.handle(ListFull{Workers: workers})
-		c.worlds = append(c.worlds, w)
+		c.dispatchers = append(c.dispatchers, w)
 	}
 	return c
 }
 
 // take adds what the last events had a dispatcher send, and drops what it called off in a queue.
-func (c *throng) take(w *world, actions []Action) {
+func (c *fleetSim) apply(w *harness, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			j := w.jobs[a.Request]
-			k := &throngJob{w: w, j: j, n: len(j.tries) - 1, worker: a.Worker, sent: c.now}
-			c.sends = append(c.sends, k)
-			c.busy[a.Worker] = append(c.busy[a.Worker], k)
+			j := w.requests[a.Request]
+			k := &fleetJob{dispatcher: w, request: j, attempt: len(j.attempts) - 1, worker: a.Worker, sent: c.now}
+			c.sent = append(c.sent, k)
+			c.queues[a.Worker] = append(c.queues[a.Worker], k)
 		case Refuse:
-			c.lost++
+			c.refused++
 		case Cancel:
-			j := w.jobs[a.Request]
-			id := j.tries[a.Attempt].w.ID
-			c.busy[id] = slices.DeleteFunc(c.busy[id], func(k *throngJob) bool {
-				return k.w == w && k.j == j && k.n == a.Attempt
+			j := w.requests[a.Request]
+			id := j.attempts[a.Attempt].worker.ID
+			c.queues[id] = slices.DeleteFunc(c.queues[id], func(k *fleetJob) bool {
+				return k.dispatcher == w && k.request == j && k.attempt == a.Attempt
 			})
 			w.now = c.now
-			c.take(w, w.handle(w.end(j, a.Attempt, Cancelled, nil)))
+			c.apply(w, w.handle(w.endAttempt(j, a.Attempt, Cancelled, nil)))
 		}
 	}
 }
 
 // play has requests come at a rate to all together, each of a class and key as drawn.
-func (c *throng) play(long time.Duration, rate float64, draw func() (class int, key uint64)) {
+func (c *fleetSim) simulate(long time.Duration, rate float64, draw func() (class int, key uint64)) {
 	for end, step := c.now+long, 5*ms; c.now < end; {
 		c.now += step
 		ids := []uint32{}
-		for id := range c.busy {
+		for id := range c.queues {
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			for _, k := range slices.Clone(c.busy[id]) {
+			for _, k := range slices.Clone(c.queues[id]) {
 				if k.ends > 0 && c.now >= k.ends {
-					c.busy[id] = slices.DeleteFunc(c.busy[id], func(x *throngJob) bool { return x == k })
-					k.w.now = c.now
-					c.take(k.w, k.w.handle(k.w.end(k.j, k.n, OK, nil)))
+					c.queues[id] = slices.DeleteFunc(c.queues[id], func(x *fleetJob) bool { return x == k })
+					k.dispatcher.now = c.now
+					c.apply(k.dispatcher, k.dispatcher.handle(k.dispatcher.endAttempt(k.request, k.attempt, OK, nil)))
 				}
 			}
-			for i, k := range c.busy[id] {
+			for i, k := range c.queues[id] {
 				if i < c.slots && k.ends == 0 {
-					k.began, k.ends = c.now, c.now+c.run(k.j.Class, id)
-					k.w.now = c.now
-					c.take(k.w, k.w.handle(JobStarted{Request: k.j.ID, Attempt: k.n}))
+					k.started, k.ends = c.now, c.now+c.runTime(k.request.Class, id)
+					k.dispatcher.now = c.now
+					c.apply(k.dispatcher, k.dispatcher.handle(JobStarted{Request: k.request.ID, Attempt: k.attempt}))
 				}
 			}
 		}
-		for _, w := range c.worlds {
-			if w.now = c.now; len(w.wakes) > 0 && w.wakes[0] <= c.now {
-				w.wakes = w.wakes[1:]
-				c.take(w, w.handle(Wake{}))
+		for _, w := range c.dispatchers {
+			if w.now = c.now; len(w.timers) > 0 && w.timers[0] <= c.now {
+				w.timers = w.timers[1:]
+				c.apply(w, w.handle(Wake{}))
 			}
 		}
 		for n := rate * step.Seconds(); c.rng.Float64() < n; n-- {
-			w := c.worlds[c.rng.IntN(len(c.worlds))]
+			w := c.dispatchers[c.rng.IntN(len(c.dispatchers))]
 			class, key := draw()
 			w.now = c.now
-			j := w.arrive(class, w.s.Classes[class].Deadline)
+			j := w.newRequest(class, w.s.Classes[class].Deadline)
 			j.Key = key
-			c.take(w, w.handle(j.Request))
+			c.apply(w, w.handle(j.Request))
 		}
 	}
 }
@@ -128,25 +128,25 @@
 // TestManyWarmAColdWorkerUp: each dispatcher's first turn at a cold worker lay by its own long jobs and the one
 // slot it had seen there, beyond the whole time to warm up with eighty of them: nobody sent, and the worker
 // never got warm. All together use a good part of the budget, and no window's is passed.
-func TestManyWarmAColdWorkerUp(t *testing.T) {
+func TestManyDispatchersWarmUpAColdWorker(t *testing.T) {
 	workers := warmWorkers(20)
-	c := newThrong(t, 80, workers)
+	c := newFleetSim(t, 80, workers)
 	preview := func() (int, uint64) { return 0, 0 }
-	c.play(10*time.Second, 80, preview)
+	c.simulate(10*time.Second, 80, preview)
 	cold := Worker{ID: 5000, State: Ready, Started: c.now}
-	for _, w := range c.worlds {
+	for _, w := range c.dispatchers {
 		w.now, w.list[cold.ID] = c.now, cold
 		w.handle(ListDelta{Workers: []Worker{cold}})
 	}
-	c.sends = nil
-	c.play(12*time.Second, 80, preview)
+	c.sent = nil
+	c.simulate(12*time.Second, 80, preview)
 	at := []time.Duration{}
-	for _, k := range c.sends {
+	for _, k := range c.sent {
 		if k.worker == cold.ID {
 			at = append(at, k.sent-cold.Started)
 		}
 	}
-	s := c.worlds[0].s
+	s := c.dispatchers[0].s
 	capacity := func(age time.Duration) float64 { // slot seconds a second, at its least
 		return float64(c.slots) * (s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*age.Seconds()/s.Rules.Cold.Seconds())
 	}
@@ -168,30 +168,30 @@
 
 // TestManyDoNotMeetAtOneKeeper: each dispatcher sent its first job of a key to the one keeper that all agree on,
 // and waited there, while three in four workers were idle.
-func TestManyDoNotMeetAtOneKeeper(t *testing.T) {
+func TestManyDispatchersSpreadHotKeys(t *testing.T) {
 	workers := warmWorkers(20)
-	c := newThrong(t, 80, workers)
+	c := newFleetSim(t, 80, workers)
 	keys := func() (int, uint64) { return 0, 1 + uint64(c.rng.ExpFloat64()*2) }
-	c.play(10*time.Second, 60, keys)
-	c.sends = nil // of a few requests none can tell which keys are hot
-	c.play(10*time.Second, 60, keys)
+	c.simulate(10*time.Second, 60, keys)
+	c.sent = nil // of a few requests none can tell which keys are hot
+	c.simulate(10*time.Second, 60, keys)
 	waited := 0
-	for _, k := range c.sends {
-		if k.began == 0 || k.began-k.sent > 100*ms {
+	for _, k := range c.sent {
+		if k.started == 0 || k.started-k.sent > 100*ms {
 			waited++
 		}
 	}
-	if waited*4 > len(c.sends) {
-		t.Errorf("%d of %d jobs waited at their keepers, at 0.3 of what the workers can do", waited, len(c.sends))
+	if waited*4 > len(c.sent) {
+		t.Errorf("%d of %d jobs waited at their keepers, at 0.3 of what the workers can do", waited, len(c.sent))
 	}
 }
 
 // TestQueuedJobMayStillBeInTime: a job that was queued at its aim was given up, though its own length gave it
 // twice that: what may not be repeated was lost for good, and what it had waited for in vain.
-func TestQueuedJobMayStillBeInTime(t *testing.T) {
-	s := newThrong(t, 1, nil).worlds[0].s
-	w := fleet(t, s, 1)
-	j := w.arrive(1, 25*time.Second)
+func TestQueuedUnsafeJobIsKeptPastItsAim(t *testing.T) {
+	s := newFleetSim(t, 1, nil).dispatchers[0].s
+	w := newReadyHarness(t, s, 1)
+	j := w.newRequest(1, 25*time.Second)
 	w.handle(j.Request)
 	for w.now < time.Hour+3*time.Second { // its aim is 2 s, with its length 6 s
 		w.now += 20 * ms
@@ -205,16 +205,16 @@
 // TestManyAskForTheListInTurn: discovery works through calls in turn and fails those that waited too long. All
 // dispatchers that lost their watch together asked again within two seconds or so, which is more than it can
 // answer: every call waited too long, for good.
-func TestManyAskForTheListInTurn(t *testing.T) {
+func TestManyDispatchersSpreadListCalls(t *testing.T) {
 	const each, patience = 100 * ms, 2 * time.Second
-	c := newThrong(t, 80, nil)
+	c := newFleetSim(t, 80, nil)
 	type call struct {
-		w     *world
+		w     *harness
 		since time.Duration
 	}
 	var queue []call
-	back := map[*world]bool{}
-	act := func(w *world, events ...Event) {
+	back := map[*harness]bool{}
+	act := func(w *harness, events ...Event) {
 		w.now = c.now
 		for _, a := range w.handle(events...) {
 			if _, ok := a.(Subscribe); ok {
@@ -222,14 +222,14 @@
 			}
 		}
 	}
-	for _, w := range c.worlds {
+	for _, w := range c.dispatchers {
 		act(w, ListFailed{})
 	}
 	next := c.now
 	for end := c.now + 5*80*each; c.now < end; c.now += 10 * ms { // five times the work of one call each
-		for _, w := range c.worlds {
-			if len(w.wakes) > 0 && w.wakes[0] <= c.now {
-				w.wakes = w.wakes[1:]
+		for _, w := range c.dispatchers {
+			if len(w.timers) > 0 && w.timers[0] <= c.now {
+				w.timers = w.timers[1:]
 				act(w, Wake{})
 			}
 		}
@@ -251,15 +251,15 @@
 
 // TestOneRequestIsNoShare: a dispatcher of many sees a tenant once in many seconds, which was more than its part of
 // the tenant's share over the short time that was counted, and then nothing had room for it.
-func TestOneRequestIsNoShare(t *testing.T) {
-	c := newThrong(t, 80, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
-	for i, w := range c.worlds {
+func TestSingleRequestIsNotOverItsTenantsShare(t *testing.T) {
+	c := newFleetSim(t, 80, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
+	for i, w := range c.dispatchers {
 		w.d.s.Tenants = []Tenant{{QuotaPerSecond: 80}, {QuotaPerSecond: 12}, {QuotaPerSecond: 12}}
 		w.d.tenants = make([]demand, 3)
-		j := w.arrive(1, 25*time.Second)
+		j := w.newRequest(1, 25*time.Second)
 		j.Tenant, j.Key = 1, 5
 		w.handle(j.Request)
-		if len(j.tries) == 0 {
+		if len(j.attempts) == 0 {
 			t.Errorf("dispatcher %d held a tenant's first request", i)
 		}
 	}
@@ -269,28 +269,28 @@
 // ever can, and the long ones, most of the worth, queued at those that had not been replaced.
 func TestLongJobsReachWarmingWorkers(t *testing.T) {
 	workers := warmWorkers(8)
-	c := newThrong(t, 80, workers)
-	for _, w := range c.worlds { // agreed rates that a worker of five slots could just do
+	c := newFleetSim(t, 80, workers)
+	for _, w := range c.dispatchers { // agreed rates that a worker of five slots could just do
 		w.d.s.Tenants[0].QuotaPerSecond *= 1.6
 	}
 	mixed := func() (int, uint64) { return int(c.rng.Uint32() % 4 / 3), 0 }
-	c.play(40*time.Second, 20, mixed) // ten jobs each, by which their runs are known
+	c.simulate(40*time.Second, 20, mixed) // ten jobs each, by which their runs are known
 	cold := []Worker{}
 	for id := range uint32(6) {
 		cold = append(cold, Worker{ID: 5000 + id, State: Ready, Started: c.now})
 	}
-	for _, w := range c.worlds {
+	for _, w := range c.dispatchers {
 		w.now = c.now
 		for i, l := range cold {
 			w.list[l.ID], w.list[workers[i].ID] = l, Worker{ID: workers[i].ID, State: Gone}
 			w.handle(ListDelta{Workers: []Worker{l, {ID: workers[i].ID, State: Draining}}})
 		}
 	}
-	c.sends = nil
-	c.play(21*time.Second, 20, mixed)
+	c.sent = nil
+	c.simulate(21*time.Second, 20, mixed)
 	long := map[bool]int{}
-	for _, k := range c.sends {
-		if age := k.sent - cold[0].Started; age > 14*time.Second && k.j.Class == 1 {
+	for _, k := range c.sent {
+		if age := k.sent - cold[0].Started; age > 14*time.Second && k.request.Class == 1 {
 			long[k.worker >= 5000]++
 		}
 	}
@@ -301,40 +301,40 @@
 
 // TestQueuedAmongMany: a repeatable job with a key that found its keeper full of others' jobs stayed in the queue
 // until its aim and was refused, where most workers were idle.
-func TestQueuedAmongMany(t *testing.T) {
+func TestQueuedKeyedRequestMovesAmongManyDispatchers(t *testing.T) {
 	workers := warmWorkers(20)
-	c := newThrong(t, 80, workers)
-	c.run = func(_ int, worker uint32) time.Duration { // two in five are slow
+	c := newFleetSim(t, 80, workers)
+	c.runTime = func(_ int, worker uint32) time.Duration { // two in five are slow
 		return []time.Duration{300 * ms, 300 * ms, 300 * ms, 2 * time.Second, 2 * time.Second}[worker/77%5]
 	}
-	c.play(15*time.Second, 60, func() (int, uint64) { return 0, 1 + uint64(c.rng.ExpFloat64()*20) })
-	if c.lost > 60 { // one in fifteen
-		t.Errorf("%d of some 900 jobs given up, while three in five workers had room", c.lost)
+	c.simulate(15*time.Second, 60, func() (int, uint64) { return 0, 1 + uint64(c.rng.ExpFloat64()*20) })
+	if c.refused > 60 { // one in fifteen
+		t.Errorf("%d of some 900 jobs given up, while three in five workers had room", c.refused)
 	}
 }
 
 // TestBrokenOffGoesToAnotherZone: with a whole zone lost, a request spent all its attempts there, one refused
 // connection after the other, before its dispatcher had met enough of them to shun the zone.
-func TestBrokenOffGoesToAnotherZone(t *testing.T) {
+func TestRetryAfterConnectFailureGoesToAnotherZone(t *testing.T) {
 	workers := warmWorkers(20)
 	for i := range workers {
 		workers[i].Zone = i % 2
 	}
-	w := newThrong(t, 1, workers).worlds[0]
-	w.keyed(8)
-	j := w.arrive(0, 5*time.Second)
+	w := newFleetSim(t, 1, workers).dispatchers[0]
+	w.sendKeyed(8)
+	j := w.newRequest(0, 5*time.Second)
 	j.Key, w.d.keys[7] = 7, demand{N: 100, Last: w.now} // with several keepers in either zone
 	w.handle(j.Request)
-	w.handle(w.end(j, 0, ConnectFailed, nil))
-	if len(j.tries) != 2 || j.tries[0].w.Zone != 0 || j.tries[1].w.Zone != 1 {
-		t.Fatalf("after a broken connection in zone 0, without life there, it went to %+v", j.tries[len(j.tries)-1].w)
+	w.handle(w.endAttempt(j, 0, ConnectFailed, nil))
+	if len(j.attempts) != 2 || j.attempts[0].worker.Zone != 0 || j.attempts[1].worker.Zone != 1 {
+		t.Fatalf("after a broken connection in zone 0, without life there, it went to %+v", j.attempts[len(j.attempts)-1].worker)
 	}
 }
 
 // TestFewJobsTellASlowWorker: a dispatcher of many sees one or two jobs at a worker in the time that one is slow; its
 // own speed counted for little before eight.
-func TestFewJobsTellASlowWorker(t *testing.T) {
-	w := newThrong(t, 80, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}}).worlds[0]
+func TestFewJobsRevealASlowWorker(t *testing.T) {
+	w := newFleetSim(t, 80, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}}).dispatchers[0]
 	for n := range 20 {
 		id, run := uint32(2), 300*ms
 		if n == 10 || n == 15 {
@@ -350,11 +350,11 @@
 
 // TestFewGiveLongJobsTheirTurns: three dispatchers reach a turn for a job of any length soon after a worker's start; the
 // wait for room for two, which is for turns as close as those of many, kept long jobs from restarted workers.
-func TestFewGiveLongJobsTheirTurns(t *testing.T) {
+func TestFewDispatchersHaveColdTurnsForLongJobs(t *testing.T) {
 	for n, want := range map[int]bool{3: true, 80: false} {
-		c := newThrong(t, n, append(warmWorkers(14), Worker{ID: 5000, State: Ready, Started: time.Hour}))
+		c := newFleetSim(t, n, append(warmWorkers(14), Worker{ID: 5000, State: Ready, Started: time.Hour}))
 		got := false
-		for _, w := range c.worlds {
+		for _, w := range c.dispatchers {
 			for d := w.d; d.now < time.Hour+11*time.Second; d.now += 100 * ms {
 				got = got || d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, c: d.classes[1]})
 			}
--- a/decide/further_test.go
+++ b/decide/further_test.go
@@ -9,7 +9,7 @@
 
 // TestGivenUpAtOnce: each way of giving up a request is answered in the turn in which it is
 // given up; a keyed one past its window and a moved unsafe one were once held to the aim.
-func TestGivenUpAtOnce(t *testing.T) {
+func TestRequestWithoutAttemptsLeftIsAnsweredAtOnce(t *testing.T) {
 	tests := []struct {
 		name     string
 		class    int
@@ -27,17 +27,17 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := site(1, false, false, false)
+			s := testSettings(1, false, false, false)
 			s.Limits.Attempts, s.Progress = tt.attempts, 0
-			w := fleet(t, s, 4)
-			_, j := w.place(tt.class)
+			w := newReadyHarness(t, s, 4)
+			_, j := w.sendRequest(tt.class)
 			w.now += tt.wait
 			var last []Action
 			for n, o := range tt.outcomes {
-				if n >= len(j.tries) {
+				if n >= len(j.attempts) {
 					t.Fatalf("no attempt %d", n)
 				}
-				last = w.handle(w.end(j, n, o, nil))
+				last = w.handle(w.endAttempt(j, n, o, nil))
 			}
 			if !j.answered {
 				t.Fatal("held though no attempt is left to it")
@@ -56,11 +56,11 @@
 // TestKeyedWindowEndsWhileHeld: the window may end while a request is held; then it is
 // answered at the next sweep.
 func TestKeyedWindowEndsWhileHeld(t *testing.T) {
-	s := site(1, false, false, false)
+	s := testSettings(1, false, false, false)
 	s.Progress, s.Classes[1].Aim = 0, 900*ms
-	w := fleet(t, s, 1)
-	_, j := w.place(1)
-	w.handle(w.end(j, 0, Reset, nil)) // its only worker is struck: held
+	w := newReadyHarness(t, s, 1)
+	_, j := w.sendRequest(1)
+	w.handle(w.endAttempt(j, 0, Reset, nil)) // its only worker is struck: held
 	for w.now < j.due-600*ms {
 		w.now += 10 * ms
 		w.d.workers[1].retryAt = w.now + time.Second
@@ -73,7 +73,7 @@
 
 // TestOverShare: a tenant far beyond its share is told from the others, also where one
 // dispatcher gets more of everybody's traffic; where none is, nobody's requests go last.
-func TestOverShare(t *testing.T) {
+func TestTenantOverItsShareIsRecognized(t *testing.T) {
 	tests := []struct {
 		name   string
 		rates  []int // requests in a tenth of a second
@@ -85,11 +85,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := site(1, true, false, false)
+			s := testSettings(1, true, false, false)
 			for range tt.rates {
 				s.Tenants = append(s.Tenants, Tenant{QuotaPerSecond: 60}) // two dispatchers
 			}
-			d := newWorld(t, s).d
+			d := newHarness(t, s).d
 			over := make([]float64, len(tt.rates))
 			for range 200 {
 				d.now += 100 * ms
@@ -109,14 +109,14 @@
 			}
 		})
 	}
-	if newWorld(t, site(1, true, false, false)).d.overShare(3) {
+	if newHarness(t, testSettings(1, true, false, false)).d.overShare(3) {
 		t.Error("a tenant where there are none is over its share")
 	}
 }
 
 // TestOverShareLeavesRoom: what is over its tenant's share gets half of a worker's room.
-func TestOverShareLeavesRoom(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 1)
+func TestOverShareRequestsGetHalfOfAWorker(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	wk := w.d.workers[1]
 	wk.ceiling = 4
 	for i := range 4 {
@@ -130,19 +130,19 @@
 
 // TestCeilingFromEnds: where no start is told, jobs that end in time raise the ceiling; it
 // stayed at one job, and what was let out after refusals never rose again.
-func TestCeilingFromEnds(t *testing.T) {
+func TestCeilingIsLearnedFromJobEnds(t *testing.T) {
 	for _, run := range []time.Duration{50 * ms, 800 * ms} {
-		s := site(1, false, false, false)
+		s := testSettings(1, false, false, false)
 		s.Progress = 0
-		w := fleet(t, s, 1)
+		w := newReadyHarness(t, s, 1)
 		w.d.admitted, w.d.tokens = 0.5, mostTokens
 		w.d.classes[0].jobs, w.d.classes[0].logRun = 50, -3 // 50 ms is usual
 		for range 6 {
-			w.place(0)
+			w.sendRequest(0)
 			w.now += run
-			for _, id := range w.order {
-				if j := w.jobs[id]; len(j.tries) > 0 && !j.tries[0].over {
-					w.handle(w.end(j, 0, OK, nil))
+			for _, id := range w.active {
+				if j := w.requests[id]; len(j.attempts) > 0 && !j.attempts[0].over {
+					w.handle(w.endAttempt(j, 0, OK, nil))
 				}
 			}
 		}
@@ -158,16 +158,16 @@
 // TestGhostsAreProbed: once first jobs at workers that the list alone knows come to nothing,
 // the others like them are probed first and get no unsafe job; an answer makes one usual.
 // Without probes, or before any worker has served, nothing is held against newcomers.
-func TestGhostsAreProbed(t *testing.T) {
+func TestUnprovenWorkersAreProbed(t *testing.T) {
 	for _, probes := range []bool{true, false} {
-		s := site(1, false, false, false)
+		s := testSettings(1, false, false, false)
 		s.Limits.Probes, s.Progress = probes, 0
-		w := fleet(t, s, 2)
+		w := newReadyHarness(t, s, 2)
 		for range 2 { // the first two serve
-			_, j := w.place(0)
-			_, k := w.place(0)
+			_, j := w.sendRequest(0)
+			_, k := w.sendRequest(0)
 			w.now += 20 * ms
-			w.handle(w.end(j, 0, OK, nil), w.end(k, 0, OK, nil))
+			w.handle(w.endAttempt(j, 0, OK, nil), w.endAttempt(k, 0, OK, nil))
 		}
 		lines := readyWorkers(10)
 		for _, l := range lines {
@@ -207,31 +207,31 @@
 }
 
 // TestProbesAreNoVerdict: lost probes cost a worker that serves nothing.
-func TestProbesAreNoVerdict(t *testing.T) {
-	w := fleet(t, site(1, false, false, false), 1)
-	_, j := w.place(0)
-	w.handle(w.end(j, 0, OK, nil))
+func TestLostProbesDoNotBarAServingWorker(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, false, false, false), 1)
+	_, j := w.sendRequest(0)
+	w.handle(w.endAttempt(j, 0, OK, nil))
 	for range 20 {
 		w.handle(Probed{Worker: 1, Outcome: TimedOut}, Probed{Worker: 1, Outcome: Errored})
 	}
-	if got, _ := w.place(2); got != 1 {
+	if got, _ := w.sendRequest(2); got != 1 {
 		t.Error("a worker that serves is left for its probes")
 	}
 }
 
 // TestSilentWorkerIsLeft: where neither starts nor progress are told, a worker that shows no
 // life for some typical runs is struck, and a repeatable job gets a second copy elsewhere.
-func TestSilentWorkerIsLeft(t *testing.T) {
-	s := site(1, false, false, false)
+func TestSilentWorkerIsSuspected(t *testing.T) {
+	s := testSettings(1, false, false, false)
 	s.Progress = 0
-	w := fleet(t, s, 2)
-	first, j := w.place(0)
+	w := newReadyHarness(t, s, 2)
+	first, j := w.sendRequest(0)
 	for range 60 {
 		w.now += 10 * ms
 		w.handle(Wake{})
 	}
-	if w.d.workers[first].strikes == 0 || len(j.tries) != 2 || j.tries[1].w.ID == first {
-		t.Errorf("strikes %d, attempts %d", w.d.workers[first].strikes, len(j.tries))
+	if w.d.workers[first].strikes == 0 || len(j.attempts) != 2 || j.attempts[1].worker.ID == first {
+		t.Errorf("strikes %d, attempts %d", w.d.workers[first].strikes, len(j.attempts))
 	}
 }
 
@@ -240,10 +240,10 @@
 func TestUnconfirmedJobMoves(t *testing.T) {
 	for class, confirmed := range []bool{false, true, false} {
 		class = map[int]int{0: 0, 1: 0, 2: 2}[class]
-		w := fleet(t, site(1, true, false, false), 2)
-		_, first := w.place(0)
+		w := newReadyHarness(t, testSettings(1, true, false, false), 2)
+		_, first := w.sendRequest(0)
 		w.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
-		_, j := w.place(class)
+		_, j := w.sendRequest(class)
 		if confirmed {
 			w.handle(Taken{j.ID, 0})
 		}
@@ -265,33 +265,33 @@
 // TestWhatWasNeverSentIsNoAttempt: while the pool of connections was full, or a request's only encoder had not confirmed
 // that an earlier attempt was given up, each attempt came back as never sent at once and counted: a request had used up
 // its three in one moment, and its client was refused long before its deadline.
-func TestWhatWasNeverSentIsNoAttempt(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 1)
-	j := w.arrive(0, time.Second)
+func TestUnsentAttemptsAreNotCounted(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	j := w.newRequest(0, time.Second)
 	w.handle(j.Request)
 	begun, room := w.now, w.now+80*ms
 	for w.now < room {
-		if n := len(j.tries) - 1; !j.tries[n].over {
-			w.handle(w.end(j, n, Moot, nil))
+		if n := len(j.attempts) - 1; !j.attempts[n].over {
+			w.handle(w.endAttempt(j, n, Moot, nil))
 		}
 		w.now += ms
 		w.handle(Wake{})
 	}
 	if j.answered {
-		t.Fatalf("answered after %d attempts that were never sent", len(j.tries))
+		t.Fatalf("answered after %d attempts that were never sent", len(j.attempts))
 	}
-	if len(j.tries) > 20 {
-		t.Errorf("%d attempts in %v that could not be sent: no pause between them", len(j.tries), w.now-begun)
+	if len(j.attempts) > 20 {
+		t.Errorf("%d attempts in %v that could not be sent: no pause between them", len(j.attempts), w.now-begun)
 	}
-	for w.now < room+100*ms && j.tries[len(j.tries)-1].over {
+	for w.now < room+100*ms && j.attempts[len(j.attempts)-1].over {
 		w.now += ms
 		w.handle(Wake{})
 	}
-	n := len(j.tries) - 1
-	if j.tries[n].over {
+	n := len(j.attempts) - 1
+	if j.attempts[n].over {
 		t.Fatalf("not sent again within %v of room", w.now-room)
 	}
-	w.handle(w.end(j, n, OK, nil))
+	w.handle(w.endAttempt(j, n, OK, nil))
 	if !j.answered {
 		t.Error("no answer")
 	}
@@ -299,13 +299,13 @@
 
 // TestPatientJobsAreNotCalledOffWhileTheyQueue guards against a promised job that must not run twice and is given up, perhaps
 // run, only because it queues at its worker past its class's aim.
-func TestPatientJobsAreNotCalledOffWhileTheyQueue(t *testing.T) {
+func TestPatientRequestsAreNotCancelledWhileQueued(t *testing.T) {
 	for _, patient := range []bool{false, true} {
-		w := fleet(t, site(1, true, false, false), 1)
+		w := newReadyHarness(t, testSettings(1, true, false, false), 1)
 		w.d.workers[1].ceiling = 8
-		var jobs []*job
+		var jobs []*testRequest
 		for range 4 {
-			j := w.arrive(2, time.Second)
+			j := w.newRequest(2, time.Second)
 			j.Patient = patient
 			w.handle(j.Request)
 			jobs = append(jobs, j)
@@ -315,8 +315,8 @@
 			w.handle(Wake{})
 		}
 		for i, j := range jobs {
-			if len(j.tries) != 1 || j.answered == patient {
-				t.Errorf("patient %v: job %d has %d attempts, called off %v", patient, i, len(j.tries), j.answered)
+			if len(j.attempts) != 1 || j.answered == patient {
+				t.Errorf("patient %v: job %d has %d attempts, called off %v", patient, i, len(j.attempts), j.answered)
 			}
 		}
 	}
@@ -324,16 +324,16 @@
 
 // TestPatientJobsAreNotRefusedAtTheirAim guards against a promised job that finds no room, is refused at its class's aim, and
 // comes again after ever longer pauses, so that it may miss all the room that there is.
-func TestPatientJobsAreNotRefusedAtTheirAim(t *testing.T) {
+func TestPatientRequestsAreNotRefusedAtTheirAim(t *testing.T) {
 	for _, patient := range []bool{false, true} {
-		w := fleet(t, site(1, true, false, false), 1)
+		w := newReadyHarness(t, testSettings(1, true, false, false), 1)
 		w.d.workers[1].ceiling = 1
-		_, running := w.place(2)
+		_, running := w.sendRequest(2)
 		w.handle(JobStarted{running.ID, 0})
 		w.d.workers[1].ceiling = 1
-		var jobs []*job
+		var jobs []*testRequest
 		for range 3 { // more than are sent as a last resort
-			j := w.arrive(2, time.Second)
+			j := w.newRequest(2, time.Second)
 			j.Patient = patient
 			w.handle(j.Request)
 			jobs = append(jobs, j)
@@ -343,12 +343,12 @@
 			w.handle(Wake{})
 		}
 		for i, j := range jobs {
-			if len(j.tries) != 0 || j.answered == patient {
-				t.Errorf("patient %v: job %d has %d attempts, answered %v", patient, i, len(j.tries), j.answered)
+			if len(j.attempts) != 0 || j.answered == patient {
+				t.Errorf("patient %v: job %d has %d attempts, answered %v", patient, i, len(j.attempts), j.answered)
 			}
 		}
-		w.handle(w.end(running, 0, OK, nil))
-		if patient && len(jobs[0].tries) != 1 {
+		w.handle(w.endAttempt(running, 0, OK, nil))
+		if patient && len(jobs[0].attempts) != 1 {
 			t.Errorf("not sent once there was room")
 		}
 	}
@@ -356,11 +356,11 @@
 
 // TestPatientJobsAreConfirmedLater guards against a promised job that is sent to a second worker, and so runs twice, only because
 // the first took over half of its class's aim to confirm it.
-func TestPatientJobsAreConfirmedLater(t *testing.T) {
+func TestPatientRequestsWaitLongerForConfirmation(t *testing.T) {
 	for patient, within := range map[bool]time.Duration{false: 60 * ms, true: 260 * ms} { // past half of the aim of 100 ms, and five times that
-		w := fleet(t, site(1, false, false, false), 3)
+		w := newReadyHarness(t, testSettings(1, false, false, false), 3)
 		w.d.confirms = true
-		j := w.arrive(0, time.Second)
+		j := w.newRequest(0, time.Second)
 		j.Patient = patient
 		w.handle(j.Request)
 		began := w.now
@@ -378,9 +378,9 @@
 
 // TestUnsentFirstAttemptsLeaveTheBudgetOfOthers guards against a first attempt that was never sent and takes another request's
 // further attempt out of the budget, so that one more than allowed could go out.
-func TestUnsentFirstAttemptsLeaveTheBudgetOfOthers(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 2)
-	j := w.arrive(0, time.Second)
+func TestUnsentFirstAttemptRefundsNoFurtherAttempt(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 2)
+	j := w.newRequest(0, time.Second)
 	w.handle(j.Request)
 	r := w.d.requests[j.ID]
 	r.attempts = append(r.attempts, &attempt{w: r.attempts[0].w, sent: w.now, note: w.now})
--- a/decide/held_test.go
+++ b/decide/held_test.go
@@ -7,7 +7,7 @@
 )
 
 // heldKinds are requests that find no room, each of another kind.
-var heldKinds = map[string]func(r *Request, n int){
+var heldRequestKinds = map[string]func(r *Request, n int){
 	"without keys":      func(*Request, int) {},
 	"with many keys":    func(r *Request, n int) { r.Key = uint64(n) + 1 },
 	"with one key":      func(r *Request, _ int) { r.Key = 1 },
@@ -17,8 +17,8 @@
 }
 
 // heldFleet is a dispatcher of many whose workers are all full, with so many requests held beside them.
-func heldFleet(tb testing.TB, workers, held int, kind string) (*Dispatcher, time.Duration) {
-	s := site(1, true, false, false)
+func newFullDispatcher(tb testing.TB, workers, held int, kind string) (*Dispatcher, time.Duration) {
+	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Limits.Open, s.Progress = 330, 100000, 0
 	for i := range s.Classes {
 		s.Classes[i].Aim, s.Classes[i].Deadline = 3*time.Second, 30*time.Second
@@ -36,7 +36,7 @@
 	for n := range workers + held {
 		r := Request{ID: uint32(n) + 1, Budget: 30 * time.Second, Slots: 1, Tenant: 2}
 		if n >= workers {
-			heldKinds[kind](&r, n)
+			heldRequestKinds[kind](&r, n)
 		}
 		events = append(events, r)
 	}
@@ -52,11 +52,11 @@
 
 // TestHeldRequestsCostNothingWithoutNews: each step of the timer looked through all workers for each held request with a
 // key, and a dispatcher with many fell behind until answers were lost.
-func TestHeldRequestsCostNothingWithoutNews(t *testing.T) {
+func TestHeldRequestsCostLittleWithoutEvents(t *testing.T) {
 	const steps, held, most = 60, 160, 500 // workers looked at in a batch: 50 us at 0.1 us each
-	for kind := range heldKinds {
+	for kind := range heldRequestKinds {
 		for _, workers := range []int{50, 200, 800} {
-			d, now := heldFleet(t, workers, held, kind)
+			d, now := newFullDispatcher(t, workers, held, kind)
 			before := d.examined
 			for range steps {
 				now += d.step()
@@ -74,13 +74,13 @@
 // BenchmarkHeld has the timer fire without news while requests are held and all workers are full.
 func BenchmarkHeld(b *testing.B) {
 	for _, size := range [][2]int{{50, 160}, {200, 160}, {800, 160}, {5000, 1000}} {
-		for kind := range heldKinds {
+		for kind := range heldRequestKinds {
 			b.Run(fmt.Sprintf("%d workers, %d held %s", size[0], size[1], kind), func(b *testing.B) {
-				d, now := heldFleet(b, size[0], size[1], kind)
+				d, now := newFullDispatcher(b, size[0], size[1], kind)
 				for n := 0; b.Loop(); n++ {
 					if n%100 == 0 {
 						b.StopTimer()
-						d, now = heldFleet(b, size[0], size[1], kind)
+						d, now = newFullDispatcher(b, size[0], size[1], kind)
 						b.StartTimer()
 					}
 					now += d.step()
@@ -92,9 +92,9 @@
 }
 
 // TestHeldRequestsGoOutWhenRoomComes: a request that found no valid worker was forgotten until the next round of looks.
-func TestHeldRequestsGoOutWhenRoomComes(t *testing.T) {
-	for kind := range heldKinds {
-		d, now := heldFleet(t, 50, 20, kind)
+func TestHeldRequestsAreSentOnceThereIsRoom(t *testing.T) {
+	for kind := range heldRequestKinds {
+		d, now := newFullDispatcher(t, 50, 20, kind)
 		for range 20 { // rounds without news
 			now += d.step()
 			d.Handle(now, []Event{Wake{}})
@@ -112,8 +112,8 @@
 }
 
 // TestRoundsComeWhileOthersAreLookedAt: looks at new requests put off the next round of looks at held ones without end.
-func TestRoundsComeWhileOthersAreLookedAt(t *testing.T) {
-	d, now := heldFleet(t, 200, 20, "with many keys")
+func TestNewRequestsDoNotDelayPlacementRounds(t *testing.T) {
+	d, now := newFullDispatcher(t, 200, 20, "with many keys")
 	rounds := d.rounds
 	for n := range 2 * mostPause {
 		now += d.step()
--- a/decide/hold_test.go
+++ b/decide/hold_test.go
@@ -7,11 +7,11 @@
 
 // TestHolds: slots that are held from a moment on are filled until then by jobs that end in time and by no others, and
 // by what they are held for; then by nothing else until the hold ends.
-func TestHolds(t *testing.T) {
-	s := site(1, false, true, false)
-	w := fleet(t, s, 1)
+func TestReservedSlotsStayFree(t *testing.T) {
+	s := testSettings(1, false, true, false)
+	w := newReadyHarness(t, s, 1)
 	send := func(work time.Duration, held bool) bool {
-		j := w.arrive(0, 10*time.Second)
+		j := w.newRequest(0, 10*time.Second)
 		j.Work, j.Held = work, held
 		sent := false
 		for _, a := range w.d.Handle(w.now, []Event{j.Request}) {
@@ -53,10 +53,10 @@
 
 // TestHeldSlotsAreNotRefusedByTheCeiling guards against a gang's member that waits, though its slots are held, because its
 // dispatcher has sent that worker a job before and knows of no second slot there.
-func TestHeldSlotsAreNotRefusedByTheCeiling(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 1)
+func TestCeilingDoesNotBlockReservedSlots(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	for n := range 3 {
-		j := w.arrive(0, 10*time.Second)
+		j := w.newRequest(0, 10*time.Second)
 		j.Held, j.Order = true, []uint32{1}
 		sent := false
 		for _, a := range w.d.Handle(w.now, []Event{j.Request}) {
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -8,37 +8,37 @@
 )
 
 // keyed sends a request with a key in and returns the worker it went to, 0 for none.
-func (w *world) keyed(key uint64) (uint32, *job) {
+func (w *harness) sendKeyed(key uint64) (uint32, *testRequest) {
 	w.t.Helper()
-	j := w.arrive(0, time.Second)
+	j := w.newRequest(0, time.Second)
 	j.Key = key
 	w.handle(j.Request)
-	if len(j.tries) == 0 {
+	if len(j.attempts) == 0 {
 		return 0, j
 	}
-	return j.tries[0].w.ID, j
+	return j.attempts[0].worker.ID, j
 }
 
 // TestKeysHaveOneKeeper: all dispatchers send a key's jobs to the same worker, and hold them
 // for it when it is full: they once went on to any other, where what they need was fetched anew
 // and pushed out what others had kept. Where the keeper leaves, only its keys move.
-func TestKeysHaveOneKeeper(t *testing.T) {
+func TestAllDispatchersSendAKeyToOneWorker(t *testing.T) {
 	at := map[uint64]uint32{}
 	for n := range 3 {
-		s := site(uint64(n), true, false, false)
+		s := testSettings(uint64(n), true, false, false)
 		s.Dispatcher, s.Dispatchers = n, 3
 		for key := range uint64(20) {
-			w := fleet(t, s, 8)
-			got, _ := w.keyed(key + 1)
+			w := newReadyHarness(t, s, 8)
+			got, _ := w.sendKeyed(key + 1)
 			if want, ok := at[key]; ok && got != want {
 				t.Errorf("dispatcher %d sent key %d to %d, another to %d", n, key, got, want)
 			}
 			at[key] = got
-			if next, _ := w.keyed(key + 1); next != 0 {
+			if next, _ := w.sendKeyed(key + 1); next != 0 {
 				t.Errorf("key %d went on to %d while its keeper %d was full", key, next, got)
 			}
-			w = fleet(t, s, 7)
-			if left, _ := w.keyed(key + 1); got != 8 && left != got {
+			w = newReadyHarness(t, s, 7)
+			if left, _ := w.sendKeyed(key + 1); got != 8 && left != got {
 				t.Errorf("key %d moved from %d to %d, though its keeper stayed", key, got, left)
 			}
 		}
@@ -47,18 +47,18 @@
 
 // TestKeepersOfTheOwnZoneComeFirst: each crossing has a price; only what the own zone's keeper
 // has no room for crosses, to the one keeper of all.
-func TestKeepersOfTheOwnZoneComeFirst(t *testing.T) {
+func TestKeyedRequestsPreferTheirOwnZone(t *testing.T) {
 	for key := range uint64(20) {
-		s := site(1, true, false, false)
+		s := testSettings(1, true, false, false)
 		s.Zone = 1
-		w := newWorld(t, s)
+		w := newHarness(t, s)
 		var lines []Worker
 		for id := uint32(1); id <= 8; id++ {
 			l := Worker{ID: id, Zone: int(id % 2), State: Ready}
 			w.list[id], lines = l, append(lines, l)
 		}
 		w.handle(ListFull{Workers: lines})
-		if first, _ := w.keyed(key + 1); first%2 != 1 {
+		if first, _ := w.sendKeyed(key + 1); first%2 != 1 {
 			t.Errorf("key %d crossed to %d though its own zone had room", key, first)
 		}
 	}
@@ -66,17 +66,17 @@
 
 // TestWaitingKeyedJobGoesFurther: it was held for its keeper until it was refused, beside workers
 // that nobody else waited for. Where many wait, a fetch elsewhere would take their place.
-func TestWaitingKeyedJobGoesFurther(t *testing.T) {
+func TestWaitingKeyedRequestMayGoToMoreWorkers(t *testing.T) {
 	for _, many := range []bool{false, true} {
-		w := fleet(t, site(1, true, false, false), 8)
-		w.keyed(5)
-		at, j := w.keyed(5)
+		w := newReadyHarness(t, testSettings(1, true, false, false), 8)
+		w.sendKeyed(5)
+		at, j := w.sendKeyed(5)
 		if at != 0 {
 			t.Fatal("the keeper was not full")
 		}
 		if many {
 			for range 8 {
-				w.keyed(5)
+				w.sendKeyed(5)
 			}
 		}
 		r := w.d.requests[j.ID]
@@ -89,14 +89,14 @@
 }
 
 // TestHotKeyHasMoreKeepers: a key whose jobs fill workers goes to several.
-func TestHotKeyHasMoreKeepers(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 8)
-	w.keyed(5)
+func TestHotKeyUsesSeveralWorkers(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 8)
+	w.sendKeyed(5)
 	w.d.keyed = demand{N: 400, Last: w.now}
 	w.d.keys[5] = w.d.keyed
 	var at []uint32
 	for range 3 {
-		if got, _ := w.keyed(5); got != 0 && !slices.Contains(at, got) {
+		if got, _ := w.sendKeyed(5); got != 0 && !slices.Contains(at, got) {
 			at = append(at, got)
 		}
 	}
@@ -107,11 +107,11 @@
 
 // TestKeyedJobStays: one that queues at its keeper stays while that shows life, as elsewhere
 // what it needs would be fetched anew; it leaves a keeper that has shown none for an aim.
-func TestKeyedJobStays(t *testing.T) {
+func TestQueuedKeyedRequestStaysAtALiveWorker(t *testing.T) {
 	for _, alive := range []bool{true, false} {
-		s := site(1, true, false, false)
-		w := fleet(t, s, 8)
-		first, j := w.keyed(5)
+		s := testSettings(1, true, false, false)
+		w := newReadyHarness(t, s, 8)
+		first, j := w.sendKeyed(5)
 		w.d.keys[5] = demand{N: 50, Last: w.now}
 		for range 50 {
 			w.now += 10 * ms
@@ -120,7 +120,7 @@
 			}
 			w.handle(Wake{})
 		}
-		if moved := len(j.tries) > 1; moved == alive {
+		if moved := len(j.attempts) > 1; moved == alive {
 			t.Errorf("keeper alive %v: moved %v", alive, moved)
 		}
 	}
@@ -128,12 +128,12 @@
 
 // TestLateHeldOnce: a late request is one entry of its queue, however often it is swept; each
 // sweep once added another, tens of thousands on a busy day.
-func TestLateHeldOnce(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 1)
-	_, running := w.place(0)
+func TestLateRequestIsQueuedOnce(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	_, running := w.sendRequest(0)
 	w.handle(JobStarted{running.ID, 0})
-	w.place(0)
-	_, late := w.place(0)
+	w.sendRequest(0)
+	_, late := w.sendRequest(0)
 	for w.now < late.due-200*ms {
 		w.now += 10 * ms
 		w.handle(Wake{})
@@ -145,29 +145,29 @@
 
 // TestErrorsAgainstTheFleets: requests that fail wherever they go cost no worker its trust,
 // and are given up after a second worker; a worker that fails what others serve is found.
-func TestErrorsAgainstTheFleets(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 6)
+func TestErrorRateIsComparedWithTheFleets(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 6)
 	struck, before := 0, w.d.trusted
 	for range 300 {
 		w.now += 20 * ms
 		struck, before = struck+max(0, before-w.d.trusted), w.d.trusted
-		w.place(0)
-		for _, id := range w.order {
-			j := w.jobs[id]
-			for n := 0; n < len(j.tries); n++ { // one in three fails anywhere, and all fail at worker 4
-				if tr := j.tries[n]; !tr.over {
+		w.sendRequest(0)
+		for _, id := range w.active {
+			j := w.requests[id]
+			for n := 0; n < len(j.attempts); n++ { // one in three fails anywhere, and all fail at worker 4
+				if tr := j.attempts[n]; !tr.over {
 					o := OK
-					if id%3 == 0 || tr.w.ID == 4 {
+					if id%3 == 0 || tr.worker.ID == 4 {
 						o = Errored
 					}
-					w.handle(JobStarted{id, n}, w.end(j, n, o, nil))
+					w.handle(JobStarted{id, n}, w.endAttempt(j, n, o, nil))
 				}
-				if n > 0 && j.tries[n].w.ID == j.tries[n-1].w.ID {
-					t.Fatalf("tried again at worker %d, where it had failed", j.tries[n].w.ID)
+				if n > 0 && j.attempts[n].worker.ID == j.attempts[n-1].worker.ID {
+					t.Fatalf("tried again at worker %d, where it had failed", j.attempts[n].worker.ID)
 				}
 			}
-			if len(j.tries) > 2 || len(j.tries) == 2 && !j.answered {
-				t.Fatalf("attempts %d, answered %v after two errors", len(j.tries), j.answered)
+			if len(j.attempts) > 2 || len(j.attempts) == 2 && !j.answered {
+				t.Fatalf("attempts %d, answered %v after two errors", len(j.attempts), j.answered)
 			}
 		}
 	}
@@ -183,8 +183,8 @@
 // its trust back with each start, and went on to be sent that class. A job that may fail but
 // once waits from the first error on, until others have fared well there: it was sent after two
 // errors of a class, and again half a second later.
-func TestErrorsOfOneClassBarIt(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 2)
+func TestErrorsBarOneClassAtAWorker(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 2)
 	for range 20 {
 		w.d.erred(w.d.workers[2], 0, false)
 	}
@@ -219,29 +219,29 @@
 
 // TestLongJobsGoAnywhere: a job that runs for many times what a fetch takes was held for the keepers of its key until
 // its aim was past and refused, while other workers were idle.
-func TestLongJobsGoAnywhere(t *testing.T) {
+func TestLongKeyedJobsGoToAnyWorker(t *testing.T) {
 	for class, want := range map[int]bool{0: false, 2: true} {
-		w := fleet(t, site(1, true, false, false), 8)
+		w := newReadyHarness(t, testSettings(1, true, false, false), 8)
 		for i, run := range []time.Duration{50 * ms, 50 * ms, 400 * ms} {
 			c := w.d.classes[i]
 			c.jobs, c.run, c.logRun = 100/float64(1+i), run.Seconds(), math.Log(run.Seconds())
 		}
-		w.keyed(5)
-		j := w.arrive(class, time.Second)
+		w.sendKeyed(5)
+		j := w.newRequest(class, time.Second)
 		j.Key = 5
-		if w.handle(j.Request); (len(j.tries) > 0) != want {
-			t.Errorf("class %d, its keeper full: sent %d times", class, len(j.tries))
+		if w.handle(j.Request); (len(j.attempts) > 0) != want {
+			t.Errorf("class %d, its keeper full: sent %d times", class, len(j.attempts))
 		}
 	}
 }
 
 // TestFullKeeperIsNoReasonToCross: where crossings have a price, jobs went to another zone's keeper as soon as their
 // own was full, twice as many as before and for more than it brought. They go where their zone fails them.
-func TestFullKeeperIsNoReasonToCross(t *testing.T) {
+func TestFullWorkerOfAKeyIsNoReasonToCrossZones(t *testing.T) {
 	for _, price := range []float64{0, 0.1} {
-		s := site(1, true, false, false)
+		s := testSettings(1, true, false, false)
 		s.Prices.CrossZone = price
-		w := newWorld(t, s)
+		w := newHarness(t, s)
 		var lines []Worker
 		for id := uint32(1); id <= 8; id++ {
 			l := Worker{ID: id, Zone: int(id % 2), State: Ready}
@@ -249,10 +249,10 @@
 		}
 		w.handle(ListFull{Workers: lines})
 		crossed := 0
-		var last *job
+		var last *testRequest
 		for key := range uint64(20) { // a slot at each worker
 			var at uint32
-			if at, last = w.keyed(key + 1); at%2 == 1 {
+			if at, last = w.sendKeyed(key + 1); at%2 == 1 {
 				crossed++
 			}
 		}
--- a/decide/lease_test.go
+++ b/decide/lease_test.go
@@ -7,24 +7,24 @@
 
 // TestColdWorkersByLease: a dispatcher that has no turn sends a cold worker exactly the jobs that it was
 // granted leases for, not after they end, and none meant for the process before.
-func TestColdWorkersByLease(t *testing.T) {
-	s := site(1, false, true, false)
+func TestColdWorkerGetsOneJobPerLease(t *testing.T) {
+	s := testSettings(1, false, true, false)
 	s.Leasing = Leasing{On: true, Turn: -1, Turns: 64, Share: 0.25}
-	w := newWorld(t, s)
+	w := newHarness(t, s)
 	w.now = time.Hour
 	started := w.now - time.Second
 	w.list[1] = Worker{ID: 1, State: Ready, Started: started}
 	w.handle(ListDelta{Workers: []Worker{w.list[1]}})
 	asked := 0
 	sent := func() (n int) {
-		for _, j := range w.jobs {
-			n += len(j.tries)
+		for _, j := range w.requests {
+			n += len(j.attempts)
 		}
 		return n
 	}
 	try := func(l ...Event) int {
 		before := sent()
-		j := w.arrive(0, 10*time.Second)
+		j := w.newRequest(0, 10*time.Second)
 		for _, a := range w.d.Handle(w.now, append(l, j.Request)) {
 			switch a := a.(type) {
 			case WantLease:
@@ -69,11 +69,11 @@
 }
 
 // TestTurnsBesideLeases: the fixed turns of all places together keep to their share of the budget.
-func TestTurnsBesideLeases(t *testing.T) {
+func TestFixedTurnsKeepToTheirShare(t *testing.T) {
 	for _, turn := range []int{0, 63, -1} {
-		s := site(1, false, true, false)
+		s := testSettings(1, false, true, false)
 		s.Leasing = Leasing{On: true, Turn: turn, Turns: 64, Share: 0.25}
-		w := newWorld(t, s)
+		w := newHarness(t, s)
 		w.now = time.Hour
 		w.list[1] = Worker{ID: 1, State: Ready, Started: w.now}
 		w.handle(ListDelta{Workers: []Worker{w.list[1]}})
@@ -87,7 +87,7 @@
 			t.Error("a dispatcher without a place has a turn")
 		}
 	}
-	s := site(1, false, true, false)
+	s := testSettings(1, false, true, false)
 	s.Leasing = Leasing{On: true, Turn: 64, Turns: 64, Share: 0.25}
 	if _, err := New(s); err == nil {
 		t.Error("a turn beyond all turns is taken")
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -8,7 +8,7 @@
 
 // TestListBelieved: what a line of the list may end and what it may not. A draining state
 // once seen stays for its process, through an old list that comes back.
-func TestListBelieved(t *testing.T) {
+func TestEffectOfListEntries(t *testing.T) {
 	ready := Worker{ID: 1, State: Ready, Started: time.Minute}
 	line := func(s WorkerState, started time.Duration) ListDelta {
 		return ListDelta{Workers: []Worker{{ID: 1, State: s, Started: started}}}
@@ -38,15 +38,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := site(1, true, false, false)
+			s := testSettings(1, true, false, false)
 			s.Rules.GoneIsAdvice = tt.advice
-			w := newWorld(t, s)
+			w := newHarness(t, s)
 			w.list[1] = ready
 			w.handle(ListFull{Workers: []Worker{ready}})
 			w.d.workers[1].lived = w.now // it has served
 			w.handle(tt.events...)
 			w.now += time.Second // past the next sort
-			if got, _ := w.place(0); (got == 1) != tt.want {
+			if got, _ := w.sendRequest(0); (got == 1) != tt.want {
 				t.Errorf("sent to %d", got)
 			}
 		})
@@ -55,40 +55,40 @@
 
 // TestUnlistedLeavesWithItsFirstStrike: an unlisted worker is used while it does well, and no
 // longer once an attempt there fails, unless no other is left; the list brings it back.
-func TestUnlistedLeavesWithItsFirstStrike(t *testing.T) {
-	s := site(1, true, false, false)
+func TestUnlistedWorkerIsDroppedAfterItsFirstFailure(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Rules.GoneIsAdvice = true
-	w := fleet(t, s, 2)
-	first, j := w.place(0)
-	w.handle(w.end(j, 0, OK, nil))
+	w := newReadyHarness(t, s, 2)
+	first, j := w.sendRequest(0)
+	w.handle(w.endAttempt(j, 0, OK, nil))
 	w.handle(ListDelta{Workers: []Worker{{ID: first, State: Gone}}})
-	again, j := w.place(0)
+	again, j := w.sendRequest(0)
 	if again != first {
 		t.Fatalf("an unlisted worker that serves was left for %d", again)
 	}
-	w.handle(w.end(j, 0, ConnectFailed, nil))
+	w.handle(w.endAttempt(j, 0, ConnectFailed, nil))
 	for range 40 {
 		w.now += 500 * ms
-		got, j := w.place(0)
+		got, j := w.sendRequest(0)
 		if got == first {
 			t.Fatal("tried again though unlisted and struck")
 		}
 		if got != 0 {
-			w.handle(JobStarted{j.ID, 0}, w.end(j, 0, OK, nil))
+			w.handle(JobStarted{j.ID, 0}, w.endAttempt(j, 0, OK, nil))
 		}
 	}
 	w.handle(ListFull{Workers: readyWorkers(2)})
 	w.now += 500 * ms
-	if w.place(0); len(w.d.fleet) != 2 {
+	if w.sendRequest(0); len(w.d.fleet) != 2 {
 		t.Error("not taken back when listed again")
 	}
 }
 
 // TestUnlistedAreBounded: lists that name ever new workers leave no more behind than one list holds.
-func TestUnlistedAreBounded(t *testing.T) {
-	s := site(1, true, false, false)
+func TestUnlistedWorkersAreBounded(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Rules.GoneIsAdvice = true
-	w := newWorld(t, s)
+	w := newHarness(t, s)
 	for i := range uint32(50) {
 		lines := []Worker{{ID: 3 * i, State: Ready}, {ID: 3*i + 1, State: Ready}, {ID: 3*i + 2, State: Draining}}
 		w.handle(ListFull{Workers: lines})
@@ -100,10 +100,10 @@
 
 // TestColdThroughAnOldList: an old list that comes back tells an earlier start of a worker that
 // has restarted since; it stays as cold as it is.
-func TestColdThroughAnOldList(t *testing.T) {
-	s := site(1, true, false, false)
+func TestStaleListDoesNotMakeAWorkerWarm(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Rules.GoneIsAdvice = true
-	w := newWorld(t, s)
+	w := newHarness(t, s)
 	old := Worker{ID: 1, State: Ready}
 	w.handle(ListFull{Workers: []Worker{old}})
 	fresh := old
@@ -121,10 +121,10 @@
 // service it is asked for soon, first calls at 5 ms a dispatcher and within 3 s, later ones within 2.5 s: what the service
 // has had for 6 s counts as known, and a call may fail 3 s after the service was back. Only after three calls that waited
 // and failed, which is longer than it is down, does the time between them grow threefold with each; where calls reach nobody it never does.
-func TestLostListIsAskedForAgain(t *testing.T) {
-	s := site(1, true, false, false)
+func TestListIsRequestedAgainAfterAFailure(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Rules.DrainGrace, s.Rules.MustAskIn = 300, time.Second, 10*time.Second
-	asks := func(w *world, failed ListFailed, waits time.Duration) (after time.Duration) {
+	asks := func(w *harness, failed ListFailed, waits time.Duration) (after time.Duration) {
 		w.now += waits
 		lost := w.now
 		for acts := w.d.Handle(w.now, []Event{failed}); ; acts = w.d.Handle(w.now, []Event{Wake{}}) {
@@ -136,7 +136,7 @@
 	}
 	for seed := range uint64(20) {
 		s.Seed, s.Pushed = seed, true
-		w := newWorld(t, s)
+		w := newHarness(t, s)
 		for range 12 {
 			if after := asks(w, ListFailed{}, ms); after > s.Rules.DrainGrace/4 {
 				t.Errorf("pushed: asked for after %v", after)
@@ -145,7 +145,7 @@
 		s.Pushed = false
 		for dispatchers, spread := range map[int]time.Duration{300: 1500 * ms, 3000: 3 * time.Second} {
 			s.Dispatchers = dispatchers
-			w = newWorld(t, s)
+			w = newHarness(t, s)
 			if after := asks(w, ListFailed{}, 0); after > spread+10*ms {
 				t.Errorf("%d dispatchers: asked for after %v", dispatchers, after)
 			}
@@ -174,7 +174,7 @@
 			}
 		}
 		s.Dispatchers = 300
-		w = newWorld(t, s)
+		w = newHarness(t, s)
 		asks(w, ListFailed{}, 0)
 		for range 20 { // calls that the list's clock makes, long after the last of the module's own
 			w.now += time.Minute
@@ -184,7 +184,7 @@
 		}
 		few := s
 		few.Dispatchers = 12
-		w = newWorld(t, few)
+		w = newHarness(t, few)
 		for range 12 {
 			if after := asks(w, ListFailed{}, time.Second); after > time.Second {
 				t.Errorf("few: asked for again after %v", after)
--- a/decide/mass_test.go
+++ b/decide/mass_test.go
@@ -13,36 +13,36 @@
 
 // TestManyKeepTheirKeys: each of many dispatchers took a request at hand for its key's part of all traffic, and called
 // every key hot: 19 of 20 keys moved from encoder to encoder, and three of four previews were fetched for anew.
-func TestManyKeepTheirKeys(t *testing.T) {
-	m := newMass(1, 60, 36, 2)
+func TestManyDispatchersKeepKeysInPlace(t *testing.T) {
+	m := newLectureDeployment(1, 60, 36, 2)
 	load := func(time.Duration) float64 { return 0.7 }
-	m.play(8*time.Second, load)
-	clear(m.fetched)
-	clear(m.begun)
-	m.play(6*time.Second, load)
-	if part := float64(m.fetched[0]) / float64(m.begun[0]); part > 0.65 {
-		t.Errorf("%.2f of %d previews were fetched for anew", part, m.begun[0])
+	m.playTraffic(8*time.Second, load)
+	clear(m.jobsFetched)
+	clear(m.jobsStarted)
+	m.playTraffic(6*time.Second, load)
+	if part := float64(m.jobsFetched[0]) / float64(m.jobsStarted[0]); part > 0.65 {
+		t.Errorf("%.2f of %d previews were fetched for anew", part, m.jobsStarted[0])
 	}
 }
 
 // window is the most that a cold encoder is sent in a window of the rule, against what it bears then.
-type window struct {
-	ofN      float64 // by what the settings allow it, N
-	ofAgreed float64 // by N + 2 x root of N + 2 requests of mean work
-	ofPage   float64 // the same; for N under 30 by N + 3 x root of N + 3
-	at       time.Duration
-	got      []massWork // in the window that is worst by ofAgreed
+type windowLoad struct {
+	ofN         float64 // by what the settings allow it, N
+	ofBound     float64 // by N + 2 x root of N + 2 requests of mean work
+	ofWideBound float64 // the same; for N under 30 by N + 3 x root of N + 3
+	at          time.Duration
+	jobs        []receivedJob // in the window that is worst by ofAgreed
 }
 
-func (m *mass) worstWindow(e *massEncoder) (worst window) {
-	rules, mean := m.settings.Rules, m.terms.meanWork()
-	for i, first := range e.got {
+func (m *deployment) worstWindow(e *simEncoder) (worst windowLoad) {
+	rules, mean := m.settings.Rules, m.site.meanWork()
+	for i, first := range e.received {
 		if e.warmth(first.at) >= 1 {
 			break
 		}
 		work, end := 0.0, i
-		for ; end < len(e.got) && e.got[end].at < first.at+rules.FallWindow; end++ {
-			work += e.got[end].work
+		for ; end < len(e.received) && e.received[end].at < first.at+rules.FallWindow; end++ {
+			work += e.received[end].work
 		}
 		got := work / mean
 		n := rules.FallMultiple * float64(e.slots) * e.speed * e.warmth(first.at) * rules.FallWindow.Seconds() / mean
@@ -52,25 +52,25 @@
 			page = n + 3*math.Sqrt(n) + 3
 		}
 		worst.ofN = max(worst.ofN, got/n)
-		worst.ofPage = max(worst.ofPage, got/page)
-		if got/agreed > worst.ofAgreed {
-			worst.ofAgreed, worst.at, worst.got = got/agreed, first.at, e.got[i:end]
+		worst.ofWideBound = max(worst.ofWideBound, got/page)
+		if got/agreed > worst.ofBound {
+			worst.ofBound, worst.at, worst.jobs = got/agreed, first.at, e.received[i:end]
 		}
 	}
 	return worst
 }
 
 // describe tells of a window what was sent, and by whom.
-func (m *mass) describe(e *massEncoder, w window) string {
-	text := fmt.Sprintf("kind %d, %.2f s after its start, %.2f times what it bears (%.2f by the page):", e.Kind, (w.at - e.Started).Seconds(), w.ofAgreed, w.ofPage)
-	for _, g := range w.got {
-		text += fmt.Sprintf(" class %d %.2f s by dispatcher %d;", g.class, g.work, slices.Index(m.nodes, g.by))
+func (m *deployment) describe(e *simEncoder, w windowLoad) string {
+	text := fmt.Sprintf("kind %d, %.2f s after its start, %.2f times what it bears (%.2f by the page):", e.Kind, (w.at - e.Started).Seconds(), w.ofBound, w.ofWideBound)
+	for _, g := range w.jobs {
+		text += fmt.Sprintf(" class %d %.2f s by dispatcher %d;", g.class, g.work, slices.Index(m.dispatchers, g.dispatcher))
 	}
 	return text
 }
 
 // renew has four in ten encoders make way for cold ones within 2 s, as a release does.
-func (m *mass) renew() {
+func (m *deployment) replaceEncoders() {
 	for i, l := range slices.Clone(m.list) {
 		if m.rng.IntN(10) >= 4 {
 			continue
@@ -78,35 +78,35 @@
 		m.after(time.Duration(i%4)*700*ms, func() {
 			old := m.encoders[l.ID]
 			l.State = Gone
-			m.change(l)
+			m.updateList(l)
 			m.after(time.Second, func() { old.gone = true })
-			e := m.add(l.ID+1, l.Zone, m.now)
+			e := m.addEncoder(l.ID+1, l.Zone, m.now)
 			m.list = m.list[:len(m.list)-1]
-			m.change(e.Worker)
+			m.updateList(e.Worker)
 		})
 	}
 }
 
 // restart has seven in ten dispatchers killed, each back from nothing within 1.2 s.
-func (m *mass) restart() {
-	for i, n := range m.nodes {
+func (m *deployment) restartDispatchers() {
+	for i, n := range m.dispatchers {
 		if m.rng.IntN(10) < 7 {
-			m.kill(n)
-			m.after(200*ms+time.Duration(m.rng.Float64()*float64(time.Second)), func() { m.start(n, i) })
+			m.killDispatcher(n)
+			m.after(200*ms+time.Duration(m.rng.Float64()*float64(time.Second)), func() { m.startDispatcher(n, i) })
 		}
 	}
 }
 
 // release plays a release with most dispatchers killed in the middle.
-func (m *mass) release(seed int) {
-	m.after(4*time.Second, m.renew)
-	m.after(9*time.Second, m.restart)
-	m.play(16*time.Second, func(time.Duration) float64 { return 0.6 + 0.05*float64(seed%7) })
+func (m *deployment) playRelease(seed int) {
+	m.after(4*time.Second, m.replaceEncoders)
+	m.after(9*time.Second, m.restartDispatchers)
+	m.playTraffic(16*time.Second, func(time.Duration) float64 { return 0.6 + 0.05*float64(seed%7) })
 }
 
 // started is the encoders that have started since the beginning.
-func (m *mass) started() (all []*massEncoder) {
-	for _, e := range m.all {
+func (m *deployment) newEncoders() (all []*simEncoder) {
+	for _, e := range m.allEncoders {
 		if e.Started != 0 {
 			all = append(all, e)
 		}
@@ -115,7 +115,7 @@
 }
 
 // playAll plays fleets by their seeds, as many at once as there are processors, and has each counted, one at a time.
-func playAll(fleets int, play func(seed int) *mass, count func(*mass)) {
+func playFleets(fleets int, play func(seed int) *deployment, count func(*deployment)) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	turns := make(chan bool, runtime.GOMAXPROCS(0))
@@ -132,7 +132,7 @@
 	all.Wait()
 }
 
-var whole = flag.Bool("mass", false, "play the whole measurement of make prove-mass")
+var fullRun = flag.Bool("mass", false, "play the whole measurement of make prove-mass")
 
 // TestColdEncodersOfManyFleets: releases with most dispatchers restarted in the middle, in fleets of many sizes. A chance
 // in the jobs' lengths is left, so that it is counted how many of the cold encoders meet a window over the rule's
@@ -140,20 +140,20 @@
 // and a calm day of 200 dispatchers.
 func TestColdEncodersOfManyFleets(t *testing.T) {
 	fleets := 8
-	if *whole {
+	if *fullRun {
 		fleets = 100
 	}
 	cold, over, near, worst := 0, 0, 0, 0.0
-	playAll(fleets, func(seed int) *mass {
+	playFleets(fleets, func(seed int) *deployment {
 		dispatchers := 40
-		if *whole {
+		if *fullRun {
 			dispatchers = []int{40, 60, 80, 120}[seed%4]
 		}
-		m := newMass(uint64(seed)+100, dispatchers, dispatchers*(4+seed%5)/10, 1+seed%3)
-		m.release(seed)
+		m := newLectureDeployment(uint64(seed)+100, dispatchers, dispatchers*(4+seed%5)/10, 1+seed%3)
+		m.playRelease(seed)
 		return m
-	}, func(m *mass) {
-		for _, e := range m.started() {
+	}, func(m *deployment) {
+		for _, e := range m.newEncoders() {
 			cold++
 			x := m.worstWindow(e).ofN
 			if worst = max(worst, x); x > 1 {
@@ -167,32 +167,32 @@
 	if over*50 > cold {
 		t.Errorf("%d of %d cold encoders met a window over the rule's budget, the worst %.2f times", over, cold, worst)
 	}
-	if !*whole {
+	if !*fullRun {
 		return
 	}
-	m := newMass(1, 200, 120, 2)
-	m.play(25*time.Second, func(at time.Duration) float64 {
+	m := newLectureDeployment(1, 200, 120, 2)
+	m.playTraffic(25*time.Second, func(at time.Duration) float64 {
 		if at > 8*time.Second && at < 14*time.Second {
 			return 1.1
 		}
 		return 0.75
 	})
-	m.run(m.now + 6*time.Second)
-	served := total(m.served) / total(m.asked)
+	m.runUntil(m.now + 6*time.Second)
+	served := sum(m.worthServed) / sum(m.worthAsked)
 	if served < 0.85 {
 		t.Errorf("served %.3f of the worth on a calm day", served)
 	}
 	t.Logf("prove mass: fleets=%d cold=%d over=%d near=%d worst=%.2f served=%.3f preview=%.3f publish=%.3f sends=%.2f fetched_preview=%.2f crossed=%.2f",
-		fleets, cold, over, near, worst, served, m.served[0]/m.asked[0], m.served[1]/m.asked[1], float64(m.sends)/float64(m.firsts),
-		float64(m.fetched[0])/float64(m.begun[0]), float64(m.crossed)/float64(m.firsts))
+		fleets, cold, over, near, worst, served, m.worthServed[0]/m.worthAsked[0], m.worthServed[1]/m.worthAsked[1], float64(m.sends)/float64(m.firstTries),
+		float64(m.jobsFetched[0])/float64(m.jobsStarted[0]), float64(m.crossings)/float64(m.firstTries))
 }
 
 // drawn is fleets of one sort, in which cold encoders are counted.
-type drawn struct {
-	least, most   int // dispatchers
-	encoders      func(dispatchers, seed int) int
-	fleets, whole int // in an ordinary run, and with -mass
-	terms         massTerms
+type fleetTest struct {
+	minDispatchers, maxDispatchers int // dispatchers
+	encoders                       func(dispatchers, seed int) int
+	fleets, fullFleets             int // in an ordinary run, and with -mass
+	site                           siteModel
 }
 
 // TestColdEncodersBearAllDispatchers: what all dispatchers of a fleet together send to an encoder that has just started
@@ -200,36 +200,36 @@
 // restarted in the middle. -mass draws about 1,700 encoders or more of each sort.
 func TestColdEncodersBearAllDispatchers(t *testing.T) {
 	t.Run("twenty to thirty", func(t *testing.T) {
-		drawn{20, 30, func(n, seed int) int { return n * (1 + seed%6) / 10 }, 8, 500, lectureTerms(massKinds)}.bear(t)
+		fleetTest{20, 30, func(n, seed int) int { return n * (1 + seed%6) / 10 }, 8, 500, lectureSite(lectureKinds)}.check(t)
 	})
 	t.Run("many", func(t *testing.T) {
-		drawn{40, 120, func(n, seed int) int { return n * (4 + seed%5) / 10 }, 4, 100, lectureTerms(massKinds)}.bear(t)
+		fleetTest{40, 120, func(n, seed int) int { return n * (4 + seed%5) / 10 }, 4, 100, lectureSite(lectureKinds)}.check(t)
 	})
 }
 
 // TestColdEncodersBearFewDispatchers is the same of fleets of three to six.
 func TestColdEncodersBearFewDispatchers(t *testing.T) {
-	drawn{3, 6, func(n, seed int) int { return 2*n + seed%7 }, 8, 360, lectureTerms(massKinds)}.bear(t)
+	fleetTest{3, 6, func(n, seed int) int { return 2*n + seed%7 }, 8, 360, lectureSite(lectureKinds)}.check(t)
 }
 
 // TestColdEncodersOfUnequalKinds is the same of many dispatchers, where the smallest kind does a quarter of what the largest does.
 func TestColdEncodersOfUnequalKinds(t *testing.T) {
-	kinds := []massKind{{7, 1.3}, {5, 1}, {3, 0.65}}
-	drawn{60, 120, func(n, seed int) int { return n * (4 + seed%5) / 10 }, 4, 100, lectureTerms(kinds)}.bear(t)
+	kinds := []encoderKind{{7, 1.3}, {5, 1}, {3, 0.65}}
+	fleetTest{60, 120, func(n, seed int) int { return n * (4 + seed%5) / 10 }, 4, 100, lectureSite(kinds)}.check(t)
 }
 
 // shortJobTerms are the terms of a site with short jobs, three classes of very unequal length and no keys.
-func shortJobTerms() massTerms {
-	return massTerms{
-		classes: []massClass{
+func shortJobSite() siteModel {
+	return siteModel{
+		classes: []requestClass{
 			{Class{Aim: 160 * ms, Stretch: 2.25, Deadline: 2400 * ms, Worth: 7, LateWorth: 0.1, Effect: Unsafe, Kind: Any}, 0.39, 0.1, 0.53},
 			{Class{Aim: 240 * ms, Stretch: 2.5, Deadline: 3600 * ms, Worth: 1, Effect: Safe, Kind: Any}, 0.52, 0.14, 0.75},
 			{Class{Aim: 900 * ms, Stretch: 1.5, Deadline: 14 * time.Second, Worth: 4, LateWorth: 0.35, Effect: Safe, Kind: Any}, 0.09, 0.95, 0.6},
 		},
-		tenants: []float64{.18, .14, .11, .09, .08, .07, .06, .06, .05, .05, .04, .03, .02, .02},
-		drawn:   []float64{.18, .32, .43, .52, .60, .67, .73, .79, .84, .89, .93, .96, .98, 1},
-		kinds:   []massKind{{8, 1.3}, {7, 0.85}, {4, 0.45}},
-		common:  []int{0, 0, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 2, 2, 2},
+		quotas:     []float64{.18, .14, .11, .09, .08, .07, .06, .06, .05, .05, .04, .03, .02, .02},
+		cumulative: []float64{.18, .32, .43, .52, .60, .67, .73, .79, .84, .89, .93, .96, .98, 1},
+		kinds:      []encoderKind{{8, 1.3}, {7, 0.85}, {4, 0.45}},
+		kindDraw:   []int{0, 0, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 2, 2, 2},
 		adjust: func(s *Settings) {
 			s.Limits.Attempts, s.Limits.SecondCopies = 2, false
 			s.Prices = Prices{CrossZone: 0.06, Waste: 0.2, LateFail: 0.05, Probe: 0.0008}
@@ -246,47 +246,47 @@
 // dispatchers sent it 13 s of work in 1.2 s, where 2.7 s were planned); with two turns each, none paid for it later. Those
 // that fell were of the slowest kind, planned for as if it were of the mean size (2.9 where it did the work of 1.5).
 func TestColdEncodersOfShortJobs(t *testing.T) {
-	drawn{270, 300, func(n, _ int) int { return n * 55 / 100 }, 2, 12, shortJobTerms()}.bear(t)
+	fleetTest{270, 300, func(n, _ int) int { return n * 55 / 100 }, 2, 12, shortJobSite()}.check(t)
 }
 
 // bear plays the fleets and fails where an encoder was sent more than it bears.
-func (d drawn) bear(t *testing.T) {
+func (d fleetTest) check(t *testing.T) {
 	fleets := d.fleets
-	if *whole {
-		fleets = d.whole
+	if *fullRun {
+		fleets = d.fullFleets
 	}
 	cold, over, overByPage, worst := 0, 0, 0, 0.0
 	asked, served := 0.0, 0.0
-	playAll(fleets, d.play, func(m *mass) {
-		asked, served = asked+total(m.asked), served+total(m.served)
-		for _, e := range m.started() {
+	playFleets(fleets, d.playFleet, func(m *deployment) {
+		asked, served = asked+sum(m.worthAsked), served+sum(m.worthServed)
+		for _, e := range m.newEncoders() {
 			cold++
 			x := m.worstWindow(e)
-			if x.ofPage > 1 {
+			if x.ofWideBound > 1 {
 				overByPage++
 			}
-			if worst = max(worst, x.ofAgreed); x.ofAgreed > 1 {
+			if worst = max(worst, x.ofBound); x.ofBound > 1 {
 				over++
 				t.Logf("prove mass: over: %s", m.describe(e, x))
 			}
 		}
 	})
-	t.Logf("prove mass: %d to %d dispatchers: %d of %d cold encoders over, the worst %.2f times (%d over by N + 3 x root of N + 3 under 30); served %.3f", d.least, d.most, over, cold, worst, overByPage, served/asked)
+	t.Logf("prove mass: %d to %d dispatchers: %d of %d cold encoders over, the worst %.2f times (%d over by N + 3 x root of N + 3 under 30); served %.3f", d.minDispatchers, d.maxDispatchers, over, cold, worst, overByPage, served/asked)
 	if over > 0 {
 		t.Errorf("%d of %d cold encoders were sent more than they bear, the worst %.2f times as much", over, cold, worst)
 	}
 }
 
 // play plays one fleet: a release, most dispatchers killed during it.
-func (d drawn) play(seed int) *mass {
-	dispatchers := d.least + seed*7%(d.most-d.least+1)
-	m := newMassOf(d.terms, uint64(seed)+5000, dispatchers, d.encoders(dispatchers, seed), 1+seed%3)
-	m.release(seed)
+func (d fleetTest) playFleet(seed int) *deployment {
+	dispatchers := d.minDispatchers + seed*7%(d.maxDispatchers-d.minDispatchers+1)
+	m := newDeployment(d.site, uint64(seed)+5000, dispatchers, d.encoders(dispatchers, seed), 1+seed%3)
+	m.playRelease(seed)
 	return m
 }
 
 // total is the sum over all classes.
-func total(worth []float64) (sum float64) {
+func sum(worth []float64) (sum float64) {
 	for _, w := range worth {
 		sum += w
 	}
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -7,7 +7,7 @@
 )
 
 // relieve has another dispatcher take over, by way of what one process tells the other.
-func (w *world) relieve() {
+func (w *harness) handOver() {
 	w.t.Helper()
 	text, err := json.Marshal(w.d.Memory())
 	if err != nil {
@@ -27,8 +27,8 @@
 			lines = append(lines, l)
 		}
 	}
-	w.wakes = nil
-	for id, out := range w.out { // the program tells of these first
+	w.timers = nil
+	for id, out := range w.cordoned { // the program tells of these first
 		w.handle(Cordon{Worker: id, Out: out})
 	}
 	w.handle(ListFull{Workers: lines, Cached: true})
@@ -37,29 +37,29 @@
 
 // One process after the other decides for one dispatcher: all rules bind them as one, and nothing
 // of a request is lost or kept for good.
-func TestRulesAcrossProcesses(t *testing.T) {
+func TestRulesHoldAcrossHandovers(t *testing.T) {
 	for seed := range uint64(24) {
-		s := budgeted(site(seed, seed&1 != 0, seed&2 != 0, false))
+		s := varyRules(testSettings(seed, seed&1 != 0, seed&2 != 0, false))
 		s.Rules.GoneIsAdvice = false
-		randomDayWith(t, s, 1500, func(w *world, i int) {
+		playRandomEventsWith(t, s, 1500, func(w *harness, i int) {
 			if i%97 == 96 {
-				w.relieve()
+				w.handOver()
 			}
 		})
 	}
 }
 
 // A process that took over knew how often each key had been asked for, but not of how many requests, and took all for hot.
-func TestKeysAreNotHotAfterTakingOver(t *testing.T) {
-	s := site(1, true, false, false)
+func TestKeysAreNotHotAfterHandover(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Tenants = []Tenant{{QuotaPerSecond: 80}}
-	w := fleet(t, s, 8)
+	w := newReadyHarness(t, s, 8)
 	for key := range uint64(200) {
-		w.keyed(1 + key%20)
+		w.sendKeyed(1 + key%20)
 	}
 	r := &request{Request: Request{Key: 5, Slots: 1}, c: w.d.classes[0], arrived: w.now}
 	before := w.d.keepers(r)
-	w.relieve()
+	w.handOver()
 	if after := w.d.keepers(r); after > before+1 {
 		t.Errorf("%d keepers of one key, %d once another process has taken over", before, after)
 	}
@@ -67,14 +67,14 @@
 
 // A process that took over began with ceilings of one slot and stacked its jobs on those of the
 // one before.
-func TestLearnedIsHandedOver(t *testing.T) {
-	s := site(1, true, false, false)
+func TestLearnedStateIsHandedOver(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Policies = nil
-	w := fleet(t, s, 1)
+	w := newReadyHarness(t, s, 1)
 	w.d.workers[1].ceiling = 3
-	var sent []*job
+	var sent []*testRequest
 	for range 2 {
-		if got, j := w.place(2); got == 1 {
+		if got, j := w.sendRequest(2); got == 1 {
 			sent = append(sent, j)
 		}
 	}
@@ -82,19 +82,19 @@
 		t.Fatalf("%d jobs sent", len(sent))
 	}
 	w.handle(JobStarted{sent[0].ID, 0})
-	w.relieve()
+	w.handOver()
 	k := w.d.workers[1]
 	if k.own != 2 || k.running != 1 || k.ceiling != 3 || k.lived != w.now {
 		t.Errorf("own %v, running %v, ceiling %v, lived %v", k.own, k.running, k.ceiling, k.lived)
 	}
 	w.now += 10 * time.Millisecond
-	if got, _ := w.place(2); got != 1 {
+	if got, _ := w.sendRequest(2); got != 1 {
 		t.Error("no room for a third job")
 	}
-	if got, _ := w.place(2); got != 0 {
+	if got, _ := w.sendRequest(2); got != 0 {
 		t.Error("a fourth job was stacked on those of before")
 	}
-	w.handle(w.end(sent[0], 0, OK, nil), w.end(sent[1], 0, Reset, nil))
+	w.handle(w.endAttempt(sent[0], 0, OK, nil), w.endAttempt(sent[1], 0, Reset, nil))
 	if !sent[1].answered {
 		t.Error("an unsafe job that may have run is not failed")
 	}
--- a/decide/order_test.go
+++ b/decide/order_test.go
@@ -7,11 +7,11 @@
 
 // TestOrderOfARequest: a request that brings its own order goes to the first of it that is valid, moves on
 // along it, and nowhere else, however free others are.
-func TestOrderOfARequest(t *testing.T) {
-	s := site(1, false, true, false)
-	w := fleet(t, s, 4)
+func TestRequestFollowsItsOwnOrder(t *testing.T) {
+	s := testSettings(1, false, true, false)
+	w := newReadyHarness(t, s, 4)
 	send := func(order ...uint32) (got uint32) {
-		j := w.arrive(0, time.Second)
+		j := w.newRequest(0, time.Second)
 		j.Order = order
 		for _, a := range w.d.Handle(w.now, []Event{j.Request}) {
 			if a, ok := a.(Send); ok {
@@ -37,26 +37,26 @@
 
 // TestOrderGoesBeforeFirstJobs: a worker put back by hand is owed a job, but not one that may not go there: a rerun that was
 // narrowed to other sites could come to the worker that had spoilt it.
-func TestOrderGoesBeforeFirstJobs(t *testing.T) {
-	s := site(1, true, false, false)
+func TestOrderOverridesFirstJobs(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Rules.Cold, s.Rules.ColdFrom = 3, 20*time.Second, 0.14
-	w := fleet(t, s, 4)
+	w := newReadyHarness(t, s, 4)
 	w.handle(Cordon{Worker: 2, Out: true})
 	w.now += time.Second
 	w.handle(Cordon{Worker: 2})
 	for end := w.now + owedWithin; w.now < end; {
 		w.now += 20 * ms
-		j := w.arrive(0, time.Second)
+		j := w.newRequest(0, time.Second)
 		j.Order = []uint32{3}
 		for _, a := range w.handle(Wake{}, j.Request) {
 			if a, ok := a.(Send); ok && a.Worker != 3 {
 				t.Fatalf("it may go to 3 alone, it went to %d", a.Worker)
 			}
 		}
-		for _, j := range w.jobs {
-			for i, tr := range j.tries {
+		for _, j := range w.requests {
+			for i, tr := range j.attempts {
 				if !tr.over && w.now-tr.sent >= 60*ms {
-					w.handle(w.end(j, i, OK, nil))
+					w.handle(w.endAttempt(j, i, OK, nil))
 				}
 			}
 		}
@@ -65,11 +65,11 @@
 
 // TestOrderHoldsPastTheAim guards against a request that brings its own order and, once it has waited for its aim, is sent
 // to any worker.
-func TestOrderHoldsPastTheAim(t *testing.T) {
+func TestOrderStillAppliesPastTheAim(t *testing.T) {
 	for seed := range uint64(20) {
-		w := fleet(t, site(seed, true, false, false), 4)
+		w := newReadyHarness(t, testSettings(seed, true, false, false), 4)
 		w.d.Handle(w.now, []Event{ListDelta{Workers: []Worker{{ID: 3, State: Draining}}}})
-		j := w.arrive(0, time.Second)
+		j := w.newRequest(0, time.Second)
 		j.Order = []uint32{3}
 		w.handle(j.Request)
 		for range 100 {
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -8,9 +8,9 @@
 )
 
 // fleet starts a dispatcher with policies of its own and ready workers 1 to n.
-func fleet(t *testing.T, s Settings, n int) *world {
+func newReadyHarness(t *testing.T, s Settings, n int) *harness {
 	t.Helper()
-	w := newWorld(t, s)
+	w := newHarness(t, s)
 	var lines []Worker
 	for id := range uint32(n) {
 		l := Worker{ID: id + 1, State: Ready}
@@ -22,9 +22,9 @@
 }
 
 // place sends one request of a class in and returns the worker it went to, 0 for none.
-func (w *world) place(class int) (uint32, *job) {
+func (w *harness) sendRequest(class int) (uint32, *testRequest) {
 	w.t.Helper()
-	j := w.arrive(class, time.Second)
+	j := w.newRequest(class, time.Second)
 	for _, a := range w.handle(j.Request) {
 		if s, ok := a.(Send); ok && s.Request == j.ID {
 			return s.Worker, j
@@ -33,7 +33,7 @@
 	return 0, j
 }
 
-func only(ids ...uint32) []Label { return []Label{{Zone: Any, Kind: Any, IDs: ids}} }
+func labelsFor(ids ...uint32) []Label { return []Label{{Zone: Any, Kind: Any, IDs: ids}} }
 
 func withPolicy(s Settings, blocks []Block, f Followup) Settings {
 	s.Policies = nil
@@ -43,16 +43,16 @@
 	return s
 }
 
-func TestBlocksTopDown(t *testing.T) {
+func TestBlocksAreTriedInOrder(t *testing.T) {
 	max2 := Invalidate{MaxConcurrentInvocations, 2}
-	s := withPolicy(site(1, false, false, false),
-		[]Block{{Workers: only(3), Strategy: BestFirst, Invalidate: max2}, {Workers: only(1), Strategy: BestFirst, Invalidate: max2}}, Fail)
-	w := fleet(t, s, 3)
+	s := withPolicy(testSettings(1, false, false, false),
+		[]Block{{Workers: labelsFor(3), Strategy: BestFirst, Invalidate: max2}, {Workers: labelsFor(1), Strategy: BestFirst, Invalidate: max2}}, Fail)
+	w := newReadyHarness(t, s, 3)
 	for _, id := range []uint32{1, 3} {
 		w.d.workers[id].ceiling = 5
 	}
 	for i, want := range []uint32{3, 3, 1, 1, 0} {
-		got, j := w.place(0)
+		got, j := w.sendRequest(0)
 		if got != want {
 			t.Errorf("request %d went to %d, want %d", i, got, want)
 		}
@@ -63,12 +63,12 @@
 }
 
 func TestFollowupDefault(t *testing.T) {
-	s := withPolicy(site(1, false, false, false), []Block{{Workers: only(1), Strategy: BestFirst, Invalidate: Invalidate{Rule: Overload}}}, Default)
-	w := fleet(t, s, 4)
-	if got, _ := w.place(0); got != 1 {
+	s := withPolicy(testSettings(1, false, false, false), []Block{{Workers: labelsFor(1), Strategy: BestFirst, Invalidate: Invalidate{Rule: Overload}}}, Default)
+	w := newReadyHarness(t, s, 4)
+	if got, _ := w.sendRequest(0); got != 1 {
 		t.Fatalf("block one was passed over for %d", got)
 	}
-	if got, j := w.place(0); got < 2 || j.answered {
+	if got, j := w.sendRequest(0); got < 2 || j.answered {
 		t.Errorf("the default tag gave %d", got)
 	}
 }
@@ -79,10 +79,10 @@
 		t.Run(string(strategy), func(t *testing.T) {
 			firsts := map[uint32]bool{}
 			for seed := range uint64(20) {
-				w := fleet(t, withPolicy(site(seed, false, false, false), []Block{{Workers: only(1, 2, 3, 4, 5), Strategy: strategy, Invalidate: rule}}, Fail), 5)
+				w := newReadyHarness(t, withPolicy(testSettings(seed, false, false, false), []Block{{Workers: labelsFor(1, 2, 3, 4, 5), Strategy: strategy, Invalidate: rule}}, Fail), 5)
 				seen := map[uint32]bool{}
 				for i := range 5 {
-					got, _ := w.place(0)
+					got, _ := w.sendRequest(0)
 					if i == 0 {
 						firsts[got] = true
 					}
@@ -114,12 +114,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := withPolicy(site(1, false, true, false), []Block{{Workers: only(1), Strategy: BestFirst, Invalidate: tt.inv}}, Fail)
-			w := fleet(t, s, 1)
+			s := withPolicy(testSettings(1, false, true, false), []Block{{Workers: labelsFor(1), Strategy: BestFirst, Invalidate: tt.inv}}, Fail)
+			w := newReadyHarness(t, s, 1)
 			w.d.workers[1].slots, w.d.workers[1].ceiling = tt.slots, 3
 			taken := 0
 			for range 6 {
-				if got, _ := w.place(0); got == 1 {
+				if got, _ := w.sendRequest(0); got == 1 {
 					taken++
 				}
 			}
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestCoprime(t *testing.T) {
+func TestCoprimeStepVisitsAll(t *testing.T) {
 	for n := 1; n <= 30; n++ {
 		for want := range n {
 			step, seen := coprime(want, n), map[int]bool{}
@@ -144,8 +144,8 @@
 	}
 }
 
-func TestBadSettings(t *testing.T) {
-	ok := Block{Workers: only(1), Strategy: BestFirst, Invalidate: Invalidate{Rule: Overload}}
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	ok := Block{Workers: labelsFor(1), Strategy: BestFirst, Invalidate: Invalidate{Rule: Overload}}
 	with := func(f func(b *Block)) []Block { b := ok; f(&b); return []Block{b} }
 	tests := []struct {
 		name, want string
@@ -161,7 +161,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := New(withPolicy(site(1, false, false, false), tt.blocks, tt.followup))
+			_, err := New(withPolicy(testSettings(1, false, false, false), tt.blocks, tt.followup))
 			if err == nil || !strings.Contains(err.Error(), tt.want) {
 				t.Errorf("error %v, want one with %q", err, tt.want)
 			}
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestBadAttemptBudget(t *testing.T) {
+func TestInvalidAttemptBudgetIsRejected(t *testing.T) {
 	tests := []struct {
 		name   string
 		budget AttemptBudget
@@ -188,7 +188,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := site(1, true, false, false)
+			s := testSettings(1, true, false, false)
 			s.Rules.Budget = &tt.budget
 			if _, err := New(s); (err == nil) != tt.ok {
 				t.Errorf("error %v, want none: %v", err, tt.ok)
@@ -213,17 +213,17 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := site(1, false, false, false)
+			s := testSettings(1, false, false, false)
 			s.Rules.Budget = &tt.budget
-			w := fleet(t, s, 40)
+			w := newReadyHarness(t, s, 40)
 			further := 0
 			for range tt.requests {
-				_, j := w.place(0)
-				for i := 0; i < len(j.tries) && !j.answered; i++ {
+				_, j := w.sendRequest(0)
+				for i := 0; i < len(j.attempts) && !j.answered; i++ {
 					w.now += ms
-					w.handle(w.end(j, i, tt.outcome, nil))
+					w.handle(w.endAttempt(j, i, tt.outcome, nil))
 				}
-				further += len(j.tries) - 1
+				further += len(j.attempts) - 1
 				if !j.answered {
 					t.Error("a request beyond the budget is kept waiting")
 				}
@@ -237,10 +237,10 @@
 
 // TestStallIsNoQueueing: after a stall of the dispatcher itself, the note of a prompt
 // start came late and its worker was struck.
-func TestStallIsNoQueueing(t *testing.T) {
+func TestOwnStallIsNotTakenForQueueing(t *testing.T) {
 	for _, stalled := range []bool{true, false} {
-		w := fleet(t, site(1, true, false, false), 1)
-		_, j := w.place(2)
+		w := newReadyHarness(t, testSettings(1, true, false, false), 1)
+		_, j := w.sendRequest(2)
 		if !stalled {
 			for range 24 {
 				w.now += 8 * ms
@@ -250,7 +250,7 @@
 		w.now += 200 * ms
 		w.handle(Wake{}, JobStarted{j.ID, 0})
 		w.now += 8 * ms
-		w.handle(Wake{}, w.end(j, 0, OK, nil))
+		w.handle(Wake{}, w.endAttempt(j, 0, OK, nil))
 		if trusted := w.d.workers[1].ceiling > firstCeiling; trusted != stalled {
 			t.Errorf("stalled %v: ceiling raised %v", stalled, trusted)
 		}
@@ -259,9 +259,9 @@
 
 // TestAnsweredBeforeAStall: an answer put off to the last moment missed the deadline when
 // the dispatcher had no turn then.
-func TestAnsweredBeforeAStall(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 1)
-	_, j := w.place(2)
+func TestAnswerIsEarlyByAKnownStall(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	_, j := w.sendRequest(2)
 	w.handle(JobStarted{j.ID, 0})
 	for range 94 {
 		w.now += 8 * ms
@@ -280,7 +280,7 @@
 
 // TestClientInAHurry: a first try with little time was taken for a later one that had
 // used up its time, and refused at once.
-func TestClientInAHurry(t *testing.T) {
+func TestShortBudgetIsNotTakenForARetry(t *testing.T) {
 	tests := []struct {
 		name          string
 		marks, repeat bool
@@ -294,12 +294,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := site(1, false, false, false)
+			s := testSettings(1, false, false, false)
 			s.MarksRetries = tt.marks
-			w := fleet(t, s, 1)
-			w.place(2)
-			w.place(0)
-			j := w.arrive(2, tt.budget)
+			w := newReadyHarness(t, s, 1)
+			w.sendRequest(2)
+			w.sendRequest(0)
+			j := w.newRequest(2, tt.budget)
 			j.Repeat = tt.repeat
 			w.handle(j.Request)
 			w.now += 10 * ms
@@ -313,37 +313,37 @@
 
 // TestLateLeavesInTimeQueue: a request past its aim once stayed in the in-time
 // queue too, and went before fresh ones.
-func TestLateLeavesInTimeQueue(t *testing.T) {
-	w := fleet(t, site(1, false, false, false), 1)
-	if got, _ := w.place(0); got != 1 { // fills the one worker
+func TestLateRequestLeavesTheInTimeQueue(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, false, false, false), 1)
+	if got, _ := w.sendRequest(0); got != 1 { // fills the one worker
 		t.Fatal("not placed")
 	}
-	w.place(0) // will be late
-	w.place(0) // and another: no random pick while others wait
+	w.sendRequest(0) // will be late
+	w.sendRequest(0) // and another: no random pick while others wait
 	w.now += 200 * ms
 	w.handle(Wake{})
-	fresh := w.arrive(0, time.Second)
+	fresh := w.newRequest(0, time.Second)
 	w.handle(fresh.Request)
-	for _, a := range w.handle(w.end(w.jobs[1], 0, OK, nil)) {
+	for _, a := range w.handle(w.endAttempt(w.requests[1], 0, OK, nil)) {
 		if s, ok := a.(Send); ok && s.Request != fresh.ID {
 			t.Errorf("request %d went before the fresh %d", s.Request, fresh.ID)
 		}
 	}
-	if len(fresh.tries) != 1 {
+	if len(fresh.attempts) != 1 {
 		t.Error("the fresh request was not sent")
 	}
 }
 
 // TestRunTimeCountsFromStart: the run time once counted from the last progress note.
 func TestRunTimeCountsFromStart(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 1)
-	_, j := w.place(0)
+	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	_, j := w.sendRequest(0)
 	w.now += 10 * ms
 	w.handle(JobStarted{j.ID, 0})
 	w.now += 500 * ms
 	w.handle(JobProgress{j.ID, 0, 0.9})
 	w.now += 20 * ms
-	w.handle(w.end(j, 0, OK, nil))
+	w.handle(w.endAttempt(j, 0, OK, nil))
 	if run := w.d.classes[0].run; run < 0.51 || run > 0.53 {
 		t.Errorf("run time %v, want 0.52", run)
 	}
@@ -353,16 +353,16 @@
 // worker gets nothing new until it has shown life.
 func TestQueuedJobMoves(t *testing.T) {
 	for class, wantMove := range []bool{true, true, false} {
-		s := site(1, true, false, false)
+		s := testSettings(1, true, false, false)
 		s.Classes[0].LateWorth = 0 // else it stays: few of those move
-		w := fleet(t, s, 2)
-		first, j := w.place(class)
+		w := newReadyHarness(t, s, 2)
+		first, j := w.sendRequest(class)
 		w.now += 60 * ms
 		w.handle(Wake{})
-		if moved := len(j.tries) == 2 && j.tries[1].w.ID != first; moved != wantMove {
+		if moved := len(j.attempts) == 2 && j.attempts[1].worker.ID != first; moved != wantMove {
 			t.Errorf("class %d: moved %v, want %v", class, moved, wantMove)
 		}
-		if got, _ := w.place(2); got == first {
+		if got, _ := w.sendRequest(2); got == first {
 			t.Errorf("class %d: the silent worker %d got more", class, first)
 		}
 	}
@@ -371,15 +371,15 @@
 // TestCalledOffWhenCrowded: a job that still queues at its aim is given up only
 // while more of this dispatcher's jobs queue at workers than run. With many
 // dispatchers each finds room for its few jobs everywhere and holds none.
-func TestCalledOffWhenCrowded(t *testing.T) {
+func TestQueuedJobIsCancelledOnlyWhenCrowded(t *testing.T) {
 	for i, crowded := range []bool{false, true, true} {
-		s := site(1, true, false, false)
+		s := testSettings(1, true, false, false)
 		s.Classes[2].Stretch = 1
 		s.Limits.Cancel = i < 2 // what cannot be called off is waited for: once it ran for nothing, and its client came back
-		w := fleet(t, s, 3)
-		_, j := w.place(2)
+		w := newReadyHarness(t, s, 3)
+		_, j := w.sendRequest(2)
 		for range 2 {
-			if _, other := w.place(2); !crowded {
+			if _, other := w.sendRequest(2); !crowded {
 				w.handle(JobStarted{other.ID, 0})
 			}
 		}
@@ -395,13 +395,13 @@
 
 // TestQueuedJobThatStartedIsNotCalledOff: a job that had queued counted as queued for good. At its aim it was called
 // off while it ran, in time as most: with hundreds of dispatchers a fifth of what the encoders did came to nothing.
-func TestQueuedJobThatStartedIsNotCalledOff(t *testing.T) {
-	s := site(1, true, false, false)
+func TestQueuedJobThatStartedIsNotCancelled(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Classes[2].Stretch = 1
-	w := fleet(t, s, 3)
-	_, j := w.place(2)
-	w.place(2)
-	w.place(2)
+	w := newReadyHarness(t, s, 3)
+	_, j := w.sendRequest(2)
+	w.sendRequest(2)
+	w.sendRequest(2)
 	for n := range 10 { // it queues from 20 ms on and starts at 100 ms; two go on queueing; its aim is 150 ms
 		w.now += 20 * ms
 		if w.handle(Wake{}); n == 4 {
@@ -415,11 +415,11 @@
 
 // TestLaterTryIsOlder: a client's later try, told by its shorter budget, was once
 // held for a whole aim of its own and then served too late.
-func TestLaterTryIsOlder(t *testing.T) {
-	w := fleet(t, site(1, false, false, false), 1)
-	w.place(2) // fills the worker and shows a first try's budget
-	w.place(0) // waits too: no random pick
-	second := w.arrive(2, 800*ms)
+func TestRetryCountsFromTheFirstTry(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, false, false, false), 1)
+	w.sendRequest(2) // fills the worker and shows a first try's budget
+	w.sendRequest(0) // waits too: no random pick
+	second := w.newRequest(2, 800*ms)
 	w.handle(second.Request)
 	w.now += 10 * ms
 	w.handle(Wake{})
@@ -430,23 +430,23 @@
 
 // TestCalledOffJobDoesNotBar: a job called off at a trusted worker once left a
 // ghost slot without a strike, and the worker was never tried again.
-func TestCalledOffJobDoesNotBar(t *testing.T) {
-	w := fleet(t, site(1, true, false, false), 1)
-	_, j := w.place(0)
+func TestCancelledJobDoesNotBarItsWorker(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	_, j := w.sendRequest(0)
 	w.now += 5 * ms
 	w.handle(JobStarted{j.ID, 0})
 	w.now += 2 * time.Second
-	w.handle(w.end(j, 0, Cancelled, nil))
-	if got, _ := w.place(2); got != 1 {
+	w.handle(w.endAttempt(j, 0, Cancelled, nil))
+	if got, _ := w.sendRequest(2); got != 1 {
 		t.Error("the worker is barred though nothing speaks against it")
 	}
 }
 
 // TestPeersHearOfEveryWorker: a message holds some forty workers; the rest of a
 // larger fleet was once never told.
-func TestPeersHearOfEveryWorker(t *testing.T) {
-	w := fleet(t, site(1, false, true, true), 100)
-	heard := newWorld(t, site(2, false, true, true))
+func TestPeersReceiveTheLoadOfEveryWorker(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, false, true, true), 100)
+	heard := newHarness(t, testSettings(2, false, true, true))
 	now := w.now + 20*time.Second
 	for i := range 100 {
 		w.d.workers[uint32(i+1)].own, w.d.moved = 1, true
@@ -468,21 +468,21 @@
 
 // TestPeersCountAtUnknownWorkers: the load that peers tell once did not count at a
 // worker whose size was not known, so each dispatcher took it for empty.
-func TestPeersCountAtUnknownWorkers(t *testing.T) {
-	w := fleet(t, site(1, false, true, true), 2)
+func TestPeerLoadCountsAtWorkersOfUnknownSize(t *testing.T) {
+	w := newReadyHarness(t, testSettings(1, false, true, true), 2)
 	busy := appendLoad(newLoads(true), 1, [2]uint8{8, 0}, unknownLoad)
 	w.handle(PeerSaid{Peer: 1, Body: busy})
-	if got, _ := w.place(0); got != 2 {
+	if got, _ := w.sendRequest(0); got != 2 {
 		t.Errorf("went to %d, want the worker that no peer uses", got)
 	}
-	if got, _ := w.place(0); got != 0 {
+	if got, _ := w.sendRequest(0); got != 0 {
 		t.Errorf("a second job went to %d, though both are full", got)
 	}
 }
 
 // TestTrials: a struck worker gets a trial only from a request that may be
 // repeated and has had no attempt yet, unless no worker is trusted at all.
-func TestTrials(t *testing.T) {
+func TestTrialsOfSuspectedWorkers(t *testing.T) {
 	tests := []struct {
 		name            string
 		class, attempts int
@@ -496,7 +496,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := fleet(t, site(1, true, false, false), 2)
+			w := newReadyHarness(t, testSettings(1, true, false, false), 2)
 			struck, other := w.d.workers[1], w.d.workers[2]
 			w.d.judge(struck, 3)
 			if tt.outage {
@@ -525,16 +525,16 @@
 // worker at the end of its hold, but only while nothing else waits.
 func TestLastResort(t *testing.T) {
 	for _, alone := range []bool{true, false} {
-		w := fleet(t, site(1, false, false, false), 2)
-		w.place(0)
-		w.place(0)
-		_, j := w.place(2)
+		w := newReadyHarness(t, testSettings(1, false, false, false), 2)
+		w.sendRequest(0)
+		w.sendRequest(0)
+		_, j := w.sendRequest(2)
 		if !alone {
-			w.place(2)
+			w.sendRequest(2)
 		}
 		w.now += 150 * ms
 		w.handle(Wake{})
-		if sent := len(j.tries) == 1; sent != alone || j.answered == alone {
+		if sent := len(j.attempts) == 1; sent != alone || j.answered == alone {
 			t.Errorf("alone %v: sent %v, answered %v", alone, sent, j.answered)
 		}
 	}
@@ -542,13 +542,13 @@
 
 // TestLeastWorthMakesRoom: past the limit of open requests the newcomer is refused only where it is worth least for
 // its run; else one that is late, or of a class worth less, makes room. What was sent stays.
-func TestLeastWorthMakesRoom(t *testing.T) {
-	s := site(1, false, false, false)
+func TestLeastValuableRequestMakesRoom(t *testing.T) {
+	s := testSettings(1, false, false, false)
 	s.Limits.Open = 4
-	w := fleet(t, s, 1)
-	var js []*job
+	w := newReadyHarness(t, s, 1)
+	var js []*testRequest
 	answered := func(class int, want ...bool) {
-		_, j := w.place(class)
+		_, j := w.sendRequest(class)
 		js = append(js, j)
 		for i, j := range js {
 			if j.answered != want[i] {
@@ -570,12 +570,12 @@
 
 // TestRefusedLeaveTheQueue: what made room waited in its queue behind all that was held, thousands in a rush, and each
 // newcomer looked through them.
-func TestRefusedLeaveTheQueue(t *testing.T) {
-	s := site(1, false, false, false)
+func TestRefusedRequestsLeaveTheQueue(t *testing.T) {
+	s := testSettings(1, false, false, false)
 	s.Limits.Open = 9
-	w := fleet(t, s, 1)
+	w := newReadyHarness(t, s, 1)
 	for i := range 300 {
-		w.place(i % 2)
+		w.sendRequest(i % 2)
 		if held := w.d.held(); held > s.Limits.Open {
 			t.Fatalf("%d wait after %d requests", held, i+1)
 		}
@@ -583,12 +583,12 @@
 }
 
 // TestOpenIsBounded: what comes past the limit of open requests is refused at once.
-func TestOpenIsBounded(t *testing.T) {
-	s := site(1, false, false, false)
+func TestOpenRequestsAreBounded(t *testing.T) {
+	s := testSettings(1, false, false, false)
 	s.Limits.Open = 2
-	w := fleet(t, s, 1)
+	w := newReadyHarness(t, s, 1)
 	for i, want := range []bool{false, false, true} {
-		if _, j := w.place(0); j.answered != want {
+		if _, j := w.sendRequest(0); j.answered != want {
 			t.Errorf("request %d answered %v, want %v", i, j.answered, want)
 		}
 	}
@@ -596,19 +596,19 @@
 
 // TestStandingWorker: a running job without progress gets a second copy elsewhere
 // where its class allows a repeat, and the worker that stands still gets nothing new.
-func TestStandingWorker(t *testing.T) {
+func TestStalledJobIsCopied(t *testing.T) {
 	for class, want := range []int{2, 1, 1} { // the keyed one is past its window by then
-		w := fleet(t, site(1, true, false, false), 2)
-		at, j := w.place(class)
+		w := newReadyHarness(t, testSettings(1, true, false, false), 2)
+		at, j := w.sendRequest(class)
 		w.handle(JobStarted{j.ID, 0})
 		for range 95 {
 			w.now += 8 * ms
 			w.handle(Wake{})
 		}
-		if len(j.tries) != want {
-			t.Errorf("class %d: %d attempts, want %d", class, len(j.tries), want)
+		if len(j.attempts) != want {
+			t.Errorf("class %d: %d attempts, want %d", class, len(j.attempts), want)
 		}
-		if got, _ := w.place(2); got == at {
+		if got, _ := w.sendRequest(2); got == at {
 			t.Errorf("class %d: the standing worker got an unsafe job", class)
 		}
 	}
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -9,10 +9,10 @@
 
 // Settings change while requests are in hand: those keep their class, what comes goes by the new
 // one, and the number of attempts binds both.
-func TestRetune(t *testing.T) {
-	s := site(1, true, false, false)
-	w := fleet(t, s, 4)
-	_, before := w.place(0)
+func TestSettingsChangeWithRequestsInProgress(t *testing.T) {
+	s := testSettings(1, true, false, false)
+	w := newReadyHarness(t, s, 4)
+	_, before := w.sendRequest(0)
 	s.Classes = slices.Clone(s.Classes)
 	s.Classes[0].Effect = Unsafe // stricter
 	s.Classes[1].Left = true
@@ -21,19 +21,19 @@
 		t.Fatal(err)
 	}
 	w.s = s
-	_, after := w.place(0)
-	to, fresh := w.place(3)
+	_, after := w.sendRequest(0)
+	to, fresh := w.sendRequest(3)
 	if to == 0 {
 		t.Fatal("a new class finds no worker")
 	}
-	w.handle(w.end(after, 0, Reset, nil))
-	if !after.answered || len(after.tries) != 1 {
+	w.handle(w.endAttempt(after, 0, Reset, nil))
+	if !after.answered || len(after.attempts) != 1 {
 		t.Error("what came since is repeated though it must not be")
 	}
 	w.s.Classes = slices.Clone(s.Classes)
 	w.s.Classes[0].Effect = Safe // what the one in hand is held against
-	w.handle(w.end(before, 0, Reset, nil))
-	if before.answered || len(before.tries) != 2 {
+	w.handle(w.endAttempt(before, 0, Reset, nil))
+	if before.answered || len(before.attempts) != 2 {
 		t.Error("what was in hand has lost its class")
 	}
 	w.s = s
@@ -41,8 +41,8 @@
 	if err := w.d.Retune(s); err != nil {
 		t.Fatal(err)
 	}
-	w.handle(w.end(fresh, 0, Reset, nil))
-	if !fresh.answered || len(fresh.tries) != 1 {
+	w.handle(w.endAttempt(fresh, 0, Reset, nil))
+	if !fresh.answered || len(fresh.attempts) != 1 {
 		t.Error("it had more attempts than are allowed now")
 	}
 	s.Classes = s.Classes[:3]
@@ -55,7 +55,7 @@
 }
 
 // leaves is settings with classes and tenants of which the first ones have left.
-func leaves(s Settings, classes, tenants int) Settings {
+func withRemoved(s Settings, classes, tenants int) Settings {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	for i := range classes {
 		s.Classes[i].Left = true
@@ -69,24 +69,24 @@
 
 // Classes and tenants that the settings have no more went on to set the pace of backoffs, the turns of cold workers, the size that workers
 // are taken to have, how often the fleet is sorted and how many attempts there may be where no rule says so.
-func TestWhatHasLeftCountsNoMore(t *testing.T) {
-	s := site(1, true, false, false)
+func TestRemovedClassesAndTenantsDoNotCount(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Classes = []Class{
 		{Aim: 5 * ms, Deadline: time.Minute, Worth: 1, Kind: Any}, {Aim: time.Minute, Deadline: time.Minute, Worth: 9, Kind: Any},
 		{Aim: 200 * ms, Deadline: 4 * time.Second, Worth: 2, Kind: Any}, {Aim: 300 * ms, Deadline: 3 * time.Second, Worth: 3, Kind: Any},
 	}
 	s.Tenants = []Tenant{{QuotaPerSecond: 500}, {QuotaPerSecond: 7}}
-	w := fleet(t, s, 3)
+	w := newReadyHarness(t, s, 3)
 	for _, c := range w.d.classes {
 		c.run, c.logRun, c.jobs = c.Aim.Seconds(), math.Log(c.Aim.Seconds()), 40
 	}
 	for _, r := range w.d.workers {
 		r.refusals[2].Until, r.refusals[3].Until = w.now+time.Minute, w.now+time.Minute
 	}
-	if err := w.d.Retune(leaves(s, 2, 1)); err != nil {
+	if err := w.d.Retune(withRemoved(s, 2, 1)); err != nil {
 		t.Fatal(err)
 	}
-	gone := leaves(s, 2, 1)
+	gone := withRemoved(s, 2, 1)
 	if gone.First = 1; w.d.Retune(gone) == nil {
 		t.Error("a class that has left is the first")
 	}
@@ -109,12 +109,12 @@
 
 // A class whose jobs are others under the name of before went on with what was learned of those: its first requests were taken for later
 // tries of clients that had used most of their time, and were late before they were in time.
-func TestOtherJobsUnderTheSameName(t *testing.T) {
-	s := site(1, true, false, false)
+func TestRedefinedClassForgetsItsJobs(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Classes[0].Deadline = 10 * time.Second
-	w := fleet(t, s, 1)
+	w := newReadyHarness(t, s, 1)
 	w.d.classes[0].run, w.d.classes[0].jobs = 60, 200
-	w.handle(w.arrive(0, 10*time.Second).Request)
+	w.handle(w.newRequest(0, 10*time.Second).Request)
 	kept := s
 	kept.Classes = slices.Clone(s.Classes)
 	kept.Classes[0].Worth, kept.Classes[0].Effect = 77, Unsafe
@@ -132,7 +132,7 @@
 	if c := w.d.classes[0]; c.run != 0 || c.jobs != 0 || w.d.workers[1].refusals[0].N != 0 || w.d.workers[1].errs[0].Share != 0 {
 		t.Error("what was learned of the jobs of before is kept")
 	}
-	j := w.arrive(0, 6*time.Second)
+	j := w.newRequest(0, 6*time.Second)
 	w.handle(j.Request)
 	if r := w.d.requests[j.ID]; r.limit != w.now+300*ms {
 		t.Errorf("its aim is over in %v", r.limit-w.now)
@@ -141,11 +141,11 @@
 
 // A request that waits while its class changes kept the workers of that moment for good: it went to none that the list told of later.
 func TestWaitingRequestSeesNewWorkers(t *testing.T) {
-	w := newWorld(t, site(1, true, false, false))
+	w := newHarness(t, testSettings(1, true, false, false))
 	w.handle(ListFull{})
-	j := w.arrive(0, time.Second)
+	j := w.newRequest(0, time.Second)
 	w.handle(j.Request)
-	if err := w.d.Retune(leaves(w.s, 1, 0)); err != nil {
+	if err := w.d.Retune(withRemoved(w.s, 1, 0)); err != nil {
 		t.Fatal(err)
 	}
 	w.now += time.Millisecond
@@ -160,10 +160,10 @@
 
 // Turns of cold workers that were reckoned by other rules held on: of one dispatcher for the turns of hundreds, or without a rule for
 // workers that are cold by the new one. The ages of connections were told apart by parts of the time of before.
-func TestReckonedByOtherRules(t *testing.T) {
-	s := site(1, true, false, false)
+func TestStateDerivedFromOldSettingsIsReset(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Limits.ConnIdle, s.Limits.ConnectTimeout = 400, 64*time.Second, 2*time.Second
-	w := newWorld(t, s)
+	w := newHarness(t, s)
 	w.list[1] = Worker{ID: 1, State: Ready, Started: w.now - time.Second}
 	w.handle(ListFull{Workers: []Worker{w.list[1]}})
 	w.d.workers[1].coldNext = w.now + time.Minute
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -11,7 +11,7 @@
 const ms = time.Millisecond
 
 // site returns small settings of each kind of information.
-func site(seed uint64, starts, reports, peers bool) Settings {
+func testSettings(seed uint64, starts, reports, peers bool) Settings {
 	return Settings{
 		Dispatchers: 2, Seed: seed, Granularity: 2 * ms,
 		Classes: []Class{
@@ -31,7 +31,7 @@
 
 // budgeted adds the rule on further attempts to every second seed, and to every fourth that
 // gone is advice.
-func budgeted(s Settings) Settings {
+func varyRules(s Settings) Settings {
 	s.Rules.GoneIsAdvice = s.Seed/4%2 == 1
 	if s.Seed%3 == 0 { // a small cap on attempts
 		s.Limits.Attempts = 2
@@ -43,86 +43,86 @@
 }
 
 // try is an attempt as the world of a test sees it.
-type try struct {
-	w        Worker
+type testAttempt struct {
+	worker   Worker
 	sent     time.Duration
 	over     bool
 	neverRan bool
-	moot     bool
+	unsent   bool
 }
 
-type job struct {
+type testRequest struct {
 	Request
 	due      time.Duration
-	tries    []*try
+	attempts []*testAttempt
 	answered bool
 }
 
 // world plays random events to one dispatcher and checks the rules on every action.
-type world struct {
-	t     *testing.T
-	s     Settings
-	d     *Dispatcher
-	rng   *rand.Rand
-	now   time.Duration
-	list  map[uint32]Worker
-	jobs  map[uint32]*job
-	order []uint32
-	wakes []time.Duration
-	cold  map[uint32][]time.Duration
+type harness struct {
+	t         *testing.T
+	s         Settings
+	d         *Dispatcher
+	rng       *rand.Rand
+	now       time.Duration
+	list      map[uint32]Worker
+	requests  map[uint32]*testRequest
+	active    []uint32
+	timers    []time.Duration
+	coldSends map[uint32][]time.Duration
 	// drained has when the process last listed as draining started, and one more.
-	drained map[uint32]time.Duration
-	out     map[uint32]bool // left out by hand
-	taken   []time.Duration // arrivals
-	extra   []*try          // attempts beyond a request's first
+	drained       map[uint32]time.Duration
+	cordoned      map[uint32]bool // left out by hand
+	arrivals      []time.Duration // arrivals
+	extraAttempts []*testAttempt  // attempts beyond a request's first
 }
 
-func newWorld(t *testing.T, s Settings) *world {
+func newHarness(t *testing.T, s Settings) *harness {
 	d, err := New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{t: t, s: s, d: d, rng: rand.New(rand.NewPCG(s.Seed, 1)), now: time.Hour,
-		list: map[uint32]Worker{}, jobs: map[uint32]*job{}, cold: map[uint32][]time.Duration{},
-		drained: map[uint32]time.Duration{}, out: map[uint32]bool{}}
+	return &harness{t: t, s: s, d: d, rng: rand.New(rand.NewPCG(s.Seed, 1)), now: time.Hour,
+		list: map[uint32]Worker{}, requests: map[uint32]*testRequest{}, coldSends: map[uint32][]time.Duration{},
+		drained: map[uint32]time.Duration{}, cordoned: map[uint32]bool{}}
 }
 
-func (w *world) handle(events ...Event) []Action {
+func (w *harness) handle(events ...Event) []Action {
 	w.t.Helper()
 	actions := w.d.Handle(w.now, events)
 	for _, a := range actions {
-		w.check(a)
+		w.checkAction(a)
 	}
 	return actions
 }
 
-func (w *world) check(a Action) {
+func (w *harness) checkAction(a Action) {
 	w.t.Helper()
 	switch a := a.(type) {
 	case WakeMe:
-		w.wakes = append(w.wakes, w.now+max(a.After, w.s.Granularity))
+		w.timers = append(w.timers, w.now+max(a.After, w.s.Granularity))
 	case Send:
 		w.checkSend(a)
 	case Refuse:
-		j := w.jobs[a.Request]
+		j := w.requests[a.Request]
 		c := w.s.Classes[j.Class]
-		for i, tr := range j.tries {
+		for i, tr := range j.attempts {
 			if c.Effect != Safe && !(tr.over && tr.neverRan) {
 				w.t.Fatalf("rule 2: request %d refused though attempt %d may have run", a.Request, i)
 			}
 		}
-		w.answer(a.Request)
+		w.recordAnswer(a.Request)
 	case FailRequest:
-		w.answer(a.Request)
+		w.recordAnswer(a.Request)
 	case Cancel:
-		if j := w.jobs[a.Request]; a.Attempt >= len(j.tries) {
+		if j := w.requests[a.Request]; a.Attempt >= len(j.attempts) {
 			w.t.Fatalf("cancel of attempt %d that was never made", a.Attempt)
 		}
 	}
 }
 
-func (w *world) checkSend(a Send) {
-	j, to := w.jobs[a.Request], w.list[a.Worker]
+func (w *harness) checkSend(a Send) {
+	j, to := w.requests[a.Request], w.list[a.Worker]
 	c := w.s.Classes[j.Class]
 	if j.answered || w.now >= j.due {
 		w.t.Fatalf("rule 1: request %d sent after its end", a.Request)
@@ -130,28 +130,28 @@
 	if to.State == Draining || w.drained[a.Worker] == to.Started+1 || to.State == Gone && !w.s.Rules.GoneIsAdvice {
 		w.t.Fatalf("rule 3: request %d sent to worker %d in state %d", a.Request, a.Worker, to.State)
 	}
-	if w.out[a.Worker] {
+	if w.cordoned[a.Worker] {
 		w.t.Fatalf("request %d sent to worker %d, which is left out by hand", a.Request, a.Worker)
 	}
 	if j.sent() >= w.s.Limits.Attempts {
 		w.t.Fatalf("request %d: more attempts than allowed", a.Request)
 	}
-	for i, tr := range j.tries {
+	for i, tr := range j.attempts {
 		if !tr.over && !w.s.Limits.SecondCopies {
 			w.t.Fatalf("request %d: second copy though not allowed", a.Request)
 		}
 		risky := !(tr.over && tr.neverRan)
 		if risky && c.Effect == Unsafe ||
-			risky && c.Effect == Keyed && (w.now-tr.sent >= c.Window || tr.w.Zone != to.Zone) {
+			risky && c.Effect == Keyed && (w.now-tr.sent >= c.Window || tr.worker.Zone != to.Zone) {
 			w.t.Fatalf("rule 2: request %d repeated though attempt %d may have run", a.Request, i)
 		}
 	}
 	if to.Started > 0 && w.now-to.Started < w.s.Rules.Cold {
 		// Rule 4, loosely: this dispatcher's half of the budget for a worker of 4 slots at
 		// its coldest, in jobs of the shortest run time that this world has.
-		w.cold[a.Worker] = append(w.cold[a.Worker], w.now)
+		w.coldSends[a.Worker] = append(w.coldSends[a.Worker], w.now)
 		recent := 0
-		for _, at := range w.cold[a.Worker] {
+		for _, at := range w.coldSends[a.Worker] {
 			if w.now-at < w.s.Rules.FallWindow {
 				recent++
 			}
@@ -162,17 +162,17 @@
 		}
 	}
 	further := j.sent() > 0
-	j.tries = append(j.tries, &try{w: to, sent: w.now})
+	j.attempts = append(j.attempts, &testAttempt{worker: to, sent: w.now})
 	if further {
-		w.extra = append(w.extra, j.tries[len(j.tries)-1])
-		w.checkBudget()
+		w.extraAttempts = append(w.extraAttempts, j.attempts[len(j.attempts)-1])
+		w.checkAttemptBudget()
 	}
 }
 
 // sent is how many attempts of a job went out, or may have.
-func (j *job) sent() (n int) {
-	for _, tr := range j.tries {
-		if !tr.moot {
+func (j *testRequest) sent() (n int) {
+	for _, tr := range j.attempts {
+		if !tr.unsent {
 			n++
 		}
 	}
@@ -180,18 +180,18 @@
 }
 
 // checkBudget holds the attempts beyond a first of the window that ends now against rule 5.
-func (w *world) checkBudget() {
+func (w *harness) checkAttemptBudget() {
 	b := w.s.Rules.Budget
 	if b == nil {
 		return
 	}
 	further, requests := 0, 0
-	for _, tr := range w.extra {
-		if w.now-tr.sent <= b.Span && !tr.moot {
+	for _, tr := range w.extraAttempts {
+		if w.now-tr.sent <= b.Span && !tr.unsent {
 			further++
 		}
 	}
-	for _, at := range w.taken {
+	for _, at := range w.arrivals {
 		if w.now-at < b.Span {
 			requests++
 		}
@@ -201,27 +201,27 @@
 	}
 }
 
-func (w *world) answer(id uint32) {
-	if j := w.jobs[id]; j.answered {
+func (w *harness) recordAnswer(id uint32) {
+	if j := w.requests[id]; j.answered {
 		w.t.Fatalf("rule 1: request %d answered twice", id)
 	} else {
 		j.answered = true
 	}
 }
 
-func (w *world) arrive(class int, budget time.Duration) *job {
-	id := uint32(len(w.jobs) + 1)
-	j := &job{Request: Request{ID: id, Class: class, Budget: budget, Slots: 1}, due: w.now + budget}
-	w.jobs[id] = j
-	w.order = append(w.order, id)
-	w.taken = append(w.taken, w.now)
+func (w *harness) newRequest(class int, budget time.Duration) *testRequest {
+	id := uint32(len(w.requests) + 1)
+	j := &testRequest{Request: Request{ID: id, Class: class, Budget: budget, Slots: 1}, due: w.now + budget}
+	w.requests[id] = j
+	w.active = append(w.active, id)
+	w.arrivals = append(w.arrivals, w.now)
 	return j
 }
 
 // end gives attempt n of a job its outcome.
-func (w *world) end(j *job, n int, o Outcome, r *Report) AttemptEnded {
-	tr := j.tries[n]
-	tr.over, tr.neverRan, tr.moot = true, o.NeverRan(), o == Moot
+func (w *harness) endAttempt(j *testRequest, n int, o Outcome, r *Report) AttemptEnded {
+	tr := j.attempts[n]
+	tr.over, tr.neverRan, tr.unsent = true, o.NeverRan(), o == Moot
 	if o == OK && !j.answered {
 		j.answered = true
 		return AttemptEnded{j.ID, n, o, true, r, 0}
@@ -229,34 +229,34 @@
 	return AttemptEnded{j.ID, n, o, j.answered, r, 0}
 }
 
-func (w *world) step(load float64) {
+func (w *harness) step(load float64) {
 	w.now += w.s.Granularity
 	var events []Event
-	for len(w.wakes) > 0 && w.wakes[0] <= w.now {
-		w.wakes = w.wakes[1:]
+	for len(w.timers) > 0 && w.timers[0] <= w.now {
+		w.timers = w.timers[1:]
 		events = append(events, Wake{})
 	}
 	if w.rng.Float64() < 0.01 {
-		events = append(events, w.change())
+		events = append(events, w.randomListChange())
 	}
 	if w.rng.Float64() < load {
-		events = append(events, w.arrive(w.rng.IntN(len(w.s.Classes)), time.Second).Request)
+		events = append(events, w.newRequest(w.rng.IntN(len(w.s.Classes)), time.Second).Request)
 	}
-	for _, id := range w.order {
-		j := w.jobs[id]
-		for n, tr := range j.tries {
+	for _, id := range w.active {
+		j := w.requests[id]
+		for n, tr := range j.attempts {
 			if tr.over {
 				continue
 			}
 			if w.now >= j.due {
-				events = append(events, w.end(j, n, TimedOut, nil))
+				events = append(events, w.endAttempt(j, n, TimedOut, nil))
 			} else if p := w.rng.Float64(); p < 0.03 {
 				o := []Outcome{OK, OK, OK, Errored, Full, ConnectFailed, Reset, Cancelled, Moot}[w.rng.IntN(9)]
 				var r *Report
 				if w.s.ReportsFree {
 					r = &Report{Active: -1, Waiting: 0, FreeSlots: float64(w.rng.IntN(3)), FreeMemory: -1}
 				}
-				events = append(events, w.end(j, n, o, r))
+				events = append(events, w.endAttempt(j, n, o, r))
 			} else if p < 0.06 {
 				events = append(events, JobStarted{id, n})
 			} else if p < 0.07 {
@@ -265,20 +265,20 @@
 		}
 	}
 	w.handle(events...)
-	for _, id := range w.order {
-		if j := w.jobs[id]; !j.answered && w.now > j.due+w.s.Rules.AnswerSlack {
+	for _, id := range w.active {
+		if j := w.requests[id]; !j.answered && w.now > j.due+w.s.Rules.AnswerSlack {
 			w.t.Fatalf("rule 1: request %d has no answer in time", id)
 		}
 	}
-	w.order = slices.DeleteFunc(w.order, func(id uint32) bool {
-		j := w.jobs[id]
-		return j.answered && !slices.ContainsFunc(j.tries, func(tr *try) bool { return !tr.over })
+	w.active = slices.DeleteFunc(w.active, func(id uint32) bool {
+		j := w.requests[id]
+		return j.answered && !slices.ContainsFunc(j.attempts, func(tr *testAttempt) bool { return !tr.over })
 	})
-	w.order = slices.Clip(w.order)
+	w.active = slices.Clip(w.active)
 }
 
 // change makes one worker drain, go, come or start anew.
-func (w *world) change() Event {
+func (w *harness) randomListChange() Event {
 	id := uint32(w.rng.IntN(6) + 1)
 	l := Worker{ID: id, Zone: int(id % 2), State: WorkerState(w.rng.IntN(3)), Started: w.list[id].Started}
 	if old := w.rng.Float64() < 0.2; l.State == Ready && !old {
@@ -298,19 +298,19 @@
 	for seed := range uint64(24) {
 		starts, reports, peers := seed&1 != 0, seed&2 != 0, seed&4 != 0
 		name := fmt.Sprintf("seed %d starts %v reports %v peers %v", seed, starts, reports, peers)
-		t.Run(name, func(t *testing.T) { randomDay(t, budgeted(site(seed, starts, reports, peers)), 1500) })
+		t.Run(name, func(t *testing.T) { playRandomEvents(t, varyRules(testSettings(seed, starts, reports, peers)), 1500) })
 	}
 }
 
-func randomDay(t *testing.T, s Settings, steps int) {
+func playRandomEvents(t *testing.T, s Settings, steps int) {
 	t.Helper()
-	randomDayWith(t, s, steps, func(*world, int) {})
+	playRandomEventsWith(t, s, steps, func(*harness, int) {})
 }
 
 // randomDayWith does something before each step.
-func randomDayWith(t *testing.T, s Settings, steps int, before func(w *world, step int)) {
+func playRandomEventsWith(t *testing.T, s Settings, steps int, before func(w *harness, step int)) {
 	t.Helper()
-	w := newWorld(t, s)
+	w := newHarness(t, s)
 	var lines []Worker
 	for id := range uint32(6) {
 		l := Worker{ID: id + 1, Zone: int(id+1) % 2, State: Ready}
@@ -345,19 +345,19 @@
 	f.Add(uint64(99), uint8(7))
 	f.Add(uint64(8), uint8(1))
 	f.Fuzz(func(t *testing.T, seed uint64, kind uint8) {
-		randomDay(t, budgeted(site(seed, kind&1 != 0, kind&2 != 0, kind&4 != 0)), 200)
+		playRandomEvents(t, varyRules(testSettings(seed, kind&1 != 0, kind&2 != 0, kind&4 != 0)), 200)
 	})
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() string {
-		w := newWorld(t, site(5, true, false, true))
+		w := newHarness(t, testSettings(5, true, false, true))
 		out := ""
 		w.list[1], w.list[2] = Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready}
 		out += fmt.Sprint(w.handle(ListFull{Workers: []Worker{w.list[1], w.list[2]}, Cached: true}))
 		for i := range 40 {
 			w.now += 5 * ms
-			out += fmt.Sprint(w.handle(Wake{}, w.arrive(i%3, time.Second).Request))
+			out += fmt.Sprint(w.handle(Wake{}, w.newRequest(i%3, time.Second).Request))
 		}
 		return out
 	}
