--- a/decide/badinput_test.go
+++ b/decide/badinput_test.go
@@ -26,16 +26,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newReadyHarness(t, manyDispatchers(true, true, true), 3)
-			_, j := w.sendRequest(0)
-			for _, a := range w.d.Handle(w.now, tt.events) {
+			h := newReadyHarness(t, manyDispatchers(true, true, true), 3)
+			_, req := h.sendRequest(0)
+			for _, a := range h.d.Handle(h.now, tt.events) {
 				switch a.(type) {
 				case Send, Refuse, FailRequest, Cancel:
 					t.Errorf("answered by %T %+v", a, a)
 				}
 			}
-			w.handle(JobStarted{j.ID, 0}, w.endAttempt(j, 0, OK, nil))
-			if got, _ := w.sendRequest(2); got == 0 {
+			h.handle(JobStarted{req.ID, 0}, h.endAttempt(req, 0, OK, nil))
+			if got, _ := h.sendRequest(2); got == 0 {
 				t.Error("the next request is not sent")
 			}
 		})
@@ -46,24 +46,24 @@
 // steps back or jumps by seconds breaks no rule (the world checks them on every action).
 func TestUnusualBudgetsAndClockSteps(t *testing.T) {
 	for _, budget := range []time.Duration{0, -time.Second, math.MaxInt64 / 4} {
-		w := newReadyHarness(t, testSettings(1, true, false, false), 2)
-		j := w.newRequest(0, budget)
-		w.handle(j.Request)
-		if sent := len(j.attempts) > 0; sent != (budget > 0) {
+		h := newReadyHarness(t, testSettings(1, true, false, false), 2)
+		req := h.newRequest(0, budget)
+		h.handle(req.Request)
+		if sent := len(req.attempts) > 0; sent != (budget > 0) {
 			t.Errorf("budget %v: sent %v", budget, sent)
 		}
 	}
-	w := newReadyHarness(t, testSettings(1, true, false, false), 2)
-	var jobs []*testRequest
+	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
+	var requests []*testRequest
 	for _, step := range []time.Duration{0, 0, -time.Minute, time.Minute, 8 * ms, 3 * time.Second, 0, time.Hour} {
-		w.now += step
-		jobs = append(jobs, w.newRequest(len(jobs)%3, time.Second))
-		w.handle(Wake{}, jobs[len(jobs)-1].Request)
+		h.now += step
+		requests = append(requests, h.newRequest(len(requests)%3, time.Second))
+		h.handle(Wake{}, requests[len(requests)-1].Request)
 	}
-	w.now += time.Second
-	w.handle(Wake{})
-	for i, j := range jobs {
-		if !j.answered {
+	h.now += time.Second
+	h.handle(Wake{})
+	for i, req := range requests {
+		if !req.answered {
 			t.Errorf("request %d is not answered", i)
 		}
 	}
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -13,25 +13,25 @@
 	const dispatchers, run = 10, 400 * time.Millisecond
 	started := time.Hour
 	sent := []time.Duration{}
-	for n := range dispatchers {
-		s := testSettings(uint64(n), false, true, false)
-		s.Dispatchers, s.Dispatcher = dispatchers, n
-		w := newHarness(t, s)
-		w.now = started + time.Duration(n)*100*ms
-		w.list[1] = Worker{ID: 1, State: Ready, Started: started}
-		for _, c := range w.d.classes {
+	for place := range dispatchers {
+		s := testSettings(uint64(place), false, true, false)
+		s.Dispatchers, s.Dispatcher = dispatchers, place
+		h := newHarness(t, s)
+		h.now = started + time.Duration(place)*100*ms
+		h.list[1] = Worker{ID: 1, State: Ready, Started: started}
+		for _, c := range h.d.classes {
 			c.run, c.logRun, c.jobs = run.Seconds(), math.Log(run.Seconds()), 1
 		}
-		w.handle(ListDelta{Workers: []Worker{w.list[1]}})
-		for w.now < started+3*time.Second {
-			w.now += 10 * ms
-			j := w.newRequest(0, time.Second)
-			w.handle(Wake{}, j.Request)
-			for _, j := range w.requests {
-				for i, tr := range j.attempts {
-					if !tr.over && w.now-tr.sent >= run {
-						w.handle(w.endAttempt(j, i, OK, nil))
-						sent = append(sent, tr.sent)
+		h.handle(ListDelta{Workers: []Worker{h.list[1]}})
+		for h.now < started+3*time.Second {
+			h.now += 10 * ms
+			req := h.newRequest(0, time.Second)
+			h.handle(Wake{}, req.Request)
+			for _, req := range h.requests {
+				for i, att := range req.attempts {
+					if !att.over && h.now-att.sent >= run {
+						h.handle(h.endAttempt(req, i, OK, nil))
+						sent = append(sent, att.sent)
 					}
 				}
 			}
@@ -64,16 +64,16 @@
 	for n := range 200 {
 		s := testSettings(uint64(n), true, false, false)
 		s.Dispatchers, s.Dispatcher = 200, n
-		w := newHarness(t, s)
-		w.now = started
-		w.list[1] = Worker{ID: 1, State: Ready, Started: started}
-		w.handle(ListDelta{Workers: []Worker{w.list[1]}})
-		wk := w.d.workers[1]
-		r := &request{Request: Request{Slots: 1}, c: w.d.classes[0]}
-		w.d.coldTurn(wk, r)
-		w.d.now = started + after
-		rate += s.Rules.FallWindow.Seconds() / (w.d.coldAt(wk, w.d.now, w.d.pace().Seconds()) - w.d.now).Seconds()
-		if w.d.coldTurn(wk, r) {
+		h := newHarness(t, s)
+		h.now = started
+		h.list[1] = Worker{ID: 1, State: Ready, Started: started}
+		h.handle(ListDelta{Workers: []Worker{h.list[1]}})
+		wk := h.d.workers[1]
+		r := &request{Request: Request{Slots: 1}, c: h.d.classes[0]}
+		h.d.coldTurn(wk, r)
+		h.d.now = started + after
+		rate += s.Rules.FallWindow.Seconds() / (h.d.coldAt(wk, h.d.now, h.d.pace().Seconds()) - h.d.now).Seconds()
+		if h.d.coldTurn(wk, r) {
 			open++
 		}
 	}
@@ -85,23 +85,23 @@
 // TestFewJobsTellNoColdWorker: of 300 dispatchers one that has just started took one short job for the run of its class,
 // and gave long ones turns at a worker in its first seconds; or one long job for the size of all workers.
 func TestFewJobsDoNotDecideColdTurns(t *testing.T) {
-	learn := func(w *harness, class int, run time.Duration) {
-		a := &attempt{w: w.d.workers[1], sent: w.d.now - run, begun: w.d.now - run, started: true}
-		w.d.learn(&request{Request: Request{Slots: 1}, c: w.d.classes[class], arrived: a.sent}, a)
+	learn := func(h *harness, class int, run time.Duration) {
+		a := &attempt{w: h.d.workers[1], sent: h.d.now - run, begun: h.d.now - run, started: true}
+		h.d.learn(&request{Request: Request{Slots: 1}, c: h.d.classes[class], arrived: a.sent}, a)
 	}
-	c := newFleetSim(t, 300, append(warmWorkers(170), Worker{ID: 5000, State: Ready, Started: time.Hour}))
-	for i, w := range c.dispatchers[2:] {
+	sim := newFleetSim(t, 300, append(warmWorkers(170), Worker{ID: 5000, State: Ready, Started: time.Hour}))
+	for i, h := range sim.dispatchers[2:] {
 		for range 10 {
-			learn(w, 0, 400*ms)
+			learn(h, 0, 400*ms)
 		}
-		learn(w, 1, 200*ms)
-		for d := w.d; d.now < time.Hour+8*time.Second; d.now += 100 * ms {
+		learn(h, 1, 200*ms)
+		for d := h.d; d.now < time.Hour+8*time.Second; d.now += 100 * ms {
 			if d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, c: d.classes[1]}) {
 				t.Fatalf("dispatcher %d: a long job %v after the start, by the run of one", i, d.now-time.Hour)
 			}
 		}
 	}
-	few, many := c.dispatchers[0], c.dispatchers[1]
+	few, many := sim.dispatchers[0], sim.dispatchers[1]
 	learn(few, 1, 2400*ms)
 	for range 10 {
 		learn(many, 1, 2400*ms)
@@ -118,17 +118,17 @@
 // it was warm: nobody sent there, so nothing put it right.
 func TestLateStartsWhileColdAreNotCounted(t *testing.T) {
 	for _, cold := range []bool{true, false} {
-		w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-		_, j := w.sendRequest(2)
+		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+		_, req := h.sendRequest(2)
 		if cold {
-			w.d.workers[1].Started = w.now // it was started anew a moment ago
+			h.d.workers[1].Started = h.now // it was started anew a moment ago
 		}
 		for range 60 {
-			w.now += 8 * ms
-			w.handle(Wake{})
+			h.now += 8 * ms
+			h.handle(Wake{})
 		}
-		w.handle(JobStarted{j.ID, 0})
-		if late := w.d.workers[1].late.Share > 0; late == cold {
+		h.handle(JobStarted{req.ID, 0})
+		if late := h.d.workers[1].late.Share > 0; late == cold {
 			t.Errorf("cold %v: held against it %v", cold, late)
 		}
 	}
--- a/decide/conn_test.go
+++ b/decide/conn_test.go
@@ -26,8 +26,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings(1, tt.starts, false, false)
 			s.Limits.ConnIdle = 16 * time.Second
-			w := newReadyHarness(t, s, 1)
-			wk := w.d.workers[1]
+			h := newReadyHarness(t, s, 1)
+			wk := h.d.workers[1]
 			released := false
 			for i := range 40 {
 				idle, outcome := 100*ms, tt.young
@@ -38,21 +38,21 @@
 				if i%4 == 1 { // the safe class is the first to try an age
 					class = 0
 				}
-				r := &request{Request: Request{Class: class, Slots: 1}, c: w.d.classes[class]}
-				wk.conns, wk.freed = 1, w.d.now
-				w.d.now += idle
-				w.d.out = nil
-				a := &attempt{w: wk, sent: w.d.now, note: w.d.now}
-				w.d.connect(r, a, false)
+				r := &request{Request: Request{Class: class, Slots: 1}, c: h.d.classes[class]}
+				wk.conns, wk.freed = 1, h.d.now
+				h.d.now += idle
+				h.d.out = nil
+				a := &attempt{w: wk, sent: h.d.now, note: h.d.now}
+				h.d.connect(r, a, false)
 				if i%2 == 1 {
-					if released = len(w.d.out) > 0; released {
+					if released = len(h.d.out) > 0; released {
 						outcome = OK
 					}
-				} else if len(w.d.out) > 0 {
+				} else if len(h.d.out) > 0 {
 					t.Fatal("a young connection was closed")
 				}
-				w.d.now += 10 * ms
-				w.d.judgeConn(r, a, outcome)
+				h.d.now += 10 * ms
+				h.d.judgeConn(r, a, outcome)
 			}
 			if released != tt.want {
 				t.Errorf("an old connection is closed first: %v, want %v", released, tt.want)
@@ -70,25 +70,25 @@
 func TestBrokenIdleConnectionIsNotHeldAgainstItsWorker(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Limits.ConnIdle = 16 * time.Second
-	w := newReadyHarness(t, s, 1)
-	wk := w.d.workers[1]
-	r := &request{Request: Request{ID: 7, Slots: 1}, c: w.d.classes[0], arrived: w.d.now, due: w.d.now + time.Hour}
-	w.d.requests[7] = r
-	if !w.d.send(r, wk) {
+	h := newReadyHarness(t, s, 1)
+	wk := h.d.workers[1]
+	r := &request{Request: Request{ID: 7, Slots: 1}, c: h.d.classes[0], arrived: h.d.now, due: h.d.now + time.Hour}
+	h.d.requests[7] = r
+	if !h.d.send(r, wk) {
 		t.Fatal("not sent")
 	}
-	w.d.ended(AttemptEnded{Request: 7, Outcome: Reset, Kept: time.Second})
+	h.d.ended(AttemptEnded{Request: 7, Outcome: Reset, Kept: time.Second})
 	if wk.strikes != 0 {
 		t.Error("the worker lost its trust")
 	}
-	if got := w.d.idleLimit(Safe); got != time.Second/2 {
+	if got := h.d.idleLimit(Safe); got != time.Second/2 {
 		t.Errorf("connections idle for %v are used, want half of what broke", got)
 	}
-	if got := w.d.idleLimit(Unsafe); got != time.Second/4 {
+	if got := h.d.idleLimit(Unsafe); got != time.Second/4 {
 		t.Errorf("unsafe jobs use connections idle for %v, want half of that", got)
 	}
-	w.d.now += time.Hour
-	if got := w.d.idleLimit(Unsafe); got != s.Limits.ConnIdle*3/5 {
+	h.d.now += time.Hour
+	if got := h.d.idleLimit(Unsafe); got != s.Limits.ConnIdle*3/5 {
 		t.Errorf("an hour later: %v", got)
 	}
 }
@@ -98,47 +98,47 @@
 func TestUnsafeRequestsAvoidSilentConnections(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Limits.ConnIdle = 16 * time.Second
-	w := newReadyHarness(t, s, 1)
+	h := newReadyHarness(t, s, 1)
 	send := func(class int) (*testRequest, bool) {
-		w.d.workers[1].ceiling = 9
-		j := w.newRequest(class, 10*time.Second)
-		for _, a := range w.handle(Wake{}, j.Request) {
-			if s, ok := a.(Send); ok && s.Request == j.ID {
-				return j, s.Fresh
+		h.d.workers[1].ceiling = 9
+		req := h.newRequest(class, 10*time.Second)
+		for _, a := range h.handle(Wake{}, req.Request) {
+			if s, ok := a.(Send); ok && s.Request == req.ID {
+				return req, s.Fresh
 			}
 		}
-		t.Fatalf("class %d was not sent: strikes %d", class, w.d.workers[1].strikes)
+		t.Fatalf("class %d was not sent: strikes %d", class, h.d.workers[1].strikes)
 		return nil, false
 	}
-	one, _ := send(2)
-	two, _ := send(2)
-	w.handle(Taken{one.ID, 0}, w.endAttempt(one, 0, OK, nil), Taken{two.ID, 0}, w.endAttempt(two, 0, OK, nil)) // two are kept
+	firstKept, _ := send(2)
+	secondKept, _ := send(2)
+	h.handle(Taken{firstKept.ID, 0}, h.endAttempt(firstKept, 0, OK, nil), Taken{secondKept.ID, 0}, h.endAttempt(secondKept, 0, OK, nil)) // two are kept
 	first, _ := send(2)
-	w.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
+	h.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
 	lost, _ := send(2) // its connection carries nothing, and it is taken to queue
-	w.now += 500 * ms
-	w.handle(Wake{})
-	if w.d.silent > 0 {
+	h.now += 500 * ms
+	h.handle(Wake{})
+	if h.d.silent > 0 {
 		t.Error("its worker may be silent, not the connection")
 	}
-	alive := func() { // the worker tells of another job
-		w.now += 10 * ms
+	reportProgress := func() { // the worker tells of another job
+		h.now += 10 * ms
 		for range 9 {
-			w.handle(Wake{}, JobProgress{first.ID, 0, 0.5})
+			h.handle(Wake{}, JobProgress{first.ID, 0, 0.5})
 		}
 	}
-	alive()
+	reportProgress()
 	if _, fresh := send(2); !fresh {
 		t.Error("an unsafe job on a kept connection")
 	}
-	alive()
+	reportProgress()
 	if _, fresh := send(0); fresh {
 		t.Error("a repeatable job needs no new one")
 	}
-	w.handle(w.endAttempt(lost, 0, TimedOut, nil))
-	w.now += s.Limits.ConnIdle
-	alive()
-	if w.now < w.d.silent {
+	h.handle(h.endAttempt(lost, 0, TimedOut, nil))
+	h.now += s.Limits.ConnIdle
+	reportProgress()
+	if h.now < h.d.silent {
 		t.Error("connections are never trusted again")
 	}
 }
--- a/decide/further_test.go
+++ b/decide/further_test.go
@@ -29,17 +29,17 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings(1, false, false, false)
 			s.Limits.Attempts, s.Progress = tt.attempts, 0
-			w := newReadyHarness(t, s, 4)
-			_, j := w.sendRequest(tt.class)
-			w.now += tt.wait
+			h := newReadyHarness(t, s, 4)
+			_, req := h.sendRequest(tt.class)
+			h.now += tt.wait
 			var last []Action
 			for n, o := range tt.outcomes {
-				if n >= len(j.attempts) {
+				if n >= len(req.attempts) {
 					t.Fatalf("no attempt %d", n)
 				}
-				last = w.handle(w.endAttempt(j, n, o, nil))
+				last = h.handle(h.endAttempt(req, n, o, nil))
 			}
-			if !j.answered {
+			if !req.answered {
 				t.Fatal("held though no attempt is left to it")
 			}
 			for _, a := range last {
@@ -58,15 +58,15 @@
 func TestKeyedWindowEndsWhileHeld(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Progress, s.Classes[1].Aim = 0, 900*ms
-	w := newReadyHarness(t, s, 1)
-	_, j := w.sendRequest(1)
-	w.handle(w.endAttempt(j, 0, Reset, nil)) // its only worker is struck: held
-	for w.now < j.due-600*ms {
-		w.now += 10 * ms
-		w.d.workers[1].retryAt = w.now + time.Second
-		w.handle(Wake{})
+	h := newReadyHarness(t, s, 1)
+	_, req := h.sendRequest(1)
+	h.handle(h.endAttempt(req, 0, Reset, nil)) // its only worker is struck: held
+	for h.now < req.due-600*ms {
+		h.now += 10 * ms
+		h.d.workers[1].retryAt = h.now + time.Second
+		h.handle(Wake{})
 	}
-	if !j.answered {
+	if !req.answered {
 		t.Error("still held, though its window is over")
 	}
 }
@@ -116,12 +116,12 @@
 
 // TestOverShareLeavesRoom: what is over its tenant's share gets half of a worker's room.
 func TestOverShareRequestsGetHalfOfAWorker(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-	wk := w.d.workers[1]
+	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	wk := h.d.workers[1]
 	wk.ceiling = 4
 	for i := range 4 {
-		r := &request{Request: Request{Slots: 1}, c: w.d.classes[0], due: w.now + time.Second, over: true}
-		if got := w.d.valid(r, wk, Invalidate{MaxConcurrentInvocations, 100}); got != (i < 2) {
+		r := &request{Request: Request{Slots: 1}, c: h.d.classes[0], due: h.now + time.Second, over: true}
+		if got := h.d.valid(r, wk, Invalidate{MaxConcurrentInvocations, 100}); got != (i < 2) {
 			t.Errorf("with %d at work: room %v", i, got)
 		}
 		wk.own++
@@ -134,23 +134,23 @@
 	for _, run := range []time.Duration{50 * ms, 800 * ms} {
 		s := testSettings(1, false, false, false)
 		s.Progress = 0
-		w := newReadyHarness(t, s, 1)
-		w.d.admitted, w.d.tokens = 0.5, mostTokens
-		w.d.classes[0].jobs, w.d.classes[0].logRun = 50, -3 // 50 ms is usual
+		h := newReadyHarness(t, s, 1)
+		h.d.admitted, h.d.tokens = 0.5, mostTokens
+		h.d.classes[0].jobs, h.d.classes[0].logRun = 50, -3 // 50 ms is usual
 		for range 6 {
-			w.sendRequest(0)
-			w.now += run
-			for _, id := range w.active {
-				if j := w.requests[id]; len(j.attempts) > 0 && !j.attempts[0].over {
-					w.handle(w.endAttempt(j, 0, OK, nil))
+			h.sendRequest(0)
+			h.now += run
+			for _, id := range h.active {
+				if req := h.requests[id]; len(req.attempts) > 0 && !req.attempts[0].over {
+					h.handle(h.endAttempt(req, 0, OK, nil))
 				}
 			}
 		}
-		if up := w.d.workers[1].ceiling > 1; up != (run < 100*ms) {
-			t.Errorf("runs of %v: ceiling %v", run, w.d.workers[1].ceiling)
+		if up := h.d.workers[1].ceiling > 1; up != (run < 100*ms) {
+			t.Errorf("runs of %v: ceiling %v", run, h.d.workers[1].ceiling)
 		}
-		if w.d.admitted <= 0.5 {
-			t.Errorf("runs of %v: let out %v", run, w.d.admitted)
+		if h.d.admitted <= 0.5 {
+			t.Errorf("runs of %v: let out %v", run, h.d.admitted)
 		}
 	}
 }
@@ -162,45 +162,45 @@
 	for _, probes := range []bool{true, false} {
 		s := testSettings(1, false, false, false)
 		s.Limits.Probes, s.Progress = probes, 0
-		w := newReadyHarness(t, s, 2)
+		h := newReadyHarness(t, s, 2)
 		for range 2 { // the first two serve
-			_, j := w.sendRequest(0)
-			_, k := w.sendRequest(0)
-			w.now += 20 * ms
-			w.handle(w.endAttempt(j, 0, OK, nil), w.endAttempt(k, 0, OK, nil))
+			_, req := h.sendRequest(0)
+			_, second := h.sendRequest(0)
+			h.now += 20 * ms
+			h.handle(h.endAttempt(req, 0, OK, nil), h.endAttempt(second, 0, OK, nil))
 		}
 		lines := readyWorkers(10)
 		for _, l := range lines {
-			w.list[l.ID] = l
+			h.list[l.ID] = l
 		}
-		w.handle(ListFull{Workers: lines})
+		h.handle(ListFull{Workers: lines})
 		for range 4 {
-			w.d.fresh.add(true, freshMemory)
+			h.d.fresh.add(true, freshMemory)
 		}
-		w.now += 500 * ms
-		w.d.stale, w.d.ordered = true, 0
-		asked := map[uint32]bool{}
-		for _, a := range w.handle(Wake{}) {
+		h.now += 500 * ms
+		h.d.stale, h.d.ordered = true, 0
+		probed := map[uint32]bool{}
+		for _, a := range h.handle(Wake{}) {
 			if p, ok := a.(Probe); ok {
-				asked[p.Worker] = true
+				probed[p.Worker] = true
 			}
 		}
-		if want := 0; probes && len(asked) != 8 || !probes && len(asked) != want {
-			t.Errorf("probes allowed %v: %d were probed", probes, len(asked))
+		if want := 0; probes && len(probed) != 8 || !probes && len(probed) != want {
+			t.Errorf("probes allowed %v: %d were probed", probes, len(probed))
 		}
-		if trusted := w.d.workers[5].strikes == 0; trusted == probes {
+		if trusted := h.d.workers[5].strikes == 0; trusted == probes {
 			t.Errorf("probes allowed %v: a newcomer is trusted %v", probes, trusted)
 		}
-		try := &request{Request: Request{Slots: 1}, c: w.d.classes[0], due: w.now + time.Minute}
+		trial := &request{Request: Request{Slots: 1}, c: h.d.classes[0], due: h.now + time.Minute}
 		for n := range freshProbes + 1 {
-			wk := w.d.workers[7]
-			wk.probes, wk.retryAt = n, w.now
-			if ok := w.d.valid(try, wk, Invalidate{MaxConcurrentInvocations, 9}); probes && ok != (n == freshProbes) {
+			wk := h.d.workers[7]
+			wk.probes, wk.retryAt = n, h.now
+			if ok := h.d.valid(trial, wk, Invalidate{MaxConcurrentInvocations, 9}); probes && ok != (n == freshProbes) {
 				t.Errorf("after %d unanswered probes a trial: %v", n, ok)
 			}
 		}
-		w.handle(Probed{Worker: 5, Outcome: OK}, Probed{Worker: 6, Outcome: TimedOut}, Probed{Worker: 99, Outcome: OK})
-		if w.d.workers[5].strikes != 0 || probes && w.d.workers[6].strikes == 0 {
+		h.handle(Probed{Worker: 5, Outcome: OK}, Probed{Worker: 6, Outcome: TimedOut}, Probed{Worker: 99, Outcome: OK})
+		if h.d.workers[5].strikes != 0 || probes && h.d.workers[6].strikes == 0 {
 			t.Error("an answered probe did not clear its worker, or a lost one did")
 		}
 	}
@@ -208,13 +208,13 @@
 
 // TestProbesAreNoVerdict: lost probes cost a worker that serves nothing.
 func TestLostProbesDoNotBarAServingWorker(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, false, false, false), 1)
-	_, j := w.sendRequest(0)
-	w.handle(w.endAttempt(j, 0, OK, nil))
+	h := newReadyHarness(t, testSettings(1, false, false, false), 1)
+	_, req := h.sendRequest(0)
+	h.handle(h.endAttempt(req, 0, OK, nil))
 	for range 20 {
-		w.handle(Probed{Worker: 1, Outcome: TimedOut}, Probed{Worker: 1, Outcome: Errored})
+		h.handle(Probed{Worker: 1, Outcome: TimedOut}, Probed{Worker: 1, Outcome: Errored})
 	}
-	if got, _ := w.sendRequest(2); got != 1 {
+	if got, _ := h.sendRequest(2); got != 1 {
 		t.Error("a worker that serves is left for its probes")
 	}
 }
@@ -224,14 +224,14 @@
 func TestSilentWorkerIsSuspected(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Progress = 0
-	w := newReadyHarness(t, s, 2)
-	first, j := w.sendRequest(0)
+	h := newReadyHarness(t, s, 2)
+	first, req := h.sendRequest(0)
 	for range 60 {
-		w.now += 10 * ms
-		w.handle(Wake{})
+		h.now += 10 * ms
+		h.handle(Wake{})
 	}
-	if w.d.workers[first].strikes == 0 || len(j.attempts) != 2 || j.attempts[1].worker.ID == first {
-		t.Errorf("strikes %d, attempts %d", w.d.workers[first].strikes, len(j.attempts))
+	if h.d.workers[first].strikes == 0 || len(req.attempts) != 2 || req.attempts[1].worker.ID == first {
+		t.Errorf("strikes %d, attempts %d", h.d.workers[first].strikes, len(req.attempts))
 	}
 }
 
@@ -240,23 +240,23 @@
 func TestUnconfirmedJobMoves(t *testing.T) {
 	for class, confirmed := range []bool{false, true, false} {
 		class = map[int]int{0: 0, 1: 0, 2: 2}[class]
-		w := newReadyHarness(t, testSettings(1, true, false, false), 2)
-		_, first := w.sendRequest(0)
-		w.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
-		_, j := w.sendRequest(class)
+		h := newReadyHarness(t, testSettings(1, true, false, false), 2)
+		_, first := h.sendRequest(0)
+		h.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
+		_, req := h.sendRequest(class)
 		if confirmed {
-			w.handle(Taken{j.ID, 0})
+			h.handle(Taken{req.ID, 0})
 		}
 		cancelled := false
 		for range 40 {
-			w.now += 10 * ms
-			w.d.wakeAt = w.now
-			for _, a := range w.handle(Wake{}, JobProgress{first.ID, 0, 0.5}) {
+			h.now += 10 * ms
+			h.d.wakeAt = h.now
+			for _, a := range h.handle(Wake{}, JobProgress{first.ID, 0, 0.5}) {
 				c, ok := a.(Cancel)
-				cancelled = cancelled || ok && c.Request == j.ID
+				cancelled = cancelled || ok && c.Request == req.ID
 			}
 		}
-		if lost := w.d.requests[j.ID] != nil && w.d.requests[j.ID].attempts[0].lost; lost != (!confirmed && class == 0) || lost && !cancelled {
+		if lost := h.d.requests[req.ID] != nil && h.d.requests[req.ID].attempts[0].lost; lost != (!confirmed && class == 0) || lost && !cancelled {
 			t.Errorf("class %d, confirmed %v: given up %v", class, confirmed, lost)
 		}
 	}
@@ -266,33 +266,33 @@
 // that an earlier attempt was given up, each attempt came back as never sent at once and counted: a request had used up
 // its three in one moment, and its client was refused long before its deadline.
 func TestUnsentAttemptsAreNotCounted(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-	j := w.newRequest(0, time.Second)
-	w.handle(j.Request)
-	begun, room := w.now, w.now+80*ms
-	for w.now < room {
-		if n := len(j.attempts) - 1; !j.attempts[n].over {
-			w.handle(w.endAttempt(j, n, Moot, nil))
+	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	req := h.newRequest(0, time.Second)
+	h.handle(req.Request)
+	start, roomAt := h.now, h.now+80*ms
+	for h.now < roomAt {
+		if n := len(req.attempts) - 1; !req.attempts[n].over {
+			h.handle(h.endAttempt(req, n, Moot, nil))
 		}
-		w.now += ms
-		w.handle(Wake{})
+		h.now += ms
+		h.handle(Wake{})
 	}
-	if j.answered {
-		t.Fatalf("answered after %d attempts that were never sent", len(j.attempts))
+	if req.answered {
+		t.Fatalf("answered after %d attempts that were never sent", len(req.attempts))
 	}
-	if len(j.attempts) > 20 {
-		t.Errorf("%d attempts in %v that could not be sent: no pause between them", len(j.attempts), w.now-begun)
+	if len(req.attempts) > 20 {
+		t.Errorf("%d attempts in %v that could not be sent: no pause between them", len(req.attempts), h.now-start)
 	}
-	for w.now < room+100*ms && j.attempts[len(j.attempts)-1].over {
-		w.now += ms
-		w.handle(Wake{})
+	for h.now < roomAt+100*ms && req.attempts[len(req.attempts)-1].over {
+		h.now += ms
+		h.handle(Wake{})
 	}
-	n := len(j.attempts) - 1
-	if j.attempts[n].over {
-		t.Fatalf("not sent again within %v of room", w.now-room)
+	n := len(req.attempts) - 1
+	if req.attempts[n].over {
+		t.Fatalf("not sent again within %v of room", h.now-roomAt)
 	}
-	w.handle(w.endAttempt(j, n, OK, nil))
-	if !j.answered {
+	h.handle(h.endAttempt(req, n, OK, nil))
+	if !req.answered {
 		t.Error("no answer")
 	}
 }
@@ -301,22 +301,22 @@
 // run, only because it queues at its worker past its class's aim.
 func TestPatientRequestsAreNotCancelledWhileQueued(t *testing.T) {
 	for _, patient := range []bool{false, true} {
-		w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-		w.d.workers[1].ceiling = 8
-		var jobs []*testRequest
+		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+		h.d.workers[1].ceiling = 8
+		var requests []*testRequest
 		for range 4 {
-			j := w.newRequest(2, time.Second)
-			j.Patient = patient
-			w.handle(j.Request)
-			jobs = append(jobs, j)
+			req := h.newRequest(2, time.Second)
+			req.Patient = patient
+			h.handle(req.Request)
+			requests = append(requests, req)
 		}
 		for range 50 { // past the aim of 150 ms and what still ends in time, short of the deadline
-			w.now += 10 * ms
-			w.handle(Wake{})
+			h.now += 10 * ms
+			h.handle(Wake{})
 		}
-		for i, j := range jobs {
-			if len(j.attempts) != 1 || j.answered == patient {
-				t.Errorf("patient %v: job %d has %d attempts, called off %v", patient, i, len(j.attempts), j.answered)
+		for i, req := range requests {
+			if len(req.attempts) != 1 || req.answered == patient {
+				t.Errorf("patient %v: job %d has %d attempts, called off %v", patient, i, len(req.attempts), req.answered)
 			}
 		}
 	}
@@ -326,29 +326,29 @@
 // comes again after ever longer pauses, so that it may miss all the room that there is.
 func TestPatientRequestsAreNotRefusedAtTheirAim(t *testing.T) {
 	for _, patient := range []bool{false, true} {
-		w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-		w.d.workers[1].ceiling = 1
-		_, running := w.sendRequest(2)
-		w.handle(JobStarted{running.ID, 0})
-		w.d.workers[1].ceiling = 1
-		var jobs []*testRequest
+		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+		h.d.workers[1].ceiling = 1
+		_, running := h.sendRequest(2)
+		h.handle(JobStarted{running.ID, 0})
+		h.d.workers[1].ceiling = 1
+		var requests []*testRequest
 		for range 3 { // more than are sent as a last resort
-			j := w.newRequest(2, time.Second)
-			j.Patient = patient
-			w.handle(j.Request)
-			jobs = append(jobs, j)
+			req := h.newRequest(2, time.Second)
+			req.Patient = patient
+			h.handle(req.Request)
+			requests = append(requests, req)
 		}
 		for range 30 { // past the aim of 150 ms, short of the deadline
-			w.now += 10 * ms
-			w.handle(Wake{})
+			h.now += 10 * ms
+			h.handle(Wake{})
 		}
-		for i, j := range jobs {
-			if len(j.attempts) != 0 || j.answered == patient {
-				t.Errorf("patient %v: job %d has %d attempts, answered %v", patient, i, len(j.attempts), j.answered)
+		for i, req := range requests {
+			if len(req.attempts) != 0 || req.answered == patient {
+				t.Errorf("patient %v: job %d has %d attempts, answered %v", patient, i, len(req.attempts), req.answered)
 			}
 		}
-		w.handle(w.endAttempt(running, 0, OK, nil))
-		if patient && len(jobs[0].attempts) != 1 {
+		h.handle(h.endAttempt(running, 0, OK, nil))
+		if patient && len(requests[0].attempts) != 1 {
 			t.Errorf("not sent once there was room")
 		}
 	}
@@ -358,36 +358,36 @@
 // the first took over half of its class's aim to confirm it.
 func TestPatientRequestsWaitLongerForConfirmation(t *testing.T) {
 	for patient, within := range map[bool]time.Duration{false: 60 * ms, true: 260 * ms} { // past half of the aim of 100 ms, and five times that
-		w := newReadyHarness(t, testSettings(1, false, false, false), 3)
-		w.d.confirms = true
-		j := w.newRequest(0, time.Second)
-		j.Patient = patient
-		w.handle(j.Request)
-		began := w.now
-		for takenBack := false; !takenBack; {
-			w.now += 10 * ms
-			for _, a := range w.handle(Wake{}) {
-				_, is := a.(Cancel)
-				takenBack = takenBack || is
+		h := newReadyHarness(t, testSettings(1, false, false, false), 3)
+		h.d.confirms = true
+		req := h.newRequest(0, time.Second)
+		req.Patient = patient
+		h.handle(req.Request)
+		start := h.now
+		for cancelled := false; !cancelled; {
+			h.now += 10 * ms
+			for _, a := range h.handle(Wake{}) {
+				_, ok := a.(Cancel)
+				cancelled = cancelled || ok
 			}
-			require.LessOrEqual(t, w.now-began, within, "patient %v", patient)
+			require.LessOrEqual(t, h.now-start, within, "patient %v", patient)
 		}
-		require.Equal(t, within, w.now-began, "patient %v", patient)
+		require.Equal(t, within, h.now-start, "patient %v", patient)
 	}
 }
 
 // TestUnsentFirstAttemptsLeaveTheBudgetOfOthers guards against a first attempt that was never sent and takes another request's
 // further attempt out of the budget, so that one more than allowed could go out.
 func TestUnsentFirstAttemptRefundsNoFurtherAttempt(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 2)
-	j := w.newRequest(0, time.Second)
-	w.handle(j.Request)
-	r := w.d.requests[j.ID]
-	r.attempts = append(r.attempts, &attempt{w: r.attempts[0].w, sent: w.now, note: w.now})
+	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
+	req := h.newRequest(0, time.Second)
+	h.handle(req.Request)
+	r := h.d.requests[req.ID]
+	r.attempts = append(r.attempts, &attempt{w: r.attempts[0].w, sent: h.now, note: h.now})
 	r.out++
-	w.d.extras = []time.Duration{w.now} // another request's, of the same moment
-	w.d.Handle(w.now, []Event{AttemptEnded{Request: j.ID, Outcome: Moot}})
-	if len(w.d.extras) != 1 {
-		t.Errorf("%d further attempts are counted, one was sent", len(w.d.extras))
+	h.d.extras = []time.Duration{h.now} // another request's, of the same moment
+	h.d.Handle(h.now, []Event{AttemptEnded{Request: req.ID, Outcome: Moot}})
+	if len(h.d.extras) != 1 {
+		t.Errorf("%d further attempts are counted, one was sent", len(h.d.extras))
 	}
 }
--- a/decide/hold_test.go
+++ b/decide/hold_test.go
@@ -9,43 +9,43 @@
 // by what they are held for; then by nothing else until the hold ends.
 func TestReservedSlotsStayFree(t *testing.T) {
 	s := testSettings(1, false, true, false)
-	w := newReadyHarness(t, s, 1)
+	h := newReadyHarness(t, s, 1)
 	send := func(work time.Duration, held bool) bool {
-		j := w.newRequest(0, 10*time.Second)
-		j.Work, j.Held = work, held
+		req := h.newRequest(0, 10*time.Second)
+		req.Work, req.Held = work, held
 		sent := false
-		for _, a := range w.d.Handle(w.now, []Event{j.Request}) {
-			if a, ok := a.(Send); ok && a.Request == j.ID {
+		for _, a := range h.d.Handle(h.now, []Event{req.Request}) {
+			if a, ok := a.(Send); ok && a.Request == req.ID {
 				sent = true
-				w.d.Handle(w.now, []Event{AttemptEnded{Request: j.ID, Outcome: OK, Over: true}})
+				h.d.Handle(h.now, []Event{AttemptEnded{Request: req.ID, Outcome: OK, Over: true}})
 			}
 		}
-		w.d.Handle(w.now, []Event{RequestLapsed{j.ID}})
+		h.d.Handle(h.now, []Event{RequestLapsed{req.ID}})
 		return sent
 	}
 	if !send(time.Second, false) {
 		t.Fatal("nothing is held, and nothing is sent")
 	}
-	w.now += time.Second
-	w.d.Handle(w.now, []Event{Holds{Worker: 1, Slots: 8, Spans: []Span{{From: w.now + 500*time.Millisecond, Until: w.now + 3*time.Second, Slots: 8}}}})
+	h.now += time.Second
+	h.d.Handle(h.now, []Event{Holds{Worker: 1, Slots: 8, Spans: []Span{{From: h.now + 500*time.Millisecond, Until: h.now + 3*time.Second, Slots: 8}}}})
 	if !send(100*time.Millisecond, false) {
 		t.Error("a job that ends before the hold is not sent")
 	}
 	if send(450*time.Millisecond, false) || send(0, false) {
 		t.Error("a job that may not end before the hold is sent")
 	}
-	w.now += time.Second
+	h.now += time.Second
 	if send(time.Millisecond, false) {
 		t.Error("a job is sent into a hold")
 	}
 	if !send(time.Second, true) {
 		t.Error("what the slots are held for is not sent")
 	}
-	w.now += 2 * time.Second
+	h.now += 2 * time.Second
 	if !send(time.Second, false) {
 		t.Error("the hold is over, and nothing is sent")
 	}
-	w.d.Handle(w.now, []Event{Holds{Worker: 1, Slots: 8, Spans: []Span{{From: w.now, Until: w.now + time.Hour, Slots: 8}}}, Holds{Worker: 1}})
+	h.d.Handle(h.now, []Event{Holds{Worker: 1, Slots: 8, Spans: []Span{{From: h.now, Until: h.now + time.Hour, Slots: 8}}}, Holds{Worker: 1}})
 	if !send(time.Second, false) {
 		t.Error("the hold was taken back, and nothing is sent")
 	}
@@ -54,12 +54,12 @@
 // TestHeldSlotsAreNotRefusedByTheCeiling guards against a gang's member that waits, though its slots are held, because its
 // dispatcher has sent that worker a job before and knows of no second slot there.
 func TestCeilingDoesNotBlockReservedSlots(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	for n := range 3 {
-		j := w.newRequest(0, 10*time.Second)
-		j.Held, j.Order = true, []uint32{1}
+		req := h.newRequest(0, 10*time.Second)
+		req.Held, req.Order = true, []uint32{1}
 		sent := false
-		for _, a := range w.d.Handle(w.now, []Event{j.Request}) {
+		for _, a := range h.d.Handle(h.now, []Event{req.Request}) {
 			_, send := a.(Send)
 			sent = sent || send
 		}
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -8,37 +8,37 @@
 )
 
 // keyed sends a request with a key in and returns the worker it went to, 0 for none.
-func (w *harness) sendKeyed(key uint64) (uint32, *testRequest) {
-	w.t.Helper()
-	j := w.newRequest(0, time.Second)
-	j.Key = key
-	w.handle(j.Request)
-	if len(j.attempts) == 0 {
-		return 0, j
+func (h *harness) sendKeyed(key uint64) (uint32, *testRequest) {
+	h.t.Helper()
+	req := h.newRequest(0, time.Second)
+	req.Key = key
+	h.handle(req.Request)
+	if len(req.attempts) == 0 {
+		return 0, req
 	}
-	return j.attempts[0].worker.ID, j
+	return req.attempts[0].worker.ID, req
 }
 
 // TestKeysHaveOneKeeper: all dispatchers send a key's jobs to the same worker, and hold them
 // for it when it is full: they once went on to any other, where what they need was fetched anew
 // and pushed out what others had kept. Where the keeper leaves, only its keys move.
 func TestAllDispatchersSendAKeyToOneWorker(t *testing.T) {
-	at := map[uint64]uint32{}
+	workerOf := map[uint64]uint32{}
 	for n := range 3 {
 		s := testSettings(uint64(n), true, false, false)
 		s.Dispatcher, s.Dispatchers = n, 3
 		for key := range uint64(20) {
-			w := newReadyHarness(t, s, 8)
-			got, _ := w.sendKeyed(key + 1)
-			if want, ok := at[key]; ok && got != want {
+			h := newReadyHarness(t, s, 8)
+			got, _ := h.sendKeyed(key + 1)
+			if want, ok := workerOf[key]; ok && got != want {
 				t.Errorf("dispatcher %d sent key %d to %d, another to %d", n, key, got, want)
 			}
-			at[key] = got
-			if next, _ := w.sendKeyed(key + 1); next != 0 {
+			workerOf[key] = got
+			if next, _ := h.sendKeyed(key + 1); next != 0 {
 				t.Errorf("key %d went on to %d while its keeper %d was full", key, next, got)
 			}
-			w = newReadyHarness(t, s, 7)
-			if left, _ := w.sendKeyed(key + 1); got != 8 && left != got {
+			h = newReadyHarness(t, s, 7)
+			if left, _ := h.sendKeyed(key + 1); got != 8 && left != got {
 				t.Errorf("key %d moved from %d to %d, though its keeper stayed", key, got, left)
 			}
 		}
@@ -51,14 +51,14 @@
 	for key := range uint64(20) {
 		s := testSettings(1, true, false, false)
 		s.Zone = 1
-		w := newHarness(t, s)
+		h := newHarness(t, s)
 		var lines []Worker
 		for id := uint32(1); id <= 8; id++ {
 			l := Worker{ID: id, Zone: int(id % 2), State: Ready}
-			w.list[id], lines = l, append(lines, l)
+			h.list[id], lines = l, append(lines, l)
 		}
-		w.handle(ListFull{Workers: lines})
-		if first, _ := w.sendKeyed(key + 1); first%2 != 1 {
+		h.handle(ListFull{Workers: lines})
+		if first, _ := h.sendKeyed(key + 1); first%2 != 1 {
 			t.Errorf("key %d crossed to %d though its own zone had room", key, first)
 		}
 	}
@@ -67,36 +67,36 @@
 // TestWaitingKeyedJobGoesFurther: it was held for its keeper until it was refused, beside workers
 // that nobody else waited for. Where many wait, a fetch elsewhere would take their place.
 func TestWaitingKeyedRequestMayGoToMoreWorkers(t *testing.T) {
-	for _, many := range []bool{false, true} {
-		w := newReadyHarness(t, testSettings(1, true, false, false), 8)
-		w.sendKeyed(5)
-		at, j := w.sendKeyed(5)
+	for _, manyWait := range []bool{false, true} {
+		h := newReadyHarness(t, testSettings(1, true, false, false), 8)
+		h.sendKeyed(5)
+		at, req := h.sendKeyed(5)
 		if at != 0 {
 			t.Fatal("the keeper was not full")
 		}
-		if many {
+		if manyWait {
 			for range 8 {
-				w.sendKeyed(5)
+				h.sendKeyed(5)
 			}
 		}
-		r := w.d.requests[j.ID]
-		before := w.d.keepers(r)
-		w.d.now += r.c.Aim
-		if further := w.d.keepers(r) > before; further == many {
-			t.Errorf("many wait %v: goes further %v", many, further)
+		r := h.d.requests[req.ID]
+		before := h.d.keepers(r)
+		h.d.now += r.c.Aim
+		if further := h.d.keepers(r) > before; further == manyWait {
+			t.Errorf("many wait %v: goes further %v", manyWait, further)
 		}
 	}
 }
 
 // TestHotKeyHasMoreKeepers: a key whose jobs fill workers goes to several.
 func TestHotKeyUsesSeveralWorkers(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 8)
-	w.sendKeyed(5)
-	w.d.keyed = demand{N: 400, Last: w.now}
-	w.d.keys[5] = w.d.keyed
+	h := newReadyHarness(t, testSettings(1, true, false, false), 8)
+	h.sendKeyed(5)
+	h.d.keyed = demand{N: 400, Last: h.now}
+	h.d.keys[5] = h.d.keyed
 	var at []uint32
 	for range 3 {
-		if got, _ := w.sendKeyed(5); got != 0 && !slices.Contains(at, got) {
+		if got, _ := h.sendKeyed(5); got != 0 && !slices.Contains(at, got) {
 			at = append(at, got)
 		}
 	}
@@ -110,17 +110,17 @@
 func TestQueuedKeyedRequestStaysAtALiveWorker(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		s := testSettings(1, true, false, false)
-		w := newReadyHarness(t, s, 8)
-		first, j := w.sendKeyed(5)
-		w.d.keys[5] = demand{N: 50, Last: w.now}
+		h := newReadyHarness(t, s, 8)
+		first, req := h.sendKeyed(5)
+		h.d.keys[5] = demand{N: 50, Last: h.now}
 		for range 50 {
-			w.now += 10 * ms
+			h.now += 10 * ms
 			if alive {
-				w.d.alive(w.d.workers[first])
+				h.d.alive(h.d.workers[first])
 			}
-			w.handle(Wake{})
+			h.handle(Wake{})
 		}
-		if moved := len(j.attempts) > 1; moved == alive {
+		if moved := len(req.attempts) > 1; moved == alive {
 			t.Errorf("keeper alive %v: moved %v", alive, moved)
 		}
 	}
@@ -129,16 +129,16 @@
 // TestLateHeldOnce: a late request is one entry of its queue, however often it is swept; each
 // sweep once added another, tens of thousands on a busy day.
 func TestLateRequestIsQueuedOnce(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-	_, running := w.sendRequest(0)
-	w.handle(JobStarted{running.ID, 0})
-	w.sendRequest(0)
-	_, late := w.sendRequest(0)
-	for w.now < late.due-200*ms {
-		w.now += 10 * ms
-		w.handle(Wake{})
+	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	_, running := h.sendRequest(0)
+	h.handle(JobStarted{running.ID, 0})
+	h.sendRequest(0)
+	_, late := h.sendRequest(0)
+	for h.now < late.due-200*ms {
+		h.now += 10 * ms
+		h.handle(Wake{})
 	}
-	if n := len(w.d.queues[1]); n > 2 {
+	if n := len(h.d.queues[1]); n > 2 {
 		t.Errorf("%d entries for two late requests", n)
 	}
 }
@@ -146,35 +146,35 @@
 // TestErrorsAgainstTheFleets: requests that fail wherever they go cost no worker its trust,
 // and are given up after a second worker; a worker that fails what others serve is found.
 func TestErrorRateIsComparedWithTheFleets(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 6)
-	struck, before := 0, w.d.trusted
+	h := newReadyHarness(t, testSettings(1, true, false, false), 6)
+	suspected, before := 0, h.d.trusted
 	for range 300 {
-		w.now += 20 * ms
-		struck, before = struck+max(0, before-w.d.trusted), w.d.trusted
-		w.sendRequest(0)
-		for _, id := range w.active {
-			j := w.requests[id]
-			for n := 0; n < len(j.attempts); n++ { // one in three fails anywhere, and all fail at worker 4
-				if tr := j.attempts[n]; !tr.over {
+		h.now += 20 * ms
+		suspected, before = suspected+max(0, before-h.d.trusted), h.d.trusted
+		h.sendRequest(0)
+		for _, id := range h.active {
+			req := h.requests[id]
+			for n := 0; n < len(req.attempts); n++ { // one in three fails anywhere, and all fail at worker 4
+				if att := req.attempts[n]; !att.over {
 					o := OK
-					if id%3 == 0 || tr.worker.ID == 4 {
+					if id%3 == 0 || att.worker.ID == 4 {
 						o = Errored
 					}
-					w.handle(JobStarted{id, n}, w.endAttempt(j, n, o, nil))
+					h.handle(JobStarted{id, n}, h.endAttempt(req, n, o, nil))
 				}
-				if n > 0 && j.attempts[n].worker.ID == j.attempts[n-1].worker.ID {
-					t.Fatalf("tried again at worker %d, where it had failed", j.attempts[n].worker.ID)
+				if n > 0 && req.attempts[n].worker.ID == req.attempts[n-1].worker.ID {
+					t.Fatalf("tried again at worker %d, where it had failed", req.attempts[n].worker.ID)
 				}
 			}
-			if len(j.attempts) > 2 || len(j.attempts) == 2 && !j.answered {
-				t.Fatalf("attempts %d, answered %v after two errors", len(j.attempts), j.answered)
+			if len(req.attempts) > 2 || len(req.attempts) == 2 && !req.answered {
+				t.Fatalf("attempts %d, answered %v after two errors", len(req.attempts), req.answered)
 			}
 		}
 	}
-	if struck > 20 { // by chance a few; a hundred requests failed
-		t.Errorf("workers lost their trust %d times", struck)
+	if suspected > 20 { // by chance a few; a hundred requests failed
+		t.Errorf("workers lost their trust %d times", suspected)
 	}
-	if w.d.workers[4].refusals[0].N < 2 {
+	if h.d.workers[4].refusals[0].N < 2 {
 		t.Error("the worker that fails all is offered more")
 	}
 }
@@ -184,33 +184,33 @@
 // once waits from the first error on, until others have fared well there: it was sent after two
 // errors of a class, and again half a second later.
 func TestErrorsBarOneClassAtAWorker(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 2)
+	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 	for range 20 {
-		w.d.erred(w.d.workers[2], 0, false)
+		h.d.erred(h.d.workers[2], 0, false)
 	}
-	bad := w.d.workers[1]
-	unsafe := &request{Request: Request{Class: 2, Slots: 1}, c: w.d.classes[2], due: w.now + time.Hour}
-	valid := func() bool { return w.d.valid(unsafe, bad, Invalidate{Rule: Overload}) }
-	w.d.now = w.now
+	bad := h.d.workers[1]
+	unsafe := &request{Request: Request{Class: 2, Slots: 1}, c: h.d.classes[2], due: h.now + time.Hour}
+	valid := func() bool { return h.d.valid(unsafe, bad, Invalidate{Rule: Overload}) }
+	h.d.now = h.now
 	if !valid() {
 		t.Fatal("an unsafe job has no room")
 	}
 	for range 3 {
-		w.d.erred(bad, 0, true)
-		w.d.alive(bad)
+		h.d.erred(bad, 0, true)
+		h.d.alive(bad)
 		if valid() {
 			t.Error("an unsafe job goes where one has just failed")
 		}
 	}
-	if f := bad.refusals; f[0].Until <= w.now || f[1].Until != 0 {
+	if f := bad.refusals; f[0].Until <= h.now || f[1].Until != 0 {
 		t.Errorf("barred until %v, %v", f[0].Until, f[1].Until)
 	}
-	w.d.now += 900 * ms
+	h.d.now += 900 * ms
 	if valid() {
 		t.Error("an unsafe job is the one to try it")
 	}
 	for range 16 {
-		w.d.erred(bad, 0, false)
+		h.d.erred(bad, 0, false)
 	}
 	if !valid() {
 		t.Error("it is barred though others fare well there")
@@ -221,16 +221,16 @@
 // its aim was past and refused, while other workers were idle.
 func TestLongKeyedJobsGoToAnyWorker(t *testing.T) {
 	for class, want := range map[int]bool{0: false, 2: true} {
-		w := newReadyHarness(t, testSettings(1, true, false, false), 8)
+		h := newReadyHarness(t, testSettings(1, true, false, false), 8)
 		for i, run := range []time.Duration{50 * ms, 50 * ms, 400 * ms} {
-			c := w.d.classes[i]
+			c := h.d.classes[i]
 			c.jobs, c.run, c.logRun = 100/float64(1+i), run.Seconds(), math.Log(run.Seconds())
 		}
-		w.sendKeyed(5)
-		j := w.newRequest(class, time.Second)
-		j.Key = 5
-		if w.handle(j.Request); (len(j.attempts) > 0) != want {
-			t.Errorf("class %d, its keeper full: sent %d times", class, len(j.attempts))
+		h.sendKeyed(5)
+		req := h.newRequest(class, time.Second)
+		req.Key = 5
+		if h.handle(req.Request); (len(req.attempts) > 0) != want {
+			t.Errorf("class %d, its keeper full: sent %d times", class, len(req.attempts))
 		}
 	}
 }
@@ -241,27 +241,27 @@
 	for _, price := range []float64{0, 0.1} {
 		s := testSettings(1, true, false, false)
 		s.Prices.CrossZone = price
-		w := newHarness(t, s)
+		h := newHarness(t, s)
 		var lines []Worker
 		for id := uint32(1); id <= 8; id++ {
 			l := Worker{ID: id, Zone: int(id % 2), State: Ready}
-			w.list[id], lines = l, append(lines, l)
+			h.list[id], lines = l, append(lines, l)
 		}
-		w.handle(ListFull{Workers: lines})
+		h.handle(ListFull{Workers: lines})
 		crossed := 0
 		var last *testRequest
 		for key := range uint64(20) { // a slot at each worker
 			var at uint32
-			if at, last = w.sendKeyed(key + 1); at%2 == 1 {
+			if at, last = h.sendKeyed(key + 1); at%2 == 1 {
 				crossed++
 			}
 		}
 		if (crossed > 0) != (price == 0) {
 			t.Errorf("price %v: %d of 20 crossed", price, crossed)
 		}
-		r := w.d.requests[last.ID]
-		w.d.zone(0).shunned = true
-		if !w.d.crosses(r, r.c.blocks[0], r.c.blocks[1]) {
+		r := h.d.requests[last.ID]
+		h.d.zone(0).shunned = true
+		if !h.d.crosses(r, r.c.blocks[0], r.c.blocks[1]) {
 			t.Error("stays in a zone that is shunned")
 		}
 	}
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -10,7 +10,7 @@
 // once seen stays for its process, through an old list that comes back.
 func TestEffectOfListEntries(t *testing.T) {
 	ready := Worker{ID: 1, State: Ready, Started: time.Minute}
-	line := func(s WorkerState, started time.Duration) ListDelta {
+	change := func(s WorkerState, started time.Duration) ListDelta {
 		return ListDelta{Workers: []Worker{{ID: 1, State: s, Started: started}}}
 	}
 	tests := []struct {
@@ -20,18 +20,18 @@
 		want   bool // work still goes to it
 	}{
 		{"ready", true, nil, true},
-		{"gone binds", false, []Event{line(Gone, time.Minute)}, false},
+		{"gone binds", false, []Event{change(Gone, time.Minute)}, false},
 		{"left out binds", false, []Event{ListFull{}}, false},
-		{"gone is advice", true, []Event{line(Gone, time.Minute)}, true},
+		{"gone is advice", true, []Event{change(Gone, time.Minute)}, true},
 		{"left out is advice", true, []Event{ListFull{}}, true},
-		{"draining binds", true, []Event{line(Draining, time.Minute)}, false},
-		{"draining, then gone", true, []Event{line(Draining, time.Minute), line(Gone, time.Minute)}, false},
-		{"draining, then left out", true, []Event{line(Draining, time.Minute), ListFull{}}, false},
-		{"draining, then an old list", true, []Event{line(Draining, time.Minute), ListFull{Workers: []Worker{ready}}}, false},
+		{"draining binds", true, []Event{change(Draining, time.Minute)}, false},
+		{"draining, then gone", true, []Event{change(Draining, time.Minute), change(Gone, time.Minute)}, false},
+		{"draining, then left out", true, []Event{change(Draining, time.Minute), ListFull{}}, false},
+		{"draining, then an old list", true, []Event{change(Draining, time.Minute), ListFull{Workers: []Worker{ready}}}, false},
 		{"draining and gone, then an old list", true,
-			[]Event{line(Draining, time.Minute), line(Gone, 0), ListFull{}, ListFull{Workers: []Worker{ready}}}, false},
-		{"draining, then a new process", true, []Event{line(Draining, time.Minute), line(Ready, time.Minute+1)}, true},
-		{"a list of an earlier process", true, []Event{line(Ready, 1)}, true},
+			[]Event{change(Draining, time.Minute), change(Gone, 0), ListFull{}, ListFull{Workers: []Worker{ready}}}, false},
+		{"draining, then a new process", true, []Event{change(Draining, time.Minute), change(Ready, time.Minute+1)}, true},
+		{"a list of an earlier process", true, []Event{change(Ready, 1)}, true},
 		{"named twice, draining first", true,
 			[]Event{ListFull{Workers: []Worker{{ID: 1, State: Draining, Started: time.Minute}, ready}}}, false},
 		{"gone, never listed", true, []Event{ListDelta{Workers: []Worker{{ID: 9, State: Gone}}}}, true},
@@ -40,13 +40,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings(1, true, false, false)
 			s.Rules.GoneIsAdvice = tt.advice
-			w := newHarness(t, s)
-			w.list[1] = ready
-			w.handle(ListFull{Workers: []Worker{ready}})
-			w.d.workers[1].lived = w.now // it has served
-			w.handle(tt.events...)
-			w.now += time.Second // past the next sort
-			if got, _ := w.sendRequest(0); (got == 1) != tt.want {
+			h := newHarness(t, s)
+			h.list[1] = ready
+			h.handle(ListFull{Workers: []Worker{ready}})
+			h.d.workers[1].lived = h.now // it has served
+			h.handle(tt.events...)
+			h.now += time.Second // past the next sort
+			if got, _ := h.sendRequest(0); (got == 1) != tt.want {
 				t.Errorf("sent to %d", got)
 			}
 		})
@@ -58,28 +58,28 @@
 func TestUnlistedWorkerIsDroppedAfterItsFirstFailure(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Rules.GoneIsAdvice = true
-	w := newReadyHarness(t, s, 2)
-	first, j := w.sendRequest(0)
-	w.handle(w.endAttempt(j, 0, OK, nil))
-	w.handle(ListDelta{Workers: []Worker{{ID: first, State: Gone}}})
-	again, j := w.sendRequest(0)
+	h := newReadyHarness(t, s, 2)
+	first, req := h.sendRequest(0)
+	h.handle(h.endAttempt(req, 0, OK, nil))
+	h.handle(ListDelta{Workers: []Worker{{ID: first, State: Gone}}})
+	again, req := h.sendRequest(0)
 	if again != first {
 		t.Fatalf("an unlisted worker that serves was left for %d", again)
 	}
-	w.handle(w.endAttempt(j, 0, ConnectFailed, nil))
+	h.handle(h.endAttempt(req, 0, ConnectFailed, nil))
 	for range 40 {
-		w.now += 500 * ms
-		got, j := w.sendRequest(0)
+		h.now += 500 * ms
+		got, req := h.sendRequest(0)
 		if got == first {
 			t.Fatal("tried again though unlisted and struck")
 		}
 		if got != 0 {
-			w.handle(JobStarted{j.ID, 0}, w.endAttempt(j, 0, OK, nil))
+			h.handle(JobStarted{req.ID, 0}, h.endAttempt(req, 0, OK, nil))
 		}
 	}
-	w.handle(ListFull{Workers: readyWorkers(2)})
-	w.now += 500 * ms
-	if w.sendRequest(0); len(w.d.fleet) != 2 {
+	h.handle(ListFull{Workers: readyWorkers(2)})
+	h.now += 500 * ms
+	if h.sendRequest(0); len(h.d.fleet) != 2 {
 		t.Error("not taken back when listed again")
 	}
 }
@@ -88,12 +88,12 @@
 func TestUnlistedWorkersAreBounded(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Rules.GoneIsAdvice = true
-	w := newHarness(t, s)
+	h := newHarness(t, s)
 	for i := range uint32(50) {
 		lines := []Worker{{ID: 3 * i, State: Ready}, {ID: 3*i + 1, State: Ready}, {ID: 3*i + 2, State: Draining}}
-		w.handle(ListFull{Workers: lines})
+		h.handle(ListFull{Workers: lines})
 	}
-	if n := len(w.d.workers); n > 6 {
+	if n := len(h.d.workers); n > 6 {
 		t.Errorf("%d workers are remembered", n)
 	}
 }
@@ -103,15 +103,15 @@
 func TestStaleListDoesNotMakeAWorkerWarm(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Rules.GoneIsAdvice = true
-	w := newHarness(t, s)
+	h := newHarness(t, s)
 	old := Worker{ID: 1, State: Ready}
-	w.handle(ListFull{Workers: []Worker{old}})
-	fresh := old
-	fresh.Started = w.now
-	for _, list := range [][]Worker{{fresh}, {old}, {}, {old}} {
-		w.now += 200 * ms
-		w.handle(ListFull{Workers: list})
-		if warm := w.d.warmth(w.d.workers[1]); warm >= 0.5 {
+	h.handle(ListFull{Workers: []Worker{old}})
+	restarted := old
+	restarted.Started = h.now
+	for _, list := range [][]Worker{{restarted}, {old}, {}, {old}} {
+		h.now += 200 * ms
+		h.handle(ListFull{Workers: list})
+		if warm := h.d.warmth(h.d.workers[1]); warm >= 0.5 {
 			t.Errorf("after the list %v it is taken for %.0f%% warm", list, 100*warm)
 		}
 	}
@@ -124,49 +124,49 @@
 func TestListIsRequestedAgainAfterAFailure(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Rules.DrainGrace, s.Rules.MustAskIn = 300, time.Second, 10*time.Second
-	asks := func(w *harness, failed ListFailed, waits time.Duration) (after time.Duration) {
-		w.now += waits
-		lost := w.now
-		for acts := w.d.Handle(w.now, []Event{failed}); ; acts = w.d.Handle(w.now, []Event{Wake{}}) {
-			if slices.ContainsFunc(acts, func(a Action) bool { _, yes := a.(Subscribe); return yes }) {
-				return w.now - lost
+	delayUntilCall := func(h *harness, failed ListFailed, waits time.Duration) (after time.Duration) {
+		h.now += waits
+		failedAt := h.now
+		for actions := h.d.Handle(h.now, []Event{failed}); ; actions = h.d.Handle(h.now, []Event{Wake{}}) {
+			if slices.ContainsFunc(actions, func(a Action) bool { _, yes := a.(Subscribe); return yes }) {
+				return h.now - failedAt
 			}
-			w.now += ms
+			h.now += ms
 		}
 	}
 	for seed := range uint64(20) {
 		s.Seed, s.Pushed = seed, true
-		w := newHarness(t, s)
+		h := newHarness(t, s)
 		for range 12 {
-			if after := asks(w, ListFailed{}, ms); after > s.Rules.DrainGrace/4 {
+			if after := delayUntilCall(h, ListFailed{}, ms); after > s.Rules.DrainGrace/4 {
 				t.Errorf("pushed: asked for after %v", after)
 			}
 		}
 		s.Pushed = false
 		for dispatchers, spread := range map[int]time.Duration{300: 1500 * ms, 3000: 3 * time.Second} {
 			s.Dispatchers = dispatchers
-			w = newHarness(t, s)
-			if after := asks(w, ListFailed{}, 0); after > spread+10*ms {
+			h = newHarness(t, s)
+			if after := delayUntilCall(h, ListFailed{}, 0); after > spread+10*ms {
 				t.Errorf("%d dispatchers: asked for after %v", dispatchers, after)
 			}
-			again := func(failed ListFailed, waits time.Duration, from, to time.Duration) {
+			expectCall := func(failed ListFailed, waits time.Duration, from, to time.Duration) {
 				t.Helper()
-				if after := asks(w, failed, waits); after < from || after > to+10*ms {
+				if after := delayUntilCall(h, failed, waits); after < from || after > to+10*ms {
 					t.Errorf("%d dispatchers: asked for again after %v, want %v to %v", dispatchers, after, from, to)
 				}
 			}
 			for range evenTurns {
-				again(ListFailed{}, 3*time.Second, nextSpread/2, nextSpread)
+				expectCall(ListFailed{}, 3*time.Second, nextSpread/2, nextSpread)
 			}
-			again(ListFailed{}, 3*time.Second, growth*nextSpread/2, growth*nextSpread)
-			again(ListFailed{}, 3*time.Second, growth*growth*nextSpread/2, growth*growth*nextSpread)
+			expectCall(ListFailed{}, 3*time.Second, growth*nextSpread/2, growth*nextSpread)
+			expectCall(ListFailed{}, 3*time.Second, growth*growth*nextSpread/2, growth*growth*nextSpread)
 			for range 12 {
-				again(ListFailed{Nobody: true}, 3*time.Second, nextSpread/2, nextSpread)
+				expectCall(ListFailed{Nobody: true}, 3*time.Second, nextSpread/2, nextSpread)
 			}
-			again(ListFailed{}, 3*time.Second, nextSpread/2, nextSpread)
+			expectCall(ListFailed{}, 3*time.Second, nextSpread/2, nextSpread)
 			var soonest, latest time.Duration = time.Hour, 0
 			for range 20 { // watches that had no news, each long after its call: all over the spread, from its beginning on
-				after := asks(w, ListFailed{}, time.Minute)
+				after := delayUntilCall(h, ListFailed{}, time.Minute)
 				soonest, latest = min(soonest, after), max(latest, after)
 			}
 			if soonest > spread/4 || latest < spread*3/4 || latest > spread+10*ms {
@@ -174,19 +174,19 @@
 			}
 		}
 		s.Dispatchers = 300
-		w = newHarness(t, s)
-		asks(w, ListFailed{}, 0)
+		h = newHarness(t, s)
+		delayUntilCall(h, ListFailed{}, 0)
 		for range 20 { // calls that the list's clock makes, long after the last of the module's own
-			w.now += time.Minute
-			if after := asks(w, ListFailed{After: time.Second}, 0); after < nextSpread/2 {
+			h.now += time.Minute
+			if after := delayUntilCall(h, ListFailed{After: time.Second}, 0); after < nextSpread/2 {
 				t.Errorf("a call that failed after a second was taken for a watch, and repeated after %v", after)
 			}
 		}
 		few := s
 		few.Dispatchers = 12
-		w = newHarness(t, few)
+		h = newHarness(t, few)
 		for range 12 {
-			if after := asks(w, ListFailed{}, time.Second); after > time.Second {
+			if after := delayUntilCall(h, ListFailed{}, time.Second); after > time.Second {
 				t.Errorf("few: asked for again after %v", after)
 			}
 		}
--- a/decide/mass_model_test.go
+++ b/decide/mass_model_test.go
@@ -101,9 +101,9 @@
 	return x
 }
 
-func (m *deployment) after(t time.Duration, do func()) {
-	m.seq++
-	heap.Push(&m.events, simEvent{m.now + t, m.seq, do})
+func (sim *deployment) after(delay time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.events, simEvent{sim.now + delay, sim.seq, do})
 }
 
 const networkDelay = time.Millisecond
@@ -170,84 +170,84 @@
 }
 
 // newMassOf draws one on other terms.
-func newDeployment(terms siteModel, seed uint64, dispatchers, encoders, zones int) *deployment {
-	m := &deployment{
-		rng: rand.New(rand.NewPCG(seed, 9)), now: time.Hour, encoders: map[uint32]*simEncoder{}, site: terms,
-		worthAsked: make([]float64, len(terms.classes)), worthServed: make([]float64, len(terms.classes)),
-		jobsStarted: make([]int, len(terms.classes)), jobsFetched: make([]int, len(terms.classes)),
+func newDeployment(model siteModel, seed uint64, dispatchers, encoders, zones int) *deployment {
+	sim := &deployment{
+		rng: rand.New(rand.NewPCG(seed, 9)), now: time.Hour, encoders: map[uint32]*simEncoder{}, site: model,
+		worthAsked: make([]float64, len(model.classes)), worthServed: make([]float64, len(model.classes)),
+		jobsStarted: make([]int, len(model.classes)), jobsFetched: make([]int, len(model.classes)),
 	}
 	s := testSettings(seed, true, false, false)
 	s.Dispatchers, s.Granularity, s.Progress = dispatchers, 2*ms, time.Second
 	s.Classes = nil
-	for _, c := range terms.classes {
+	for _, c := range model.classes {
 		s.Classes = append(s.Classes, c.Class)
 	}
 	s.Limits.Probes, s.Limits.Open, s.Limits.MaxRetryAfter = true, 20000, 2*time.Second
-	terms.adjust(&s)
-	m.settings = s
+	model.adjust(&s)
+	sim.settings = s
 	for i := range encoders {
-		m.addEncoder(uint32(i)*7919+11, i%zones, 0)
+		sim.addEncoder(uint32(i)*7919+11, i%zones, 0)
 	}
 	capacity := 0.0
-	for _, e := range m.allEncoders {
+	for _, e := range sim.allEncoders {
 		capacity += float64(e.slots) * e.speed
 	}
-	for _, share := range terms.quotas { // 0.8 of what all can do
-		m.settings.Tenants = append(m.settings.Tenants, Tenant{QuotaPerSecond: share * 0.8 * capacity / terms.meanWork()})
+	for _, share := range model.quotas { // 0.8 of what all can do
+		sim.settings.Tenants = append(sim.settings.Tenants, Tenant{QuotaPerSecond: share * 0.8 * capacity / model.meanWork()})
 	}
-	if terms.keyed {
-		m.fetchTime = time.Duration(0.45 * terms.meanWork() * float64(time.Second))
+	if model.keyed {
+		sim.fetchTime = time.Duration(0.45 * model.meanWork() * float64(time.Second))
 	}
 	for i := range dispatchers {
-		n := &simDispatcher{zone: i % zones}
-		m.dispatchers = append(m.dispatchers, n)
-		m.startDispatcher(n, i)
+		disp := &simDispatcher{zone: i % zones}
+		sim.dispatchers = append(sim.dispatchers, disp)
+		sim.startDispatcher(disp, i)
 	}
-	return m
+	return sim
 }
 
 // add has an encoder start, long ago for 0.
-func (m *deployment) addEncoder(id uint32, zone int, started time.Duration) *simEncoder {
-	kind := m.site.kindDraw[m.rng.IntN(len(m.site.kindDraw))]
+func (sim *deployment) addEncoder(id uint32, zone int, started time.Duration) *simEncoder {
+	kind := sim.site.kindDraw[sim.rng.IntN(len(sim.site.kindDraw))]
 	e := &simEncoder{Worker: Worker{ID: id, Zone: zone, Kind: kind, Started: started, State: Ready}}
-	e.slots = m.site.kinds[kind].slots
-	e.speed = m.site.kinds[kind].speed * math.Exp(0.15*m.rng.NormFloat64())
-	e.coldFrom, e.warmUp = 0.14+0.2*m.rng.Float64(), time.Duration(10+14*m.rng.Float64())*time.Second
-	m.encoders[id] = e
-	m.allEncoders = append(m.allEncoders, e)
-	m.list = append(m.list, e.Worker)
+	e.slots = sim.site.kinds[kind].slots
+	e.speed = sim.site.kinds[kind].speed * math.Exp(0.15*sim.rng.NormFloat64())
+	e.coldFrom, e.warmUp = 0.14+0.2*sim.rng.Float64(), time.Duration(10+14*sim.rng.Float64())*time.Second
+	sim.encoders[id] = e
+	sim.allEncoders = append(sim.allEncoders, e)
+	sim.list = append(sim.list, e.Worker)
 	return e
 }
 
 // start has a dispatcher begin from nothing, with the list as it is now.
-func (m *deployment) startDispatcher(n *simDispatcher, i int) {
-	s := m.settings
-	s.Dispatcher, s.Zone, s.Seed = i, n.zone, uint64(m.rng.Uint32())
+func (sim *deployment) startDispatcher(disp *simDispatcher, i int) {
+	s := sim.settings
+	s.Dispatcher, s.Zone, s.Seed = i, disp.zone, uint64(sim.rng.Uint32())
 	d, err := New(s)
 	if err != nil {
 		panic(err)
 	}
-	n.d, n.alive, n.requests = d, true, map[uint32]*simRequest{}
-	n.lastTimer++
-	m.deliver(n, ListFull{Workers: slices.Clone(m.list)})
+	disp.d, disp.alive, disp.requests = d, true, map[uint32]*simRequest{}
+	disp.lastTimer++
+	sim.deliver(disp, ListFull{Workers: slices.Clone(sim.list)})
 }
 
 // kill has a dispatcher forget all; its requests are lost, what it sent runs on.
-func (m *deployment) killDispatcher(n *simDispatcher) {
-	n.alive = false
-	for _, r := range n.requests {
+func (sim *deployment) killDispatcher(disp *simDispatcher) {
+	disp.alive = false
+	for _, r := range disp.requests {
 		r.done = true
 	}
 }
 
 // change tells every dispatcher of a line of the list, each up to a second later.
-func (m *deployment) updateList(l Worker) {
-	m.list = append(slices.DeleteFunc(m.list, func(x Worker) bool { return x.ID == l.ID }), l)
-	for _, n := range m.dispatchers {
-		d := n.d
-		m.after(time.Duration(m.rng.Float64()*float64(time.Second)), func() {
-			if n.alive && n.d == d {
-				m.deliver(n, ListDelta{Workers: []Worker{l}})
+func (sim *deployment) updateList(l Worker) {
+	sim.list = append(slices.DeleteFunc(sim.list, func(x Worker) bool { return x.ID == l.ID }), l)
+	for _, disp := range sim.dispatchers {
+		dispatcher := disp.d
+		sim.after(time.Duration(sim.rng.Float64()*float64(time.Second)), func() {
+			if disp.alive && disp.d == dispatcher {
+				sim.deliver(disp, ListDelta{Workers: []Worker{l}})
 			}
 		})
 	}
@@ -260,172 +260,172 @@
 	return e.coldFrom + (1-e.coldFrom)*float64(now-e.Started)/float64(e.warmUp)
 }
 
-func (m *deployment) deliver(n *simDispatcher, events ...Event) {
-	if !n.alive {
+func (sim *deployment) deliver(disp *simDispatcher, events ...Event) {
+	if !disp.alive {
 		return
 	}
-	for _, a := range n.d.Handle(m.now, events) {
+	for _, a := range disp.d.Handle(sim.now, events) {
 		switch a := a.(type) {
 		case Send:
-			m.send(n, a)
+			sim.send(disp, a)
 		case Cancel:
-			if r := n.requests[a.Request]; r != nil {
-				t := r.attempts[a.Attempt]
-				m.after(networkDelay, func() { m.cancel(t) })
+			if r := disp.requests[a.Request]; r != nil {
+				att := r.attempts[a.Attempt]
+				sim.after(networkDelay, func() { sim.cancel(att) })
 			}
 		case Refuse:
-			m.endUnserved(n.requests[a.Request], a.RetryAfter)
+			sim.endUnserved(disp.requests[a.Request], a.RetryAfter)
 		case FailRequest:
-			m.endUnserved(n.requests[a.Request], 0)
+			sim.endUnserved(disp.requests[a.Request], 0)
 		case WakeMe:
-			n.lastTimer++
-			mine, d := n.lastTimer, n.d
-			m.after(a.After, func() {
-				if n.lastTimer == mine && n.d == d {
-					m.deliver(n, Wake{})
+			disp.lastTimer++
+			timer, dispatcher := disp.lastTimer, disp.d
+			sim.after(a.After, func() {
+				if disp.lastTimer == timer && disp.d == dispatcher {
+					sim.deliver(disp, Wake{})
 				}
 			})
 		case Subscribe:
-			d := n.d
-			m.after(networkDelay, func() {
-				if n.d == d {
-					m.deliver(n, ListDelta{})
+			dispatcher := disp.d
+			sim.after(networkDelay, func() {
+				if disp.d == dispatcher {
+					sim.deliver(disp, ListDelta{})
 				}
 			})
 		case Probe:
-			w := a.Worker
-			m.after(2*networkDelay, func() { m.deliver(n, Probed{Worker: w, Outcome: OK}) })
+			worker := a.Worker
+			sim.after(2*networkDelay, func() { sim.deliver(disp, Probed{Worker: worker, Outcome: OK}) })
 		}
 	}
 }
 
 // finish takes a final answer that served nothing; the client of what may be repeated comes again.
-func (m *deployment) endUnserved(r *simRequest, wait time.Duration) {
+func (sim *deployment) endUnserved(r *simRequest, wait time.Duration) {
 	if r == nil || r.done {
 		return
 	}
 	r.done = true
-	wait += time.Duration((0.5 + m.rng.Float64()) * float64(100*ms) * float64(int(1)<<r.tries))
-	if r.tries < 2 && m.now+wait < r.due {
+	wait += time.Duration((0.5 + sim.rng.Float64()) * float64(100*ms) * float64(int(1)<<r.tries))
+	if r.tries < 2 && sim.now+wait < r.due {
 		again := *r
 		again.tries, again.done, again.attempts = r.tries+1, false, nil
-		m.after(wait, func() { m.arrive(&again) })
+		sim.after(wait, func() { sim.arrive(&again) })
 	}
 }
 
-func (m *deployment) arrive(r *simRequest) {
-	n := r.dispatcher
-	if !n.alive {
+func (sim *deployment) arrive(r *simRequest) {
+	disp := r.dispatcher
+	if !disp.alive {
 		return
 	}
-	n.next++
-	r.id, r.arrived = n.next, m.now
-	n.requests[r.id] = r
-	m.deliver(n, Request{ID: r.id, Class: r.class, Tenant: r.tenant, Key: r.key, Budget: r.due - m.now, Slots: 1})
+	disp.next++
+	r.id, r.arrived = disp.next, sim.now
+	disp.requests[r.id] = r
+	sim.deliver(disp, Request{ID: r.id, Class: r.class, Tenant: r.tenant, Key: r.key, Budget: r.due - sim.now, Slots: 1})
 	id := r.id
-	m.after(r.due-m.now, func() {
-		if n.requests[id] == r && !r.done {
+	sim.after(r.due-sim.now, func() {
+		if disp.requests[id] == r && !r.done {
 			r.done = true
-			m.deliver(n, RequestLapsed{id})
+			sim.deliver(disp, RequestLapsed{id})
 		}
 	})
 }
 
-func (m *deployment) send(n *simDispatcher, a Send) {
-	r := n.requests[a.Request]
-	t := &simAttempt{request: r, number: len(r.attempts), encoder: m.encoders[a.Worker], queued: true}
-	r.attempts = append(r.attempts, t)
-	m.sends++
-	if t.encoder.Zone != n.zone {
-		m.crossings++
+func (sim *deployment) send(disp *simDispatcher, a Send) {
+	r := disp.requests[a.Request]
+	att := &simAttempt{request: r, number: len(r.attempts), encoder: sim.encoders[a.Worker], queued: true}
+	r.attempts = append(r.attempts, att)
+	sim.sends++
+	if att.encoder.Zone != disp.zone {
+		sim.crossings++
 	}
-	m.after(networkDelay, func() {
-		e := t.encoder
-		e.received = append(e.received, receivedJob{m.now, r.work, r.class, n})
+	sim.after(networkDelay, func() {
+		e := att.encoder
+		e.received = append(e.received, receivedJob{sim.now, r.work, r.class, disp})
 		if e.gone {
-			m.attemptEnded(t, ConnectFailed)
+			sim.attemptEnded(att, ConnectFailed)
 			return
 		}
-		if t.cancelled {
+		if att.cancelled {
 			return
 		}
-		e.queue = append(e.queue, t)
-		m.startJobs(e)
+		e.queue = append(e.queue, att)
+		sim.startJobs(e)
 	})
 }
 
-func (m *deployment) attemptEnded(t *simAttempt, o Outcome) {
-	if t.reported {
+func (sim *deployment) attemptEnded(att *simAttempt, o Outcome) {
+	if att.reported {
 		return
 	}
-	t.reported = true
-	m.after(networkDelay, func() {
-		r := t.request
+	att.reported = true
+	sim.after(networkDelay, func() {
+		r := att.request
 		over := r.done
 		if o == OK && !r.done {
 			r.done, over = true, true
-			if m.now-r.firstArrived <= m.settings.Classes[r.class].Aim+time.Duration(m.settings.Classes[r.class].Stretch*r.work*float64(time.Second)) {
-				m.worthServed[r.class] += r.work * m.settings.Classes[r.class].Worth
+			if sim.now-r.firstArrived <= sim.settings.Classes[r.class].Aim+time.Duration(sim.settings.Classes[r.class].Stretch*r.work*float64(time.Second)) {
+				sim.worthServed[r.class] += r.work * sim.settings.Classes[r.class].Worth
 			}
 		}
-		m.deliver(r.dispatcher, AttemptEnded{Request: r.id, Attempt: t.number, Outcome: o, Over: over})
+		sim.deliver(r.dispatcher, AttemptEnded{Request: r.id, Attempt: att.number, Outcome: o, Over: over})
 	})
 }
 
-func (m *deployment) cancel(t *simAttempt) {
-	t.cancelled = true
-	if t.queued {
-		t.queued = false
-		t.encoder.queue = slices.DeleteFunc(t.encoder.queue, func(x *simAttempt) bool { return x == t })
-	} else if t.started > 0 && !t.over { // what runs stops
-		t.over = true
-		t.encoder.running--
-		m.startJobs(t.encoder)
+func (sim *deployment) cancel(att *simAttempt) {
+	att.cancelled = true
+	if att.queued {
+		att.queued = false
+		att.encoder.queue = slices.DeleteFunc(att.encoder.queue, func(x *simAttempt) bool { return x == att })
+	} else if att.started > 0 && !att.over { // what runs stops
+		att.over = true
+		att.encoder.running--
+		sim.startJobs(att.encoder)
 	}
-	m.attemptEnded(t, Cancelled)
+	sim.attemptEnded(att, Cancelled)
 }
 
 // work starts what fits, in order.
-func (m *deployment) startJobs(e *simEncoder) {
+func (sim *deployment) startJobs(e *simEncoder) {
 	for e.running < e.slots && len(e.queue) > 0 {
-		t := e.queue[0]
+		att := e.queue[0]
 		e.queue = e.queue[1:]
-		t.queued, t.started = false, m.now
+		att.queued, att.started = false, sim.now
 		e.running++
-		m.jobsStarted[t.request.class]++
-		long := time.Duration(t.request.work / e.speed / e.warmth(m.now) * float64(time.Second))
-		if i := slices.Index(e.cachedKeys, t.request.key); i >= 0 {
+		sim.jobsStarted[att.request.class]++
+		runTime := time.Duration(att.request.work / e.speed / e.warmth(sim.now) * float64(time.Second))
+		if i := slices.Index(e.cachedKeys, att.request.key); i >= 0 {
 			e.cachedKeys = slices.Delete(e.cachedKeys, i, i+1)
 		} else {
-			m.jobsFetched[t.request.class]++
-			long += m.fetchTime
+			sim.jobsFetched[att.request.class]++
+			runTime += sim.fetchTime
 			if len(e.cachedKeys) >= e.slots {
 				e.cachedKeys = e.cachedKeys[1:]
 			}
 		}
-		e.cachedKeys = append(e.cachedKeys, t.request.key)
-		m.after(networkDelay, func() {
-			if !t.over && !t.reported {
-				m.deliver(t.request.dispatcher, JobStarted{t.request.id, t.number})
+		e.cachedKeys = append(e.cachedKeys, att.request.key)
+		sim.after(networkDelay, func() {
+			if !att.over && !att.reported {
+				sim.deliver(att.request.dispatcher, JobStarted{att.request.id, att.number})
 			}
 		})
-		m.after(long, func() {
-			if t.over {
+		sim.after(runTime, func() {
+			if att.over {
 				return
 			}
-			t.over = true
+			att.over = true
 			e.running--
-			m.attemptEnded(t, OK)
-			m.startJobs(e)
+			sim.attemptEnded(att, OK)
+			sim.startJobs(e)
 		})
 	}
 }
 
 // drawClass draws a request's class, the last first.
-func (m *deployment) drawClass() int {
-	x := m.rng.Float64()
-	for i := len(m.site.classes) - 1; i > 0; i-- {
-		if x -= m.site.classes[i].share; x < 0 {
+func (sim *deployment) drawClass() int {
+	x := sim.rng.Float64()
+	for i := len(sim.site.classes) - 1; i > 0; i-- {
+		if x -= sim.site.classes[i].share; x < 0 {
 			return i
 		}
 	}
@@ -433,57 +433,57 @@
 }
 
 // play has traffic come for so long, at a part of what all encoders can do once warm.
-func (m *deployment) playTraffic(long time.Duration, load func(at time.Duration) float64) {
+func (sim *deployment) playTraffic(duration time.Duration, load func(at time.Duration) float64) {
 	capacity := 0.0
-	for _, e := range m.allEncoders {
+	for _, e := range sim.allEncoders {
 		if !e.gone {
 			capacity += float64(e.slots) * e.speed
 		}
 	}
-	begun := m.now
+	start := sim.now
 	weights, sum := []float64{}, 0.0
-	for range m.dispatchers {
-		sum += math.Exp(0.7 * m.rng.NormFloat64())
+	for range sim.dispatchers {
+		sum += math.Exp(0.7 * sim.rng.NormFloat64())
 		weights = append(weights, sum)
 	}
 	keys, total := []float64{}, 0.0
-	for i := range int(3.6 * float64(len(m.encoders))) {
+	for i := range int(3.6 * float64(len(sim.encoders))) {
 		total += math.Pow(float64(i+1), -0.95)
 		keys = append(keys, total)
 	}
-	draw := func(cum []float64) int {
-		i, _ := slices.BinarySearch(cum, m.rng.Float64()*cum[len(cum)-1])
+	draw := func(cumulative []float64) int {
+		i, _ := slices.BinarySearch(cumulative, sim.rng.Float64()*cumulative[len(cumulative)-1])
 		return i
 	}
 	var next func()
 	next = func() {
-		if m.now-begun > long {
+		if sim.now-start > duration {
 			return
 		}
-		r := &simRequest{dispatcher: m.dispatchers[draw(weights)], firstArrived: m.now}
-		if m.site.keyed {
+		r := &simRequest{dispatcher: sim.dispatchers[draw(weights)], firstArrived: sim.now}
+		if sim.site.keyed {
 			r.key = hash(uint64(draw(keys)), 7) | 1
 		}
-		r.tenant = draw(m.site.cumulative)
-		r.class = m.drawClass()
-		c := m.site.classes[r.class]
-		r.work = c.work * math.Exp(c.sigma*m.rng.NormFloat64()-c.sigma*c.sigma/2)
-		r.due = m.now + m.settings.Classes[r.class].Deadline
-		m.worthAsked[r.class] += r.work * m.settings.Classes[r.class].Worth
-		m.firstTries++
-		m.arrive(r)
-		rate := load(m.now-begun) * capacity / m.site.meanWork()
-		m.after(time.Duration(m.rng.ExpFloat64()/rate*float64(time.Second)), next)
+		r.tenant = draw(sim.site.cumulative)
+		r.class = sim.drawClass()
+		c := sim.site.classes[r.class]
+		r.work = c.work * math.Exp(c.sigma*sim.rng.NormFloat64()-c.sigma*c.sigma/2)
+		r.due = sim.now + sim.settings.Classes[r.class].Deadline
+		sim.worthAsked[r.class] += r.work * sim.settings.Classes[r.class].Worth
+		sim.firstTries++
+		sim.arrive(r)
+		rate := load(sim.now-start) * capacity / sim.site.meanWork()
+		sim.after(time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)), next)
 	}
-	m.after(0, next)
-	m.runUntil(begun + long)
+	sim.after(0, next)
+	sim.runUntil(start + duration)
 }
 
-func (m *deployment) runUntil(until time.Duration) {
-	for len(m.events) > 0 && m.events[0].at <= until {
-		e := heap.Pop(&m.events).(simEvent)
-		m.now = e.at
+func (sim *deployment) runUntil(until time.Duration) {
+	for len(sim.events) > 0 && sim.events[0].at <= until {
+		e := heap.Pop(&sim.events).(simEvent)
+		sim.now = e.at
 		e.do()
 	}
-	m.now = until
+	sim.now = until
 }
--- a/decide/mass_test.go
+++ b/decide/mass_test.go
@@ -14,14 +14,14 @@
 // TestManyKeepTheirKeys: each of many dispatchers took a request at hand for its key's part of all traffic, and called
 // every key hot: 19 of 20 keys moved from encoder to encoder, and three of four previews were fetched for anew.
 func TestManyDispatchersKeepKeysInPlace(t *testing.T) {
-	m := newLectureDeployment(1, 60, 36, 2)
+	sim := newLectureDeployment(1, 60, 36, 2)
 	load := func(time.Duration) float64 { return 0.7 }
-	m.playTraffic(8*time.Second, load)
-	clear(m.jobsFetched)
-	clear(m.jobsStarted)
-	m.playTraffic(6*time.Second, load)
-	if part := float64(m.jobsFetched[0]) / float64(m.jobsStarted[0]); part > 0.65 {
-		t.Errorf("%.2f of %d previews were fetched for anew", part, m.jobsStarted[0])
+	sim.playTraffic(8*time.Second, load)
+	clear(sim.jobsFetched)
+	clear(sim.jobsStarted)
+	sim.playTraffic(6*time.Second, load)
+	if part := float64(sim.jobsFetched[0]) / float64(sim.jobsStarted[0]); part > 0.65 {
+		t.Errorf("%.2f of %d previews were fetched for anew", part, sim.jobsStarted[0])
 	}
 }
 
@@ -34,8 +34,8 @@
 	jobs        []receivedJob // in the window that is worst by ofAgreed
 }
 
-func (m *deployment) worstWindow(e *simEncoder) (worst windowLoad) {
-	rules, mean := m.settings.Rules, m.site.meanWork()
+func (sim *deployment) worstWindow(e *simEncoder) (worst windowLoad) {
+	rules, mean := sim.settings.Rules, sim.site.meanWork()
 	for i, first := range e.received {
 		if e.warmth(first.at) >= 1 {
 			break
@@ -61,52 +61,52 @@
 }
 
 // describe tells of a window what was sent, and by whom.
-func (m *deployment) describe(e *simEncoder, w windowLoad) string {
-	text := fmt.Sprintf("kind %d, %.2f s after its start, %.2f times what it bears (%.2f by the page):", e.Kind, (w.at - e.Started).Seconds(), w.ofBound, w.ofWideBound)
-	for _, g := range w.jobs {
-		text += fmt.Sprintf(" class %d %.2f s by dispatcher %d;", g.class, g.work, slices.Index(m.dispatchers, g.dispatcher))
+func (sim *deployment) describe(e *simEncoder, load windowLoad) string {
+	text := fmt.Sprintf("kind %d, %.2f s after its start, %.2f times what it bears (%.2f by the page):", e.Kind, (load.at - e.Started).Seconds(), load.ofBound, load.ofWideBound)
+	for _, g := range load.jobs {
+		text += fmt.Sprintf(" class %d %.2f s by dispatcher %d;", g.class, g.work, slices.Index(sim.dispatchers, g.dispatcher))
 	}
 	return text
 }
 
 // renew has four in ten encoders make way for cold ones within 2 s, as a release does.
-func (m *deployment) replaceEncoders() {
-	for i, l := range slices.Clone(m.list) {
-		if m.rng.IntN(10) >= 4 {
+func (sim *deployment) replaceEncoders() {
+	for i, l := range slices.Clone(sim.list) {
+		if sim.rng.IntN(10) >= 4 {
 			continue
 		}
-		m.after(time.Duration(i%4)*700*ms, func() {
-			old := m.encoders[l.ID]
+		sim.after(time.Duration(i%4)*700*ms, func() {
+			old := sim.encoders[l.ID]
 			l.State = Gone
-			m.updateList(l)
-			m.after(time.Second, func() { old.gone = true })
-			e := m.addEncoder(l.ID+1, l.Zone, m.now)
-			m.list = m.list[:len(m.list)-1]
-			m.updateList(e.Worker)
+			sim.updateList(l)
+			sim.after(time.Second, func() { old.gone = true })
+			e := sim.addEncoder(l.ID+1, l.Zone, sim.now)
+			sim.list = sim.list[:len(sim.list)-1]
+			sim.updateList(e.Worker)
 		})
 	}
 }
 
 // restart has seven in ten dispatchers killed, each back from nothing within 1.2 s.
-func (m *deployment) restartDispatchers() {
-	for i, n := range m.dispatchers {
-		if m.rng.IntN(10) < 7 {
-			m.killDispatcher(n)
-			m.after(200*ms+time.Duration(m.rng.Float64()*float64(time.Second)), func() { m.startDispatcher(n, i) })
+func (sim *deployment) restartDispatchers() {
+	for i, disp := range sim.dispatchers {
+		if sim.rng.IntN(10) < 7 {
+			sim.killDispatcher(disp)
+			sim.after(200*ms+time.Duration(sim.rng.Float64()*float64(time.Second)), func() { sim.startDispatcher(disp, i) })
 		}
 	}
 }
 
 // release plays a release with most dispatchers killed in the middle.
-func (m *deployment) playRelease(seed int) {
-	m.after(4*time.Second, m.replaceEncoders)
-	m.after(9*time.Second, m.restartDispatchers)
-	m.playTraffic(16*time.Second, func(time.Duration) float64 { return 0.6 + 0.05*float64(seed%7) })
+func (sim *deployment) playRelease(seed int) {
+	sim.after(4*time.Second, sim.replaceEncoders)
+	sim.after(9*time.Second, sim.restartDispatchers)
+	sim.playTraffic(16*time.Second, func(time.Duration) float64 { return 0.6 + 0.05*float64(seed%7) })
 }
 
 // started is the encoders that have started since the beginning.
-func (m *deployment) newEncoders() (all []*simEncoder) {
-	for _, e := range m.allEncoders {
+func (sim *deployment) newEncoders() (all []*simEncoder) {
+	for _, e := range sim.allEncoders {
 		if e.Started != 0 {
 			all = append(all, e)
 		}
@@ -117,19 +117,19 @@
 // playAll plays fleets by their seeds, as many at once as there are processors, and has each counted, one at a time.
 func playFleets(fleets int, play func(seed int) *deployment, count func(*deployment)) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	turns := make(chan bool, runtime.GOMAXPROCS(0))
+	var group sync.WaitGroup
+	slots := make(chan bool, runtime.GOMAXPROCS(0))
 	for seed := range fleets {
-		all.Go(func() {
-			turns <- true
-			defer func() { <-turns }()
-			m := play(seed)
+		group.Go(func() {
+			slots <- true
+			defer func() { <-slots }()
+			sim := play(seed)
 			mu.Lock()
 			defer mu.Unlock()
-			count(m)
+			count(sim)
 		})
 	}
-	all.Wait()
+	group.Wait()
 }
 
 var fullRun = flag.Bool("mass", false, "play the whole measurement of make prove-mass")
@@ -149,13 +149,13 @@
 		if *fullRun {
 			dispatchers = []int{40, 60, 80, 120}[seed%4]
 		}
-		m := newLectureDeployment(uint64(seed)+100, dispatchers, dispatchers*(4+seed%5)/10, 1+seed%3)
-		m.playRelease(seed)
-		return m
-	}, func(m *deployment) {
-		for _, e := range m.newEncoders() {
+		sim := newLectureDeployment(uint64(seed)+100, dispatchers, dispatchers*(4+seed%5)/10, 1+seed%3)
+		sim.playRelease(seed)
+		return sim
+	}, func(sim *deployment) {
+		for _, e := range sim.newEncoders() {
 			cold++
-			x := m.worstWindow(e).ofN
+			x := sim.worstWindow(e).ofN
 			if worst = max(worst, x); x > 1 {
 				over++
 			}
@@ -170,21 +170,21 @@
 	if !*fullRun {
 		return
 	}
-	m := newLectureDeployment(1, 200, 120, 2)
-	m.playTraffic(25*time.Second, func(at time.Duration) float64 {
+	sim := newLectureDeployment(1, 200, 120, 2)
+	sim.playTraffic(25*time.Second, func(at time.Duration) float64 {
 		if at > 8*time.Second && at < 14*time.Second {
 			return 1.1
 		}
 		return 0.75
 	})
-	m.runUntil(m.now + 6*time.Second)
-	served := sum(m.worthServed) / sum(m.worthAsked)
+	sim.runUntil(sim.now + 6*time.Second)
+	served := sum(sim.worthServed) / sum(sim.worthAsked)
 	if served < 0.85 {
 		t.Errorf("served %.3f of the worth on a calm day", served)
 	}
 	t.Logf("prove mass: fleets=%d cold=%d over=%d near=%d worst=%.2f served=%.3f preview=%.3f publish=%.3f sends=%.2f fetched_preview=%.2f crossed=%.2f",
-		fleets, cold, over, near, worst, served, m.worthServed[0]/m.worthAsked[0], m.worthServed[1]/m.worthAsked[1], float64(m.sends)/float64(m.firstTries),
-		float64(m.jobsFetched[0])/float64(m.jobsStarted[0]), float64(m.crossings)/float64(m.firstTries))
+		fleets, cold, over, near, worst, served, sim.worthServed[0]/sim.worthAsked[0], sim.worthServed[1]/sim.worthAsked[1], float64(sim.sends)/float64(sim.firstTries),
+		float64(sim.jobsFetched[0])/float64(sim.jobsStarted[0]), float64(sim.crossings)/float64(sim.firstTries))
 }
 
 // drawn is fleets of one sort, in which cold encoders are counted.
@@ -250,39 +250,39 @@
 }
 
 // bear plays the fleets and fails where an encoder was sent more than it bears.
-func (d fleetTest) check(t *testing.T) {
-	fleets := d.fleets
+func (f fleetTest) check(t *testing.T) {
+	fleets := f.fleets
 	if *fullRun {
-		fleets = d.fullFleets
+		fleets = f.fullFleets
 	}
 	cold, over, overByPage, worst := 0, 0, 0, 0.0
 	asked, served := 0.0, 0.0
-	playFleets(fleets, d.playFleet, func(m *deployment) {
-		asked, served = asked+sum(m.worthAsked), served+sum(m.worthServed)
-		for _, e := range m.newEncoders() {
+	playFleets(fleets, f.playFleet, func(sim *deployment) {
+		asked, served = asked+sum(sim.worthAsked), served+sum(sim.worthServed)
+		for _, e := range sim.newEncoders() {
 			cold++
-			x := m.worstWindow(e)
+			x := sim.worstWindow(e)
 			if x.ofWideBound > 1 {
 				overByPage++
 			}
 			if worst = max(worst, x.ofBound); x.ofBound > 1 {
 				over++
-				t.Logf("prove mass: over: %s", m.describe(e, x))
+				t.Logf("prove mass: over: %s", sim.describe(e, x))
 			}
 		}
 	})
-	t.Logf("prove mass: %d to %d dispatchers: %d of %d cold encoders over, the worst %.2f times (%d over by N + 3 x root of N + 3 under 30); served %.3f", d.minDispatchers, d.maxDispatchers, over, cold, worst, overByPage, served/asked)
+	t.Logf("prove mass: %d to %d dispatchers: %d of %d cold encoders over, the worst %.2f times (%d over by N + 3 x root of N + 3 under 30); served %.3f", f.minDispatchers, f.maxDispatchers, over, cold, worst, overByPage, served/asked)
 	if over > 0 {
 		t.Errorf("%d of %d cold encoders were sent more than they bear, the worst %.2f times as much", over, cold, worst)
 	}
 }
 
 // play plays one fleet: a release, most dispatchers killed during it.
-func (d fleetTest) playFleet(seed int) *deployment {
-	dispatchers := d.minDispatchers + seed*7%(d.maxDispatchers-d.minDispatchers+1)
-	m := newDeployment(d.site, uint64(seed)+5000, dispatchers, d.encoders(dispatchers, seed), 1+seed%3)
-	m.playRelease(seed)
-	return m
+func (f fleetTest) playFleet(seed int) *deployment {
+	dispatchers := f.minDispatchers + seed*7%(f.maxDispatchers-f.minDispatchers+1)
+	sim := newDeployment(f.site, uint64(seed)+5000, dispatchers, f.encoders(dispatchers, seed), 1+seed%3)
+	sim.playRelease(seed)
+	return sim
 }
 
 // total is the sum over all classes.
--- a/decide/order_test.go
+++ b/decide/order_test.go
@@ -9,11 +9,11 @@
 // along it, and nowhere else, however free others are.
 func TestRequestFollowsItsOwnOrder(t *testing.T) {
 	s := testSettings(1, false, true, false)
-	w := newReadyHarness(t, s, 4)
+	h := newReadyHarness(t, s, 4)
 	send := func(order ...uint32) (got uint32) {
-		j := w.newRequest(0, time.Second)
-		j.Order = order
-		for _, a := range w.d.Handle(w.now, []Event{j.Request}) {
+		req := h.newRequest(0, time.Second)
+		req.Order = order
+		for _, a := range h.d.Handle(h.now, []Event{req.Request}) {
 			if a, ok := a.(Send); ok {
 				got = a.Worker
 			}
@@ -29,7 +29,7 @@
 	if got := send(3, 1); got != 0 {
 		t.Errorf("both are full, it went to %d, which is none of them", got)
 	}
-	w.d.Handle(w.now, []Event{ListDelta{Workers: []Worker{{ID: 2, State: Draining}}}})
+	h.d.Handle(h.now, []Event{ListDelta{Workers: []Worker{{ID: 2, State: Draining}}}})
 	if got := send(2, 4); got != 4 {
 		t.Errorf("2 drains, it went to %d", got)
 	}
@@ -40,23 +40,23 @@
 func TestOrderOverridesFirstJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Rules.Cold, s.Rules.ColdFrom = 3, 20*time.Second, 0.14
-	w := newReadyHarness(t, s, 4)
-	w.handle(Cordon{Worker: 2, Out: true})
-	w.now += time.Second
-	w.handle(Cordon{Worker: 2})
-	for end := w.now + owedWithin; w.now < end; {
-		w.now += 20 * ms
-		j := w.newRequest(0, time.Second)
-		j.Order = []uint32{3}
-		for _, a := range w.handle(Wake{}, j.Request) {
+	h := newReadyHarness(t, s, 4)
+	h.handle(Cordon{Worker: 2, Out: true})
+	h.now += time.Second
+	h.handle(Cordon{Worker: 2})
+	for end := h.now + owedWithin; h.now < end; {
+		h.now += 20 * ms
+		req := h.newRequest(0, time.Second)
+		req.Order = []uint32{3}
+		for _, a := range h.handle(Wake{}, req.Request) {
 			if a, ok := a.(Send); ok && a.Worker != 3 {
 				t.Fatalf("it may go to 3 alone, it went to %d", a.Worker)
 			}
 		}
-		for _, j := range w.requests {
-			for i, tr := range j.attempts {
-				if !tr.over && w.now-tr.sent >= 60*ms {
-					w.handle(w.endAttempt(j, i, OK, nil))
+		for _, req := range h.requests {
+			for i, att := range req.attempts {
+				if !att.over && h.now-att.sent >= 60*ms {
+					h.handle(h.endAttempt(req, i, OK, nil))
 				}
 			}
 		}
@@ -67,16 +67,16 @@
 // to any worker.
 func TestOrderStillAppliesPastTheAim(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newReadyHarness(t, testSettings(seed, true, false, false), 4)
-		w.d.Handle(w.now, []Event{ListDelta{Workers: []Worker{{ID: 3, State: Draining}}}})
-		j := w.newRequest(0, time.Second)
-		j.Order = []uint32{3}
-		w.handle(j.Request)
+		h := newReadyHarness(t, testSettings(seed, true, false, false), 4)
+		h.d.Handle(h.now, []Event{ListDelta{Workers: []Worker{{ID: 3, State: Draining}}}})
+		req := h.newRequest(0, time.Second)
+		req.Order = []uint32{3}
+		h.handle(req.Request)
 		for range 100 {
-			w.now += 10 * ms
-			for _, a := range w.handle(Wake{}) {
+			h.now += 10 * ms
+			for _, a := range h.handle(Wake{}) {
 				if a, ok := a.(Send); ok {
-					t.Fatalf("seed %d: it may go to 3 alone, it went to %d at %v", seed, a.Worker, w.now)
+					t.Fatalf("seed %d: it may go to 3 alone, it went to %d at %v", seed, a.Worker, h.now)
 				}
 			}
 		}
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -10,27 +10,27 @@
 // fleet starts a dispatcher with policies of its own and ready workers 1 to n.
 func newReadyHarness(t *testing.T, s Settings, n int) *harness {
 	t.Helper()
-	w := newHarness(t, s)
+	h := newHarness(t, s)
 	var lines []Worker
 	for id := range uint32(n) {
 		l := Worker{ID: id + 1, State: Ready}
-		w.list[l.ID] = l
+		h.list[l.ID] = l
 		lines = append(lines, l)
 	}
-	w.handle(ListFull{Workers: lines})
-	return w
+	h.handle(ListFull{Workers: lines})
+	return h
 }
 
 // place sends one request of a class in and returns the worker it went to, 0 for none.
-func (w *harness) sendRequest(class int) (uint32, *testRequest) {
-	w.t.Helper()
-	j := w.newRequest(class, time.Second)
-	for _, a := range w.handle(j.Request) {
-		if s, ok := a.(Send); ok && s.Request == j.ID {
-			return s.Worker, j
+func (h *harness) sendRequest(class int) (uint32, *testRequest) {
+	h.t.Helper()
+	req := h.newRequest(class, time.Second)
+	for _, a := range h.handle(req.Request) {
+		if s, ok := a.(Send); ok && s.Request == req.ID {
+			return s.Worker, req
 		}
 	}
-	return 0, j
+	return 0, req
 }
 
 func labelsFor(ids ...uint32) []Label { return []Label{{Zone: Any, Kind: Any, IDs: ids}} }
@@ -47,16 +47,16 @@
 	max2 := Invalidate{MaxConcurrentInvocations, 2}
 	s := withPolicy(testSettings(1, false, false, false),
 		[]Block{{Workers: labelsFor(3), Strategy: BestFirst, Invalidate: max2}, {Workers: labelsFor(1), Strategy: BestFirst, Invalidate: max2}}, Fail)
-	w := newReadyHarness(t, s, 3)
+	h := newReadyHarness(t, s, 3)
 	for _, id := range []uint32{1, 3} {
-		w.d.workers[id].ceiling = 5
+		h.d.workers[id].ceiling = 5
 	}
 	for i, want := range []uint32{3, 3, 1, 1, 0} {
-		got, j := w.sendRequest(0)
+		got, req := h.sendRequest(0)
 		if got != want {
 			t.Errorf("request %d went to %d, want %d", i, got, want)
 		}
-		if want == 0 && !j.answered {
+		if want == 0 && !req.answered {
 			t.Error("followup fail left the request open")
 		}
 	}
@@ -64,11 +64,11 @@
 
 func TestFollowupDefault(t *testing.T) {
 	s := withPolicy(testSettings(1, false, false, false), []Block{{Workers: labelsFor(1), Strategy: BestFirst, Invalidate: Invalidate{Rule: Overload}}}, Default)
-	w := newReadyHarness(t, s, 4)
-	if got, _ := w.sendRequest(0); got != 1 {
+	h := newReadyHarness(t, s, 4)
+	if got, _ := h.sendRequest(0); got != 1 {
 		t.Fatalf("block one was passed over for %d", got)
 	}
-	if got, j := w.sendRequest(0); got < 2 || j.answered {
+	if got, req := h.sendRequest(0); got < 2 || req.answered {
 		t.Errorf("the default tag gave %d", got)
 	}
 }
@@ -79,10 +79,10 @@
 		t.Run(string(strategy), func(t *testing.T) {
 			firsts := map[uint32]bool{}
 			for seed := range uint64(20) {
-				w := newReadyHarness(t, withPolicy(testSettings(seed, false, false, false), []Block{{Workers: labelsFor(1, 2, 3, 4, 5), Strategy: strategy, Invalidate: rule}}, Fail), 5)
+				h := newReadyHarness(t, withPolicy(testSettings(seed, false, false, false), []Block{{Workers: labelsFor(1, 2, 3, 4, 5), Strategy: strategy, Invalidate: rule}}, Fail), 5)
 				seen := map[uint32]bool{}
 				for i := range 5 {
-					got, _ := w.sendRequest(0)
+					got, _ := h.sendRequest(0)
 					if i == 0 {
 						firsts[got] = true
 					}
@@ -115,11 +115,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := withPolicy(testSettings(1, false, true, false), []Block{{Workers: labelsFor(1), Strategy: BestFirst, Invalidate: tt.inv}}, Fail)
-			w := newReadyHarness(t, s, 1)
-			w.d.workers[1].slots, w.d.workers[1].ceiling = tt.slots, 3
+			h := newReadyHarness(t, s, 1)
+			h.d.workers[1].slots, h.d.workers[1].ceiling = tt.slots, 3
 			taken := 0
 			for range 6 {
-				if got, _ := w.sendRequest(0); got == 1 {
+				if got, _ := h.sendRequest(0); got == 1 {
 					taken++
 				}
 			}
@@ -145,8 +145,8 @@
 }
 
 func TestInvalidSettingsAreRejected(t *testing.T) {
-	ok := Block{Workers: labelsFor(1), Strategy: BestFirst, Invalidate: Invalidate{Rule: Overload}}
-	with := func(f func(b *Block)) []Block { b := ok; f(&b); return []Block{b} }
+	valid := Block{Workers: labelsFor(1), Strategy: BestFirst, Invalidate: Invalidate{Rule: Overload}}
+	with := func(f func(b *Block)) []Block { b := valid; f(&b); return []Block{b} }
 	tests := []struct {
 		name, want string
 		blocks     []Block
@@ -157,7 +157,7 @@
 		{"rule", "unknown invalidate rule", with(func(b *Block) { b.Invalidate.Rule = "full" }), Fail},
 		{"percentage", "out of range", with(func(b *Block) { b.Invalidate = Invalidate{CapacityUsed, 101} }), Fail},
 		{"count", "out of range", with(func(b *Block) { b.Invalidate = Invalidate{MaxConcurrentInvocations, 0} }), Fail},
-		{"followup", "unknown followup", []Block{ok}, "retry"},
+		{"followup", "unknown followup", []Block{valid}, "retry"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -215,16 +215,16 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings(1, false, false, false)
 			s.Rules.Budget = &tt.budget
-			w := newReadyHarness(t, s, 40)
+			h := newReadyHarness(t, s, 40)
 			further := 0
 			for range tt.requests {
-				_, j := w.sendRequest(0)
-				for i := 0; i < len(j.attempts) && !j.answered; i++ {
-					w.now += ms
-					w.handle(w.endAttempt(j, i, tt.outcome, nil))
+				_, req := h.sendRequest(0)
+				for i := 0; i < len(req.attempts) && !req.answered; i++ {
+					h.now += ms
+					h.handle(h.endAttempt(req, i, tt.outcome, nil))
 				}
-				further += len(j.attempts) - 1
-				if !j.answered {
+				further += len(req.attempts) - 1
+				if !req.answered {
 					t.Error("a request beyond the budget is kept waiting")
 				}
 			}
@@ -239,19 +239,19 @@
 // start came late and its worker was struck.
 func TestOwnStallIsNotTakenForQueueing(t *testing.T) {
 	for _, stalled := range []bool{true, false} {
-		w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-		_, j := w.sendRequest(2)
+		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+		_, req := h.sendRequest(2)
 		if !stalled {
 			for range 24 {
-				w.now += 8 * ms
-				w.handle(Wake{})
+				h.now += 8 * ms
+				h.handle(Wake{})
 			}
 		}
-		w.now += 200 * ms
-		w.handle(Wake{}, JobStarted{j.ID, 0})
-		w.now += 8 * ms
-		w.handle(Wake{}, w.endAttempt(j, 0, OK, nil))
-		if trusted := w.d.workers[1].ceiling > firstCeiling; trusted != stalled {
+		h.now += 200 * ms
+		h.handle(Wake{}, JobStarted{req.ID, 0})
+		h.now += 8 * ms
+		h.handle(Wake{}, h.endAttempt(req, 0, OK, nil))
+		if trusted := h.d.workers[1].ceiling > firstCeiling; trusted != stalled {
 			t.Errorf("stalled %v: ceiling raised %v", stalled, trusted)
 		}
 	}
@@ -260,20 +260,20 @@
 // TestAnsweredBeforeAStall: an answer put off to the last moment missed the deadline when
 // the dispatcher had no turn then.
 func TestAnswerIsEarlyByAKnownStall(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-	_, j := w.sendRequest(2)
-	w.handle(JobStarted{j.ID, 0})
+	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	_, req := h.sendRequest(2)
+	h.handle(JobStarted{req.ID, 0})
 	for range 94 {
-		w.now += 8 * ms
-		w.handle(Wake{})
+		h.now += 8 * ms
+		h.handle(Wake{})
 	}
-	w.now += 100 * ms // the stall: 148 ms are left
-	w.handle(Wake{})
+	h.now += 100 * ms // the stall: 148 ms are left
+	h.handle(Wake{})
 	for range 8 {
-		w.now += 8 * ms
-		w.handle(Wake{})
+		h.now += 8 * ms
+		h.handle(Wake{})
 	}
-	if !j.answered {
+	if !req.answered {
 		t.Error("not answered a known stall's length before the deadline")
 	}
 }
@@ -296,16 +296,16 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings(1, false, false, false)
 			s.MarksRetries = tt.marks
-			w := newReadyHarness(t, s, 1)
-			w.sendRequest(2)
-			w.sendRequest(0)
-			j := w.newRequest(2, tt.budget)
-			j.Repeat = tt.repeat
-			w.handle(j.Request)
-			w.now += 10 * ms
-			w.handle(Wake{})
-			if j.answered != tt.late {
-				t.Errorf("taken for late: %v, want %v", j.answered, tt.late)
+			h := newReadyHarness(t, s, 1)
+			h.sendRequest(2)
+			h.sendRequest(0)
+			req := h.newRequest(2, tt.budget)
+			req.Repeat = tt.repeat
+			h.handle(req.Request)
+			h.now += 10 * ms
+			h.handle(Wake{})
+			if req.answered != tt.late {
+				t.Errorf("taken for late: %v, want %v", req.answered, tt.late)
 			}
 		})
 	}
@@ -314,17 +314,17 @@
 // TestLateLeavesInTimeQueue: a request past its aim once stayed in the in-time
 // queue too, and went before fresh ones.
 func TestLateRequestLeavesTheInTimeQueue(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, false, false, false), 1)
-	if got, _ := w.sendRequest(0); got != 1 { // fills the one worker
+	h := newReadyHarness(t, testSettings(1, false, false, false), 1)
+	if got, _ := h.sendRequest(0); got != 1 { // fills the one worker
 		t.Fatal("not placed")
 	}
-	w.sendRequest(0) // will be late
-	w.sendRequest(0) // and another: no random pick while others wait
-	w.now += 200 * ms
-	w.handle(Wake{})
-	fresh := w.newRequest(0, time.Second)
-	w.handle(fresh.Request)
-	for _, a := range w.handle(w.endAttempt(w.requests[1], 0, OK, nil)) {
+	h.sendRequest(0) // will be late
+	h.sendRequest(0) // and another: no random pick while others wait
+	h.now += 200 * ms
+	h.handle(Wake{})
+	fresh := h.newRequest(0, time.Second)
+	h.handle(fresh.Request)
+	for _, a := range h.handle(h.endAttempt(h.requests[1], 0, OK, nil)) {
 		if s, ok := a.(Send); ok && s.Request != fresh.ID {
 			t.Errorf("request %d went before the fresh %d", s.Request, fresh.ID)
 		}
@@ -336,15 +336,15 @@
 
 // TestRunTimeCountsFromStart: the run time once counted from the last progress note.
 func TestRunTimeCountsFromStart(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-	_, j := w.sendRequest(0)
-	w.now += 10 * ms
-	w.handle(JobStarted{j.ID, 0})
-	w.now += 500 * ms
-	w.handle(JobProgress{j.ID, 0, 0.9})
-	w.now += 20 * ms
-	w.handle(w.endAttempt(j, 0, OK, nil))
-	if run := w.d.classes[0].run; run < 0.51 || run > 0.53 {
+	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	_, req := h.sendRequest(0)
+	h.now += 10 * ms
+	h.handle(JobStarted{req.ID, 0})
+	h.now += 500 * ms
+	h.handle(JobProgress{req.ID, 0, 0.9})
+	h.now += 20 * ms
+	h.handle(h.endAttempt(req, 0, OK, nil))
+	if run := h.d.classes[0].run; run < 0.51 || run > 0.53 {
 		t.Errorf("run time %v, want 0.52", run)
 	}
 }
@@ -355,14 +355,14 @@
 	for class, wantMove := range []bool{true, true, false} {
 		s := testSettings(1, true, false, false)
 		s.Classes[0].LateWorth = 0 // else it stays: few of those move
-		w := newReadyHarness(t, s, 2)
-		first, j := w.sendRequest(class)
-		w.now += 60 * ms
-		w.handle(Wake{})
-		if moved := len(j.attempts) == 2 && j.attempts[1].worker.ID != first; moved != wantMove {
+		h := newReadyHarness(t, s, 2)
+		first, req := h.sendRequest(class)
+		h.now += 60 * ms
+		h.handle(Wake{})
+		if moved := len(req.attempts) == 2 && req.attempts[1].worker.ID != first; moved != wantMove {
 			t.Errorf("class %d: moved %v, want %v", class, moved, wantMove)
 		}
-		if got, _ := w.sendRequest(2); got == first {
+		if got, _ := h.sendRequest(2); got == first {
 			t.Errorf("class %d: the silent worker %d got more", class, first)
 		}
 	}
@@ -376,19 +376,19 @@
 		s := testSettings(1, true, false, false)
 		s.Classes[2].Stretch = 1
 		s.Limits.Cancel = i < 2 // what cannot be called off is waited for: once it ran for nothing, and its client came back
-		w := newReadyHarness(t, s, 3)
-		_, j := w.sendRequest(2)
+		h := newReadyHarness(t, s, 3)
+		_, req := h.sendRequest(2)
 		for range 2 {
-			if _, other := w.sendRequest(2); !crowded {
-				w.handle(JobStarted{other.ID, 0})
+			if _, other := h.sendRequest(2); !crowded {
+				h.handle(JobStarted{other.ID, 0})
 			}
 		}
 		for range 10 { // it queues from 20 ms on, its aim is 150 ms
-			w.now += 20 * ms
-			w.handle(Wake{})
+			h.now += 20 * ms
+			h.handle(Wake{})
 		}
-		if want := crowded && s.Limits.Cancel; j.answered != want {
-			t.Errorf("crowded %v: answered %v, want %v", crowded, j.answered, want)
+		if want := crowded && s.Limits.Cancel; req.answered != want {
+			t.Errorf("crowded %v: answered %v, want %v", crowded, req.answered, want)
 		}
 	}
 }
@@ -398,17 +398,17 @@
 func TestQueuedJobThatStartedIsNotCancelled(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[2].Stretch = 1
-	w := newReadyHarness(t, s, 3)
-	_, j := w.sendRequest(2)
-	w.sendRequest(2)
-	w.sendRequest(2)
+	h := newReadyHarness(t, s, 3)
+	_, req := h.sendRequest(2)
+	h.sendRequest(2)
+	h.sendRequest(2)
 	for n := range 10 { // it queues from 20 ms on and starts at 100 ms; two go on queueing; its aim is 150 ms
-		w.now += 20 * ms
-		if w.handle(Wake{}); n == 4 {
-			w.handle(JobStarted{j.ID, 0})
+		h.now += 20 * ms
+		if h.handle(Wake{}); n == 4 {
+			h.handle(JobStarted{req.ID, 0})
 		}
 	}
-	if j.answered {
+	if req.answered {
 		t.Error("a running job was called off at its aim")
 	}
 }
@@ -416,13 +416,13 @@
 // TestLaterTryIsOlder: a client's later try, told by its shorter budget, was once
 // held for a whole aim of its own and then served too late.
 func TestRetryCountsFromTheFirstTry(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, false, false, false), 1)
-	w.sendRequest(2) // fills the worker and shows a first try's budget
-	w.sendRequest(0) // waits too: no random pick
-	second := w.newRequest(2, 800*ms)
-	w.handle(second.Request)
-	w.now += 10 * ms
-	w.handle(Wake{})
+	h := newReadyHarness(t, testSettings(1, false, false, false), 1)
+	h.sendRequest(2) // fills the worker and shows a first try's budget
+	h.sendRequest(0) // waits too: no random pick
+	second := h.newRequest(2, 800*ms)
+	h.handle(second.Request)
+	h.now += 10 * ms
+	h.handle(Wake{})
 	if !second.answered {
 		t.Error("a try that began 200 ms ago, past its aim of 150 ms, is still held")
 	}
@@ -431,13 +431,13 @@
 // TestCalledOffJobDoesNotBar: a job called off at a trusted worker once left a
 // ghost slot without a strike, and the worker was never tried again.
 func TestCancelledJobDoesNotBarItsWorker(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-	_, j := w.sendRequest(0)
-	w.now += 5 * ms
-	w.handle(JobStarted{j.ID, 0})
-	w.now += 2 * time.Second
-	w.handle(w.endAttempt(j, 0, Cancelled, nil))
-	if got, _ := w.sendRequest(2); got != 1 {
+	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+	_, req := h.sendRequest(0)
+	h.now += 5 * ms
+	h.handle(JobStarted{req.ID, 0})
+	h.now += 2 * time.Second
+	h.handle(h.endAttempt(req, 0, Cancelled, nil))
+	if got, _ := h.sendRequest(2); got != 1 {
 		t.Error("the worker is barred though nothing speaks against it")
 	}
 }
@@ -445,23 +445,23 @@
 // TestPeersHearOfEveryWorker: a message holds some forty workers; the rest of a
 // larger fleet was once never told.
 func TestPeersReceiveTheLoadOfEveryWorker(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, false, true, true), 100)
-	heard := newHarness(t, testSettings(2, false, true, true))
-	now := w.now + 20*time.Second
+	h := newReadyHarness(t, testSettings(1, false, true, true), 100)
+	receiver := newHarness(t, testSettings(2, false, true, true))
+	now := h.now + 20*time.Second
 	for i := range 100 {
-		w.d.workers[uint32(i+1)].own, w.d.moved = 1, true
+		h.d.workers[uint32(i+1)].own, h.d.moved = 1, true
 	}
 	for range 4 {
-		for _, a := range w.d.Handle(now, nil) {
+		for _, a := range h.d.Handle(now, nil) {
 			if m, ok := a.(TellPeers); ok {
 				if len(m.Body) > 256 {
 					t.Fatalf("message of %d bytes", len(m.Body))
 				}
-				heard.handle(PeerSaid{Peer: 1, Body: m.Body})
+				receiver.handle(PeerSaid{Peer: 1, Body: m.Body})
 			}
 		}
 	}
-	if n := len(heard.d.peers[1].load); n != 100 {
+	if n := len(receiver.d.peers[1].load); n != 100 {
 		t.Errorf("the peer knows the load of %d workers, want 100", n)
 	}
 }
@@ -469,13 +469,13 @@
 // TestPeersCountAtUnknownWorkers: the load that peers tell once did not count at a
 // worker whose size was not known, so each dispatcher took it for empty.
 func TestPeerLoadCountsAtWorkersOfUnknownSize(t *testing.T) {
-	w := newReadyHarness(t, testSettings(1, false, true, true), 2)
+	h := newReadyHarness(t, testSettings(1, false, true, true), 2)
 	busy := appendLoad(newLoads(true), 1, [2]uint8{8, 0}, unknownLoad)
-	w.handle(PeerSaid{Peer: 1, Body: busy})
-	if got, _ := w.sendRequest(0); got != 2 {
+	h.handle(PeerSaid{Peer: 1, Body: busy})
+	if got, _ := h.sendRequest(0); got != 2 {
 		t.Errorf("went to %d, want the worker that no peer uses", got)
 	}
-	if got, _ := w.sendRequest(0); got != 0 {
+	if got, _ := h.sendRequest(0); got != 0 {
 		t.Errorf("a second job went to %d, though both are full", got)
 	}
 }
@@ -496,25 +496,25 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newReadyHarness(t, testSettings(1, true, false, false), 2)
-			struck, other := w.d.workers[1], w.d.workers[2]
-			w.d.judge(struck, 3)
+			h := newReadyHarness(t, testSettings(1, true, false, false), 2)
+			suspected, other := h.d.workers[1], h.d.workers[2]
+			h.d.judge(suspected, 3)
 			if tt.outage {
-				w.d.judge(other, 3)
+				h.d.judge(other, 3)
 			}
-			r := &request{Request: Request{Class: tt.class, Slots: 1}, c: w.d.classes[tt.class], due: w.now + time.Second}
+			r := &request{Request: Request{Class: tt.class, Slots: 1}, c: h.d.classes[tt.class], due: h.now + time.Second}
 			for range tt.attempts {
 				r.attempts = append(r.attempts, &attempt{w: other, over: true, neverRan: true})
 			}
-			if got := w.d.valid(r, struck, Invalidate{Rule: Overload}); got != tt.want {
+			if got := h.d.valid(r, suspected, Invalidate{Rule: Overload}); got != tt.want {
 				t.Errorf("valid %v, want %v", got, tt.want)
 			}
-			struck.ghost = 2 // once, ghosts barred a worker from the trial that would free them
-			if got := w.d.valid(r, struck, Invalidate{Rule: Overload}); got != tt.want {
+			suspected.ghost = 2 // once, ghosts barred a worker from the trial that would free them
+			if got := h.d.valid(r, suspected, Invalidate{Rule: Overload}); got != tt.want {
 				t.Errorf("valid %v with ghost slots, want %v", got, tt.want)
 			}
-			struck.retryAt = w.now + time.Second
-			if w.d.valid(r, struck, Invalidate{Rule: Overload}) {
+			suspected.retryAt = h.now + time.Second
+			if h.d.valid(r, suspected, Invalidate{Rule: Overload}) {
 				t.Error("valid before its backoff is over")
 			}
 		})
@@ -525,17 +525,17 @@
 // worker at the end of its hold, but only while nothing else waits.
 func TestLastResort(t *testing.T) {
 	for _, alone := range []bool{true, false} {
-		w := newReadyHarness(t, testSettings(1, false, false, false), 2)
-		w.sendRequest(0)
-		w.sendRequest(0)
-		_, j := w.sendRequest(2)
+		h := newReadyHarness(t, testSettings(1, false, false, false), 2)
+		h.sendRequest(0)
+		h.sendRequest(0)
+		_, req := h.sendRequest(2)
 		if !alone {
-			w.sendRequest(2)
+			h.sendRequest(2)
 		}
-		w.now += 150 * ms
-		w.handle(Wake{})
-		if sent := len(j.attempts) == 1; sent != alone || j.answered == alone {
-			t.Errorf("alone %v: sent %v, answered %v", alone, sent, j.answered)
+		h.now += 150 * ms
+		h.handle(Wake{})
+		if sent := len(req.attempts) == 1; sent != alone || req.answered == alone {
+			t.Errorf("alone %v: sent %v, answered %v", alone, sent, req.answered)
 		}
 	}
 }
@@ -545,22 +545,22 @@
 func TestLeastValuableRequestMakesRoom(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Limits.Open = 4
-	w := newReadyHarness(t, s, 1)
-	var js []*testRequest
+	h := newReadyHarness(t, s, 1)
+	var reqs []*testRequest
 	answered := func(class int, want ...bool) {
-		_, j := w.sendRequest(class)
-		js = append(js, j)
-		for i, j := range js {
-			if j.answered != want[i] {
-				t.Errorf("with %d requests: request %d answered %v, want %v", len(js), i, j.answered, want[i])
+		_, req := h.sendRequest(class)
+		reqs = append(reqs, req)
+		for i, req := range reqs {
+			if req.answered != want[i] {
+				t.Errorf("with %d requests: request %d answered %v, want %v", len(reqs), i, req.answered, want[i])
 			}
 		}
 	}
 	answered(0, false) // sent
 	answered(0, false, false)
 	answered(0, false, false, false)
-	w.now += 150 * ms // the two that wait are late
-	w.handle(Wake{})
+	h.now += 150 * ms // the two that wait are late
+	h.handle(Wake{})
 	answered(0, false, false, false, false)
 	answered(1, false, false, true, false, false)
 	answered(1, false, true, true, false, false, false)
@@ -573,10 +573,10 @@
 func TestRefusedRequestsLeaveTheQueue(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Limits.Open = 9
-	w := newReadyHarness(t, s, 1)
+	h := newReadyHarness(t, s, 1)
 	for i := range 300 {
-		w.sendRequest(i % 2)
-		if held := w.d.held(); held > s.Limits.Open {
+		h.sendRequest(i % 2)
+		if held := h.d.held(); held > s.Limits.Open {
 			t.Fatalf("%d wait after %d requests", held, i+1)
 		}
 	}
@@ -586,10 +586,10 @@
 func TestOpenRequestsAreBounded(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Limits.Open = 2
-	w := newReadyHarness(t, s, 1)
+	h := newReadyHarness(t, s, 1)
 	for i, want := range []bool{false, false, true} {
-		if _, j := w.sendRequest(0); j.answered != want {
-			t.Errorf("request %d answered %v, want %v", i, j.answered, want)
+		if _, req := h.sendRequest(0); req.answered != want {
+			t.Errorf("request %d answered %v, want %v", i, req.answered, want)
 		}
 	}
 }
@@ -598,17 +598,17 @@
 // where its class allows a repeat, and the worker that stands still gets nothing new.
 func TestStalledJobIsCopied(t *testing.T) {
 	for class, want := range []int{2, 1, 1} { // the keyed one is past its window by then
-		w := newReadyHarness(t, testSettings(1, true, false, false), 2)
-		at, j := w.sendRequest(class)
-		w.handle(JobStarted{j.ID, 0})
+		h := newReadyHarness(t, testSettings(1, true, false, false), 2)
+		at, req := h.sendRequest(class)
+		h.handle(JobStarted{req.ID, 0})
 		for range 95 {
-			w.now += 8 * ms
-			w.handle(Wake{})
+			h.now += 8 * ms
+			h.handle(Wake{})
 		}
-		if len(j.attempts) != want {
-			t.Errorf("class %d: %d attempts, want %d", class, len(j.attempts), want)
+		if len(req.attempts) != want {
+			t.Errorf("class %d: %d attempts, want %d", class, len(req.attempts), want)
 		}
-		if got, _ := w.sendRequest(2); got == at {
+		if got, _ := h.sendRequest(2); got == at {
 			t.Errorf("class %d: the standing worker got an unsafe job", class)
 		}
 	}
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -11,45 +11,45 @@
 // one, and the number of attempts binds both.
 func TestSettingsChangeWithRequestsInProgress(t *testing.T) {
 	s := testSettings(1, true, false, false)
-	w := newReadyHarness(t, s, 4)
-	_, before := w.sendRequest(0)
+	h := newReadyHarness(t, s, 4)
+	_, earlier := h.sendRequest(0)
 	s.Classes = slices.Clone(s.Classes)
 	s.Classes[0].Effect = Unsafe // stricter
 	s.Classes[1].Left = true
 	s.Classes = append(s.Classes, Class{Aim: 50 * ms, Deadline: time.Second, Worth: 1, Effect: Safe, Kind: Any})
-	if err := w.d.Retune(s); err != nil {
+	if err := h.d.Retune(s); err != nil {
 		t.Fatal(err)
 	}
-	w.s = s
-	_, after := w.sendRequest(0)
-	to, fresh := w.sendRequest(3)
+	h.s = s
+	_, later := h.sendRequest(0)
+	to, fresh := h.sendRequest(3)
 	if to == 0 {
 		t.Fatal("a new class finds no worker")
 	}
-	w.handle(w.endAttempt(after, 0, Reset, nil))
-	if !after.answered || len(after.attempts) != 1 {
+	h.handle(h.endAttempt(later, 0, Reset, nil))
+	if !later.answered || len(later.attempts) != 1 {
 		t.Error("what came since is repeated though it must not be")
 	}
-	w.s.Classes = slices.Clone(s.Classes)
-	w.s.Classes[0].Effect = Safe // what the one in hand is held against
-	w.handle(w.endAttempt(before, 0, Reset, nil))
-	if before.answered || len(before.attempts) != 2 {
+	h.s.Classes = slices.Clone(s.Classes)
+	h.s.Classes[0].Effect = Safe // what the one in hand is held against
+	h.handle(h.endAttempt(earlier, 0, Reset, nil))
+	if earlier.answered || len(earlier.attempts) != 2 {
 		t.Error("what was in hand has lost its class")
 	}
-	w.s = s
+	h.s = s
 	s.Limits.Attempts = 1
-	if err := w.d.Retune(s); err != nil {
+	if err := h.d.Retune(s); err != nil {
 		t.Fatal(err)
 	}
-	w.handle(w.endAttempt(fresh, 0, Reset, nil))
+	h.handle(h.endAttempt(fresh, 0, Reset, nil))
 	if !fresh.answered || len(fresh.attempts) != 1 {
 		t.Error("it had more attempts than are allowed now")
 	}
 	s.Classes = s.Classes[:3]
-	if w.d.Retune(s) == nil {
+	if h.d.Retune(s) == nil {
 		t.Error("a class has lost its number")
 	}
-	if s.Limits.Attempts = 0; w.d.Retune(s) == nil || w.d.s.Limits.Attempts != 1 {
+	if s.Limits.Attempts = 0; h.d.Retune(s) == nil || h.d.s.Limits.Attempts != 1 {
 		t.Error("settings that cannot be followed count")
 	}
 }
@@ -76,33 +76,33 @@
 		{Aim: 200 * ms, Deadline: 4 * time.Second, Worth: 2, Kind: Any}, {Aim: 300 * ms, Deadline: 3 * time.Second, Worth: 3, Kind: Any},
 	}
 	s.Tenants = []Tenant{{QuotaPerSecond: 500}, {QuotaPerSecond: 7}}
-	w := newReadyHarness(t, s, 3)
-	for _, c := range w.d.classes {
+	h := newReadyHarness(t, s, 3)
+	for _, c := range h.d.classes {
 		c.run, c.logRun, c.jobs = c.Aim.Seconds(), math.Log(c.Aim.Seconds()), 40
 	}
-	for _, r := range w.d.workers {
-		r.refusals[2].Until, r.refusals[3].Until = w.now+time.Minute, w.now+time.Minute
+	for _, wk := range h.d.workers {
+		wk.refusals[2].Until, wk.refusals[3].Until = h.now+time.Minute, h.now+time.Minute
 	}
-	if err := w.d.Retune(withRemoved(s, 2, 1)); err != nil {
+	if err := h.d.Retune(withRemoved(s, 2, 1)); err != nil {
 		t.Fatal(err)
 	}
-	gone := withRemoved(s, 2, 1)
-	if gone.First = 1; w.d.Retune(gone) == nil {
+	removedFirst := withRemoved(s, 2, 1)
+	if removedFirst.First = 1; h.d.Retune(removedFirst) == nil {
 		t.Error("a class that has left is the first")
 	}
-	d := w.d
+	d := h.d
 	_, avoided := d.Fleet()
-	for name, is := range map[string][2]any{
+	for name, gotWant := range map[string][2]any{
 		"pace": {d.pace(), 200 * ms}, "longest deadline": {d.longestDeadline(), 4 * time.Second}, "longest run": {math.Round(1000 * d.longest()), 300.0},
 		"agreed rate": {d.agreed(), 7.0}, "usual run": {d.usual(0) < 0.31, true}, "mean worth": {d.worth(), 2.5}, "avoided": {avoided, 3},
 		"span of attempts": {d.budget.Span, 4 * time.Second},
 	} {
-		if is[0] != is[1] {
-			t.Errorf("%s: %v, not %v", name, is[0], is[1])
+		if gotWant[0] != gotWant[1] {
+			t.Errorf("%s: %v, not %v", name, gotWant[0], gotWant[1])
 		}
 	}
-	w.handle(Wake{})
-	if at := w.d.ordered - w.now; at != 200*ms {
+	h.handle(Wake{})
+	if at := h.d.ordered - h.now; at != 200*ms {
 		t.Errorf("the fleet is sorted again after %v", at)
 	}
 }
@@ -112,46 +112,46 @@
 func TestRedefinedClassForgetsItsJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].Deadline = 10 * time.Second
-	w := newReadyHarness(t, s, 1)
-	w.d.classes[0].run, w.d.classes[0].jobs = 60, 200
-	w.handle(w.newRequest(0, 10*time.Second).Request)
-	kept := s
-	kept.Classes = slices.Clone(s.Classes)
-	kept.Classes[0].Worth, kept.Classes[0].Effect = 77, Unsafe
-	if err := w.d.Retune(kept); err != nil || w.d.classes[0].jobs != 200 || w.d.classes[0].budget != 10*time.Second {
+	h := newReadyHarness(t, s, 1)
+	h.d.classes[0].run, h.d.classes[0].jobs = 60, 200
+	h.handle(h.newRequest(0, 10*time.Second).Request)
+	sameJobs := s
+	sameJobs.Classes = slices.Clone(s.Classes)
+	sameJobs.Classes[0].Worth, sameJobs.Classes[0].Effect = 77, Unsafe
+	if err := h.d.Retune(sameJobs); err != nil || h.d.classes[0].jobs != 200 || h.d.classes[0].budget != 10*time.Second {
 		t.Errorf("what a job is worth says nothing of how long it runs: %v", err)
 	}
-	w.d.workers[1].refusals[0], w.d.workers[1].errs[0] = refusal{3, w.now + time.Minute}, tally{8, 1}
-	next := s
-	next.Classes = slices.Clone(s.Classes)
-	next.Classes[0].Aim, next.Classes[0].Deadline = 300*ms, 6*time.Second
-	if err := w.d.Retune(next); err != nil {
+	h.d.workers[1].refusals[0], h.d.workers[1].errs[0] = refusal{3, h.now + time.Minute}, tally{8, 1}
+	otherJobs := s
+	otherJobs.Classes = slices.Clone(s.Classes)
+	otherJobs.Classes[0].Aim, otherJobs.Classes[0].Deadline = 300*ms, 6*time.Second
+	if err := h.d.Retune(otherJobs); err != nil {
 		t.Fatal(err)
 	}
-	w.s = next
-	if c := w.d.classes[0]; c.run != 0 || c.jobs != 0 || w.d.workers[1].refusals[0].N != 0 || w.d.workers[1].errs[0].Share != 0 {
+	h.s = otherJobs
+	if c := h.d.classes[0]; c.run != 0 || c.jobs != 0 || h.d.workers[1].refusals[0].N != 0 || h.d.workers[1].errs[0].Share != 0 {
 		t.Error("what was learned of the jobs of before is kept")
 	}
-	j := w.newRequest(0, 6*time.Second)
-	w.handle(j.Request)
-	if r := w.d.requests[j.ID]; r.limit != w.now+300*ms {
-		t.Errorf("its aim is over in %v", r.limit-w.now)
+	req := h.newRequest(0, 6*time.Second)
+	h.handle(req.Request)
+	if r := h.d.requests[req.ID]; r.limit != h.now+300*ms {
+		t.Errorf("its aim is over in %v", r.limit-h.now)
 	}
 }
 
 // A request that waits while its class changes kept the workers of that moment for good: it went to none that the list told of later.
 func TestWaitingRequestSeesNewWorkers(t *testing.T) {
-	w := newHarness(t, testSettings(1, true, false, false))
-	w.handle(ListFull{})
-	j := w.newRequest(0, time.Second)
-	w.handle(j.Request)
-	if err := w.d.Retune(withRemoved(w.s, 1, 0)); err != nil {
+	h := newHarness(t, testSettings(1, true, false, false))
+	h.handle(ListFull{})
+	req := h.newRequest(0, time.Second)
+	h.handle(req.Request)
+	if err := h.d.Retune(withRemoved(h.s, 1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	w.now += time.Millisecond
-	w.list[1] = Worker{ID: 1, State: Ready}
-	for _, a := range w.handle(ListDelta{Workers: []Worker{{ID: 1, State: Ready}}}) {
-		if s, ok := a.(Send); ok && s.Request == j.ID {
+	h.now += time.Millisecond
+	h.list[1] = Worker{ID: 1, State: Ready}
+	for _, a := range h.handle(ListDelta{Workers: []Worker{{ID: 1, State: Ready}}}) {
+		if s, ok := a.(Send); ok && s.Request == req.ID {
 			return
 		}
 	}
@@ -163,31 +163,31 @@
 func TestStateDerivedFromOldSettingsIsReset(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Limits.ConnIdle, s.Limits.ConnectTimeout = 400, 64*time.Second, 2*time.Second
-	w := newHarness(t, s)
-	w.list[1] = Worker{ID: 1, State: Ready, Started: w.now - time.Second}
-	w.handle(ListFull{Workers: []Worker{w.list[1]}})
-	w.d.workers[1].coldNext = w.now + time.Minute
-	w.d.ages[4], w.d.setups, w.d.stall = tally{6, 1}, [4]time.Duration{time.Second, time.Second, time.Second, time.Second}, time.Minute
-	same := s
-	same.Prices.Waste = 0.5
-	if err := w.d.Retune(same); err != nil || w.d.workers[1].coldNext == 0 || w.d.ages[4].N == 0 {
+	h := newHarness(t, s)
+	h.list[1] = Worker{ID: 1, State: Ready, Started: h.now - time.Second}
+	h.handle(ListFull{Workers: []Worker{h.list[1]}})
+	h.d.workers[1].coldNext = h.now + time.Minute
+	h.d.ages[4], h.d.setups, h.d.stall = tally{6, 1}, [4]time.Duration{time.Second, time.Second, time.Second, time.Second}, time.Minute
+	otherPrice := s
+	otherPrice.Prices.Waste = 0.5
+	if err := h.d.Retune(otherPrice); err != nil || h.d.workers[1].coldNext == 0 || h.d.ages[4].N == 0 {
 		t.Errorf("a price says nothing of these: %v", err)
 	}
-	w.d.order[0], w.d.order[3] = w.d.order[3], w.d.order[0]
+	h.d.order[0], h.d.order[3] = h.d.order[3], h.d.order[0]
 	next := s
 	next.Dispatchers, next.Limits.ConnIdle, next.Limits.ConnectTimeout, next.Rules.FallWindow = 1, 4*time.Second, 50*ms, 500*ms
-	if err := w.d.Retune(next); err != nil {
+	if err := h.d.Retune(next); err != nil {
 		t.Fatal(err)
 	}
-	if d := w.d; d.workers[1].coldNext != 0 || d.ages[4].N != 0 || d.setup() != 50*ms || d.stall != 500*ms || !slices.IsSorted(d.order) {
+	if d := h.d; d.workers[1].coldNext != 0 || d.ages[4].N != 0 || d.setup() != 50*ms || d.stall != 500*ms || !slices.IsSorted(d.order) {
 		t.Errorf("turn %v, ages %v, setup %v, stall %v", d.workers[1].coldNext, d.ages, d.setup(), d.stall)
 	}
 	warm := next
 	warm.Rules.Cold = 0
-	if err := w.d.Retune(warm); err != nil || len(w.d.owed) != 0 {
-		t.Errorf("%d are owed a job where none is cold: %v", len(w.d.owed), err)
+	if err := h.d.Retune(warm); err != nil || len(h.d.owed) != 0 {
+		t.Errorf("%d are owed a job where none is cold: %v", len(h.d.owed), err)
 	}
-	if err := w.d.Retune(next); err != nil || len(w.d.owed) != 1 {
-		t.Errorf("%d are owed a job: %v", len(w.d.owed), err)
+	if err := h.d.Retune(next); err != nil || len(h.d.owed) != 1 {
+		t.Errorf("%d are owed a job: %v", len(h.d.owed), err)
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -87,92 +87,92 @@
 		drained: map[uint32]time.Duration{}, cordoned: map[uint32]bool{}}
 }
 
-func (w *harness) handle(events ...Event) []Action {
-	w.t.Helper()
-	actions := w.d.Handle(w.now, events)
+func (h *harness) handle(events ...Event) []Action {
+	h.t.Helper()
+	actions := h.d.Handle(h.now, events)
 	for _, a := range actions {
-		w.checkAction(a)
+		h.checkAction(a)
 	}
 	return actions
 }
 
-func (w *harness) checkAction(a Action) {
-	w.t.Helper()
+func (h *harness) checkAction(a Action) {
+	h.t.Helper()
 	switch a := a.(type) {
 	case WakeMe:
-		w.timers = append(w.timers, w.now+max(a.After, w.s.Granularity))
+		h.timers = append(h.timers, h.now+max(a.After, h.s.Granularity))
 	case Send:
-		w.checkSend(a)
+		h.checkSend(a)
 	case Refuse:
-		j := w.requests[a.Request]
-		c := w.s.Classes[j.Class]
-		for i, tr := range j.attempts {
-			if c.Effect != Safe && !(tr.over && tr.neverRan) {
-				w.t.Fatalf("rule 2: request %d refused though attempt %d may have run", a.Request, i)
+		req := h.requests[a.Request]
+		c := h.s.Classes[req.Class]
+		for i, att := range req.attempts {
+			if c.Effect != Safe && !(att.over && att.neverRan) {
+				h.t.Fatalf("rule 2: request %d refused though attempt %d may have run", a.Request, i)
 			}
 		}
-		w.recordAnswer(a.Request)
+		h.recordAnswer(a.Request)
 	case FailRequest:
-		w.recordAnswer(a.Request)
+		h.recordAnswer(a.Request)
 	case Cancel:
-		if j := w.requests[a.Request]; a.Attempt >= len(j.attempts) {
-			w.t.Fatalf("cancel of attempt %d that was never made", a.Attempt)
+		if req := h.requests[a.Request]; a.Attempt >= len(req.attempts) {
+			h.t.Fatalf("cancel of attempt %d that was never made", a.Attempt)
 		}
 	}
 }
 
-func (w *harness) checkSend(a Send) {
-	j, to := w.requests[a.Request], w.list[a.Worker]
-	c := w.s.Classes[j.Class]
-	if j.answered || w.now >= j.due {
-		w.t.Fatalf("rule 1: request %d sent after its end", a.Request)
+func (h *harness) checkSend(a Send) {
+	req, to := h.requests[a.Request], h.list[a.Worker]
+	c := h.s.Classes[req.Class]
+	if req.answered || h.now >= req.due {
+		h.t.Fatalf("rule 1: request %d sent after its end", a.Request)
 	}
-	if to.State == Draining || w.drained[a.Worker] == to.Started+1 || to.State == Gone && !w.s.Rules.GoneIsAdvice {
-		w.t.Fatalf("rule 3: request %d sent to worker %d in state %d", a.Request, a.Worker, to.State)
+	if to.State == Draining || h.drained[a.Worker] == to.Started+1 || to.State == Gone && !h.s.Rules.GoneIsAdvice {
+		h.t.Fatalf("rule 3: request %d sent to worker %d in state %d", a.Request, a.Worker, to.State)
 	}
-	if w.cordoned[a.Worker] {
-		w.t.Fatalf("request %d sent to worker %d, which is left out by hand", a.Request, a.Worker)
+	if h.cordoned[a.Worker] {
+		h.t.Fatalf("request %d sent to worker %d, which is left out by hand", a.Request, a.Worker)
 	}
-	if j.sent() >= w.s.Limits.Attempts {
-		w.t.Fatalf("request %d: more attempts than allowed", a.Request)
+	if req.sent() >= h.s.Limits.Attempts {
+		h.t.Fatalf("request %d: more attempts than allowed", a.Request)
 	}
-	for i, tr := range j.attempts {
-		if !tr.over && !w.s.Limits.SecondCopies {
-			w.t.Fatalf("request %d: second copy though not allowed", a.Request)
+	for i, att := range req.attempts {
+		if !att.over && !h.s.Limits.SecondCopies {
+			h.t.Fatalf("request %d: second copy though not allowed", a.Request)
 		}
-		risky := !(tr.over && tr.neverRan)
+		risky := !(att.over && att.neverRan)
 		if risky && c.Effect == Unsafe ||
-			risky && c.Effect == Keyed && (w.now-tr.sent >= c.Window || tr.worker.Zone != to.Zone) {
-			w.t.Fatalf("rule 2: request %d repeated though attempt %d may have run", a.Request, i)
+			risky && c.Effect == Keyed && (h.now-att.sent >= c.Window || att.worker.Zone != to.Zone) {
+			h.t.Fatalf("rule 2: request %d repeated though attempt %d may have run", a.Request, i)
 		}
 	}
-	if to.Started > 0 && w.now-to.Started < w.s.Rules.Cold {
+	if to.Started > 0 && h.now-to.Started < h.s.Rules.Cold {
 		// Rule 4, loosely: this dispatcher's half of the budget for a worker of 4 slots at
 		// its coldest, in jobs of the shortest run time that this world has.
-		w.coldSends[a.Worker] = append(w.coldSends[a.Worker], w.now)
+		h.coldSends[a.Worker] = append(h.coldSends[a.Worker], h.now)
 		recent := 0
-		for _, at := range w.coldSends[a.Worker] {
-			if w.now-at < w.s.Rules.FallWindow {
+		for _, at := range h.coldSends[a.Worker] {
+			if h.now-at < h.s.Rules.FallWindow {
 				recent++
 			}
 		}
-		budget := w.s.Rules.FallMultiple * 4 * w.s.Rules.FallWindow.Seconds() / float64(w.s.Dispatchers) / 0.05
+		budget := h.s.Rules.FallMultiple * 4 * h.s.Rules.FallWindow.Seconds() / float64(h.s.Dispatchers) / 0.05
 		if float64(recent) > budget {
-			w.t.Fatalf("rule 4: %d jobs to cold worker %d in one window", recent, a.Worker)
+			h.t.Fatalf("rule 4: %d jobs to cold worker %d in one window", recent, a.Worker)
 		}
 	}
-	further := j.sent() > 0
-	j.attempts = append(j.attempts, &testAttempt{worker: to, sent: w.now})
+	further := req.sent() > 0
+	req.attempts = append(req.attempts, &testAttempt{worker: to, sent: h.now})
 	if further {
-		w.extraAttempts = append(w.extraAttempts, j.attempts[len(j.attempts)-1])
-		w.checkAttemptBudget()
+		h.extraAttempts = append(h.extraAttempts, req.attempts[len(req.attempts)-1])
+		h.checkAttemptBudget()
 	}
 }
 
 // sent is how many attempts of a job went out, or may have.
-func (j *testRequest) sent() (n int) {
-	for _, tr := range j.attempts {
-		if !tr.unsent {
+func (req *testRequest) sent() (n int) {
+	for _, att := range req.attempts {
+		if !att.unsent {
 			n++
 		}
 	}
@@ -180,83 +180,83 @@
 }
 
 // checkBudget holds the attempts beyond a first of the window that ends now against rule 5.
-func (w *harness) checkAttemptBudget() {
-	b := w.s.Rules.Budget
+func (h *harness) checkAttemptBudget() {
+	b := h.s.Rules.Budget
 	if b == nil {
 		return
 	}
 	further, requests := 0, 0
-	for _, tr := range w.extraAttempts {
-		if w.now-tr.sent <= b.Span && !tr.unsent {
+	for _, att := range h.extraAttempts {
+		if h.now-att.sent <= b.Span && !att.unsent {
 			further++
 		}
 	}
-	for _, at := range w.arrivals {
-		if w.now-at < b.Span {
+	for _, at := range h.arrivals {
+		if h.now-at < b.Span {
 			requests++
 		}
 	}
 	if allowed := b.Spare + b.PerRequest*float64(requests); float64(further) > allowed {
-		w.t.Fatalf("rule 5: %d further attempts where %v are allowed", further, allowed)
+		h.t.Fatalf("rule 5: %d further attempts where %v are allowed", further, allowed)
 	}
 }
 
-func (w *harness) recordAnswer(id uint32) {
-	if j := w.requests[id]; j.answered {
-		w.t.Fatalf("rule 1: request %d answered twice", id)
+func (h *harness) recordAnswer(id uint32) {
+	if req := h.requests[id]; req.answered {
+		h.t.Fatalf("rule 1: request %d answered twice", id)
 	} else {
-		j.answered = true
+		req.answered = true
 	}
 }
 
-func (w *harness) newRequest(class int, budget time.Duration) *testRequest {
-	id := uint32(len(w.requests) + 1)
-	j := &testRequest{Request: Request{ID: id, Class: class, Budget: budget, Slots: 1}, due: w.now + budget}
-	w.requests[id] = j
-	w.active = append(w.active, id)
-	w.arrivals = append(w.arrivals, w.now)
-	return j
+func (h *harness) newRequest(class int, budget time.Duration) *testRequest {
+	id := uint32(len(h.requests) + 1)
+	req := &testRequest{Request: Request{ID: id, Class: class, Budget: budget, Slots: 1}, due: h.now + budget}
+	h.requests[id] = req
+	h.active = append(h.active, id)
+	h.arrivals = append(h.arrivals, h.now)
+	return req
 }
 
 // end gives attempt n of a job its outcome.
-func (w *harness) endAttempt(j *testRequest, n int, o Outcome, r *Report) AttemptEnded {
-	tr := j.attempts[n]
-	tr.over, tr.neverRan, tr.unsent = true, o.NeverRan(), o == Moot
-	if o == OK && !j.answered {
-		j.answered = true
-		return AttemptEnded{j.ID, n, o, true, r, 0}
-	}
-	return AttemptEnded{j.ID, n, o, j.answered, r, 0}
+func (h *harness) endAttempt(req *testRequest, n int, o Outcome, r *Report) AttemptEnded {
+	att := req.attempts[n]
+	att.over, att.neverRan, att.unsent = true, o.NeverRan(), o == Moot
+	if o == OK && !req.answered {
+		req.answered = true
+		return AttemptEnded{req.ID, n, o, true, r, 0}
+	}
+	return AttemptEnded{req.ID, n, o, req.answered, r, 0}
 }
 
-func (w *harness) step(load float64) {
-	w.now += w.s.Granularity
+func (h *harness) step(load float64) {
+	h.now += h.s.Granularity
 	var events []Event
-	for len(w.timers) > 0 && w.timers[0] <= w.now {
-		w.timers = w.timers[1:]
+	for len(h.timers) > 0 && h.timers[0] <= h.now {
+		h.timers = h.timers[1:]
 		events = append(events, Wake{})
 	}
-	if w.rng.Float64() < 0.01 {
-		events = append(events, w.randomListChange())
+	if h.rng.Float64() < 0.01 {
+		events = append(events, h.randomListChange())
 	}
-	if w.rng.Float64() < load {
-		events = append(events, w.newRequest(w.rng.IntN(len(w.s.Classes)), time.Second).Request)
+	if h.rng.Float64() < load {
+		events = append(events, h.newRequest(h.rng.IntN(len(h.s.Classes)), time.Second).Request)
 	}
-	for _, id := range w.active {
-		j := w.requests[id]
-		for n, tr := range j.attempts {
-			if tr.over {
+	for _, id := range h.active {
+		req := h.requests[id]
+		for n, att := range req.attempts {
+			if att.over {
 				continue
 			}
-			if w.now >= j.due {
-				events = append(events, w.endAttempt(j, n, TimedOut, nil))
-			} else if p := w.rng.Float64(); p < 0.03 {
-				o := []Outcome{OK, OK, OK, Errored, Full, ConnectFailed, Reset, Cancelled, Moot}[w.rng.IntN(9)]
+			if h.now >= req.due {
+				events = append(events, h.endAttempt(req, n, TimedOut, nil))
+			} else if p := h.rng.Float64(); p < 0.03 {
+				o := []Outcome{OK, OK, OK, Errored, Full, ConnectFailed, Reset, Cancelled, Moot}[h.rng.IntN(9)]
 				var r *Report
-				if w.s.ReportsFree {
-					r = &Report{Active: -1, Waiting: 0, FreeSlots: float64(w.rng.IntN(3)), FreeMemory: -1}
+				if h.s.ReportsFree {
+					r = &Report{Active: -1, Waiting: 0, FreeSlots: float64(h.rng.IntN(3)), FreeMemory: -1}
 				}
-				events = append(events, w.endAttempt(j, n, o, r))
+				events = append(events, h.endAttempt(req, n, o, r))
 			} else if p < 0.06 {
 				events = append(events, JobStarted{id, n})
 			} else if p < 0.07 {
@@ -264,31 +264,31 @@
 			}
 		}
 	}
-	w.handle(events...)
-	for _, id := range w.active {
-		if j := w.requests[id]; !j.answered && w.now > j.due+w.s.Rules.AnswerSlack {
-			w.t.Fatalf("rule 1: request %d has no answer in time", id)
+	h.handle(events...)
+	for _, id := range h.active {
+		if req := h.requests[id]; !req.answered && h.now > req.due+h.s.Rules.AnswerSlack {
+			h.t.Fatalf("rule 1: request %d has no answer in time", id)
 		}
 	}
-	w.active = slices.DeleteFunc(w.active, func(id uint32) bool {
-		j := w.requests[id]
-		return j.answered && !slices.ContainsFunc(j.attempts, func(tr *testAttempt) bool { return !tr.over })
+	h.active = slices.DeleteFunc(h.active, func(id uint32) bool {
+		req := h.requests[id]
+		return req.answered && !slices.ContainsFunc(req.attempts, func(att *testAttempt) bool { return !att.over })
 	})
-	w.active = slices.Clip(w.active)
+	h.active = slices.Clip(h.active)
 }
 
 // change makes one worker drain, go, come or start anew.
-func (w *harness) randomListChange() Event {
-	id := uint32(w.rng.IntN(6) + 1)
-	l := Worker{ID: id, Zone: int(id % 2), State: WorkerState(w.rng.IntN(3)), Started: w.list[id].Started}
-	if old := w.rng.Float64() < 0.2; l.State == Ready && !old {
-		l.Started = w.now
+func (h *harness) randomListChange() Event {
+	id := uint32(h.rng.IntN(6) + 1)
+	l := Worker{ID: id, Zone: int(id % 2), State: WorkerState(h.rng.IntN(3)), Started: h.list[id].Started}
+	if old := h.rng.Float64() < 0.2; l.State == Ready && !old {
+		l.Started = h.now
 	}
 	if l.State == Draining {
-		w.drained[id] = l.Started + 1
+		h.drained[id] = l.Started + 1
 	}
-	w.list[id] = l
-	if w.s.Rules.GoneIsAdvice && w.rng.Float64() < 0.2 {
+	h.list[id] = l
+	if h.s.Rules.GoneIsAdvice && h.rng.Float64() < 0.2 {
 		return ListFull{Workers: []Worker{l}} // the others are left out
 	}
 	return ListDelta{Workers: []Worker{l}}
@@ -308,32 +308,32 @@
 }
 
 // randomDayWith does something before each step.
-func playRandomEventsWith(t *testing.T, s Settings, steps int, before func(w *harness, step int)) {
+func playRandomEventsWith(t *testing.T, s Settings, steps int, before func(h *harness, step int)) {
 	t.Helper()
-	w := newHarness(t, s)
+	h := newHarness(t, s)
 	var lines []Worker
 	for id := range uint32(6) {
 		l := Worker{ID: id + 1, Zone: int(id+1) % 2, State: Ready}
-		w.list[l.ID] = l
+		h.list[l.ID] = l
 		lines = append(lines, l)
 	}
-	w.handle(ListFull{Workers: lines, Cached: true})
+	h.handle(ListFull{Workers: lines, Cached: true})
 	for i := range steps {
-		before(w, i)
-		w.step(0.3)
+		before(h, i)
+		h.step(0.3)
 	}
 	for range 2000 { // no more arrivals: everything must drain
-		w.step(0)
+		h.step(0)
 	}
-	if n := len(w.d.requests); n != 0 {
+	if n := len(h.d.requests); n != 0 {
 		t.Errorf("%d requests are kept after the last answer", n)
 	}
-	for _, q := range w.d.queues {
+	for _, q := range h.d.queues {
 		if len(q) != 0 {
 			t.Errorf("a queue still holds %d", len(q))
 		}
 	}
-	for _, wk := range w.d.fleet {
+	for _, wk := range h.d.fleet {
 		if wk.own != 0 || wk.running != 0 {
 			t.Errorf("worker %d keeps %v slots and %v running", wk.ID, wk.own, wk.running)
 		}
@@ -351,13 +351,13 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() string {
-		w := newHarness(t, testSettings(5, true, false, true))
+		h := newHarness(t, testSettings(5, true, false, true))
 		out := ""
-		w.list[1], w.list[2] = Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready}
-		out += fmt.Sprint(w.handle(ListFull{Workers: []Worker{w.list[1], w.list[2]}, Cached: true}))
+		h.list[1], h.list[2] = Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready}
+		out += fmt.Sprint(h.handle(ListFull{Workers: []Worker{h.list[1], h.list[2]}, Cached: true}))
 		for i := range 40 {
-			w.now += 5 * ms
-			out += fmt.Sprint(w.handle(Wake{}, w.newRequest(i%3, time.Second).Request))
+			h.now += 5 * ms
+			out += fmt.Sprint(h.handle(Wake{}, h.newRequest(i%3, time.Second).Request))
 		}
 		return out
 	}
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -16,16 +16,16 @@
 // small part of its load; jobs went to full workers that looked empty.
 func TestReportsRevealOthersLoad(t *testing.T) {
 	for _, active := range []float64{4, 1} {
-		w := newReadyHarness(t, manyDispatchers(false, true, true), 2)
-		for _, wk := range w.d.workers {
+		h := newReadyHarness(t, manyDispatchers(false, true, true), 2)
+		for _, wk := range h.d.workers {
 			wk.slots = 4
 		}
-		first, j := w.sendRequest(0)
-		w.now += 100 * ms
-		w.handle(w.endAttempt(j, 0, OK, &Report{Active: active, FreeSlots: 0, FreeMemory: -1}))
-		at := w.d.workers[first]
+		first, req := h.sendRequest(0)
+		h.now += 100 * ms
+		h.handle(h.endAttempt(req, 0, OK, &Report{Active: active, FreeSlots: 0, FreeMemory: -1}))
+		at := h.d.workers[first]
 		at.own = 1 // and another job of ours
-		if got, _ := w.sendRequest(0); (got == first) != (active == 1) {
+		if got, _ := h.sendRequest(0); (got == first) != (active == 1) {
 			t.Errorf("with %v reported held, the next job went to %d, the first to %d", active, got, first)
 		}
 	}
@@ -36,25 +36,25 @@
 func TestLoadIsSentToTheOwnGroupOnly(t *testing.T) {
 	s := manyDispatchers(false, true, true)
 	s.Dispatcher = 3
-	w := newReadyHarness(t, s, 2)
-	_, j := w.sendRequest(0)
-	w.now += 100 * ms
-	told := map[int][]byte{}
-	for _, a := range w.handle(w.endAttempt(j, 0, OK, &Report{Active: 4, FreeSlots: 1, FreeMemory: -1})) {
+	h := newReadyHarness(t, s, 2)
+	_, req := h.sendRequest(0)
+	h.now += 100 * ms
+	messages := map[int][]byte{}
+	for _, a := range h.handle(h.endAttempt(req, 0, OK, &Report{Active: 4, FreeSlots: 1, FreeMemory: -1})) {
 		if m, ok := a.(TellPeers); ok {
-			told[m.To] = m.Body
+			messages[m.To] = m.Body
 		}
 	}
-	if len(told) == 0 || len(told) > partySize {
-		t.Fatalf("told %d peers", len(told))
+	if len(messages) == 0 || len(messages) > partySize {
+		t.Fatalf("told %d peers", len(messages))
 	}
-	for n, body := range told {
+	for n, body := range messages {
 		peer := newReadyHarness(t, s, 2)
-		if n%w.d.parties() != w.d.party() || n == s.Dispatcher {
+		if n%h.d.parties() != h.d.party() || n == s.Dispatcher {
 			t.Errorf("told dispatcher %d", n)
 		}
 		peer.handle(PeerSaid{Peer: 3, Body: body})
-		if got := peer.d.workers[j.attempts[0].worker.ID].foreign; got != 3 {
+		if got := peer.d.workers[req.attempts[0].worker.ID].foreign; got != 3 {
 			t.Errorf("the peer takes others to hold %v, want 3", got)
 		}
 	}
@@ -65,26 +65,26 @@
 func TestFailingZoneIsAvoided(t *testing.T) {
 	s := manyDispatchers(true, false, false)
 	s.Limits.Attempts = 1
-	w := newHarness(t, s)
+	h := newHarness(t, s)
 	var lines []Worker
 	for id := range uint32(200) {
 		l := Worker{ID: id + 1, Zone: int(id % 2), State: Ready}
-		w.list[l.ID] = l
+		h.list[l.ID] = l
 		lines = append(lines, l)
 	}
-	w.handle(ListFull{Workers: lines})
+	h.handle(ListFull{Workers: lines})
 	lost := 0
 	for i := range 80 {
-		w.now += 200 * ms
-		at, j := w.sendRequest(2)
-		if w.now += 10 * ms; w.list[at].Zone == 0 {
-			w.handle(w.endAttempt(j, 0, ConnectFailed, nil))
+		h.now += 200 * ms
+		at, req := h.sendRequest(2)
+		if h.now += 10 * ms; h.list[at].Zone == 0 {
+			h.handle(h.endAttempt(req, 0, ConnectFailed, nil))
 			if i >= 40 {
 				lost++
 			}
 		} else {
-			w.handle(JobStarted{j.ID, 0})
-			w.handle(w.endAttempt(j, 0, OK, nil))
+			h.handle(JobStarted{req.ID, 0})
+			h.handle(h.endAttempt(req, 0, OK, nil))
 		}
 	}
 	if lost == 0 || lost > 25 {
@@ -96,24 +96,24 @@
 // the others; one that says so at once gets none.
 func TestSlowRefusalBarsOneClassOnly(t *testing.T) {
 	for _, slow := range []bool{true, false} {
-		w := newReadyHarness(t, testSettings(1, true, false, false), 1)
-		_, j := w.sendRequest(0)
-		w.d.now += 5 * ms
+		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
+		_, req := h.sendRequest(0)
+		h.d.now += 5 * ms
 		if slow {
-			w.d.now += 50 * ms
-		}
-		r := w.d.requests[j.ID]
-		w.d.refused(r, r.attempts[0])
-		same := &request{Request: Request{Class: 0, Slots: 1}, c: w.d.classes[0], due: w.now + time.Second}
-		other := &request{Request: Request{Class: 2, Slots: 1}, c: w.d.classes[2], due: w.now + time.Second}
-		w.d.workers[1].ceiling, w.d.trusted = 5, max(w.d.trusted, 1)
-		if w.d.valid(same, w.d.workers[1], Invalidate{Rule: Overload}) {
+			h.d.now += 50 * ms
+		}
+		r := h.d.requests[req.ID]
+		h.d.refused(r, r.attempts[0])
+		same := &request{Request: Request{Class: 0, Slots: 1}, c: h.d.classes[0], due: h.now + time.Second}
+		other := &request{Request: Request{Class: 2, Slots: 1}, c: h.d.classes[2], due: h.now + time.Second}
+		h.d.workers[1].ceiling, h.d.trusted = 5, max(h.d.trusted, 1)
+		if h.d.valid(same, h.d.workers[1], Invalidate{Rule: Overload}) {
 			t.Errorf("slow %v: valid for the class that was refused", slow)
 		}
-		if shed := w.d.admitted < 1; shed == slow {
-			t.Errorf("slow %v: taken for overload %v", slow, shed)
+		if shedding := h.d.admitted < 1; shedding == slow {
+			t.Errorf("slow %v: taken for overload %v", slow, shedding)
 		}
-		if got := w.d.valid(other, w.d.workers[1], Invalidate{Rule: Overload}); got != slow {
+		if got := h.d.valid(other, h.d.workers[1], Invalidate{Rule: Overload}); got != slow {
 			t.Errorf("slow %v: valid for another class %v", slow, got)
 		}
 	}
@@ -125,22 +125,22 @@
 func TestAdmissionUnderOverload(t *testing.T) {
 	for i, late := range []bool{true, false, true} {
 		class := 2 * (i / 2) // worth 5, 9 and 10
-		w := newReadyHarness(t, manyDispatchers(true, false, false), 100)
+		h := newReadyHarness(t, manyDispatchers(true, false, false), 100)
 		sent := 0
 		for i := range 120 {
-			w.now += 20 * ms
-			at, j := w.sendRequest(class)
+			h.now += 20 * ms
+			at, req := h.sendRequest(class)
 			if at == 0 {
 				continue
 			}
-			w.d.crowded(late)
+			h.d.crowded(late)
 			if i >= 60 {
 				sent++
 			}
-			w.handle(JobStarted{j.ID, 0}, w.endAttempt(j, 0, OK, nil))
-			w.d.admitted = min(w.d.admitted, 1)
+			h.handle(JobStarted{req.ID, 0}, h.endAttempt(req, 0, OK, nil))
+			h.d.admitted = min(h.d.admitted, 1)
 			if late {
-				w.d.crowded(late)
+				h.d.crowded(late)
 			}
 		}
 		if (sent < 60) != (late && class == 0) {
@@ -159,9 +159,9 @@
 		s.Classes[i].Worth = 0.7
 	}
 	s.Policies = nil
-	w := newReadyHarness(t, s, 100)
-	w.d.admitted, w.d.tokens = leastAdmitted, 0
-	if at, _ := w.sendRequest(3); at != 0 {
+	h := newReadyHarness(t, s, 100)
+	h.d.admitted, h.d.tokens = leastAdmitted, 0
+	if at, _ := h.sendRequest(3); at != 0 {
 		t.Error("sent without a token")
 	}
 }
@@ -172,18 +172,18 @@
 	for _, slow := range []bool{true, false} {
 		s := testSettings(1, true, false, false)
 		s.Classes[0].LateWorth = 0 // else it stays: few of those move
-		w := newReadyHarness(t, s, 2)
-		for i := range w.d.setups {
+		h := newReadyHarness(t, s, 2)
+		for i := range h.d.setups {
 			if slow {
-				w.d.setups[i] = 80 * ms
+				h.d.setups[i] = 80 * ms
 			}
 		}
-		_, j := w.sendRequest(0)
+		_, req := h.sendRequest(0)
 		for range 5 {
-			w.now += 8 * ms
-			w.handle(Wake{})
+			h.now += 8 * ms
+			h.handle(Wake{})
 		}
-		if moved := len(j.attempts) > 1; moved == slow {
+		if moved := len(req.attempts) > 1; moved == slow {
 			t.Errorf("slow set-up %v: moved %v", slow, moved)
 		}
 	}
@@ -197,14 +197,14 @@
 		if class == 3 { // a safe one where all tell their load
 			class, s.Dispatchers = 0, 4
 		}
-		w := newReadyHarness(t, s, 2)
-		_, j := w.sendRequest(class)
+		h := newReadyHarness(t, s, 2)
+		_, req := h.sendRequest(class)
 		for range 14 { // 112 ms, the aim is 100 ms
-			w.now += 8 * ms
-			w.handle(Wake{})
+			h.now += 8 * ms
+			h.handle(Wake{})
 		}
-		if len(j.attempts) != want {
-			t.Errorf("class %d: %d attempts, want %d", class, len(j.attempts), want)
+		if len(req.attempts) != want {
+			t.Errorf("class %d: %d attempts, want %d", class, len(req.attempts), want)
 		}
 	}
 }
@@ -213,29 +213,29 @@
 // that started its jobs late while others stood idle.
 func TestWorkerWithLateStartsLosesItsRank(t *testing.T) {
 	for _, late := range []bool{true, false} {
-		w := newReadyHarness(t, manyDispatchers(true, false, false), 30)
+		h := newReadyHarness(t, manyDispatchers(true, false, false), 30)
 		first := uint32(0)
 		for i := range 60 {
-			at, j := w.sendRequest(0)
+			at, req := h.sendRequest(0)
 			if i == 0 {
 				first = at
 			}
 			if at == 0 {
 				continue
 			}
-			w.now += ms
+			h.now += ms
 			if late && at == first {
-				w.now += 50 * ms // and no timer in between
-				w.d.wakeAt = w.now
+				h.now += 50 * ms // and no timer in between
+				h.d.wakeAt = h.now
 			}
-			w.handle(JobStarted{j.ID, 0})
-			w.now += 100 * ms
-			w.d.wakeAt = w.now
-			w.handle(w.endAttempt(j, 0, OK, nil))
-		}
-		w.d.ordered = 0
-		w.handle()
-		if left := w.d.classes[0].blocks[2].members[0].ID != first; left != late {
+			h.handle(JobStarted{req.ID, 0})
+			h.now += 100 * ms
+			h.d.wakeAt = h.now
+			h.handle(h.endAttempt(req, 0, OK, nil))
+		}
+		h.d.ordered = 0
+		h.handle()
+		if left := h.d.classes[0].blocks[2].members[0].ID != first; left != late {
 			t.Errorf("late %v: the head was left %v", late, left)
 		}
 	}
