--- a/decide/deployment_sim_test.go
+++ b/decide/deployment_sim_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// mass plays a whole deployment in virtual time, event by event: hundreds of dispatchers, each the module alone, that
-// share encoders which queue in order, keep what a few keys need and fetch the rest, and warm up after their start.
-// It is drawn from the site's ranges; connections, memory and lost messages are left out.
+// deployment simulates a whole deployment in virtual time, event by event: hundreds of dispatchers, each with this
+// package's decisions alone, share encoders that queue jobs in order, cache what a few keys need, fetch the rest, and
+// warm up after a start. Deployments are drawn from a site model; connections, memory and lost messages are not
+// simulated.
 type deployment struct {
 	rng         *rand.Rand
 	now         time.Duration
@@ -18,26 +19,29 @@
 	seq         int
 	dispatchers []*simDispatcher
 	encoders    map[uint32]*simEncoder
-	allEncoders []*simEncoder // in the order that they came, so that sums are the same every time
+	allEncoders []*simEncoder // by arrival, so that sums are the same in each run
 	list        []Worker
 	settings    Settings
 	fetchTime   time.Duration
 	site        siteModel
-	// Worth asked for and served in time, jobs begun and those that fetched, by class; first tries, sends, crossings.
+	// By class: worth asked for and served in time, jobs started and those that fetched their input. In all: first
+	// tries, attempts sent, and those of them that crossed zones.
 	worthAsked, worthServed      []float64
 	jobsStarted, jobsFetched     []int
 	firstTries, sends, crossings int
 }
 
+// simDispatcher is one dispatcher process and its open requests.
 type simDispatcher struct {
 	d         *Dispatcher
 	zone      int
 	alive     bool
 	requests  map[uint32]*simRequest
 	next      uint32
-	lastTimer int // the wake that counts
+	lastTimer int // number of the timer that is valid
 }
 
+// simRequest is one try of a client's request; a retry is a copy with a new ID.
 type simRequest struct {
 	dispatcher                 *simDispatcher
 	id                         uint32
@@ -50,6 +54,7 @@
 	attempts                   []*simAttempt
 }
 
+// simAttempt is one attempt of a request at an encoder.
 type simAttempt struct {
 	request      *simRequest
 	number       int
@@ -60,6 +65,7 @@
 	reported     bool
 }
 
+// simEncoder is one encoder and the jobs that it holds.
 type simEncoder struct {
 	Worker
 	slots      int
@@ -73,7 +79,8 @@
 	received   []receivedJob
 }
 
-// massWork is a job that an encoder was sent, and by whom. A dispatcher knows of no encoder but from the list.
+// receivedJob is a job that an encoder was sent, and the dispatcher that sent it. Dispatchers learn of encoders from
+// the list alone.
 type receivedJob struct {
 	at         time.Duration
 	work       float64
@@ -81,12 +88,14 @@
 	dispatcher *simDispatcher
 }
 
+// simEvent is a function to be called at a time; events of the same time keep their order.
 type simEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
+// eventQueue is a heap of events, the soonest first.
 type eventQueue []simEvent
 
 func (h eventQueue) Len() int { return len(h) }
@@ -101,6 +110,7 @@
 	return x
 }
 
+// after schedules a function.
 func (sim *deployment) after(delay time.Duration, do func()) {
 	sim.seq++
 	heap.Push(&sim.events, simEvent{sim.now + delay, sim.seq, do})
@@ -108,13 +118,13 @@
 
 const networkDelay = time.Millisecond
 
-// massKind is a kind of encoder.
+// encoderKind is the size and speed of a kind of encoder.
 type encoderKind struct {
 	slots int
 	speed float64
 }
 
-// massClass is a class of request, its share of all and the log-normal work of its jobs.
+// requestClass is a class of requests, its share of all requests and the log-normal distribution of its work.
 type requestClass struct {
 	Class
 	share float64
@@ -122,21 +132,21 @@
 	sigma float64 // of the logarithm
 }
 
-// massTerms is a deployment's traffic, kinds of encoder and settings.
+// siteModel describes a deployment's traffic, kinds of encoder and settings.
 type siteModel struct {
 	classes    []requestClass
-	quotas     []float64 // each one's share of what all encoders can do
-	cumulative []float64 // cumulative shares of the traffic
-	keyed      bool      // encoders fetch what a request's key needs
+	quotas     []float64 // of each tenant, as shares of the capacity
+	cumulative []float64 // shares of the traffic by tenant, summed up
+	keyed      bool      // encoders fetch and cache what a key needs
 	kinds      []encoderKind
-	kindDraw   []int // kinds by number, each as often as it is common
+	kindDraw   []int // kinds by number, repeated by frequency
 	adjust     func(*Settings)
 }
 
-// massKinds are those of the site.
+// lectureKinds are the encoder kinds of lectureSite.
 var lectureKinds = []encoderKind{{4, 1.6}, {3, 0.97}, {5, 0.6}}
 
-// lectureTerms are the terms of a site with short previews and long publishes.
+// lectureSite models a site with short previews and long publishes.
 func lectureSite(kinds []encoderKind) siteModel {
 	return siteModel{
 		classes: []requestClass{
@@ -156,7 +166,7 @@
 	}
 }
 
-// meanWork is that of all requests, in seconds at speed 1.
+// meanWork is the mean work of all requests, in seconds at speed 1.
 func (t siteModel) meanWork() (mean float64) {
 	for _, c := range t.classes {
 		mean += c.share * c.work
@@ -164,12 +174,12 @@
 	return mean
 }
 
-// newMass draws a deployment of so many dispatchers and encoders in so many zones.
+// newLectureDeployment draws a deployment of lectureSite.
 func newLectureDeployment(seed uint64, dispatchers, encoders, zones int) *deployment {
 	return newDeployment(lectureSite(lectureKinds), seed, dispatchers, encoders, zones)
 }
 
-// newMassOf draws one on other terms.
+// newDeployment draws a deployment of a site with the given numbers of dispatchers, encoders and zones.
 func newDeployment(model siteModel, seed uint64, dispatchers, encoders, zones int) *deployment {
 	sim := &deployment{
 		rng: rand.New(rand.NewPCG(seed, 9)), now: time.Hour, encoders: map[uint32]*simEncoder{}, site: model,
@@ -192,7 +202,7 @@
 	for _, e := range sim.allEncoders {
 		capacity += float64(e.slots) * e.speed
 	}
-	for _, share := range model.quotas { // 0.8 of what all can do
+	for _, share := range model.quotas { // quotas add up to 0.8 of the capacity
 		sim.settings.Tenants = append(sim.settings.Tenants, Tenant{QuotaPerSecond: share * 0.8 * capacity / model.meanWork()})
 	}
 	if model.keyed {
@@ -206,7 +216,7 @@
 	return sim
 }
 
-// add has an encoder start, long ago for 0.
+// addEncoder adds an encoder that started at the given time; 0 means long ago.
 func (sim *deployment) addEncoder(id uint32, zone int, started time.Duration) *simEncoder {
 	kind := sim.site.kindDraw[sim.rng.IntN(len(sim.site.kindDraw))]
 	e := &simEncoder{Worker: Worker{ID: id, Zone: zone, Kind: kind, Started: started, State: Ready}}
@@ -219,7 +229,7 @@
 	return e
 }
 
-// start has a dispatcher begin from nothing, with the list as it is now.
+// startDispatcher starts a dispatcher without memory and gives it the current list.
 func (sim *deployment) startDispatcher(disp *simDispatcher, i int) {
 	s := sim.settings
 	s.Dispatcher, s.Zone, s.Seed = i, disp.zone, uint64(sim.rng.Uint32())
@@ -232,7 +242,7 @@
 	sim.deliver(disp, ListFull{Workers: slices.Clone(sim.list)})
 }
 
-// kill has a dispatcher forget all; its requests are lost, what it sent runs on.
+// killDispatcher kills a dispatcher: its requests are lost, and what it sent runs on.
 func (sim *deployment) killDispatcher(disp *simDispatcher) {
 	disp.alive = false
 	for _, r := range disp.requests {
@@ -240,7 +250,7 @@
 	}
 }
 
-// change tells every dispatcher of a line of the list, each up to a second later.
+// updateList changes an entry of the list and notifies every dispatcher within a second.
 func (sim *deployment) updateList(l Worker) {
 	sim.list = append(slices.DeleteFunc(sim.list, func(x Worker) bool { return x.ID == l.ID }), l)
 	for _, disp := range sim.dispatchers {
@@ -253,6 +263,7 @@
 	}
 }
 
+// warmth is the share of its speed that an encoder has while it warms up.
 func (e *simEncoder) warmth(now time.Duration) float64 {
 	if e.Started == 0 || now-e.Started >= e.warmUp {
 		return 1
@@ -260,6 +271,7 @@
 	return e.coldFrom + (1-e.coldFrom)*float64(now-e.Started)/float64(e.warmUp)
 }
 
+// deliver passes events to a dispatcher and carries out its actions.
 func (sim *deployment) deliver(disp *simDispatcher, events ...Event) {
 	if !disp.alive {
 		return
@@ -299,7 +311,7 @@
 	}
 }
 
-// finish takes a final answer that served nothing; the client of what may be repeated comes again.
+// endUnserved ends a request that was answered without a result. Its client retries up to twice before the deadline.
 func (sim *deployment) endUnserved(r *simRequest, wait time.Duration) {
 	if r == nil || r.done {
 		return
@@ -313,6 +325,7 @@
 	}
 }
 
+// arrive hands a request to its dispatcher and cancels it at its deadline.
 func (sim *deployment) arrive(r *simRequest) {
 	disp := r.dispatcher
 	if !disp.alive {
@@ -331,6 +344,7 @@
 	})
 }
 
+// send sends an attempt to an encoder.
 func (sim *deployment) send(disp *simDispatcher, a Send) {
 	r := disp.requests[a.Request]
 	att := &simAttempt{request: r, number: len(r.attempts), encoder: sim.encoders[a.Worker], queued: true}
@@ -354,6 +368,7 @@
 	})
 }
 
+// attemptEnded reports an attempt's outcome to its dispatcher, once, and counts worth that was served in time.
 func (sim *deployment) attemptEnded(att *simAttempt, o Outcome) {
 	if att.reported {
 		return
@@ -372,12 +387,13 @@
 	})
 }
 
+// cancel removes an attempt from its encoder, whether it queues or runs.
 func (sim *deployment) cancel(att *simAttempt) {
 	att.cancelled = true
 	if att.queued {
 		att.queued = false
 		att.encoder.queue = slices.DeleteFunc(att.encoder.queue, func(x *simAttempt) bool { return x == att })
-	} else if att.started > 0 && !att.over { // what runs stops
+	} else if att.started > 0 && !att.over { // a running job stops
 		att.over = true
 		att.encoder.running--
 		sim.startJobs(att.encoder)
@@ -385,7 +401,7 @@
 	sim.attemptEnded(att, Cancelled)
 }
 
-// work starts what fits, in order.
+// startJobs starts queued jobs, in order, while the encoder has free slots.
 func (sim *deployment) startJobs(e *simEncoder) {
 	for e.running < e.slots && len(e.queue) > 0 {
 		att := e.queue[0]
@@ -421,7 +437,7 @@
 	}
 }
 
-// drawClass draws a request's class, the last first.
+// drawClass draws a request's class, checking the last class first.
 func (sim *deployment) drawClass() int {
 	x := sim.rng.Float64()
 	for i := len(sim.site.classes) - 1; i > 0; i-- {
@@ -432,7 +448,8 @@
 	return 0
 }
 
-// play has traffic come for so long, at a part of what all encoders can do once warm.
+// playTraffic plays random traffic for a duration; load is the share of the capacity of all warm encoders that is
+// asked for.
 func (sim *deployment) playTraffic(duration time.Duration, load func(at time.Duration) float64) {
 	capacity := 0.0
 	for _, e := range sim.allEncoders {
@@ -479,6 +496,7 @@
 	sim.runUntil(start + duration)
 }
 
+// runUntil plays scheduled events up to a time.
 func (sim *deployment) runUntil(until time.Duration) {
 	for len(sim.events) > 0 && sim.events[0].at <= until {
 		e := heap.Pop(&sim.events).(simEvent)
--- a/decide/deployment_test.go
+++ b/decide/deployment_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// TestManyKeepTheirKeys: each of many dispatchers took a request at hand for its key's part of all traffic, and called
-// every key hot: 19 of 20 keys moved from encoder to encoder, and three of four previews were fetched for anew.
+// TestManyDispatchersKeepKeysInPlace guards against dispatchers that take a key's current request for its share of all
+// traffic and treat every key as hot: 19 of 20 keys moved from encoder to encoder, and three of four previews had to
+// be fetched again.
 func TestManyDispatchersKeepKeysInPlace(t *testing.T) {
 	sim := newLectureDeployment(1, 60, 36, 2)
 	load := func(time.Duration) float64 { return 0.7 }
@@ -21,19 +22,21 @@
 	clear(sim.jobsStarted)
 	sim.playTraffic(6*time.Second, load)
 	if part := float64(sim.jobsFetched[0]) / float64(sim.jobsStarted[0]); part > 0.65 {
-		t.Errorf("%.2f of %d previews were fetched for anew", part, sim.jobsStarted[0])
+		t.Errorf("%.2f of %d previews fetched their input again, want at most 0.65", part, sim.jobsStarted[0])
 	}
 }
 
-// window is the most that a cold encoder is sent in a window of the rule, against what it bears then.
+// windowLoad is the largest load that a cold encoder is sent within the window of the rule, as multiples of what it
+// can take then.
 type windowLoad struct {
-	ofN         float64 // by what the settings allow it, N
-	ofBound     float64 // by N + 2 x root of N + 2 requests of mean work
-	ofWideBound float64 // the same; for N under 30 by N + 3 x root of N + 3
+	ofN         float64 // of the rule's budget, N requests of mean work
+	ofBound     float64 // of N + 2 x root of N + 2
+	ofWideBound float64 // the same; for N under 30 of N + 3 x root of N + 3
 	at          time.Duration
-	jobs        []receivedJob // in the window that is worst by ofAgreed
+	jobs        []receivedJob // in the window with the largest ofBound
 }
 
+// worstWindow finds the window with the largest load while the encoder warms up.
 func (sim *deployment) worstWindow(e *simEncoder) (worst windowLoad) {
 	rules, mean := sim.settings.Rules, sim.site.meanWork()
 	for i, first := range e.received {
@@ -46,30 +49,30 @@
 		}
 		got := work / mean
 		n := rules.FallMultiple * float64(e.slots) * e.speed * e.warmth(first.at) * rules.FallWindow.Seconds() / mean
-		agreed := n + 2*math.Sqrt(n) + 2
-		page := agreed
+		bound := n + 2*math.Sqrt(n) + 2
+		wideBound := bound
 		if n < 30 {
-			page = n + 3*math.Sqrt(n) + 3
+			wideBound = n + 3*math.Sqrt(n) + 3
 		}
 		worst.ofN = max(worst.ofN, got/n)
-		worst.ofWideBound = max(worst.ofWideBound, got/page)
-		if got/agreed > worst.ofBound {
-			worst.ofBound, worst.at, worst.jobs = got/agreed, first.at, e.received[i:end]
+		worst.ofWideBound = max(worst.ofWideBound, got/wideBound)
+		if got/bound > worst.ofBound {
+			worst.ofBound, worst.at, worst.jobs = got/bound, first.at, e.received[i:end]
 		}
 	}
 	return worst
 }
 
-// describe tells of a window what was sent, and by whom.
+// describe describes a window: its load and the jobs in it, with the dispatchers that sent them.
 func (sim *deployment) describe(e *simEncoder, load windowLoad) string {
 	text := fmt.Sprintf("kind %d, %.2f s after its start, %.2f times what it bears (%.2f by the page):", e.Kind, (load.at - e.Started).Seconds(), load.ofBound, load.ofWideBound)
-	for _, g := range load.jobs {
-		text += fmt.Sprintf(" class %d %.2f s by dispatcher %d;", g.class, g.work, slices.Index(sim.dispatchers, g.dispatcher))
+	for _, job := range load.jobs {
+		text += fmt.Sprintf(" class %d %.2f s by dispatcher %d;", job.class, job.work, slices.Index(sim.dispatchers, job.dispatcher))
 	}
 	return text
 }
 
-// renew has four in ten encoders make way for cold ones within 2 s, as a release does.
+// replaceEncoders replaces four in ten encoders by cold ones within 2 s, as a release does.
 func (sim *deployment) replaceEncoders() {
 	for i, l := range slices.Clone(sim.list) {
 		if sim.rng.IntN(10) >= 4 {
@@ -87,7 +90,7 @@
 	}
 }
 
-// restart has seven in ten dispatchers killed, each back from nothing within 1.2 s.
+// restartDispatchers kills seven in ten dispatchers, each restarted without memory within 1.2 s.
 func (sim *deployment) restartDispatchers() {
 	for i, disp := range sim.dispatchers {
 		if sim.rng.IntN(10) < 7 {
@@ -97,14 +100,14 @@
 	}
 }
 
-// release plays a release with most dispatchers killed in the middle.
+// playRelease plays a release with most dispatchers restarted in the middle.
 func (sim *deployment) playRelease(seed int) {
 	sim.after(4*time.Second, sim.replaceEncoders)
 	sim.after(9*time.Second, sim.restartDispatchers)
 	sim.playTraffic(16*time.Second, func(time.Duration) float64 { return 0.6 + 0.05*float64(seed%7) })
 }
 
-// started is the encoders that have started since the beginning.
+// newEncoders returns the encoders that started during the simulation.
 func (sim *deployment) newEncoders() (all []*simEncoder) {
 	for _, e := range sim.allEncoders {
 		if e.Started != 0 {
@@ -114,7 +117,7 @@
 	return all
 }
 
-// playAll plays fleets by their seeds, as many at once as there are processors, and has each counted, one at a time.
+// playFleets plays fleets by seed, one on each processor at a time, and passes each result to count, one at a time.
 func playFleets(fleets int, play func(seed int) *deployment, count func(*deployment)) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -134,10 +137,10 @@
 
 var fullRun = flag.Bool("mass", false, "play the whole measurement of make prove-mass")
 
-// TestColdEncodersOfManyFleets: releases with most dispatchers restarted in the middle, in fleets of many sizes. A chance
-// in the jobs' lengths is left, so that it is counted how many of the cold encoders meet a window over the rule's
-// budget: with -mass 83 of 1,775 before turns waited for known runs, 14 of 1,786 since. -mass plays a hundred fleets
-// and a calm day of 200 dispatchers.
+// TestColdEncodersOfManyFleets plays releases in fleets of many sizes, with most dispatchers restarted in the middle,
+// and counts the cold encoders that are sent more than the rule's budget in a window. Job lengths are random, so a few
+// may be: with -mass 83 of 1,775 before turns waited for known run times, 14 of 1,786 since. -mass plays a hundred
+// fleets and a calm day of 200 dispatchers.
 func TestColdEncodersOfManyFleets(t *testing.T) {
 	fleets := 8
 	if *fullRun {
@@ -187,17 +190,17 @@
 		float64(sim.jobsFetched[0])/float64(sim.jobsStarted[0]), float64(sim.crossings)/float64(sim.firstTries))
 }
 
-// drawn is fleets of one sort, in which cold encoders are counted.
+// fleetTest is a set of fleets of one sort, in which cold encoders are checked.
 type fleetTest struct {
-	minDispatchers, maxDispatchers int // dispatchers
+	minDispatchers, maxDispatchers int // of a fleet
 	encoders                       func(dispatchers, seed int) int
-	fleets, fullFleets             int // in an ordinary run, and with -mass
+	fleets, fullFleets             int // number of fleets without and with -mass
 	site                           siteModel
 }
 
-// TestColdEncodersBearAllDispatchers: what all dispatchers of a fleet together send to an encoder that has just started
-// stays within N + 2 x root of N + 2 requests of mean work, in fleets of twenty to thirty and of many, with most dispatchers
-// restarted in the middle. -mass draws about 1,700 encoders or more of each sort.
+// TestColdEncodersBearAllDispatchers checks that all dispatchers of a fleet together send an encoder that has just
+// started at most N + 2 x root of N + 2 requests of mean work, in fleets of twenty to thirty dispatchers and of many,
+// with most dispatchers restarted in the middle. -mass draws about 1,700 encoders or more of each sort.
 func TestColdEncodersBearAllDispatchers(t *testing.T) {
 	t.Run("twenty to thirty", func(t *testing.T) {
 		fleetTest{20, 30, func(n, seed int) int { return n * (1 + seed%6) / 10 }, 8, 500, lectureSite(lectureKinds)}.check(t)
@@ -207,18 +210,19 @@
 	})
 }
 
-// TestColdEncodersBearFewDispatchers is the same of fleets of three to six.
+// TestColdEncodersBearFewDispatchers checks the same bound in fleets of three to six dispatchers.
 func TestColdEncodersBearFewDispatchers(t *testing.T) {
 	fleetTest{3, 6, func(n, seed int) int { return 2*n + seed%7 }, 8, 360, lectureSite(lectureKinds)}.check(t)
 }
 
-// TestColdEncodersOfUnequalKinds is the same of many dispatchers, where the smallest kind does a quarter of what the largest does.
+// TestColdEncodersOfUnequalKinds checks the same bound with many dispatchers where the smallest kind does a quarter of
+// the work of the largest.
 func TestColdEncodersOfUnequalKinds(t *testing.T) {
 	kinds := []encoderKind{{7, 1.3}, {5, 1}, {3, 0.65}}
 	fleetTest{60, 120, func(n, seed int) int { return n * (4 + seed%5) / 10 }, 4, 100, lectureSite(kinds)}.check(t)
 }
 
-// shortJobTerms are the terms of a site with short jobs, three classes of very unequal length and no keys.
+// shortJobSite models a site with short jobs, three classes of very unequal length and no keys.
 func shortJobSite() siteModel {
 	return siteModel{
 		classes: []requestClass{
@@ -240,16 +244,17 @@
 	}
 }
 
-// TestColdEncodersOfShortJobs is the same of hundreds of dispatchers whose jobs are short and of very unequal length. On
-// sundfahrt-quay an encoder that had started 11.2 s before fell over: it was sent 6.0 times what it could then do. Turns
-// were laid out for 0.074 s of work, by the shortest class, and used for jobs of 0.2 s in the mean (a log of all sends: 45
-// dispatchers sent it 13 s of work in 1.2 s, where 2.7 s were planned); with two turns each, none paid for it later. Those
-// that fell were of the slowest kind, planned for as if it were of the mean size (2.9 where it did the work of 1.5).
+// TestColdEncodersOfShortJobs checks the same bound with hundreds of dispatchers whose jobs are short and of very
+// unequal length. On sundfahrt-quay an encoder that had started 11.2 s before was sent 6.0 times what it could do, and
+// failed. Turns were planned for 0.074 s of work, the length of the shortest class, but used for jobs of 0.2 s on
+// average: 45 dispatchers sent 13 s of work in 1.2 s, where 2.7 s were planned, and with two turns each, none made up
+// for it later. The encoders that failed were of the slowest kind, planned for as if of the mean size (2.9 where it
+// did the work of 1.5).
 func TestColdEncodersOfShortJobs(t *testing.T) {
 	fleetTest{270, 300, func(n, _ int) int { return n * 55 / 100 }, 2, 12, shortJobSite()}.check(t)
 }
 
-// bear plays the fleets and fails where an encoder was sent more than it bears.
+// check plays the fleets and fails where an encoder was sent more than it can take.
 func (f fleetTest) check(t *testing.T) {
 	fleets := f.fleets
 	if *fullRun {
@@ -277,7 +282,7 @@
 	}
 }
 
-// play plays one fleet: a release, most dispatchers killed during it.
+// playFleet plays one fleet through a release.
 func (f fleetTest) playFleet(seed int) *deployment {
 	dispatchers := f.minDispatchers + seed*7%(f.maxDispatchers-f.minDispatchers+1)
 	sim := newDeployment(f.site, uint64(seed)+5000, dispatchers, f.encoders(dispatchers, seed), 1+seed%3)
@@ -285,7 +290,7 @@
 	return sim
 }
 
-// total is the sum over all classes.
+// sum adds up the worth of all classes.
 func sum(worth []float64) (sum float64) {
 	for _, w := range worth {
 		sum += w
--- a/decide/fleet_sim_test.go
+++ b/decide/fleet_sim_test.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// throng plays many dispatchers against one fleet of workers, in virtual time: each worker runs so many jobs
-// at once, the rest in a queue, in order.
+// fleetSim simulates many dispatchers that share one fleet of workers, in virtual time. Each worker runs as many jobs
+// at once as it has slots and queues the rest in order of arrival.
 type fleetSim struct {
 	dispatchers []*harness
 	rng         *rand.Rand
 	now         time.Duration
 	slots       int
 	runTime     func(class int, worker uint32) time.Duration
-	queues      map[uint32][]*fleetJob // at work, then queued
+	queues      map[uint32][]*fleetJob // running jobs, then queued ones
 	sent        []*fleetJob
-	refused     int // requests refused
+	refused     int // number of requests
 }
 
+// fleetJob is one attempt at a worker of the simulation.
 type fleetJob struct {
 	dispatcher          *harness
 	request             *testRequest
@@ -28,7 +29,7 @@
 	sent, started, ends time.Duration
 }
 
-// warmWorkers is a fleet of one zone and kind.
+// warmWorkers returns n workers of one zone and kind that started long ago.
 func warmWorkers(n int) (ws []Worker) {
 	for i := range n {
 		ws = append(ws, Worker{ID: uint32(i)*77 + 1, State: Ready})
@@ -36,7 +37,7 @@
 	return ws
 }
 
-// newThrong makes n dispatchers with the settings of the large fleet's site, which all know the workers.
+// newFleetSim starts n dispatchers with settings like those of a site with a large fleet. All know the same workers.
 func newFleetSim(t *testing.T, n int, workers []Worker) *fleetSim {
 	sim := &fleetSim{rng: rand.New(rand.NewPCG(1, 1)), now: time.Hour, slots: 4, queues: map[uint32][]*fleetJob{}}
 	sim.runTime = func(class int, _ uint32) time.Duration { return []time.Duration{400 * ms, 2400 * ms}[class] }
@@ -60,7 +61,7 @@
 	return sim
 }
 
-// take adds what the last events had a dispatcher send, and drops what it called off in a queue.
+// apply carries out a dispatcher's actions: it queues what was sent and removes what was cancelled.
 func (sim *fleetSim) apply(h *harness, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -83,7 +84,7 @@
 	}
 }
 
-// play has requests come at a rate to all together, each of a class and key as drawn.
+// simulate plays requests that arrive at a common rate, each at a random dispatcher, with classes and keys as drawn.
 func (sim *fleetSim) simulate(duration time.Duration, rate float64, draw func() (class int, key uint64)) {
 	for end, step := sim.now+duration, 5*ms; sim.now < end; {
 		sim.now += step
@@ -125,9 +126,10 @@
 	}
 }
 
-// TestManyWarmAColdWorkerUp: each dispatcher's first turn at a cold worker lay by its own long jobs and the one
-// slot it had seen there, beyond the whole time to warm up with eighty of them: nobody sent, and the worker
-// never got warm. All together use a good part of the budget, and no window's is passed.
+// TestManyDispatchersWarmUpAColdWorker guards against a cold worker that never gets warm. Each of eighty dispatchers
+// computed its first turn from its own long jobs and the one slot that it had seen in use, which put the turn beyond
+// the whole warm-up time, and nobody sent anything. Together the dispatchers must use a good part of the cold worker's
+// budget without exceeding it in any window.
 func TestManyDispatchersWarmUpAColdWorker(t *testing.T) {
 	workers := warmWorkers(20)
 	sim := newFleetSim(t, 80, workers)
@@ -147,11 +149,11 @@
 		}
 	}
 	s := sim.dispatchers[0].s
-	capacity := func(age time.Duration) float64 { // slot seconds a second, at its least
+	capacity := func(age time.Duration) float64 { // the least possible, in slot seconds per second
 		return float64(sim.slots) * (s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*age.Seconds()/s.Rules.Cold.Seconds())
 	}
 	if whole := 12 * capacity(6*time.Second); float64(len(at))*0.4 < whole/4 {
-		t.Errorf("%d jobs in 12 s: a cold worker could do %.0f s of work meanwhile", len(at), whole)
+		t.Errorf("got %d jobs of 0.4 s in 12 s, want at least a quarter of the %.0f s of work that the cold worker can do", len(at), whole)
 	}
 	for i, from := range at {
 		work := 0.0
@@ -161,19 +163,19 @@
 			}
 		}
 		if most := s.Rules.FallMultiple * capacity(from); work > most {
-			t.Errorf("%.1f s of work in a window %v after the start, budget %.1f", work, from, most)
+			t.Errorf("got %.1f s of work in the window %v after the start, want at most the budget of %.1f s", work, from, most)
 		}
 	}
 }
 
-// TestManyDoNotMeetAtOneKeeper: each dispatcher sent its first job of a key to the one keeper that all agree on,
-// and waited there, while three in four workers were idle.
+// TestManyDispatchersSpreadHotKeys guards against jobs that wait while three in four workers are idle: each dispatcher
+// sent its first job of a key to the one worker that all dispatchers choose for the key.
 func TestManyDispatchersSpreadHotKeys(t *testing.T) {
 	workers := warmWorkers(20)
 	sim := newFleetSim(t, 80, workers)
 	keys := func() (int, uint64) { return 0, 1 + uint64(sim.rng.ExpFloat64()*2) }
 	sim.simulate(10*time.Second, 60, keys)
-	sim.sent = nil // of a few requests none can tell which keys are hot
+	sim.sent = nil // hot keys are known only after some requests
 	sim.simulate(10*time.Second, 60, keys)
 	waited := 0
 	for _, job := range sim.sent {
@@ -182,29 +184,29 @@
 		}
 	}
 	if waited*4 > len(sim.sent) {
-		t.Errorf("%d of %d jobs waited at their keepers, at 0.3 of what the workers can do", waited, len(sim.sent))
+		t.Errorf("%d of %d jobs waited at the workers of their keys, at 0.3 of the fleet's capacity; want at most a quarter", waited, len(sim.sent))
 	}
 }
 
-// TestQueuedJobMayStillBeInTime: a job that was queued at its aim was given up, though its own length gave it
-// twice that: what may not be repeated was lost for good, and what it had waited for in vain.
+// TestQueuedUnsafeJobIsKeptPastItsAim guards against giving up a job that still queues at its aim although its own
+// length lets it wait twice as long. An unsafe request is then lost for good, after waiting for nothing.
 func TestQueuedUnsafeJobIsKeptPastItsAim(t *testing.T) {
 	s := newFleetSim(t, 1, nil).dispatchers[0].s
 	h := newReadyHarness(t, s, 1)
 	req := h.newRequest(1, 25*time.Second)
 	h.handle(req.Request)
-	for h.now < time.Hour+3*time.Second { // its aim is 2 s, with its length 6 s
+	for h.now < time.Hour+3*time.Second { // its aim is 2 s, or 6 s with its own length
 		h.now += 20 * ms
 		h.handle(Wake{})
 	}
 	if req.answered {
-		t.Error("given up though it may still end in time")
+		t.Error("request given up although its job may still end in time")
 	}
 }
 
-// TestManyAskForTheListInTurn: discovery works through calls in turn and fails those that waited too long. All
-// dispatchers that lost their watch together asked again within two seconds or so, which is more than it can
-// answer: every call waited too long, for good.
+// TestManyDispatchersSpreadListCalls guards against dispatchers that lose their watch together and overload discovery.
+// It serves calls one at a time and fails those that waited too long; calls that were all repeated within about two
+// seconds were more than it can serve, and each timed out, for good.
 func TestManyDispatchersSpreadListCalls(t *testing.T) {
 	const callTime, timeout = 100 * ms, 2 * time.Second
 	sim := newFleetSim(t, 80, nil)
@@ -226,7 +228,7 @@
 		deliver(h, ListFailed{})
 	}
 	next := sim.now
-	for end := sim.now + 5*80*callTime; sim.now < end; sim.now += 10 * ms { // five times the work of one call each
+	for end := sim.now + 5*80*callTime; sim.now < end; sim.now += 10 * ms { // five times what one call from each takes
 		for _, h := range sim.dispatchers {
 			if len(h.timers) > 0 && h.timers[0] <= sim.now {
 				h.timers = h.timers[1:]
@@ -237,7 +239,7 @@
 			q := queue[0]
 			queue = queue[1:]
 			if next = max(next, q.since) + callTime; sim.now-q.since > timeout {
-				deliver(q.h, ListFailed{}) // its time was spent on it all the same
+				deliver(q.h, ListFailed{}) // discovery has spent its time on the call nevertheless
 			} else {
 				answered[q.h] = true
 				deliver(q.h, ListDelta{})
@@ -245,12 +247,13 @@
 		}
 	}
 	if len(answered) < 80 {
-		t.Errorf("%d of 80 dispatchers hear from discovery again after %v", len(answered), 5*80*callTime)
+		t.Errorf("discovery answered %d of 80 dispatchers within %v, want all", len(answered), 5*80*callTime)
 	}
 }
 
-// TestOneRequestIsNoShare: a dispatcher of many sees a tenant once in many seconds, which was more than its part of
-// the tenant's share over the short time that was counted, and then nothing had room for it.
+// TestSingleRequestIsNotOverItsTenantsShare guards against holding a tenant's only request. One of many dispatchers
+// sees a tenant once in many seconds, and in the short time over which requests were counted, one was more than the
+// dispatcher's part of the tenant's share.
 func TestSingleRequestIsNotOverItsTenantsShare(t *testing.T) {
 	sim := newFleetSim(t, 80, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
 	for i, h := range sim.dispatchers {
@@ -260,21 +263,21 @@
 		req.Tenant, req.Key = 1, 5
 		h.handle(req.Request)
 		if len(req.attempts) == 0 {
-			t.Errorf("dispatcher %d held a tenant's first request", i)
+			t.Errorf("dispatcher %d held a tenant's first request, want it sent", i)
 		}
 	}
 }
 
-// TestLongJobsReachWarmingWorkers: a worker that warms up was given short jobs only until it could almost do all it
-// ever can, and the long ones, most of the worth, queued at those that had not been replaced.
+// TestLongJobsReachWarmingWorkers guards against restarted workers that get short jobs only until they are almost
+// warm, while the long jobs, which carry most of the worth, queue at the workers that were not replaced.
 func TestLongJobsReachWarmingWorkers(t *testing.T) {
 	workers := warmWorkers(8)
 	sim := newFleetSim(t, 80, workers)
-	for _, h := range sim.dispatchers { // agreed rates that a worker of five slots could just do
+	for _, h := range sim.dispatchers { // agreed rates that just fit workers of five slots
 		h.d.s.Tenants[0].QuotaPerSecond *= 1.6
 	}
 	mixed := func() (int, uint64) { return int(sim.rng.Uint32() % 4 / 3), 0 }
-	sim.simulate(40*time.Second, 20, mixed) // ten jobs each, by which their runs are known
+	sim.simulate(40*time.Second, 20, mixed) // ten jobs for each dispatcher to learn the run times from
 	cold := []Worker{}
 	for id := range uint32(6) {
 		cold = append(cold, Worker{ID: 5000 + id, State: Ready, Started: sim.now})
@@ -295,12 +298,12 @@
 		}
 	}
 	if 2*longJobs[true] <= longJobs[false] {
-		t.Errorf("%d long jobs at six workers that are half warm, %d at the other two", longJobs[true], longJobs[false])
+		t.Errorf("got %d long jobs at the six half-warm workers and %d at the other two, want more than half as many", longJobs[true], longJobs[false])
 	}
 }
 
-// TestQueuedAmongMany: a repeatable job with a key that found its keeper full of others' jobs stayed in the queue
-// until its aim and was refused, where most workers were idle.
+// TestQueuedKeyedRequestMovesAmongManyDispatchers guards against a repeatable request with a key that stays behind
+// other dispatchers' jobs at the worker of its key until its aim, and is refused while most workers are idle.
 func TestQueuedKeyedRequestMovesAmongManyDispatchers(t *testing.T) {
 	workers := warmWorkers(20)
 	sim := newFleetSim(t, 80, workers)
@@ -309,12 +312,12 @@
 	}
 	sim.simulate(15*time.Second, 60, func() (int, uint64) { return 0, 1 + uint64(sim.rng.ExpFloat64()*20) })
 	if sim.refused > 60 { // one in fifteen
-		t.Errorf("%d of some 900 jobs given up, while three in five workers had room", sim.refused)
+		t.Errorf("%d of some 900 requests refused while three in five workers had room, want at most 60", sim.refused)
 	}
 }
 
-// TestBrokenOffGoesToAnotherZone: with a whole zone lost, a request spent all its attempts there, one refused
-// connection after the other, before its dispatcher had met enough of them to shun the zone.
+// TestRetryAfterConnectFailureGoesToAnotherZone guards against a request that spends all its attempts in a lost zone,
+// one refused connection after another, because its dispatcher has not seen enough failures yet to avoid the zone.
 func TestRetryAfterConnectFailureGoesToAnotherZone(t *testing.T) {
 	workers := warmWorkers(20)
 	for i := range workers {
@@ -323,16 +326,16 @@
 	h := newFleetSim(t, 1, workers).dispatchers[0]
 	h.sendKeyed(8)
 	req := h.newRequest(0, 5*time.Second)
-	req.Key, h.d.keys[7] = 7, demand{N: 100, Last: h.now} // with several keepers in either zone
+	req.Key, h.d.keys[7] = 7, demand{N: 100, Last: h.now} // demand for several workers in either zone
 	h.handle(req.Request)
 	h.handle(h.endAttempt(req, 0, ConnectFailed, nil))
 	if len(req.attempts) != 2 || req.attempts[0].worker.Zone != 0 || req.attempts[1].worker.Zone != 1 {
-		t.Fatalf("after a broken connection in zone 0, without life there, it went to %+v", req.attempts[len(req.attempts)-1].worker)
+		t.Fatalf("after a refused connection in zone 0, got a retry at %+v, want one in zone 1", req.attempts[len(req.attempts)-1].worker)
 	}
 }
 
-// TestFewJobsTellASlowWorker: a dispatcher of many sees one or two jobs at a worker in the time that one is slow; its
-// own speed counted for little before eight.
+// TestFewJobsRevealASlowWorker guards against an unnoticed slow worker: a dispatcher of many sees one or two jobs
+// there while it is slow, but a worker's own speed hardly counted before eight jobs.
 func TestFewJobsRevealASlowWorker(t *testing.T) {
 	h := newFleetSim(t, 80, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}}).dispatchers[0]
 	for n := range 20 {
@@ -344,12 +347,13 @@
 		h.d.learn(&request{Request: Request{Slots: 1}, c: h.d.classes[0], arrived: a.sent}, a)
 	}
 	if one, two := h.d.slowness(h.d.workers[1]), h.d.slowness(h.d.workers[2]); one-two < 0.5 {
-		t.Errorf("six times slower, which counts as %.2f and %.2f in logs", one, two)
+		t.Errorf("got log run times of %.2f and %.2f for a worker six times as slow as the other, want a difference of 0.5", one, two)
 	}
 }
 
-// TestFewGiveLongJobsTheirTurns: three dispatchers reach a turn for a job of any length soon after a worker's start; the
-// wait for room for two, which is for turns as close as those of many, kept long jobs from restarted workers.
+// TestFewDispatchersHaveColdTurnsForLongJobs guards against restarted workers that get no long jobs. With three
+// dispatchers a job of any length has a turn soon after the start; waiting until two such jobs fit the budget is
+// needed only among many dispatchers, whose turns are close together.
 func TestFewDispatchersHaveColdTurnsForLongJobs(t *testing.T) {
 	for n, want := range map[int]bool{3: true, 80: false} {
 		sim := newFleetSim(t, n, append(warmWorkers(14), Worker{ID: 5000, State: Ready, Started: time.Hour}))
@@ -360,7 +364,7 @@
 			}
 		}
 		if got != want {
-			t.Errorf("%d dispatchers: a turn for a long job in the first 11 s: %v", n, got)
+			t.Errorf("%d dispatchers: got a turn for a long job in the first 11 s: %v, want the opposite", n, got)
 		}
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -10,7 +10,8 @@
 
 const ms = time.Millisecond
 
-// site returns small settings of each kind of information.
+// testSettings returns settings of a small site: whether workers report job starts, whether load reports carry free
+// slots, and whether dispatchers exchange messages.
 func testSettings(seed uint64, starts, reports, peers bool) Settings {
 	return Settings{
 		Dispatchers: 2, Seed: seed, Granularity: 2 * ms,
@@ -29,11 +30,11 @@
 	}
 }
 
-// budgeted adds the rule on further attempts to every second seed, and to every fourth that
-// gone is advice.
+// varyRules varies the rules by seed: in every second group of four seeds a worker's absence from the list is only
+// advice, every third seed allows two attempts, and every second group of eight bounds further attempts.
 func varyRules(s Settings) Settings {
 	s.Rules.GoneIsAdvice = s.Seed/4%2 == 1
-	if s.Seed%3 == 0 { // a small cap on attempts
+	if s.Seed%3 == 0 { // a low limit on attempts
 		s.Limits.Attempts = 2
 	}
 	if s.Seed/8%2 == 1 {
@@ -42,7 +43,7 @@
 	return s
 }
 
-// try is an attempt as the world of a test sees it.
+// testAttempt is one attempt as the harness records it.
 type testAttempt struct {
 	worker   Worker
 	sent     time.Duration
@@ -51,6 +52,7 @@
 	unsent   bool
 }
 
+// testRequest is a request, its attempts and whether it has been answered.
 type testRequest struct {
 	Request
 	due      time.Duration
@@ -58,7 +60,7 @@
 	answered bool
 }
 
-// world plays random events to one dispatcher and checks the rules on every action.
+// harness feeds events to one dispatcher and checks the rules on every action that it returns.
 type harness struct {
 	t         *testing.T
 	s         Settings
@@ -70,11 +72,11 @@
 	active    []uint32
 	timers    []time.Duration
 	coldSends map[uint32][]time.Duration
-	// drained has when the process last listed as draining started, and one more.
+	// drained holds, by worker, the start time plus one of the process that was last listed as draining.
 	drained       map[uint32]time.Duration
-	cordoned      map[uint32]bool // left out by hand
-	arrivals      []time.Duration // arrivals
-	extraAttempts []*testAttempt  // attempts beyond a request's first
+	cordoned      map[uint32]bool // cordoned by an operator
+	arrivals      []time.Duration // of requests
+	extraAttempts []*testAttempt  // beyond each request's first
 }
 
 func newHarness(t *testing.T, s Settings) *harness {
@@ -96,6 +98,7 @@
 	return actions
 }
 
+// checkAction records an action and checks it against the rules.
 func (h *harness) checkAction(a Action) {
 	h.t.Helper()
 	switch a := a.(type) {
@@ -116,29 +119,30 @@
 		h.recordAnswer(a.Request)
 	case Cancel:
 		if req := h.requests[a.Request]; a.Attempt >= len(req.attempts) {
-			h.t.Fatalf("cancel of attempt %d that was never made", a.Attempt)
+			h.t.Fatalf("cancel of attempt %d, which does not exist", a.Attempt)
 		}
 	}
 }
 
+// checkSend checks the rules on sending and records the attempt.
 func (h *harness) checkSend(a Send) {
 	req, to := h.requests[a.Request], h.list[a.Worker]
 	c := h.s.Classes[req.Class]
 	if req.answered || h.now >= req.due {
-		h.t.Fatalf("rule 1: request %d sent after its end", a.Request)
+		h.t.Fatalf("rule 1: request %d sent after its answer or deadline", a.Request)
 	}
 	if to.State == Draining || h.drained[a.Worker] == to.Started+1 || to.State == Gone && !h.s.Rules.GoneIsAdvice {
 		h.t.Fatalf("rule 3: request %d sent to worker %d in state %d", a.Request, a.Worker, to.State)
 	}
 	if h.cordoned[a.Worker] {
-		h.t.Fatalf("request %d sent to worker %d, which is left out by hand", a.Request, a.Worker)
+		h.t.Fatalf("request %d sent to worker %d, which is cordoned", a.Request, a.Worker)
 	}
 	if req.sent() >= h.s.Limits.Attempts {
 		h.t.Fatalf("request %d: more attempts than allowed", a.Request)
 	}
 	for i, att := range req.attempts {
 		if !att.over && !h.s.Limits.SecondCopies {
-			h.t.Fatalf("request %d: second copy though not allowed", a.Request)
+			h.t.Fatalf("request %d: second copy, which the settings do not allow", a.Request)
 		}
 		risky := !(att.over && att.neverRan)
 		if risky && c.Effect == Unsafe ||
@@ -147,8 +151,8 @@
 		}
 	}
 	if to.Started > 0 && h.now-to.Started < h.s.Rules.Cold {
-		// Rule 4, loosely: this dispatcher's half of the budget for a worker of 4 slots at
-		// its coldest, in jobs of the shortest run time that this world has.
+		// Rule 4, loosely: this dispatcher's half of the budget of a cold worker with 4 slots, in jobs of the
+		// shortest run time that the harness plays.
 		h.coldSends[a.Worker] = append(h.coldSends[a.Worker], h.now)
 		recent := 0
 		for _, at := range h.coldSends[a.Worker] {
@@ -158,7 +162,7 @@
 		}
 		budget := h.s.Rules.FallMultiple * 4 * h.s.Rules.FallWindow.Seconds() / float64(h.s.Dispatchers) / 0.05
 		if float64(recent) > budget {
-			h.t.Fatalf("rule 4: %d jobs to cold worker %d in one window", recent, a.Worker)
+			h.t.Fatalf("rule 4: %d jobs sent to cold worker %d in one window", recent, a.Worker)
 		}
 	}
 	further := req.sent() > 0
@@ -169,7 +173,7 @@
 	}
 }
 
-// sent is how many attempts of a job went out, or may have.
+// sent counts the attempts that went out or may have gone out.
 func (req *testRequest) sent() (n int) {
 	for _, att := range req.attempts {
 		if !att.unsent {
@@ -179,7 +183,7 @@
 	return n
 }
 
-// checkBudget holds the attempts beyond a first of the window that ends now against rule 5.
+// checkAttemptBudget checks rule 5 for the window that ends now: the bound on attempts beyond each request's first.
 func (h *harness) checkAttemptBudget() {
 	b := h.s.Rules.Budget
 	if b == nil {
@@ -197,10 +201,11 @@
 		}
 	}
 	if allowed := b.Spare + b.PerRequest*float64(requests); float64(further) > allowed {
-		h.t.Fatalf("rule 5: %d further attempts where %v are allowed", further, allowed)
+		h.t.Fatalf("rule 5: got %d further attempts in a window, want at most %v", further, allowed)
 	}
 }
 
+// recordAnswer records the final answer to a request, which must be the only one (rule 1).
 func (h *harness) recordAnswer(id uint32) {
 	if req := h.requests[id]; req.answered {
 		h.t.Fatalf("rule 1: request %d answered twice", id)
@@ -209,6 +214,7 @@
 	}
 }
 
+// newRequest records the arrival of a request; the caller passes its event to the dispatcher.
 func (h *harness) newRequest(class int, budget time.Duration) *testRequest {
 	id := uint32(len(h.requests) + 1)
 	req := &testRequest{Request: Request{ID: id, Class: class, Budget: budget, Slots: 1}, due: h.now + budget}
@@ -218,7 +224,7 @@
 	return req
 }
 
-// end gives attempt n of a job its outcome.
+// endAttempt records the outcome of attempt n and returns its event.
 func (h *harness) endAttempt(req *testRequest, n int, o Outcome, r *Report) AttemptEnded {
 	att := req.attempts[n]
 	att.over, att.neverRan, att.unsent = true, o.NeverRan(), o == Moot
@@ -229,6 +235,7 @@
 	return AttemptEnded{req.ID, n, o, req.answered, r, 0}
 }
 
+// step advances the clock by one timer granule and plays random events; load is the chance that a request arrives.
 func (h *harness) step(load float64) {
 	h.now += h.s.Granularity
 	var events []Event
@@ -267,7 +274,7 @@
 	h.handle(events...)
 	for _, id := range h.active {
 		if req := h.requests[id]; !req.answered && h.now > req.due+h.s.Rules.AnswerSlack {
-			h.t.Fatalf("rule 1: request %d has no answer in time", id)
+			h.t.Fatalf("rule 1: request %d not answered by its deadline", id)
 		}
 	}
 	h.active = slices.DeleteFunc(h.active, func(id uint32) bool {
@@ -277,7 +284,7 @@
 	h.active = slices.Clip(h.active)
 }
 
-// change makes one worker drain, go, come or start anew.
+// randomListChange makes one worker drain, leave, appear or restart.
 func (h *harness) randomListChange() Event {
 	id := uint32(h.rng.IntN(6) + 1)
 	l := Worker{ID: id, Zone: int(id % 2), State: WorkerState(h.rng.IntN(3)), Started: h.list[id].Started}
@@ -289,11 +296,13 @@
 	}
 	h.list[id] = l
 	if h.s.Rules.GoneIsAdvice && h.rng.Float64() < 0.2 {
-		return ListFull{Workers: []Worker{l}} // the others are left out
+		return ListFull{Workers: []Worker{l}} // omits the other workers
 	}
 	return ListDelta{Workers: []Worker{l}}
 }
 
+// TestRulesUnderRandomEvents checks the rules on every action under random events, for each combination of job starts,
+// load reports and peer messages.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(24) {
 		starts, reports, peers := seed&1 != 0, seed&2 != 0, seed&4 != 0
@@ -302,12 +311,13 @@
 	}
 }
 
+// playRandomEvents plays random events for a number of steps, then lets all requests end.
 func playRandomEvents(t *testing.T, s Settings, steps int) {
 	t.Helper()
 	playRandomEventsWith(t, s, steps, func(*harness, int) {})
 }
 
-// randomDayWith does something before each step.
+// playRandomEventsWith is playRandomEvents with a callback before each step.
 func playRandomEventsWith(t *testing.T, s Settings, steps int, before func(h *harness, step int)) {
 	t.Helper()
 	h := newHarness(t, s)
@@ -322,24 +332,25 @@
 		before(h, i)
 		h.step(0.3)
 	}
-	for range 2000 { // no more arrivals: everything must drain
+	for range 2000 { // without arrivals, all requests must end
 		h.step(0)
 	}
 	if n := len(h.d.requests); n != 0 {
-		t.Errorf("%d requests are kept after the last answer", n)
+		t.Errorf("got %d requests in memory after the last answer, want 0", n)
 	}
 	for _, q := range h.d.queues {
 		if len(q) != 0 {
-			t.Errorf("a queue still holds %d", len(q))
+			t.Errorf("got %d requests in a queue after the last answer, want 0", len(q))
 		}
 	}
 	for _, wk := range h.d.fleet {
 		if wk.own != 0 || wk.running != 0 {
-			t.Errorf("worker %d keeps %v slots and %v running", wk.ID, wk.own, wk.running)
+			t.Errorf("worker %d: got %v slots in use and %v running after the last answer, want 0", wk.ID, wk.own, wk.running)
 		}
 	}
 }
 
+// FuzzDispatcher checks the rules under random events drawn from fuzzed seeds.
 func FuzzDispatcher(f *testing.F) {
 	f.Add(uint64(1), uint8(0))
 	f.Add(uint64(99), uint8(7))
@@ -349,6 +360,7 @@
 	})
 }
 
+// TestSameEventsSameActions checks that a dispatcher is deterministic for a given seed.
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() string {
 		h := newHarness(t, testSettings(5, true, false, true))
@@ -362,6 +374,6 @@
 		return out
 	}
 	if a, b := run(), run(); a != b {
-		t.Error("the same events gave different actions")
+		t.Error("the same events and seed gave different actions")
 	}
 }
