--- a/decide/many_dispatchers_test.go
+++ b/decide/many_dispatchers_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// crowd is a site with so many dispatchers that one meets a worker seldom.
+// manyDispatchers returns settings of a site with so many dispatchers that each meets a worker seldom.
 func manyDispatchers(starts, reports, peers bool) Settings {
 	s := testSettings(1, starts, reports, peers)
 	s.Dispatchers = 100
 	return s
 }
 
-// TestReportsTellOfOthers: with hundreds of dispatchers, what a few peers tell of a worker is a
-// small part of its load; jobs went to full workers that looked empty.
+// TestReportsRevealOthersLoad guards against sending jobs to full workers that look empty: with hundreds of
+// dispatchers, what a few peers report of a worker is a small part of its load.
 func TestReportsRevealOthersLoad(t *testing.T) {
 	for _, active := range []float64{4, 1} {
 		h := newReadyHarness(t, manyDispatchers(false, true, true), 2)
@@ -24,15 +24,15 @@
 		h.now += 100 * ms
 		h.handle(h.endAttempt(req, 0, OK, &Report{Active: active, FreeSlots: 0, FreeMemory: -1}))
 		at := h.d.workers[first]
-		at.own = 1 // and another job of ours
+		at.own = 1 // another job of this dispatcher
 		if got, _ := h.sendRequest(0); (got == first) != (active == 1) {
-			t.Errorf("with %v reported held, the next job went to %d, the first to %d", active, got, first)
+			t.Errorf("with %v jobs reported, the next job went to worker %d, the first to %d", active, got, first)
 		}
 	}
 }
 
-// TestPartyHears: a change is told to the dispatcher's party alone, and what it was told
-// of others' load goes on to the peers.
+// TestLoadIsSentToTheOwnGroupOnly checks that a dispatcher sends a change of its load only to the peers of its own
+// group, and passes on what workers reported of other dispatchers' load.
 func TestLoadIsSentToTheOwnGroupOnly(t *testing.T) {
 	s := manyDispatchers(false, true, true)
 	s.Dispatcher = 3
@@ -46,22 +46,22 @@
 		}
 	}
 	if len(messages) == 0 || len(messages) > partySize {
-		t.Fatalf("told %d peers", len(messages))
+		t.Fatalf("got messages to %d peers, want 1 to the size of a group", len(messages))
 	}
 	for n, body := range messages {
 		peer := newReadyHarness(t, s, 2)
 		if n%h.d.parties() != h.d.party() || n == s.Dispatcher {
-			t.Errorf("told dispatcher %d", n)
+			t.Errorf("got a message to dispatcher %d, which is not of the group", n)
 		}
 		peer.handle(PeerSaid{Peer: 3, Body: body})
 		if got := peer.d.workers[req.attempts[0].worker.ID].foreign; got != 3 {
-			t.Errorf("the peer takes others to hold %v, want 3", got)
+			t.Errorf("the peer counts a load of %v by others, want 3", got)
 		}
 	}
 }
 
-// TestZoneShunned: a dispatcher meets the workers of a zone too seldom to find them bad
-// one by one; most of its jobs went on into a lost zone.
+// TestFailingZoneIsAvoided guards against sending most jobs into a lost zone: a dispatcher meets the workers of a zone
+// too seldom to find each of them bad.
 func TestFailingZoneIsAvoided(t *testing.T) {
 	s := manyDispatchers(true, false, false)
 	s.Limits.Attempts = 1
@@ -88,12 +88,12 @@
 		}
 	}
 	if lost == 0 || lost > 25 {
-		t.Errorf("%d of the last 40 jobs went first to the lost zone, want a few", lost)
+		t.Errorf("%d of the last 40 jobs went first to the lost zone, want 1 to 25", lost)
 	}
 }
 
-// TestFullOfOneClass: a worker that says slowly that it is full of one class still gets
-// the others; one that says so at once gets none.
+// TestSlowRefusalBarsOneClassOnly checks that a worker that refuses a class after a while still gets the other
+// classes, and one that refuses at once gets none.
 func TestSlowRefusalBarsOneClassOnly(t *testing.T) {
 	for _, slow := range []bool{true, false} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
@@ -108,20 +108,21 @@
 		other := &request{Request: Request{Class: 2, Slots: 1}, c: h.d.classes[2], due: h.now + time.Second}
 		h.d.workers[1].ceiling, h.d.trusted = 5, max(h.d.trusted, 1)
 		if h.d.valid(same, h.d.workers[1], Invalidate{Rule: Overload}) {
-			t.Errorf("slow %v: valid for the class that was refused", slow)
+			t.Errorf("slow refusal %v: got the worker valid for the class that it refused", slow)
 		}
 		if shedding := h.d.admitted < 1; shedding == slow {
-			t.Errorf("slow %v: taken for overload %v", slow, shedding)
+			t.Errorf("slow refusal %v: taken for overload: got %v, want the opposite", slow, shedding)
 		}
 		if got := h.d.valid(other, h.d.workers[1], Invalidate{Rule: Overload}); got != slow {
-			t.Errorf("slow %v: valid for another class %v", slow, got)
+			t.Errorf("slow refusal %v: valid for another class: got %v, want the same", slow, got)
 		}
 	}
 }
 
-// TestAdmission: with hundreds of dispatchers each has a job or two out and no ceiling shows
-// overload; all was sent into full queues. A part is held back while starts are late, but of what is worth more than
-// most: among many no two meet at one dispatcher, and as much of it was held back as of the rest.
+// TestAdmissionUnderOverload guards against sending everything into full queues: with hundreds of dispatchers each has
+// a job or two in progress, and no ceiling shows overload. While starts are late, a part of the requests is held back,
+// except those worth more than most: among many dispatchers such requests seldom meet, and as many of them were held
+// back as of the others.
 func TestAdmissionUnderOverload(t *testing.T) {
 	for i, late := range []bool{true, false, true} {
 		class := 2 * (i / 2) // worth 5, 9 and 10
@@ -144,12 +145,13 @@
 			}
 		}
 		if (sent < 60) != (late && class == 0) {
-			t.Errorf("class %d, late %v: %d of 60 sent at once", class, late, sent)
+			t.Errorf("class %d, late starts %v: got %d of 60 sent at once", class, late, sent)
 		}
 	}
 }
 
-// TestEqualClassesAllWait: the mean of ten equal worths came to a hair under each, and none waited for a token.
+// TestEqualClassesAllWaitForTokens guards against a rounding error: the mean of ten equal worths was slightly below
+// each of them, so that no class waited for a token.
 func TestEqualClassesAllWaitForTokens(t *testing.T) {
 	s := manyDispatchers(true, false, false)
 	for len(s.Classes) < 10 {
@@ -162,16 +164,16 @@
 	h := newReadyHarness(t, s, 100)
 	h.d.admitted, h.d.tokens = leastAdmitted, 0
 	if at, _ := h.sendRequest(3); at != 0 {
-		t.Error("sent without a token")
+		t.Error("request sent without a token")
 	}
 }
 
-// TestSlowSetup: where new connections take long, a job that waits for one is not taken for
-// queued, and it moves only to a worker with an open connection.
+// TestSlowConnectingIsNotTakenForQueueing checks that, where new connections take long, a job that waits for one is
+// not taken for queued. It moves only to a worker with an open connection.
 func TestSlowConnectingIsNotTakenForQueueing(t *testing.T) {
 	for _, slow := range []bool{true, false} {
 		s := testSettings(1, true, false, false)
-		s.Classes[0].LateWorth = 0 // else it stays: few of those move
+		s.Classes[0].LateWorth = 0 // otherwise it stays: few with late worth move
 		h := newReadyHarness(t, s, 2)
 		for i := range h.d.setups {
 			if slow {
@@ -184,17 +186,17 @@
 			h.handle(Wake{})
 		}
 		if moved := len(req.attempts) > 1; moved == slow {
-			t.Errorf("slow set-up %v: moved %v", slow, moved)
+			t.Errorf("slow connecting %v: moved %v", slow, moved)
 		}
 	}
 }
 
-// TestCopyAtTheAim: where starts are not told, a job may queue unseen behind long ones; a
-// safe one gets a second copy while that can still end in time.
+// TestSecondCopyAtTheAim checks that, where workers do not report starts, a safe job gets a second copy at its aim: it
+// may queue unseen behind long jobs, and the copy can still end in time.
 func TestSecondCopyAtTheAim(t *testing.T) {
 	for class, want := range []int{2, 1, 1, 1} {
 		s := manyDispatchers(false, true, true)
-		if class == 3 { // a safe one where all tell their load
+		if class == 3 { // a safe one where all dispatchers exchange their load
 			class, s.Dispatchers = 0, 4
 		}
 		h := newReadyHarness(t, s, 2)
@@ -204,13 +206,13 @@
 			h.handle(Wake{})
 		}
 		if len(req.attempts) != want {
-			t.Errorf("class %d: %d attempts, want %d", class, len(req.attempts), want)
+			t.Errorf("class %d: got %d attempts, want %d", class, len(req.attempts), want)
 		}
 	}
 }
 
-// TestLateHeadIsLeft: many dispatchers choose alike by chance, and each stayed with a head
-// that started its jobs late while others stood idle.
+// TestWorkerWithLateStartsLosesItsRank guards against staying with a first choice that starts jobs late while others
+// are idle: by chance, many dispatchers rank the same worker first.
 func TestWorkerWithLateStartsLosesItsRank(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		h := newReadyHarness(t, manyDispatchers(true, false, false), 30)
@@ -225,7 +227,7 @@
 			}
 			h.now += ms
 			if late && at == first {
-				h.now += 50 * ms // and no timer in between
+				h.now += 50 * ms // without a timer in between
 				h.d.wakeAt = h.now
 			}
 			h.handle(JobStarted{req.ID, 0})
@@ -236,7 +238,7 @@
 		h.d.ordered = 0
 		h.handle()
 		if left := h.d.classes[0].blocks[2].members[0].ID != first; left != late {
-			t.Errorf("late %v: the head was left %v", late, left)
+			t.Errorf("late starts %v: the first choice changed: %v, want the same", late, left)
 		}
 	}
 }
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// fleet starts a dispatcher with policies of its own and ready workers 1 to n.
+// newReadyHarness starts a dispatcher that knows ready workers 1 to n.
 func newReadyHarness(t *testing.T, s Settings, n int) *harness {
 	t.Helper()
 	h := newHarness(t, s)
@@ -21,7 +21,7 @@
 	return h
 }
 
-// place sends one request of a class in and returns the worker it went to, 0 for none.
+// sendRequest hands in a request of a class and returns the worker that it was sent to, or 0.
 func (h *harness) sendRequest(class int) (uint32, *testRequest) {
 	h.t.Helper()
 	req := h.newRequest(class, time.Second)
@@ -33,8 +33,10 @@
 	return 0, req
 }
 
+// labelsFor returns a label that selects workers by ID.
 func labelsFor(ids ...uint32) []Label { return []Label{{Zone: Any, Kind: Any, IDs: ids}} }
 
+// withPolicy returns the settings with the same policy for each class.
 func withPolicy(s Settings, blocks []Block, f Followup) Settings {
 	s.Policies = nil
 	for range s.Classes {
@@ -43,6 +45,8 @@
 	return s
 }
 
+// TestBlocksAreTriedInOrder checks that a block is used only when all blocks before it are invalid, and that the
+// followup fail ends the request.
 func TestBlocksAreTriedInOrder(t *testing.T) {
 	max2 := Invalidate{MaxConcurrentInvocations, 2}
 	s := withPolicy(testSettings(1, false, false, false),
@@ -54,25 +58,28 @@
 	for i, want := range []uint32{3, 3, 1, 1, 0} {
 		got, req := h.sendRequest(0)
 		if got != want {
-			t.Errorf("request %d went to %d, want %d", i, got, want)
+			t.Errorf("request %d: got worker %d, want %d", i, got, want)
 		}
 		if want == 0 && !req.answered {
-			t.Error("followup fail left the request open")
+			t.Error("request still open after the followup fail")
 		}
 	}
 }
 
+// TestFollowupDefault checks that the followup default uses all workers once the blocks are invalid.
 func TestFollowupDefault(t *testing.T) {
 	s := withPolicy(testSettings(1, false, false, false), []Block{{Workers: labelsFor(1), Strategy: BestFirst, Invalidate: Invalidate{Rule: Overload}}}, Default)
 	h := newReadyHarness(t, s, 4)
 	if got, _ := h.sendRequest(0); got != 1 {
-		t.Fatalf("block one was passed over for %d", got)
+		t.Fatalf("got worker %d, want 1 of the first block", got)
 	}
 	if got, req := h.sendRequest(0); got < 2 || req.answered {
-		t.Errorf("the default tag gave %d", got)
+		t.Errorf("got worker %d, want another than 1, by the default tag", got)
 	}
 }
 
+// TestStrategies checks that each strategy uses each worker once, and that only the random one varies its first choice
+// with the seed.
 func TestStrategies(t *testing.T) {
 	rule := Invalidate{MaxConcurrentInvocations, 1}
 	for _, strategy := range []Strategy{Random, BestFirst, Platform} {
@@ -87,24 +94,25 @@
 						firsts[got] = true
 					}
 					if got == 0 || seen[got] {
-						t.Fatalf("seed %d: request %d went to %d", seed, i, got)
+						t.Fatalf("seed %d: request %d: got worker %d, want one not used yet", seed, i, got)
 					}
 					seen[got] = true
 				}
 			}
 			if fair := len(firsts) == 5; fair != (strategy == Random) {
-				t.Errorf("over 20 seeds the first choice was one of %d workers", len(firsts))
+				t.Errorf("over 20 seeds: got %d different first choices", len(firsts))
 			}
 		})
 	}
 }
 
+// TestInvalidateRules checks how many jobs each rule lets one worker have.
 func TestInvalidateRules(t *testing.T) {
 	tests := []struct {
 		name  string
 		inv   Invalidate
 		slots float64
-		want  int // jobs taken by the one worker
+		want  int // jobs that the worker gets
 	}{
 		{"half of four slots", Invalidate{CapacityUsed, 50}, 4, 2},
 		{"all of four slots", Invalidate{CapacityUsed, 100}, 4, 4},
@@ -124,12 +132,13 @@
 				}
 			}
 			if taken != tt.want {
-				t.Errorf("took %d jobs, want %d", taken, tt.want)
+				t.Errorf("got %d jobs, want %d", taken, tt.want)
 			}
 		})
 	}
 }
 
+// TestCoprimeStepVisitsAll checks that the step between workers of a platform block visits each of them.
 func TestCoprimeStepVisitsAll(t *testing.T) {
 	for n := 1; n <= 30; n++ {
 		for want := range n {
@@ -138,12 +147,13 @@
 				seen[i*step%n] = true
 			}
 			if len(seen) != n {
-				t.Errorf("step %d visits %d of %d", step, len(seen), n)
+				t.Errorf("step %d: visited %d of %d", step, len(seen), n)
 			}
 		}
 	}
 }
 
+// TestInvalidSettingsAreRejected checks that New rejects invalid policies with an error that says why.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	valid := Block{Workers: labelsFor(1), Strategy: BestFirst, Invalidate: Invalidate{Rule: Overload}}
 	with := func(f func(b *Block)) []Block { b := valid; f(&b); return []Block{b} }
@@ -163,27 +173,28 @@
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := New(withPolicy(testSettings(1, false, false, false), tt.blocks, tt.followup))
 			if err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want one with %q", err, tt.want)
+				t.Errorf("got error %v, want one that contains %q", err, tt.want)
 			}
 		})
 	}
 	if _, err := New(Settings{}); err == nil {
-		t.Error("settings without a class were taken")
+		t.Error("settings without a class: got no error")
 	}
 }
 
+// TestInvalidAttemptBudgetIsRejected checks that New rejects budgets that are negative, infinite or without a window.
 func TestInvalidAttemptBudgetIsRejected(t *testing.T) {
 	tests := []struct {
 		name   string
 		budget AttemptBudget
 		ok     bool
 	}{
-		{"plain", AttemptBudget{1, 0.15, time.Second}, true},
+		{"valid", AttemptBudget{1, 0.15, time.Second}, true},
 		{"no further attempts", AttemptBudget{0, 0, time.Second}, true},
 		{"negative spare", AttemptBudget{-1, 0.15, time.Second}, false},
 		{"negative share", AttemptBudget{1, -0.15, time.Second}, false},
-		{"share is no number", AttemptBudget{1, math.NaN(), time.Second}, false},
-		{"endless spare", AttemptBudget{math.Inf(1), 0, time.Second}, false},
+		{"share is not a number", AttemptBudget{1, math.NaN(), time.Second}, false},
+		{"infinite spare", AttemptBudget{math.Inf(1), 0, time.Second}, false},
 		{"no window", AttemptBudget{1, 0.15, 0}, false},
 	}
 	for _, tt := range tests {
@@ -191,14 +202,14 @@
 			s := testSettings(1, true, false, false)
 			s.Rules.Budget = &tt.budget
 			if _, err := New(s); (err == nil) != tt.ok {
-				t.Errorf("error %v, want none: %v", err, tt.ok)
+				t.Errorf("got error %v, want a valid budget: %v", err, tt.ok)
 			}
 		})
 	}
 }
 
-// TestAttemptBudget: retries went out as long as their own saved-up budget lasted, past
-// what the rule allows for the requests of the window.
+// TestAttemptBudget guards against more further attempts than the rule allows for the requests of the window: retries
+// once had a saved-up budget of their own.
 func TestAttemptBudget(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -225,18 +236,18 @@
 				}
 				further += len(req.attempts) - 1
 				if !req.answered {
-					t.Error("a request beyond the budget is kept waiting")
+					t.Error("a request beyond the budget is still open")
 				}
 			}
 			if further != tt.want {
-				t.Errorf("%d further attempts, want %d", further, tt.want)
+				t.Errorf("got %d further attempts, want %d", further, tt.want)
 			}
 		})
 	}
 }
 
-// TestStallIsNoQueueing: after a stall of the dispatcher itself, the note of a prompt
-// start came late and its worker was struck.
+// TestOwnStallIsNotTakenForQueueing guards against suspecting a worker after a stall of the dispatcher itself: the
+// notice of a prompt start then arrives late.
 func TestOwnStallIsNotTakenForQueueing(t *testing.T) {
 	for _, stalled := range []bool{true, false} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
@@ -252,13 +263,13 @@
 		h.now += 8 * ms
 		h.handle(Wake{}, h.endAttempt(req, 0, OK, nil))
 		if trusted := h.d.workers[1].ceiling > firstCeiling; trusted != stalled {
-			t.Errorf("stalled %v: ceiling raised %v", stalled, trusted)
+			t.Errorf("own stall %v: ceiling raised %v, want the same", stalled, trusted)
 		}
 	}
 }
 
-// TestAnsweredBeforeAStall: an answer put off to the last moment missed the deadline when
-// the dispatcher had no turn then.
+// TestAnswerIsEarlyByAKnownStall guards against missing a deadline: an answer that is put off to the last moment is
+// late when the dispatcher stalls then.
 func TestAnswerIsEarlyByAKnownStall(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	_, req := h.sendRequest(2)
@@ -267,19 +278,19 @@
 		h.now += 8 * ms
 		h.handle(Wake{})
 	}
-	h.now += 100 * ms // the stall: 148 ms are left
+	h.now += 100 * ms // a stall; 148 ms are left
 	h.handle(Wake{})
 	for range 8 {
 		h.now += 8 * ms
 		h.handle(Wake{})
 	}
 	if !req.answered {
-		t.Error("not answered a known stall's length before the deadline")
+		t.Error("not answered earlier than the deadline by the length of a known stall")
 	}
 }
 
-// TestClientInAHurry: a first try with little time was taken for a later one that had
-// used up its time, and refused at once.
+// TestShortBudgetIsNotTakenForARetry guards against taking a first try with little time for a retry that has used up
+// its time, and refusing it at once.
 func TestShortBudgetIsNotTakenForARetry(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -305,36 +316,36 @@
 			h.now += 10 * ms
 			h.handle(Wake{})
 			if req.answered != tt.late {
-				t.Errorf("taken for late: %v, want %v", req.answered, tt.late)
+				t.Errorf("taken for late: got %v, want %v", req.answered, tt.late)
 			}
 		})
 	}
 }
 
-// TestLateLeavesInTimeQueue: a request past its aim once stayed in the in-time
-// queue too, and went before fresh ones.
+// TestLateRequestLeavesTheInTimeQueue guards against a request past its aim that stays in the in-time queue as well,
+// and is sent before requests that can still be in time.
 func TestLateRequestLeavesTheInTimeQueue(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, false, false, false), 1)
-	if got, _ := h.sendRequest(0); got != 1 { // fills the one worker
-		t.Fatal("not placed")
+	if got, _ := h.sendRequest(0); got != 1 { // fills the only worker
+		t.Fatal("first request not sent")
 	}
-	h.sendRequest(0) // will be late
-	h.sendRequest(0) // and another: no random pick while others wait
+	h.sendRequest(0) // becomes late
+	h.sendRequest(0) // a second one: no last resort while others wait
 	h.now += 200 * ms
 	h.handle(Wake{})
 	fresh := h.newRequest(0, time.Second)
 	h.handle(fresh.Request)
 	for _, a := range h.handle(h.endAttempt(h.requests[1], 0, OK, nil)) {
 		if s, ok := a.(Send); ok && s.Request != fresh.ID {
-			t.Errorf("request %d went before the fresh %d", s.Request, fresh.ID)
+			t.Errorf("request %d was sent before the new request %d", s.Request, fresh.ID)
 		}
 	}
 	if len(fresh.attempts) != 1 {
-		t.Error("the fresh request was not sent")
+		t.Error("new request not sent")
 	}
 }
 
-// TestRunTimeCountsFromStart: the run time once counted from the last progress note.
+// TestRunTimeCountsFromStart guards against measuring a run time from the last progress report instead of the start.
 func TestRunTimeCountsFromStart(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	_, req := h.sendRequest(0)
@@ -345,37 +356,37 @@
 	h.now += 20 * ms
 	h.handle(h.endAttempt(req, 0, OK, nil))
 	if run := h.d.classes[0].run; run < 0.51 || run > 0.53 {
-		t.Errorf("run time %v, want 0.52", run)
+		t.Errorf("got a run time of %v s, want 0.52", run)
 	}
 }
 
-// TestQueuedJobMoves: a job that a worker does not start goes elsewhere, and the
-// worker gets nothing new until it has shown life.
+// TestQueuedJobMoves checks that a job that its worker does not start moves to another worker where its class allows
+// that, and that the first worker gets nothing new until it shows a sign of life.
 func TestQueuedJobMoves(t *testing.T) {
 	for class, wantMove := range []bool{true, true, false} {
 		s := testSettings(1, true, false, false)
-		s.Classes[0].LateWorth = 0 // else it stays: few of those move
+		s.Classes[0].LateWorth = 0 // otherwise it stays: few with late worth move
 		h := newReadyHarness(t, s, 2)
 		first, req := h.sendRequest(class)
 		h.now += 60 * ms
 		h.handle(Wake{})
 		if moved := len(req.attempts) == 2 && req.attempts[1].worker.ID != first; moved != wantMove {
-			t.Errorf("class %d: moved %v, want %v", class, moved, wantMove)
+			t.Errorf("class %d: moved: got %v, want %v", class, moved, wantMove)
 		}
 		if got, _ := h.sendRequest(2); got == first {
-			t.Errorf("class %d: the silent worker %d got more", class, first)
+			t.Errorf("class %d: worker %d got another job without a sign of life", class, first)
 		}
 	}
 }
 
-// TestCalledOffWhenCrowded: a job that still queues at its aim is given up only
-// while more of this dispatcher's jobs queue at workers than run. With many
-// dispatchers each finds room for its few jobs everywhere and holds none.
+// TestQueuedJobIsCancelledOnlyWhenCrowded checks that a job that still queues at its aim is given up only while more
+// of this dispatcher's jobs queue at workers than run: each of many dispatchers finds room for its few jobs everywhere
+// and holds none back.
 func TestQueuedJobIsCancelledOnlyWhenCrowded(t *testing.T) {
 	for i, crowded := range []bool{false, true, true} {
 		s := testSettings(1, true, false, false)
 		s.Classes[2].Stretch = 1
-		s.Limits.Cancel = i < 2 // what cannot be called off is waited for: once it ran for nothing, and its client came back
+		s.Limits.Cancel = i < 2 // what cannot be cancelled is waited for: it would run anyway, and again for the client's retry
 		h := newReadyHarness(t, s, 3)
 		_, req := h.sendRequest(2)
 		for range 2 {
@@ -383,18 +394,19 @@
 				h.handle(JobStarted{other.ID, 0})
 			}
 		}
-		for range 10 { // it queues from 20 ms on, its aim is 150 ms
+		for range 10 { // it counts as queued from 20 ms on; its aim is 150 ms
 			h.now += 20 * ms
 			h.handle(Wake{})
 		}
 		if want := crowded && s.Limits.Cancel; req.answered != want {
-			t.Errorf("crowded %v: answered %v, want %v", crowded, req.answered, want)
+			t.Errorf("crowded %v: answered: got %v, want %v", crowded, req.answered, want)
 		}
 	}
 }
 
-// TestQueuedJobThatStartedIsNotCalledOff: a job that had queued counted as queued for good. At its aim it was called
-// off while it ran, in time as most: with hundreds of dispatchers a fifth of what the encoders did came to nothing.
+// TestQueuedJobThatStartedIsNotCancelled guards against a job that counts as queued even after its start: it was
+// cancelled at its aim while it ran, mostly in time, and with hundreds of dispatchers a fifth of the encoders' work
+// was wasted.
 func TestQueuedJobThatStartedIsNotCancelled(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[2].Stretch = 1
@@ -402,34 +414,34 @@
 	_, req := h.sendRequest(2)
 	h.sendRequest(2)
 	h.sendRequest(2)
-	for n := range 10 { // it queues from 20 ms on and starts at 100 ms; two go on queueing; its aim is 150 ms
+	for n := range 10 { // queued from 20 ms on, started at 100 ms, aim 150 ms; the other two stay queued
 		h.now += 20 * ms
 		if h.handle(Wake{}); n == 4 {
 			h.handle(JobStarted{req.ID, 0})
 		}
 	}
 	if req.answered {
-		t.Error("a running job was called off at its aim")
+		t.Error("a running job was cancelled at its aim")
 	}
 }
 
-// TestLaterTryIsOlder: a client's later try, told by its shorter budget, was once
-// held for a whole aim of its own and then served too late.
+// TestRetryCountsFromTheFirstTry guards against holding a client's retry, recognized by its shorter budget, for a
+// whole aim of its own, and then serving it too late.
 func TestRetryCountsFromTheFirstTry(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, false, false, false), 1)
-	h.sendRequest(2) // fills the worker and shows a first try's budget
-	h.sendRequest(0) // waits too: no random pick
+	h.sendRequest(2) // fills the worker and shows the budget of first tries
+	h.sendRequest(0) // waits as well: no last resort
 	second := h.newRequest(2, 800*ms)
 	h.handle(second.Request)
 	h.now += 10 * ms
 	h.handle(Wake{})
 	if !second.answered {
-		t.Error("a try that began 200 ms ago, past its aim of 150 ms, is still held")
+		t.Error("a request whose first try was 200 ms ago, past its aim of 150 ms, is still held")
 	}
 }
 
-// TestCalledOffJobDoesNotBar: a job called off at a trusted worker once left a
-// ghost slot without a strike, and the worker was never tried again.
+// TestCancelledJobDoesNotBarItsWorker guards against never trying a worker again: a job cancelled at a trusted worker
+// kept its slot occupied there although nothing spoke against the worker.
 func TestCancelledJobDoesNotBarItsWorker(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	_, req := h.sendRequest(0)
@@ -438,12 +450,12 @@
 	h.now += 2 * time.Second
 	h.handle(h.endAttempt(req, 0, Cancelled, nil))
 	if got, _ := h.sendRequest(2); got != 1 {
-		t.Error("the worker is barred though nothing speaks against it")
+		t.Error("the worker gets no job although it is trusted")
 	}
 }
 
-// TestPeersHearOfEveryWorker: a message holds some forty workers; the rest of a
-// larger fleet was once never told.
+// TestPeersReceiveTheLoadOfEveryWorker guards against messages that leave out workers: a message holds some forty
+// workers, and the others of a larger fleet must follow in the next ones.
 func TestPeersReceiveTheLoadOfEveryWorker(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, false, true, true), 100)
 	receiver := newHarness(t, testSettings(2, false, true, true))
@@ -455,33 +467,33 @@
 		for _, a := range h.d.Handle(now, nil) {
 			if m, ok := a.(TellPeers); ok {
 				if len(m.Body) > 256 {
-					t.Fatalf("message of %d bytes", len(m.Body))
+					t.Fatalf("got a message of %d bytes, want at most 256", len(m.Body))
 				}
 				receiver.handle(PeerSaid{Peer: 1, Body: m.Body})
 			}
 		}
 	}
 	if n := len(receiver.d.peers[1].load); n != 100 {
-		t.Errorf("the peer knows the load of %d workers, want 100", n)
+		t.Errorf("peer received the load of %d workers, want 100", n)
 	}
 }
 
-// TestPeersCountAtUnknownWorkers: the load that peers tell once did not count at a
-// worker whose size was not known, so each dispatcher took it for empty.
+// TestPeerLoadCountsAtWorkersOfUnknownSize guards against taking a worker for empty while its size is unknown,
+// whatever load the peers report there.
 func TestPeerLoadCountsAtWorkersOfUnknownSize(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, false, true, true), 2)
 	busy := appendLoad(newLoads(true), 1, [2]uint8{8, 0}, unknownLoad)
 	h.handle(PeerSaid{Peer: 1, Body: busy})
 	if got, _ := h.sendRequest(0); got != 2 {
-		t.Errorf("went to %d, want the worker that no peer uses", got)
+		t.Errorf("got worker %d, want 2, which no peer uses", got)
 	}
 	if got, _ := h.sendRequest(0); got != 0 {
-		t.Errorf("a second job went to %d, though both are full", got)
+		t.Errorf("second job: got worker %d, want none, both are full", got)
 	}
 }
 
-// TestTrials: a struck worker gets a trial only from a request that may be
-// repeated and has had no attempt yet, unless no worker is trusted at all.
+// TestTrialsOfSuspectedWorkers checks that a suspected worker gets a trial only from a repeatable request without
+// attempts, unless no worker is trusted.
 func TestTrialsOfSuspectedWorkers(t *testing.T) {
 	tests := []struct {
 		name            string
@@ -507,22 +519,22 @@
 				r.attempts = append(r.attempts, &attempt{w: other, over: true, neverRan: true})
 			}
 			if got := h.d.valid(r, suspected, Invalidate{Rule: Overload}); got != tt.want {
-				t.Errorf("valid %v, want %v", got, tt.want)
+				t.Errorf("valid: got %v, want %v", got, tt.want)
 			}
-			suspected.ghost = 2 // once, ghosts barred a worker from the trial that would free them
+			suspected.ghost = 2 // slots of abandoned attempts must not bar the trial that would free them
 			if got := h.d.valid(r, suspected, Invalidate{Rule: Overload}); got != tt.want {
-				t.Errorf("valid %v with ghost slots, want %v", got, tt.want)
+				t.Errorf("valid with slots of abandoned attempts: got %v, want %v", got, tt.want)
 			}
 			suspected.retryAt = h.now + time.Second
 			if h.d.valid(r, suspected, Invalidate{Rule: Overload}) {
-				t.Error("valid before its backoff is over")
+				t.Error("valid before the end of its backoff")
 			}
 		})
 	}
 }
 
-// TestLastResort: a request that finds no room at all goes to a random healthy
-// worker at the end of its hold, but only while nothing else waits.
+// TestLastResort checks that a request that finds no room until its aim goes to a random healthy worker, but only
+// while nothing else waits.
 func TestLastResort(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		h := newReadyHarness(t, testSettings(1, false, false, false), 2)
@@ -535,13 +547,13 @@
 		h.now += 150 * ms
 		h.handle(Wake{})
 		if sent := len(req.attempts) == 1; sent != alone || req.answered == alone {
-			t.Errorf("alone %v: sent %v, answered %v", alone, sent, req.answered)
+			t.Errorf("nothing else waits %v: sent %v, answered %v", alone, sent, req.answered)
 		}
 	}
 }
 
-// TestLeastWorthMakesRoom: past the limit of open requests the newcomer is refused only where it is worth least for
-// its run; else one that is late, or of a class worth less, makes room. What was sent stays.
+// TestLeastValuableRequestMakesRoom checks which request is refused at the limit of open requests: a late one, or one
+// of a class with less worth per run time, and the new one only if it is worth least. What was sent stays.
 func TestLeastValuableRequestMakesRoom(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Limits.Open = 4
@@ -552,24 +564,24 @@
 		reqs = append(reqs, req)
 		for i, req := range reqs {
 			if req.answered != want[i] {
-				t.Errorf("with %d requests: request %d answered %v, want %v", len(reqs), i, req.answered, want[i])
+				t.Errorf("with %d requests: request %d answered: got %v, want %v", len(reqs), i, req.answered, want[i])
 			}
 		}
 	}
 	answered(0, false) // sent
 	answered(0, false, false)
 	answered(0, false, false, false)
-	h.now += 150 * ms // the two that wait are late
+	h.now += 150 * ms // the two held ones become late
 	h.handle(Wake{})
 	answered(0, false, false, false, false)
 	answered(1, false, false, true, false, false)
 	answered(1, false, true, true, false, false, false)
-	answered(1, false, true, true, true, false, false, false) // all of its own class are worth more
+	answered(1, false, true, true, true, false, false, false) // the requests of its own class are worth more
 	answered(0, false, true, true, true, false, false, false, true)
 }
 
-// TestRefusedLeaveTheQueue: what made room waited in its queue behind all that was held, thousands in a rush, and each
-// newcomer looked through them.
+// TestRefusedRequestsLeaveTheQueue guards against refused requests that stay in their queue behind all held ones:
+// under a rush there were thousands, and each new request scanned them.
 func TestRefusedRequestsLeaveTheQueue(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Limits.Open = 9
@@ -577,27 +589,27 @@
 	for i := range 300 {
 		h.sendRequest(i % 2)
 		if held := h.d.held(); held > s.Limits.Open {
-			t.Fatalf("%d wait after %d requests", held, i+1)
+			t.Fatalf("got %d held after %d requests", held, i+1)
 		}
 	}
 }
 
-// TestOpenIsBounded: what comes past the limit of open requests is refused at once.
+// TestOpenRequestsAreBounded checks that requests beyond the limit of open ones are refused at once.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Limits.Open = 2
 	h := newReadyHarness(t, s, 1)
 	for i, want := range []bool{false, false, true} {
 		if _, req := h.sendRequest(0); req.answered != want {
-			t.Errorf("request %d answered %v, want %v", i, req.answered, want)
+			t.Errorf("request %d answered: got %v, want %v", i, req.answered, want)
 		}
 	}
 }
 
-// TestStandingWorker: a running job without progress gets a second copy elsewhere
-// where its class allows a repeat, and the worker that stands still gets nothing new.
+// TestStalledJobIsCopied checks that a running job without progress gets a second copy at another worker where its
+// class allows a repeat, and that the stalled worker gets nothing new.
 func TestStalledJobIsCopied(t *testing.T) {
-	for class, want := range []int{2, 1, 1} { // the keyed one is past its window by then
+	for class, want := range []int{2, 1, 1} { // the keyed request's window is over by then
 		h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 		at, req := h.sendRequest(class)
 		h.handle(JobStarted{req.ID, 0})
@@ -606,10 +618,10 @@
 			h.handle(Wake{})
 		}
 		if len(req.attempts) != want {
-			t.Errorf("class %d: %d attempts, want %d", class, len(req.attempts), want)
+			t.Errorf("class %d: got %d attempts, want %d", class, len(req.attempts), want)
 		}
 		if got, _ := h.sendRequest(2); got == at {
-			t.Errorf("class %d: the standing worker got an unsafe job", class)
+			t.Errorf("class %d: the stalled worker got an unsafe job", class)
 		}
 	}
 }
