--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -7,22 +7,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGivenUpAtOnce: each way of giving up a request is answered in the turn in which it is
-// given up; a keyed one past its window and a moved unsafe one were once held to the aim.
+// TestRequestWithoutAttemptsLeftIsAnsweredAtOnce checks that a request is answered in the batch in which its last
+// permitted attempt ends. A keyed one past its window and an unsafe one cancelled in a queue were once held until
+// their aim.
 func TestRequestWithoutAttemptsLeftIsAnsweredAtOnce(t *testing.T) {
 	tests := []struct {
 		name     string
 		class    int
-		attempts int // the cap
+		attempts int // the limit
 		outcomes []Outcome
 		wait     time.Duration
 		refused  bool
 	}{
 		{"unsafe that may have run", 2, 6, []Outcome{Reset}, 0, false},
-		{"unsafe, called off in a queue", 2, 6, []Outcome{Cancelled}, 50 * ms, false},
+		{"unsafe, cancelled in a queue", 2, 6, []Outcome{Cancelled}, 50 * ms, false},
 		{"keyed past its window", 1, 6, []Outcome{Reset}, 310 * ms, false},
-		{"keyed at the cap", 1, 1, []Outcome{Reset}, 0, false},
-		{"safe at the cap", 0, 2, []Outcome{Full, Full}, 0, true},
+		{"keyed at the limit", 1, 1, []Outcome{Reset}, 0, false},
+		{"safe at the limit", 0, 2, []Outcome{Full, Full}, 0, true},
 		{"failed at two workers", 0, 6, []Outcome{Errored, Errored}, 0, true},
 	}
 	for _, tt := range tests {
@@ -35,51 +36,51 @@
 			var last []Action
 			for n, o := range tt.outcomes {
 				if n >= len(req.attempts) {
-					t.Fatalf("no attempt %d", n)
+					t.Fatalf("attempt %d was not sent", n)
 				}
 				last = h.handle(h.endAttempt(req, n, o, nil))
 			}
 			if !req.answered {
-				t.Fatal("held though no attempt is left to it")
+				t.Fatal("still open without an attempt left")
 			}
 			for _, a := range last {
 				if r, ok := a.(Refuse); ok != tt.refused && !ok {
 					continue
 				} else if ok && (r.RetryAfter > 0) != (tt.outcomes[0] == Errored) {
-					t.Errorf("refused with a time to come back of %v", r.RetryAfter)
+					t.Errorf("refused with a retry-after of %v, want one only after errors", r.RetryAfter)
 				}
 			}
 		})
 	}
 }
 
-// TestKeyedWindowEndsWhileHeld: the window may end while a request is held; then it is
-// answered at the next sweep.
+// TestKeyedWindowEndsWhileHeld checks that a held request whose repeat window ends is answered at the next sweep.
 func TestKeyedWindowEndsWhileHeld(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Progress, s.Classes[1].Aim = 0, 900*ms
 	h := newReadyHarness(t, s, 1)
 	_, req := h.sendRequest(1)
-	h.handle(h.endAttempt(req, 0, Reset, nil)) // its only worker is struck: held
+	h.handle(h.endAttempt(req, 0, Reset, nil)) // its only worker is suspected, so it is held
 	for h.now < req.due-600*ms {
 		h.now += 10 * ms
 		h.d.workers[1].retryAt = h.now + time.Second
 		h.handle(Wake{})
 	}
 	if !req.answered {
-		t.Error("still held, though its window is over")
+		t.Error("still open after the end of its window")
 	}
 }
 
-// TestOverShare: a tenant far beyond its share is told from the others, also where one
-// dispatcher gets more of everybody's traffic; where none is, nobody's requests go last.
+// TestTenantOverItsShareIsRecognized checks that requests of a tenant far beyond its share are told from those of
+// others, also where this dispatcher gets more traffic of all tenants; where no tenant is beyond its share, no request
+// counts as over it.
 func TestTenantOverItsShareIsRecognized(t *testing.T) {
 	tests := []struct {
 		name   string
 		rates  []int // requests in a tenth of a second
 		lo, hi float64
 	}{
-		{"all inside", []int{2, 2, 2}, 0, 0},
+		{"all within their shares", []int{2, 2, 2}, 0, 0},
 		{"all three times as much here", []int{6, 6, 6}, 0, 0},
 		{"one at three times the others", []int{9, 3, 3}, 0.3, 0.8},
 	}
@@ -102,19 +103,20 @@
 				}
 			}
 			if over[0] < tt.lo || over[0] > tt.hi {
-				t.Errorf("%.2f of the first tenant's are over its share, want %v to %v", over[0], tt.lo, tt.hi)
+				t.Errorf("got %.2f of the first tenant's requests over its share, want %v to %v", over[0], tt.lo, tt.hi)
 			}
 			if over[1]+over[2] > 0.02 {
-				t.Errorf("%.2f and %.2f of the others' are over", over[1], over[2])
+				t.Errorf("got %.2f and %.2f of the others' requests over their share, want at most 0.02 together", over[1], over[2])
 			}
 		})
 	}
 	if newHarness(t, testSettings(1, true, false, false)).d.overShare(3) {
-		t.Error("a tenant where there are none is over its share")
+		t.Error("an unknown tenant is over its share")
 	}
 }
 
-// TestOverShareLeavesRoom: what is over its tenant's share gets half of a worker's room.
+// TestOverShareRequestsGetHalfOfAWorker checks that requests over their tenant's share use at most half of a worker's
+// room.
 func TestOverShareRequestsGetHalfOfAWorker(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	wk := h.d.workers[1]
@@ -122,21 +124,21 @@
 	for i := range 4 {
 		r := &request{Request: Request{Slots: 1}, c: h.d.classes[0], due: h.now + time.Second, over: true}
 		if got := h.d.valid(r, wk, Invalidate{MaxConcurrentInvocations, 100}); got != (i < 2) {
-			t.Errorf("with %d at work: room %v", i, got)
+			t.Errorf("with %d jobs running: got room %v", i, got)
 		}
 		wk.own++
 	}
 }
 
-// TestCeilingFromEnds: where no start is told, jobs that end in time raise the ceiling; it
-// stayed at one job, and what was let out after refusals never rose again.
+// TestCeilingIsLearnedFromJobEnds guards against a ceiling that stays at one job, and an admitted share that never
+// recovers after refusals, where workers do not report starts: then jobs that end in time raise both.
 func TestCeilingIsLearnedFromJobEnds(t *testing.T) {
 	for _, run := range []time.Duration{50 * ms, 800 * ms} {
 		s := testSettings(1, false, false, false)
 		s.Progress = 0
 		h := newReadyHarness(t, s, 1)
 		h.d.admitted, h.d.tokens = 0.5, mostTokens
-		h.d.classes[0].jobs, h.d.classes[0].logRun = 50, -3 // 50 ms is usual
+		h.d.classes[0].jobs, h.d.classes[0].logRun = 50, -3 // the typical run is 50 ms
 		for range 6 {
 			h.sendRequest(0)
 			h.now += run
@@ -147,17 +149,17 @@
 			}
 		}
 		if up := h.d.workers[1].ceiling > 1; up != (run < 100*ms) {
-			t.Errorf("runs of %v: ceiling %v", run, h.d.workers[1].ceiling)
+			t.Errorf("runs of %v: got a ceiling of %v", run, h.d.workers[1].ceiling)
 		}
 		if h.d.admitted <= 0.5 {
-			t.Errorf("runs of %v: let out %v", run, h.d.admitted)
+			t.Errorf("runs of %v: got an admitted share of %v, want more than 0.5", run, h.d.admitted)
 		}
 	}
 }
 
-// TestGhostsAreProbed: once first jobs at workers that the list alone knows come to nothing,
-// the others like them are probed first and get no unsafe job; an answer makes one usual.
-// Without probes, or before any worker has served, nothing is held against newcomers.
+// TestUnprovenWorkersAreProbed checks that, once first jobs at workers known only from the list have failed, others
+// like them are probed first and get no unsafe job until they answer. Without probes, or before any worker has served,
+// new workers are trusted.
 func TestUnprovenWorkersAreProbed(t *testing.T) {
 	for _, probes := range []bool{true, false} {
 		s := testSettings(1, false, false, false)
@@ -186,27 +188,27 @@
 			}
 		}
 		if want := 0; probes && len(probed) != 8 || !probes && len(probed) != want {
-			t.Errorf("probes allowed %v: %d were probed", probes, len(probed))
+			t.Errorf("probes allowed %v: got %d workers probed", probes, len(probed))
 		}
 		if trusted := h.d.workers[5].strikes == 0; trusted == probes {
-			t.Errorf("probes allowed %v: a newcomer is trusted %v", probes, trusted)
+			t.Errorf("probes allowed %v: new worker trusted: got %v", probes, trusted)
 		}
 		trial := &request{Request: Request{Slots: 1}, c: h.d.classes[0], due: h.now + time.Minute}
 		for n := range freshProbes + 1 {
 			wk := h.d.workers[7]
 			wk.probes, wk.retryAt = n, h.now
 			if ok := h.d.valid(trial, wk, Invalidate{MaxConcurrentInvocations, 9}); probes && ok != (n == freshProbes) {
-				t.Errorf("after %d unanswered probes a trial: %v", n, ok)
+				t.Errorf("trial after %d unanswered probes: got %v", n, ok)
 			}
 		}
 		h.handle(Probed{Worker: 5, Outcome: OK}, Probed{Worker: 6, Outcome: TimedOut}, Probed{Worker: 99, Outcome: OK})
 		if h.d.workers[5].strikes != 0 || probes && h.d.workers[6].strikes == 0 {
-			t.Error("an answered probe did not clear its worker, or a lost one did")
+			t.Error("want the worker that answered its probe trusted, and the other one suspected")
 		}
 	}
 }
 
-// TestProbesAreNoVerdict: lost probes cost a worker that serves nothing.
+// TestLostProbesDoNotBarAServingWorker checks that unanswered probes do not count against a worker that serves.
 func TestLostProbesDoNotBarAServingWorker(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, false, false, false), 1)
 	_, req := h.sendRequest(0)
@@ -215,12 +217,12 @@
 		h.handle(Probed{Worker: 1, Outcome: TimedOut}, Probed{Worker: 1, Outcome: Errored})
 	}
 	if got, _ := h.sendRequest(2); got != 1 {
-		t.Error("a worker that serves is left for its probes")
+		t.Error("a worker that serves is not used because of lost probes")
 	}
 }
 
-// TestSilentWorkerIsLeft: where neither starts nor progress are told, a worker that shows no
-// life for some typical runs is struck, and a repeatable job gets a second copy elsewhere.
+// TestSilentWorkerIsSuspected checks that, where workers report neither starts nor progress, one without a sign of
+// life for some typical run times is suspected, and a repeatable job gets a second copy elsewhere.
 func TestSilentWorkerIsSuspected(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Progress = 0
@@ -231,12 +233,12 @@
 		h.handle(Wake{})
 	}
 	if h.d.workers[first].strikes == 0 || len(req.attempts) != 2 || req.attempts[1].worker.ID == first {
-		t.Errorf("strikes %d, attempts %d", h.d.workers[first].strikes, len(req.attempts))
+		t.Errorf("got %d consecutive failures and %d attempts, want the worker suspected and a copy elsewhere", h.d.workers[first].strikes, len(req.attempts))
 	}
 }
 
-// TestUnconfirmedJobMoves: on a connection that has gone silent a job was waited for until its
-// deadline, since its worker went on showing life elsewhere. What must not run twice stays.
+// TestUnconfirmedJobMoves guards against waiting until the deadline for a job on a silent connection because its
+// worker shows signs of life on others. An unsafe request stays.
 func TestUnconfirmedJobMoves(t *testing.T) {
 	for class, confirmed := range []bool{false, true, false} {
 		class = map[int]int{0: 0, 1: 0, 2: 2}[class]
@@ -257,14 +259,14 @@
 			}
 		}
 		if lost := h.d.requests[req.ID] != nil && h.d.requests[req.ID].attempts[0].lost; lost != (!confirmed && class == 0) || lost && !cancelled {
-			t.Errorf("class %d, confirmed %v: given up %v", class, confirmed, lost)
+			t.Errorf("class %d, confirmed %v: attempt abandoned: got %v", class, confirmed, lost)
 		}
 	}
 }
 
-// TestWhatWasNeverSentIsNoAttempt: while the pool of connections was full, or a request's only encoder had not confirmed
-// that an earlier attempt was given up, each attempt came back as never sent at once and counted: a request had used up
-// its three in one moment, and its client was refused long before its deadline.
+// TestUnsentAttemptsAreNotCounted guards against a request that uses up its three attempts at once, and is refused
+// long before its deadline, while nothing can be sent: the pool of connections is full, or its only encoder has not
+// confirmed that an earlier attempt was cancelled.
 func TestUnsentAttemptsAreNotCounted(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	req := h.newRequest(0, time.Second)
@@ -278,10 +280,10 @@
 		h.handle(Wake{})
 	}
 	if req.answered {
-		t.Fatalf("answered after %d attempts that were never sent", len(req.attempts))
+		t.Fatalf("answered after %d unsent attempts", len(req.attempts))
 	}
 	if len(req.attempts) > 20 {
-		t.Errorf("%d attempts in %v that could not be sent: no pause between them", len(req.attempts), h.now-start)
+		t.Errorf("got %d unsent attempts in %v, want at most 20 with pauses between them", len(req.attempts), h.now-start)
 	}
 	for h.now < roomAt+100*ms && req.attempts[len(req.attempts)-1].over {
 		h.now += ms
@@ -289,16 +291,16 @@
 	}
 	n := len(req.attempts) - 1
 	if req.attempts[n].over {
-		t.Fatalf("not sent again within %v of room", h.now-roomAt)
+		t.Fatalf("not sent again within %v after there was room", h.now-roomAt)
 	}
 	h.handle(h.endAttempt(req, n, OK, nil))
 	if !req.answered {
-		t.Error("no answer")
+		t.Error("request not answered")
 	}
 }
 
-// TestPatientJobsAreNotCalledOffWhileTheyQueue guards against a promised job that must not run twice and is given up, perhaps
-// run, only because it queues at its worker past its class's aim.
+// TestPatientRequestsAreNotCancelledWhileQueued guards against giving up a promised unsafe job, which may have run,
+// only because it queues at its worker past its class's aim.
 func TestPatientRequestsAreNotCancelledWhileQueued(t *testing.T) {
 	for _, patient := range []bool{false, true} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
@@ -310,20 +312,20 @@
 			h.handle(req.Request)
 			requests = append(requests, req)
 		}
-		for range 50 { // past the aim of 150 ms and what still ends in time, short of the deadline
+		for range 50 { // past the aim of 150 ms and the time in which it could still end in time, before the deadline
 			h.now += 10 * ms
 			h.handle(Wake{})
 		}
 		for i, req := range requests {
 			if len(req.attempts) != 1 || req.answered == patient {
-				t.Errorf("patient %v: job %d has %d attempts, called off %v", patient, i, len(req.attempts), req.answered)
+				t.Errorf("patient %v: request %d: got %d attempts, cancelled %v", patient, i, len(req.attempts), req.answered)
 			}
 		}
 	}
 }
 
-// TestPatientJobsAreNotRefusedAtTheirAim guards against a promised job that finds no room, is refused at its class's aim, and
-// comes again after ever longer pauses, so that it may miss all the room that there is.
+// TestPatientRequestsAreNotRefusedAtTheirAim guards against refusing a promised job that finds no room until its
+// class's aim: it comes again after ever longer pauses and may miss the moments when there is room.
 func TestPatientRequestsAreNotRefusedAtTheirAim(t *testing.T) {
 	for _, patient := range []bool{false, true} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
@@ -332,32 +334,32 @@
 		h.handle(JobStarted{running.ID, 0})
 		h.d.workers[1].ceiling = 1
 		var requests []*testRequest
-		for range 3 { // more than are sent as a last resort
+		for range 3 { // more than the last resort sends
 			req := h.newRequest(2, time.Second)
 			req.Patient = patient
 			h.handle(req.Request)
 			requests = append(requests, req)
 		}
-		for range 30 { // past the aim of 150 ms, short of the deadline
+		for range 30 { // past the aim of 150 ms, before the deadline
 			h.now += 10 * ms
 			h.handle(Wake{})
 		}
 		for i, req := range requests {
 			if len(req.attempts) != 0 || req.answered == patient {
-				t.Errorf("patient %v: job %d has %d attempts, answered %v", patient, i, len(req.attempts), req.answered)
+				t.Errorf("patient %v: request %d: got %d attempts, answered %v", patient, i, len(req.attempts), req.answered)
 			}
 		}
 		h.handle(h.endAttempt(running, 0, OK, nil))
 		if patient && len(requests[0].attempts) != 1 {
-			t.Errorf("not sent once there was room")
+			t.Errorf("patient request not sent once there was room")
 		}
 	}
 }
 
-// TestPatientJobsAreConfirmedLater guards against a promised job that is sent to a second worker, and so runs twice, only because
-// the first took over half of its class's aim to confirm it.
+// TestPatientRequestsWaitLongerForConfirmation guards against a promised job that is sent to a second worker, and so
+// runs twice, only because the first took longer than half of its class's aim to confirm it.
 func TestPatientRequestsWaitLongerForConfirmation(t *testing.T) {
-	for patient, within := range map[bool]time.Duration{false: 60 * ms, true: 260 * ms} { // past half of the aim of 100 ms, and five times that
+	for patient, within := range map[bool]time.Duration{false: 60 * ms, true: 260 * ms} { // just past half of the aim of 100 ms, and five times that
 		h := newReadyHarness(t, testSettings(1, false, false, false), 3)
 		h.d.confirms = true
 		req := h.newRequest(0, time.Second)
@@ -376,8 +378,8 @@
 	}
 }
 
-// TestUnsentFirstAttemptsLeaveTheBudgetOfOthers guards against a first attempt that was never sent and takes another request's
-// further attempt out of the budget, so that one more than allowed could go out.
+// TestUnsentFirstAttemptRefundsNoFurtherAttempt guards against an unsent first attempt that removes another request's
+// further attempt from the budget, so that one more than allowed goes out.
 func TestUnsentFirstAttemptRefundsNoFurtherAttempt(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 	req := h.newRequest(0, time.Second)
@@ -385,9 +387,9 @@
 	r := h.d.requests[req.ID]
 	r.attempts = append(r.attempts, &attempt{w: r.attempts[0].w, sent: h.now, note: h.now})
 	r.out++
-	h.d.extras = []time.Duration{h.now} // another request's, of the same moment
+	h.d.extras = []time.Duration{h.now} // another request's, at the same time
 	h.d.Handle(h.now, []Event{AttemptEnded{Request: req.ID, Outcome: Moot}})
 	if len(h.d.extras) != 1 {
-		t.Errorf("%d further attempts are counted, one was sent", len(h.d.extras))
+		t.Errorf("got %d further attempts in the budget, want the one that was sent", len(h.d.extras))
 	}
 }
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// keyed sends a request with a key in and returns the worker it went to, 0 for none.
+// sendKeyed hands in a request with a key and returns the worker that it was sent to, or 0.
 func (h *harness) sendKeyed(key uint64) (uint32, *testRequest) {
 	h.t.Helper()
 	req := h.newRequest(0, time.Second)
@@ -19,9 +19,9 @@
 	return req.attempts[0].worker.ID, req
 }
 
-// TestKeysHaveOneKeeper: all dispatchers send a key's jobs to the same worker, and hold them
-// for it when it is full: they once went on to any other, where what they need was fetched anew
-// and pushed out what others had kept. Where the keeper leaves, only its keys move.
+// TestAllDispatchersSendAKeyToOneWorker checks that all dispatchers send a key's jobs to the same worker, and hold
+// them while it is full: elsewhere the data they need is fetched again and displaces what other keys need. When that
+// worker leaves, only its keys move.
 func TestAllDispatchersSendAKeyToOneWorker(t *testing.T) {
 	workerOf := map[uint64]uint32{}
 	for n := range 3 {
@@ -31,22 +31,22 @@
 			h := newReadyHarness(t, s, 8)
 			got, _ := h.sendKeyed(key + 1)
 			if want, ok := workerOf[key]; ok && got != want {
-				t.Errorf("dispatcher %d sent key %d to %d, another to %d", n, key, got, want)
+				t.Errorf("dispatcher %d sent key %d to worker %d, another to %d", n, key, got, want)
 			}
 			workerOf[key] = got
 			if next, _ := h.sendKeyed(key + 1); next != 0 {
-				t.Errorf("key %d went on to %d while its keeper %d was full", key, next, got)
+				t.Errorf("key %d: sent to worker %d while its worker %d was full, want it held", key, next, got)
 			}
 			h = newReadyHarness(t, s, 7)
 			if left, _ := h.sendKeyed(key + 1); got != 8 && left != got {
-				t.Errorf("key %d moved from %d to %d, though its keeper stayed", key, got, left)
+				t.Errorf("key %d moved from worker %d, which is still there, to %d", key, got, left)
 			}
 		}
 	}
 }
 
-// TestKeepersOfTheOwnZoneComeFirst: each crossing has a price; only what the own zone's keeper
-// has no room for crosses, to the one keeper of all.
+// TestKeyedRequestsPreferTheirOwnZone checks that a keyed request leaves its zone only when the worker of its key
+// there has no room: each crossing has a price.
 func TestKeyedRequestsPreferTheirOwnZone(t *testing.T) {
 	for key := range uint64(20) {
 		s := testSettings(1, true, false, false)
@@ -59,20 +59,20 @@
 		}
 		h.handle(ListFull{Workers: lines})
 		if first, _ := h.sendKeyed(key + 1); first%2 != 1 {
-			t.Errorf("key %d crossed to %d though its own zone had room", key, first)
+			t.Errorf("key %d: got worker %d of another zone though its own had room", key, first)
 		}
 	}
 }
 
-// TestWaitingKeyedJobGoesFurther: it was held for its keeper until it was refused, beside workers
-// that nobody else waited for. Where many wait, a fetch elsewhere would take their place.
+// TestWaitingKeyedRequestMayGoToMoreWorkers guards against holding a keyed request until it is refused, beside workers
+// that nobody else waits for. Where many requests wait, a fetch elsewhere would take their place.
 func TestWaitingKeyedRequestMayGoToMoreWorkers(t *testing.T) {
 	for _, manyWait := range []bool{false, true} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 8)
 		h.sendKeyed(5)
 		at, req := h.sendKeyed(5)
 		if at != 0 {
-			t.Fatal("the keeper was not full")
+			t.Fatal("the worker of the key is not full")
 		}
 		if manyWait {
 			for range 8 {
@@ -83,12 +83,12 @@
 		before := h.d.keepers(r)
 		h.d.now += r.c.Aim
 		if further := h.d.keepers(r) > before; further == manyWait {
-			t.Errorf("many wait %v: goes further %v", manyWait, further)
+			t.Errorf("many wait %v: may go to more workers: got %v, want the opposite", manyWait, further)
 		}
 	}
 }
 
-// TestHotKeyHasMoreKeepers: a key whose jobs fill workers goes to several.
+// TestHotKeyUsesSeveralWorkers checks that a key whose jobs fill more than one worker is sent to several.
 func TestHotKeyUsesSeveralWorkers(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 8)
 	h.sendKeyed(5)
@@ -101,12 +101,13 @@
 		}
 	}
 	if len(at) != 3 {
-		t.Errorf("three more jobs of a hot key went to workers %v", at)
+		t.Errorf("three more jobs of a hot key: got workers %v, want three different ones", at)
 	}
 }
 
-// TestKeyedJobStays: one that queues at its keeper stays while that shows life, as elsewhere
-// what it needs would be fetched anew; it leaves a keeper that has shown none for an aim.
+// TestQueuedKeyedRequestStaysAtALiveWorker checks that a keyed request that queues at the worker of its key stays
+// while that shows signs of life, since its data would have to be fetched elsewhere, and moves after an aim without
+// any.
 func TestQueuedKeyedRequestStaysAtALiveWorker(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		s := testSettings(1, true, false, false)
@@ -121,13 +122,13 @@
 			h.handle(Wake{})
 		}
 		if moved := len(req.attempts) > 1; moved == alive {
-			t.Errorf("keeper alive %v: moved %v", alive, moved)
+			t.Errorf("worker alive %v: moved: got %v, want the opposite", alive, moved)
 		}
 	}
 }
 
-// TestLateHeldOnce: a late request is one entry of its queue, however often it is swept; each
-// sweep once added another, tens of thousands on a busy day.
+// TestLateRequestIsQueuedOnce guards against a queue that grows with each sweep: each once added another entry for a
+// late request, tens of thousands on a busy day.
 func TestLateRequestIsQueuedOnce(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	_, running := h.sendRequest(0)
@@ -139,12 +140,12 @@
 		h.handle(Wake{})
 	}
 	if n := len(h.d.queues[1]); n > 2 {
-		t.Errorf("%d entries for two late requests", n)
+		t.Errorf("got %d entries for two late requests", n)
 	}
 }
 
-// TestErrorsAgainstTheFleets: requests that fail wherever they go cost no worker its trust,
-// and are given up after a second worker; a worker that fails what others serve is found.
+// TestErrorRateIsComparedWithTheFleets checks that requests that fail at any worker cost no worker its trust and are
+// given up after a second one, while a worker that fails what others serve is found.
 func TestErrorRateIsComparedWithTheFleets(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 6)
 	suspected, before := 0, h.d.trusted
@@ -154,7 +155,7 @@
 		h.sendRequest(0)
 		for _, id := range h.active {
 			req := h.requests[id]
-			for n := 0; n < len(req.attempts); n++ { // one in three fails anywhere, and all fail at worker 4
+			for n := 0; n < len(req.attempts); n++ { // one in three fails at any worker, and all fail at worker 4
 				if att := req.attempts[n]; !att.over {
 					o := OK
 					if id%3 == 0 || att.worker.ID == 4 {
@@ -163,26 +164,25 @@
 					h.handle(JobStarted{id, n}, h.endAttempt(req, n, o, nil))
 				}
 				if n > 0 && req.attempts[n].worker.ID == req.attempts[n-1].worker.ID {
-					t.Fatalf("tried again at worker %d, where it had failed", req.attempts[n].worker.ID)
+					t.Fatalf("repeated at worker %d, where it had failed", req.attempts[n].worker.ID)
 				}
 			}
 			if len(req.attempts) > 2 || len(req.attempts) == 2 && !req.answered {
-				t.Fatalf("attempts %d, answered %v after two errors", len(req.attempts), req.answered)
+				t.Fatalf("got %d attempts, answered %v, want an answer after two errors", len(req.attempts), req.answered)
 			}
 		}
 	}
-	if suspected > 20 { // by chance a few; a hundred requests failed
-		t.Errorf("workers lost their trust %d times", suspected)
+	if suspected > 20 { // a few by chance, as a hundred requests failed
+		t.Errorf("workers lost their trust %d times, want at most 20", suspected)
 	}
 	if h.d.workers[4].refusals[0].N < 2 {
-		t.Error("the worker that fails all is offered more")
+		t.Error("the worker that fails all requests is not barred")
 	}
 }
 
-// TestErrorsOfOneClassBarIt: a worker that started every job and failed those of one class won
-// its trust back with each start, and went on to be sent that class. A job that may fail but
-// once waits from the first error on, until others have fared well there: it was sent after two
-// errors of a class, and again half a second later.
+// TestErrorsBarOneClassAtAWorker guards against a worker that starts each job, which restores its trust, and fails
+// those of one class, yet is sent more of them. Unsafe requests avoid it from the first error on until others have
+// succeeded there: one was sent after two errors of its class, and again half a second later.
 func TestErrorsBarOneClassAtAWorker(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 	for range 20 {
@@ -193,32 +193,32 @@
 	valid := func() bool { return h.d.valid(unsafe, bad, Invalidate{Rule: Overload}) }
 	h.d.now = h.now
 	if !valid() {
-		t.Fatal("an unsafe job has no room")
+		t.Fatal("unsafe request: worker not valid before any error")
 	}
 	for range 3 {
 		h.d.erred(bad, 0, true)
 		h.d.alive(bad)
 		if valid() {
-			t.Error("an unsafe job goes where one has just failed")
+			t.Error("unsafe request: worker valid right after an error")
 		}
 	}
 	if f := bad.refusals; f[0].Until <= h.now || f[1].Until != 0 {
-		t.Errorf("barred until %v, %v", f[0].Until, f[1].Until)
+		t.Errorf("got classes 0 and 1 barred until %v and %v, want only the first barred", f[0].Until, f[1].Until)
 	}
 	h.d.now += 900 * ms
 	if valid() {
-		t.Error("an unsafe job is the one to try it")
+		t.Error("unsafe request: worker valid before other jobs succeeded there")
 	}
 	for range 16 {
 		h.d.erred(bad, 0, false)
 	}
 	if !valid() {
-		t.Error("it is barred though others fare well there")
+		t.Error("unsafe request: worker not valid though other jobs succeed there")
 	}
 }
 
-// TestLongJobsGoAnywhere: a job that runs for many times what a fetch takes was held for the keepers of its key until
-// its aim was past and refused, while other workers were idle.
+// TestLongKeyedJobsGoToAnyWorker guards against holding a job that runs many times as long as a fetch for the workers
+// of its key, and refusing it at its aim while other workers are idle.
 func TestLongKeyedJobsGoToAnyWorker(t *testing.T) {
 	for class, want := range map[int]bool{0: false, 2: true} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 8)
@@ -230,13 +230,14 @@
 		req := h.newRequest(class, time.Second)
 		req.Key = 5
 		if h.handle(req.Request); (len(req.attempts) > 0) != want {
-			t.Errorf("class %d, its keeper full: sent %d times", class, len(req.attempts))
+			t.Errorf("class %d, the worker of its key full: got %d attempts", class, len(req.attempts))
 		}
 	}
 }
 
-// TestFullKeeperIsNoReasonToCross: where crossings have a price, jobs went to another zone's keeper as soon as their
-// own was full, twice as many as before and for more than it brought. They go where their zone fails them.
+// TestFullWorkerOfAKeyIsNoReasonToCrossZones guards against crossings that cost more than they bring: where crossings
+// have a price, jobs went to another zone as soon as the worker of their key was full, twice as many as before. They
+// may cross when their zone fails.
 func TestFullWorkerOfAKeyIsNoReasonToCrossZones(t *testing.T) {
 	for _, price := range []float64{0, 0.1} {
 		s := testSettings(1, true, false, false)
@@ -250,19 +251,19 @@
 		h.handle(ListFull{Workers: lines})
 		crossed := 0
 		var last *testRequest
-		for key := range uint64(20) { // a slot at each worker
+		for key := range uint64(20) { // of workers with one slot each
 			var at uint32
 			if at, last = h.sendKeyed(key + 1); at%2 == 1 {
 				crossed++
 			}
 		}
 		if (crossed > 0) != (price == 0) {
-			t.Errorf("price %v: %d of 20 crossed", price, crossed)
+			t.Errorf("price %v: got %d of 20 requests in the other zone", price, crossed)
 		}
 		r := h.d.requests[last.ID]
 		h.d.zone(0).shunned = true
 		if !h.d.crosses(r, r.c.blocks[0], r.c.blocks[1]) {
-			t.Error("stays in a zone that is shunned")
+			t.Error("request stays in a zone that is avoided")
 		}
 	}
 }
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestListBelieved: what a line of the list may end and what it may not. A draining state
-// once seen stays for its process, through an old list that comes back.
+// TestEffectOfListEntries checks which entries of the list end a worker's use. A process once listed as draining stays
+// so, even when a stale list returns.
 func TestEffectOfListEntries(t *testing.T) {
 	ready := Worker{ID: 1, State: Ready, Started: time.Minute}
 	change := func(s WorkerState, started time.Duration) ListDelta {
@@ -17,18 +17,18 @@
 		name   string
 		advice bool
 		events []Event
-		want   bool // work still goes to it
+		want   bool // the worker still gets requests
 	}{
 		{"ready", true, nil, true},
-		{"gone binds", false, []Event{change(Gone, time.Minute)}, false},
-		{"left out binds", false, []Event{ListFull{}}, false},
+		{"gone is binding", false, []Event{change(Gone, time.Minute)}, false},
+		{"omitted is binding", false, []Event{ListFull{}}, false},
 		{"gone is advice", true, []Event{change(Gone, time.Minute)}, true},
-		{"left out is advice", true, []Event{ListFull{}}, true},
-		{"draining binds", true, []Event{change(Draining, time.Minute)}, false},
+		{"omitted is advice", true, []Event{ListFull{}}, true},
+		{"draining is binding", true, []Event{change(Draining, time.Minute)}, false},
 		{"draining, then gone", true, []Event{change(Draining, time.Minute), change(Gone, time.Minute)}, false},
-		{"draining, then left out", true, []Event{change(Draining, time.Minute), ListFull{}}, false},
-		{"draining, then an old list", true, []Event{change(Draining, time.Minute), ListFull{Workers: []Worker{ready}}}, false},
-		{"draining and gone, then an old list", true,
+		{"draining, then omitted", true, []Event{change(Draining, time.Minute), ListFull{}}, false},
+		{"draining, then a stale list", true, []Event{change(Draining, time.Minute), ListFull{Workers: []Worker{ready}}}, false},
+		{"draining and gone, then a stale list", true,
 			[]Event{change(Draining, time.Minute), change(Gone, 0), ListFull{}, ListFull{Workers: []Worker{ready}}}, false},
 		{"draining, then a new process", true, []Event{change(Draining, time.Minute), change(Ready, time.Minute+1)}, true},
 		{"a list of an earlier process", true, []Event{change(Ready, 1)}, true},
@@ -43,18 +43,18 @@
 			h := newHarness(t, s)
 			h.list[1] = ready
 			h.handle(ListFull{Workers: []Worker{ready}})
-			h.d.workers[1].lived = h.now // it has served
+			h.d.workers[1].lived = h.now // it has shown a sign of life
 			h.handle(tt.events...)
-			h.now += time.Second // past the next sort
+			h.now += time.Second // the fleet has been sorted again by then
 			if got, _ := h.sendRequest(0); (got == 1) != tt.want {
-				t.Errorf("sent to %d", got)
+				t.Errorf("request sent to worker %d", got)
 			}
 		})
 	}
 }
 
-// TestUnlistedLeavesWithItsFirstStrike: an unlisted worker is used while it does well, and no
-// longer once an attempt there fails, unless no other is left; the list brings it back.
+// TestUnlistedWorkerIsDroppedAfterItsFirstFailure checks that an unlisted worker is used while it serves, and not
+// after an attempt there fails, unless no other worker is left. The list can bring it back.
 func TestUnlistedWorkerIsDroppedAfterItsFirstFailure(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Rules.GoneIsAdvice = true
@@ -64,14 +64,14 @@
 	h.handle(ListDelta{Workers: []Worker{{ID: first, State: Gone}}})
 	again, req := h.sendRequest(0)
 	if again != first {
-		t.Fatalf("an unlisted worker that serves was left for %d", again)
+		t.Fatalf("got worker %d instead of the unlisted one that serves", again)
 	}
 	h.handle(h.endAttempt(req, 0, ConnectFailed, nil))
 	for range 40 {
 		h.now += 500 * ms
 		got, req := h.sendRequest(0)
 		if got == first {
-			t.Fatal("tried again though unlisted and struck")
+			t.Fatal("unlisted worker used again after a failure")
 		}
 		if got != 0 {
 			h.handle(JobStarted{req.ID, 0}, h.endAttempt(req, 0, OK, nil))
@@ -80,11 +80,12 @@
 	h.handle(ListFull{Workers: readyWorkers(2)})
 	h.now += 500 * ms
 	if h.sendRequest(0); len(h.d.fleet) != 2 {
-		t.Error("not taken back when listed again")
+		t.Error("worker not used after it was listed again")
 	}
 }
 
-// TestUnlistedAreBounded: lists that name ever new workers leave no more behind than one list holds.
+// TestUnlistedWorkersAreBounded checks that lists that always name new workers leave no more old ones behind than one
+// list holds.
 func TestUnlistedWorkersAreBounded(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Rules.GoneIsAdvice = true
@@ -94,12 +95,12 @@
 		h.handle(ListFull{Workers: lines})
 	}
 	if n := len(h.d.workers); n > 6 {
-		t.Errorf("%d workers are remembered", n)
+		t.Errorf("got %d workers in memory, want at most 6", n)
 	}
 }
 
-// TestColdThroughAnOldList: an old list that comes back tells an earlier start of a worker that
-// has restarted since; it stays as cold as it is.
+// TestStaleListDoesNotMakeAWorkerWarm checks that a stale list, with an earlier start of a worker that has restarted
+// since, does not make the worker count as warm.
 func TestStaleListDoesNotMakeAWorkerWarm(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Rules.GoneIsAdvice = true
@@ -112,15 +113,17 @@
 		h.now += 200 * ms
 		h.handle(ListFull{Workers: list})
 		if warm := h.d.warmth(h.d.workers[1]); warm >= 0.5 {
-			t.Errorf("after the list %v it is taken for %.0f%% warm", list, 100*warm)
+			t.Errorf("after the list %v: got a warmth of %.0f%%, want under 50%%", list, 100*warm)
 		}
 	}
 }
 
-// TestLostListIsAskedForAgain: a pushed list is asked of an agent here, always well within the grace of a drain. Of a
-// service it is asked for soon, first calls at 5 ms a dispatcher and within 3 s, later ones within 2.5 s: what the service
-// has had for 6 s counts as known, and a call may fail 3 s after the service was back. Only after three calls that waited
-// and failed, which is longer than it is down, does the time between them grow threefold with each; where calls reach nobody it never does.
+// TestListIsRequestedAgainAfterAFailure checks when a lost list is requested again. A pushed list comes from an agent
+// on the same machine and is requested well within the grace period of a drain. Of a service, first calls are spread
+// by 5 ms for each dispatcher over at most 3 s, later ones over 2.5 s: a list that the service has had for 6 s counts
+// as known, and a call may still fail 3 s after the service is back. Only after three calls that waited and failed,
+// which takes longer than it is down, does the spread grow threefold with each call; where calls reach nobody it never
+// grows.
 func TestListIsRequestedAgainAfterAFailure(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Rules.DrainGrace, s.Rules.MustAskIn = 300, time.Second, 10*time.Second
@@ -139,7 +142,7 @@
 		h := newHarness(t, s)
 		for range 12 {
 			if after := delayUntilCall(h, ListFailed{}, ms); after > s.Rules.DrainGrace/4 {
-				t.Errorf("pushed: asked for after %v", after)
+				t.Errorf("pushed: list requested after %v", after)
 			}
 		}
 		s.Pushed = false
@@ -147,12 +150,12 @@
 			s.Dispatchers = dispatchers
 			h = newHarness(t, s)
 			if after := delayUntilCall(h, ListFailed{}, 0); after > spread+10*ms {
-				t.Errorf("%d dispatchers: asked for after %v", dispatchers, after)
+				t.Errorf("%d dispatchers: list requested after %v", dispatchers, after)
 			}
 			expectCall := func(failed ListFailed, waits time.Duration, from, to time.Duration) {
 				t.Helper()
 				if after := delayUntilCall(h, failed, waits); after < from || after > to+10*ms {
-					t.Errorf("%d dispatchers: asked for again after %v, want %v to %v", dispatchers, after, from, to)
+					t.Errorf("%d dispatchers: list requested again after %v, want %v to %v", dispatchers, after, from, to)
 				}
 			}
 			for range evenTurns {
@@ -165,21 +168,21 @@
 			}
 			expectCall(ListFailed{}, 3*time.Second, nextSpread/2, nextSpread)
 			var soonest, latest time.Duration = time.Hour, 0
-			for range 20 { // watches that had no news, each long after its call: all over the spread, from its beginning on
+			for range 20 { // watches that ended without an update, long after their call: calls use the whole spread
 				after := delayUntilCall(h, ListFailed{}, time.Minute)
 				soonest, latest = min(soonest, after), max(latest, after)
 			}
 			if soonest > spread/4 || latest < spread*3/4 || latest > spread+10*ms {
-				t.Errorf("%d dispatchers: after watches that ended asked for after %v to %v, of %v", dispatchers, soonest, latest, spread)
+				t.Errorf("%d dispatchers: after watches that ended, got calls after %v to %v, want them spread over %v", dispatchers, soonest, latest, spread)
 			}
 		}
 		s.Dispatchers = 300
 		h = newHarness(t, s)
 		delayUntilCall(h, ListFailed{}, 0)
-		for range 20 { // calls that the list's clock makes, long after the last of the module's own
+		for range 20 { // calls made by the list's own timer, long after the dispatcher's last one
 			h.now += time.Minute
 			if after := delayUntilCall(h, ListFailed{After: time.Second}, 0); after < nextSpread/2 {
-				t.Errorf("a call that failed after a second was taken for a watch, and repeated after %v", after)
+				t.Errorf("a call that failed after a second was repeated after %v, as if it had been a watch", after)
 			}
 		}
 		few := s
@@ -187,7 +190,7 @@
 		h = newHarness(t, few)
 		for range 12 {
 			if after := delayUntilCall(h, ListFailed{}, time.Second); after > time.Second {
-				t.Errorf("few: asked for again after %v", after)
+				t.Errorf("few dispatchers: list requested again after %v, want at most 1 s", after)
 			}
 		}
 	}
