--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkRequest plays a request from its arrival to its end, with the sweeps between,
-// at fleets of growing size: what one costs must not grow with the number of workers.
+// BenchmarkRequest plays a request from arrival to end, with the sweeps between, in fleets of growing size: the cost
+// of one must not grow with the number of workers.
 func BenchmarkRequest(b *testing.B) {
 	for _, workers := range []int{10, 100, 400} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
@@ -35,6 +35,7 @@
 	}
 }
 
+// readyWorkers returns n ready workers of three kinds.
 func readyWorkers(n int) []Worker {
 	var lines []Worker
 	for id := range uint32(n) {
@@ -43,7 +44,7 @@
 	return lines
 }
 
-// BenchmarkList takes a change of one line, and sorts what it must.
+// BenchmarkList changes one entry of the list, with the sorting that this requires.
 func BenchmarkList(b *testing.B) {
 	for _, workers := range []int{10, 100, 400} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestColdBudgetOfAllDispatchers: ten dispatchers hear of one start at different
-// times, under more work than the worker can do; each once sent its first job
-// the moment it heard, together 22 times what the worker could do.
+// TestAllDispatchersTogetherKeepTheColdBudget guards against overloading a restarted worker: ten dispatchers learn of
+// a start at different times, under more work than the worker can do, and each sent its first job at once, together 22
+// times what the worker could do.
 func TestAllDispatchersTogetherKeepTheColdBudget(t *testing.T) {
 	const dispatchers, run = 10, 400 * time.Millisecond
 	started := time.Hour
@@ -40,7 +40,7 @@
 	s := testSettings(0, false, true, false)
 	budget := s.Rules.FallMultiple * s.Rules.ColdFrom * s.Rules.FallWindow.Seconds()
 	if len(sent) == 0 {
-		t.Error("the cold worker got nothing at all")
+		t.Error("the cold worker got no job")
 	}
 	for _, from := range sent {
 		work := 0.0
@@ -49,15 +49,15 @@
 				work += run.Seconds()
 			}
 		}
-		// The capacity grows while it warms: half as much again is inside the budget by then.
+		// The capacity grows while the worker warms up, so up to 1.5 times the first budget is allowed.
 		if work > 1.5*budget {
-			t.Errorf("from %v after the start: %.1f s of work sent in a window, budget %.1f", from-started, work, budget)
+			t.Errorf("window %v after the start: got %.1f s of work, want at most 1.5 times the budget of %.1f s", from-started, work, budget)
 		}
 	}
 }
 
-// TestColdTurnsLapse: turns that were not used once stayed open, and hundreds of dispatchers
-// could spend theirs at a cold worker at one time.
+// TestUnusedColdTurnsExpire guards against unused turns that stay open: hundreds of dispatchers could then use theirs
+// at a cold worker at the same time.
 func TestUnusedColdTurnsExpire(t *testing.T) {
 	started, after := time.Hour, 4*time.Second
 	open, rate := 0, 0.0
@@ -78,12 +78,13 @@
 		}
 	}
 	if float64(open) > rate {
-		t.Errorf("%d turns are open, %.0f fit into a window", open, rate)
+		t.Errorf("got %d open turns, want at most the %.0f that fit into a window", open, rate)
 	}
 }
 
-// TestFewJobsTellNoColdWorker: of 300 dispatchers one that has just started took one short job for the run of its class,
-// and gave long ones turns at a worker in its first seconds; or one long job for the size of all workers.
+// TestFewJobsDoNotDecideColdTurns guards against conclusions from a single job. One of 300 dispatchers, just started,
+// took one short job for the run time of its class and gave long ones turns in a worker's first seconds; one long job
+// made it overestimate the size of all workers.
 func TestFewJobsDoNotDecideColdTurns(t *testing.T) {
 	learn := func(h *harness, class int, run time.Duration) {
 		a := &attempt{w: h.d.workers[1], sent: h.d.now - run, begun: h.d.now - run, started: true}
@@ -97,7 +98,7 @@
 		learn(h, 1, 200*ms)
 		for d := h.d; d.now < time.Hour+8*time.Second; d.now += 100 * ms {
 			if d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, c: d.classes[1]}) {
-				t.Fatalf("dispatcher %d: a long job %v after the start, by the run of one", i, d.now-time.Hour)
+				t.Fatalf("dispatcher %d: got a turn for a long job %v after the start, from the run time of one job", i, d.now-time.Hour)
 			}
 		}
 	}
@@ -110,18 +111,18 @@
 		}
 	}
 	if one, all := few.d.size(few.d.workers[5000]), many.d.size(many.d.workers[5000]); one > all {
-		t.Errorf("by one long job a worker's size is %.1f, by forty as they come %.1f", one, all)
+		t.Errorf("got a worker's size of %.1f from one long job, want at most the %.1f from forty mixed ones", one, all)
 	}
 }
 
-// TestLateWhileColdIsForgotten: starts that were late because a worker was cold once kept it last in the order long after
-// it was warm: nobody sent there, so nothing put it right.
+// TestLateStartsWhileColdAreNotCounted guards against late starts at a cold worker that keep it last in the order long
+// after it is warm: nobody sends it anything, so nothing corrects the order.
 func TestLateStartsWhileColdAreNotCounted(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 		_, req := h.sendRequest(2)
 		if cold {
-			h.d.workers[1].Started = h.now // it was started anew a moment ago
+			h.d.workers[1].Started = h.now // it has just restarted
 		}
 		for range 60 {
 			h.now += 8 * ms
@@ -129,7 +130,7 @@
 		}
 		h.handle(JobStarted{req.ID, 0})
 		if late := h.d.workers[1].late.Share > 0; late == cold {
-			t.Errorf("cold %v: held against it %v", cold, late)
+			t.Errorf("cold %v: late start counted: got %v, want the opposite", cold, late)
 		}
 	}
 }
--- a/decide/conn_test.go
+++ b/decide/conn_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// TestOldConnectionsAreClosed: connections dropped unseen after some idle time cost a
-// request each, an unsafe one for good. The age at which sends fail is learned, whether they
-// fail by a reset or by silence, and older ones are closed first; a fleet that fails at
-// any age is left alone.
+// TestConnectionsOfFailingIdleAgesAreClosed guards against connections that are dropped without notice after some idle
+// time: each costs a request, an unsafe one for good. The idle age at which sends fail, by a reset or by silence, is
+// learned, and connections of that age are closed first. A worker that fails at any age is not affected.
 func TestConnectionsOfFailingIdleAgesAreClosed(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -18,7 +17,7 @@
 	}{
 		{"resets when old", false, Reset, OK, true},
 		{"silence when old", true, TimedOut, OK, true},
-		{"moved: no evidence", true, Cancelled, OK, true},
+		{"moved, which is no evidence", true, Cancelled, OK, true},
 		{"resets at any age", false, Reset, Reset, false},
 		{"no trouble", false, OK, OK, false},
 	}
@@ -35,7 +34,7 @@
 					idle, outcome = 2*time.Second, tt.old
 				}
 				class := 2
-				if i%4 == 1 { // the safe class is the first to try an age
+				if i%4 == 1 { // a safe request is the first to try an age
 					class = 0
 				}
 				r := &request{Request: Request{Class: class, Slots: 1}, c: h.d.classes[class]}
@@ -49,24 +48,24 @@
 						outcome = OK
 					}
 				} else if len(h.d.out) > 0 {
-					t.Fatal("a young connection was closed")
+					t.Fatal("a young connection was closed first")
 				}
 				h.d.now += 10 * ms
 				h.d.judgeConn(r, a, outcome)
 			}
 			if released != tt.want {
-				t.Errorf("an old connection is closed first: %v, want %v", released, tt.want)
+				t.Errorf("old connection closed first: got %v, want %v", released, tt.want)
 			}
 			if wk.open != 0 {
-				t.Errorf("%d connections in use after the last end", wk.open)
+				t.Errorf("got %d connections in use after the last end, want 0", wk.open)
 			}
 		})
 	}
 }
 
-// What breaks on a connection kept idle tells of whoever drops idle ones, not of the worker:
-// that keeps its trust, and what goes out next goes on younger connections, an unsafe job on
-// still younger ones. With time older ones are tried again.
+// TestBrokenIdleConnectionIsNotHeldAgainstItsWorker checks that a break on a kept idle connection does not count
+// against its worker, since it is caused by whatever drops idle connections. The next requests use connections that
+// were idle for less time, unsafe ones for still less; over time older ones are tried again.
 func TestBrokenIdleConnectionIsNotHeldAgainstItsWorker(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Limits.ConnIdle = 16 * time.Second
@@ -75,26 +74,27 @@
 	r := &request{Request: Request{ID: 7, Slots: 1}, c: h.d.classes[0], arrived: h.d.now, due: h.d.now + time.Hour}
 	h.d.requests[7] = r
 	if !h.d.send(r, wk) {
-		t.Fatal("not sent")
+		t.Fatal("request not sent")
 	}
 	h.d.ended(AttemptEnded{Request: 7, Outcome: Reset, Kept: time.Second})
 	if wk.strikes != 0 {
-		t.Error("the worker lost its trust")
+		t.Error("the worker is suspected")
 	}
 	if got := h.d.idleLimit(Safe); got != time.Second/2 {
-		t.Errorf("connections idle for %v are used, want half of what broke", got)
+		t.Errorf("got an idle limit of %v, want half the age of the broken connection", got)
 	}
 	if got := h.d.idleLimit(Unsafe); got != time.Second/4 {
-		t.Errorf("unsafe jobs use connections idle for %v, want half of that", got)
+		t.Errorf("unsafe requests: got an idle limit of %v, want half of that", got)
 	}
 	h.d.now += time.Hour
 	if got := h.d.idleLimit(Unsafe); got != s.Limits.ConnIdle*3/5 {
-		t.Errorf("an hour later: %v", got)
+		t.Errorf("an hour later: got an idle limit of %v, want the initial one", got)
 	}
 }
 
-// A kept connection that carries nothing lost a job that must not run twice, again and again. Once
-// one is known (its worker lives, and confirms what comes on others), such jobs go out on new ones.
+// TestUnsafeRequestsAvoidSilentConnections guards against losing unsafe requests on kept connections that carry
+// nothing. Once one is known, because its worker shows signs of life and confirms attempts on other connections,
+// unsafe requests use new connections.
 func TestUnsafeRequestsAvoidSilentConnections(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Limits.ConnIdle = 16 * time.Second
@@ -107,21 +107,21 @@
 				return req, s.Fresh
 			}
 		}
-		t.Fatalf("class %d was not sent: strikes %d", class, h.d.workers[1].strikes)
+		t.Fatalf("class %d not sent, worker with %d consecutive failures", class, h.d.workers[1].strikes)
 		return nil, false
 	}
 	firstKept, _ := send(2)
 	secondKept, _ := send(2)
-	h.handle(Taken{firstKept.ID, 0}, h.endAttempt(firstKept, 0, OK, nil), Taken{secondKept.ID, 0}, h.endAttempt(secondKept, 0, OK, nil)) // two are kept
+	h.handle(Taken{firstKept.ID, 0}, h.endAttempt(firstKept, 0, OK, nil), Taken{secondKept.ID, 0}, h.endAttempt(secondKept, 0, OK, nil)) // leaves two idle connections
 	first, _ := send(2)
 	h.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
-	lost, _ := send(2) // its connection carries nothing, and it is taken to queue
+	lost, _ := send(2) // its connection is silent; it is taken for queued
 	h.now += 500 * ms
 	h.handle(Wake{})
 	if h.d.silent > 0 {
-		t.Error("its worker may be silent, not the connection")
+		t.Error("connection taken for silent while its worker may be")
 	}
-	reportProgress := func() { // the worker tells of another job
+	reportProgress := func() { // the worker reports on another job
 		h.now += 10 * ms
 		for range 9 {
 			h.handle(Wake{}, JobProgress{first.ID, 0, 0.5})
@@ -129,16 +129,16 @@
 	}
 	reportProgress()
 	if _, fresh := send(2); !fresh {
-		t.Error("an unsafe job on a kept connection")
+		t.Error("unsafe request sent on a kept connection")
 	}
 	reportProgress()
 	if _, fresh := send(0); fresh {
-		t.Error("a repeatable job needs no new one")
+		t.Error("repeatable request sent on a new connection, want a kept one")
 	}
 	h.handle(h.endAttempt(lost, 0, TimedOut, nil))
 	h.now += s.Limits.ConnIdle
 	reportProgress()
 	if h.now < h.d.silent {
-		t.Error("connections are never trusted again")
+		t.Error("kept connections are still distrusted after the idle time")
 	}
 }
--- a/decide/cordon_test.go
+++ b/decide/cordon_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Workers are left out and put back at any moment, whatever the list says of them meanwhile, and
-// whichever process decides.
+// TestRulesWithCordons checks the rules while workers are cordoned and uncordoned at any moment, whatever the list
+// says meanwhile, also across handovers.
 func TestRulesWithCordons(t *testing.T) {
 	for seed := range uint64(24) {
 		s := varyRules(testSettings(seed, seed&1 != 0, seed&2 != 0, false))
@@ -24,8 +24,8 @@
 	}
 }
 
-// One that comes back was restarted meanwhile, though the list may not have said so: it was sent
-// work as if it were warm, or nothing for long. It counts as cold and has a first job soon.
+// TestUncordonedWorkerIsColdAndUsedSoon guards against treating an uncordoned worker as warm, or not using it for
+// long: it was restarted meanwhile, though the list may not say so. It counts as cold and gets a first job soon.
 func TestUncordonedWorkerIsColdAndUsedSoon(t *testing.T) {
 	for n := range 3 {
 		s := testSettings(uint64(n), true, false, false)
@@ -34,14 +34,14 @@
 		h := newReadyHarness(t, s, 4)
 		h.handle(Cordon{Worker: 2, Out: true}, Cordon{Worker: 2, Out: true})
 		if listed, avoided := h.d.Fleet(); listed != 4 || avoided != 1 {
-			t.Errorf("%d listed, %d avoided", listed, avoided)
+			t.Errorf("got %d workers listed and %d avoided, want 4 and 1", listed, avoided)
 		}
 		h.handle(ListDelta{Workers: []Worker{{ID: 2, State: Ready, Started: h.now}}}) // restarted
 		h.now += time.Second
 		h.handle(Cordon{Worker: 2})
 		start := h.now
 		if warmth := h.d.warmth(h.d.workers[2]); warmth >= 0.2 {
-			t.Errorf("it counts as warm: %v", warmth)
+			t.Errorf("got a warmth of %v, want under 0.2", warmth)
 		}
 		var at []time.Duration
 		for h.now < start+owedWithin {
@@ -61,20 +61,21 @@
 			}
 		}
 		if len(at) == 0 {
-			t.Errorf("dispatcher %d did not use it", n)
+			t.Errorf("dispatcher %d: got no job at the uncordoned worker", n)
 		}
 		if slices.Contains(at, 0) || len(at) > 8 {
-			t.Errorf("dispatcher %d flooded it: %v", n, at)
+			t.Errorf("dispatcher %d: got jobs at %v, want 1 to 8, none at once", n, at)
 		}
 	}
 }
 
-// TestOwedOnce: a worker put back by hand counts as cold, too, and was listed twice among those to be used first.
+// TestUncordonedWorkerIsQueuedOnce guards against two entries among the workers that are to be used first: an
+// uncordoned worker counts as cold as well.
 func TestUncordonedWorkerIsQueuedOnce(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 	h.handle(Cordon{Worker: 1, Out: true})
 	h.handle(Cordon{Worker: 1})
 	if n := len(h.d.owed); n != 1 {
-		t.Errorf("%d entries for one worker", n)
+		t.Errorf("got %d entries for one worker, want 1", n)
 	}
 }
--- a/decide/gated_test.go
+++ b/decide/gated_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an attempt that waits for leave to be sent being taken for one that its worker lets stand.
+// TestGatedAttemptIsNotTimedUntilItGoesOut guards against suspecting a worker of not starting an attempt that is still
+// waiting for permission to be sent.
 func TestGatedAttemptIsNotTimedUntilItGoesOut(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 40)
 	h.now += 10 * ms
@@ -20,10 +21,10 @@
 		}
 	}
 	wait(50)
-	require.Len(t, req.attempts, 1, "no worker has it")
+	require.Len(t, req.attempts, 1, "attempt not sent yet")
 	require.Zero(t, h.d.workers[first].strikes)
 	h.handle(Passed{req.ID, 0})
-	require.Len(t, req.attempts, 1, "it has only just gone out")
+	require.Len(t, req.attempts, 1, "attempt just sent")
 	wait(50)
-	require.Greater(t, len(req.attempts), 1, "now its worker lets it stand")
+	require.Greater(t, len(req.attempts), 1, "the worker does not start it")
 }
--- a/decide/invalid_events_test.go
+++ b/decide/invalid_events_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestBadInput: what no dispatcher should be told is passed over: it answers nothing, sends
-// nothing, and leaves the dispatcher able to serve the next request.
+// TestInvalidEventsAreIgnored checks that the dispatcher ignores invalid events: it answers and sends nothing, and can
+// serve the next request.
 func TestInvalidEventsAreIgnored(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -21,8 +21,8 @@
 		{"unknown worker probed", []Event{Probed{Worker: 77, Outcome: OK, Report: &Report{Active: 1}}}},
 		{"empty message", []Event{PeerSaid{Peer: 1}}},
 		{"truncated message", []Event{PeerSaid{1, appendLoad(newLoads(true), 1, [2]uint8{8, 8}, 8)[:5]}}},
-		{"message of an unknown form", []Event{PeerSaid{1, []byte("what is this?")}}},
-		{"message of an unknown worker", []Event{PeerSaid{-5, appendLoad(newLoads(false), 400, [2]uint8{8, 8}, 8)}}},
+		{"message of an unknown format", []Event{PeerSaid{1, []byte("what is this?")}}},
+		{"message about an unknown worker", []Event{PeerSaid{-5, appendLoad(newLoads(false), 400, [2]uint8{8, 8}, 8)}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -31,26 +31,26 @@
 			for _, a := range h.d.Handle(h.now, tt.events) {
 				switch a.(type) {
 				case Send, Refuse, FailRequest, Cancel:
-					t.Errorf("answered by %T %+v", a, a)
+					t.Errorf("got action %T %+v, want none", a, a)
 				}
 			}
 			h.handle(JobStarted{req.ID, 0}, h.endAttempt(req, 0, OK, nil))
 			if got, _ := h.sendRequest(2); got == 0 {
-				t.Error("the next request is not sent")
+				t.Error("next request not sent")
 			}
 		})
 	}
 }
 
-// TestOddBudgetsAndClocks: a request without time is not sent; a clock that stands still,
-// steps back or jumps by seconds breaks no rule (the world checks them on every action).
+// TestUnusualBudgetsAndClockSteps checks that a request without time is not sent, and that a clock that stands still,
+// steps back or jumps by seconds breaks no rule (the harness checks the rules on every action).
 func TestUnusualBudgetsAndClockSteps(t *testing.T) {
 	for _, budget := range []time.Duration{0, -time.Second, math.MaxInt64 / 4} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 		req := h.newRequest(0, budget)
 		h.handle(req.Request)
 		if sent := len(req.attempts) > 0; sent != (budget > 0) {
-			t.Errorf("budget %v: sent %v", budget, sent)
+			t.Errorf("budget %v: sent: got %v", budget, sent)
 		}
 	}
 	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
@@ -64,7 +64,7 @@
 	h.handle(Wake{})
 	for i, req := range requests {
 		if !req.answered {
-			t.Errorf("request %d is not answered", i)
+			t.Errorf("request %d not answered", i)
 		}
 	}
 }
--- a/decide/lease_test.go
+++ b/decide/lease_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestColdWorkersByLease: a dispatcher that has no turn sends a cold worker exactly the jobs that it was
-// granted leases for, not after they end, and none meant for the process before.
+// TestColdWorkerGetsOneJobPerLease checks that a dispatcher without turns sends a cold worker exactly the jobs that it
+// has leases for: none after a lease ends, and none by a lease for the worker's previous process.
 func TestColdWorkerGetsOneJobPerLease(t *testing.T) {
 	s := testSettings(1, false, true, false)
 	s.Leasing = Leasing{On: true, Turn: -1, Turns: 64, Share: 0.25}
@@ -29,11 +29,11 @@
 			switch a := a.(type) {
 			case WantLease:
 				if asked++; a.Worker != 1 || a.Started != started || a.Work <= 0 {
-					t.Errorf("asked for %+v", a)
+					t.Errorf("got lease request %+v, want one for the worker's process with some work", a)
 				}
 			case Send:
 				if a.Lease != 7 {
-					t.Errorf("sent by lease %d", a.Lease)
+					t.Errorf("sent by lease %d, want 7", a.Lease)
 				}
 				before--
 			}
@@ -41,7 +41,7 @@
 		return sent() - before
 	}
 	if n := sendWith(); n != 0 || asked != 1 {
-		t.Errorf("%d jobs sent without a lease, %d asked for", n, asked)
+		t.Errorf("got %d jobs sent without a lease and %d leases requested, want 0 and 1", n, asked)
 	}
 	lease := Lease{ID: 7, Worker: 1, Started: started, Work: 1, Until: h.now + 400*ms}
 	stale := lease
@@ -49,26 +49,27 @@
 	small := lease
 	small.Work = 1e-6
 	if n := sendWith(stale, small); n != 0 {
-		t.Errorf("%d jobs sent by the leases of another process and of less work", n)
+		t.Errorf("got %d jobs sent by leases of another process or for less work, want 0", n)
 	}
 	if n := sendWith(lease); n != 1 {
-		t.Errorf("%d jobs sent by one lease", n)
+		t.Errorf("got %d jobs sent by one lease, want 1", n)
 	}
 	h.now += 100 * ms
 	if n := sendWith(); n != 0 {
-		t.Errorf("%d jobs sent by a spent lease", n)
+		t.Errorf("got %d jobs sent by a spent lease, want 0", n)
 	}
 	lease.Until = h.now + 100*ms
 	h.now += 100 * ms
 	if n := sendWith(lease); n != 0 {
-		t.Errorf("%d jobs sent by a lease that has ended", n)
+		t.Errorf("got %d jobs sent by an expired lease, want 0", n)
 	}
 	if asked < 2 {
-		t.Errorf("asked %d times", asked)
+		t.Errorf("got %d lease requests, want at least 2", asked)
 	}
 }
 
-// TestTurnsBesideLeases: the fixed turns of all places together keep to their share of the budget.
+// TestFixedTurnsKeepToTheirShare checks that the fixed turns of all places together stay within their share of the
+// budget.
 func TestFixedTurnsKeepToTheirShare(t *testing.T) {
 	for _, turn := range []int{0, 63, -1} {
 		s := testSettings(1, false, true, false)
@@ -81,15 +82,15 @@
 		warmth := s.Rules.ColdFrom
 		gap := (h.d.coldAt(wk, h.d.now, 0.01) - h.d.now).Seconds()
 		if warmth += (1 - warmth) * gap / s.Rules.Cold.Seconds(); gap*0.25/64*coldShare*s.Rules.FallMultiple*warmth < 0.0099 {
-			t.Errorf("10 ms of work each %v s is more than a place's part", gap)
+			t.Errorf("got a turn for 10 ms of work every %v s, more than the share of one place", gap)
 		}
 		if h.d.coldTurn(wk, &request{Request: Request{Slots: 1}, c: h.d.classes[0]}) && turn < 0 {
-			t.Error("a dispatcher without a place has a turn")
+			t.Error("a dispatcher without a place got a turn")
 		}
 	}
 	s := testSettings(1, false, true, false)
 	s.Leasing = Leasing{On: true, Turn: 64, Turns: 64, Share: 0.25}
 	if _, err := New(s); err == nil {
-		t.Error("a turn beyond all turns is taken")
+		t.Error("turn out of range: got no error")
 	}
 }
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// relieve has another dispatcher take over, by way of what one process tells the other.
+// handOver replaces the dispatcher by a new process that receives the old one's memory as JSON.
 func (h *harness) handOver() {
 	h.t.Helper()
 	text, err := json.Marshal(h.d.Memory())
@@ -28,15 +28,15 @@
 		}
 	}
 	h.timers = nil
-	for id, out := range h.cordoned { // the program tells of these first
+	for id, out := range h.cordoned { // the daemon restores cordons first
 		h.handle(Cordon{Worker: id, Out: out})
 	}
 	h.handle(ListFull{Workers: lines, Cached: true})
 	h.handle(Relieve{Memory: m})
 }
 
-// One process after the other decides for one dispatcher: all rules bind them as one, and nothing
-// of a request is lost or kept for good.
+// TestRulesHoldAcrossHandovers checks that all rules hold for a sequence of processes as for one, and that no request
+// is lost or kept forever.
 func TestRulesHoldAcrossHandovers(t *testing.T) {
 	for seed := range uint64(24) {
 		s := varyRules(testSettings(seed, seed&1 != 0, seed&2 != 0, false))
@@ -49,7 +49,8 @@
 	}
 }
 
-// A process that took over knew how often each key had been asked for, but not of how many requests, and took all for hot.
+// TestKeysAreNotHotAfterHandover guards against treating all keys as hot after a handover: the new process knew how
+// often each key had been requested, but not the number of all requests.
 func TestKeysAreNotHotAfterHandover(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Tenants = []Tenant{{QuotaPerSecond: 80}}
@@ -61,12 +62,12 @@
 	before := h.d.keepers(r)
 	h.handOver()
 	if after := h.d.keepers(r); after > before+1 {
-		t.Errorf("%d keepers of one key, %d once another process has taken over", before, after)
+		t.Errorf("got %d workers for one key before the handover and %d after, want at most one more", before, after)
 	}
 }
 
-// A process that took over began with ceilings of one slot and stacked its jobs on those of the
-// one before.
+// TestLearnedStateIsHandedOver guards against a new process that starts with ceilings of one slot and sends jobs on
+// top of those of the old process.
 func TestLearnedStateIsHandedOver(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Policies = nil
@@ -79,23 +80,23 @@
 		}
 	}
 	if len(sent) != 2 {
-		t.Fatalf("%d jobs sent", len(sent))
+		t.Fatalf("got %d jobs sent, want 2", len(sent))
 	}
 	h.handle(JobStarted{sent[0].ID, 0})
 	h.handOver()
 	wk := h.d.workers[1]
 	if wk.own != 2 || wk.running != 1 || wk.ceiling != 3 || wk.lived != h.now {
-		t.Errorf("own %v, running %v, ceiling %v, lived %v", wk.own, wk.running, wk.ceiling, wk.lived)
+		t.Errorf("got %v slots in use, %v running, ceiling %v, last sign of life %v; want 2, 1, 3, now", wk.own, wk.running, wk.ceiling, wk.lived)
 	}
 	h.now += 10 * time.Millisecond
 	if got, _ := h.sendRequest(2); got != 1 {
-		t.Error("no room for a third job")
+		t.Error("third job not sent")
 	}
 	if got, _ := h.sendRequest(2); got != 0 {
-		t.Error("a fourth job was stacked on those of before")
+		t.Error("fourth job sent beyond the ceiling")
 	}
 	h.handle(h.endAttempt(sent[0], 0, OK, nil), h.endAttempt(sent[1], 0, Reset, nil))
 	if !sent[1].answered {
-		t.Error("an unsafe job that may have run is not failed")
+		t.Error("unsafe request that may have run not answered")
 	}
 }
--- a/decide/moves_test.go
+++ b/decide/moves_test.go
@@ -7,32 +7,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFewQueuedJobsMove: nobody tells whether a worker drops what is called off. Where none does, moving each job that
-// queued had a third of the load run twice, more queued, and for their queues healthy workers were shut out: nearly all
-// was refused while workers had room. So few move; the others stay, and their workers stay trusted.
+// TestFewQueuedRequestsMove guards against moving each queued job: workers may ignore cancellations, and where none
+// drops a job, a third of the load ran twice, more jobs queued, and healthy workers were suspected for their queues,
+// so that nearly everything was refused while workers had room. Few requests move; the others stay, and their workers
+// stay trusted.
 func TestFewQueuedRequestsMove(t *testing.T) {
 	moves, suspected, windows := countMoves(t, 0.5, false)
-	require.LessOrEqual(t, suspected, moves, "workers struck for a queue")
-	require.LessOrEqual(t, moves, int(moveShare*200)+1, "two in each of %d windows were too many for a fleet of hundreds", windows)
+	require.LessOrEqual(t, suspected, moves, "workers suspected because of a queue")
+	require.LessOrEqual(t, moves, int(moveShare*200)+1, "in %d windows: two moves in each are too many with hundreds of dispatchers", windows)
 }
 
-// TestWhatIsWorthNothingLateMoves: a job whose class earns nothing late is lost if it stays in its queue, and its client asks
-// anew. On the fleet's days few moves for such cost 0.04 to 0.06 of the day.
+// TestRequestsWithoutLateWorthMove checks that a job whose class earns nothing late does move: otherwise it is lost in
+// its queue, and its client retries. Moving only few of such jobs cost 0.04 to 0.06 of the score on the fleet's days.
 func TestRequestsWithoutLateWorthMove(t *testing.T) {
 	late, _, _ := countMoves(t, 0, false)
 	few, _, _ := countMoves(t, 0.5, false)
 	require.Greater(t, late, 2*few+2)
 }
 
-// Guards against a job that is waited for however late being moved out of its queue as if it were lost there: both ran.
+// TestPatientRequestsMoveAsSeldom guards against moving a job that is waited for however late it is, as if it were
+// lost in its queue: both copies ran.
 func TestPatientRequestsMoveAsSeldom(t *testing.T) {
 	moves, suspected, _ := countMoves(t, 0, true)
 	few, _, _ := countMoves(t, 0.5, false)
 	require.Equal(t, few, moves)
-	require.LessOrEqual(t, suspected, moves, "workers struck for a queue")
+	require.LessOrEqual(t, suspected, moves, "workers suspected because of a queue")
 }
 
-// moved has 200 jobs queue at first and tells how many moved, and in how many windows of the rule on attempts.
+// countMoves lets 200 jobs queue at first and counts those that moved, the workers suspected otherwise, and the
+// windows of the rule on attempts.
 func countMoves(t *testing.T, lateWorth float64, patient bool) (moves, suspected, windows int) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].LateWorth = lateWorth
@@ -57,13 +60,14 @@
 	return moves, suspected, int((h.now-start)/h.d.budget.Span) + 1
 }
 
-// TestHungJobMovesAllTheSame: without a sign of life from its worker it does not stand in a queue, and no share holds it.
+// TestHungJobIgnoresTheLimitOnMoves checks that a job whose worker shows no sign of life does not count as queued, and
+// is repeated beyond the limit on moves.
 func TestHungJobIgnoresTheLimitOnMoves(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].LateWorth = 1
 	h := newReadyHarness(t, s, 40)
 	h.now += 10 * ms
-	for range 3 { // they take the moves that there are
+	for range 3 { // these use up the allowed moves
 		h.sendRequest(0)
 		h.now += 60 * ms
 		h.handle(Wake{})
@@ -77,8 +81,9 @@
 	require.Positive(t, h.d.workers[first].strikes)
 }
 
-// TestQueueOfOthersIsNoHang: among many dispatchers one has a job or two at a worker, and hears nothing of it while those of
-// others run. Where jobs queued for longer than four runs each counted as hung and was moved, so that it ran twice.
+// TestQueueBehindOthersJobsIsNotAHang guards against running jobs twice: one of many dispatchers has a job or two at a
+// worker and hears nothing while jobs of others run there, so where jobs queued for longer than four run times, each
+// counted as hung and was moved.
 func TestQueueBehindOthersJobsIsNotAHang(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].LateWorth = 0.5
@@ -87,14 +92,14 @@
 	for n := range 60 {
 		h.now += 10 * ms
 		_, req := h.sendRequest(0)
-		for range 40 { // its worker is at work for others
+		for range 40 { // its worker runs jobs of others
 			h.now += 10 * ms
 			h.handle(Wake{})
 		}
 		if n >= 20 && len(req.attempts) > 1 {
 			moves++
 		}
-		for try := range req.attempts { // what is called off runs all the same
+		for try := range req.attempts { // cancelled attempts run nevertheless
 			h.handle(JobStarted{req.ID, try})
 		}
 		h.now += 20 * ms
@@ -103,8 +108,9 @@
 	require.LessOrEqual(t, moves, 2)
 }
 
-// TestCeilingGrowsForLargeJobs: a job of two slots at a ceiling of three leaves no room for another. Its prompt start, or
-// end where starts are not told, once said nothing: such jobs went one at a time for ever.
+// TestCeilingGrowsForLargeJobs guards against sending jobs of two slots one at a time forever: at a ceiling of three
+// there is no room for a second one, so a prompt start, or an end in time where starts are not reported, must raise
+// the ceiling although it is not reached.
 func TestCeilingGrowsForLargeJobs(t *testing.T) {
 	for _, starts := range []bool{true, false} {
 		h := newReadyHarness(t, testSettings(1, starts, false, false), 1)
@@ -124,13 +130,14 @@
 			h.handle(h.endAttempt(req, 0, OK, nil))
 		}
 		for _, v := range h.d.workers {
-			require.GreaterOrEqual(t, v.ceiling, 4.0, "starts told: %v", starts)
+			require.GreaterOrEqual(t, v.ceiling, 4.0, "starts reported: %v", starts)
 		}
 	}
 }
 
-// TestCeilingGrowsForJobsOfMuchMemory: at a ceiling of two, one job of a unit and a tenth of memory leaves a slot free and no
-// room for another. It never was at its ceiling, which never grew: a worker of eight slots had one such job at a time.
+// TestCeilingGrowsForMemoryHeavyJobs guards against sending memory-heavy jobs one at a time to a worker of eight
+// slots: at a ceiling of two, one job with 1.1 units of memory leaves a slot free but no room for another, so the
+// ceiling was never reached and never grew.
 func TestCeilingGrowsForMemoryHeavyJobs(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, true, false), 1)
 	most := 0
@@ -159,8 +166,9 @@
 	require.Greater(t, most, 1)
 }
 
-// TestSilentWorkerGetsNoMore: a worker that had shown room for many and then stood still was sent as many until the first of
-// them counted as hung, four runs later: on the days of planned restarts each new process lost a ceiling of jobs to each.
+// TestStalledWorkerGetsNoMoreJobs guards against filling a worker that has stopped: one that had shown room for many
+// jobs was sent as many until the first of them counted as hung, four run times later. On days with planned restarts
+// each new process of a dispatcher lost a ceiling of jobs to each such worker.
 func TestStalledWorkerGetsNoMoreJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].LateWorth = 0.5
@@ -168,7 +176,7 @@
 	for _, v := range h.d.workers {
 		v.ceiling = 6
 	}
-	h.d.extras = []time.Duration{h.now, h.now, h.now} // no more moves
+	h.d.extras = []time.Duration{h.now, h.now, h.now} // no moves left
 	sent := 0
 	for range 6 {
 		if _, req := h.sendRequest(0); len(req.attempts) > 0 {
@@ -177,5 +185,5 @@
 		h.now += 60 * ms
 		h.handle(Wake{})
 	}
-	require.LessOrEqual(t, sent, 2, "to a worker that has started nothing since")
+	require.LessOrEqual(t, sent, 2, "jobs sent to a worker that has started none of them")
 }
--- a/decide/order_test.go
+++ b/decide/order_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestOrderOfARequest: a request that brings its own order goes to the first of it that is valid, moves on
-// along it, and nowhere else, however free others are.
+// TestRequestFollowsItsOwnOrder checks that a request with its own order of workers goes to the first valid one of
+// them, and to no others, however free these are.
 func TestRequestFollowsItsOwnOrder(t *testing.T) {
 	s := testSettings(1, false, true, false)
 	h := newReadyHarness(t, s, 4)
@@ -21,22 +21,22 @@
 		return got
 	}
 	if got := send(3, 1); got != 3 {
-		t.Errorf("the first of the order is 3, it went to %d", got)
+		t.Errorf("got worker %d, want 3, the first of the order", got)
 	}
 	if got := send(3, 1); got != 1 {
-		t.Errorf("3 is full and 1 next, it went to %d", got)
+		t.Errorf("got worker %d, want 1, as 3 is full", got)
 	}
 	if got := send(3, 1); got != 0 {
-		t.Errorf("both are full, it went to %d, which is none of them", got)
+		t.Errorf("got worker %d, want none, as both are full", got)
 	}
 	h.d.Handle(h.now, []Event{ListDelta{Workers: []Worker{{ID: 2, State: Draining}}}})
 	if got := send(2, 4); got != 4 {
-		t.Errorf("2 drains, it went to %d", got)
+		t.Errorf("got worker %d, want 4, as 2 drains", got)
 	}
 }
 
-// TestOrderGoesBeforeFirstJobs: a worker put back by hand is owed a job, but not one that may not go there: a rerun that was
-// narrowed to other sites could come to the worker that had spoilt it.
+// TestOrderOverridesFirstJobs guards against sending a request outside its order because an uncordoned worker is due a
+// first job: a rerun restricted to other sites could reach the worker that had produced bad output.
 func TestOrderOverridesFirstJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Rules.Cold, s.Rules.ColdFrom = 3, 20*time.Second, 0.14
@@ -50,7 +50,7 @@
 		req.Order = []uint32{3}
 		for _, a := range h.handle(Wake{}, req.Request) {
 			if a, ok := a.(Send); ok && a.Worker != 3 {
-				t.Fatalf("it may go to 3 alone, it went to %d", a.Worker)
+				t.Fatalf("got worker %d, want only 3", a.Worker)
 			}
 		}
 		for _, req := range h.requests {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestOrderHoldsPastTheAim guards against a request that brings its own order and, once it has waited for its aim, is sent
-// to any worker.
+// TestOrderStillAppliesPastTheAim guards against sending a request with its own order to any worker once it has waited
+// until its aim.
 func TestOrderStillAppliesPastTheAim(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newReadyHarness(t, testSettings(seed, true, false, false), 4)
@@ -76,7 +76,7 @@
 			h.now += 10 * ms
 			for _, a := range h.handle(Wake{}) {
 				if a, ok := a.(Send); ok {
-					t.Fatalf("seed %d: it may go to 3 alone, it went to %d at %v", seed, a.Worker, h.now)
+					t.Fatalf("seed %d: got worker %d at %v, want only 3", seed, a.Worker, h.now)
 				}
 			}
 		}
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// heldKinds are requests that find no room, each of another kind.
+// heldRequestKinds are ways to make requests that find no room.
 var heldRequestKinds = map[string]func(r *Request, n int){
 	"without keys":      func(*Request, int) {},
 	"with many keys":    func(r *Request, n int) { r.Key = uint64(n) + 1 },
@@ -16,7 +16,7 @@
 	"of unequal demand": func(r *Request, n int) { r.Key, r.Slots = 1, 1+float64(n)/1000 },
 }
 
-// heldFleet is a dispatcher of many whose workers are all full, with so many requests held beside them.
+// newFullDispatcher returns a dispatcher of many whose workers are all full, and a number of held requests.
 func newFullDispatcher(tb testing.TB, workers, held int, kind string) (*Dispatcher, time.Duration) {
 	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Limits.Open, s.Progress = 330, 100000, 0
@@ -45,15 +45,15 @@
 		d.Handle(now, []Event{JobStarted{Request: id}})
 	}
 	if got := d.held(); got < held/2 {
-		tb.Fatalf("%d requests held of %d", got, held)
+		tb.Fatalf("got %d requests held, want at least half of %d", got, held)
 	}
 	return d, now
 }
 
-// TestHeldRequestsCostNothingWithoutNews: each step of the timer looked through all workers for each held request with a
-// key, and a dispatcher with many fell behind until answers were lost.
+// TestHeldRequestsCostLittleWithoutEvents guards against scanning all workers for each held request with a key at
+// every step of the timer: a dispatcher with many held requests fell behind until answers were lost.
 func TestHeldRequestsCostLittleWithoutEvents(t *testing.T) {
-	const steps, held, most = 60, 160, 500 // workers looked at in a batch: 50 us at 0.1 us each
+	const steps, held, most = 60, 160, 500 // workers checked in a batch: 50 us at 0.1 us each
 	for kind := range heldRequestKinds {
 		for _, workers := range []int{50, 200, 800} {
 			d, now := newFullDispatcher(t, workers, held, kind)
@@ -63,7 +63,7 @@
 				d.Handle(now, []Event{Wake{}})
 			}
 			if mean := (d.examined - before) / steps; mean > most {
-				t.Errorf("%d requests %s, %d workers: %d looks at a worker in a batch without news, at most %d", held, kind, workers, mean, most)
+				t.Errorf("%d requests %s, %d workers: got %d checks of a worker per batch without events, want at most %d", held, kind, workers, mean, most)
 			} else {
 				t.Logf("%s, %d: %d", kind, workers, mean)
 			}
@@ -71,7 +71,7 @@
 	}
 }
 
-// BenchmarkHeld has the timer fire without news while requests are held and all workers are full.
+// BenchmarkHeld lets the timer fire without other events while requests are held and all workers are full.
 func BenchmarkHeld(b *testing.B) {
 	for _, size := range [][2]int{{50, 160}, {200, 160}, {800, 160}, {5000, 1000}} {
 		for kind := range heldRequestKinds {
@@ -91,11 +91,12 @@
 	}
 }
 
-// TestHeldRequestsGoOutWhenRoomComes: a request that found no valid worker was forgotten until the next round of looks.
+// TestHeldRequestsAreSentOnceThereIsRoom guards against leaving out requests without a valid worker until the next
+// placement round although there is room.
 func TestHeldRequestsAreSentOnceThereIsRoom(t *testing.T) {
 	for kind := range heldRequestKinds {
 		d, now := newFullDispatcher(t, 50, 20, kind)
-		for range 20 { // rounds without news
+		for range 20 { // rounds without other events
 			now += d.step()
 			d.Handle(now, []Event{Wake{}})
 		}
@@ -106,12 +107,13 @@
 			}
 		}
 		if left := d.held(); left > held/2 {
-			t.Errorf("%d of %d requests %s are held while the workers are idle", left, held, kind)
+			t.Errorf("%d of %d requests %s still held while the workers are idle, want at most half", left, held, kind)
 		}
 	}
 }
 
-// TestRoundsComeWhileOthersAreLookedAt: looks at new requests put off the next round of looks at held ones without end.
+// TestNewRequestsDoNotDelayPlacementRounds guards against work for new requests that postpones the next placement
+// round of held ones without end.
 func TestNewRequestsDoNotDelayPlacementRounds(t *testing.T) {
 	d, now := newFullDispatcher(t, 200, 20, "with many keys")
 	rounds := d.rounds
@@ -125,6 +127,6 @@
 		d.Handle(now, events)
 	}
 	if d.rounds < rounds+2 {
-		t.Errorf("%d rounds in %d steps", d.rounds-rounds, 2*mostPause)
+		t.Errorf("got %d placement rounds in %d steps, want at least 2", d.rounds-rounds, 2*mostPause)
 	}
 }
--- a/decide/reserved_test.go
+++ b/decide/reserved_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestHolds: slots that are held from a moment on are filled until then by jobs that end in time and by no others, and
-// by what they are held for; then by nothing else until the hold ends.
+// TestReservedSlotsStayFree checks that slots reserved from a moment on are used until then only by jobs that end in
+// time and by what they are reserved for, and from then on by nothing else until the reservation ends.
 func TestReservedSlotsStayFree(t *testing.T) {
 	s := testSettings(1, false, true, false)
 	h := newReadyHarness(t, s, 1)
@@ -24,35 +24,35 @@
 		return sent
 	}
 	if !send(time.Second, false) {
-		t.Fatal("nothing is held, and nothing is sent")
+		t.Fatal("request not sent without a reservation")
 	}
 	h.now += time.Second
 	h.d.Handle(h.now, []Event{Holds{Worker: 1, Slots: 8, Spans: []Span{{From: h.now + 500*time.Millisecond, Until: h.now + 3*time.Second, Slots: 8}}}})
 	if !send(100*time.Millisecond, false) {
-		t.Error("a job that ends before the hold is not sent")
+		t.Error("job that ends before the reservation starts: not sent")
 	}
 	if send(450*time.Millisecond, false) || send(0, false) {
-		t.Error("a job that may not end before the hold is sent")
+		t.Error("job that may not end before the reservation starts: sent")
 	}
 	h.now += time.Second
 	if send(time.Millisecond, false) {
-		t.Error("a job is sent into a hold")
+		t.Error("job sent to reserved slots")
 	}
 	if !send(time.Second, true) {
-		t.Error("what the slots are held for is not sent")
+		t.Error("request with the reservation not sent")
 	}
 	h.now += 2 * time.Second
 	if !send(time.Second, false) {
-		t.Error("the hold is over, and nothing is sent")
+		t.Error("request not sent after the reservation ended")
 	}
 	h.d.Handle(h.now, []Event{Holds{Worker: 1, Slots: 8, Spans: []Span{{From: h.now, Until: h.now + time.Hour, Slots: 8}}}, Holds{Worker: 1}})
 	if !send(time.Second, false) {
-		t.Error("the hold was taken back, and nothing is sent")
+		t.Error("request not sent after the reservation was removed")
 	}
 }
 
-// TestHeldSlotsAreNotRefusedByTheCeiling guards against a gang's member that waits, though its slots are held, because its
-// dispatcher has sent that worker a job before and knows of no second slot there.
+// TestCeilingDoesNotBlockReservedSlots guards against a gang member that waits although slots are reserved for it: its
+// dispatcher has sent that worker one job before and does not know of a second slot.
 func TestCeilingDoesNotBlockReservedSlots(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	for n := range 3 {
@@ -64,7 +64,7 @@
 			sent = sent || send
 		}
 		if !sent {
-			t.Errorf("member %d of a gang is not sent at once", n)
+			t.Errorf("gang member %d not sent at once", n)
 		}
 	}
 }
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Settings change while requests are in hand: those keep their class, what comes goes by the new
-// one, and the number of attempts binds both.
+// TestSettingsChangeWithRequestsInProgress checks a change of settings with requests in progress: those keep the
+// definition of their class, later ones follow the new one, and the new limit on attempts applies to both.
 func TestSettingsChangeWithRequestsInProgress(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	h := newReadyHarness(t, s, 4)
 	_, earlier := h.sendRequest(0)
 	s.Classes = slices.Clone(s.Classes)
-	s.Classes[0].Effect = Unsafe // stricter
+	s.Classes[0].Effect = Unsafe // stricter than before
 	s.Classes[1].Left = true
 	s.Classes = append(s.Classes, Class{Aim: 50 * ms, Deadline: time.Second, Worth: 1, Effect: Safe, Kind: Any})
 	if err := h.d.Retune(s); err != nil {
@@ -24,17 +24,17 @@
 	_, later := h.sendRequest(0)
 	to, fresh := h.sendRequest(3)
 	if to == 0 {
-		t.Fatal("a new class finds no worker")
+		t.Fatal("request of the new class not sent")
 	}
 	h.handle(h.endAttempt(later, 0, Reset, nil))
 	if !later.answered || len(later.attempts) != 1 {
-		t.Error("what came since is repeated though it must not be")
+		t.Error("later request repeated although its class is unsafe now")
 	}
 	h.s.Classes = slices.Clone(s.Classes)
-	h.s.Classes[0].Effect = Safe // what the one in hand is held against
+	h.s.Classes[0].Effect = Safe // the definition that the earlier request keeps
 	h.handle(h.endAttempt(earlier, 0, Reset, nil))
 	if earlier.answered || len(earlier.attempts) != 2 {
-		t.Error("what was in hand has lost its class")
+		t.Error("earlier request not repeated, want its class's old definition kept")
 	}
 	h.s = s
 	s.Limits.Attempts = 1
@@ -43,18 +43,18 @@
 	}
 	h.handle(h.endAttempt(fresh, 0, Reset, nil))
 	if !fresh.answered || len(fresh.attempts) != 1 {
-		t.Error("it had more attempts than are allowed now")
+		t.Error("got more attempts than the new limit")
 	}
 	s.Classes = s.Classes[:3]
 	if h.d.Retune(s) == nil {
-		t.Error("a class has lost its number")
+		t.Error("settings with a class missing: got no error")
 	}
 	if s.Limits.Attempts = 0; h.d.Retune(s) == nil || h.d.s.Limits.Attempts != 1 {
-		t.Error("settings that cannot be followed count")
+		t.Error("invalid settings are in effect or gave no error")
 	}
 }
 
-// leaves is settings with classes and tenants of which the first ones have left.
+// withRemoved returns the settings with the first classes and tenants marked as removed.
 func withRemoved(s Settings, classes, tenants int) Settings {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	for i := range classes {
@@ -67,8 +67,9 @@
 	return s
 }
 
-// Classes and tenants that the settings have no more went on to set the pace of backoffs, the turns of cold workers, the size that workers
-// are taken to have, how often the fleet is sorted and how many attempts there may be where no rule says so.
+// TestRemovedClassesAndTenantsDoNotCount guards against removed classes and tenants that still determine backoffs, the
+// turns of cold workers, the estimated size of workers, how often the fleet is sorted, and the number of attempts
+// where no rule sets it.
 func TestRemovedClassesAndTenantsDoNotCount(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes = []Class{
@@ -88,7 +89,7 @@
 	}
 	removedFirst := withRemoved(s, 2, 1)
 	if removedFirst.First = 1; h.d.Retune(removedFirst) == nil {
-		t.Error("a class that has left is the first")
+		t.Error("removed class as the first: got no error")
 	}
 	d := h.d
 	_, avoided := d.Fleet()
@@ -98,17 +99,18 @@
 		"span of attempts": {d.budget.Span, 4 * time.Second},
 	} {
 		if gotWant[0] != gotWant[1] {
-			t.Errorf("%s: %v, not %v", name, gotWant[0], gotWant[1])
+			t.Errorf("%s: got %v, want %v", name, gotWant[0], gotWant[1])
 		}
 	}
 	h.handle(Wake{})
 	if at := h.d.ordered - h.now; at != 200*ms {
-		t.Errorf("the fleet is sorted again after %v", at)
+		t.Errorf("fleet sorted again after %v, want 200 ms", at)
 	}
 }
 
-// A class whose jobs are others under the name of before went on with what was learned of those: its first requests were taken for later
-// tries of clients that had used most of their time, and were late before they were in time.
+// TestRedefinedClassForgetsItsJobs guards against keeping what was learned of a class whose name now stands for other
+// jobs: its first requests were taken for retries of clients that had used up most of their time, and counted as late
+// from the start.
 func TestRedefinedClassForgetsItsJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].Deadline = 10 * time.Second
@@ -119,7 +121,7 @@
 	sameJobs.Classes = slices.Clone(s.Classes)
 	sameJobs.Classes[0].Worth, sameJobs.Classes[0].Effect = 77, Unsafe
 	if err := h.d.Retune(sameJobs); err != nil || h.d.classes[0].jobs != 200 || h.d.classes[0].budget != 10*time.Second {
-		t.Errorf("what a job is worth says nothing of how long it runs: %v", err)
+		t.Errorf("change of worth and effect: got learned run times reset or error %v", err)
 	}
 	h.d.workers[1].refusals[0], h.d.workers[1].errs[0] = refusal{3, h.now + time.Minute}, tally{8, 1}
 	otherJobs := s
@@ -130,16 +132,17 @@
 	}
 	h.s = otherJobs
 	if c := h.d.classes[0]; c.run != 0 || c.jobs != 0 || h.d.workers[1].refusals[0].N != 0 || h.d.workers[1].errs[0].Share != 0 {
-		t.Error("what was learned of the jobs of before is kept")
+		t.Error("got what was learned of the old jobs, want it reset")
 	}
 	req := h.newRequest(0, 6*time.Second)
 	h.handle(req.Request)
 	if r := h.d.requests[req.ID]; r.limit != h.now+300*ms {
-		t.Errorf("its aim is over in %v", r.limit-h.now)
+		t.Errorf("got %v until the aim, want 300 ms", r.limit-h.now)
 	}
 }
 
-// A request that waits while its class changes kept the workers of that moment for good: it went to none that the list told of later.
+// TestWaitingRequestSeesNewWorkers guards against a request that waits while its class changes and never goes to
+// workers that the list adds later.
 func TestWaitingRequestSeesNewWorkers(t *testing.T) {
 	h := newHarness(t, testSettings(1, true, false, false))
 	h.handle(ListFull{})
@@ -155,11 +158,12 @@
 			return
 		}
 	}
-	t.Error("it is not sent")
+	t.Error("waiting request not sent to the new worker")
 }
 
-// Turns of cold workers that were reckoned by other rules held on: of one dispatcher for the turns of hundreds, or without a rule for
-// workers that are cold by the new one. The ages of connections were told apart by parts of the time of before.
+// TestStateDerivedFromOldSettingsIsReset guards against state computed from old settings: turns of cold workers
+// planned for hundreds of dispatchers when there is one, or for workers that are cold only by the new rules, and
+// failures at idle ages measured in parts of the old idle time.
 func TestStateDerivedFromOldSettingsIsReset(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Limits.ConnIdle, s.Limits.ConnectTimeout = 400, 64*time.Second, 2*time.Second
@@ -171,7 +175,7 @@
 	otherPrice := s
 	otherPrice.Prices.Waste = 0.5
 	if err := h.d.Retune(otherPrice); err != nil || h.d.workers[1].coldNext == 0 || h.d.ages[4].N == 0 {
-		t.Errorf("a price says nothing of these: %v", err)
+		t.Errorf("change of a price: got state reset or error %v", err)
 	}
 	h.d.order[0], h.d.order[3] = h.d.order[3], h.d.order[0]
 	next := s
@@ -180,14 +184,14 @@
 		t.Fatal(err)
 	}
 	if d := h.d; d.workers[1].coldNext != 0 || d.ages[4].N != 0 || d.setup() != 50*ms || d.stall != 500*ms || !slices.IsSorted(d.order) {
-		t.Errorf("turn %v, ages %v, setup %v, stall %v", d.workers[1].coldNext, d.ages, d.setup(), d.stall)
+		t.Errorf("got turn %v, idle ages %v, set-up time %v, stall %v; want them reset or bounded", d.workers[1].coldNext, d.ages, d.setup(), d.stall)
 	}
 	warm := next
 	warm.Rules.Cold = 0
 	if err := h.d.Retune(warm); err != nil || len(h.d.owed) != 0 {
-		t.Errorf("%d are owed a job where none is cold: %v", len(h.d.owed), err)
+		t.Errorf("got %d workers due a first job where none is cold, error %v", len(h.d.owed), err)
 	}
 	if err := h.d.Retune(next); err != nil || len(h.d.owed) != 1 {
-		t.Errorf("%d are owed a job: %v", len(h.d.owed), err)
+		t.Errorf("got %d workers due a first job, want 1, error %v", len(h.d.owed), err)
 	}
 }
