--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -14,7 +14,7 @@
 	tests := []struct {
 		name     string
 		class    int
-		attempts int // the limit
+		limit    int // on attempts
 		outcomes []Outcome
 		wait     time.Duration
 		refused  bool
@@ -29,7 +29,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings(1, false, false, false)
-			s.Limits.Attempts, s.Progress = tt.attempts, 0
+			s.Limits.Attempts, s.Progress = tt.limit, 0
 			h := newReadyHarness(t, s, 4)
 			_, req := h.sendRequest(tt.class)
 			h.now += tt.wait
--- a/decide/deployment_test.go
+++ b/decide/deployment_test.go
@@ -181,7 +181,7 @@
 		return 0.75
 	})
 	sim.runUntil(sim.now + 6*time.Second)
-	served := sum(sim.worthServed) / sum(sim.worthAsked)
+	served := totalWorth(sim.worthServed) / totalWorth(sim.worthAsked)
 	if served < 0.85 {
 		t.Errorf("served %.3f of the worth on a calm day", served)
 	}
@@ -263,7 +263,7 @@
 	cold, over, overByPage, worst := 0, 0, 0, 0.0
 	asked, served := 0.0, 0.0
 	playFleets(fleets, f.playFleet, func(sim *deployment) {
-		asked, served = asked+sum(sim.worthAsked), served+sum(sim.worthServed)
+		asked, served = asked+totalWorth(sim.worthAsked), served+totalWorth(sim.worthServed)
 		for _, e := range sim.newEncoders() {
 			cold++
 			x := sim.worstWindow(e)
@@ -290,8 +290,8 @@
 	return sim
 }
 
-// sum adds up the worth of all classes.
-func sum(worth []float64) (sum float64) {
+// totalWorth adds up the worth of all classes.
+func totalWorth(worth []float64) (sum float64) {
 	for _, w := range worth {
 		sum += w
 	}
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -47,7 +47,7 @@
 			h.handle(tt.events...)
 			h.now += time.Second // the fleet has been sorted again by then
 			if got, _ := h.sendRequest(0); (got == 1) != tt.want {
-				t.Errorf("request sent to worker %d", got)
+				t.Errorf("got worker %d, which is not as wanted", got)
 			}
 		})
 	}
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -107,7 +107,7 @@
 			}
 		}
 		if left := d.held(); left > held/2 {
-			t.Errorf("%d of %d requests %s still held while the workers are idle, want at most half", left, held, kind)
+			t.Errorf("got %d of %d requests %s still held while the workers are idle, want at most half", left, held, kind)
 		}
 	}
 }
