--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -96,7 +96,7 @@
 				d.now += 100 * ms
 				for tenant, n := range tt.rates {
 					for range n {
-						if d.overShare(tenant) {
+						if d.exceedsShare(tenant) {
 							over[tenant] += 1 / float64(200*n)
 						}
 					}
@@ -110,7 +110,7 @@
 			}
 		})
 	}
-	if newHarness(t, testSettings(1, true, false, false)).d.overShare(3) {
+	if newHarness(t, testSettings(1, true, false, false)).d.exceedsShare(3) {
 		t.Error("an unknown tenant is over its share")
 	}
 }
@@ -122,11 +122,11 @@
 	wk := h.d.workers[1]
 	wk.ceiling = 4
 	for i := range 4 {
-		r := &request{Request: Request{Slots: 1}, c: h.d.classes[0], due: h.now + time.Second, over: true}
+		r := &request{Request: Request{Slots: 1}, class: h.d.classes[0], deadline: h.now + time.Second, overShare: true}
 		if got := h.d.valid(r, wk, Invalidate{MaxConcurrentInvocations, 100}); got != (i < 2) {
 			t.Errorf("with %d jobs running: got room %v", i, got)
 		}
-		wk.own++
+		wk.ownSlots++
 	}
 }
 
@@ -137,8 +137,8 @@
 		s := testSettings(1, false, false, false)
 		s.Progress = 0
 		h := newReadyHarness(t, s, 1)
-		h.d.admitted, h.d.tokens = 0.5, mostTokens
-		h.d.classes[0].jobs, h.d.classes[0].logRun = 50, -3 // the typical run is 50 ms
+		h.d.admitted, h.d.tokens = 0.5, maxTokens
+		h.d.classes[0].jobs, h.d.classes[0].meanLogRun = 50, -3 // the typical run is 50 ms
 		for range 6 {
 			h.sendRequest(0)
 			h.now += run
@@ -177,10 +177,10 @@
 		}
 		h.handle(ListFull{Workers: lines})
 		for range 4 {
-			h.d.fresh.add(true, freshMemory)
+			h.d.firstJobs.add(true, firstJobSamples)
 		}
 		h.now += 500 * ms
-		h.d.stale, h.d.ordered = true, 0
+		h.d.blocksStale, h.d.sortAfter = true, 0
 		probed := map[uint32]bool{}
 		for _, a := range h.handle(Wake{}) {
 			if p, ok := a.(Probe); ok {
@@ -190,19 +190,19 @@
 		if want := 0; probes && len(probed) != 8 || !probes && len(probed) != want {
 			t.Errorf("probes allowed %v: got %d workers probed", probes, len(probed))
 		}
-		if trusted := h.d.workers[5].strikes == 0; trusted == probes {
+		if trusted := h.d.workers[5].failures == 0; trusted == probes {
 			t.Errorf("probes allowed %v: new worker trusted: got %v", probes, trusted)
 		}
-		trial := &request{Request: Request{Slots: 1}, c: h.d.classes[0], due: h.now + time.Minute}
-		for n := range freshProbes + 1 {
+		trial := &request{Request: Request{Slots: 1}, class: h.d.classes[0], deadline: h.now + time.Minute}
+		for n := range firstJobProbes + 1 {
 			wk := h.d.workers[7]
 			wk.probes, wk.retryAt = n, h.now
-			if ok := h.d.valid(trial, wk, Invalidate{MaxConcurrentInvocations, 9}); probes && ok != (n == freshProbes) {
+			if ok := h.d.valid(trial, wk, Invalidate{MaxConcurrentInvocations, 9}); probes && ok != (n == firstJobProbes) {
 				t.Errorf("trial after %d unanswered probes: got %v", n, ok)
 			}
 		}
 		h.handle(Probed{Worker: 5, Outcome: OK}, Probed{Worker: 6, Outcome: TimedOut}, Probed{Worker: 99, Outcome: OK})
-		if h.d.workers[5].strikes != 0 || probes && h.d.workers[6].strikes == 0 {
+		if h.d.workers[5].failures != 0 || probes && h.d.workers[6].failures == 0 {
 			t.Error("want the worker that answered its probe trusted, and the other one suspected")
 		}
 	}
@@ -232,8 +232,8 @@
 		h.now += 10 * ms
 		h.handle(Wake{})
 	}
-	if h.d.workers[first].strikes == 0 || len(req.attempts) != 2 || req.attempts[1].worker.ID == first {
-		t.Errorf("got %d consecutive failures and %d attempts, want the worker suspected and a copy elsewhere", h.d.workers[first].strikes, len(req.attempts))
+	if h.d.workers[first].failures == 0 || len(req.attempts) != 2 || req.attempts[1].worker.ID == first {
+		t.Errorf("got %d consecutive failures and %d attempts, want the worker suspected and a copy elsewhere", h.d.workers[first].failures, len(req.attempts))
 	}
 }
 
@@ -252,13 +252,13 @@
 		cancelled := false
 		for range 40 {
 			h.now += 10 * ms
-			h.d.wakeAt = h.now
+			h.d.timerDue = h.now
 			for _, a := range h.handle(Wake{}, JobProgress{first.ID, 0, 0.5}) {
 				c, ok := a.(Cancel)
 				cancelled = cancelled || ok && c.Request == req.ID
 			}
 		}
-		if lost := h.d.requests[req.ID] != nil && h.d.requests[req.ID].attempts[0].lost; lost != (!confirmed && class == 0) || lost && !cancelled {
+		if lost := h.d.requests[req.ID] != nil && h.d.requests[req.ID].attempts[0].connLost; lost != (!confirmed && class == 0) || lost && !cancelled {
 			t.Errorf("class %d, confirmed %v: attempt abandoned: got %v", class, confirmed, lost)
 		}
 	}
@@ -361,7 +361,7 @@
 func TestPatientRequestsWaitLongerForConfirmation(t *testing.T) {
 	for patient, within := range map[bool]time.Duration{false: 60 * ms, true: 260 * ms} { // just past half of the aim of 100 ms, and five times that
 		h := newReadyHarness(t, testSettings(1, false, false, false), 3)
-		h.d.confirms = true
+		h.d.confirmsAttempts = true
 		req := h.newRequest(0, time.Second)
 		req.Patient = patient
 		h.handle(req.Request)
@@ -385,11 +385,11 @@
 	req := h.newRequest(0, time.Second)
 	h.handle(req.Request)
 	r := h.d.requests[req.ID]
-	r.attempts = append(r.attempts, &attempt{w: r.attempts[0].w, sent: h.now, note: h.now})
-	r.out++
-	h.d.extras = []time.Duration{h.now} // another request's, at the same time
+	r.attempts = append(r.attempts, &attempt{worker: r.attempts[0].worker, sentAt: h.now, lastReport: h.now})
+	r.outstanding++
+	h.d.extraAttempts = []time.Duration{h.now} // another request's, at the same time
 	h.d.Handle(h.now, []Event{AttemptEnded{Request: req.ID, Outcome: Moot}})
-	if len(h.d.extras) != 1 {
-		t.Errorf("got %d further attempts in the budget, want the one that was sent", len(h.d.extras))
+	if len(h.d.extraAttempts) != 1 {
+		t.Errorf("got %d further attempts in the budget, want the one that was sent", len(h.d.extraAttempts))
 	}
 }
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -20,7 +20,7 @@
 		h.now = started + time.Duration(place)*100*ms
 		h.list[1] = Worker{ID: 1, State: Ready, Started: started}
 		for _, c := range h.d.classes {
-			c.run, c.logRun, c.jobs = run.Seconds(), math.Log(run.Seconds()), 1
+			c.meanRun, c.meanLogRun, c.jobs = run.Seconds(), math.Log(run.Seconds()), 1
 		}
 		h.handle(ListDelta{Workers: []Worker{h.list[1]}})
 		for h.now < started+3*time.Second {
@@ -69,10 +69,10 @@
 		h.list[1] = Worker{ID: 1, State: Ready, Started: started}
 		h.handle(ListDelta{Workers: []Worker{h.list[1]}})
 		wk := h.d.workers[1]
-		r := &request{Request: Request{Slots: 1}, c: h.d.classes[0]}
+		r := &request{Request: Request{Slots: 1}, class: h.d.classes[0]}
 		h.d.coldTurn(wk, r)
 		h.d.now = started + after
-		rate += s.Rules.FallWindow.Seconds() / (h.d.coldAt(wk, h.d.now, h.d.pace().Seconds()) - h.d.now).Seconds()
+		rate += s.Rules.FallWindow.Seconds() / (h.d.coldBudgetAt(wk, h.d.now, h.d.pace().Seconds()) - h.d.now).Seconds()
 		if h.d.coldTurn(wk, r) {
 			open++
 		}
@@ -87,8 +87,8 @@
 // made it overestimate the size of all workers.
 func TestFewJobsDoNotDecideColdTurns(t *testing.T) {
 	learn := func(h *harness, class int, run time.Duration) {
-		a := &attempt{w: h.d.workers[1], sent: h.d.now - run, begun: h.d.now - run, started: true}
-		h.d.learn(&request{Request: Request{Slots: 1}, c: h.d.classes[class], arrived: a.sent}, a)
+		a := &attempt{worker: h.d.workers[1], sentAt: h.d.now - run, startedAt: h.d.now - run, started: true}
+		h.d.learnRun(&request{Request: Request{Slots: 1}, class: h.d.classes[class], arrived: a.sentAt}, a)
 	}
 	sim := newFleetSim(t, 300, append(warmWorkers(170), Worker{ID: 5000, State: Ready, Started: time.Hour}))
 	for i, h := range sim.dispatchers[2:] {
@@ -97,7 +97,7 @@
 		}
 		learn(h, 1, 200*ms)
 		for d := h.d; d.now < time.Hour+8*time.Second; d.now += 100 * ms {
-			if d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, c: d.classes[1]}) {
+			if d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, class: d.classes[1]}) {
 				t.Fatalf("dispatcher %d: got a turn for a long job %v after the start, from the run time of one job", i, d.now-time.Hour)
 			}
 		}
@@ -129,7 +129,7 @@
 			h.handle(Wake{})
 		}
 		h.handle(JobStarted{req.ID, 0})
-		if late := h.d.workers[1].late.Share > 0; late == cold {
+		if late := h.d.workers[1].lateStarts.Share > 0; late == cold {
 			t.Errorf("cold %v: late start counted: got %v, want the opposite", cold, late)
 		}
 	}
--- a/decide/conn_test.go
+++ b/decide/conn_test.go
@@ -37,27 +37,27 @@
 				if i%4 == 1 { // a safe request is the first to try an age
 					class = 0
 				}
-				r := &request{Request: Request{Class: class, Slots: 1}, c: h.d.classes[class]}
-				wk.conns, wk.freed = 1, h.d.now
+				r := &request{Request: Request{Class: class, Slots: 1}, class: h.d.classes[class]}
+				wk.conns, wk.connFreedAt = 1, h.d.now
 				h.d.now += idle
-				h.d.out = nil
-				a := &attempt{w: wk, sent: h.d.now, note: h.d.now}
-				h.d.connect(r, a, false)
+				h.d.actions = nil
+				a := &attempt{worker: wk, sentAt: h.d.now, lastReport: h.d.now}
+				h.d.predictConn(r, a, false)
 				if i%2 == 1 {
-					if released = len(h.d.out) > 0; released {
+					if released = len(h.d.actions) > 0; released {
 						outcome = OK
 					}
-				} else if len(h.d.out) > 0 {
+				} else if len(h.d.actions) > 0 {
 					t.Fatal("a young connection was closed first")
 				}
 				h.d.now += 10 * ms
-				h.d.judgeConn(r, a, outcome)
+				h.d.recordConnEnd(r, a, outcome)
 			}
 			if released != tt.want {
 				t.Errorf("old connection closed first: got %v, want %v", released, tt.want)
 			}
-			if wk.open != 0 {
-				t.Errorf("got %d connections in use after the last end, want 0", wk.open)
+			if wk.connsInUse != 0 {
+				t.Errorf("got %d connections in use after the last end, want 0", wk.connsInUse)
 			}
 		})
 	}
@@ -71,13 +71,13 @@
 	s.Limits.ConnIdle = 16 * time.Second
 	h := newReadyHarness(t, s, 1)
 	wk := h.d.workers[1]
-	r := &request{Request: Request{ID: 7, Slots: 1}, c: h.d.classes[0], arrived: h.d.now, due: h.d.now + time.Hour}
+	r := &request{Request: Request{ID: 7, Slots: 1}, class: h.d.classes[0], arrived: h.d.now, deadline: h.d.now + time.Hour}
 	h.d.requests[7] = r
 	if !h.d.send(r, wk) {
 		t.Fatal("request not sent")
 	}
-	h.d.ended(AttemptEnded{Request: 7, Outcome: Reset, Kept: time.Second})
-	if wk.strikes != 0 {
+	h.d.attemptEnded(AttemptEnded{Request: 7, Outcome: Reset, Kept: time.Second})
+	if wk.failures != 0 {
 		t.Error("the worker is suspected")
 	}
 	if got := h.d.idleLimit(Safe); got != time.Second/2 {
@@ -107,7 +107,7 @@
 				return req, s.Fresh
 			}
 		}
-		t.Fatalf("class %d not sent, worker with %d consecutive failures", class, h.d.workers[1].strikes)
+		t.Fatalf("class %d not sent, worker with %d consecutive failures", class, h.d.workers[1].failures)
 		return nil, false
 	}
 	firstKept, _ := send(2)
@@ -118,7 +118,7 @@
 	lost, _ := send(2) // its connection is silent; it is taken for queued
 	h.now += 500 * ms
 	h.handle(Wake{})
-	if h.d.silent > 0 {
+	if h.d.silentUntil > 0 {
 		t.Error("connection taken for silent while its worker may be")
 	}
 	reportProgress := func() { // the worker reports on another job
@@ -138,7 +138,7 @@
 	h.handle(h.endAttempt(lost, 0, TimedOut, nil))
 	h.now += s.Limits.ConnIdle
 	reportProgress()
-	if h.now < h.d.silent {
+	if h.now < h.d.silentUntil {
 		t.Error("kept connections are still distrusted after the idle time")
 	}
 }
--- a/decide/cordon_test.go
+++ b/decide/cordon_test.go
@@ -44,7 +44,7 @@
 			t.Errorf("got a warmth of %v, want under 0.2", warmth)
 		}
 		var at []time.Duration
-		for h.now < start+owedWithin {
+		for h.now < start+uncordonedWithin {
 			h.now += 20 * ms
 			req := h.newRequest(0, time.Second)
 			for _, a := range h.handle(Wake{}, req.Request) {
@@ -75,7 +75,7 @@
 	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 	h.handle(Cordon{Worker: 1, Out: true})
 	h.handle(Cordon{Worker: 1})
-	if n := len(h.d.owed); n != 1 {
+	if n := len(h.d.firstJobQueue); n != 1 {
 		t.Errorf("got %d entries for one worker, want 1", n)
 	}
 }
--- a/decide/fleet_sim_test.go
+++ b/decide/fleet_sim_test.go
@@ -257,8 +257,8 @@
 func TestSingleRequestIsNotOverItsTenantsShare(t *testing.T) {
 	sim := newFleetSim(t, 80, []Worker{{ID: 1, State: Ready}, {ID: 2, State: Ready}})
 	for i, h := range sim.dispatchers {
-		h.d.s.Tenants = []Tenant{{QuotaPerSecond: 80}, {QuotaPerSecond: 12}, {QuotaPerSecond: 12}}
-		h.d.tenants = make([]demand, 3)
+		h.d.settings.Tenants = []Tenant{{QuotaPerSecond: 80}, {QuotaPerSecond: 12}, {QuotaPerSecond: 12}}
+		h.d.tenantDemand = make([]demand, 3)
 		req := h.newRequest(1, 25*time.Second)
 		req.Tenant, req.Key = 1, 5
 		h.handle(req.Request)
@@ -274,7 +274,7 @@
 	workers := warmWorkers(8)
 	sim := newFleetSim(t, 80, workers)
 	for _, h := range sim.dispatchers { // agreed rates that just fit workers of five slots
-		h.d.s.Tenants[0].QuotaPerSecond *= 1.6
+		h.d.settings.Tenants[0].QuotaPerSecond *= 1.6
 	}
 	mixed := func() (int, uint64) { return int(sim.rng.Uint32() % 4 / 3), 0 }
 	sim.simulate(40*time.Second, 20, mixed) // ten jobs for each dispatcher to learn the run times from
@@ -326,7 +326,7 @@
 	h := newFleetSim(t, 1, workers).dispatchers[0]
 	h.sendKeyed(8)
 	req := h.newRequest(0, 5*time.Second)
-	req.Key, h.d.keys[7] = 7, demand{N: 100, Last: h.now} // demand for several workers in either zone
+	req.Key, h.d.keyDemand[7] = 7, demand{N: 100, Last: h.now} // demand for several workers in either zone
 	h.handle(req.Request)
 	h.handle(h.endAttempt(req, 0, ConnectFailed, nil))
 	if len(req.attempts) != 2 || req.attempts[0].worker.Zone != 0 || req.attempts[1].worker.Zone != 1 {
@@ -343,8 +343,8 @@
 		if n == 10 || n == 15 {
 			id, run = 1, 1800*ms
 		}
-		a := &attempt{w: h.d.workers[id], sent: h.d.now - run, begun: h.d.now - run, started: true}
-		h.d.learn(&request{Request: Request{Slots: 1}, c: h.d.classes[0], arrived: a.sent}, a)
+		a := &attempt{worker: h.d.workers[id], sentAt: h.d.now - run, startedAt: h.d.now - run, started: true}
+		h.d.learnRun(&request{Request: Request{Slots: 1}, class: h.d.classes[0], arrived: a.sentAt}, a)
 	}
 	if one, two := h.d.slowness(h.d.workers[1]), h.d.slowness(h.d.workers[2]); one-two < 0.5 {
 		t.Errorf("got log run times of %.2f and %.2f for a worker six times as slow as the other, want a difference of 0.5", one, two)
@@ -360,7 +360,7 @@
 		got := false
 		for _, h := range sim.dispatchers {
 			for d := h.d; d.now < time.Hour+11*time.Second; d.now += 100 * ms {
-				got = got || d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, c: d.classes[1]})
+				got = got || d.coldTurn(d.workers[5000], &request{Request: Request{Slots: 1}, class: d.classes[1]})
 			}
 		}
 		if got != want {
--- a/decide/gated_test.go
+++ b/decide/gated_test.go
@@ -22,7 +22,7 @@
 	}
 	wait(50)
 	require.Len(t, req.attempts, 1, "attempt not sent yet")
-	require.Zero(t, h.d.workers[first].strikes)
+	require.Zero(t, h.d.workers[first].failures)
 	h.handle(Passed{req.ID, 0})
 	require.Len(t, req.attempts, 1, "attempt just sent")
 	wait(50)
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -80,9 +80,9 @@
 			}
 		}
 		r := h.d.requests[req.ID]
-		before := h.d.keepers(r)
-		h.d.now += r.c.Aim
-		if further := h.d.keepers(r) > before; further == manyWait {
+		before := h.d.keyWorkers(r)
+		h.d.now += r.class.Aim
+		if further := h.d.keyWorkers(r) > before; further == manyWait {
 			t.Errorf("many wait %v: may go to more workers: got %v, want the opposite", manyWait, further)
 		}
 	}
@@ -92,8 +92,8 @@
 func TestHotKeyUsesSeveralWorkers(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 8)
 	h.sendKeyed(5)
-	h.d.keyed = demand{N: 400, Last: h.now}
-	h.d.keys[5] = h.d.keyed
+	h.d.keyedDemand = demand{N: 400, Last: h.now}
+	h.d.keyDemand[5] = h.d.keyedDemand
 	var at []uint32
 	for range 3 {
 		if got, _ := h.sendKeyed(5); got != 0 && !slices.Contains(at, got) {
@@ -113,11 +113,11 @@
 		s := testSettings(1, true, false, false)
 		h := newReadyHarness(t, s, 8)
 		first, req := h.sendKeyed(5)
-		h.d.keys[5] = demand{N: 50, Last: h.now}
+		h.d.keyDemand[5] = demand{N: 50, Last: h.now}
 		for range 50 {
 			h.now += 10 * ms
 			if alive {
-				h.d.alive(h.d.workers[first])
+				h.d.recordLife(h.d.workers[first])
 			}
 			h.handle(Wake{})
 		}
@@ -148,10 +148,10 @@
 // given up after a second one, while a worker that fails what others serve is found.
 func TestErrorRateIsComparedWithTheFleets(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 6)
-	suspected, before := 0, h.d.trusted
+	suspected, before := 0, h.d.trustedWorkers
 	for range 300 {
 		h.now += 20 * ms
-		suspected, before = suspected+max(0, before-h.d.trusted), h.d.trusted
+		suspected, before = suspected+max(0, before-h.d.trustedWorkers), h.d.trustedWorkers
 		h.sendRequest(0)
 		for _, id := range h.active {
 			req := h.requests[id]
@@ -186,18 +186,18 @@
 func TestErrorsBarOneClassAtAWorker(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 	for range 20 {
-		h.d.erred(h.d.workers[2], 0, false)
+		h.d.recordJobEnd(h.d.workers[2], 0, false)
 	}
 	bad := h.d.workers[1]
-	unsafe := &request{Request: Request{Class: 2, Slots: 1}, c: h.d.classes[2], due: h.now + time.Hour}
+	unsafe := &request{Request: Request{Class: 2, Slots: 1}, class: h.d.classes[2], deadline: h.now + time.Hour}
 	valid := func() bool { return h.d.valid(unsafe, bad, Invalidate{Rule: Overload}) }
 	h.d.now = h.now
 	if !valid() {
 		t.Fatal("unsafe request: worker not valid before any error")
 	}
 	for range 3 {
-		h.d.erred(bad, 0, true)
-		h.d.alive(bad)
+		h.d.recordJobEnd(bad, 0, true)
+		h.d.recordLife(bad)
 		if valid() {
 			t.Error("unsafe request: worker valid right after an error")
 		}
@@ -210,7 +210,7 @@
 		t.Error("unsafe request: worker valid before other jobs succeeded there")
 	}
 	for range 16 {
-		h.d.erred(bad, 0, false)
+		h.d.recordJobEnd(bad, 0, false)
 	}
 	if !valid() {
 		t.Error("unsafe request: worker not valid though other jobs succeed there")
@@ -224,7 +224,7 @@
 		h := newReadyHarness(t, testSettings(1, true, false, false), 8)
 		for i, run := range []time.Duration{50 * ms, 50 * ms, 400 * ms} {
 			c := h.d.classes[i]
-			c.jobs, c.run, c.logRun = 100/float64(1+i), run.Seconds(), math.Log(run.Seconds())
+			c.jobs, c.meanRun, c.meanLogRun = 100/float64(1+i), run.Seconds(), math.Log(run.Seconds())
 		}
 		h.sendKeyed(5)
 		req := h.newRequest(class, time.Second)
@@ -261,8 +261,8 @@
 			t.Errorf("price %v: got %d of 20 requests in the other zone", price, crossed)
 		}
 		r := h.d.requests[last.ID]
-		h.d.zone(0).shunned = true
-		if !h.d.crosses(r, r.c.blocks[0], r.c.blocks[1]) {
+		h.d.zone(0).avoided = true
+		if !h.d.mayCrossZones(r, r.class.blocks[0], r.class.blocks[1]) {
 			t.Error("request stays in a zone that is avoided")
 		}
 	}
--- a/decide/lease_test.go
+++ b/decide/lease_test.go
@@ -80,11 +80,11 @@
 		h.handle(ListDelta{Workers: []Worker{h.list[1]}})
 		wk := h.d.workers[1]
 		warmth := s.Rules.ColdFrom
-		gap := (h.d.coldAt(wk, h.d.now, 0.01) - h.d.now).Seconds()
-		if warmth += (1 - warmth) * gap / s.Rules.Cold.Seconds(); gap*0.25/64*coldShare*s.Rules.FallMultiple*warmth < 0.0099 {
+		gap := (h.d.coldBudgetAt(wk, h.d.now, 0.01) - h.d.now).Seconds()
+		if warmth += (1 - warmth) * gap / s.Rules.Cold.Seconds(); gap*0.25/64*coldBudgetShare*s.Rules.FallMultiple*warmth < 0.0099 {
 			t.Errorf("got a turn for 10 ms of work every %v s, more than the share of one place", gap)
 		}
-		if h.d.coldTurn(wk, &request{Request: Request{Slots: 1}, c: h.d.classes[0]}) && turn < 0 {
+		if h.d.coldTurn(wk, &request{Request: Request{Slots: 1}, class: h.d.classes[0]}) && turn < 0 {
 			t.Error("a dispatcher without a place got a turn")
 		}
 	}
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -43,7 +43,7 @@
 			h := newHarness(t, s)
 			h.list[1] = ready
 			h.handle(ListFull{Workers: []Worker{ready}})
-			h.d.workers[1].lived = h.now // it has shown a sign of life
+			h.d.workers[1].lastAlive = h.now // it has shown a sign of life
 			h.handle(tt.events...)
 			h.now += time.Second // the fleet has been sorted again by then
 			if got, _ := h.sendRequest(0); (got == 1) != tt.want {
@@ -158,15 +158,15 @@
 					t.Errorf("%d dispatchers: list requested again after %v, want %v to %v", dispatchers, after, from, to)
 				}
 			}
-			for range evenTurns {
-				expectCall(ListFailed{}, 3*time.Second, nextSpread/2, nextSpread)
+			for range evenRetries {
+				expectCall(ListFailed{}, 3*time.Second, retrySpread/2, retrySpread)
 			}
-			expectCall(ListFailed{}, 3*time.Second, growth*nextSpread/2, growth*nextSpread)
-			expectCall(ListFailed{}, 3*time.Second, growth*growth*nextSpread/2, growth*growth*nextSpread)
+			expectCall(ListFailed{}, 3*time.Second, retryGrowth*retrySpread/2, retryGrowth*retrySpread)
+			expectCall(ListFailed{}, 3*time.Second, retryGrowth*retryGrowth*retrySpread/2, retryGrowth*retryGrowth*retrySpread)
 			for range 12 {
-				expectCall(ListFailed{Nobody: true}, 3*time.Second, nextSpread/2, nextSpread)
+				expectCall(ListFailed{Nobody: true}, 3*time.Second, retrySpread/2, retrySpread)
 			}
-			expectCall(ListFailed{}, 3*time.Second, nextSpread/2, nextSpread)
+			expectCall(ListFailed{}, 3*time.Second, retrySpread/2, retrySpread)
 			var soonest, latest time.Duration = time.Hour, 0
 			for range 20 { // watches that ended without an update, long after their call: calls use the whole spread
 				after := delayUntilCall(h, ListFailed{}, time.Minute)
@@ -181,7 +181,7 @@
 		delayUntilCall(h, ListFailed{}, 0)
 		for range 20 { // calls made by the list's own timer, long after the dispatcher's last one
 			h.now += time.Minute
-			if after := delayUntilCall(h, ListFailed{After: time.Second}, 0); after < nextSpread/2 {
+			if after := delayUntilCall(h, ListFailed{After: time.Second}, 0); after < retrySpread/2 {
 				t.Errorf("a call that failed after a second was repeated after %v, as if it had been a watch", after)
 			}
 		}
--- a/decide/many_dispatchers_test.go
+++ b/decide/many_dispatchers_test.go
@@ -18,13 +18,13 @@
 	for _, active := range []float64{4, 1} {
 		h := newReadyHarness(t, manyDispatchers(false, true, true), 2)
 		for _, wk := range h.d.workers {
-			wk.slots = 4
+			wk.learnedSize = 4
 		}
 		first, req := h.sendRequest(0)
 		h.now += 100 * ms
 		h.handle(h.endAttempt(req, 0, OK, &Report{Active: active, FreeSlots: 0, FreeMemory: -1}))
 		at := h.d.workers[first]
-		at.own = 1 // another job of this dispatcher
+		at.ownSlots = 1 // another job of this dispatcher
 		if got, _ := h.sendRequest(0); (got == first) != (active == 1) {
 			t.Errorf("with %v jobs reported, the next job went to worker %d, the first to %d", active, got, first)
 		}
@@ -45,16 +45,16 @@
 			messages[m.To] = m.Body
 		}
 	}
-	if len(messages) == 0 || len(messages) > partySize {
+	if len(messages) == 0 || len(messages) > peerGroupSize {
 		t.Fatalf("got messages to %d peers, want 1 to the size of a group", len(messages))
 	}
 	for n, body := range messages {
 		peer := newReadyHarness(t, s, 2)
-		if n%h.d.parties() != h.d.party() || n == s.Dispatcher {
+		if n%h.d.peerGroups() != h.d.peerGroup() || n == s.Dispatcher {
 			t.Errorf("got a message to dispatcher %d, which is not of the group", n)
 		}
 		peer.handle(PeerSaid{Peer: 3, Body: body})
-		if got := peer.d.workers[req.attempts[0].worker.ID].foreign; got != 3 {
+		if got := peer.d.workers[req.attempts[0].worker.ID].foreignSlots; got != 3 {
 			t.Errorf("the peer counts a load of %v by others, want 3", got)
 		}
 	}
@@ -103,10 +103,10 @@
 			h.d.now += 50 * ms
 		}
 		r := h.d.requests[req.ID]
-		h.d.refused(r, r.attempts[0])
-		same := &request{Request: Request{Class: 0, Slots: 1}, c: h.d.classes[0], due: h.now + time.Second}
-		other := &request{Request: Request{Class: 2, Slots: 1}, c: h.d.classes[2], due: h.now + time.Second}
-		h.d.workers[1].ceiling, h.d.trusted = 5, max(h.d.trusted, 1)
+		h.d.workerRefused(r, r.attempts[0])
+		same := &request{Request: Request{Class: 0, Slots: 1}, class: h.d.classes[0], deadline: h.now + time.Second}
+		other := &request{Request: Request{Class: 2, Slots: 1}, class: h.d.classes[2], deadline: h.now + time.Second}
+		h.d.workers[1].ceiling, h.d.trustedWorkers = 5, max(h.d.trustedWorkers, 1)
 		if h.d.valid(same, h.d.workers[1], Invalidate{Rule: Overload}) {
 			t.Errorf("slow refusal %v: got the worker valid for the class that it refused", slow)
 		}
@@ -134,14 +134,14 @@
 			if at == 0 {
 				continue
 			}
-			h.d.crowded(late)
+			h.d.adjustAdmission(late)
 			if i >= 60 {
 				sent++
 			}
 			h.handle(JobStarted{req.ID, 0}, h.endAttempt(req, 0, OK, nil))
 			h.d.admitted = min(h.d.admitted, 1)
 			if late {
-				h.d.crowded(late)
+				h.d.adjustAdmission(late)
 			}
 		}
 		if (sent < 60) != (late && class == 0) {
@@ -162,7 +162,7 @@
 	}
 	s.Policies = nil
 	h := newReadyHarness(t, s, 100)
-	h.d.admitted, h.d.tokens = leastAdmitted, 0
+	h.d.admitted, h.d.tokens = minAdmitted, 0
 	if at, _ := h.sendRequest(3); at != 0 {
 		t.Error("request sent without a token")
 	}
@@ -175,9 +175,9 @@
 		s := testSettings(1, true, false, false)
 		s.Classes[0].LateWorth = 0 // otherwise it stays: few with late worth move
 		h := newReadyHarness(t, s, 2)
-		for i := range h.d.setups {
+		for i := range h.d.connSetups {
 			if slow {
-				h.d.setups[i] = 80 * ms
+				h.d.connSetups[i] = 80 * ms
 			}
 		}
 		_, req := h.sendRequest(0)
@@ -228,14 +228,14 @@
 			h.now += ms
 			if late && at == first {
 				h.now += 50 * ms // without a timer in between
-				h.d.wakeAt = h.now
+				h.d.timerDue = h.now
 			}
 			h.handle(JobStarted{req.ID, 0})
 			h.now += 100 * ms
-			h.d.wakeAt = h.now
+			h.d.timerDue = h.now
 			h.handle(h.endAttempt(req, 0, OK, nil))
 		}
-		h.d.ordered = 0
+		h.d.sortAfter = 0
 		h.handle()
 		if left := h.d.classes[0].blocks[2].members[0].ID != first; left != late {
 			t.Errorf("late starts %v: the first choice changed: %v, want the same", late, left)
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -58,10 +58,10 @@
 	for key := range uint64(200) {
 		h.sendKeyed(1 + key%20)
 	}
-	r := &request{Request: Request{Key: 5, Slots: 1}, c: h.d.classes[0], arrived: h.now}
-	before := h.d.keepers(r)
+	r := &request{Request: Request{Key: 5, Slots: 1}, class: h.d.classes[0], arrived: h.now}
+	before := h.d.keyWorkers(r)
 	h.handOver()
-	if after := h.d.keepers(r); after > before+1 {
+	if after := h.d.keyWorkers(r); after > before+1 {
 		t.Errorf("got %d workers for one key before the handover and %d after, want at most one more", before, after)
 	}
 }
@@ -85,8 +85,8 @@
 	h.handle(JobStarted{sent[0].ID, 0})
 	h.handOver()
 	wk := h.d.workers[1]
-	if wk.own != 2 || wk.running != 1 || wk.ceiling != 3 || wk.lived != h.now {
-		t.Errorf("got %v slots in use, %v running, ceiling %v, last sign of life %v; want 2, 1, 3, now", wk.own, wk.running, wk.ceiling, wk.lived)
+	if wk.ownSlots != 2 || wk.runningSlots != 1 || wk.ceiling != 3 || wk.lastAlive != h.now {
+		t.Errorf("got %v slots in use, %v running, ceiling %v, last sign of life %v; want 2, 1, 3, now", wk.ownSlots, wk.runningSlots, wk.ceiling, wk.lastAlive)
 	}
 	h.now += 10 * time.Millisecond
 	if got, _ := h.sendRequest(2); got != 1 {
--- a/decide/moves_test.go
+++ b/decide/moves_test.go
@@ -14,7 +14,7 @@
 func TestFewQueuedRequestsMove(t *testing.T) {
 	moves, suspected, windows := countMoves(t, 0.5, false)
 	require.LessOrEqual(t, suspected, moves, "workers suspected because of a queue")
-	require.LessOrEqual(t, moves, int(moveShare*200)+1, "in %d windows: two moves in each are too many with hundreds of dispatchers", windows)
+	require.LessOrEqual(t, moves, int(maxMovedShare*200)+1, "in %d windows: two moves in each are too many with hundreds of dispatchers", windows)
 }
 
 // TestRequestsWithoutLateWorthMove checks that a job whose class earns nothing late does move: otherwise it is lost in
@@ -50,7 +50,7 @@
 		h.handle(Wake{})
 		if len(req.attempts) == 2 {
 			moves++
-		} else if h.d.workers[first].strikes > 0 {
+		} else if h.d.workers[first].failures > 0 {
 			suspected++
 		}
 		h.handle(JobStarted{req.ID, len(req.attempts) - 1})
@@ -78,7 +78,7 @@
 		h.handle(Wake{})
 	}
 	require.Greater(t, len(req.attempts), 1)
-	require.Positive(t, h.d.workers[first].strikes)
+	require.Positive(t, h.d.workers[first].failures)
 }
 
 // TestQueueBehindOthersJobsIsNotAHang guards against running jobs twice: one of many dispatchers has a job or two at a
@@ -176,7 +176,7 @@
 	for _, v := range h.d.workers {
 		v.ceiling = 6
 	}
-	h.d.extras = []time.Duration{h.now, h.now, h.now} // no moves left
+	h.d.extraAttempts = []time.Duration{h.now, h.now, h.now} // no moves left
 	sent := 0
 	for range 6 {
 		if _, req := h.sendRequest(0); len(req.attempts) > 0 {
--- a/decide/order_test.go
+++ b/decide/order_test.go
@@ -44,7 +44,7 @@
 	h.handle(Cordon{Worker: 2, Out: true})
 	h.now += time.Second
 	h.handle(Cordon{Worker: 2})
-	for end := h.now + owedWithin; h.now < end; {
+	for end := h.now + uncordonedWithin; h.now < end; {
 		h.now += 20 * ms
 		req := h.newRequest(0, time.Second)
 		req.Order = []uint32{3}
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -44,7 +44,7 @@
 	for id := range d.requests {
 		d.Handle(now, []Event{JobStarted{Request: id}})
 	}
-	if got := d.held(); got < held/2 {
+	if got := d.heldCount(); got < held/2 {
 		tb.Fatalf("got %d requests held, want at least half of %d", got, held)
 	}
 	return d, now
@@ -57,12 +57,12 @@
 	for kind := range heldRequestKinds {
 		for _, workers := range []int{50, 200, 800} {
 			d, now := newFullDispatcher(t, workers, held, kind)
-			before := d.examined
+			before := d.scans
 			for range steps {
-				now += d.step()
+				now += d.sweepInterval()
 				d.Handle(now, []Event{Wake{}})
 			}
-			if mean := (d.examined - before) / steps; mean > most {
+			if mean := (d.scans - before) / steps; mean > most {
 				t.Errorf("%d requests %s, %d workers: got %d checks of a worker per batch without events, want at most %d", held, kind, workers, mean, most)
 			} else {
 				t.Logf("%s, %d: %d", kind, workers, mean)
@@ -83,7 +83,7 @@
 						d, now = newFullDispatcher(b, size[0], size[1], kind)
 						b.StartTimer()
 					}
-					now += d.step()
+					now += d.sweepInterval()
 					d.Handle(now, []Event{Wake{}})
 				}
 			})
@@ -97,16 +97,16 @@
 	for kind := range heldRequestKinds {
 		d, now := newFullDispatcher(t, 50, 20, kind)
 		for range 20 { // rounds without other events
-			now += d.step()
+			now += d.sweepInterval()
 			d.Handle(now, []Event{Wake{}})
 		}
-		held := d.held()
+		held := d.heldCount()
 		for id, r := range d.requests {
-			if r.out == 1 {
+			if r.outstanding == 1 {
 				d.Handle(now, []Event{AttemptEnded{Request: id, Over: true}})
 			}
 		}
-		if left := d.held(); left > held/2 {
+		if left := d.heldCount(); left > held/2 {
 			t.Errorf("got %d of %d requests %s still held while the workers are idle, want at most half", left, held, kind)
 		}
 	}
@@ -117,8 +117,8 @@
 func TestNewRequestsDoNotDelayPlacementRounds(t *testing.T) {
 	d, now := newFullDispatcher(t, 200, 20, "with many keys")
 	rounds := d.rounds
-	for n := range 2 * mostPause {
-		now += d.step()
+	for n := range 2 * maxPauseSteps {
+		now += d.sweepInterval()
 		events := []Event{Wake{}}
 		for i := range 100 {
 			id := 10000 + 100*n + i
@@ -127,6 +127,6 @@
 		d.Handle(now, events)
 	}
 	if d.rounds < rounds+2 {
-		t.Errorf("got %d placement rounds in %d steps, want at least 2", d.rounds-rounds, 2*mostPause)
+		t.Errorf("got %d placement rounds in %d steps, want at least 2", d.rounds-rounds, 2*maxPauseSteps)
 	}
 }
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -124,7 +124,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := withPolicy(testSettings(1, false, true, false), []Block{{Workers: labelsFor(1), Strategy: BestFirst, Invalidate: tt.inv}}, Fail)
 			h := newReadyHarness(t, s, 1)
-			h.d.workers[1].slots, h.d.workers[1].ceiling = tt.slots, 3
+			h.d.workers[1].learnedSize, h.d.workers[1].ceiling = tt.slots, 3
 			taken := 0
 			for range 6 {
 				if got, _ := h.sendRequest(0); got == 1 {
@@ -262,7 +262,7 @@
 		h.handle(Wake{}, JobStarted{req.ID, 0})
 		h.now += 8 * ms
 		h.handle(Wake{}, h.endAttempt(req, 0, OK, nil))
-		if trusted := h.d.workers[1].ceiling > firstCeiling; trusted != stalled {
+		if trusted := h.d.workers[1].ceiling > initialCeiling; trusted != stalled {
 			t.Errorf("own stall %v: ceiling raised %v, want the same", stalled, trusted)
 		}
 	}
@@ -355,7 +355,7 @@
 	h.handle(JobProgress{req.ID, 0, 0.9})
 	h.now += 20 * ms
 	h.handle(h.endAttempt(req, 0, OK, nil))
-	if run := h.d.classes[0].run; run < 0.51 || run > 0.53 {
+	if run := h.d.classes[0].meanRun; run < 0.51 || run > 0.53 {
 		t.Errorf("got a run time of %v s, want 0.52", run)
 	}
 }
@@ -461,7 +461,7 @@
 	receiver := newHarness(t, testSettings(2, false, true, true))
 	now := h.now + 20*time.Second
 	for i := range 100 {
-		h.d.workers[uint32(i+1)].own, h.d.moved = 1, true
+		h.d.workers[uint32(i+1)].ownSlots, h.d.loadChanged = 1, true
 	}
 	for range 4 {
 		for _, a := range h.d.Handle(now, nil) {
@@ -510,18 +510,18 @@
 		t.Run(tt.name, func(t *testing.T) {
 			h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 			suspected, other := h.d.workers[1], h.d.workers[2]
-			h.d.judge(suspected, 3)
+			h.d.setFailures(suspected, 3)
 			if tt.outage {
-				h.d.judge(other, 3)
+				h.d.setFailures(other, 3)
 			}
-			r := &request{Request: Request{Class: tt.class, Slots: 1}, c: h.d.classes[tt.class], due: h.now + time.Second}
+			r := &request{Request: Request{Class: tt.class, Slots: 1}, class: h.d.classes[tt.class], deadline: h.now + time.Second}
 			for range tt.attempts {
-				r.attempts = append(r.attempts, &attempt{w: other, over: true, neverRan: true})
+				r.attempts = append(r.attempts, &attempt{worker: other, ended: true, neverRan: true})
 			}
 			if got := h.d.valid(r, suspected, Invalidate{Rule: Overload}); got != tt.want {
 				t.Errorf("valid: got %v, want %v", got, tt.want)
 			}
-			suspected.ghost = 2 // slots of abandoned attempts must not bar the trial that would free them
+			suspected.abandoned = 2 // slots of abandoned attempts must not bar the trial that would free them
 			if got := h.d.valid(r, suspected, Invalidate{Rule: Overload}); got != tt.want {
 				t.Errorf("valid with slots of abandoned attempts: got %v, want %v", got, tt.want)
 			}
@@ -588,7 +588,7 @@
 	h := newReadyHarness(t, s, 1)
 	for i := range 300 {
 		h.sendRequest(i % 2)
-		if held := h.d.held(); held > s.Limits.Open {
+		if held := h.d.heldCount(); held > s.Limits.Open {
 			t.Fatalf("got %d held after %d requests", held, i+1)
 		}
 	}
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -49,7 +49,7 @@
 	if h.d.Retune(s) == nil {
 		t.Error("settings with a class missing: got no error")
 	}
-	if s.Limits.Attempts = 0; h.d.Retune(s) == nil || h.d.s.Limits.Attempts != 1 {
+	if s.Limits.Attempts = 0; h.d.Retune(s) == nil || h.d.settings.Limits.Attempts != 1 {
 		t.Error("invalid settings are in effect or gave no error")
 	}
 }
@@ -79,7 +79,7 @@
 	s.Tenants = []Tenant{{QuotaPerSecond: 500}, {QuotaPerSecond: 7}}
 	h := newReadyHarness(t, s, 3)
 	for _, c := range h.d.classes {
-		c.run, c.logRun, c.jobs = c.Aim.Seconds(), math.Log(c.Aim.Seconds()), 40
+		c.meanRun, c.meanLogRun, c.jobs = c.Aim.Seconds(), math.Log(c.Aim.Seconds()), 40
 	}
 	for _, wk := range h.d.workers {
 		wk.refusals[2].Until, wk.refusals[3].Until = h.now+time.Minute, h.now+time.Minute
@@ -94,8 +94,8 @@
 	d := h.d
 	_, avoided := d.Fleet()
 	for name, gotWant := range map[string][2]any{
-		"pace": {d.pace(), 200 * ms}, "longest deadline": {d.longestDeadline(), 4 * time.Second}, "longest run": {math.Round(1000 * d.longest()), 300.0},
-		"agreed rate": {d.agreed(), 7.0}, "usual run": {d.usual(0) < 0.31, true}, "mean worth": {d.worth(), 2.5}, "avoided": {avoided, 3},
+		"pace": {d.pace(), 200 * ms}, "longest deadline": {d.longestDeadline(), 4 * time.Second}, "longest run": {math.Round(1000 * d.longestMeanRun()), 300.0},
+		"agreed rate": {d.agreedRate(), 7.0}, "usual run": {d.meanTypicalRun(0) < 0.31, true}, "mean worth": {d.meanWorth(), 2.5}, "avoided": {avoided, 3},
 		"span of attempts": {d.budget.Span, 4 * time.Second},
 	} {
 		if gotWant[0] != gotWant[1] {
@@ -103,7 +103,7 @@
 		}
 	}
 	h.handle(Wake{})
-	if at := h.d.ordered - h.now; at != 200*ms {
+	if at := h.d.sortAfter - h.now; at != 200*ms {
 		t.Errorf("fleet sorted again after %v, want 200 ms", at)
 	}
 }
@@ -115,15 +115,15 @@
 	s := testSettings(1, true, false, false)
 	s.Classes[0].Deadline = 10 * time.Second
 	h := newReadyHarness(t, s, 1)
-	h.d.classes[0].run, h.d.classes[0].jobs = 60, 200
+	h.d.classes[0].meanRun, h.d.classes[0].jobs = 60, 200
 	h.handle(h.newRequest(0, 10*time.Second).Request)
 	sameJobs := s
 	sameJobs.Classes = slices.Clone(s.Classes)
 	sameJobs.Classes[0].Worth, sameJobs.Classes[0].Effect = 77, Unsafe
-	if err := h.d.Retune(sameJobs); err != nil || h.d.classes[0].jobs != 200 || h.d.classes[0].budget != 10*time.Second {
+	if err := h.d.Retune(sameJobs); err != nil || h.d.classes[0].jobs != 200 || h.d.classes[0].maxBudget != 10*time.Second {
 		t.Errorf("change of worth and effect: got learned run times reset or error %v", err)
 	}
-	h.d.workers[1].refusals[0], h.d.workers[1].errs[0] = refusal{3, h.now + time.Minute}, tally{8, 1}
+	h.d.workers[1].refusals[0], h.d.workers[1].classErrors[0] = refusal{3, h.now + time.Minute}, tally{8, 1}
 	otherJobs := s
 	otherJobs.Classes = slices.Clone(s.Classes)
 	otherJobs.Classes[0].Aim, otherJobs.Classes[0].Deadline = 300*ms, 6*time.Second
@@ -131,13 +131,13 @@
 		t.Fatal(err)
 	}
 	h.s = otherJobs
-	if c := h.d.classes[0]; c.run != 0 || c.jobs != 0 || h.d.workers[1].refusals[0].N != 0 || h.d.workers[1].errs[0].Share != 0 {
+	if c := h.d.classes[0]; c.meanRun != 0 || c.jobs != 0 || h.d.workers[1].refusals[0].N != 0 || h.d.workers[1].classErrors[0].Share != 0 {
 		t.Error("got what was learned of the old jobs, want it reset")
 	}
 	req := h.newRequest(0, 6*time.Second)
 	h.handle(req.Request)
-	if r := h.d.requests[req.ID]; r.limit != h.now+300*ms {
-		t.Errorf("got %v until the aim, want 300 ms", r.limit-h.now)
+	if r := h.d.requests[req.ID]; r.aimEnd != h.now+300*ms {
+		t.Errorf("got %v until the aim, want 300 ms", r.aimEnd-h.now)
 	}
 }
 
@@ -170,28 +170,28 @@
 	h := newHarness(t, s)
 	h.list[1] = Worker{ID: 1, State: Ready, Started: h.now - time.Second}
 	h.handle(ListFull{Workers: []Worker{h.list[1]}})
-	h.d.workers[1].coldNext = h.now + time.Minute
-	h.d.ages[4], h.d.setups, h.d.stall = tally{6, 1}, [4]time.Duration{time.Second, time.Second, time.Second, time.Second}, time.Minute
+	h.d.workers[1].nextColdSend = h.now + time.Minute
+	h.d.idleFailures[4], h.d.connSetups, h.d.maxBatchDelay = tally{6, 1}, [4]time.Duration{time.Second, time.Second, time.Second, time.Second}, time.Minute
 	otherPrice := s
 	otherPrice.Prices.Waste = 0.5
-	if err := h.d.Retune(otherPrice); err != nil || h.d.workers[1].coldNext == 0 || h.d.ages[4].N == 0 {
+	if err := h.d.Retune(otherPrice); err != nil || h.d.workers[1].nextColdSend == 0 || h.d.idleFailures[4].N == 0 {
 		t.Errorf("change of a price: got state reset or error %v", err)
 	}
-	h.d.order[0], h.d.order[3] = h.d.order[3], h.d.order[0]
+	h.d.queueOrder[0], h.d.queueOrder[3] = h.d.queueOrder[3], h.d.queueOrder[0]
 	next := s
 	next.Dispatchers, next.Limits.ConnIdle, next.Limits.ConnectTimeout, next.Rules.FallWindow = 1, 4*time.Second, 50*ms, 500*ms
 	if err := h.d.Retune(next); err != nil {
 		t.Fatal(err)
 	}
-	if d := h.d; d.workers[1].coldNext != 0 || d.ages[4].N != 0 || d.setup() != 50*ms || d.stall != 500*ms || !slices.IsSorted(d.order) {
-		t.Errorf("got turn %v, idle ages %v, set-up time %v, stall %v; want them reset or bounded", d.workers[1].coldNext, d.ages, d.setup(), d.stall)
+	if d := h.d; d.workers[1].nextColdSend != 0 || d.idleFailures[4].N != 0 || d.connSetup() != 50*ms || d.maxBatchDelay != 500*ms || !slices.IsSorted(d.queueOrder) {
+		t.Errorf("got turn %v, idle ages %v, set-up time %v, stall %v; want them reset or bounded", d.workers[1].nextColdSend, d.idleFailures, d.connSetup(), d.maxBatchDelay)
 	}
 	warm := next
 	warm.Rules.Cold = 0
-	if err := h.d.Retune(warm); err != nil || len(h.d.owed) != 0 {
-		t.Errorf("got %d workers due a first job where none is cold, error %v", len(h.d.owed), err)
+	if err := h.d.Retune(warm); err != nil || len(h.d.firstJobQueue) != 0 {
+		t.Errorf("got %d workers due a first job where none is cold, error %v", len(h.d.firstJobQueue), err)
 	}
-	if err := h.d.Retune(next); err != nil || len(h.d.owed) != 1 {
-		t.Errorf("got %d workers due a first job, want 1, error %v", len(h.d.owed), err)
+	if err := h.d.Retune(next); err != nil || len(h.d.firstJobQueue) != 1 {
+		t.Errorf("got %d workers due a first job, want 1, error %v", len(h.d.firstJobQueue), err)
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -344,8 +344,8 @@
 		}
 	}
 	for _, wk := range h.d.fleet {
-		if wk.own != 0 || wk.running != 0 {
-			t.Errorf("worker %d: got %v slots in use and %v running after the last answer, want 0", wk.ID, wk.own, wk.running)
+		if wk.ownSlots != 0 || wk.runningSlots != 0 {
+			t.Errorf("worker %d: got %v slots in use and %v running after the last answer, want 0", wk.ID, wk.ownSlots, wk.runningSlots)
 		}
 	}
 }
