--- a/decide/conn_test.go
+++ b/decide/conn_test.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// TestOldConnectionsAreClosed: connections dropped unseen after some idle time cost a
-// request each, an unsafe one for good. The age at which sends fail is learned, whether they
-// fail by a reset or by silence, and older ones are closed first; a fleet that fails at
-// any age is left alone.
-func TestOldConnectionsAreClosed(t *testing.T) {
+// TestConnectionsOfFailingIdleAgesAreClosed guards against connections that are dropped without notice after some idle
+// time: each costs a request, an unsafe one for good. The idle age at which sends fail, by a reset or by silence, is
+// learned, and connections of that age are closed first. A worker that fails at any age is not affected.
+func TestConnectionsOfFailingIdleAgesAreClosed(t *testing.T) {
 	tests := []struct {
 		name       string
 		starts     bool
@@ -18,16 +17,16 @@
 	}{
 		{"resets when old", false, Reset, OK, true},
 		{"silence when old", true, TimedOut, OK, true},
-		{"moved: no evidence", true, Cancelled, OK, true},
+		{"moved, which is no evidence", true, Cancelled, OK, true},
 		{"resets at any age", false, Reset, Reset, false},
 		{"no trouble", false, OK, OK, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := site(1, tt.starts, false, false)
+			s := testSettings(1, tt.starts, false, false)
 			s.Limits.ConnIdle = 16 * time.Second
-			w := fleet(t, s, 1)
-			wk := w.d.workers[1]
+			h := newReadyHarness(t, s, 1)
+			wk := h.d.workers[1]
 			released := false
 			for i := range 40 {
 				idle, outcome := 100*ms, tt.young
@@ -35,110 +34,111 @@
 					idle, outcome = 2*time.Second, tt.old
 				}
 				class := 2
-				if i%4 == 1 { // the safe class is the first to try an age
+				if i%4 == 1 { // a safe request is the first to try an age
 					class = 0
 				}
-				r := &request{Request: Request{Class: class, Slots: 1}, class: w.d.classes[class]}
-				wk.conns, wk.connFreedAt = 1, w.d.now
-				w.d.now += idle
-				w.d.actions = nil
-				a := &attempt{worker: wk, sentAt: w.d.now, lastReport: w.d.now}
-				w.d.predictConn(r, a, false)
+				r := &request{Request: Request{Class: class, Slots: 1}, class: h.d.classes[class]}
+				wk.conns, wk.connFreedAt = 1, h.d.now
+				h.d.now += idle
+				h.d.actions = nil
+				a := &attempt{worker: wk, sentAt: h.d.now, lastReport: h.d.now}
+				h.d.predictConn(r, a, false)
 				if i%2 == 1 {
-					if released = len(w.d.actions) > 0; released {
+					if released = len(h.d.actions) > 0; released {
 						outcome = OK
 					}
-				} else if len(w.d.actions) > 0 {
-					t.Fatal("a young connection was closed")
+				} else if len(h.d.actions) > 0 {
+					t.Fatal("a young connection was closed first")
 				}
-				w.d.now += 10 * ms
-				w.d.recordConnEnd(r, a, outcome)
+				h.d.now += 10 * ms
+				h.d.recordConnEnd(r, a, outcome)
 			}
 			if released != tt.want {
-				t.Errorf("an old connection is closed first: %v, want %v", released, tt.want)
+				t.Errorf("old connection closed first: got %v, want %v", released, tt.want)
 			}
 			if wk.connsInUse != 0 {
-				t.Errorf("%d connections in use after the last end", wk.connsInUse)
+				t.Errorf("got %d connections in use after the last end, want 0", wk.connsInUse)
 			}
 		})
 	}
 }
 
-// What breaks on a connection kept idle tells of whoever drops idle ones, not of the worker:
-// that keeps its trust, and what goes out next goes on younger connections, an unsafe job on
-// still younger ones. With time older ones are tried again.
-func TestBrokenKeptConnectionSparesTheWorker(t *testing.T) {
-	s := site(1, true, false, false)
+// TestBrokenIdleConnectionIsNotHeldAgainstItsWorker checks that a break on a kept idle connection does not count
+// against its worker, since it is caused by whatever drops idle connections. The next requests use connections that
+// were idle for less time, unsafe ones for still less; over time older ones are tried again.
+func TestBrokenIdleConnectionIsNotHeldAgainstItsWorker(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Limits.ConnIdle = 16 * time.Second
-	w := fleet(t, s, 1)
-	wk := w.d.workers[1]
-	r := &request{Request: Request{ID: 7, Slots: 1}, class: w.d.classes[0], arrived: w.d.now, deadline: w.d.now + time.Hour}
-	w.d.requests[7] = r
-	if !w.d.send(r, wk) {
-		t.Fatal("not sent")
+	h := newReadyHarness(t, s, 1)
+	wk := h.d.workers[1]
+	r := &request{Request: Request{ID: 7, Slots: 1}, class: h.d.classes[0], arrived: h.d.now, deadline: h.d.now + time.Hour}
+	h.d.requests[7] = r
+	if !h.d.send(r, wk) {
+		t.Fatal("request not sent")
 	}
-	w.d.attemptEnded(AttemptEnded{Request: 7, Outcome: Reset, Kept: time.Second})
+	h.d.attemptEnded(AttemptEnded{Request: 7, Outcome: Reset, Kept: time.Second})
 	if wk.failures != 0 {
-		t.Error("the worker lost its trust")
+		t.Error("the worker is suspected")
 	}
-	if got := w.d.idleLimit(Safe); got != time.Second/2 {
-		t.Errorf("connections idle for %v are used, want half of what broke", got)
+	if got := h.d.idleLimit(Safe); got != time.Second/2 {
+		t.Errorf("got an idle limit of %v, want half the age of the broken connection", got)
 	}
-	if got := w.d.idleLimit(Unsafe); got != time.Second/4 {
-		t.Errorf("unsafe jobs use connections idle for %v, want half of that", got)
+	if got := h.d.idleLimit(Unsafe); got != time.Second/4 {
+		t.Errorf("unsafe requests: got an idle limit of %v, want half of that", got)
 	}
-	w.d.now += time.Hour
-	if got := w.d.idleLimit(Unsafe); got != s.Limits.ConnIdle*3/5 {
-		t.Errorf("an hour later: %v", got)
+	h.d.now += time.Hour
+	if got := h.d.idleLimit(Unsafe); got != s.Limits.ConnIdle*3/5 {
+		t.Errorf("an hour later: got an idle limit of %v, want the initial one", got)
 	}
 }
 
-// A kept connection that carries nothing lost a job that must not run twice, again and again. Once
-// one is known (its worker lives, and confirms what comes on others), such jobs go out on new ones.
-func TestUnsafeJobsAvoidSilentConnections(t *testing.T) {
-	s := site(1, true, false, false)
+// TestUnsafeRequestsAvoidSilentConnections guards against losing unsafe requests on kept connections that carry
+// nothing. Once one is known, because its worker shows signs of life and confirms attempts on other connections,
+// unsafe requests use new connections.
+func TestUnsafeRequestsAvoidSilentConnections(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Limits.ConnIdle = 16 * time.Second
-	w := fleet(t, s, 1)
-	send := func(class int) (*job, bool) {
-		w.d.workers[1].ceiling = 9
-		j := w.arrive(class, 10*time.Second)
-		for _, a := range w.handle(Wake{}, j.Request) {
-			if s, ok := a.(Send); ok && s.Request == j.ID {
-				return j, s.Fresh
+	h := newReadyHarness(t, s, 1)
+	send := func(class int) (*testRequest, bool) {
+		h.d.workers[1].ceiling = 9
+		req := h.newRequest(class, 10*time.Second)
+		for _, a := range h.handle(Wake{}, req.Request) {
+			if s, ok := a.(Send); ok && s.Request == req.ID {
+				return req, s.Fresh
 			}
 		}
-		t.Fatalf("class %d was not sent: strikes %d", class, w.d.workers[1].failures)
+		t.Fatalf("class %d not sent, worker with %d consecutive failures", class, h.d.workers[1].failures)
 		return nil, false
 	}
-	one, _ := send(2)
-	two, _ := send(2)
-	w.handle(Taken{one.ID, 0}, w.end(one, 0, OK, nil), Taken{two.ID, 0}, w.end(two, 0, OK, nil)) // two are kept
+	firstKept, _ := send(2)
+	secondKept, _ := send(2)
+	h.handle(Taken{firstKept.ID, 0}, h.endAttempt(firstKept, 0, OK, nil), Taken{secondKept.ID, 0}, h.endAttempt(secondKept, 0, OK, nil)) // leaves two idle connections
 	first, _ := send(2)
-	w.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
-	lost, _ := send(2) // its connection carries nothing, and it is taken to queue
-	w.now += 500 * ms
-	w.handle(Wake{})
-	if w.d.silentUntil > 0 {
-		t.Error("its worker may be silent, not the connection")
+	h.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
+	lost, _ := send(2) // its connection is silent; it is taken for queued
+	h.now += 500 * ms
+	h.handle(Wake{})
+	if h.d.silentUntil > 0 {
+		t.Error("connection taken for silent while its worker may be")
 	}
-	alive := func() { // the worker tells of another job
-		w.now += 10 * ms
+	reportProgress := func() { // the worker reports on another job
+		h.now += 10 * ms
 		for range 9 {
-			w.handle(Wake{}, JobProgress{first.ID, 0, 0.5})
+			h.handle(Wake{}, JobProgress{first.ID, 0, 0.5})
 		}
 	}
-	alive()
+	reportProgress()
 	if _, fresh := send(2); !fresh {
-		t.Error("an unsafe job on a kept connection")
+		t.Error("unsafe request sent on a kept connection")
 	}
-	alive()
+	reportProgress()
 	if _, fresh := send(0); fresh {
-		t.Error("a repeatable job needs no new one")
+		t.Error("repeatable request sent on a new connection, want a kept one")
 	}
-	w.handle(w.end(lost, 0, TimedOut, nil))
-	w.now += s.Limits.ConnIdle
-	alive()
-	if w.now < w.d.silentUntil {
-		t.Error("connections are never trusted again")
+	h.handle(h.endAttempt(lost, 0, TimedOut, nil))
+	h.now += s.Limits.ConnIdle
+	reportProgress()
+	if h.now < h.d.silentUntil {
+		t.Error("kept connections are still distrusted after the idle time")
 	}
 }
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -6,96 +6,97 @@
 	"time"
 )
 
-// relieve has another dispatcher take over, by way of what one process tells the other.
-func (w *world) relieve() {
-	w.t.Helper()
-	text, err := json.Marshal(w.d.Memory())
+// handOver replaces the dispatcher by a new process that receives the old one's memory as JSON.
+func (h *harness) handOver() {
+	h.t.Helper()
+	text, err := json.Marshal(h.d.Memory())
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	var m Memory
 	if err := json.Unmarshal(text, &m); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.s.Seed++
-	if w.d, err = New(w.s); err != nil {
-		w.t.Fatal(err)
+	h.s.Seed++
+	if h.d, err = New(h.s); err != nil {
+		h.t.Fatal(err)
 	}
 	var lines []Worker
-	for _, l := range w.list {
+	for _, l := range h.list {
 		if l.State != Gone {
 			lines = append(lines, l)
 		}
 	}
-	w.wakes = nil
-	for id, out := range w.out { // the program tells of these first
-		w.handle(Cordon{Worker: id, Out: out})
+	h.timers = nil
+	for id, out := range h.cordoned { // the daemon restores cordons first
+		h.handle(Cordon{Worker: id, Out: out})
 	}
-	w.handle(ListFull{Workers: lines, Cached: true})
-	w.handle(Relieve{Memory: m})
+	h.handle(ListFull{Workers: lines, Cached: true})
+	h.handle(Relieve{Memory: m})
 }
 
-// One process after the other decides for one dispatcher: all rules bind them as one, and nothing
-// of a request is lost or kept for good.
-func TestRulesAcrossProcesses(t *testing.T) {
+// TestRulesHoldAcrossHandovers checks that all rules hold for a sequence of processes as for one, and that no request
+// is lost or kept forever.
+func TestRulesHoldAcrossHandovers(t *testing.T) {
 	for seed := range uint64(24) {
-		s := budgeted(site(seed, seed&1 != 0, seed&2 != 0, false))
+		s := varyRules(testSettings(seed, seed&1 != 0, seed&2 != 0, false))
 		s.Rules.GoneIsAdvice = false
-		randomDayWith(t, s, 1500, func(w *world, i int) {
+		playRandomEventsWith(t, s, 1500, func(h *harness, i int) {
 			if i%97 == 96 {
-				w.relieve()
+				h.handOver()
 			}
 		})
 	}
 }
 
-// A process that took over knew how often each key had been asked for, but not of how many requests, and took all for hot.
-func TestKeysAreNotHotAfterTakingOver(t *testing.T) {
-	s := site(1, true, false, false)
+// TestKeysAreNotHotAfterHandover guards against treating all keys as hot after a handover: the new process knew how
+// often each key had been requested, but not the number of all requests.
+func TestKeysAreNotHotAfterHandover(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Tenants = []Tenant{{QuotaPerSecond: 80}}
-	w := fleet(t, s, 8)
+	h := newReadyHarness(t, s, 8)
 	for key := range uint64(200) {
-		w.keyed(1 + key%20)
+		h.sendKeyed(1 + key%20)
 	}
-	r := &request{Request: Request{Key: 5, Slots: 1}, class: w.d.classes[0], arrived: w.now}
-	before := w.d.keyWorkers(r)
-	w.relieve()
-	if after := w.d.keyWorkers(r); after > before+1 {
-		t.Errorf("%d keepers of one key, %d once another process has taken over", before, after)
+	r := &request{Request: Request{Key: 5, Slots: 1}, class: h.d.classes[0], arrived: h.now}
+	before := h.d.keyWorkers(r)
+	h.handOver()
+	if after := h.d.keyWorkers(r); after > before+1 {
+		t.Errorf("got %d workers for one key before the handover and %d after, want at most one more", before, after)
 	}
 }
 
-// A process that took over began with ceilings of one slot and stacked its jobs on those of the
-// one before.
-func TestLearnedIsHandedOver(t *testing.T) {
-	s := site(1, true, false, false)
+// TestLearnedStateIsHandedOver guards against a new process that starts with ceilings of one slot and sends jobs on
+// top of those of the old process.
+func TestLearnedStateIsHandedOver(t *testing.T) {
+	s := testSettings(1, true, false, false)
 	s.Policies = nil
-	w := fleet(t, s, 1)
-	w.d.workers[1].ceiling = 3
-	var sent []*job
+	h := newReadyHarness(t, s, 1)
+	h.d.workers[1].ceiling = 3
+	var sent []*testRequest
 	for range 2 {
-		if got, j := w.place(2); got == 1 {
-			sent = append(sent, j)
+		if got, req := h.sendRequest(2); got == 1 {
+			sent = append(sent, req)
 		}
 	}
 	if len(sent) != 2 {
-		t.Fatalf("%d jobs sent", len(sent))
+		t.Fatalf("got %d jobs sent, want 2", len(sent))
 	}
-	w.handle(JobStarted{sent[0].ID, 0})
-	w.relieve()
-	k := w.d.workers[1]
-	if k.ownSlots != 2 || k.runningSlots != 1 || k.ceiling != 3 || k.lastAlive != w.now {
-		t.Errorf("own %v, running %v, ceiling %v, lived %v", k.ownSlots, k.runningSlots, k.ceiling, k.lastAlive)
+	h.handle(JobStarted{sent[0].ID, 0})
+	h.handOver()
+	wk := h.d.workers[1]
+	if wk.ownSlots != 2 || wk.runningSlots != 1 || wk.ceiling != 3 || wk.lastAlive != h.now {
+		t.Errorf("got %v slots in use, %v running, ceiling %v, last sign of life %v; want 2, 1, 3, now", wk.ownSlots, wk.runningSlots, wk.ceiling, wk.lastAlive)
 	}
-	w.now += 10 * time.Millisecond
-	if got, _ := w.place(2); got != 1 {
-		t.Error("no room for a third job")
+	h.now += 10 * time.Millisecond
+	if got, _ := h.sendRequest(2); got != 1 {
+		t.Error("third job not sent")
 	}
-	if got, _ := w.place(2); got != 0 {
-		t.Error("a fourth job was stacked on those of before")
+	if got, _ := h.sendRequest(2); got != 0 {
+		t.Error("fourth job sent beyond the ceiling")
 	}
-	w.handle(w.end(sent[0], 0, OK, nil), w.end(sent[1], 0, Reset, nil))
+	h.handle(h.endAttempt(sent[0], 0, OK, nil), h.endAttempt(sent[1], 0, Reset, nil))
 	if !sent[1].answered {
-		t.Error("an unsafe job that may have run is not failed")
+		t.Error("unsafe request that may have run not answered")
 	}
 }
--- a/decide/held_test.go
+++ b/decide/placement_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// heldKinds are requests that find no room, each of another kind.
-var heldKinds = map[string]func(r *Request, n int){
+// heldRequestKinds are ways to make requests that find no room.
+var heldRequestKinds = map[string]func(r *Request, n int){
 	"without keys":      func(*Request, int) {},
 	"with many keys":    func(r *Request, n int) { r.Key = uint64(n) + 1 },
 	"with one key":      func(r *Request, _ int) { r.Key = 1 },
@@ -16,9 +16,9 @@
 	"of unequal demand": func(r *Request, n int) { r.Key, r.Slots = 1, 1+float64(n)/1000 },
 }
 
-// heldFleet is a dispatcher of many whose workers are all full, with so many requests held beside them.
-func heldFleet(tb testing.TB, workers, held int, kind string) (*Dispatcher, time.Duration) {
-	s := site(1, true, false, false)
+// newFullDispatcher returns a dispatcher of many whose workers are all full, and a number of held requests.
+func newFullDispatcher(tb testing.TB, workers, held int, kind string) (*Dispatcher, time.Duration) {
+	s := testSettings(1, true, false, false)
 	s.Dispatchers, s.Limits.Open, s.Progress = 330, 100000, 0
 	for i := range s.Classes {
 		s.Classes[i].Aim, s.Classes[i].Deadline = 3*time.Second, 30*time.Second
@@ -36,7 +36,7 @@
 	for n := range workers + held {
 		r := Request{ID: uint32(n) + 1, Budget: 30 * time.Second, Slots: 1, Tenant: 2}
 		if n >= workers {
-			heldKinds[kind](&r, n)
+			heldRequestKinds[kind](&r, n)
 		}
 		events = append(events, r)
 	}
@@ -45,25 +45,25 @@
 		d.Handle(now, []Event{JobStarted{Request: id}})
 	}
 	if got := d.heldCount(); got < held/2 {
-		tb.Fatalf("%d requests held of %d", got, held)
+		tb.Fatalf("got %d requests held, want at least half of %d", got, held)
 	}
 	return d, now
 }
 
-// TestHeldRequestsCostNothingWithoutNews: each step of the timer looked through all workers for each held request with a
-// key, and a dispatcher with many fell behind until answers were lost.
-func TestHeldRequestsCostNothingWithoutNews(t *testing.T) {
-	const steps, held, most = 60, 160, 500 // workers looked at in a batch: 50 us at 0.1 us each
-	for kind := range heldKinds {
+// TestHeldRequestsCostLittleWithoutEvents guards against scanning all workers for each held request with a key at
+// every step of the timer: a dispatcher with many held requests fell behind until answers were lost.
+func TestHeldRequestsCostLittleWithoutEvents(t *testing.T) {
+	const steps, held, most = 60, 160, 500 // workers checked in a batch: 50 us at 0.1 us each
+	for kind := range heldRequestKinds {
 		for _, workers := range []int{50, 200, 800} {
-			d, now := heldFleet(t, workers, held, kind)
+			d, now := newFullDispatcher(t, workers, held, kind)
 			before := d.scans
 			for range steps {
 				now += d.sweepInterval()
 				d.Handle(now, []Event{Wake{}})
 			}
 			if mean := (d.scans - before) / steps; mean > most {
-				t.Errorf("%d requests %s, %d workers: %d looks at a worker in a batch without news, at most %d", held, kind, workers, mean, most)
+				t.Errorf("%d requests %s, %d workers: got %d checks of a worker per batch without events, want at most %d", held, kind, workers, mean, most)
 			} else {
 				t.Logf("%s, %d: %d", kind, workers, mean)
 			}
@@ -71,16 +71,16 @@
 	}
 }
 
-// BenchmarkHeld has the timer fire without news while requests are held and all workers are full.
+// BenchmarkHeld lets the timer fire without other events while requests are held and all workers are full.
 func BenchmarkHeld(b *testing.B) {
 	for _, size := range [][2]int{{50, 160}, {200, 160}, {800, 160}, {5000, 1000}} {
-		for kind := range heldKinds {
+		for kind := range heldRequestKinds {
 			b.Run(fmt.Sprintf("%d workers, %d held %s", size[0], size[1], kind), func(b *testing.B) {
-				d, now := heldFleet(b, size[0], size[1], kind)
+				d, now := newFullDispatcher(b, size[0], size[1], kind)
 				for n := 0; b.Loop(); n++ {
 					if n%100 == 0 {
 						b.StopTimer()
-						d, now = heldFleet(b, size[0], size[1], kind)
+						d, now = newFullDispatcher(b, size[0], size[1], kind)
 						b.StartTimer()
 					}
 					now += d.sweepInterval()
@@ -91,11 +91,12 @@
 	}
 }
 
-// TestHeldRequestsGoOutWhenRoomComes: a request that found no valid worker was forgotten until the next round of looks.
-func TestHeldRequestsGoOutWhenRoomComes(t *testing.T) {
-	for kind := range heldKinds {
-		d, now := heldFleet(t, 50, 20, kind)
-		for range 20 { // rounds without news
+// TestHeldRequestsAreSentOnceThereIsRoom guards against leaving out requests without a valid worker until the next
+// placement round although there is room.
+func TestHeldRequestsAreSentOnceThereIsRoom(t *testing.T) {
+	for kind := range heldRequestKinds {
+		d, now := newFullDispatcher(t, 50, 20, kind)
+		for range 20 { // rounds without other events
 			now += d.sweepInterval()
 			d.Handle(now, []Event{Wake{}})
 		}
@@ -106,14 +107,15 @@
 			}
 		}
 		if left := d.heldCount(); left > held/2 {
-			t.Errorf("%d of %d requests %s are held while the workers are idle", left, held, kind)
+			t.Errorf("got %d of %d requests %s still held while the workers are idle, want at most half", left, held, kind)
 		}
 	}
 }
 
-// TestRoundsComeWhileOthersAreLookedAt: looks at new requests put off the next round of looks at held ones without end.
-func TestRoundsComeWhileOthersAreLookedAt(t *testing.T) {
-	d, now := heldFleet(t, 200, 20, "with many keys")
+// TestNewRequestsDoNotDelayPlacementRounds guards against work for new requests that postpones the next placement
+// round of held ones without end.
+func TestNewRequestsDoNotDelayPlacementRounds(t *testing.T) {
+	d, now := newFullDispatcher(t, 200, 20, "with many keys")
 	rounds := d.rounds
 	for n := range 2 * maxPauseSteps {
 		now += d.sweepInterval()
@@ -125,6 +127,6 @@
 		d.Handle(now, events)
 	}
 	if d.rounds < rounds+2 {
-		t.Errorf("%d rounds in %d steps", d.rounds-rounds, 2*maxPauseSteps)
+		t.Errorf("got %d placement rounds in %d steps, want at least 2", d.rounds-rounds, 2*maxPauseSteps)
 	}
 }
