--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// The module's clock is the time since the Unix epoch, so that the starts that the name
-// table tells stand on it. It is read once and goes on monotonically: a step of the
-// system's clock must not make deadlines jump.
+// The decision module's clock is the time since the Unix epoch, so that start times in the instance list can be
+// compared with it. The system clock is read once and continued monotonically: a step of the system clock must
+// not move deadlines.
 var clockStart = time.Now()
 
 func moduleTime(t time.Time) time.Duration {
 	return time.Duration(clockStart.UnixNano()) + t.Sub(clockStart)
 }
 
-// wallTime is a moment by the clock that all machines read, on the module's.
-func wallTime(t time.Time) time.Duration {
+// sinceEpoch converts a wall-clock time, as other machines report it, to the decision module's clock.
+func sinceEpoch(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
--- /dev/null
+++ b/internal/dispatch/counters.go
@@ -0,0 +1,214 @@
+package dispatch
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"caperrelay/decide"
+)
+
+// Books counts the outcomes of commands and attempts.
+type Books struct {
+	Taken, Lapsed, Sent, Probes, StrayNews atomic.Int64
+	Loads, LoadErrors                      atomic.Int64 // configuration files accepted and rejected
+	written                                atomic.Int64 // attempts sent completely
+	listed, skipped                        atomic.Int64 // instances, as the decision module counts them
+	pending                                atomic.Int64 // commands received and not yet answered
+	answers                                [numVerdicts]atomic.Int64
+	outcomes                               [decide.Moot + 1]atomic.Int64
+	connEnds, connEndsAtShutdown           [numConnEnds]atomic.Int64 // ends of client connections: all, and those during shutdown
+	refusedAtShutdown                      atomic.Int64              // commands refused without a decision because the process was shutting down
+
+	mu      sync.Mutex
+	classes []*classCounters // by class number; classes that are no longer in the settings stay
+}
+
+// End is how this process closed a client's connection other than after an answer or while it was idle.
+type End int
+
+// The kinds of ends.
+const (
+	Unanswered End = iota // no request on it was ever answered
+	Cut                   // during a request, without a complete answer
+	Crossed               // between two requests, the next of which had already been sent; its client sends it again
+	numConnEnds
+)
+
+var connEndNames = [...]string{Unanswered: "unanswered", Cut: "cut", Crossed: "crossed"}
+
+// Ended counts the end of a client's connection. ending is set during shutdown.
+func (b *Books) Ended(e End, ending bool) {
+	b.connEnds[e].Add(1)
+	if ending {
+		b.connEndsAtShutdown[e].Add(1)
+	}
+}
+
+// Refused counts a command that was refused without asking the decision module.
+func (b *Books) Refused(class string) {
+	b.Taken.Add(1)
+	b.refusedAtShutdown.Add(1)
+	b.answers[Refused].Add(1)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if i := slices.IndexFunc(b.classes, func(c *classCounters) bool { return c.name == class }); i >= 0 {
+		b.classes[i].answers[Refused].Add(1)
+	}
+}
+
+// classCounters counts the answers to the commands of one class.
+type classCounters struct {
+	name    string
+	answers [numVerdicts]atomic.Int64
+}
+
+// addClasses adds counters for each new class. A class that an older process defined differently shares the
+// counters of its namesake.
+func (b *Books) addClasses(names []string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, name := range names[len(b.classes):] {
+		name = strings.TrimSuffix(name, formerSuffix)
+		book := &classCounters{name: name}
+		if i := slices.IndexFunc(b.classes, func(c *classCounters) bool { return c.name == name }); i >= 0 {
+			book = b.classes[i]
+		}
+		b.classes = append(b.classes, book)
+	}
+}
+
+func (b *Books) countAnswer(class int, v Verdict) {
+	b.answers[v].Add(1)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if class < len(b.classes) {
+		b.classes[class].answers[v].Add(1)
+	}
+}
+
+func (b *Books) countOutcome(o decide.Outcome) { b.outcomes[o].Add(1) }
+
+// counter is a named value.
+type counter struct {
+	name string
+	n    int64
+}
+
+// operatorCounters returns the counters that operators monitor.
+func (b *Books) operatorCounters() (all []counter) {
+	line := func(name string, n int64) { all = append(all, counter{"proxy." + name, n}) }
+	b.mu.Lock()
+	for i, c := range b.classes {
+		if slices.Index(b.classes, c) < i {
+			continue
+		}
+		line("passed."+c.name, c.answers[Served].Load())
+		line("dropped."+c.name, c.answers[Refused].Load())
+		line("bad_gateway."+c.name, c.answers[Failed].Load()+c.answers[Unusable].Load())
+	}
+	b.mu.Unlock()
+	line("upstream_tries", b.written.Load())
+	line("in_progress", b.pending.Load())
+	line("known_encoders", b.listed.Load())
+	line("skipped_encoders", b.skipped.Load())
+	line("loads", b.Loads.Load())
+	line("load_errors", b.LoadErrors.Load())
+	for e, name := range connEndNames {
+		line("closed_"+name, b.connEnds[e].Load())
+		line("ending_"+name, b.connEndsAtShutdown[e].Load())
+	}
+	line("ending_refused", b.refusedAtShutdown.Load())
+	return all
+}
+
+// Figures lists the operators' counters, one "proxy.name=value" per line.
+func (b *Books) Figures() string {
+	var s strings.Builder
+	for _, f := range b.operatorCounters() {
+		fmt.Fprintf(&s, "%s=%d\n", f.name, f.n)
+	}
+	return s.String()
+}
+
+var outcomeNames = [...]string{
+	decide.OK: "ok", decide.Errored: "errored", decide.Full: "full", decide.TimedOut: "timed_out",
+	decide.ConnectFailed: "connect_failed", decide.Reset: "reset", decide.Cancelled: "cancelled", decide.Moot: "moot",
+}
+
+// internalCounters returns all other counters.
+func (b *Books) internalCounters() (all []counter) {
+	line := func(name string, n *atomic.Int64) { all = append(all, counter{name, n.Load()}) }
+	line("commands_taken_in", &b.Taken)
+	line("commands_answered", &b.answers[Served])
+	line("commands_nacked", &b.answers[Refused])
+	line("commands_failed", &b.answers[Failed])
+	line("commands_unusable", &b.answers[Unusable])
+	line("commands_lapsed", &b.Lapsed)
+	line("attempts_sent", &b.Sent)
+	for o := range b.outcomes {
+		line("attempts_"+outcomeNames[o], &b.outcomes[o])
+	}
+	line("probes_sent", &b.Probes)
+	line("news_for_no_attempt", &b.StrayNews)
+	return all
+}
+
+// String lists all counters, one "name value" per line, followed by the operators' counters.
+func (b *Books) String() string {
+	var s strings.Builder
+	for _, f := range b.internalCounters() {
+		fmt.Fprintf(&s, "%s %d\n", f.name, f.n)
+	}
+	s.WriteString(b.Figures())
+	return s.String()
+}
+
+// Attrs returns all counters as log attributes.
+func (b *Books) Attrs() (all []any) {
+	for _, f := range append(b.internalCounters(), b.operatorCounters()...) {
+		all = append(all, f.name, f.n)
+	}
+	return all
+}
+
+// fleetSampleInterval is the interval at which the decision module's instance counts are sampled for the
+// operators' counters.
+const fleetSampleInterval = 200 * time.Millisecond
+
+// sampleFleet updates the instance counts now and at every interval.
+func (l *Loop) sampleFleet() {
+	listed, avoided := l.mod.Fleet()
+	l.Books.listed.Store(int64(listed))
+	l.Books.skipped.Store(int64(avoided))
+	l.timers.At(time.Now().Add(fleetSampleInterval), l.sampleFleet)
+}
+
+// answer counts a command's one final answer and sends it to the client.
+func (l *Loop) answer(h *pendingCommand, a Answer) {
+	l.Books.countAnswer(h.class, a.Verdict)
+	l.markAnswered(h)
+	h.Client.Answer(a)
+	l.removeIfDone(h)
+}
+
+// markAnswered records that a command needs no answer any more.
+func (l *Loop) markAnswered(h *pendingCommand) {
+	h.answered = true
+	for _, a := range h.attempts {
+		a.obsolete.Store(true)
+	}
+	l.Books.pending.Add(-1)
+}
+
+// removeIfDone removes a command that is answered and has no outstanding attempt.
+func (l *Loop) removeIfDone(h *pendingCommand) {
+	if h.answered && h.outstanding == 0 {
+		delete(l.byID, h.ID)
+		l.takenOver.CompareAndDelete(h.ID, h.Command)
+		delete(l.byRequest, h.request)
+	}
+}
--- a/internal/dispatch/lapse_test.go
+++ b/internal/dispatch/disconnect_test.go
@@ -12,14 +12,14 @@
 )
 
 // turn has the loop take the message that has waited longest, and no other.
-func turn(l *Loop) { (<-l.in)(l) }
+func turn(l *Loop) { (<-l.inbox)(l) }
 
 // lapsedOnce fails unless one command has lapsed, unanswered, and nothing of it is kept.
 func lapsedOnce(t *testing.T, l *Loop, c *client) {
-	l.batch()
+	l.runBatch()
 	require.EqualValues(t, 1, l.Books.Lapsed.Load())
 	require.Empty(t, c.answers)
-	require.Empty(t, l.requests)
+	require.Empty(t, l.byRequest)
 	require.Zero(t, l.Holding())
 }
 
@@ -38,11 +38,11 @@
 		l, f, c := begin(t)
 		l.Ended(f.sent[0], decide.Reset, 0)
 		turn(l)
-		l.route()
+		l.handleEvents()
 		l.Lapse(f.sent[0].Command)
-		l.send(decide.Send{Request: f.sent[0].request, Worker: l.number("s-1")}, time.Now())
+		l.startAttempt(decide.Send{Request: f.sent[0].request, Worker: l.workerID("s-1")}, time.Now())
 		for len(l.events) > 0 {
-			l.route()
+			l.handleEvents()
 		}
 		require.Len(t, f.sent, 1)
 		require.EqualValues(t, 2, l.Books.Sent.Load(), "it was asked for")
@@ -57,7 +57,7 @@
 		l.Lapse(cmd)
 		turn(l)
 		turn(l)
-		require.Empty(t, l.requests)
+		require.Empty(t, l.byRequest)
 		lapsedOnce(t, l, c)
 		require.Empty(t, f.sent)
 	})
@@ -83,14 +83,14 @@
 		l.Relieve(given)
 		return true
 	})
-	older.batch()
+	older.runBatch()
 	require.Equal(t, []bool{true}, c.passed)
 	l.LapseElsewhere("c1")
 	require.True(t, (&Attempt{Command: &cmd.Command}).Expired(time.Now()))
 	require.False(t, f.sent[0].Expired(time.Now()), "the older process has its own mark")
 	l.Became(Fate{ID: "c1", Outcome: decide.Moot})
 	lapsedOnce(t, l, c2)
-	_, kept := l.relieved.Load("c1")
+	_, kept := l.takenOver.Load("c1")
 	require.False(t, kept)
 }
 
@@ -113,14 +113,14 @@
 			require.False(t, f.IsZero() && v.Type().Field(i).IsExported(), v.Type().Field(i).Name)
 		}
 	}
-	got := c.fields()
+	got := c.encodableCopy()
 	require.Equal(t, c, &got)
 	want, err := json.Marshal(c)
 	require.NoError(t, err)
 	text, err := json.Marshal(&got)
 	require.NoError(t, err)
 	require.Equal(t, string(want), string(text))
-	c.left.Store(true)
-	copied := c.fields()
-	require.False(t, copied.left.Load())
+	c.clientGone.Store(true)
+	copied := c.encodableCopy()
+	require.False(t, copied.clientGone.Load())
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,9 +1,9 @@
-// Package dispatch carries commands through their stages: take in, admit, route, send,
-// relay and book, each in a file of its own. It knows no protocol: fronts hand commands
-// in and take answers, a [Fleet] reaches instances, a [NameTable] tells which there are.
+// Package dispatch runs commands through the stages submission, admission, decision, sending, relaying and
+// counting, each in its own file. It knows no protocol: fronts submit commands and receive answers, a [Fleet]
+// reaches the instances, and a [NameTable] lists them.
 //
-// One goroutine, [Loop.Run], owns the decision module and all books. Everything else
-// reaches it as a message, and it never waits for a peer.
+// One goroutine, [Loop.Run], owns the decision module and all state. Everything else reaches it as a message,
+// and it never waits for a peer.
 package dispatch
 
 import (
@@ -18,67 +18,69 @@
 	"caperrelay/internal/wire"
 )
 
-// Command is one request of a service client.
+// Command is one request of a client.
 type Command struct {
-	ID       string // correlation id, unique among the commands in hand
+	ID       string // correlation ID, unique among the pending commands
 	Class    string
 	Tenant   string
 	Key      uint64        // 0: none
-	Work     time.Duration // expected, 0: not told
+	Work     time.Duration // expected; 0: unknown
 	Slots    float64
 	Memory   float64
 	Repeat   bool
-	Order    []string  // the only instances that it may go to, the first before the next; nil: as its class says
-	Held     bool      // it is what slots are held for
-	Patient  bool      // its client waits for its end until the deadline, however late
-	Deadline time.Time // when the service client stops waiting
-	Payload  any       `json:"-"` // what the instances' side needs to send it
+	Order    []string  // the only instances it may be sent to, in order of preference; nil: any that its class allows
+	Held     bool      // instance slots are reserved for it
+	Patient  bool      // its client waits for the result until the deadline, however late
+	Deadline time.Time // when the client stops waiting
+	Payload  any       `json:"-"` // what the fleet needs to send it
 	Client   Client    `json:"-"`
-	Gate     Gate      `json:"-"` // nil: its attempts wait for nothing; else it stays with this process
+	Gate     Gate      `json:"-"` // nil: attempts are sent without waiting; otherwise the command stays with this process
 
-	left atomic.Bool // its client has gone: no attempt of it begins any more
+	clientGone atomic.Bool // the client has disconnected; no further attempt may begin
 }
 
-// fields is a copy of what a command says. It leaves out the mark of its client's leaving, which is set by other goroutines
-// and stays with this process.
-func (c *Command) fields() Command {
+// encodableCopy returns a copy of the command's data without clientGone, which other goroutines set and which is
+// meaningful in this process only.
+func (c *Command) encodableCopy() Command {
 	return Command{
 		ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Work: c.Work, Slots: c.Slots, Memory: c.Memory, Repeat: c.Repeat,
 		Order: c.Order, Held: c.Held, Patient: c.Patient, Deadline: c.Deadline, Payload: c.Payload, Client: c.Client, Gate: c.Gate,
 	}
 }
 
-// Client is who waits for a command's answer.
+// Client receives a command's answer.
 type Client interface {
-	// Answer takes the one final answer. It must not block.
+	// Answer receives the one final answer. It must not block.
 	Answer(Answer)
-	// Pass says that the answer will be another process's, which needs the way to the client, and
-	// unless it has been handed the command, that too. It must not block.
+	// Pass reports that another process will answer and needs the connection to the client. If handed is false, that
+	// process has not received the command and needs it as well. It must not block.
 	Pass(handed bool)
 }
 
-// Starter is a client that is told, too, that an instance has taken the command, and that it runs it where instances tell.
+// Starter is a client that is also notified when an instance has accepted the command, and when it starts to run
+// if instances report that.
 type Starter interface {
-	// Started is called from the loop, perhaps for each attempt. It must not block.
+	// Started is called from the loop, possibly once per attempt. It must not block.
 	Started(instance string, runs bool)
 }
 
-// Watched is a client whose connection can be looked at: it may have gone though nobody has come to calling Lapse yet.
+// Watched is a client whose connection can be checked: it may have closed before anybody has called Lapse.
 type Watched interface {
-	// Gone may be called from any goroutine, and must not block.
+	// Gone may be called from any goroutine and must not block.
 	Gone() bool
 }
 
-// gone tells whether a command's client has gone, by what is known here and by a look at it where it can be looked at.
-func (c *Command) gone() bool {
-	if c.left.Load() {
+// checkClientGone reports whether the command's client has disconnected. It checks the connection if that is
+// possible.
+func (c *Command) checkClientGone() bool {
+	if c.clientGone.Load() {
 		return true
 	}
 	w, ok := c.Client.(Watched)
 	if !ok || !w.Gone() {
 		return false
 	}
-	c.left.Store(true)
+	c.clientGone.Store(true)
 	return true
 }
 
@@ -88,179 +90,182 @@
 // The verdicts.
 const (
 	Served   Verdict = iota
-	Refused          // refused: trying again is harmless
-	Failed           // promises nothing
-	Unusable         // no instance can do it as it stands, and none has
+	Refused          // nothing was done; a retry is harmless
+	Failed           // it may or may not have run
+	Unusable         // no instance can execute the command as submitted, and none has
 	numVerdicts
 )
 
 // Answer is a command's final answer.
 type Answer struct {
 	Verdict    Verdict
-	Result     []byte        // of a served command: what the instance gave for it
-	RetryAfter time.Duration // of a refusal: 0 is no advice
-	Value      any           // of a served command, where its result is no text
-	Instance   string        // that served it
+	Result     []byte        // of a served command: the instance's result
+	RetryAfter time.Duration // of a refusal; 0: no advice
+	Value      any           // of a served command whose result is not text
+	Instance   string        // that served the command
 }
 
 // Attempt is one sending of a command to an instance.
 type Attempt struct {
 	Command  *Command
 	Instance string
-	N        int // the command's attempts count from 0
+	N        int // index among the command's attempts, from 0
 	Deadline time.Time
-	MostIdle time.Duration // a connection idle for longer is not to be used; 0: any may be
-	Fresh    bool          // only a new one is to be used
-	Until    time.Time     // not to be sent after; zero: it goes by no lease
+	MostIdle time.Duration // longest permitted idle time of a reused connection; 0: no limit
+	Fresh    bool          // must use a new connection
+	Until    time.Time     // must not be sent later; zero: not bound by a lease
 
-	// The loop's own.
-	request   uint32
-	deadline  timing.Timer
-	over      bool
-	taken     bool          // by the instance
-	elsewhere bool          // sent by an older process, which tells what becomes of it
-	kept      time.Duration // as the fleet told with its end
-	report    *decide.Report
-	gate      gated
-	never     bool        // it is over, and has not run
-	left      bool        // it was abandoned or given up once it had passed its gate, which is still told if it has not run
-	may       func() bool // nil: it waited at no gate
-	leaving   atomic.Bool // given up, and the instance has not confirmed it yet
-	vain      atomic.Bool // its command is owed nothing more
+	// Private to the loop.
+	request           uint32
+	deadlineTimer     timing.Timer
+	ended             bool
+	accepted          bool          // by the instance
+	sentByOlder       bool          // sent by an older process, which reports its outcome
+	connIdle          time.Duration // as the fleet reported with the outcome
+	report            *decide.Report
+	gateState         gateState
+	neverRan          bool        // it has ended without having run
+	gateReportDue     bool        // cancelled or abandoned after passing its gate, which is still to be notified if it did not run
+	permitted         func() bool // nil: it did not wait at a gate
+	cancelUnconfirmed atomic.Bool // cancelled, but the instance has not confirmed that yet
+	obsolete          atomic.Bool // its command needs no answer any more
 }
 
-// Confirmed says that the instance knows the attempt as given up, or never will.
-func (a *Attempt) Confirmed() { a.leaving.Store(false) }
+// Confirmed reports that the instance has processed the cancellation of the attempt, or never will.
+func (a *Attempt) Confirmed() { a.cancelUnconfirmed.Store(false) }
 
-// Fleet is the way to the instances. Its methods must not block; what comes of them
-// is told by the Loop's methods.
+// Fleet is the connection to the instances. Its methods must not block; results are reported through methods of
+// Loop.
 type Fleet interface {
 	// Send starts an attempt.
 	Send(*Attempt)
-	// GiveUp ends an attempt that is out: the instance is told as far as it may have it.
-	// The fleet calls Confirmed once that is done.
+	// GiveUp cancels an outstanding attempt. The instance is notified if it may have received it. The fleet calls
+	// Confirmed when that is done.
 	GiveUp(*Attempt)
-	// Probe checks an instance.
+	// Probe checks an instance's health.
 	Probe(instance string)
 	// Release closes the idle connections to an instance.
 	Release(instance string)
 }
 
-// Expired tells whether an attempt is not to be sent any more: its command is answered or its client has gone, be it while it
-// waited for a connection and nothing is called off, or the lease that it goes by has ended. A client has gone as soon as Lapse
-// is called, however far behind the loop is, and as soon as its connection shows it. Whoever sends looks as late as possible: the process may have been stopped for a
-// while.
+// Expired reports whether an attempt must no longer be sent: its command has been answered (which may happen
+// while the attempt waits for a connection, even where cancellation is disabled), its client has disconnected,
+// or the lease that permits it has ended. A client counts as disconnected as soon as Lapse is called or its
+// connection is seen to be closed, however far the loop is behind. The sender calls this as late as possible,
+// since the process may have been stopped for a while.
 func (a *Attempt) Expired(now time.Time) bool {
-	return a.vain.Load() || !a.Until.IsZero() && !now.Before(a.Until) || a.may != nil && !a.may() || a.Command.gone()
+	return a.obsolete.Load() || !a.Until.IsZero() && !now.Before(a.Until) || a.permitted != nil && !a.permitted() || a.Command.checkClientGone()
 }
 
-// Begin must be called before an attempt's first byte goes out, and before the last look at whether it has Expired; false: it
-// must not be sent.
+// Begin must be called before the first byte of an attempt is sent, and before the last check of Expired. If it
+// returns false, the attempt must not be sent.
 func (a *Attempt) Begin() bool { return a.Command.Gate == nil || a.Command.Gate.Begin(a) }
 
-// NameTable tells of the instances, after Subscribe, by Loop.Listed and Loop.ListLost.
+// NameTable is the source of the instance list. After Subscribe it reports through Loop.Listed and
+// Loop.ListLost.
 type NameTable interface{ Subscribe() }
 
-// Loop is the owner of the decision module.
+// Loop owns the decision module.
 type Loop struct {
-	mod      *decide.Dispatcher
-	settings decide.Settings
-	names    wire.Names // all that are numbered
-	own      wire.Names // of those, the ones that the settings have
-	fleet    Fleet
-	table    NameTable
-	other    Other
-	log      *slog.Logger
-	in       chan message
-	events   []decide.Event // of the batch at hand
+	mod             *decide.Dispatcher
+	settings        decide.Settings
+	allNames        wire.Names // all names that have a number
+	configuredNames wire.Names // the subset that is in the current settings
+	fleet           Fleet
+	discovery       NameTable
+	otherProcess    Other
+	log             *slog.Logger
+	inbox           chan message
+	events          []decide.Event // of the current batch
 
-	ids      map[string]*held // commands in hand by correlation id
-	relieved sync.Map         // and those of them that another process had in hand, each a *Command, for any goroutine
-	requests map[uint32]*held // and by the module's
-	lastID   uint32
-	yielded  bool // to a newer process
+	byID       map[string]*pendingCommand // pending commands by correlation ID
+	takenOver  sync.Map                   // the subset that was taken over from another process, as *Command; read by any goroutine
+	byRequest  map[uint32]*pendingCommand // the same by the decision module's request ID
+	lastID     uint32
+	handedOver bool // to a newer process
 
-	workers map[uint32]string // instance ids by the module's
-	numbers map[string]uint32
-	timers  timing.Queue
-	leaser  Leaser // nil: nobody leases
-	leases  map[uint64]Lease
-	leaseID uint64
-	strays  func(News) bool // nil: nobody asks for them
-	keeper  func(News) bool // nil: nobody keeps what instances tell
-	late    lateness
-	Books   Books
+	instanceIDs map[uint32]string // by the decision module's worker ID
+	workerIDs   map[string]uint32
+	timers      timing.Queue
+	leaser      Leaser // nil: leases are not used
+	leases      map[uint64]Lease
+	leaseID     uint64
+	onUnmatched func(News) bool // nil: no handler for unmatched callbacks
+	persist     func(News) bool // nil: callbacks are not persisted
+	timerLag    timerLagLog
+	Books       Books
 }
 
-// held is a command in hand: until it is answered and its attempts have ended.
-type held struct {
+// pendingCommand is a command that is unanswered or has outstanding attempts.
+type pendingCommand struct {
 	*Command
-	class    int
-	request  uint32
-	attempts []*Attempt
-	out      int
-	answered bool
+	class       int
+	request     uint32
+	attempts    []*Attempt
+	outstanding int
+	answered    bool
 }
 
-// message is something that the loop is told.
+// message is a call to be run by the loop.
 type message func(*Loop)
 
-// inbox is how many messages may wait before senders have to.
-const inbox = 8192
+// inboxSize is the number of messages that may be queued before senders block.
+const inboxSize = 8192
 
-// New returns a loop for a dispatcher that holds nothing.
+// New returns a loop without any commands.
 func New(s decide.Settings, n wire.Names, fleet Fleet, table NameTable, other Other, logger *slog.Logger) (*Loop, error) {
 	l := &Loop{
-		fleet: fleet, table: table, other: other, log: logger, in: make(chan message, inbox),
-		ids: map[string]*held{}, requests: map[uint32]*held{}, workers: map[uint32]string{}, numbers: map[string]uint32{},
-		late: lateness{log: logger},
+		fleet: fleet, discovery: table, otherProcess: other, log: logger, inbox: make(chan message, inboxSize),
+		byID: map[string]*pendingCommand{}, byRequest: map[uint32]*pendingCommand{}, instanceIDs: map[uint32]string{}, workerIDs: map[string]uint32{},
+		timerLag: timerLagLog{log: logger},
 	}
-	s, all := l.fit(s, n)
+	s, all := l.mapSettings(s, n)
 	mod, err := decide.New(s)
 	if err != nil {
 		return nil, err
 	}
-	l.mod, l.settings, l.names, l.own = mod, s, all.Names, n
-	l.Books.open(n.Classes)
+	l.mod, l.settings, l.allNames, l.configuredNames = mod, s, all.Names, n
+	l.Books.addClasses(n.Classes)
 	return l, nil
 }
 
-// Holding is how many commands are taken and not answered.
-func (l *Loop) Holding() int64 { return l.Books.holding.Load() }
+// Holding returns the number of commands that have been received and not yet answered.
+func (l *Loop) Holding() int64 { return l.Books.pending.Load() }
 
 // Run serves until the context ends.
 func (l *Loop) Run(ctx context.Context) {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
-	l.notes()
+	l.sampleFleet()
 	for {
 		alarm.Reset(l.timers.Wait(time.Now()))
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-l.in:
+		case m := <-l.inbox:
 			m(l)
 		case <-alarm.C:
 		}
-		l.batch()
+		l.runBatch()
 	}
 }
 
-// batch takes what else has come by now and is due, and has the module decide on all of it at
-// one time: an outcome that came with a timer must be seen with it. What comes meanwhile is for the next.
-func (l *Loop) batch() {
-	for range len(l.in) {
-		m := <-l.in
+// runBatch collects the messages that have arrived and the timers that are due, and has the module decide on all
+// of them at once: an outcome that arrives together with a timer must be considered with it. Messages that
+// arrive meanwhile wait for the next batch.
+func (l *Loop) runBatch() {
+	for range len(l.inbox) {
+		m := <-l.inbox
 		m(l)
 	}
 	l.timers.Fire(time.Now())
-	for len(l.events) > 0 { // what ends at once, such as a send that is not made, is news too
-		l.route()
+	for len(l.events) > 0 { // actions that end immediately, such as a send that is not made, produce further events
+		l.handleEvents()
 	}
 }
 
-// tell queues an event for the module.
-func (l *Loop) tell(e decide.Event) { l.events = append(l.events, e) }
+// queueEvent queues an event for the decision module.
+func (l *Loop) queueEvent(e decide.Event) { l.events = append(l.events, e) }
 
-// post hands the loop a message.
-func (l *Loop) post(m message) { l.in <- m }
+// post sends the loop a message.
+func (l *Loop) post(m message) { l.inbox <- m }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -50,7 +50,7 @@
 	l := loop(t, f)
 	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
 	l.Take(&Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c})
-	l.batch()
+	l.runBatch()
 	require.Len(t, f.sent, 1)
 	return l, f, c
 }
@@ -68,12 +68,12 @@
 // The result of an attempt that was given up is not served, and nothing is booked twice.
 func TestLateAndRepeatedNewsIsBookedOnce(t *testing.T) {
 	l, f, c := begin(t)
-	l.cancel(decide.Cancel{Request: f.sent[0].request})
+	l.cancelAttempt(decide.Cancel{Request: f.sent[0].request})
 	require.Equal(t, f.sent, f.givenUp)
 	l.News(News{ID: "c1", From: "s-1", State: Done, Result: []byte("late")})
 	l.Ended(f.sent[0], decide.Reset, 0)
 	l.events = nil
-	l.batch()
+	l.runBatch()
 	require.Empty(t, c.answers)
 	require.EqualValues(t, []int64{1, 0, 1}, []int64{l.Books.outcomes[decide.Cancelled].Load(), l.Books.outcomes[decide.Reset].Load(), l.Books.StrayNews.Load()})
 }
@@ -82,13 +82,13 @@
 // first is given up, which travels on a connection of its own.
 func TestNoSecondAttemptWhileTheFirstIsLeaving(t *testing.T) {
 	l, f, _ := begin(t)
-	s := decide.Send{Request: f.sent[0].request, Worker: l.number("s-1")}
-	l.cancel(decide.Cancel{Request: s.Request})
-	l.send(s, time.Now())
+	s := decide.Send{Request: f.sent[0].request, Worker: l.workerID("s-1")}
+	l.cancelAttempt(decide.Cancel{Request: s.Request})
+	l.startAttempt(s, time.Now())
 	require.Len(t, f.sent, 1)
 	require.EqualValues(t, 1, l.Books.outcomes[decide.Moot].Load())
 	f.sent[0].Confirmed()
-	l.send(s, time.Now())
+	l.startAttempt(s, time.Now())
 	require.Len(t, f.sent, 2)
 }
 
@@ -96,7 +96,7 @@
 // newer process from a second attempt there: it hears of no answer, however long it waits.
 func TestNoSecondAttemptWhileTheFirstIsLeavingElsewhere(t *testing.T) {
 	for name, leave := range map[string]struct{ before, after func(older *Loop, a *Attempt) }{
-		"given up before": {before: func(older *Loop, a *Attempt) { older.cancel(decide.Cancel{Request: a.request}) }},
+		"given up before": {before: func(older *Loop, a *Attempt) { older.cancelAttempt(decide.Cancel{Request: a.request}) }},
 		"spoilt after": {after: func(older *Loop, a *Attempt) {
 			a.Leaving()
 			older.Ended(a, decide.Reset, 0)
@@ -105,7 +105,7 @@
 		older, f, _ := begin(t)
 		l, first := loop(t, f), f.sent[0]
 		older.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true) // so that it waits with the older
-		older.batch()
+		older.runBatch()
 		if leave.before != nil {
 			leave.before(older, first)
 		}
@@ -115,17 +115,17 @@
 			l.Relieve(given)
 			return true
 		})
-		older.batch()
+		older.runBatch()
 		if leave.after != nil {
 			leave.after(older, first)
-			older.batch()
+			older.runBatch()
 			l.Became(f.became[0])
 		}
-		l.batch()
+		l.runBatch()
 		l.timers.Fire(time.Now().Add(time.Minute)) // longer than any give-up is on its way
-		request := l.ids["c1"].request
+		request := l.byID["c1"].request
 		for _, id := range []string{"s-1", "s-2"} { // the second perhaps once more
-			l.send(decide.Send{Request: request, Worker: l.number(id)}, time.Now())
+			l.startAttempt(decide.Send{Request: request, Worker: l.workerID(id)}, time.Now())
 		}
 		require.Len(t, f.sent, 2, name)
 		require.Equal(t, "s-2", f.sent[1].Instance, name)
@@ -136,7 +136,7 @@
 func TestNothingIsSentForWhoHasGone(t *testing.T) {
 	for name, over := range map[string]func(*Loop, *Attempt){
 		"gone":     func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
-		"answered": func(l *Loop, a *Attempt) { l.fail(decide.FailRequest{Request: a.request}) },
+		"answered": func(l *Loop, a *Attempt) { l.failRequest(decide.FailRequest{Request: a.request}) },
 	} {
 		l, f, _ := begin(t)
 		s := l.settings
@@ -144,7 +144,7 @@
 		require.NoError(t, l.mod.Retune(s))
 		require.False(t, f.sent[0].Expired(time.Now()), name)
 		over(l, f.sent[0])
-		l.batch()
+		l.runBatch()
 		require.Empty(t, f.givenUp, name)
 		require.True(t, f.sent[0].Expired(time.Now()), name)
 	}
@@ -155,13 +155,13 @@
 	for name, finish := range map[string]func(*Loop, *Attempt){
 		"served": func(l *Loop, a *Attempt) { l.News(News{ID: "c1", From: "s-1", State: Done}) },
 		"lapsed": func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
-		"late":   func(l *Loop, a *Attempt) { l.expire(a); l.fail(decide.FailRequest{Request: a.request}) },
+		"late":   func(l *Loop, a *Attempt) { l.expireAttempt(a); l.failRequest(decide.FailRequest{Request: a.request}) },
 	} {
 		l, f, c := begin(t)
 		finish(l, f.sent[0])
-		l.batch()
-		require.Empty(t, l.ids, name)
-		require.Empty(t, l.requests, name)
+		l.runBatch()
+		require.Empty(t, l.byID, name)
+		require.Empty(t, l.byRequest, name)
 		require.Zero(t, l.Holding(), name)
 		require.Len(t, c.answers, map[string]int{"served": 1, "lapsed": 0, "late": 1}[name], name)
 	}
@@ -175,20 +175,20 @@
 		l := loop(t, f)
 		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
 		l.Take(&Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c})
-		l.batch()
+		l.runBatch()
 		require.Len(t, f.sent, 1)
 		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true)
 		waits := &client{}
 		l.Take(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: waits})
-		l.batch()
+		l.runBatch()
 		for range 2 {
 			l.Finish()
-			l.batch()
+			l.runBatch()
 		}
 		require.Equal(t, []Answer{{Verdict: want}}, c.answers)
 		require.Equal(t, []Verdict{Refused}, []Verdict{waits.answers[0].Verdict})
 		require.Equal(t, f.sent, f.givenUp)
-		require.Empty(t, l.requests)
+		require.Empty(t, l.byRequest)
 		require.Zero(t, l.Holding())
 	}
 }
@@ -226,23 +226,23 @@
 			return true
 		})
 		older.Take(&Command{ID: "c2", Class: "safe", Client: c})
-		older.batch()
+		older.runBatch()
 		older.Ended(f.sent[0], decide.Reset, 0)
 		older.Lapse(f.sent[0].Command)
-		older.batch()
+		older.runBatch()
 		require.Equal(t, []bool{true, false}, c.passed, "what was on its way goes whole")
 		require.Empty(t, c.answers)
 		require.Zero(t, older.Holding())
 		require.Equal(t, []Fate{{ID: "c1", Outcome: decide.Reset}}, f.became)
 		require.Equal(t, []string{"c1"}, f.left)
-		l.batch()
+		l.runBatch()
 		require.EqualValues(t, 1, l.Holding())
 		l.Take(&Command{ID: "c1", Class: "safe", Client: c})
-		l.batch()
+		l.runBatch()
 		require.Equal(t, []Answer{{Verdict: Unusable}}, c.answers, "the id is in hand")
 		for range 2 {
 			then(l)
-			l.batch()
+			l.runBatch()
 		}
 		require.Contains(t, l.Books.String(), name+" 1\n")
 		require.Equal(t, name == "attempts_ok", len(c2.answers) == 1 && c2.answers[0].Verdict == Served)
@@ -259,48 +259,48 @@
 		for range n {
 			s.Classes = append(s.Classes, decide.Class{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any})
 		}
-		require.NoError(t, l.retune(l.fit(s, wire.Names{Classes: n})))
+		require.NoError(t, l.reconfigure(l.mapSettings(s, wire.Names{Classes: n})))
 	}
 	take := func(id, class string) *client {
 		c := &client{}
 		l.Take(&Command{ID: id, Class: class, Deadline: time.Now().Add(time.Hour), Client: c})
-		l.batch()
+		l.runBatch()
 		return c
 	}
 	names("new", "other")
 	require.Equal(t, []Answer{{Verdict: Unusable}}, take("c2", "safe").answers, "it has vanished")
 	l.News(News{ID: "c1", From: "s-1", State: Done})
-	l.batch()
+	l.runBatch()
 	require.Equal(t, Served, c.answers[0].Verdict, "what was in hand goes on")
 	require.Contains(t, l.Books.Figures(), "proxy.passed.safe=1\n")
 	take("c3", "new")
 	l.News(News{ID: "c3", From: "s-1", State: Done})
-	l.batch()
+	l.runBatch()
 	names("other", "safe")
 	take("c4", "safe")
 	l.News(News{ID: "c4", From: "s-1", State: Done})
-	l.batch()
+	l.runBatch()
 	require.Len(t, f.sent, 3)
 	for _, figure := range []string{"passed.safe=2", "bad_gateway.safe=1", "passed.new=1", "passed.other=0"} {
 		require.Contains(t, l.Books.Figures(), "proxy."+figure+"\n")
 	}
 	s := l.settings
 	s.Limits.Attempts = 0
-	require.Error(t, l.retune(l.fit(s, l.names)))
+	require.Error(t, l.reconfigure(l.mapSettings(s, l.allNames)))
 	require.Equal(t, 3, l.settings.Limits.Attempts, "nothing of it counts")
 }
 
 // Names that the settings do not have stand apart from those they have.
 func TestUnknownNamesComeAfterAll(t *testing.T) {
-	require.Equal(t, []int{1, 2}, []int{place([]string{"a", "b"}, "b"), place([]string{"a", "b"}, "c")})
+	require.Equal(t, []int{1, 2}, []int{indexOrLen([]string{"a", "b"}, "b"), indexOrLen([]string{"a", "b"}, "c")})
 }
 
 // The people on call know instances by the name table's ids.
 func TestLogNamesInstances(t *testing.T) {
 	l, _, _ := begin(t)
-	known := fmt.Sprintf("worker %d suspected", l.number("s-1"))
-	require.Equal(t, "instance s-1 suspected", l.named(known))
-	require.Equal(t, "worker 99999999999 is not ours", l.named("worker 99999999999 is not ours"))
+	known := fmt.Sprintf("worker %d suspected", l.workerID("s-1"))
+	require.Equal(t, "instance s-1 suspected", l.withInstanceIDs(known))
+	require.Equal(t, "worker 99999999999 is not ours", l.withInstanceIDs("worker 99999999999 is not ours"))
 }
 
 // What ends an attempt at its deadline once stayed with the whole command until then, long after
@@ -309,15 +309,15 @@
 	f := &fleet{}
 	l := loop(t, f)
 	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
-	l.batch()
+	l.runBatch()
 	idle := l.timers.Len()
 	for i := range 500 {
 		l.Take(&Command{ID: fmt.Sprint("c", i), Class: "safe", Deadline: time.Now().Add(time.Hour), Client: &client{}})
-		l.batch()
+		l.runBatch()
 		require.Len(t, f.sent, i+1)
 		l.News(News{ID: fmt.Sprint("c", i), From: "s-1", State: Done})
-		l.batch()
+		l.runBatch()
 	}
-	require.Empty(t, l.requests)
+	require.Empty(t, l.byRequest)
 	require.LessOrEqual(t, l.timers.Len(), idle+1, "the module's wake-up aside, timers are kept of what has ended")
 }
--- a/internal/dispatch/gate_test.go
+++ b/internal/dispatch/gate_test.go
@@ -21,7 +21,7 @@
 	l := loop(t, f)
 	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
 	l.Take(&Command{ID: "p~1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c, Gate: g})
-	l.batch()
+	l.runBatch()
 	require.Len(t, g.asked, 1)
 	require.Empty(t, f.sent, "nothing goes out before its intent counts")
 	return l, f, c, g
@@ -31,19 +31,19 @@
 func TestNothingPassesTheGateLate(t *testing.T) {
 	l, f, _, g := gatedBegin(t)
 	a := g.asked[0]
-	l.cancel(decide.Cancel{Request: a.request})
+	l.cancelAttempt(decide.Cancel{Request: a.request})
 	l.Pass(a, func() bool { return true })
-	l.batch()
+	l.runBatch()
 	require.Empty(t, f.sent)
 	require.Empty(t, f.givenUp)
 	require.Equal(t, []*Attempt{a}, g.never)
 
 	l, f, _, g = gatedBegin(t)
 	l.Pass(g.asked[0], func() bool { return false })
-	l.batch()
+	l.runBatch()
 	require.True(t, f.sent[0].Expired(time.Now()), "whoever sends looks again")
 	l.Ended(f.sent[0], decide.Moot, 0)
-	l.batch()
+	l.runBatch()
 	require.Equal(t, f.sent, g.never)
 }
 
@@ -52,7 +52,7 @@
 	l, _, _, g := gatedBegin(t)
 	a := g.asked[0]
 	l.Pass(a, func() bool { return true })
-	(<-l.in)(l)
+	(<-l.inbox)(l)
 	require.Equal(t, []decide.Event{decide.Passed{Request: a.request, Attempt: 0}}, l.events)
 	require.True(t, l.mod.Memory().Requests[0].Gated)
 }
@@ -64,14 +64,14 @@
 		l, f, c, g := gatedBegin(t)
 		if passed {
 			l.Pass(g.asked[0], func() bool { return true })
-			l.batch()
+			l.runBatch()
 		}
-		l.fail(decide.FailRequest{Request: g.asked[0].request})
+		l.failRequest(decide.FailRequest{Request: g.asked[0].request})
 		require.Len(t, c.answers, 1)
 		require.Equal(t, map[bool]Verdict{false: Refused, true: Failed}[passed], c.answers[0].Verdict)
 		require.Len(t, g.never, map[bool]int{false: 1}[passed])
 		l.Pass(g.asked[0], func() bool { return true })
-		l.batch()
+		l.runBatch()
 		require.Len(t, f.sent, map[bool]int{true: 1}[passed])
 	}
 }
@@ -83,22 +83,22 @@
 	var strays []News
 	l.StraysTo(func(n News) bool { strays = append(strays, n); return true })
 	l.Pass(g.asked[0], func() bool { return true })
-	l.batch()
+	l.runBatch()
 	l.Abandon(f.sent[0].Command)
-	l.batch()
+	l.runBatch()
 	l.News(News{ID: "p~1", From: "s-1", State: Done})
-	l.batch()
+	l.runBatch()
 	require.Empty(t, f.givenUp)
 	require.Empty(t, c.answers)
 	require.Empty(t, g.never)
 	require.Len(t, strays, 1)
 	require.Zero(t, l.Holding())
-	require.Empty(t, l.requests)
+	require.Empty(t, l.byRequest)
 
 	l, f, _, g = gatedBegin(t)
 	l.Yield(func(h Handed) bool { require.Empty(t, h.Commands); return true })
 	l.Pass(g.asked[0], func() bool { return true })
-	l.batch()
+	l.runBatch()
 	require.Empty(t, f.sent)
 	require.Zero(t, l.Holding())
 }
@@ -115,11 +115,11 @@
 	l.Take(&Command{ID: "gang-g-1-0", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c, Held: true})
 	l.News(News{ID: "p~1", From: "s-1", State: Done})
 	l.News(News{ID: "gang-h-1-0", From: "s-1", State: Done})
-	l.batch()
+	l.runBatch()
 	require.Equal(t, []string{"gang-h-1-0"}, strays)
 	require.Len(t, f.sent, 1)
 	l.Yield(func(h Handed) bool { require.Empty(t, h.Commands); return true })
-	l.batch()
+	l.runBatch()
 	require.Empty(t, f.givenUp)
 	require.Equal(t, []bool{true}, c.passed)
 	require.Zero(t, l.Holding())
@@ -129,16 +129,16 @@
 // whose gate never hears of that.
 func TestAbandonedAttemptThatNeverRanIsTold(t *testing.T) {
 	abandon := func(l *Loop, a *Attempt) { l.Abandon(a.Command) }
-	cancel := func(l *Loop, a *Attempt) { l.cancel(decide.Cancel{Request: a.request}) }
+	cancel := func(l *Loop, a *Attempt) { l.cancelAttempt(decide.Cancel{Request: a.request}) }
 	for o, told := range map[decide.Outcome]bool{decide.Moot: true, decide.Full: true, decide.ConnectFailed: true, decide.Reset: false, decide.Errored: false, decide.TimedOut: false} {
-		for _, end := range []func(*Loop, *Attempt){abandon, cancel, (*Loop).expire} {
+		for _, end := range []func(*Loop, *Attempt){abandon, cancel, (*Loop).expireAttempt} {
 			l, f, c, g := gatedBegin(t)
 			l.Pass(g.asked[0], func() bool { return true })
-			l.batch()
+			l.runBatch()
 			end(l, f.sent[0])
 			for range 2 { // told once, however often it ends
 				l.Ended(f.sent[0], o, 0)
-				l.batch()
+				l.runBatch()
 			}
 			require.Len(t, g.never, map[bool]int{true: 1}[told], "outcome %d", o)
 			require.Empty(t, c.answers)
--- /dev/null
+++ b/internal/dispatch/input.go
@@ -0,0 +1,169 @@
+package dispatch
+
+import (
+	"hash/fnv"
+	"time"
+
+	"caperrelay/decide"
+	"caperrelay/internal/wire"
+)
+
+// Input to the loop: commands from fronts and updates of the instance list. These methods only queue a message,
+// so the calling goroutine can go on.
+
+// Take submits a command. From then on it is owed exactly one answer.
+func (l *Loop) Take(c *Command) {
+	l.Books.pending.Add(1)
+	l.post(func(l *Loop) { l.admit(c) })
+}
+
+// Lapse reports that the client has disconnected, so no answer is needed. Attempts that have not been sent yet
+// are stopped at once, even if the loop is behind.
+func (l *Loop) Lapse(c *Command) {
+	c.clientGone.Store(true)
+	l.post(func(l *Loop) {
+		if l.handedOver {
+			l.otherProcess.Left(c.ID)
+		} else if h := l.byID[c.ID]; h != nil && h.Command == c {
+			l.cancelCommand(h)
+		}
+	})
+}
+
+// LapseElsewhere does the same for a command that was taken over and whose client's disconnect was seen by the
+// older process.
+func (l *Loop) LapseElsewhere(id string) {
+	if c, ok := l.takenOver.Load(id); ok {
+		c.(*Command).clientGone.Store(true)
+	}
+	l.post(func(l *Loop) {
+		if l.handedOver { // handed over to a third process meanwhile
+			l.otherProcess.Left(id)
+		} else if h := l.byID[id]; h != nil {
+			l.cancelCommand(h)
+		}
+	})
+}
+
+func (l *Loop) cancelCommand(h *pendingCommand) {
+	if !h.answered {
+		l.Books.Lapsed.Add(1)
+		l.markAnswered(h)
+		l.queueEvent(decide.RequestLapsed{Request: h.request})
+		l.removeIfDone(h)
+	}
+}
+
+// List is an update from discovery: the complete instance list, or the changed entries only.
+type List struct {
+	Revision int64
+	Complete bool
+	Members  []Member
+}
+
+// Member is one entry of the instance list.
+type Member struct {
+	ID      string
+	Address string
+	GRPC    string // address of its gRPC service; empty: none
+	Zone    string
+	Kind    string
+	Cell    int
+	State   decide.WorkerState
+	Size    float64
+	Started time.Time // zero: long ago
+}
+
+// toWorker converts an instance list entry to the decision module's form.
+func (l *Loop) toWorker(m Member, id uint32) decide.Worker {
+	return decide.Worker{
+		ID: id, Zone: l.zoneNumber(m.Zone), Kind: l.kindNumber(m.Kind), Cell: m.Cell, Rating: m.Size,
+		Started: sinceEpoch(m.Started), State: m.State,
+	}
+}
+
+// indexOrLen returns the index of a name, or len(names) if it is not in the list.
+func indexOrLen(names []string, name string) int {
+	for i, n := range names {
+		if n == name {
+			return i
+		}
+	}
+	return len(names)
+}
+
+// Listed processes an instance list from discovery. If cached is set, the list is from an earlier time.
+func (l *Loop) Listed(list List, cached bool) {
+	l.post(func(l *Loop) { l.updateInstances(list, cached) })
+}
+
+func (l *Loop) updateInstances(list List, cached bool) {
+	var ws []decide.Worker
+	for _, m := range list.Members {
+		ws = append(ws, l.toWorker(m, l.workerID(m.ID)))
+	}
+	l.prune(list)
+	if list.Complete || cached {
+		l.queueEvent(decide.ListFull{Workers: ws, Cached: cached})
+	} else {
+		l.queueEvent(decide.ListDelta{Workers: ws})
+	}
+}
+
+// maxWorkerIDs is the number of instances remembered before those that are gone are removed.
+const maxWorkerIDs = 4096
+
+// prune removes the worker IDs of instances that are gone. Otherwise the tables would grow without bound where
+// machines are replaced under new IDs for months.
+func (l *Loop) prune(list List) {
+	if len(l.workerIDs) <= maxWorkerIDs {
+		return
+	}
+	state := map[string]decide.WorkerState{}
+	for _, m := range list.Members {
+		state[m.ID] = m.State
+	}
+	for id, n := range l.workerIDs {
+		if s, told := state[id]; told && s == decide.Gone || !told && list.Complete {
+			delete(l.workerIDs, id)
+			delete(l.instanceIDs, n)
+		}
+	}
+}
+
+// Cordon reports that an operator leaves an instance out, or puts it back.
+func (l *Loop) Cordon(id string, out bool) {
+	l.post(func(l *Loop) { l.queueEvent(decide.Cordon{Worker: l.workerID(id), Out: out}) })
+}
+
+// Hold sets the time spans, in Unix time, during which slots of an instance are reserved, whichever dispatcher
+// sends the commands they are reserved for. slots is the instance's number of slots.
+func (l *Loop) Hold(id string, slots float64, spans []decide.Span) {
+	l.post(func(l *Loop) { l.queueEvent(decide.Holds{Worker: l.workerID(id), Slots: slots, Spans: spans}) })
+}
+
+// ListLost reports that the watch on the instance list, or a request for it, has failed; after is the time from
+// the call to the failure. nobody: no server could be reached.
+func (l *Loop) ListLost(nobody bool, after time.Duration) {
+	l.post(func(l *Loop) { l.queueEvent(decide.ListFailed{Nobody: nobody, After: after}) })
+}
+
+// workerID returns the decision module's ID of an instance. It is the same at every dispatcher, since the module
+// has dispatchers share one order. It is the number that the instance has in the simulator's protocol, so that a
+// replayed day assigns keys to the same instances here; an instance ID of another form is hashed.
+func (l *Loop) workerID(id string) uint32 {
+	if n, ok := l.workerIDs[id]; ok {
+		return n
+	}
+	n, ok := wire.WorkerNumber(id)
+	if !ok {
+		h := fnv.New32a()
+		h.Write([]byte(id))
+		n = h.Sum32()
+	}
+	for _, taken := l.instanceIDs[n]; taken; _, taken = l.instanceIDs[n] {
+		n++
+	}
+	l.instanceIDs[n], l.workerIDs[id] = id, n
+	return n
+}
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/instancelist.go
@@ -7,13 +7,13 @@
 	"caperrelay/decide"
 )
 
-// Table is the name table as told so far. It is not safe for more than one goroutine.
+// Table is the instance list as received so far. It is not safe for concurrent use.
 type Table struct {
 	revision int64
 	members  map[string]Member
 }
 
-// Take brings the table up to date with what was told.
+// Take applies an update.
 func (t *Table) Take(l List) {
 	if l.Complete || t.members == nil {
 		t.members = map[string]Member{}
@@ -26,13 +26,13 @@
 	}
 }
 
-// Revision is that of what was told last.
+// Revision returns the revision of the last update.
 func (t *Table) Revision() int64 { return t.revision }
 
-// Members is the table by id, to be read only.
+// Members returns the instances by ID. The map must not be modified.
 func (t *Table) Members() map[string]Member { return t.members }
 
-// List is the whole table.
+// List returns the complete list, ordered by ID.
 func (t *Table) List() List {
 	l := List{Revision: t.revision, Complete: true}
 	for _, m := range t.members {
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -6,44 +6,44 @@
 	"caperrelay/decide"
 )
 
-// Leaser gets leases of the budget for cold instances. Its methods must not block; what is granted is
-// told by [Loop.Leased].
+// Leaser obtains leases of the budget for cold instances. Its methods must not block; granted leases are
+// reported through [Loop.Leased].
 type Leaser interface {
-	// Want asks for one.
+	// Want requests a lease.
 	Want(instance string, process int64, work float64)
-	// Spent says that one has been used.
+	// Spent reports that a lease has been used.
 	Spent(Lease)
 }
 
-// Lease lets the loop send one job of so much work to an instance that has just started.
+// Lease permits the loop to send one job with the given work to an instance that has just started.
 type Lease struct {
 	Instance string
-	Process  int64   // its start, in microseconds of Unix time
-	Work     float64 // seconds of a slot
+	Process  int64   // the instance's start, in microseconds of Unix time
+	Work     float64 // in slot seconds
 	Until    time.Time
-	Ref      any // the leaser's own
+	Ref      any // opaque, for the leaser
 }
 
-// mostLeases is how many are kept; what ends unused is forgotten with the next.
-const mostLeases = 4096
+// maxLeases bounds the stored leases; unused ones that have expired are removed when it is reached.
+const maxLeases = 4096
 
-// LeaseBy says who leases. It must come before Run.
+// LeaseBy sets the leaser. It must be called before Run.
 func (l *Loop) LeaseBy(by Leaser) { l.leaser = by }
 
-// Leased takes a lease.
+// Leased stores a granted lease.
 func (l *Loop) Leased(t Lease) {
 	l.post(func(l *Loop) {
 		now := time.Now()
-		if !t.Until.After(now) || l.yielded {
+		if !t.Until.After(now) || l.handedOver {
 			return
 		}
-		if len(l.leases) >= mostLeases {
+		if len(l.leases) >= maxLeases {
 			for id, other := range l.leases {
 				if !other.Until.After(now) {
 					delete(l.leases, id)
 				}
 			}
-			if len(l.leases) >= mostLeases {
+			if len(l.leases) >= maxLeases {
 				return
 			}
 		}
@@ -52,8 +52,8 @@
 		}
 		l.leaseID++
 		l.leases[l.leaseID] = t
-		l.tell(decide.Lease{
-			ID: l.leaseID, Worker: l.number(t.Instance), Started: time.Duration(t.Process) * time.Microsecond, Work: t.Work,
+		l.queueEvent(decide.Lease{
+			ID: l.leaseID, Worker: l.workerID(t.Instance), Started: time.Duration(t.Process) * time.Microsecond, Work: t.Work,
 			Until: moduleTime(t.Until),
 		})
 	})
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -6,14 +6,14 @@
 	"caperrelay/decide"
 )
 
-// send starts an attempt. Its deadline is the command's, or sooner where the module says so.
-func (l *Loop) send(s decide.Send, now time.Time) {
-	h := l.requests[s.Request]
+// startAttempt starts an attempt. Its deadline is the command's, or earlier if the decision module says so.
+func (l *Loop) startAttempt(s decide.Send, now time.Time) {
+	h := l.byRequest[s.Request]
 	if h == nil {
 		return
 	}
 	a := &Attempt{
-		Command: h.Command, Instance: l.workers[s.Worker], N: len(h.attempts), Deadline: h.Deadline,
+		Command: h.Command, Instance: l.instanceIDs[s.Worker], N: len(h.attempts), Deadline: h.Deadline,
 		MostIdle: s.MostIdle, Fresh: s.Fresh, request: s.Request,
 	}
 	if s.Timeout > 0 {
@@ -27,58 +27,58 @@
 		l.leaser.Spent(t)
 	}
 	h.attempts = append(h.attempts, a)
-	h.out++
+	h.outstanding++
 	l.Books.Sent.Add(1)
-	if h.left.Load() { // word of it is on its way to the loop
-		l.lapse(h)
+	if h.clientGone.Load() { // the disconnect message is still queued
+		l.cancelCommand(h)
 	}
-	if h.answered || !a.Deadline.After(now) || h.at(a.Instance, a) {
-		l.end(a, decide.Moot)
+	if h.answered || !a.Deadline.After(now) || h.mayBeAt(a.Instance, a) {
+		l.endAttempt(a, decide.Moot)
 		return
 	}
-	l.timers.Start(&a.deadline, a.Deadline, func() { l.expire(a) })
-	l.let(a)
+	l.timers.Start(&a.deadlineTimer, a.Deadline, func() { l.expireAttempt(a) })
+	l.sendOrWait(a)
 }
 
-// at tells whether an instance may still hold an earlier attempt of the command. It guards
-// against a second one overtaking the word that the first is given up.
-func (h *held) at(instance string, but *Attempt) bool {
+// mayBeAt reports whether an instance may still have an earlier attempt of the command. A second attempt could
+// otherwise overtake the cancellation of the first.
+func (h *pendingCommand) mayBeAt(instance string, but *Attempt) bool {
 	for _, a := range h.attempts {
-		if a != but && a.Instance == instance && (!a.over || a.leaving.Load()) {
+		if a != but && a.Instance == instance && (!a.ended || a.cancelUnconfirmed.Load()) {
 			return true
 		}
 	}
 	return false
 }
 
-// expire ends an attempt at its deadline: nothing has come back.
-func (l *Loop) expire(a *Attempt) {
-	if !a.over {
-		l.giveUp(a)
-		l.end(a, decide.TimedOut)
+// expireAttempt ends an attempt that has had no result by its deadline.
+func (l *Loop) expireAttempt(a *Attempt) {
+	if !a.ended {
+		l.cancelAtInstance(a)
+		l.endAttempt(a, decide.TimedOut)
 	}
 }
 
-// cancel ends an attempt on the module's word.
-func (l *Loop) cancel(c decide.Cancel) {
-	h := l.requests[c.Request]
-	if h == nil || c.Attempt < 0 || c.Attempt >= len(h.attempts) || h.attempts[c.Attempt].over {
+// cancelAttempt cancels an attempt at the decision module's request.
+func (l *Loop) cancelAttempt(c decide.Cancel) {
+	h := l.byRequest[c.Request]
+	if h == nil || c.Attempt < 0 || c.Attempt >= len(h.attempts) || h.attempts[c.Attempt].ended {
 		return
 	}
 	a := h.attempts[c.Attempt]
-	l.giveUp(a)
-	l.end(a, decide.Cancelled)
+	l.cancelAtInstance(a)
+	l.endAttempt(a, decide.Cancelled)
 }
 
-func (l *Loop) giveUp(a *Attempt) {
-	if a.gate == waits {
-		return // nobody has it
+func (l *Loop) cancelAtInstance(a *Attempt) {
+	if a.gateState == gateWaiting {
+		return // no instance has it
 	}
-	a.leaving.Store(true)
+	a.cancelUnconfirmed.Store(true)
 	l.fleet.GiveUp(a)
 }
 
-// TakeBack has an instance drop a job that another dispatcher has sent there, which cannot do so itself any more.
+// TakeBack cancels a job at an instance that was sent by another dispatcher, which can no longer do so itself.
 func (l *Loop) TakeBack(instance, id string) {
 	l.post(func(l *Loop) { l.fleet.GiveUp(&Attempt{Command: &Command{ID: id}, Instance: instance}) })
 }
--- /dev/null
+++ b/internal/dispatch/settings.go
@@ -0,0 +1,169 @@
+package dispatch
+
+import (
+	"errors"
+	"slices"
+
+	"caperrelay/decide"
+	"caperrelay/internal/wire"
+)
+
+// Settings may change while commands are pending. Elsewhere classes, tenants, zones and kinds are identified by
+// name; the decision module identifies them by numbers that are assigned here and never reused, since pending
+// commands refer to them.
+
+// maxRetiredNames is how many names of one sort may stay numbered after they have left the settings. Beyond that
+// further settings are rejected: a process that has met more should be restarted.
+const maxRetiredNames = 1000
+
+// unknownNumber is the number of all names that are not in the settings, far from those that are assigned.
+const unknownNumber = 1 << 20
+
+// numberedNames is all names that have a number, with the subset that is in the settings.
+type numberedNames struct {
+	wire.Names
+	configured wire.Names
+}
+
+// retired returns how many names stay numbered that are no longer in the settings, for the sort with the most.
+func (n numberedNames) retired() int {
+	return max(len(n.Classes)-len(n.configured.Classes), len(n.Tenants)-len(n.configured.Tenants), len(n.Zones)-len(n.configured.Zones), len(n.Kinds)-len(n.configured.Kinds))
+}
+
+// Retune applies new settings. If it returns an error, nothing has changed. It waits for the loop, but not for
+// any peer.
+func (l *Loop) Retune(s decide.Settings, n wire.Names) error {
+	done := make(chan error, 1)
+	l.post(func(l *Loop) { done <- l.reconfigure(l.mapSettings(s, n)) })
+	return <-done
+}
+
+func (l *Loop) reconfigure(s decide.Settings, n numberedNames) error {
+	if n.retired() > maxRetiredNames {
+		return errors.New("settings: too many names since the start")
+	}
+	if err := l.mod.Retune(s); err != nil {
+		return err
+	}
+	l.settings, l.allNames, l.configuredNames = s, n.Names, n.configured
+	l.Books.addClasses(n.Classes)
+	return nil
+}
+
+// mapSettings converts settings to the numbers in use.
+func (l *Loop) mapSettings(s decide.Settings, n wire.Names) (decide.Settings, numberedNames) {
+	all := numberedNames{configured: n}
+	var zones, kinds, classes, tenants []int
+	all.Reports = n.Reports
+	all.Zones, zones = mergeNames(l.allNames.Zones, n.Zones)
+	all.Kinds, kinds = mergeNames(l.allNames.Kinds, n.Kinds)
+	all.Classes, classes = mergeNames(l.allNames.Classes, n.Classes)
+	all.Tenants, tenants = mergeNames(l.allNames.Tenants, n.Tenants)
+	s.Zone = mapNumber(s.Zone, zones)
+	known := make([]decide.Class, len(all.Classes))
+	for i := range copy(known, l.settings.Classes) {
+		known[i].Left = true
+	}
+	for i, c := range s.Classes {
+		c.Kind = mapNumber(c.Kind, kinds)
+		known[classes[i]] = c
+	}
+	if len(classes) > 0 {
+		s.First = classes[0]
+	}
+	shares := make([]decide.Tenant, len(all.Tenants))
+	for i := range copy(shares, l.settings.Tenants) {
+		shares[i].Left = true
+	}
+	for i, t := range s.Tenants {
+		shares[tenants[i]] = t
+	}
+	s.Classes, s.Tenants = known, shares
+	return s, all
+}
+
+// mapNumber returns the number in use of a zone or kind that the settings give by its index in their names.
+// Indexes past the end are names that are not in the settings; negative values mean none or any.
+func mapNumber(place int, numbers []int) int {
+	switch {
+	case place < 0:
+		return place
+	case place < len(numbers):
+		return numbers[place]
+	}
+	return unknownNumber + place - len(numbers)
+}
+
+// numberOf returns the number in use of a zone or kind from the instance list.
+func numberOf(all, own []string, name string) int {
+	if indexOrLen(own, name) == len(own) {
+		return unknownNumber
+	}
+	return indexOrLen(all, name)
+}
+
+func (l *Loop) zoneNumber(name string) int {
+	return numberOf(l.allNames.Zones, l.configuredNames.Zones, name)
+}
+func (l *Loop) kindNumber(name string) int {
+	return numberOf(l.allNames.Kinds, l.configuredNames.Kinds, name)
+}
+
+// mergeNames appends the names that are new and returns the index of each.
+func mergeNames(have, names []string) (all []string, at []int) {
+	all = slices.Clone(have)
+	for _, name := range names {
+		i := indexOrLen(all, name)
+		if i == len(all) {
+			all = append(all, name)
+		}
+		at = append(at, i)
+	}
+	return all, at
+}
+
+// formerSuffix marks a class of an older process whose definition differs from that of the same name here.
+// Commands that were pending there keep their definition: what must not run twice under the old one must not
+// under the new one.
+const formerSuffix = "\x00former"
+
+// mergeClasses adds the classes of another process that are missing or defined differently here, since commands
+// of these classes are taken over. It returns the number of each of its classes here.
+func (l *Loop) mergeClasses(given Handed) []int {
+	n, s := l.allNames, l.settings
+	theirs, classes := slices.Clone(given.Names.Classes), slices.Clone(given.Classes)
+	for i := range classes {
+		if c := &classes[i]; c.Kind >= 0 {
+			c.Kind = l.kindNumber(nameAt(given.Names.Kinds, c.Kind))
+		}
+		if j := slices.Index(n.Classes, theirs[i]); j >= 0 && !sameClass(classes[i], s.Classes[j]) {
+			theirs[i] += formerSuffix
+		}
+	}
+	names, at := mergeNames(n.Classes, theirs)
+	n.Classes, s.Classes = names, slices.Clone(s.Classes)
+	for i, c := range classes {
+		if at[i] >= len(s.Classes) {
+			c.Left = true
+			s.Classes = append(s.Classes, c)
+		}
+	}
+	if err := l.reconfigure(s, numberedNames{n, l.configuredNames}); err != nil {
+		l.log.Error("settings of the older process", "err", err)
+	}
+	return at
+}
+
+// sameClass reports whether two definitions of a class are equal.
+func sameClass(a, b decide.Class) bool {
+	a.Left = b.Left
+	return a == b
+}
+
+// nameAt returns the name with a number, or "" if there is none.
+func nameAt(names []string, i int) string {
+	if i < 0 || i >= len(names) {
+		return ""
+	}
+	return names[i]
+}
--- a/internal/dispatch/retune_test.go
+++ b/internal/dispatch/settings_test.go
@@ -99,9 +99,9 @@
 func (p *play) list() {
 	var lines []decide.Worker
 	for _, m := range p.members {
-		w := p.line(m, p.number(m.ID))
+		w := p.toWorker(m, p.workerID(m.ID))
 		if w.Started > 0 {
-			w.Started = p.now - wallTime(m.Started)
+			w.Started = p.now - sinceEpoch(m.Started)
 		}
 		lines = append(lines, w)
 	}
@@ -124,7 +124,7 @@
 			n := p.tries[a.Request]
 			p.tries[a.Request]++
 			h := fnv.New32a()
-			fmt.Fprint(h, a.Request, n, p.workers[a.Worker])
+			fmt.Fprint(h, a.Request, n, p.instanceIDs[a.Worker])
 			what, takes := h.Sum32()%8, time.Duration(20+h.Sum32()/8%200)*time.Millisecond
 			if what < 5 {
 				p.in(takes/8, decide.JobStarted{Request: a.Request, Attempt: n})
@@ -168,7 +168,7 @@
 		}
 		reloaded, started := newPlay(rt, before, members), newPlay(rt, after, members)
 		reloaded.list()
-		require.NoError(rt, reloaded.retune(reloaded.fit(after.Settings, after.Names)))
+		require.NoError(rt, reloaded.reconfigure(reloaded.mapSettings(after.Settings, after.Names)))
 		reloaded.told = nil
 		for _, p := range []*play{reloaded, started} {
 			p.list()
@@ -205,7 +205,7 @@
 	}, wire.Names{Classes: []string{"a"}, Zones: []string{"east", "west"}, Kinds: []string{"old", "new"}}, f, f, f, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	at := func(zone, kind string) [2]int {
-		w := l.line(Member{Zone: zone, Kind: kind}, 1)
+		w := l.toWorker(Member{Zone: zone, Kind: kind}, 1)
 		return [2]int{w.Zone, w.Kind}
 	}
 	require.Equal(t, [2]int{1, 1}, at("west", "new"))
@@ -213,14 +213,14 @@
 
 	s := l.settings
 	s.Classes, s.Zone = []decide.Class{{Aim: time.Second, Deadline: time.Second, Kind: 0}}, 0
-	require.NoError(t, l.retune(l.fit(s, wire.Names{Classes: []string{"a"}, Kinds: []string{"new"}}))) // without zones
+	require.NoError(t, l.reconfigure(l.mapSettings(s, wire.Names{Classes: []string{"a"}, Kinds: []string{"new"}}))) // without zones
 	require.Equal(t, at("east", "new"), at("west", "new"), "all are in the one place")
 	require.Equal(t, l.settings.Zone, at("east", "new")[0], "which is the dispatcher's")
 	require.Equal(t, l.settings.Classes[0].Kind, at("east", "new")[1])
 	require.Equal(t, at("east", "old"), at("east", "older"), "the settings name neither")
 
 	s.Zone = 1
-	require.NoError(t, l.retune(l.fit(s, wire.Names{Classes: []string{"a"}, Kinds: []string{"new"}, Zones: []string{"north", "west"}})))
+	require.NoError(t, l.reconfigure(l.mapSettings(s, wire.Names{Classes: []string{"a"}, Kinds: []string{"new"}, Zones: []string{"north", "west"}})))
 	require.Equal(t, l.settings.Zone, at("west", "new")[0])
 	require.Equal(t, at("east", "new"), at("south", "new"))
 	require.NotEqual(t, at("east", "new"), at("north", "new"))
@@ -237,14 +237,14 @@
 		for i := range n {
 			names.Tenants = append(names.Tenants, fmt.Sprint(of, i))
 		}
-		return l.retune(l.fit(s, names))
+		return l.reconfigure(l.mapSettings(s, names))
 	}
 	for range 3 {
-		require.NoError(t, reload("first ", 3*mostNames))
+		require.NoError(t, reload("first ", 3*maxRetiredNames))
 	}
 	require.Error(t, reload("second ", 5), "so many names have left")
-	require.NoError(t, reload("first ", 2*mostNames))
-	require.Len(t, l.names.Tenants, 3*mostNames)
+	require.NoError(t, reload("first ", 2*maxRetiredNames))
+	require.Len(t, l.allNames.Tenants, 3*maxRetiredNames)
 }
 
 // A command in hand keeps its class where it changes hands to a process whose settings have another class of that name: what must not
@@ -254,10 +254,10 @@
 	strict := older.settings
 	strict.Classes = slices.Clone(strict.Classes)
 	strict.Classes[0].Effect = decide.Unsafe
-	require.NoError(t, older.retune(older.fit(strict, older.names)))
+	require.NoError(t, older.reconfigure(older.mapSettings(strict, older.allNames)))
 	older.Take(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: &client{}})
 	older.News(News{ID: "c1", From: "s-1", State: Done})
-	older.batch()
+	older.runBatch()
 	require.Len(t, f.sent, 2)
 
 	l, c := loop(t, &fleet{}), &client{}
@@ -269,16 +269,16 @@
 		l.Relieve(given)
 		return true
 	})
-	older.batch()
-	l.batch()
+	older.runBatch()
+	l.runBatch()
 	l.Became(Fate{ID: "c2", Outcome: decide.Reset})
-	l.batch()
+	l.runBatch()
 	require.Equal(t, []Answer{{Verdict: Failed}}, c.answers, "it may have run")
 	own := &client{}
 	l.Take(&Command{ID: "c3", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: own})
-	l.batch()
-	l.Ended(l.requests[l.lastID].attempts[0], decide.Reset, 0)
-	l.batch()
+	l.runBatch()
+	l.Ended(l.byRequest[l.lastID].attempts[0], decide.Reset, 0)
+	l.runBatch()
 	require.Empty(t, own.answers, "what has come since goes by the own settings")
 	require.Contains(t, l.Books.Figures(), "proxy.bad_gateway.safe=1\n")
 	require.NotContains(t, l.Books.Figures(), "former")
@@ -291,8 +291,8 @@
 		s := older.settings
 		s.Classes = slices.Clone(s.Classes)
 		s.Classes[0].Deadline = deadline
-		require.NoError(t, older.retune(older.fit(s, older.names)))
-		h := Handed{Module: older.mod.Memory(), Numbers: older.workers, Names: older.names, Classes: older.settings.Classes}
+		require.NoError(t, older.reconfigure(older.mapSettings(s, older.allNames)))
+		h := Handed{Module: older.mod.Memory(), Numbers: older.instanceIDs, Names: older.allNames, Classes: older.settings.Classes}
 		h.Module.Classes[0] = decide.ClassMemory{Run: 9, LogRun: 2, Jobs: 50, Budget: deadline}
 		return h
 	}
@@ -300,8 +300,8 @@
 		learned := func(h Handed) decide.ClassMemory {
 			l := loop(t, &fleet{})
 			teach(l, h)
-			l.batch()
-			return l.mod.Memory().Classes[place(l.names.Classes, "safe")]
+			l.runBatch()
+			return l.mod.Memory().Classes[indexOrLen(l.allNames.Classes, "safe")]
 		}
 		require.Positive(t, learned(given(time.Hour)).Jobs, name)
 		require.Zero(t, learned(given(time.Minute)).Jobs, name)
@@ -327,10 +327,10 @@
 	}
 	f := &fleet{}
 	older := begin(f, "elsewhere")
-	require.NoError(t, older.retune(older.fit(settings("east", "west"))))
+	require.NoError(t, older.reconfigure(older.mapSettings(settings("east", "west"))))
 	older.Listed(List{Members: []Member{{ID: "s-1", Zone: "east", State: decide.Ready}}}, true)
 	older.Take(&Command{ID: "c1", Class: "keyed", Deadline: time.Now().Add(time.Hour), Client: &client{}})
-	older.batch()
+	older.runBatch()
 	require.Len(t, f.sent, 1)
 
 	took := &fleet{}
@@ -343,10 +343,10 @@
 		l.Relieve(given)
 		return true
 	})
-	older.batch()
-	l.batch()
+	older.runBatch()
+	l.runBatch()
 	l.Became(Fate{ID: "c1", Outcome: decide.Reset})
-	l.batch()
+	l.runBatch()
 	require.Empty(t, took.sent, "its zone is the other one")
 }
 
@@ -363,7 +363,7 @@
 		fresh.Relieve(given)
 		return true
 	})
-	older.batch()
-	fresh.batch()
+	older.runBatch()
+	fresh.runBatch()
 	require.Equal(t, before, fresh.mod.Memory().Classes[0])
 }
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/timerlag_test.go
@@ -13,11 +13,11 @@
 // A dispatcher short of processor time answered late, and its log said nothing of it.
 func TestLateLoopIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
-	n := lateness{log: slog.New(slog.NewTextHandler(&out, nil))}
+	n := timerLagLog{log: slog.New(slog.NewTextHandler(&out, nil))}
 	due := time.Now()
 	for range 5 {
 		due = due.Add(time.Second)
-		n.fired(due, due.Add(lateNotice-time.Millisecond))
+		n.fired(due, due.Add(lagLogThreshold-time.Millisecond))
 	}
 	require.Empty(t, out.String())
 	for range 5 {
@@ -25,7 +25,7 @@
 		n.fired(due, due.Add(300*time.Millisecond))
 	}
 	require.Equal(t, 1, strings.Count(out.String(), "late=300ms"))
-	due = due.Add(lateQuiet + time.Second)
+	due = due.Add(lagLogQuiet + time.Second)
 	n.fired(due, due.Add(300*time.Millisecond))
 	require.Equal(t, 2, strings.Count(out.String(), "late=300ms"))
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -18,34 +18,34 @@
 type Holder struct {
 	now     time.Duration
 	seq     uint64
-	keepers []keeper
+	granters []granter
 	next    int
-	asked   map[uint64]asking
+	pending   map[uint64]pendingRequest
 }
 
-type keeper struct {
+type granter struct {
 	up    bool
 	epoch uint64
-	again map[string]time.Duration // by instance: not to be asked before
+	retryAt map[string]time.Duration // by instance: not to be asked before
 }
 
-type asking struct {
-	keeper int
+type pendingRequest struct {
+	granter int
 	at     time.Duration
-	want   Want
+	request   Want
 }
 
-// patience is how long an answer is waited for; a lease that comes later has expired anyway.
-const patience = time.Second
+// answerTimeout is how long an answer is waited for; a lease that comes later has expired anyway.
+const answerTimeout = time.Second
 
-// mostAsked bounds what is asked for at one time.
-const mostAsked = 256
+// maxPending bounds what is asked for at one time.
+const maxPending = 256
 
 // NewHolder returns a holder that knows so many keepers, none of them up.
 func NewHolder(keepers int) *Holder {
-	h := &Holder{keepers: make([]keeper, keepers), asked: map[uint64]asking{}}
-	for i := range h.keepers {
-		h.keepers[i].again = map[string]time.Duration{}
+	h := &Holder{granters: make([]granter, keepers), pending: map[uint64]pendingRequest{}}
+	for i := range h.granters {
+		h.granters[i].retryAt = map[string]time.Duration{}
 	}
 	return h
 }
@@ -53,40 +53,40 @@
 // Up says that a keeper can be asked, and which process it is.
 func (h *Holder) Up(k int, epoch uint64) {
 	h.Down(k)
-	h.keepers[k].up, h.keepers[k].epoch = true, epoch
+	h.granters[k].up, h.granters[k].epoch = true, epoch
 }
 
 // Down says that a keeper cannot be asked. What it granted goes on to hold until it expires.
 func (h *Holder) Down(k int) {
-	h.keepers[k].up = false
-	clear(h.keepers[k].again)
-	for seq, a := range h.asked {
-		if a.keeper == k {
-			delete(h.asked, seq)
+	h.granters[k].up = false
+	clear(h.granters[k].retryAt)
+	for seq, a := range h.pending {
+		if a.granter == k {
+			delete(h.pending, seq)
 		}
 	}
 }
 
-func (h *Holder) turn(now time.Duration) { h.now = max(h.now, now) }
+func (h *Holder) advance(now time.Duration) { h.now = max(h.now, now) }
 
 // Ask tells which keeper to send a want to; false: none now.
 func (h *Holder) Ask(now time.Duration, instance string, process int64, work float64) (k int, w Want, ok bool) {
-	h.turn(now)
-	for seq, a := range h.asked {
-		if h.now-a.at >= patience {
-			delete(h.asked, seq)
+	h.advance(now)
+	for seq, a := range h.pending {
+		if h.now-a.at >= answerTimeout {
+			delete(h.pending, seq)
 		}
 	}
-	if len(h.asked) >= mostAsked {
+	if len(h.pending) >= maxPending {
 		return 0, Want{}, false
 	}
-	for range h.keepers {
+	for range h.granters {
 		k = h.next
-		h.next = (h.next + 1) % len(h.keepers)
-		if p := &h.keepers[k]; p.up && p.again[instance] <= h.now {
+		h.next = (h.next + 1) % len(h.granters)
+		if p := &h.granters[k]; p.up && p.retryAt[instance] <= h.now {
 			h.seq++
 			w = Want{Seq: h.seq, Instance: instance, Process: process, Work: work}
-			h.asked[h.seq] = asking{k, h.now, w}
+			h.pending[h.seq] = pendingRequest{k, h.now, w}
 			return k, w, true
 		}
 	}
@@ -95,18 +95,18 @@
 
 // Granted takes a keeper's answer; false: there is nothing in it that may be used.
 func (h *Holder) Granted(now time.Duration, k int, epoch uint64, g Grant) (Held, bool) {
-	h.turn(now)
-	a, ok := h.asked[g.Seq]
-	if !ok || a.keeper != k || h.keepers[k].epoch != epoch {
+	h.advance(now)
+	a, ok := h.pending[g.Seq]
+	if !ok || a.granter != k || h.granters[k].epoch != epoch {
 		return Held{}, false
 	}
-	delete(h.asked, g.Seq)
+	delete(h.pending, g.Seq)
 	if g.ID == 0 {
-		if again := h.keepers[k].again; len(again) < mostLeases {
-			again[a.want.Instance] = h.now + min(g.Again, 2*time.Second)
+		if again := h.granters[k].retryAt; len(again) < maxLeases {
+			again[a.request.Instance] = h.now + min(g.Again, 2*time.Second)
 		}
 		return Held{}, false
 	}
-	held := Held{Keeper: k, Epoch: epoch, ID: g.ID, Instance: a.want.Instance, Process: a.want.Process, Work: a.want.Work, Until: a.at + g.Valid}
+	held := Held{Keeper: k, Epoch: epoch, ID: g.ID, Instance: a.request.Instance, Process: a.request.Process, Work: a.request.Work, Until: a.at + g.Valid}
 	return held, held.Until > h.now
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -63,10 +63,10 @@
 type Book struct {
 	terms   Terms
 	now     time.Duration
-	opens   time.Duration // nothing is granted before: what a keeper before it granted may be in use
-	members map[string]*account
-	leases  map[uint64]*granted
-	last    uint64
+	grantsFrom   time.Duration // nothing is granted before: what a keeper before it granted may be in use
+	encoders map[string]*account
+	leases  map[uint64]*issuedLease
+	lastID    uint64
 	Stats   Stats
 }
 
@@ -75,78 +75,78 @@
 
 type account struct {
 	Member
-	counting float64 // work of leases that count
-	queue    []*granted
+	counted float64 // work of leases that count
+	queue    []*issuedLease
 }
 
-// granted is a lease that counts against the budget, until a moment.
-type granted struct {
+// issuedLease is a lease that counts against the budget, until a moment.
+type issuedLease struct {
 	id      uint64
 	sender  string
 	account *account
 	work    float64
 	expires time.Duration
-	until   time.Duration // expiry and a window; sooner once it is known what became of it
-	over    bool
+	countsUntil   time.Duration // expiry and a window; sooner once it is known what became of it
+	released    bool
 }
 
-// mostLeases bounds what is kept of one encoder: beyond it nothing is granted.
-const mostLeases = 4096
+// maxLeases bounds what is kept of one encoder: beyond it nothing is granted.
+const maxLeases = 4096
 
 // NewBook returns a keeper that grants nothing for a lease's life and a window from now on.
 func NewBook(t Terms, now time.Duration) *Book {
 	return &Book{
-		terms: t, now: now, opens: now + t.Life + t.Window, members: map[string]*account{}, leases: map[uint64]*granted{},
+		terms: t, now: now, grantsFrom: now + t.Life + t.Window, encoders: map[string]*account{}, leases: map[uint64]*issuedLease{},
 	}
 }
 
 // Retune has the keeper go by other terms. What is granted keeps its life. A larger part than before counts
 // only once leases of the other keepers, which may have had it, have ended.
 func (b *Book) Retune(now time.Duration, t Terms) {
-	b.turn(now)
+	b.advance(now)
 	if t.Keepers < b.terms.Keepers || t.Multiple != b.terms.Multiple {
-		b.opens = max(b.opens, b.now+max(t.Life, b.terms.Life)+max(t.Window, b.terms.Window))
+		b.grantsFrom = max(b.grantsFrom, b.now+max(t.Life, b.terms.Life)+max(t.Window, b.terms.Window))
 	}
 	b.terms = t
 }
 
 // Suspend has the keeper grant nothing for as long as after its start: another may have granted meanwhile.
 func (b *Book) Suspend(now time.Duration) {
-	b.turn(now)
-	b.opens = max(b.opens, b.now+b.terms.Life+b.terms.Window)
+	b.advance(now)
+	b.grantsFrom = max(b.grantsFrom, b.now+b.terms.Life+b.terms.Window)
 }
 
-// turn takes the keeper's time on; it never goes back.
-func (b *Book) turn(now time.Duration) { b.now = max(b.now, now) }
+// advance takes the keeper's time on; it never goes back.
+func (b *Book) advance(now time.Duration) { b.now = max(b.now, now) }
 
 // Listed takes the encoders that there are. One whose process is another begins anew.
 func (b *Book) Listed(now time.Duration, members []Member) {
-	b.turn(now)
+	b.advance(now)
 	next := make(map[string]*account, len(members))
 	for _, m := range members {
-		a := b.members[m.ID]
+		a := b.encoders[m.ID]
 		if a == nil || a.Process != m.Process {
 			if a != nil {
-				b.forget(a)
+				b.dropLeases(a)
 			}
 			a = &account{}
 		}
 		a.Member = m
 		next[m.ID] = a
 	}
-	for id, a := range b.members {
+	for id, a := range b.encoders {
 		if next[id] == nil {
-			b.forget(a)
+			b.dropLeases(a)
 		}
 	}
-	b.members = next
+	b.encoders = next
 }
 
-// forget drops the leases of a process that is no more: nobody can use them.
-func (b *Book) forget(a *account) {
+// dropLeases drops the leases of a process that is no more: nobody can use them.
+func (b *Book) dropLeases(a *account) {
 	for _, g := range a.queue {
-		if !g.over {
-			g.over = true
+		if !g.released {
+			g.released = true
 			delete(b.leases, g.id)
 		}
 	}
@@ -169,18 +169,18 @@
 
 // Counting is the work that counts against an encoder's budget now.
 func (b *Book) Counting(id string) float64 {
-	if a := b.members[id]; a != nil {
-		b.expire(a)
-		return a.counting
+	if a := b.encoders[id]; a != nil {
+		b.dropExpired(a)
+		return a.counted
 	}
 	return 0
 }
 
 // Ask answers a sender. What is granted is never more, with all that counts, than the budget.
 func (b *Book) Ask(now time.Duration, sender string, w Want) Grant {
-	b.turn(now)
+	b.advance(now)
 	b.Stats.Asked++
-	a := b.members[w.Instance]
+	a := b.encoders[w.Instance]
 	deny := func(again time.Duration) Grant {
 		b.Stats.Denied++
 		return Grant{Seq: w.Seq, Again: max(again, 10*time.Millisecond)}
@@ -189,28 +189,28 @@
 	case a == nil || a.Process != w.Process && !a.Any || !(w.Work >= 0) || math.IsInf(w.Work, 1):
 		b.Stats.Stale++
 		return deny(b.terms.Life)
-	case b.now < b.opens:
-		return deny(b.opens - b.now)
+	case b.now < b.grantsFrom:
+		return deny(b.grantsFrom - b.now)
 	}
-	b.expire(a)
-	if over := a.counting + w.Work - b.Budget(a.Member); over > 0 || len(a.queue) >= mostLeases {
-		return deny(a.free(b.now, over))
+	b.dropExpired(a)
+	if over := a.counted + w.Work - b.Budget(a.Member); over > 0 || len(a.queue) >= maxLeases {
+		return deny(a.timeUntilFree(b.now, over))
 	}
-	b.last++
-	g := &granted{id: b.last, sender: sender, account: a, work: w.Work, expires: b.now + b.terms.Life, until: b.now + b.terms.Life + b.terms.Window}
+	b.lastID++
+	g := &issuedLease{id: b.lastID, sender: sender, account: a, work: w.Work, expires: b.now + b.terms.Life, countsUntil: b.now + b.terms.Life + b.terms.Window}
 	a.queue = append(a.queue, g)
-	a.counting += w.Work
+	a.counted += w.Work
 	b.leases[g.id] = g
 	b.Stats.Granted++
 	return Grant{Seq: w.Seq, ID: g.id, Valid: time.Duration(float64(b.terms.Life) * (1 - Drift))}
 }
 
-// free is how long until so much work has stopped counting, if nothing else happens.
-func (a *account) free(now time.Duration, work float64) time.Duration {
+// timeUntilFree is how long until so much work has stopped counting, if nothing else happens.
+func (a *account) timeUntilFree(now time.Duration, work float64) time.Duration {
 	soonest := time.Duration(math.MaxInt64)
 	for _, g := range a.queue {
-		if work -= g.work; !g.over {
-			soonest = min(soonest, g.until-now)
+		if work -= g.work; !g.released {
+			soonest = min(soonest, g.countsUntil-now)
 		}
 	}
 	if soonest == math.MaxInt64 {
@@ -221,25 +221,25 @@
 
 // Done takes what became of a lease: spent just now, or given back unused.
 func (b *Book) Done(now time.Duration, sender string, id uint64, spent bool) {
-	b.turn(now)
+	b.advance(now)
 	g := b.leases[id]
-	if g == nil || g.sender != sender || g.over {
+	if g == nil || g.sender != sender || g.released {
 		return
 	}
 	if spent {
 		b.Stats.Spent++
-		g.until = min(g.until, b.now+b.terms.Window)
+		g.countsUntil = min(g.countsUntil, b.now+b.terms.Window)
 	} else {
 		b.Stats.Returned++
-		g.until = b.now
+		g.countsUntil = b.now
 	}
 	delete(b.leases, id) // said once
-	b.expire(g.account)
+	b.dropExpired(g.account)
 }
 
 // Held is how many leases have neither expired nor been given back or spent.
 func (b *Book) Held(now time.Duration, sender string) (n int) {
-	b.turn(now)
+	b.advance(now)
 	for _, g := range b.leases {
 		if g.sender == sender && g.expires > b.now {
 			n++
@@ -250,30 +250,30 @@
 
 // Orphans is how many leases count that no living sender holds.
 func (b *Book) Orphans(now time.Duration, living func(sender string) bool) (n int) {
-	b.turn(now)
+	b.advance(now)
 	for _, g := range b.leases {
-		if g.until > b.now && !living(g.sender) {
+		if g.countsUntil > b.now && !living(g.sender) {
 			n++
 		}
 	}
 	return n
 }
 
-// expire drops what counts no more.
-func (b *Book) expire(a *account) {
+// dropExpired drops what counts no more.
+func (b *Book) dropExpired(a *account) {
 	n := 0
-	a.counting = 0
+	a.counted = 0
 	for _, g := range a.queue {
-		if g.over || g.until <= b.now {
-			if !g.over && b.leases[g.id] != nil {
+		if g.released || g.countsUntil <= b.now {
+			if !g.released && b.leases[g.id] != nil {
 				b.Stats.Expired++
 				delete(b.leases, g.id)
 			}
-			g.over = true
+			g.released = true
 			continue
 		}
 		a.queue[n] = g
-		a.counting += g.work
+		a.counted += g.work
 		n++
 	}
 	clear(a.queue[n:])
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -66,7 +66,7 @@
 	*Holder
 	name   string
 	held   []Held
-	paused time.Duration // until then it does nothing
+	paused time.Duration // countsUntil then it does nothing
 	work   float64       // of its jobs
 	late   bool          // uses a lease at its last instant, else at once
 	tells  float64       // how often it says that it has spent one
--- a/internal/lease/places.go
+++ b/internal/lease/places.go
@@ -10,14 +10,14 @@
 // it does not know who has them.
 type Places struct {
 	from, to int
-	opens    time.Duration
+	assignsFrom    time.Duration
 	now      time.Duration
-	holders  map[int]*seat
+	assigned  map[int]*assignment
 }
 
-type seat struct {
+type assignment struct {
 	sender  string
-	present bool
+	connected bool
 	seen    time.Duration
 }
 
@@ -29,7 +29,7 @@
 
 // NewPlaces returns the range of keeper i of n, of so many places in all.
 func NewPlaces(i, n, all int, now time.Duration) *Places {
-	return &Places{from: i * all / n, to: (i + 1) * all / n, opens: now + FreeAfter, now: now, holders: map[int]*seat{}}
+	return &Places{from: i * all / n, to: (i + 1) * all / n, assignsFrom: now + FreeAfter, now: now, assigned: map[int]*assignment{}}
 }
 
 // Take gives a sender a place. had is the place that it has already, from whichever keeper; -1: none. The
@@ -38,27 +38,27 @@
 	p.now = max(p.now, now)
 	if had >= 0 {
 		if had >= p.from && had < p.to {
-			s := p.holders[had]
+			s := p.assigned[had]
 			if s != nil && s.sender != sender {
 				return -1 // two have it: the one that comes later gives it up
 			}
-			p.holders[had] = &seat{sender, true, p.now}
+			p.assigned[had] = &assignment{sender, true, p.now}
 		}
 		return had
 	}
-	for n, s := range p.holders {
+	for n, s := range p.assigned {
 		if s.sender == sender {
-			s.present, s.seen = true, p.now
+			s.connected, s.seen = true, p.now
 			return n
 		}
 	}
-	if p.now < p.opens {
+	if p.now < p.assignsFrom {
 		return -1
 	}
 	for n := p.from; n < p.to; n++ {
-		s := p.holders[n]
-		if s == nil || !s.present && p.now-s.seen >= FreeAfter {
-			p.holders[n] = &seat{sender, true, p.now}
+		s := p.assigned[n]
+		if s == nil || !s.connected && p.now-s.seen >= FreeAfter {
+			p.assigned[n] = &assignment{sender, true, p.now}
 			return n
 		}
 	}
@@ -68,12 +68,12 @@
 // Left says that a sender's stream has ended. It may live on.
 func (p *Places) Left(now time.Duration, sender string) {
 	p.now = max(p.now, now)
-	for _, s := range p.holders {
+	for _, s := range p.assigned {
 		if s.sender == sender {
-			s.present, s.seen = false, p.now
+			s.connected, s.seen = false, p.now
 		}
 	}
 }
 
 // Open ends the wait after the start: for a deployment that begins anew.
-func (p *Places) Open() { p.opens = 0 }
+func (p *Places) Open() { p.assignsFrom = 0 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -14,9 +14,9 @@
 // Rate is a zone of requests a second.
 type Rate struct {
 	perSecond float64
-	most      int
+	maxKeys      int
 	buckets   map[string]*list.Element
-	seen      *list.List // of *bucket, the last seen first
+	lru      *list.List // of *bucket, the last seen first
 }
 
 type bucket struct {
@@ -25,15 +25,15 @@
 	last   time.Duration
 }
 
-// mostKeys bounds any zone.
-const mostKeys = 10_000_000
+// keyLimit bounds any zone.
+const keyLimit = 10_000_000
 
 // NewRate returns a zone for at most so many keys.
 func NewRate(perSecond float64, most int) (*Rate, error) {
-	if !(perSecond > 0) || math.IsInf(perSecond, 1) || most < 1 || most > mostKeys {
+	if !(perSecond > 0) || math.IsInf(perSecond, 1) || most < 1 || most > keyLimit {
 		return nil, fmt.Errorf("limits: %v requests a second for %d keys", perSecond, most)
 	}
-	return &Rate{perSecond: perSecond, most: most, buckets: map[string]*list.Element{}, seen: list.New()}, nil
+	return &Rate{perSecond: perSecond, maxKeys: most, buckets: map[string]*list.Element{}, lru: list.New()}, nil
 }
 
 // Keys is how many are remembered.
@@ -51,15 +51,15 @@
 func (r *Rate) Take(now time.Duration, key string, b Burst) (wait time.Duration, ok bool) {
 	e := r.buckets[key]
 	if e == nil {
-		for len(r.buckets) >= r.most {
-			oldest := r.seen.Back()
+		for len(r.buckets) >= r.maxKeys {
+			oldest := r.lru.Back()
 			delete(r.buckets, oldest.Value.(*bucket).key)
-			r.seen.Remove(oldest)
+			r.lru.Remove(oldest)
 		}
-		r.buckets[key] = r.seen.PushFront(&bucket{key: key, last: now})
+		r.buckets[key] = r.lru.PushFront(&bucket{key: key, last: now})
 		return 0, true
 	}
-	r.seen.MoveToFront(e)
+	r.lru.MoveToFront(e)
 	k := e.Value.(*bucket)
 	passed := max(0, now-k.last).Seconds()
 	excess := max(0, k.excess-passed*r.perSecond+1)
@@ -76,22 +76,22 @@
 
 // Conns is a zone of requests at one time.
 type Conns struct {
-	most  int
+	maxKeys  int
 	count map[string]int
 }
 
 // NewConns returns a zone for at most so many keys at one time.
 func NewConns(most int) (*Conns, error) {
-	if most < 1 || most > mostKeys {
+	if most < 1 || most > keyLimit {
 		return nil, fmt.Errorf("limits: %d keys", most)
 	}
-	return &Conns{most: most, count: map[string]int{}}, nil
+	return &Conns{maxKeys: most, count: map[string]int{}}, nil
 }
 
 // Enter asks for one more of a key; each that is let in must Leave. With no room for another key it is refused.
 func (c *Conns) Enter(key string, limit int) bool {
 	n := c.count[key]
-	if n >= limit || n == 0 && len(c.count) >= c.most {
+	if n >= limit || n == 0 && len(c.count) >= c.maxKeys {
 		return false
 	}
 	c.count[key] = n + 1
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -95,7 +95,7 @@
 		z.Take(0, "often", Burst{Burst: 1e9})
 	}
 	require.Equal(t, 100, z.Keys())
-	require.Equal(t, 100, z.seen.Len())
+	require.Equal(t, 100, z.lru.Len())
 	_, ok := z.Take(0, "often", Burst{})
 	require.False(t, ok, "one that is seen often is remembered")
 	c, err := NewConns(2)
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -13,11 +13,11 @@
 type Timer struct {
 	due time.Time
 	do  func()
-	at  int // place in the heap, from 1; 0: stopped
+	pos  int // place in the heap, from 1; 0: stopped
 }
 
 // Set tells whether the timer is in a queue.
-func (t *Timer) Set() bool { return t.at > 0 }
+func (t *Timer) Set() bool { return t.pos > 0 }
 
 // Queue holds timers by due time. The zero value is empty. Adding and stopping cost O(log n).
 type Queue struct{ heap []*Timer }
@@ -28,9 +28,9 @@
 // Start sets a timer, anew if it was set: do is called by the first Fire at or after due.
 func (q *Queue) Start(t *Timer, due time.Time, do func()) {
 	q.Stop(t)
-	t.due, t.do, t.at = due, do, len(q.heap)+1
+	t.due, t.do, t.pos = due, do, len(q.heap)+1
 	q.heap = append(q.heap, t)
-	q.up(t.at - 1)
+	q.up(t.pos - 1)
 }
 
 // At sets a timer that nobody stops.
@@ -38,14 +38,14 @@
 
 // Stop takes a timer out, and drops what it would have done. One that is not set stays so.
 func (q *Queue) Stop(t *Timer) {
-	if t.at == 0 {
+	if t.pos == 0 {
 		return
 	}
-	i, last := t.at-1, len(q.heap)-1
+	i, last := t.pos-1, len(q.heap)-1
 	q.swap(i, last)
 	q.heap[last] = nil
 	q.heap = q.heap[:last]
-	if t.at, t.do = 0, nil; i < last {
+	if t.pos, t.do = 0, nil; i < last {
 		q.down(i)
 		q.up(i)
 	}
@@ -73,24 +73,24 @@
 // Clear stops all timers.
 func (q *Queue) Clear() {
 	for _, t := range q.heap {
-		t.at, t.do = 0, nil
+		t.pos, t.do = 0, nil
 	}
 	q.heap = nil
 }
 
-// leastRoom is the room that the heap never falls below.
-const leastRoom = 64
+// minCapacity is the room that the heap never falls below.
+const minCapacity = 64
 
 // shrink gives room back that a burst has left.
 func (q *Queue) shrink() {
-	if c := cap(q.heap); c > leastRoom && len(q.heap) < c/4 {
+	if c := cap(q.heap); c > minCapacity && len(q.heap) < c/4 {
 		q.heap = append(make([]*Timer, 0, c/2), q.heap...)
 	}
 }
 
 func (q *Queue) swap(i, j int) {
 	q.heap[i], q.heap[j] = q.heap[j], q.heap[i]
-	q.heap[i].at, q.heap[j].at = i+1, j+1
+	q.heap[i].pos, q.heap[j].pos = i+1, j+1
 }
 
 func (q *Queue) up(i int) {
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -76,7 +76,7 @@
 	for i := range timers {
 		q.Stop(&timers[i])
 	}
-	if q.Len() != 0 || cap(q.heap) > 4*leastRoom {
+	if q.Len() != 0 || cap(q.heap) > 4*minCapacity {
 		t.Errorf("%d timers in room for %d", q.Len(), cap(q.heap))
 	}
 }
