--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -29,7 +29,7 @@
 		case decide.WakeMe:
 			due := now.Add(a.After)
 			l.timers.At(due, func() {
-				l.timerLag.fired(due, time.Now())
+				l.timerLag.observe(due, time.Now())
 				l.queueEvent(decide.Wake{Token: a.Token})
 			})
 		case decide.Probe:
--- a/internal/dispatch/batch_test.go
+++ b/internal/dispatch/batch_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Messages that came as fast as the loop took them kept it from its timers and from every decision.
-func TestTimersFireWhileMessagesKeepComing(t *testing.T) {
-	l := loop(t, &fleet{})
+// Messages that arrived as fast as the loop processed them kept it from its timers and from every decision.
+func TestTimersFireUnderConstantMessages(t *testing.T) {
+	l := newTestLoop(t, &fleet{})
 	const enough = 10 * inboxSize
 	taken, atFire := 0, 0
 	l.timers.At(time.Now(), func() { atFire = taken })
--- a/internal/dispatch/disconnect_test.go
+++ b/internal/dispatch/disconnect_test.go
@@ -11,11 +11,12 @@
 	"caperrelay/decide"
 )
 
-// turn has the loop take the message that has waited longest, and no other.
-func turn(l *Loop) { (<-l.inbox)(l) }
+// processOne has the loop process the oldest queued message only.
+func processOne(l *Loop) { (<-l.inbox)(l) }
 
-// lapsedOnce fails unless one command has lapsed, unanswered, and nothing of it is kept.
-func lapsedOnce(t *testing.T, l *Loop, c *client) {
+// requireCancelledOnce fails unless exactly one command was cancelled without an answer, and nothing of it is
+// kept.
+func requireCancelledOnce(t *testing.T, l *Loop, c *client) {
 	l.runBatch()
 	require.EqualValues(t, 1, l.Books.Lapsed.Load())
 	require.Empty(t, c.answers)
@@ -23,21 +24,22 @@
 	require.Zero(t, l.Holding())
 }
 
-// A loop that was behind began attempts for clients that had gone: their leaving counts before the loop hears of it, for an
-// attempt that waits for its connection, at its gate, for a further one and for a command that the loop has not seen.
-func TestLeavingCountsBeforeTheLoopHearsOfIt(t *testing.T) {
+// A loop that was behind started attempts for clients that had disconnected. A disconnect counts before the loop
+// processes its message: for an attempt that waits for a connection or at its gate, for a further attempt, and
+// for a command that the loop has not processed yet.
+func TestDisconnectCountsBeforeLoopProcessesIt(t *testing.T) {
 	t.Run("under an attempt", func(t *testing.T) {
-		l, f, c := begin(t)
+		l, f, c := loopWithCommand(t)
 		require.False(t, f.sent[0].Expired(time.Now()))
 		l.Lapse(f.sent[0].Command)
 		require.True(t, f.sent[0].Expired(time.Now()))
 		l.Ended(f.sent[0], decide.Moot, 0)
-		lapsedOnce(t, l, c)
+		requireCancelledOnce(t, l, c)
 	})
 	t.Run("between two attempts", func(t *testing.T) {
-		l, f, c := begin(t)
+		l, f, c := loopWithCommand(t)
 		l.Ended(f.sent[0], decide.Reset, 0)
-		turn(l)
+		processOne(l)
 		l.handleEvents()
 		l.Lapse(f.sent[0].Command)
 		l.startAttempt(decide.Send{Request: f.sent[0].request, Worker: l.workerID("s-1")}, time.Now())
@@ -46,36 +48,37 @@
 		}
 		require.Len(t, f.sent, 1)
 		require.EqualValues(t, 2, l.Books.Sent.Load(), "it was asked for")
-		lapsedOnce(t, l, c)
+		requireCancelledOnce(t, l, c)
 	})
 	t.Run("before the loop has the command", func(t *testing.T) {
 		f, c := &fleet{}, &client{}
-		l := loop(t, f)
+		l := newTestLoop(t, f)
 		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
 		cmd := &Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c}
 		l.Take(cmd)
 		l.Lapse(cmd)
-		turn(l)
-		turn(l)
+		processOne(l)
+		processOne(l)
 		require.Empty(t, l.byRequest)
-		lapsedOnce(t, l, c)
+		requireCancelledOnce(t, l, c)
 		require.Empty(t, f.sent)
 	})
 	t.Run("at the gate", func(t *testing.T) {
-		l, f, c, g := gatedBegin(t)
-		l.Pass(g.asked[0], func() bool { return true })
-		l.Lapse(g.asked[0].Command)
-		turn(l)
+		l, f, c, g := loopWithGatedCommand(t)
+		l.Pass(g.requested[0], func() bool { return true })
+		l.Lapse(g.requested[0].Command)
+		processOne(l)
 		require.Empty(t, f.sent)
-		require.Equal(t, g.asked, g.never)
-		lapsedOnce(t, l, c)
+		require.Equal(t, g.requested, g.neverRan)
+		requireCancelledOnce(t, l, c)
 	})
 }
 
-// The older process saw a client leave whose command had changed hands: that counts in the newer one at once, too.
-func TestLeavingElsewhereCountsAtOnce(t *testing.T) {
-	older, f, c := begin(t)
-	l, c2 := loop(t, f), &client{}
+// A disconnect that the older process sees, of a client whose command was handed over, takes effect in the newer
+// process at once as well.
+func TestDisconnectSeenByOlderProcessCountsAtOnce(t *testing.T) {
+	older, f, c := loopWithCommand(t)
+	l, c2 := newTestLoop(t, f), &client{}
 	var cmd *HandedCommand
 	older.Yield(func(given Handed) bool {
 		cmd = given.Commands[0]
@@ -84,18 +87,19 @@
 		return true
 	})
 	older.runBatch()
-	require.Equal(t, []bool{true}, c.passed)
+	require.Equal(t, []bool{true}, c.handedOver)
 	l.LapseElsewhere("c1")
 	require.True(t, (&Attempt{Command: &cmd.Command}).Expired(time.Now()))
 	require.False(t, f.sent[0].Expired(time.Now()), "the older process has its own mark")
 	l.Became(Fate{ID: "c1", Outcome: decide.Moot})
-	lapsedOnce(t, l, c2)
+	requireCancelledOnce(t, l, c2)
 	_, kept := l.takenOver.Load("c1")
 	require.False(t, kept)
 }
 
-// What goes to another process is all that a command says, and not the mark, which this one may set meanwhile.
-func TestFieldsOfACommand(t *testing.T) {
+// The copy that is sent to another process contains all data of a command, without the disconnect flag, which
+// this process may set concurrently.
+func TestEncodableCopyOfCommand(t *testing.T) {
 	c := &Command{Payload: "p", Client: &client{}, Gate: &gate{}, Order: []string{"s-1"}, Deadline: time.Now()}
 	for v, i := reflect.ValueOf(c).Elem(), 0; i < v.NumField(); i++ {
 		switch f := v.Field(i); f.Kind() {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -13,29 +13,29 @@
 	"caperrelay/internal/wire"
 )
 
-// fleet notes what it is asked for; the loop under test runs by hand, without a goroutine.
+// fleet records what it is asked to do. The loop under test is run step by step, without a goroutine.
 type fleet struct {
-	sent, givenUp []*Attempt
-	became        []Fate
-	left          []string
+	sent, cancelled []*Attempt
+	updates         []Fate
+	disconnected    []string
 }
 
 func (f *fleet) Send(a *Attempt)     { f.sent = append(f.sent, a) }
-func (f *fleet) GiveUp(a *Attempt)   { f.givenUp = append(f.givenUp, a) }
+func (f *fleet) GiveUp(a *Attempt)   { f.cancelled = append(f.cancelled, a) }
 func (f *fleet) Probe(string)        {}
 func (f *fleet) Release(string)      {}
 func (f *fleet) Subscribe()          {}
 func (f *fleet) Elsewhere(News) bool { return false }
-func (f *fleet) Became(t Fate)       { f.became = append(f.became, t) }
-func (f *fleet) Left(id string)      { f.left = append(f.left, id) }
+func (f *fleet) Became(t Fate)       { f.updates = append(f.updates, t) }
+func (f *fleet) Left(id string)      { f.disconnected = append(f.disconnected, id) }
 
 type client struct {
-	answers []Answer
-	passed  []bool
+	answers    []Answer
+	handedOver []bool
 }
 
 func (c *client) Answer(a Answer)  { c.answers = append(c.answers, a) }
-func (c *client) Pass(handed bool) { c.passed = append(c.passed, handed) }
+func (c *client) Pass(handed bool) { c.handedOver = append(c.handedOver, handed) }
 
 type repeater struct {
 	client
@@ -44,10 +44,10 @@
 
 func (r *repeater) Repeats() bool { return r.repeats }
 
-// begin returns a loop that has taken one command of a safe class and sent it to s-1.
-func begin(t *testing.T) (*Loop, *fleet, *client) {
+// loopWithCommand returns a loop that has received one command of a safe class and sent it to s-1.
+func loopWithCommand(t *testing.T) (*Loop, *fleet, *client) {
 	f, c := &fleet{}, &client{}
-	l := loop(t, f)
+	l := newTestLoop(t, f)
 	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
 	l.Take(&Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c})
 	l.runBatch()
@@ -55,7 +55,7 @@
 	return l, f, c
 }
 
-func loop(t *testing.T, f *fleet) *Loop {
+func newTestLoop(t *testing.T, f *fleet) *Loop {
 	l, err := New(decide.Settings{
 		Dispatchers: 1, Granularity: time.Millisecond, Limits: decide.Limits{Attempts: 3, Cancel: true},
 		Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any}},
@@ -65,11 +65,11 @@
 	return l
 }
 
-// The result of an attempt that was given up is not served, and nothing is booked twice.
-func TestLateAndRepeatedNewsIsBookedOnce(t *testing.T) {
-	l, f, c := begin(t)
+// The result of a cancelled attempt is not served, and nothing is counted twice.
+func TestLateAndRepeatedCallbacksAreCountedOnce(t *testing.T) {
+	l, f, c := loopWithCommand(t)
 	l.cancelAttempt(decide.Cancel{Request: f.sent[0].request})
-	require.Equal(t, f.sent, f.givenUp)
+	require.Equal(t, f.sent, f.cancelled)
 	l.News(News{ID: "c1", From: "s-1", State: Done, Result: []byte("late")})
 	l.Ended(f.sent[0], decide.Reset, 0)
 	l.events = nil
@@ -78,10 +78,10 @@
 	require.EqualValues(t, []int64{1, 0, 1}, []int64{l.Books.outcomes[decide.Cancelled].Load(), l.Books.outcomes[decide.Reset].Load(), l.Books.StrayNews.Load()})
 }
 
-// One attempt of a command at an instance at a time: another waits for the word that the
-// first is given up, which travels on a connection of its own.
-func TestNoSecondAttemptWhileTheFirstIsLeaving(t *testing.T) {
-	l, f, _ := begin(t)
+// A command has at most one attempt at an instance at a time: a second one waits until the instance has
+// confirmed the cancellation of the first, which is sent on a separate connection.
+func TestNoSecondAttemptBeforeCancelIsConfirmed(t *testing.T) {
+	l, f, _ := loopWithCommand(t)
 	s := decide.Send{Request: f.sent[0].request, Worker: l.workerID("s-1")}
 	l.cancelAttempt(decide.Cancel{Request: s.Request})
 	l.startAttempt(s, time.Now())
@@ -92,9 +92,9 @@
 	require.Len(t, f.sent, 2)
 }
 
-// A give-up that is on its way while the request changes hands, or an attempt whose answer was spoilt after that, keeps the
-// newer process from a second attempt there: it hears of no answer, however long it waits.
-func TestNoSecondAttemptWhileTheFirstIsLeavingElsewhere(t *testing.T) {
+// A cancellation that is in transit during a handover, or an attempt whose response was broken after it, keeps
+// the newer process from a second attempt at that instance, for good: it is not notified of the confirmation.
+func TestNoSecondAttemptAfterHandoverOfUnconfirmedCancel(t *testing.T) {
 	for name, leave := range map[string]struct{ before, after func(older *Loop, a *Attempt) }{
 		"given up before": {before: func(older *Loop, a *Attempt) { older.cancelAttempt(decide.Cancel{Request: a.request}) }},
 		"spoilt after": {after: func(older *Loop, a *Attempt) {
@@ -102,9 +102,9 @@
 			older.Ended(a, decide.Reset, 0)
 		}},
 	} {
-		older, f, _ := begin(t)
-		l, first := loop(t, f), f.sent[0]
-		older.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true) // so that it waits with the older
+		older, f, _ := loopWithCommand(t)
+		l, first := newTestLoop(t, f), f.sent[0]
+		older.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true) // so that the command stays with the older process
 		older.runBatch()
 		if leave.before != nil {
 			leave.before(older, first)
@@ -119,12 +119,12 @@
 		if leave.after != nil {
 			leave.after(older, first)
 			older.runBatch()
-			l.Became(f.became[0])
+			l.Became(f.updates[0])
 		}
 		l.runBatch()
-		l.timers.Fire(time.Now().Add(time.Minute)) // longer than any give-up is on its way
+		l.timers.Fire(time.Now().Add(time.Minute)) // longer than any cancellation is in transit
 		request := l.byID["c1"].request
-		for _, id := range []string{"s-1", "s-2"} { // the second perhaps once more
+		for _, id := range []string{"s-1", "s-2"} { // s-2 possibly a second time
 			l.startAttempt(decide.Send{Request: request, Worker: l.workerID(id)}, time.Now())
 		}
 		require.Len(t, f.sent, 2, name)
@@ -132,32 +132,33 @@
 	}
 }
 
-// A client went while an attempt still waited for its connection, and where nothing is called off that was sent all the same.
-func TestNothingIsSentForWhoHasGone(t *testing.T) {
+// A client disconnected while an attempt still waited for its connection. Where cancellation is disabled, the
+// attempt was sent nevertheless.
+func TestNothingIsSentForDisconnectedClient(t *testing.T) {
 	for name, over := range map[string]func(*Loop, *Attempt){
 		"gone":     func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
 		"answered": func(l *Loop, a *Attempt) { l.failRequest(decide.FailRequest{Request: a.request}) },
 	} {
-		l, f, _ := begin(t)
+		l, f, _ := loopWithCommand(t)
 		s := l.settings
 		s.Limits.Cancel = false
 		require.NoError(t, l.mod.Retune(s))
 		require.False(t, f.sent[0].Expired(time.Now()), name)
 		over(l, f.sent[0])
 		l.runBatch()
-		require.Empty(t, f.givenUp, name)
+		require.Empty(t, f.cancelled, name)
 		require.True(t, f.sent[0].Expired(time.Now()), name)
 	}
 }
 
-// Answered, lapsed or over time: nothing of a command stays behind.
-func TestNothingStaysBehind(t *testing.T) {
+// Nothing of a command remains once it is answered, cancelled or past its deadline.
+func TestNothingRemainsOfFinishedCommand(t *testing.T) {
 	for name, finish := range map[string]func(*Loop, *Attempt){
 		"served": func(l *Loop, a *Attempt) { l.News(News{ID: "c1", From: "s-1", State: Done}) },
 		"lapsed": func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
 		"late":   func(l *Loop, a *Attempt) { l.expireAttempt(a); l.failRequest(decide.FailRequest{Request: a.request}) },
 	} {
-		l, f, c := begin(t)
+		l, f, c := loopWithCommand(t)
 		finish(l, f.sent[0])
 		l.runBatch()
 		require.Empty(t, l.byID, name)
@@ -167,12 +168,12 @@
 	}
 }
 
-// When the process's time is over nothing waits on: what may have run twice without harm, or was never sent, is refused,
-// all else has failed, and instances are told to leave it.
-func TestFinishAnswersAll(t *testing.T) {
+// At shutdown no command is left waiting: those that may be retried safely or were never sent are refused, all
+// others fail, and their attempts are cancelled.
+func TestShutdownAnswersAllCommands(t *testing.T) {
 	for repeats, want := range map[bool]Verdict{true: Refused, false: Failed} {
 		f, c := &fleet{}, &repeater{repeats: repeats}
-		l := loop(t, f)
+		l := newTestLoop(t, f)
 		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
 		l.Take(&Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c})
 		l.runBatch()
@@ -187,26 +188,26 @@
 		}
 		require.Equal(t, []Answer{{Verdict: want}}, c.answers)
 		require.Equal(t, []Verdict{Refused}, []Verdict{waits.answers[0].Verdict})
-		require.Equal(t, f.sent, f.givenUp)
+		require.Equal(t, f.sent, f.cancelled)
 		require.Empty(t, l.byRequest)
 		require.Zero(t, l.Holding())
 	}
 }
 
-// What one process hands over another goes on with: each outcome is booked there, once, also that
-// of a sending which no instance had confirmed, whether the older process tells of it or dies.
-func TestHandedOver(t *testing.T) {
+// The newer process continues what is handed over: each outcome is counted there once, including that of an
+// attempt no instance had accepted yet, whether the older process reports it or exits.
+func TestHandover(t *testing.T) {
 	for name, then := range map[string]func(l *Loop){
 		"attempts_ok": func(l *Loop) {
 			l.Became(Fate{ID: "c1", Taken: true})
-			l.Alone() // then its connection does not matter
+			l.Alone() // then the older process's connection is no longer needed
 			l.News(News{ID: "c1", From: "s-1", State: Done})
 		},
 		"attempts_errored": func(l *Loop) { l.Became(Fate{ID: "c1", Outcome: decide.Errored}) },
 		"attempts_reset":   func(l *Loop) { l.Alone() },
 	} {
-		older, f, c := begin(t)
-		l, c2 := loop(t, f), &client{}
+		older, f, c := loopWithCommand(t)
+		l, c2 := newTestLoop(t, f), &client{}
 		older.Yield(func(given Handed) bool {
 			text, err := json.Marshal(given)
 			require.NoError(t, err)
@@ -230,11 +231,11 @@
 		older.Ended(f.sent[0], decide.Reset, 0)
 		older.Lapse(f.sent[0].Command)
 		older.runBatch()
-		require.Equal(t, []bool{true, false}, c.passed, "what was on its way goes whole")
+		require.Equal(t, []bool{true, false}, c.handedOver, "what was on its way goes whole")
 		require.Empty(t, c.answers)
 		require.Zero(t, older.Holding())
-		require.Equal(t, []Fate{{ID: "c1", Outcome: decide.Reset}}, f.became)
-		require.Equal(t, []string{"c1"}, f.left)
+		require.Equal(t, []Fate{{ID: "c1", Outcome: decide.Reset}}, f.updates)
+		require.Equal(t, []string{"c1"}, f.disconnected)
 		l.runBatch()
 		require.EqualValues(t, 1, l.Holding())
 		l.Take(&Command{ID: "c1", Class: "safe", Client: c})
@@ -249,10 +250,10 @@
 	}
 }
 
-// Classes and tenants go by their names: another order, one that vanishes and comes back or a new
-// one renumbers nothing that is in hand, and each name keeps its counts.
-func TestRetuneKeepsNames(t *testing.T) {
-	l, f, c := begin(t)
+// Classes and tenants are identified by name: reordering, removing, restoring or adding some does not renumber
+// those of pending commands, and each name keeps its counts.
+func TestReloadKeepsNumbersOfNames(t *testing.T) {
+	l, f, c := loopWithCommand(t)
 	names := func(n ...string) {
 		s := l.settings
 		s.Classes, s.Tenants = nil, nil
@@ -290,24 +291,25 @@
 	require.Equal(t, 3, l.settings.Limits.Attempts, "nothing of it counts")
 }
 
-// Names that the settings do not have stand apart from those they have.
-func TestUnknownNamesComeAfterAll(t *testing.T) {
+// Names that are not in the settings get an index past all that are.
+func TestUnknownNamesIndexPastTheEnd(t *testing.T) {
 	require.Equal(t, []int{1, 2}, []int{indexOrLen([]string{"a", "b"}, "b"), indexOrLen([]string{"a", "b"}, "c")})
 }
 
-// The people on call know instances by the name table's ids.
-func TestLogNamesInstances(t *testing.T) {
-	l, _, _ := begin(t)
+// Operators know instances by their IDs in discovery.
+func TestLogNamesInstanceIDs(t *testing.T) {
+	l, _, _ := loopWithCommand(t)
 	known := fmt.Sprintf("worker %d suspected", l.workerID("s-1"))
 	require.Equal(t, "instance s-1 suspected", l.withInstanceIDs(known))
 	require.Equal(t, "worker 99999999999 is not ours", l.withInstanceIDs("worker 99999999999 is not ours"))
 }
 
-// What ends an attempt at its deadline once stayed with the whole command until then, long after
-// the command had ended: memory grew with the rate times clients' patience.
-func TestNothingIsKeptOfCommandsThatHaveEnded(t *testing.T) {
+// The function that ends an attempt at its deadline used to stay in the timer queue, with the whole command,
+// until then, even if the command had ended long before: memory grew with the request rate times the clients'
+// time limit.
+func TestNoTimersRemainOfEndedCommands(t *testing.T) {
 	f := &fleet{}
-	l := loop(t, f)
+	l := newTestLoop(t, f)
 	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
 	l.runBatch()
 	idle := l.timers.Len()
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -19,7 +19,7 @@
 type Lease struct {
 	Instance string
 	Process  int64   // the instance's start, in microseconds of Unix time
-	Work     float64 // in slot seconds
+	Work     float64 // schedule slot seconds
 	Until    time.Time
 	Ref      any // opaque, for the leaser
 }
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -17,13 +17,14 @@
 	"caperrelay/internal/wire"
 )
 
-// site is one customer's settings.
+// site is the settings of one site.
 type site struct {
 	decide.Settings
 	wire.Names
 }
 
-// drawSite draws settings. The names of any two sites begin alike, so that each has one number at both.
+// drawSite draws settings. The name lists of any two sites share a prefix, so that a name has the same number at
+// both.
 func drawSite(t *rapid.T, of string, seed uint64) site {
 	number := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, of+" "+name) }
 	span := func(name string, from, to int) time.Duration {
@@ -72,15 +73,16 @@
 	return s
 }
 
-// play is a loop whose module is driven in virtual time, against workers whose answers follow from what they are sent.
-type play struct {
+// simulation is a loop whose decision module is driven in virtual time, with workers whose outcomes are derived
+// from the attempts.
+type simulation struct {
 	*Loop
-	now     time.Duration
-	members []Member
-	budget  map[uint32]time.Duration
-	tries   map[uint32]int
-	due     []dueEvent
-	told    []string // what the module did
+	now      time.Duration
+	members  []Member
+	budget   map[uint32]time.Duration
+	attempts map[uint32]int
+	pending  []dueEvent
+	actions  []string // the decision module's actions
 }
 
 type dueEvent struct {
@@ -88,15 +90,15 @@
 	e  decide.Event
 }
 
-func newPlay(t *rapid.T, s site, members []Member) *play {
+func newSimulation(t *rapid.T, s site, members []Member) *simulation {
 	f := &fleet{}
 	l, err := New(s.Settings, s.Names, f, f, f, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	return &play{Loop: l, now: time.Hour, members: members, budget: map[uint32]time.Duration{}, tries: map[uint32]int{}}
+	return &simulation{Loop: l, now: time.Hour, members: members, budget: map[uint32]time.Duration{}, attempts: map[uint32]int{}}
 }
 
-// list tells the module the whole list, as the settings in force have the names.
-func (p *play) list() {
+// list passes the complete instance list to the module, with the names as numbered by the current settings.
+func (p *simulation) list() {
 	var lines []decide.Worker
 	for _, m := range p.members {
 		w := p.toWorker(m, p.workerID(m.ID))
@@ -109,46 +111,46 @@
 	p.handle(decide.ListFull{Workers: lines})
 }
 
-func (p *play) in(after time.Duration, e decide.Event) {
-	p.due = append(p.due, dueEvent{p.now + after, e})
-	slices.SortStableFunc(p.due, func(a, b dueEvent) int { return cmp.Compare(a.at, b.at) })
+func (p *simulation) schedule(after time.Duration, e decide.Event) {
+	p.pending = append(p.pending, dueEvent{p.now + after, e})
+	slices.SortStableFunc(p.pending, func(a, b dueEvent) int { return cmp.Compare(a.at, b.at) })
 }
 
-func (p *play) handle(events ...decide.Event) {
+func (p *simulation) handle(events ...decide.Event) {
 	for _, a := range p.mod.Handle(p.now, events) {
-		p.told = append(p.told, fmt.Sprintf("%v %T %+v", p.now, a, a))
+		p.actions = append(p.actions, fmt.Sprintf("%v %T %+v", p.now, a, a))
 		switch a := a.(type) {
 		case decide.WakeMe:
-			p.in(a.After, decide.Wake{Token: a.Token})
+			p.schedule(a.After, decide.Wake{Token: a.Token})
 		case decide.Send:
-			n := p.tries[a.Request]
-			p.tries[a.Request]++
+			n := p.attempts[a.Request]
+			p.attempts[a.Request]++
 			h := fnv.New32a()
 			fmt.Fprint(h, a.Request, n, p.instanceIDs[a.Worker])
 			what, takes := h.Sum32()%8, time.Duration(20+h.Sum32()/8%200)*time.Millisecond
 			if what < 5 {
-				p.in(takes/8, decide.JobStarted{Request: a.Request, Attempt: n})
+				p.schedule(takes/8, decide.JobStarted{Request: a.Request, Attempt: n})
 			}
-			p.in(takes, decide.AttemptEnded{Request: a.Request, Attempt: n, Outcome: []decide.Outcome{
+			p.schedule(takes, decide.AttemptEnded{Request: a.Request, Attempt: n, Outcome: []decide.Outcome{
 				decide.OK, decide.OK, decide.OK, decide.OK, decide.Errored, decide.Full, decide.Reset, decide.ConnectFailed}[what], Over: what < 4})
 		}
 	}
 }
 
-// until plays on to a moment.
-func (p *play) until(moment time.Duration) {
-	for len(p.due) > 0 && p.due[0].at <= moment {
-		next := p.due[0]
-		p.due = p.due[1:]
+// runUntil advances the simulation to a moment.
+func (p *simulation) runUntil(moment time.Duration) {
+	for len(p.pending) > 0 && p.pending[0].at <= moment {
+		next := p.pending[0]
+		p.pending = p.pending[1:]
 		p.now = next.at
 		p.handle(next.e)
 	}
 	p.now = moment
 }
 
-// A dispatcher that is reloaded from any settings to any others decides as one that has been started with those, fed with the same
-// list and the same requests: nothing of the first is left in what it decides.
-func TestReloadedDecidesAsStarted(t *testing.T) {
+// A dispatcher reloaded from any settings to any others makes the same decisions as one started with the latter,
+// given the same list and requests: nothing of the first settings remains.
+func TestReloadedDecidesLikeStarted(t *testing.T) {
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
 		require.NoError(t, flag.Set("rapid.checks", "500"))
 		defer flag.Set("rapid.checks", f.DefValue)
@@ -166,11 +168,11 @@
 			}
 			members = append(members, m)
 		}
-		reloaded, started := newPlay(rt, before, members), newPlay(rt, after, members)
+		reloaded, started := newSimulation(rt, before, members), newSimulation(rt, after, members)
 		reloaded.list()
 		require.NoError(rt, reloaded.reconfigure(reloaded.mapSettings(after.Settings, after.Names)))
-		reloaded.told = nil
-		for _, p := range []*play{reloaded, started} {
+		reloaded.actions = nil
+		for _, p := range []*simulation{reloaded, started} {
 			p.list()
 		}
 		for id := range uint32(rapid.IntRange(1, 30).Draw(rt, "requests")) {
@@ -180,25 +182,25 @@
 				ID: id + 1, Class: class, Tenant: rapid.IntRange(0, len(after.Names.Tenants)).Draw(rt, "tenant"), Key: uint64(rapid.IntRange(0, 3).Draw(rt, "key")),
 				Budget: after.Settings.Classes[class].Deadline * time.Duration(rapid.IntRange(30, 100).Draw(rt, "budget")) / 100, Slots: 1, Memory: 0.5,
 			}
-			for _, p := range []*play{reloaded, started} {
-				p.until(moment)
+			for _, p := range []*simulation{reloaded, started} {
+				p.runUntil(moment)
 				p.handle(q)
 			}
 		}
-		for _, p := range []*play{reloaded, started} {
-			p.until(p.now + 5*time.Second)
+		for _, p := range []*simulation{reloaded, started} {
+			p.runUntil(p.now + 5*time.Second)
 		}
-		for i, told := range started.told {
-			require.Less(rt, i, len(reloaded.told), "it ended after %v", reloaded.told)
-			require.Equal(rt, told, reloaded.told[i], "action %d", i)
+		for i, told := range started.actions {
+			require.Less(rt, i, len(reloaded.actions), "it ended after %v", reloaded.actions)
+			require.Equal(rt, told, reloaded.actions[i], "action %d", i)
 		}
-		require.Len(rt, reloaded.told, len(started.told))
+		require.Len(rt, reloaded.actions, len(started.actions))
 	})
 }
 
-// Zones and kinds that the settings do not name were taken for ones that the settings of before named, at a reload: two encoders of one
-// unnamed zone could be told apart, and two of different zones not.
-func TestZonesOfBeforeAreUnknown(t *testing.T) {
+// After a reload, zones and kinds that are not in the settings were mistaken for ones in the previous settings:
+// two encoders of one unnamed zone could be treated as different, and two of different zones as the same.
+func TestZonesOfPreviousSettingsAreUnknown(t *testing.T) {
 	f := &fleet{}
 	l, err := New(decide.Settings{
 		Dispatchers: 1, Limits: decide.Limits{Attempts: 1}, Classes: []decide.Class{{Aim: time.Second, Deadline: time.Second, Kind: 1}},
@@ -226,11 +228,12 @@
 	require.NotEqual(t, at("east", "new"), at("north", "new"))
 }
 
-// Settings of more tenants than are kept numbered were taken at the start, and every reload of them was turned down, one that only
-// moves discovery included. What counts is the names that the settings have no more.
-func TestManyTenantsMayBeReloaded(t *testing.T) {
+// Settings with more tenants than the limit on numbered names were accepted at the start, but every reload was
+// rejected, even one that only changed the discovery address. Only names that are no longer in the settings
+// count against the limit.
+func TestManyTenantsCanBeReloaded(t *testing.T) {
 	f := &fleet{}
-	l := loop(t, f)
+	l := newTestLoop(t, f)
 	reload := func(of string, n int) error {
 		s, names := l.settings, wire.Names{Classes: []string{"safe"}}
 		s.Tenants = make([]decide.Tenant, n)
@@ -247,10 +250,11 @@
 	require.Len(t, l.allNames.Tenants, 3*maxRetiredNames)
 }
 
-// A command in hand keeps its class where it changes hands to a process whose settings have another class of that name: what must not
-// run twice by the older one's was sent again by the newer one's, though it might have run.
-func TestTakenOverCommandKeepsItsClass(t *testing.T) {
-	older, f, _ := begin(t)
+// A pending command keeps its class when it is handed over to a process whose settings define that name
+// differently: a command that must not run twice under the older definition was sent again under the newer one,
+// though it might have run.
+func TestCommandKeepsClassAcrossHandover(t *testing.T) {
+	older, f, _ := loopWithCommand(t)
 	strict := older.settings
 	strict.Classes = slices.Clone(strict.Classes)
 	strict.Classes[0].Effect = decide.Unsafe
@@ -260,7 +264,7 @@
 	older.runBatch()
 	require.Len(t, f.sent, 2)
 
-	l, c := loop(t, &fleet{}), &client{}
+	l, c := newTestLoop(t, &fleet{}), &client{}
 	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
 	older.Yield(func(given Handed) bool {
 		for _, cmd := range given.Commands {
@@ -284,10 +288,10 @@
 	require.NotContains(t, l.Books.Figures(), "former")
 }
 
-// What an older process learned of a class counts only where the class is the same here.
-func TestOtherJobsTeachNothing(t *testing.T) {
+// What an older process learned of a class counts only if the class is defined the same here.
+func TestLearnedStateOfOtherClassDefinitionIsIgnored(t *testing.T) {
 	given := func(deadline time.Duration) Handed {
-		older := loop(t, &fleet{})
+		older := newTestLoop(t, &fleet{})
 		s := older.settings
 		s.Classes = slices.Clone(s.Classes)
 		s.Classes[0].Deadline = deadline
@@ -298,7 +302,7 @@
 	}
 	for name, teach := range map[string]func(*Loop, Handed){"handed over": (*Loop).Relieve, "of a snapshot": (*Loop).Advise} {
 		learned := func(h Handed) decide.ClassMemory {
-			l := loop(t, &fleet{})
+			l := newTestLoop(t, &fleet{})
 			teach(l, h)
 			l.runBatch()
 			return l.mod.Memory().Classes[indexOrLen(l.allNames.Classes, "safe")]
@@ -309,9 +313,9 @@
 	}
 }
 
-// Zones of a command's attempts changed hands by the older process's numbers: after a reload there, a repeat that is dropped in one zone
-// alone could go to another. They go by their names.
-func TestZonesChangeHandsByName(t *testing.T) {
+// The zones of a command's attempts were handed over as the older process's numbers: after a reload there, a
+// retry that is deduplicated within one zone only could go to another zone. They are now matched by name.
+func TestZonesAreHandedOverByName(t *testing.T) {
 	settings := func(zones ...string) (decide.Settings, wire.Names) {
 		return decide.Settings{
 			Dispatchers: 1, Granularity: time.Millisecond, Limits: decide.Limits{Attempts: 3, Cancel: true},
@@ -350,14 +354,14 @@
 	require.Empty(t, took.sent, "its zone is the other one")
 }
 
-// A class that an older process does not know begins here as it does at a start.
-func TestUnknownClassBeginsAsAtAStart(t *testing.T) {
-	s := loop(t, &fleet{}).settings
+// A class that an older process does not have begins here as after a start.
+func TestUnknownClassStartsFresh(t *testing.T) {
+	s := newTestLoop(t, &fleet{}).settings
 	s.Classes = append(slices.Clone(s.Classes), s.Classes[0])
 	fresh, err := New(s, wire.Names{Classes: []string{"other", "safe"}}, &fleet{}, &fleet{}, &fleet{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	before := fresh.mod.Memory().Classes[0]
-	older, _, _ := begin(t)
+	older, _, _ := loopWithCommand(t)
 	older.Yield(func(given Handed) bool {
 		given.Commands = nil
 		fresh.Relieve(given)
--- a/internal/dispatch/timerlag.go
+++ b/internal/dispatch/timerlag.go
@@ -18,8 +18,8 @@
 	lastLate time.Time // of the last late timer
 }
 
-// fired records that the decision module's timer fired, and when it was due.
-func (n *timerLagLog) fired(due, now time.Time) {
+// observe records that the decision module's timer fired, and when it was due.
+func (n *timerLagLog) observe(due, now time.Time) {
 	late := now.Sub(due)
 	if late < lagLogThreshold {
 		return
--- a/internal/dispatch/timerlag_test.go
+++ b/internal/dispatch/timerlag_test.go
@@ -10,22 +10,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A dispatcher short of processor time answered late, and its log said nothing of it.
+// A dispatcher short of processor time answered late, and its log did not show that.
 func TestLateLoopIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	n := timerLagLog{log: slog.New(slog.NewTextHandler(&out, nil))}
 	due := time.Now()
 	for range 5 {
 		due = due.Add(time.Second)
-		n.fired(due, due.Add(lagLogThreshold-time.Millisecond))
+		n.observe(due, due.Add(lagLogThreshold-time.Millisecond))
 	}
 	require.Empty(t, out.String())
 	for range 5 {
 		due = due.Add(time.Second)
-		n.fired(due, due.Add(300*time.Millisecond))
+		n.observe(due, due.Add(300*time.Millisecond))
 	}
 	require.Equal(t, 1, strings.Count(out.String(), "late=300ms"))
 	due = due.Add(lagLogQuiet + time.Second)
-	n.fired(due, due.Add(300*time.Millisecond))
+	n.observe(due, due.Add(300*time.Millisecond))
 	require.Equal(t, 2, strings.Count(out.String(), "late=300ms"))
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Held is a lease in a sender's hand.
+// Held is a lease that a sender holds.
 type Held struct {
 	Keeper   int
-	Epoch    uint64 // of the keeper's process
+	Epoch    uint64 // of the granter's process
 	ID       uint64
 	Instance string
 	Process  int64
@@ -13,35 +13,35 @@
 	Until    time.Duration // by the sender's clock
 }
 
-// Holder is a sender's side: which keeper to ask, and until when what it was granted holds. It is not
-// safe for more than one goroutine.
+// Holder is the sender's side: it selects the granter to ask and tracks how long a granted lease is valid. It is
+// not safe for concurrent use.
 type Holder struct {
-	now     time.Duration
-	seq     uint64
+	now      time.Duration
+	seq      uint64
 	granters []granter
-	next    int
-	pending   map[uint64]pendingRequest
+	next     int
+	pending  map[uint64]pendingRequest
 }
 
 type granter struct {
-	up    bool
-	epoch uint64
-	retryAt map[string]time.Duration // by instance: not to be asked before
+	up      bool
+	epoch   uint64
+	retryAt map[string]time.Duration // by instance: earliest time of the next request
 }
 
 type pendingRequest struct {
 	granter int
-	at     time.Duration
-	request   Want
+	at      time.Duration
+	request Want
 }
 
-// answerTimeout is how long an answer is waited for; a lease that comes later has expired anyway.
+// answerTimeout is how long a grant is waited for; a lease granted later has expired anyway.
 const answerTimeout = time.Second
 
-// maxPending bounds what is asked for at one time.
+// maxPending bounds the outstanding requests.
 const maxPending = 256
 
-// NewHolder returns a holder that knows so many keepers, none of them up.
+// NewHolder returns a holder for this number of granters, none of which is up.
 func NewHolder(keepers int) *Holder {
 	h := &Holder{granters: make([]granter, keepers), pending: map[uint64]pendingRequest{}}
 	for i := range h.granters {
@@ -50,13 +50,13 @@
 	return h
 }
 
-// Up says that a keeper can be asked, and which process it is.
+// Up reports that a granter can be asked, and the epoch of its process.
 func (h *Holder) Up(k int, epoch uint64) {
 	h.Down(k)
 	h.granters[k].up, h.granters[k].epoch = true, epoch
 }
 
-// Down says that a keeper cannot be asked. What it granted goes on to hold until it expires.
+// Down reports that a granter cannot be asked. The leases it granted remain valid until they expire.
 func (h *Holder) Down(k int) {
 	h.granters[k].up = false
 	clear(h.granters[k].retryAt)
@@ -69,7 +69,7 @@
 
 func (h *Holder) advance(now time.Duration) { h.now = max(h.now, now) }
 
-// Ask tells which keeper to send a want to; false: none now.
+// Ask returns the granter to send a request to, and the request. It returns false if there is none to ask now.
 func (h *Holder) Ask(now time.Duration, instance string, process int64, work float64) (k int, w Want, ok bool) {
 	h.advance(now)
 	for seq, a := range h.pending {
@@ -93,7 +93,7 @@
 	return 0, Want{}, false
 }
 
-// Granted takes a keeper's answer; false: there is nothing in it that may be used.
+// Granted processes a granter's answer. It returns false if the answer contains no usable lease.
 func (h *Holder) Granted(now time.Duration, k int, epoch uint64, g Grant) (Held, bool) {
 	h.advance(now)
 	a, ok := h.pending[g.Seq]
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,11 +1,11 @@
-// Package lease shares the budget for cold encoders among senders: what all of them together may give
-// an encoder that has just started. It does no I/O and reads no clock.
+// Package lease divides the budget for cold encoders among senders: the work that all of them together may send
+// to an encoder that has just started. It does no I/O and reads no clock.
 //
-// A keeper ([Book], one in each daemon) has a fixed part of the budget and leases it out in pieces of
-// one job, by leases that expire (Gray and Cheriton, SOSP 1989). A sender ([Holder]) counts a lease
-// from when it asked, the keeper from when it granted, which is later; so no clocks need agree, only run
-// at about one speed. The sum over keepers holds by arithmetic, whoever lives and whatever each
-// believes.
+// A granter ([Book], one in each daemon) has a fixed part of the budget and grants it in pieces of one job, as
+// leases that expire (Gray and Cheriton, SOSP 1989). A sender ([Holder]) counts a lease's life from its request,
+// the granter from its grant, which is later, so clocks need not agree but only run at about the same speed. The
+// sum over all granters stays within the budget by construction, whichever of them are alive and whatever each
+// assumes about the others.
 package lease
 
 import (
@@ -13,95 +13,95 @@
 	"time"
 )
 
-// Plan is the part of the multiple that an encoder stands which is planned with at all: the work of a
-// job, and the size of an encoder, are estimates.
+// Plan is the share of the load limit Terms.Multiple that is planned with: the work of a job and the size of an
+// encoder are estimates.
 const Plan = 0.5
 
-// TurnsShare is the part of the planned budget that senders' fixed turns have, lease or not; the keepers
-// share the rest evenly.
+// TurnsShare is the part of the planned budget reserved for the senders' fixed turns, which need no lease. The
+// granters share the rest evenly.
 const TurnsShare = 0.25
 
-// Drift is how much slower a sender's clock may run than a keeper's.
+// Drift is how much slower a sender's clock may run than a granter's.
 const Drift = 0.05
 
-// Terms are the figures that keepers and senders go by.
+// Terms are the parameters of granters and senders.
 type Terms struct {
-	Life     time.Duration // of a lease, by the keeper's clock
-	Window   time.Duration // of the rule: over this long
-	Multiple float64       // of its present capacity is what an encoder stands
-	ColdFrom float64       // share of its capacity that it starts with
-	Cold     time.Duration // and after which it is warm
+	Life     time.Duration // of a lease, by the granter's clock
+	Window   time.Duration // over which the load limit applies
+	Multiple float64       // load limit of an encoder, as a multiple of its present capacity
+	ColdFrom float64       // share of its capacity that an encoder starts with
+	Cold     time.Duration // time until an encoder is warm
 	Keepers  int           // that the budget is divided among
 }
 
-// Member is an encoder as a keeper knows it.
+// Member is an encoder as a granter knows it.
 type Member struct {
 	ID      string
-	Started time.Duration // by the keeper's clock; it may lie before the clock's start
-	Process int64         // tells it from the one before it: its start as the list has it
+	Started time.Duration // by the granter's clock; may be before the clock's start
+	Process int64         // distinguishes it from its predecessor: its start time in the instance list
 	Slots   float64       // when warm
-	Any     bool          // senders may name any process: people have put it back, and each counts from when it heard
+	Any     bool          // senders may name any process: an operator has put the encoder back, and each sender counts from when it was notified
 }
 
-// Want asks for a lease.
+// Want is a request for a lease.
 type Want struct {
 	Seq      uint64
 	Instance string
 	Process  int64
-	Work     float64 // seconds of a slot that the job presses with in one window
+	Work     float64 // slot seconds that the job needs within one window
 }
 
-// Grant answers a Want. ID 0: nothing now.
+// Grant answers a Want. ID 0: not granted.
 type Grant struct {
 	Seq   uint64
 	ID    uint64
-	Valid time.Duration // from when it was asked for, by the sender's clock
-	Again time.Duration // nothing: when to ask again
+	Valid time.Duration // from the request, by the sender's clock
+	Again time.Duration // if not granted: when to ask again
 }
 
-// Book is a keeper. It is not safe for more than one goroutine.
+// Book is a granter. It is not safe for concurrent use.
 type Book struct {
-	terms   Terms
-	now     time.Duration
-	grantsFrom   time.Duration // nothing is granted before: what a keeper before it granted may be in use
-	encoders map[string]*account
-	leases  map[uint64]*issuedLease
-	lastID    uint64
-	Stats   Stats
+	terms      Terms
+	now        time.Duration
+	grantsFrom time.Duration // nothing is granted earlier, since leases of a preceding granter may be in use
+	encoders   map[string]*account
+	leases     map[uint64]*issuedLease
+	lastID     uint64
+	Stats      Stats
 }
 
-// Stats counts what a keeper did.
+// Stats counts a granter's operations.
 type Stats struct{ Asked, Granted, Denied, Spent, Returned, Expired, Stale uint64 }
 
 type account struct {
 	Member
-	counted float64 // work of leases that count
-	queue    []*issuedLease
+	counted float64 // work of the leases that count
+	queue   []*issuedLease
 }
 
-// issuedLease is a lease that counts against the budget, until a moment.
+// issuedLease is a lease that counts against the budget until countsUntil.
 type issuedLease struct {
-	id      uint64
-	sender  string
-	account *account
-	work    float64
-	expires time.Duration
-	countsUntil   time.Duration // expiry and a window; sooner once it is known what became of it
+	id          uint64
+	sender      string
+	account     *account
+	work        float64
+	expires     time.Duration
+	countsUntil time.Duration // expiry plus one window; earlier once the lease's outcome is known
 	released    bool
 }
 
-// maxLeases bounds what is kept of one encoder: beyond it nothing is granted.
+// maxLeases bounds the leases kept per encoder; beyond it none is granted.
 const maxLeases = 4096
 
-// NewBook returns a keeper that grants nothing for a lease's life and a window from now on.
+// NewBook returns a granter that grants nothing for a lease's life and a window from now on.
 func NewBook(t Terms, now time.Duration) *Book {
 	return &Book{
 		terms: t, now: now, grantsFrom: now + t.Life + t.Window, encoders: map[string]*account{}, leases: map[uint64]*issuedLease{},
 	}
 }
 
-// Retune has the keeper go by other terms. What is granted keeps its life. A larger part than before counts
-// only once leases of the other keepers, which may have had it, have ended.
+// Retune applies other terms. Leases already granted keep their life. A larger part of the budget than before
+// takes effect only when the leases of the other granters, which may have had it, have ended.
 func (b *Book) Retune(now time.Duration, t Terms) {
 	b.advance(now)
 	if t.Keepers < b.terms.Keepers || t.Multiple != b.terms.Multiple {
@@ -110,16 +110,16 @@
 	b.terms = t
 }
 
-// Suspend has the keeper grant nothing for as long as after its start: another may have granted meanwhile.
+// Suspend stops granting for as long as after a start, since another granter may have granted meanwhile.
 func (b *Book) Suspend(now time.Duration) {
 	b.advance(now)
 	b.grantsFrom = max(b.grantsFrom, b.now+b.terms.Life+b.terms.Window)
 }
 
-// advance takes the keeper's time on; it never goes back.
+// advance moves the granter's time forward; it never goes back.
 func (b *Book) advance(now time.Duration) { b.now = max(b.now, now) }
 
-// Listed takes the encoders that there are. One whose process is another begins anew.
+// Listed sets the list of encoders. One with a new process starts with an empty account.
 func (b *Book) Listed(now time.Duration, members []Member) {
 	b.advance(now)
 	next := make(map[string]*account, len(members))
@@ -142,7 +142,7 @@
 	b.encoders = next
 }
 
-// dropLeases drops the leases of a process that is no more: nobody can use them.
+// dropLeases removes the leases of a process that no longer exists: nobody can use them.
 func (b *Book) dropLeases(a *account) {
 	for _, g := range a.queue {
 		if !g.released {
@@ -152,7 +152,7 @@
 	}
 }
 
-// Warmth is the share of its capacity that an encoder has at least at such an age.
+// Warmth returns the least share of its capacity that an encoder of this age has.
 func (t Terms) Warmth(age time.Duration) float64 {
 	if age >= t.Cold {
 		return 1
@@ -160,14 +160,14 @@
 	return t.ColdFrom + (1-t.ColdFrom)*max(0, age.Seconds())/t.Cold.Seconds()
 }
 
-// Budget is the work, in seconds of a slot, that this keeper may have counting for an encoder now.
+// Budget returns the work, in slot seconds, that this granter may have counting against an encoder now.
 func (b *Book) Budget(m Member) float64 {
 	t := b.terms
 	part := (1 - TurnsShare) / float64(max(1, t.Keepers))
 	return part * Plan * t.Multiple * m.Slots * t.Warmth(b.now-m.Started) * t.Window.Seconds()
 }
 
-// Counting is the work that counts against an encoder's budget now.
+// Counting returns the work that counts against an encoder's budget now.
 func (b *Book) Counting(id string) float64 {
 	if a := b.encoders[id]; a != nil {
 		b.dropExpired(a)
@@ -176,7 +176,7 @@
 	return 0
 }
 
-// Ask answers a sender. What is granted is never more, with all that counts, than the budget.
+// Ask processes a sender's request. A lease is granted only if, with all that count, it stays within the budget.
 func (b *Book) Ask(now time.Duration, sender string, w Want) Grant {
 	b.advance(now)
 	b.Stats.Asked++
@@ -205,7 +205,7 @@
 	return Grant{Seq: w.Seq, ID: g.id, Valid: time.Duration(float64(b.terms.Life) * (1 - Drift))}
 }
 
-// timeUntilFree is how long until so much work has stopped counting, if nothing else happens.
+// timeUntilFree returns the time until counted work next decreases, if nothing else happens.
 func (a *account) timeUntilFree(now time.Duration, work float64) time.Duration {
 	soonest := time.Duration(math.MaxInt64)
 	for _, g := range a.queue {
@@ -219,7 +219,7 @@
 	return soonest
 }
 
-// Done takes what became of a lease: spent just now, or given back unused.
+// Done records that a lease was spent just now, or returned unused.
 func (b *Book) Done(now time.Duration, sender string, id uint64, spent bool) {
 	b.advance(now)
 	g := b.leases[id]
@@ -233,11 +233,11 @@
 		b.Stats.Returned++
 		g.countsUntil = b.now
 	}
-	delete(b.leases, id) // said once
+	delete(b.leases, id) // its outcome is reported once
 	b.dropExpired(g.account)
 }
 
-// Held is how many leases have neither expired nor been given back or spent.
+// Held returns the number of a sender's leases that are neither expired, returned nor spent.
 func (b *Book) Held(now time.Duration, sender string) (n int) {
 	b.advance(now)
 	for _, g := range b.leases {
@@ -248,7 +248,7 @@
 	return n
 }
 
-// Orphans is how many leases count that no living sender holds.
+// Orphans returns the number of counting leases that no living sender holds.
 func (b *Book) Orphans(now time.Duration, living func(sender string) bool) (n int) {
 	b.advance(now)
 	for _, g := range b.leases {
@@ -259,7 +259,7 @@
 	return n
 }
 
-// dropExpired drops what counts no more.
+// dropExpired removes the leases that no longer count.
 func (b *Book) dropExpired(a *account) {
 	n := 0
 	a.counted = 0
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,9 +14,9 @@
 
 const ms = time.Millisecond
 
-var terms = Terms{Life: 400 * ms, Window: time.Second, Multiple: 3, ColdFrom: 0.14, Cold: 24 * time.Second, Keepers: 2}
+var testTerms = Terms{Life: 400 * ms, Window: time.Second, Multiple: 3, ColdFrom: 0.14, Cold: 24 * time.Second, Keepers: 2}
 
-// clock is a party's: it started at some moment, and runs a little fast or slow.
+// clock is the clock of one party, with its own start and a small rate error.
 type clock struct {
 	offset time.Duration
 	rate   float64
@@ -26,21 +26,21 @@
 	return c.offset + time.Duration(float64(now)*c.rate)
 }
 
-// world is two keepers and some senders that want all that they can get, and the network between.
+// world simulates two granters, some senders that request all they can get, and the network in between.
 type world struct {
 	*rand.Rand
-	now     time.Duration
-	loss    float64
-	delay   time.Duration // at most
-	net     []message
-	keepers [2]*keeping
-	senders []*sender
+	now      time.Duration
+	loss     float64
+	delay    time.Duration // maximum
+	net      []message
+	granters [2]*simGranter
+	senders  []*sender
 
-	slots   float64
-	started time.Duration
-	process int64
-	sends   []sending
-	most    float64 // worst part of the limit
+	slots    float64
+	started  time.Duration
+	process  int64
+	sent     []sentJob
+	maxShare float64 // highest observed share of the limit
 }
 
 type message struct {
@@ -48,28 +48,28 @@
 	do  func()
 }
 
-type sending struct {
+type sentJob struct {
 	at   time.Duration
 	work float64
 }
 
-type keeping struct {
+type simGranter struct {
 	clock
 	*Book
 	epoch  uint64
 	paused time.Duration
-	mail   []func()
+	queue  []func()
 }
 
 type sender struct {
 	clock
 	*Holder
-	name   string
-	held   []Held
-	paused time.Duration // countsUntil then it does nothing
-	work   float64       // of its jobs
-	late   bool          // uses a lease at its last instant, else at once
-	tells  float64       // how often it says that it has spent one
+	name       string
+	held       []Held
+	paused     time.Duration // inactive until then
+	work       float64       // of its jobs
+	lastMoment bool          // uses a lease at its last moment, otherwise at once
+	reportRate float64       // probability of reporting a spent lease
 }
 
 func (w *world) clock() clock {
@@ -79,21 +79,21 @@
 func (w *world) send(do func()) {
 	if w.Float64() >= w.loss {
 		late := w.Float64()
-		if w.IntN(2) == 0 { // at once or as late as may be: what lies between tries less
+		if w.IntN(2) == 0 { // no delay or the maximum: delays in between test less
 			late = math.Round(late)
 		}
 		w.net = append(w.net, message{w.now + time.Duration(late*float64(w.delay)), do})
 	}
 }
 
-// boot starts a keeper's process; the senders hear of it at once.
+// boot starts a granter's process; the senders are notified at once.
 func (w *world) boot(k int) {
 	epoch := uint64(1)
-	if old := w.keepers[k]; old != nil {
+	if old := w.granters[k]; old != nil {
 		epoch = old.epoch + 1
 	}
 	c := w.clock()
-	w.keepers[k] = &keeping{clock: c, Book: NewBook(terms, c.at(w.now)), epoch: epoch}
+	w.granters[k] = &simGranter{clock: c, Book: NewBook(testTerms, c.at(w.now)), epoch: epoch}
 	w.list(k)
 	for _, s := range w.senders {
 		s.Up(k, epoch)
@@ -101,15 +101,15 @@
 }
 
 func (w *world) list(k int) {
-	b := w.keepers[k]
+	b := w.granters[k]
 	at := b.at(w.now)
 	b.Listed(at, []Member{{ID: "s", Started: at - (w.now - w.started), Process: w.process, Slots: w.slots}})
 }
 
-// at has a keeper take a message, once it is awake.
-func (b *keeping) take(now time.Duration, do func()) {
+// take has a granter process a message, or queues it while it is paused.
+func (b *simGranter) take(now time.Duration, do func()) {
 	if b.paused > now {
-		b.mail = append(b.mail, do)
+		b.queue = append(b.queue, do)
 		return
 	}
 	do()
@@ -120,7 +120,7 @@
 	if !ok {
 		return
 	}
-	b := w.keepers[k]
+	b := w.granters[k]
 	w.send(func() {
 		b.take(w.now, func() {
 			g := b.Ask(b.at(w.now), s.name, want)
@@ -136,23 +136,23 @@
 	})
 }
 
-// use sends what a sender's leases allow, as its habit is.
+// use sends what a sender's leases allow.
 func (w *world) use(s *sender, tick time.Duration) {
 	at := s.at(w.now)
 	var left []Held
 	for _, h := range s.held {
 		switch {
-		case h.Until <= at: // given back: nothing goes out by it any more
-			b := w.keepers[h.Keeper]
+		case h.Until <= at: // returned: it can no longer be used
+			b := w.granters[h.Keeper]
 			w.send(func() {
 				b.take(w.now, func() { b.Done(b.at(w.now), s.name, h.ID, false) })
 			})
 		case h.Process != w.process:
-		case s.late && h.Until > at+tick:
+		case s.lastMoment && h.Until > at+tick:
 			left = append(left, h)
 		default:
-			w.sends = append(w.sends, sending{w.now, h.Work})
-			if b := w.keepers[h.Keeper]; w.Float64() < s.tells {
+			w.sent = append(w.sent, sentJob{w.now, h.Work})
+			if b := w.granters[h.Keeper]; w.Float64() < s.reportRate {
 				w.send(func() {
 					b.take(w.now, func() { b.Done(b.at(w.now), s.name, h.ID, true) })
 				})
@@ -165,19 +165,19 @@
 // check compares the window that ends now with the limit.
 func (w *world) check() bool {
 	sum := 0.0
-	for _, x := range w.sends {
-		if x.at > w.now-terms.Window {
+	for _, x := range w.sent {
+		if x.at > w.now-testTerms.Window {
 			sum += x.work
 		}
 	}
-	// A keeper's clock may run fast by a hundredth: the encoder looks that much older to it.
+	// A granter's clock may run up to 1% fast, which makes the encoder look older by that much.
 	age := time.Duration(float64(w.now-w.started) * 1.011)
-	limit := (1 - TurnsShare) * Plan * terms.Multiple * w.slots * terms.Warmth(age) * terms.Window.Seconds()
-	w.most = max(w.most, sum/limit)
+	limit := (1 - TurnsShare) * Plan * testTerms.Multiple * w.slots * testTerms.Warmth(age) * testTerms.Window.Seconds()
+	w.maxShare = max(w.maxShare, sum/limit)
 	return sum <= limit*1.0001
 }
 
-// The same verdict every time, unless told otherwise.
+// TestMain fixes the random seed unless one is given, so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -186,9 +186,9 @@
 	os.Exit(m.Run())
 }
 
-// Whatever is lost, late, dead, paused or started anew: the work sent in any window is within the parts
-// that the keepers may lease out together.
-func TestSumIsNeverExceeded(t *testing.T) {
+// The work sent in any window stays within what the granters may lease together, whatever messages are lost or
+// late and whichever parties die, pause or restart.
+func TestBudgetIsNeverExceeded(t *testing.T) {
 	most := 0.0
 	rapid.Check(t, func(t *rapid.T) {
 		const tick = 5 * ms
@@ -202,7 +202,7 @@
 		for i := range 8 {
 			w.senders = append(w.senders, &sender{
 				clock: w.clock(), Holder: NewHolder(2), name: string(rune('a' + i)), work: 0.02 * w.slots * w.Float64(),
-				late: w.IntN(2) == 0, tells: float64(w.IntN(3)) / 2,
+				lastMoment: w.IntN(2) == 0, reportRate: float64(w.IntN(3)) / 2,
 			})
 		}
 		w.boot(0)
@@ -218,10 +218,10 @@
 					w.net = append(w.net, m)
 				}
 			}
-			for _, b := range w.keepers {
+			for _, b := range w.granters {
 				if b.paused <= w.now {
-					mail := b.mail
-					b.mail = nil
+					mail := b.queue
+					b.queue = nil
 					for _, do := range mail {
 						do()
 					}
@@ -235,36 +235,36 @@
 			}
 			if w.Float64() < trouble {
 				switch s, k := w.senders[w.IntN(len(w.senders))], w.IntN(2); w.IntN(6) {
-				case 5: // a step of a sender's clock, ahead: back there is none, and a keeper's counts from its start
+				case 5: // a sender's clock steps forward; it never steps back, and a granter's clock counts from its start
 					s.offset += time.Duration(w.Int64N(int64(time.Minute)))
 				case 0:
 					s.paused = w.now + time.Duration(w.Int64N(int64(5*time.Second)))
-				case 1: // another process under its name
+				case 1: // another process with the same name
 					s.Holder, s.held = NewHolder(2), nil
-					s.Up(0, w.keepers[0].epoch)
-					s.Up(1, w.keepers[1].epoch)
+					s.Up(0, w.granters[0].epoch)
+					s.Up(1, w.granters[1].epoch)
 				case 2:
 					w.boot(k)
 				case 3:
-					w.keepers[k].paused = w.now + time.Duration(w.Int64N(int64(2*time.Second)))
+					w.granters[k].paused = w.now + time.Duration(w.Int64N(int64(2*time.Second)))
 				case 4:
-					w.process, w.started, w.sends = w.process+1, w.now, nil
+					w.process, w.started, w.sent = w.process+1, w.now, nil
 					w.list(0)
 					w.list(1)
 				}
 			}
 			if !w.check() {
-				t.Fatalf("at %v the window holds %.3f of what it may", w.now, w.most)
+				t.Fatalf("at %v the window holds %.3f of what it may", w.now, w.maxShare)
 			}
 		}
-		most = max(most, w.most)
+		most = max(most, w.maxShare)
 	})
 	require.Greater(t, most, 0.9, "the budget was never nearly used: nothing was tried")
 }
 
-// A keeper that starts anew grants nothing while what the one before it granted may be in use.
-func TestQuarantine(t *testing.T) {
-	b := NewBook(terms, time.Hour)
+// A granter that restarts grants nothing while leases of its predecessor may be in use.
+func TestNoGrantsAfterRestart(t *testing.T) {
+	b := NewBook(testTerms, time.Hour)
 	b.Listed(time.Hour, []Member{{ID: "s", Started: time.Hour, Slots: 8}})
 	g := b.Ask(time.Hour+1399*ms, "a", Want{Seq: 1, Instance: "s", Work: 0.01})
 	require.Zero(t, g.ID)
@@ -272,11 +272,11 @@
 	require.NotZero(t, b.Ask(time.Hour+1400*ms, "a", Want{Seq: 2, Instance: "s", Work: 0.01}).ID)
 }
 
-// Leases of a sender that died come free by themselves, within a lease's life and a window; of one that
-// tells at once, sooner; and nobody can free another's.
-func TestLeasesComeFree(t *testing.T) {
+// Leases of a sender that died are freed within a lease's life and a window, those of a sender that reports the
+// outcome earlier, and no sender can free another's.
+func TestLeasesAreFreed(t *testing.T) {
 	now := time.Hour
-	b := NewBook(terms, 0)
+	b := NewBook(testTerms, 0)
 	m := Member{ID: "s", Started: now, Slots: 8}
 	b.Listed(now, []Member{m})
 	fill := func() (ids []uint64) {
@@ -296,13 +296,14 @@
 	b.Done(now, "a", ids[0], false)
 	b.Done(now, "a", ids[0], false)
 	require.Len(t, fill(), 1)
-	require.Zero(t, b.Held(now+terms.Life, "a"))
-	now += terms.Life + terms.Window
+	require.Zero(t, b.Held(now+testTerms.Life, "a"))
+	now += testTerms.Life + testTerms.Window
 	b.Ask(now, "a", Want{Instance: "other"})
 	require.Zero(t, b.Counting("s"))
 }
 
-// Two senders never have one place, whoever forgets whom; a sender's own place comes back to it.
+// No two senders ever have the same place, whichever party forgets about the other; a sender gets its own place
+// back.
 func TestPlacesAreNotShared(t *testing.T) {
 	now := time.Hour
 	p := NewPlaces(1, 2, 4, now)
@@ -320,9 +321,9 @@
 	require.Equal(t, -1, p.Take(now+2*FreeAfter, "a", 2), "it came back too late")
 }
 
-// A sender counts a lease from when it asked, not from when it heard; what another process of the keeper
-// grants, or comes when it would have ended, is nothing.
-func TestHeldFromWhenItWasAskedFor(t *testing.T) {
+// A sender counts a lease from its request, not from the answer. Leases that another process of the granter
+// grants, or that arrive after their end, are ignored.
+func TestLeaseCountsFromRequest(t *testing.T) {
 	h := NewHolder(2)
 	h.Up(0, 7)
 	k, w, ok := h.Ask(time.Hour, "s", 3, 0.5)
--- a/internal/lease/places.go
+++ b/internal/lease/places.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// Places gives senders their turns: numbers below a bound that no two living senders share. Each keeper
-// has a range of its own. It is not safe for more than one goroutine.
+// Places assigns senders their places in the order of turns: numbers below a bound, of which no two living
+// senders share one. Each granter has its own range. It is not safe for concurrent use.
 //
-// A sender that has heard nothing of any keeper for KeepFor gives its place up; the keeper gives it to
-// another only after FreeAfter, which is longer. A keeper that has just started gives none for as long:
-// it does not know who has them.
+// A sender that has had no message from any granter for KeepFor gives up its place; the granter reassigns it
+// only after FreeAfter, which is longer. A granter that has just started assigns none for that long, since it
+// does not know which places are taken.
 type Places struct {
-	from, to int
-	assignsFrom    time.Duration
-	now      time.Duration
-	assigned  map[int]*assignment
+	from, to    int
+	assignsFrom time.Duration
+	now         time.Duration
+	assigned    map[int]*assignment
 }
 
 type assignment struct {
-	sender  string
+	sender    string
 	connected bool
-	seen    time.Duration
+	seen      time.Duration
 }
 
-// How long a sender keeps its place without word of any keeper, and a keeper without word of the sender.
+// How long a sender keeps its place without a message from any granter, and a granter without one from the
+// sender.
 const (
 	KeepFor   = 20 * time.Second
 	FreeAfter = 30 * time.Second
 )
 
-// NewPlaces returns the range of keeper i of n, of so many places in all.
+// NewPlaces returns the range of granter i of n, with all places in total.
 func NewPlaces(i, n, all int, now time.Duration) *Places {
 	return &Places{from: i * all / n, to: (i + 1) * all / n, assignsFrom: now + FreeAfter, now: now, assigned: map[int]*assignment{}}
 }
 
-// Take gives a sender a place. had is the place that it has already, from whichever keeper; -1: none. The
-// answer is -1 where there is none to give now.
+// Take assigns a place to a sender. had is the place it already has from any granter, or -1. The result is -1 if
+// no place can be assigned now.
 func (p *Places) Take(now time.Duration, sender string, had int) int {
 	p.now = max(p.now, now)
 	if had >= 0 {
 		if had >= p.from && had < p.to {
 			s := p.assigned[had]
 			if s != nil && s.sender != sender {
-				return -1 // two have it: the one that comes later gives it up
+				return -1 // two senders have it: the later one gives it up
 			}
 			p.assigned[had] = &assignment{sender, true, p.now}
 		}
@@ -65,7 +66,7 @@
 	return -1
 }
 
-// Left says that a sender's stream has ended. It may live on.
+// Left reports that a sender's stream has ended. The sender may still be alive.
 func (p *Places) Left(now time.Duration, sender string) {
 	p.now = max(p.now, now)
 	for _, s := range p.assigned {
@@ -75,5 +76,5 @@
 	}
 }
 
-// Open ends the wait after the start: for a deployment that begins anew.
+// Open ends the waiting period after the start, for a deployment that starts from scratch.
 func (p *Places) Open() { p.assignsFrom = 0 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,7 +1,7 @@
-// Package limits bounds what one client, or whatever a key names, may ask: so many requests a second by a
-// leaky bucket (Turner, IEEE Communications 1986) with a burst that waits or not, and so many at one time.
-// It does no I/O and reads no clock. Memory is bounded: of more keys than there is room for, those longest
-// unseen are forgotten.
+// Package limits restricts the requests of one client, or of whatever a key identifies: the rate by a leaky
+// bucket (Turner, IEEE Communications 1986), with a burst that is delayed or not, and the number of concurrent
+// requests. It does no I/O and reads no clock. Memory is bounded: when there are too many keys, the least
+// recently seen are evicted.
 package limits
 
 import (
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Rate is a zone of requests a second.
+// Rate is a zone that limits requests per second.
 type Rate struct {
 	perSecond float64
-	maxKeys      int
+	maxKeys   int
 	buckets   map[string]*list.Element
-	lru      *list.List // of *bucket, the last seen first
+	lru       *list.List // of *bucket, most recently seen first
 }
 
 type bucket struct {
@@ -25,10 +25,10 @@
 	last   time.Duration
 }
 
-// keyLimit bounds any zone.
+// keyLimit bounds the keys of any zone.
 const keyLimit = 10_000_000
 
-// NewRate returns a zone for at most so many keys.
+// NewRate returns a zone for at most this number of keys.
 func NewRate(perSecond float64, most int) (*Rate, error) {
 	if !(perSecond > 0) || math.IsInf(perSecond, 1) || most < 1 || most > keyLimit {
 		return nil, fmt.Errorf("limits: %v requests a second for %d keys", perSecond, most)
@@ -36,18 +36,18 @@
 	return &Rate{perSecond: perSecond, maxKeys: most, buckets: map[string]*list.Element{}, lru: list.New()}, nil
 }
 
-// Keys is how many are remembered.
+// Keys returns the number of remembered keys.
 func (r *Rate) Keys() int { return len(r.buckets) }
 
-// Burst is how far above the rate a place lets a key go.
+// Burst is how far above the rate a location lets a key go.
 type Burst struct {
-	Burst   float64 // requests that may wait
-	Delay   float64 // of those, how many need not
-	NoDelay bool    // none need
+	Burst   float64 // requests allowed in excess of the rate
+	Delay   float64 // of those, the number that is not delayed
+	NoDelay bool    // none is delayed
 }
 
-// Take asks for one request now: wait is how long it is to be held, ok false that it is refused. A refused
-// one costs the key nothing.
+// Take requests admission of one request now. wait is how long to delay it; ok is false if it is refused. A
+// refused request does not count against the key.
 func (r *Rate) Take(now time.Duration, key string, b Burst) (wait time.Duration, ok bool) {
 	e := r.buckets[key]
 	if e == nil {
@@ -63,7 +63,7 @@
 	k := e.Value.(*bucket)
 	passed := max(0, now-k.last).Seconds()
 	excess := max(0, k.excess-passed*r.perSecond+1)
-	// Rounding must not refuse the request that comes just when its turn is.
+	// Rounding must not refuse a request that arrives exactly when it is allowed.
 	if excess > b.Burst+1e-6 {
 		return 0, false
 	}
@@ -74,13 +74,13 @@
 	return 0, true
 }
 
-// Conns is a zone of requests at one time.
+// Conns is a zone that limits concurrent requests.
 type Conns struct {
-	maxKeys  int
-	count map[string]int
+	maxKeys int
+	count   map[string]int
 }
 
-// NewConns returns a zone for at most so many keys at one time.
+// NewConns returns a zone for at most this number of keys at one time.
 func NewConns(most int) (*Conns, error) {
 	if most < 1 || most > keyLimit {
 		return nil, fmt.Errorf("limits: %d keys", most)
@@ -88,7 +88,8 @@
 	return &Conns{maxKeys: most, count: map[string]int{}}, nil
 }
 
-// Enter asks for one more of a key; each that is let in must Leave. With no room for another key it is refused.
+// Enter requests admission of one more request of a key; each admitted request must Leave. A new key is refused
+// if there is no room for it.
 func (c *Conns) Enter(key string, limit int) bool {
 	n := c.count[key]
 	if n >= limit || n == 0 && len(c.count) >= c.maxKeys {
@@ -98,7 +99,7 @@
 	return true
 }
 
-// Leave ends one of a key.
+// Leave ends one request of a key.
 func (c *Conns) Leave(key string) {
 	if n := c.count[key]; n > 1 {
 		c.count[key] = n - 1
@@ -107,5 +108,5 @@
 	}
 }
 
-// Keys is how many have some now.
+// Keys returns the number of keys with requests now.
 func (c *Conns) Keys() int { return len(c.count) }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// oracle is the documented bucket in whole thousandths of a request and whole milliseconds, one for each key.
+// oracle is the documented bucket in integer thousandths of a request and milliseconds, for one key.
 type oracle struct{ excess, last, rate int64 }
 
 func (o *oracle) take(nowMs, burst, delay int64, nodelay, first bool) (waitMs int64, ok bool) {
@@ -33,13 +33,13 @@
 	return 0, true
 }
 
-// Over random requests it lets in, holds and refuses as the documented bucket does, but for what whole
-// thousandths round away.
-func TestAsTheDocumentedBucket(t *testing.T) {
+// Random requests are admitted, delayed and refused as by the documented bucket, up to rounding to whole
+// thousandths.
+func TestMatchesDocumentedBucket(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	differ, all := 0, 0
 	for range 200 {
-		rate := []int64{500, 1000, 2000, 10_000, 50_000}[r.IntN(5)] // thousandths a second
+		rate := []int64{500, 1000, 2000, 10_000, 50_000}[r.IntN(5)] // thousandths per second
 		burst, delay, nodelay := int64(r.IntN(6)), int64(r.IntN(3)), r.IntN(3) == 0
 		z, err := NewRate(float64(rate)/1000, 10)
 		require.NoError(t, err)
@@ -49,11 +49,11 @@
 			now += int64(r.IntN(1500 * 1000 / int(rate)))
 			wait, ok := z.Take(time.Duration(now)*ms, "k", Burst{float64(burst), float64(delay), nodelay})
 			want, let := o.take(now, burst, delay, nodelay, n == 0)
-			// Each step from one state, or what is rounded away adds up.
+			// Each step starts from the oracle's state; otherwise rounding errors would accumulate.
 			k := z.buckets["k"].Value.(*bucket)
 			k.excess, k.last = float64(o.excess)/1000, time.Duration(o.last)*ms
 			if all++; ok != let {
-				differ++ // on the edge
+				differ++ // at a boundary
 			} else if ok {
 				require.InDelta(t, float64(want), float64(wait)/1e6, 2+2000/float64(rate))
 			}
@@ -62,8 +62,8 @@
 	require.Less(t, float64(differ)/float64(all), 0.002)
 }
 
-// A steady flow at the rate passes; twice the rate is refused half; a burst waits its turn.
-func TestRateHolds(t *testing.T) {
+// A steady flow at the rate passes; at twice the rate half is refused; a burst is delayed.
+func TestRateIsEnforced(t *testing.T) {
 	z, err := NewRate(10, 10)
 	require.NoError(t, err)
 	for n := range 100 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// More keys than there is room for push out those longest unseen, and memory stays bounded.
+// When there are too many keys, the least recently seen are evicted, and memory stays bounded.
 func TestKeysAreBounded(t *testing.T) {
 	z, err := NewRate(1, 100)
 	require.NoError(t, err)
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,31 +1,30 @@
-// Package timing keeps what is due at a moment, in an indexed binary heap: a timer that is stopped
-// leaves at once, with all that it holds. Nothing here reads a clock or is safe for more than one
-// goroutine.
+// Package timing is a timer queue, an indexed binary heap: a stopped timer is removed at once, with everything
+// it references. Nothing here reads a clock or is safe for concurrent use.
 //
-// A hierarchical timing wheel (Varghese and Lauck, SOSP 1987) was measured beside it; docs/timers.md
-// has the figures.
+// A hierarchical timing wheel (Varghese and Lauck, SOSP 1987) was measured for comparison; docs/timers.md has
+// the figures.
 package timing
 
 import "time"
 
-// Timer is one moment and what is to be done then. The zero value is stopped. A Timer must not be
-// copied while it is set.
+// Timer is a due time and a function to call then. The zero value is a stopped timer. A Timer must not be copied
+// while it is set.
 type Timer struct {
 	due time.Time
 	do  func()
-	pos  int // place in the heap, from 1; 0: stopped
+	pos int // index in the heap plus 1; 0: stopped
 }
 
-// Set tells whether the timer is in a queue.
+// Set reports whether the timer is in a queue.
 func (t *Timer) Set() bool { return t.pos > 0 }
 
-// Queue holds timers by due time. The zero value is empty. Adding and stopping cost O(log n).
+// Queue holds timers by due time. The zero value is empty. Adding and stopping take O(log n).
 type Queue struct{ heap []*Timer }
 
-// Len is how many timers are set.
+// Len returns the number of timers that are set.
 func (q *Queue) Len() int { return len(q.heap) }
 
-// Start sets a timer, anew if it was set: do is called by the first Fire at or after due.
+// Start sets a timer, or resets it if it is set: the first Fire at or after due calls do.
 func (q *Queue) Start(t *Timer, due time.Time, do func()) {
 	q.Stop(t)
 	t.due, t.do, t.pos = due, do, len(q.heap)+1
@@ -33,10 +32,10 @@
 	q.up(t.pos - 1)
 }
 
-// At sets a timer that nobody stops.
+// At sets a timer that is never stopped.
 func (q *Queue) At(due time.Time, do func()) { q.Start(new(Timer), due, do) }
 
-// Stop takes a timer out, and drops what it would have done. One that is not set stays so.
+// Stop removes a timer and its function. It does nothing if the timer is not set.
 func (q *Queue) Stop(t *Timer) {
 	if t.pos == 0 {
 		return
@@ -52,7 +51,7 @@
 	q.shrink()
 }
 
-// Wait is how long until the first timer is due; an hour if there is none.
+// Wait returns the time until the first timer is due, or an hour if there is none.
 func (q *Queue) Wait(now time.Time) time.Duration {
 	if len(q.heap) == 0 {
 		return time.Hour
@@ -60,7 +59,8 @@
 	return max(0, q.heap[0].due.Sub(now))
 }
 
-// Fire does what is due, the earliest first. What that sets itself is done too, once due by now.
+// Fire calls the functions that are due, earliest first, including those that these calls add and that are
+// already due.
 func (q *Queue) Fire(now time.Time) {
 	for len(q.heap) > 0 && !q.heap[0].due.After(now) {
 		t := q.heap[0]
@@ -78,10 +78,10 @@
 	q.heap = nil
 }
 
-// minCapacity is the room that the heap never falls below.
+// minCapacity is the capacity that the heap never shrinks below.
 const minCapacity = 64
 
-// shrink gives room back that a burst has left.
+// shrink releases memory after a burst.
 func (q *Queue) shrink() {
 	if c := cap(q.heap); c > minCapacity && len(q.heap) < c/4 {
 		q.heap = append(make([]*Timer, 0, c/2), q.heap...)
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// The queue does what a sorted list of the timers still set would do, in that order.
-func TestFiresInOrderWhatIsStillSet(t *testing.T) {
+// The queue fires the same timers, in the same order, as a sorted list of those that are still set.
+func TestFiresSetTimersInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(0, 0)
 		var q Queue
@@ -66,8 +66,8 @@
 	})
 }
 
-// Room that a burst has taken is given back.
-func TestShrinks(t *testing.T) {
+// Memory taken by a burst is released.
+func TestQueueShrinks(t *testing.T) {
 	var q Queue
 	timers := make([]Timer, 10_000)
 	for i := range timers {
@@ -81,8 +81,8 @@
 	}
 }
 
-// A timer is set for each of many commands under way and stopped long before it is due: what the
-// loop does with an attempt's deadline.
+// A timer is set for each of many concurrent commands and stopped long before it is due, as the loop does with
+// attempts' deadlines.
 func BenchmarkStartStop(b *testing.B) {
 	const out = 1024
 	var q Queue
