--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -31,15 +31,15 @@
 		c.Client.Answer(Answer{Verdict: Unusable})
 		return
 	}
-	h := &pendingCommand{Command: c, class: class, request: l.newRequestID()}
-	l.byID[c.ID], l.byRequest[h.request] = h, h
-	var order []uint32
+	p := &pendingCommand{Command: c, class: class, request: l.newRequestID()}
+	l.byID[c.ID], l.byRequest[p.request] = p, p
+	var candidates []uint32
 	for _, id := range c.Order {
-		order = append(order, l.workerID(id))
+		candidates = append(candidates, l.workerID(id))
 	}
 	l.queueEvent(decide.Request{
-		ID: h.request, Class: class, Tenant: indexOrLen(l.allNames.Tenants, c.Tenant), Key: c.Key, Budget: max(0, time.Until(c.Deadline)),
-		Work: c.Work, Slots: c.Slots, Memory: c.Memory, Repeat: c.Repeat, Order: order, Held: c.Held, Patient: c.Patient, Gated: c.Gate != nil,
+		ID: p.request, Class: class, Tenant: indexOrLen(l.allNames.Tenants, c.Tenant), Key: c.Key, Budget: max(0, time.Until(c.Deadline)),
+		Work: c.Work, Slots: c.Slots, Memory: c.Memory, Repeat: c.Repeat, Order: candidates, Held: c.Held, Patient: c.Patient, Gated: c.Gate != nil,
 	})
 }
 
@@ -58,16 +58,16 @@
 func (l *Loop) Finish() {
 	l.post(func(l *Loop) {
 		for _, r := range slices.Sorted(maps.Keys(l.byRequest)) {
-			h := l.byRequest[r]
-			if h.answered {
+			p := l.byRequest[r]
+			if p.answered {
 				continue
 			}
 			v := Failed
-			if r, ok := h.Client.(Repeater); len(h.attempts) == 0 || ok && r.Repeats() {
+			if r, ok := p.Client.(Repeater); len(p.attempts) == 0 || ok && r.Repeats() {
 				v = Refused
 			}
 			l.queueEvent(decide.RequestLapsed{Request: r})
-			l.answer(h, Answer{Verdict: v})
+			l.answer(p, Answer{Verdict: v})
 		}
 	})
 }
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -40,10 +40,10 @@
 
 var connEndNames = [...]string{Unanswered: "unanswered", Cut: "cut", Crossed: "crossed"}
 
-// Ended counts the end of a client's connection. ending is set during shutdown.
-func (b *Books) Ended(e End, ending bool) {
+// Ended counts the end of a client's connection. shutdown is set while the process shuts down.
+func (b *Books) Ended(e End, shutdown bool) {
 	b.connEnds[e].Add(1)
-	if ending {
+	if shutdown {
 		b.connEndsAtShutdown[e].Add(1)
 	}
 }
@@ -73,11 +73,11 @@
 	defer b.mu.Unlock()
 	for _, name := range names[len(b.classes):] {
 		name = strings.TrimSuffix(name, formerSuffix)
-		book := &classCounters{name: name}
+		counters := &classCounters{name: name}
 		if i := slices.IndexFunc(b.classes, func(c *classCounters) bool { return c.name == name }); i >= 0 {
-			book = b.classes[i]
+			counters = b.classes[i]
 		}
-		b.classes = append(b.classes, book)
+		b.classes = append(b.classes, counters)
 	}
 }
 
@@ -100,28 +100,28 @@
 
 // operatorCounters returns the counters that operators monitor.
 func (b *Books) operatorCounters() (all []counter) {
-	line := func(name string, n int64) { all = append(all, counter{"proxy." + name, n}) }
+	add := func(name string, n int64) { all = append(all, counter{"proxy." + name, n}) }
 	b.mu.Lock()
 	for i, c := range b.classes {
 		if slices.Index(b.classes, c) < i {
 			continue
 		}
-		line("passed."+c.name, c.answers[Served].Load())
-		line("dropped."+c.name, c.answers[Refused].Load())
-		line("bad_gateway."+c.name, c.answers[Failed].Load()+c.answers[Unusable].Load())
+		add("passed."+c.name, c.answers[Served].Load())
+		add("dropped."+c.name, c.answers[Refused].Load())
+		add("bad_gateway."+c.name, c.answers[Failed].Load()+c.answers[Unusable].Load())
 	}
 	b.mu.Unlock()
-	line("upstream_tries", b.written.Load())
-	line("in_progress", b.pending.Load())
-	line("known_encoders", b.listed.Load())
-	line("skipped_encoders", b.skipped.Load())
-	line("loads", b.Loads.Load())
-	line("load_errors", b.LoadErrors.Load())
+	add("upstream_tries", b.written.Load())
+	add("in_progress", b.pending.Load())
+	add("known_encoders", b.listed.Load())
+	add("skipped_encoders", b.skipped.Load())
+	add("loads", b.Loads.Load())
+	add("load_errors", b.LoadErrors.Load())
 	for e, name := range connEndNames {
-		line("closed_"+name, b.connEnds[e].Load())
-		line("ending_"+name, b.connEndsAtShutdown[e].Load())
+		add("closed_"+name, b.connEnds[e].Load())
+		add("ending_"+name, b.connEndsAtShutdown[e].Load())
 	}
-	line("ending_refused", b.refusedAtShutdown.Load())
+	add("ending_refused", b.refusedAtShutdown.Load())
 	return all
 }
 
@@ -141,19 +141,19 @@
 
 // internalCounters returns all other counters.
 func (b *Books) internalCounters() (all []counter) {
-	line := func(name string, n *atomic.Int64) { all = append(all, counter{name, n.Load()}) }
-	line("commands_taken_in", &b.Taken)
-	line("commands_answered", &b.answers[Served])
-	line("commands_nacked", &b.answers[Refused])
-	line("commands_failed", &b.answers[Failed])
-	line("commands_unusable", &b.answers[Unusable])
-	line("commands_lapsed", &b.Lapsed)
-	line("attempts_sent", &b.Sent)
+	add := func(name string, n *atomic.Int64) { all = append(all, counter{name, n.Load()}) }
+	add("commands_taken_in", &b.Taken)
+	add("commands_answered", &b.answers[Served])
+	add("commands_nacked", &b.answers[Refused])
+	add("commands_failed", &b.answers[Failed])
+	add("commands_unusable", &b.answers[Unusable])
+	add("commands_lapsed", &b.Lapsed)
+	add("attempts_sent", &b.Sent)
 	for o := range b.outcomes {
-		line("attempts_"+outcomeNames[o], &b.outcomes[o])
+		add("attempts_"+outcomeNames[o], &b.outcomes[o])
 	}
-	line("probes_sent", &b.Probes)
-	line("news_for_no_attempt", &b.StrayNews)
+	add("probes_sent", &b.Probes)
+	add("news_for_no_attempt", &b.StrayNews)
 	return all
 }
 
@@ -181,34 +181,34 @@
 
 // sampleFleet updates the instance counts now and at every interval.
 func (l *Loop) sampleFleet() {
-	listed, avoided := l.mod.Fleet()
+	listed, skipped := l.mod.Fleet()
 	l.Books.listed.Store(int64(listed))
-	l.Books.skipped.Store(int64(avoided))
+	l.Books.skipped.Store(int64(skipped))
 	l.timers.At(time.Now().Add(fleetSampleInterval), l.sampleFleet)
 }
 
 // answer counts a command's one final answer and sends it to the client.
-func (l *Loop) answer(h *pendingCommand, a Answer) {
-	l.Books.countAnswer(h.class, a.Verdict)
-	l.markAnswered(h)
-	h.Client.Answer(a)
-	l.removeIfDone(h)
+func (l *Loop) answer(p *pendingCommand, a Answer) {
+	l.Books.countAnswer(p.class, a.Verdict)
+	l.markAnswered(p)
+	p.Client.Answer(a)
+	l.removeIfDone(p)
 }
 
 // markAnswered records that a command needs no answer any more.
-func (l *Loop) markAnswered(h *pendingCommand) {
-	h.answered = true
-	for _, a := range h.attempts {
+func (l *Loop) markAnswered(p *pendingCommand) {
+	p.answered = true
+	for _, a := range p.attempts {
 		a.obsolete.Store(true)
 	}
 	l.Books.pending.Add(-1)
 }
 
 // removeIfDone removes a command that is answered and has no outstanding attempt.
-func (l *Loop) removeIfDone(h *pendingCommand) {
-	if h.answered && h.outstanding == 0 {
-		delete(l.byID, h.ID)
-		l.takenOver.CompareAndDelete(h.ID, h.Command)
-		delete(l.byRequest, h.request)
+func (l *Loop) removeIfDone(p *pendingCommand) {
+	if p.answered && p.outstanding == 0 {
+		delete(l.byID, p.ID)
+		l.takenOver.CompareAndDelete(p.ID, p.Command)
+		delete(l.byRequest, p.request)
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -213,9 +213,9 @@
 const inboxSize = 8192
 
 // New returns a loop without any commands.
-func New(s decide.Settings, n wire.Names, fleet Fleet, table NameTable, other Other, logger *slog.Logger) (*Loop, error) {
+func New(s decide.Settings, n wire.Names, fleet Fleet, discovery NameTable, otherProcess Other, logger *slog.Logger) (*Loop, error) {
 	l := &Loop{
-		fleet: fleet, discovery: table, otherProcess: other, log: logger, inbox: make(chan message, inboxSize),
+		fleet: fleet, discovery: discovery, otherProcess: otherProcess, log: logger, inbox: make(chan message, inboxSize),
 		byID: map[string]*pendingCommand{}, byRequest: map[uint32]*pendingCommand{}, instanceIDs: map[uint32]string{}, workerIDs: map[string]uint32{},
 		timerLag: timerLagLog{log: logger},
 	}
@@ -234,17 +234,17 @@
 
 // Run serves until the context ends.
 func (l *Loop) Run(ctx context.Context) {
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	l.sampleFleet()
 	for {
-		alarm.Reset(l.timers.Wait(time.Now()))
+		timer.Reset(l.timers.Wait(time.Now()))
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-l.inbox:
 			m(l)
-		case <-alarm.C:
+		case <-timer.C:
 		}
 		l.runBatch()
 	}
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -60,9 +60,9 @@
 	g.Ask(a)
 }
 
-// Pass sends an attempt that waits at its gate, unless it has ended meanwhile, provided that may returns true.
-// The sender calls may as late as possible; it must not block.
-func (l *Loop) Pass(a *Attempt, may func() bool) {
+// Pass sends an attempt that waits at its gate, unless it has ended meanwhile, provided that permitted returns true.
+// The sender calls permitted as late as possible; it must not block.
+func (l *Loop) Pass(a *Attempt, permitted func() bool) {
 	l.post(func(l *Loop) {
 		if l.handedOver || a.ended || a.gateState != gateWaiting {
 			return
@@ -72,7 +72,7 @@
 			l.endAttempt(a, decide.Moot)
 			return
 		}
-		a.gateState, a.permitted = gatePassed, may
+		a.gateState, a.permitted = gatePassed, permitted
 		l.queueEvent(decide.Passed{Request: a.request, Attempt: a.N})
 		l.fleet.Send(a)
 	})
@@ -114,29 +114,29 @@
 
 // neverSent reports whether nothing of a command with a gate can have run: all of its attempts wait there, or
 // have ended without having run.
-func (h *pendingCommand) neverSent() bool {
-	return h.Gate != nil && !slices.ContainsFunc(h.attempts, func(a *Attempt) bool { return a.ended && !a.neverRan || !a.ended && a.gateState != gateWaiting })
+func (p *pendingCommand) neverSent() bool {
+	return p.Gate != nil && !slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return a.ended && !a.neverRan || !a.ended && a.gateState != gateWaiting })
 }
 
 // Abandon drops a command whose attempts are no longer managed by this process. Nothing more is sent, not even
 // cancellations: instances continue the attempts they have.
 func (l *Loop) Abandon(c *Command) {
 	l.post(func(l *Loop) {
-		h := l.byID[c.ID]
-		if l.handedOver || h == nil || h.Command != c {
+		p := l.byID[c.ID]
+		if l.handedOver || p == nil || p.Command != c {
 			return
 		}
-		if !h.answered {
+		if !p.answered {
 			l.Books.Lapsed.Add(1)
-			l.markAnswered(h)
+			l.markAnswered(p)
 		}
-		for _, a := range h.attempts {
+		for _, a := range p.attempts {
 			if !a.ended {
 				a.gateReportDue = a.gateState == gatePassed
 				a.gateState = gateNone
 				l.endAttempt(a, decide.Cancelled)
 			}
 		}
-		l.queueEvent(decide.RequestLapsed{Request: h.request})
+		l.queueEvent(decide.RequestLapsed{Request: p.request})
 	})
 }
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -74,30 +74,30 @@
 	Over, Taken, Leaving bool
 }
 
-// Yield hands over all pending commands to another process by calling to from the loop. Afterwards this loop
-// accepts nothing, and each command's client is asked to pass on its connection. If to fails, nothing changes.
-func (l *Loop) Yield(to func(Handed) bool) {
+// Yield hands over all pending commands to another process by calling transfer from the loop. Afterwards this loop
+// accepts nothing, and each command's client is asked to pass on its connection. If transfer fails, nothing changes.
+func (l *Loop) Yield(transfer func(Handed) bool) {
 	l.post(func(l *Loop) {
 		for len(l.events) > 0 {
 			l.handleEvents()
 		}
-		given := Handed{Module: l.mod.Memory(), Numbers: l.instanceIDs, Names: l.allNames, Classes: l.settings.Classes}
-		for _, r := range given.Module.Requests {
-			if h := l.byRequest[r.ID]; h != nil && !h.answered && h.Gate == nil && !h.Held { // other clients have no connection that could be passed on
-				given.Commands = append(given.Commands, h.export(r))
+		state := Handed{Module: l.mod.Memory(), Numbers: l.instanceIDs, Names: l.allNames, Classes: l.settings.Classes}
+		for _, r := range state.Module.Requests {
+			if p := l.byRequest[r.ID]; p != nil && !p.answered && p.Gate == nil && !p.Held { // other clients have no connection that could be passed on
+				state.Commands = append(state.Commands, p.export(r))
 			}
 		}
-		given.Module.Requests = nil
-		if !to(given) {
+		state.Module.Requests = nil
+		if !transfer(state) {
 			return
 		}
 		l.handedOver = true
-		for _, h := range l.byRequest {
-			if !h.answered {
+		for _, p := range l.byRequest {
+			if !p.answered {
 				l.Books.pending.Add(-1)
-				h.Client.Pass(true)
+				p.Client.Pass(true)
 			}
-			for _, a := range h.attempts { // the newer process owns their outcomes, even after it has died
+			for _, a := range p.attempts { // the newer process owns their outcomes, even after it has died
 				a.ended = true
 			}
 		}
@@ -109,80 +109,80 @@
 	})
 }
 
-func (h *pendingCommand) export(r decide.RequestMemory) *HandedCommand {
-	payload, _ := json.Marshal(h.Payload) // plain data: encoding cannot fail
-	c := &HandedCommand{Command: h.encodableCopy(), Payload: payload, Memory: r}
-	for _, a := range h.attempts {
+func (p *pendingCommand) export(r decide.RequestMemory) *HandedCommand {
+	payload, _ := json.Marshal(p.Payload) // plain data: encoding cannot fail
+	c := &HandedCommand{Command: p.encodableCopy(), Payload: payload, Memory: r}
+	for _, a := range p.attempts {
 		c.Attempts = append(c.Attempts, HandedAttempt{a.Instance, a.Deadline, a.ended, a.accepted, a.cancelUnconfirmed.Load()})
 	}
 	return c
 }
 
 // Learned passes the learned state to a function, for a persistent snapshot. The function must not block.
-func (l *Loop) Learned(to func(Handed)) {
+func (l *Loop) Learned(save func(Handed)) {
 	l.post(func(l *Loop) {
-		given := Handed{Module: l.mod.Memory().Advice(), Numbers: maps.Clone(l.instanceIDs), Names: l.allNames, Classes: l.settings.Classes}
-		to(given)
+		state := Handed{Module: l.mod.Memory().Advice(), Numbers: maps.Clone(l.instanceIDs), Names: l.allNames, Classes: l.settings.Classes}
+		save(state)
 	})
 }
 
 // Advise loads what an earlier process had learned before its machine was shut down, for the classes that still
 // exist.
-func (l *Loop) Advise(given Handed) {
+func (l *Loop) Advise(state Handed) {
 	l.post(func(l *Loop) {
-		at := make([]int, len(given.Names.Classes))
-		for i, name := range given.Names.Classes {
-			at[i] = slices.Index(l.allNames.Classes, name)
+		classNumbers := make([]int, len(state.Names.Classes))
+		for i, name := range state.Names.Classes {
+			classNumbers[i] = slices.Index(l.allNames.Classes, name)
 		}
-		l.queueEvent(decide.Advise{Memory: l.translateMemory(given, at)})
+		l.queueEvent(decide.Advise{Memory: l.translateMemory(state, classNumbers)})
 	})
 }
 
-// translateMemory converts another process's memory, without its requests, to the numbers in use here. at has
+// translateMemory converts another process's memory, without its requests, to the numbers in use here. classNumbers has
 // this loop's number for each of its classes, or -1.
-func (l *Loop) translateMemory(given Handed, at []int) decide.Memory {
-	m := given.Module
+func (l *Loop) translateMemory(state Handed, classNumbers []int) decide.Memory {
+	m := state.Module
 	for i := range m.Workers {
-		m.Workers[i].Worker = l.translateWorker(m.Workers[i].Worker, given)
+		m.Workers[i].Worker = l.translateWorker(m.Workers[i].Worker, state)
 	}
 	known := make([]decide.ClassMemory, len(l.allNames.Classes))
-	for i, c := range m.Classes[:min(len(m.Classes), len(at))] {
-		if at[i] >= 0 && i < len(given.Classes) && given.Classes[i].SameJobs(l.settings.Classes[at[i]]) {
-			known[at[i]] = c
+	for i, c := range m.Classes[:min(len(m.Classes), len(classNumbers))] {
+		if classNumbers[i] >= 0 && i < len(state.Classes) && state.Classes[i].SameJobs(l.settings.Classes[classNumbers[i]]) {
+			known[classNumbers[i]] = c
 		}
 	}
 	m.Classes, m.Tenants = known, nil // tenants' state is relearned within seconds
-	if !slices.Equal(l.allNames.Zones, given.Names.Zones) || !slices.Equal(l.allNames.Kinds, given.Names.Kinds) {
+	if !slices.Equal(l.allNames.Zones, state.Names.Zones) || !slices.Equal(l.allNames.Kinds, state.Names.Kinds) {
 		m.Zones, m.Kinds = nil, nil
 	}
 	return m
 }
 
 // translateWorker converts a worker in another process's memory to the numbers in use here.
-func (l *Loop) translateWorker(w decide.Worker, given Handed) decide.Worker {
-	w.ID = l.workerID(given.Numbers[w.ID])
-	w.Zone, w.Kind = l.zoneNumber(nameAt(given.Names.Zones, w.Zone)), l.kindNumber(nameAt(given.Names.Kinds, w.Kind))
+func (l *Loop) translateWorker(w decide.Worker, state Handed) decide.Worker {
+	w.ID = l.workerID(state.Numbers[w.ID])
+	w.Zone, w.Kind = l.zoneNumber(nameAt(state.Names.Zones, w.Zone)), l.kindNumber(nameAt(state.Names.Kinds, w.Kind))
 	return w
 }
 
 // Relieve takes over the state of another process. Each command must have its payload and its client set again.
-func (l *Loop) Relieve(given Handed) {
-	for _, c := range given.Commands {
+func (l *Loop) Relieve(state Handed) {
+	for _, c := range state.Commands {
 		l.takenOver.Store(c.ID, &c.Command)
 	}
 	l.post(func(l *Loop) {
-		at := l.mergeClasses(given)
-		m := l.translateMemory(given, at)
-		for _, c := range given.Commands {
+		classNumbers := l.mergeClasses(state)
+		m := l.translateMemory(state, classNumbers)
+		for _, c := range state.Commands {
 			if l.byID[c.ID] != nil { // also received here while both processes were serving
 				c.Client.Answer(Answer{Verdict: Failed})
 				l.takenOver.CompareAndDelete(c.ID, &c.Command)
 				continue
 			}
 			r := c.Memory
-			r.ID, r.Class = l.newRequestID(), at[r.Class]
+			r.ID, r.Class = l.newRequestID(), classNumbers[r.Class]
 			for i := range r.Attempts {
-				r.Attempts[i].Worker = l.translateWorker(r.Attempts[i].Worker, given)
+				r.Attempts[i].Worker = l.translateWorker(r.Attempts[i].Worker, state)
 			}
 			l.resumeCommand(c, r.ID, r.Class)
 			m.Requests = append(m.Requests, r)
@@ -195,17 +195,17 @@
 func (l *Loop) resumeCommand(c *HandedCommand, request uint32, class int) {
 	l.Books.Taken.Add(1)
 	l.Books.pending.Add(1)
-	h := &pendingCommand{Command: &c.Command, class: class, request: request}
-	l.byID[h.ID], l.byRequest[h.request] = h, h
+	p := &pendingCommand{Command: &c.Command, class: class, request: request}
+	l.byID[p.ID], l.byRequest[p.request] = p, p
 	for n, t := range c.Attempts {
 		a := &Attempt{
-			Command: h.Command, Instance: t.Instance, N: n, Deadline: t.Deadline, request: h.request,
+			Command: p.Command, Instance: t.Instance, N: n, Deadline: t.Deadline, request: p.request,
 			ended: t.Over, accepted: t.Taken, sentByOlder: !t.Over && !t.Taken,
 		}
-		h.attempts = append(h.attempts, a)
+		p.attempts = append(p.attempts, a)
 		a.cancelUnconfirmed.Store(t.Leaving) // for good: the older process does not forward the encoder's confirmation
 		if !a.ended {
-			h.outstanding++
+			p.outstanding++
 			l.timers.Start(&a.deadlineTimer, a.Deadline, func() { l.expireAttempt(a) })
 		}
 	}
@@ -218,11 +218,11 @@
 			l.otherProcess.Became(f)
 			return
 		}
-		h := l.byID[f.ID]
-		if h == nil || f.N < 0 || f.N >= len(h.attempts) || h.attempts[f.N].ended {
+		p := l.byID[f.ID]
+		if p == nil || f.N < 0 || f.N >= len(p.attempts) || p.attempts[f.N].ended {
 			return
 		}
-		a := h.attempts[f.N]
+		a := p.attempts[f.N]
 		if f.Leaving {
 			a.Leaving()
 		}
@@ -240,8 +240,8 @@
 // Alone reports that the older process has exited, which closed the connections of the attempts it sent.
 func (l *Loop) Alone() {
 	l.post(func(l *Loop) {
-		for _, h := range l.byRequest {
-			for _, a := range h.attempts {
+		for _, p := range l.byRequest {
+			for _, a := range p.attempts {
 				if a.sentByOlder && !a.ended {
 					l.endAttempt(a, decide.Reset)
 				}
@@ -252,15 +252,15 @@
 
 // Resume reports that the newer process has exited: this one accepts commands again, with what the newer one had
 // learned. The commands that were pending there are lost.
-func (l *Loop) Resume(list List, given decide.Memory) {
+func (l *Loop) Resume(list List, memory decide.Memory) {
 	l.post(func(l *Loop) {
 		mod, err := decide.New(l.settings)
 		if err != nil {
-			l.log.Error("resume", "err", err) // cannot happen: the same settings were accepted before
+			l.log.Error("cannot resume after the newer process exited", "err", err) // cannot happen: the same settings were accepted before
 			return
 		}
 		l.mod, l.handedOver = mod, false
 		l.updateInstances(list, true)
-		l.queueEvent(decide.Relieve{Memory: given})
+		l.queueEvent(decide.Relieve{Memory: memory})
 	})
 }
--- a/internal/dispatch/input.go
+++ b/internal/dispatch/input.go
@@ -24,8 +24,8 @@
 	l.post(func(l *Loop) {
 		if l.handedOver {
 			l.otherProcess.Left(c.ID)
-		} else if h := l.byID[c.ID]; h != nil && h.Command == c {
-			l.cancelCommand(h)
+		} else if p := l.byID[c.ID]; p != nil && p.Command == c {
+			l.cancelCommand(p)
 		}
 	})
 }
@@ -39,18 +39,18 @@
 	l.post(func(l *Loop) {
 		if l.handedOver { // handed over to a third process meanwhile
 			l.otherProcess.Left(id)
-		} else if h := l.byID[id]; h != nil {
-			l.cancelCommand(h)
+		} else if p := l.byID[id]; p != nil {
+			l.cancelCommand(p)
 		}
 	})
 }
 
-func (l *Loop) cancelCommand(h *pendingCommand) {
-	if !h.answered {
+func (l *Loop) cancelCommand(p *pendingCommand) {
+	if !p.answered {
 		l.Books.Lapsed.Add(1)
-		l.markAnswered(h)
-		l.queueEvent(decide.RequestLapsed{Request: h.request})
-		l.removeIfDone(h)
+		l.markAnswered(p)
+		l.queueEvent(decide.RequestLapsed{Request: p.request})
+		l.removeIfDone(p)
 	}
 }
 
@@ -124,7 +124,7 @@
 		state[m.ID] = m.State
 	}
 	for id, n := range l.workerIDs {
-		if s, told := state[id]; told && s == decide.Gone || !told && list.Complete {
+		if s, listed := state[id]; listed && s == decide.Gone || !listed && list.Complete {
 			delete(l.workerIDs, id)
 			delete(l.instanceIDs, n)
 		}
@@ -142,10 +142,10 @@
 	l.post(func(l *Loop) { l.queueEvent(decide.Holds{Worker: l.workerID(id), Slots: slots, Spans: spans}) })
 }
 
-// ListLost reports that the watch on the instance list, or a request for it, has failed; after is the time from
-// the call to the failure. nobody: no server could be reached.
-func (l *Loop) ListLost(nobody bool, after time.Duration) {
-	l.post(func(l *Loop) { l.queueEvent(decide.ListFailed{Nobody: nobody, After: after}) })
+// ListLost reports that the watch on the instance list, or a request for it, has failed; elapsed is the time from
+// the call to the failure. unreachable: no server could be reached.
+func (l *Loop) ListLost(unreachable bool, elapsed time.Duration) {
+	l.post(func(l *Loop) { l.queueEvent(decide.ListFailed{Nobody: unreachable, After: elapsed}) })
 }
 
 // workerID returns the decision module's ID of an instance. It is the same at every dispatcher, since the module
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -19,7 +19,7 @@
 type Lease struct {
 	Instance string
 	Process  int64   // the instance's start, in microseconds of Unix time
-	Work     float64 // schedule slot seconds
+	Work     float64 // slot seconds
 	Until    time.Time
 	Ref      any // opaque, for the leaser
 }
@@ -28,7 +28,7 @@
 const maxLeases = 4096
 
 // LeaseBy sets the leaser. It must be called before Run.
-func (l *Loop) LeaseBy(by Leaser) { l.leaser = by }
+func (l *Loop) LeaseBy(leaser Leaser) { l.leaser = leaser }
 
 // Leased stores a granted lease.
 func (l *Loop) Leased(t Lease) {
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -11,13 +11,13 @@
 
 // Ended reports how an attempt ended, other than by a callback, and how long its connection had been idle
 // before; 0 for a new connection.
-func (l *Loop) Ended(a *Attempt, o decide.Outcome, kept time.Duration) {
+func (l *Loop) Ended(a *Attempt, o decide.Outcome, connIdle time.Duration) {
 	l.post(func(l *Loop) {
 		switch {
 		case l.handedOver:
-			l.otherProcess.Became(Fate{ID: a.Command.ID, N: a.N, Leaving: a.cancelUnconfirmed.Load(), Outcome: o, Kept: kept, Report: a.report})
+			l.otherProcess.Became(Fate{ID: a.Command.ID, N: a.N, Leaving: a.cancelUnconfirmed.Load(), Outcome: o, Kept: connIdle, Report: a.report})
 		case !a.ended:
-			a.connIdle = kept
+			a.connIdle = connIdle
 			l.endAttempt(a, o)
 		default:
 			a.reportLateEnd(o)
@@ -74,8 +74,8 @@
 }
 
 func (l *Loop) attemptUnusable(a *Attempt) {
-	if h := l.byRequest[a.request]; !h.answered {
-		l.answer(h, Answer{Verdict: Unusable})
+	if p := l.byRequest[a.request]; !p.answered {
+		l.answer(p, Answer{Verdict: Unusable})
 	}
 	l.endAttempt(a, decide.Moot)
 }
@@ -155,11 +155,11 @@
 
 // openAttemptAt returns the open attempt of a command at an instance, or nil.
 func (l *Loop) openAttemptAt(id, instance string) *Attempt {
-	h := l.byID[id]
-	if h == nil {
+	p := l.byID[id]
+	if p == nil {
 		return nil
 	}
-	for _, a := range h.attempts {
+	for _, a := range p.attempts {
 		if a.Instance == instance && !a.ended {
 			return a
 		}
@@ -168,24 +168,24 @@
 }
 
 // attemptServed ends an attempt successfully. The first result of a command is its answer.
-func (l *Loop) attemptServed(a *Attempt, with Answer) {
-	with.Instance = a.Instance
-	if h := l.byRequest[a.request]; !h.answered {
-		l.answer(h, with)
+func (l *Loop) attemptServed(a *Attempt, answer Answer) {
+	answer.Instance = a.Instance
+	if p := l.byRequest[a.request]; !p.answered {
+		l.answer(p, answer)
 	}
 	l.endAttempt(a, decide.OK)
 }
 
 // endAttempt records an attempt's one outcome.
 func (l *Loop) endAttempt(a *Attempt, o decide.Outcome) {
-	h := l.byRequest[a.request]
+	p := l.byRequest[a.request]
 	l.timers.Stop(&a.deadlineTimer) // a timer that stays set would keep the command in memory until the deadline
 	a.ended = true
-	h.outstanding--
+	p.outstanding--
 	o = l.settleGate(a, o)
 	l.Books.countOutcome(o)
-	l.queueEvent(decide.AttemptEnded{Request: a.request, Attempt: a.N, Outcome: o, Over: h.answered, Kept: a.connIdle, Report: a.report})
-	l.removeIfDone(h)
+	l.queueEvent(decide.AttemptEnded{Request: a.request, Attempt: a.N, Outcome: o, Over: p.answered, Kept: a.connIdle, Report: a.report})
+	l.removeIfDone(p)
 }
 
 // Began reports that the instance runs an attempt, if it reports that other than by a callback.
@@ -212,24 +212,24 @@
 }
 
 func (l *Loop) refuseRequest(r decide.Refuse) {
-	if h := l.byRequest[r.Request]; h != nil && !h.answered {
-		l.answer(h, Answer{Verdict: Refused, RetryAfter: r.RetryAfter})
+	if p := l.byRequest[r.Request]; p != nil && !p.answered {
+		l.answer(p, Answer{Verdict: Refused, RetryAfter: r.RetryAfter})
 	}
 }
 
 func (l *Loop) failRequest(f decide.FailRequest) {
-	h := l.byRequest[f.Request]
-	if h == nil || h.answered {
+	p := l.byRequest[f.Request]
+	if p == nil || p.answered {
 		return
 	}
 	v := Failed
-	if h.neverSent() { // the decision module does not track gates
+	if p.neverSent() { // the decision module does not track gates
 		v = Refused
-		for _, a := range h.attempts {
+		for _, a := range p.attempts {
 			if !a.ended {
 				l.endAttempt(a, decide.Moot)
 			}
 		}
 	}
-	l.answer(h, Answer{Verdict: v})
+	l.answer(p, Answer{Verdict: v})
 }
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -8,12 +8,12 @@
 
 // startAttempt starts an attempt. Its deadline is the command's, or earlier if the decision module says so.
 func (l *Loop) startAttempt(s decide.Send, now time.Time) {
-	h := l.byRequest[s.Request]
-	if h == nil {
+	p := l.byRequest[s.Request]
+	if p == nil {
 		return
 	}
 	a := &Attempt{
-		Command: h.Command, Instance: l.instanceIDs[s.Worker], N: len(h.attempts), Deadline: h.Deadline,
+		Command: p.Command, Instance: l.instanceIDs[s.Worker], N: len(p.attempts), Deadline: p.Deadline,
 		MostIdle: s.MostIdle, Fresh: s.Fresh, request: s.Request,
 	}
 	if s.Timeout > 0 {
@@ -26,13 +26,13 @@
 		delete(l.leases, s.Lease)
 		l.leaser.Spent(t)
 	}
-	h.attempts = append(h.attempts, a)
-	h.outstanding++
+	p.attempts = append(p.attempts, a)
+	p.outstanding++
 	l.Books.Sent.Add(1)
-	if h.clientGone.Load() { // the disconnect message is still queued
-		l.cancelCommand(h)
+	if p.clientGone.Load() { // the disconnect message is still queued
+		l.cancelCommand(p)
 	}
-	if h.answered || !a.Deadline.After(now) || h.mayBeAt(a.Instance, a) {
+	if p.answered || !a.Deadline.After(now) || p.mayBeAt(a.Instance, a) {
 		l.endAttempt(a, decide.Moot)
 		return
 	}
@@ -42,9 +42,9 @@
 
 // mayBeAt reports whether an instance may still have an earlier attempt of the command. A second attempt could
 // otherwise overtake the cancellation of the first.
-func (h *pendingCommand) mayBeAt(instance string, but *Attempt) bool {
-	for _, a := range h.attempts {
-		if a != but && a.Instance == instance && (!a.ended || a.cancelUnconfirmed.Load()) {
+func (p *pendingCommand) mayBeAt(instance string, except *Attempt) bool {
+	for _, a := range p.attempts {
+		if a != except && a.Instance == instance && (!a.ended || a.cancelUnconfirmed.Load()) {
 			return true
 		}
 	}
@@ -61,11 +61,11 @@
 
 // cancelAttempt cancels an attempt at the decision module's request.
 func (l *Loop) cancelAttempt(c decide.Cancel) {
-	h := l.byRequest[c.Request]
-	if h == nil || c.Attempt < 0 || c.Attempt >= len(h.attempts) || h.attempts[c.Attempt].ended {
+	p := l.byRequest[c.Request]
+	if p == nil || c.Attempt < 0 || c.Attempt >= len(p.attempts) || p.attempts[c.Attempt].ended {
 		return
 	}
-	a := h.attempts[c.Attempt]
+	a := p.attempts[c.Attempt]
 	l.cancelAtInstance(a)
 	l.endAttempt(a, decide.Cancelled)
 }
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -40,7 +40,7 @@
 
 func (l *Loop) reconfigure(s decide.Settings, n numberedNames) error {
 	if n.retired() > maxRetiredNames {
-		return errors.New("settings: too many names since the start")
+		return errors.New("settings: too many names were removed since the process started")
 	}
 	if err := l.mod.Retune(s); err != nil {
 		return err
@@ -60,43 +60,43 @@
 	all.Classes, classes = mergeNames(l.allNames.Classes, n.Classes)
 	all.Tenants, tenants = mergeNames(l.allNames.Tenants, n.Tenants)
 	s.Zone = mapNumber(s.Zone, zones)
-	known := make([]decide.Class, len(all.Classes))
-	for i := range copy(known, l.settings.Classes) {
-		known[i].Left = true
+	allClasses := make([]decide.Class, len(all.Classes))
+	for i := range copy(allClasses, l.settings.Classes) {
+		allClasses[i].Left = true
 	}
 	for i, c := range s.Classes {
 		c.Kind = mapNumber(c.Kind, kinds)
-		known[classes[i]] = c
+		allClasses[classes[i]] = c
 	}
 	if len(classes) > 0 {
 		s.First = classes[0]
 	}
-	shares := make([]decide.Tenant, len(all.Tenants))
-	for i := range copy(shares, l.settings.Tenants) {
-		shares[i].Left = true
+	allTenants := make([]decide.Tenant, len(all.Tenants))
+	for i := range copy(allTenants, l.settings.Tenants) {
+		allTenants[i].Left = true
 	}
 	for i, t := range s.Tenants {
-		shares[tenants[i]] = t
+		allTenants[tenants[i]] = t
 	}
-	s.Classes, s.Tenants = known, shares
+	s.Classes, s.Tenants = allClasses, allTenants
 	return s, all
 }
 
 // mapNumber returns the number in use of a zone or kind that the settings give by its index in their names.
 // Indexes past the end are names that are not in the settings; negative values mean none or any.
-func mapNumber(place int, numbers []int) int {
+func mapNumber(index int, numbers []int) int {
 	switch {
-	case place < 0:
-		return place
-	case place < len(numbers):
-		return numbers[place]
+	case index < 0:
+		return index
+	case index < len(numbers):
+		return numbers[index]
 	}
-	return unknownNumber + place - len(numbers)
+	return unknownNumber + index - len(numbers)
 }
 
 // numberOf returns the number in use of a zone or kind from the instance list.
-func numberOf(all, own []string, name string) int {
-	if indexOrLen(own, name) == len(own) {
+func numberOf(all, configured []string, name string) int {
+	if indexOrLen(configured, name) == len(configured) {
 		return unknownNumber
 	}
 	return indexOrLen(all, name)
@@ -110,16 +110,16 @@
 }
 
 // mergeNames appends the names that are new and returns the index of each.
-func mergeNames(have, names []string) (all []string, at []int) {
+func mergeNames(have, names []string) (all []string, indexes []int) {
 	all = slices.Clone(have)
 	for _, name := range names {
 		i := indexOrLen(all, name)
 		if i == len(all) {
 			all = append(all, name)
 		}
-		at = append(at, i)
+		indexes = append(indexes, i)
 	}
-	return all, at
+	return all, indexes
 }
 
 // formerSuffix marks a class of an older process whose definition differs from that of the same name here.
@@ -129,29 +129,29 @@
 
 // mergeClasses adds the classes of another process that are missing or defined differently here, since commands
 // of these classes are taken over. It returns the number of each of its classes here.
-func (l *Loop) mergeClasses(given Handed) []int {
+func (l *Loop) mergeClasses(state Handed) []int {
 	n, s := l.allNames, l.settings
-	theirs, classes := slices.Clone(given.Names.Classes), slices.Clone(given.Classes)
+	theirs, classes := slices.Clone(state.Names.Classes), slices.Clone(state.Classes)
 	for i := range classes {
 		if c := &classes[i]; c.Kind >= 0 {
-			c.Kind = l.kindNumber(nameAt(given.Names.Kinds, c.Kind))
+			c.Kind = l.kindNumber(nameAt(state.Names.Kinds, c.Kind))
 		}
 		if j := slices.Index(n.Classes, theirs[i]); j >= 0 && !sameClass(classes[i], s.Classes[j]) {
 			theirs[i] += formerSuffix
 		}
 	}
-	names, at := mergeNames(n.Classes, theirs)
+	names, classNumbers := mergeNames(n.Classes, theirs)
 	n.Classes, s.Classes = names, slices.Clone(s.Classes)
 	for i, c := range classes {
-		if at[i] >= len(s.Classes) {
+		if classNumbers[i] >= len(s.Classes) {
 			c.Left = true
 			s.Classes = append(s.Classes, c)
 		}
 	}
 	if err := l.reconfigure(s, numberedNames{n, l.configuredNames}); err != nil {
-		l.log.Error("settings of the older process", "err", err)
+		l.log.Error("cannot merge the older process's classes into the settings", "err", err)
 	}
-	return at
+	return classNumbers
 }
 
 // sameClass reports whether two definitions of a class are equal.
--- a/internal/dispatch/timerlag.go
+++ b/internal/dispatch/timerlag.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if n.lastLate.IsZero() || now.Sub(n.lastLate) >= lagLogQuiet {
-		n.log.Warn("short of processor time: the decisions' timer fired late", "late", late.Round(time.Millisecond))
+		n.log.Warn("decision timer fired late: the process is short of CPU time", "late", late.Round(time.Millisecond))
 	}
 	n.lastLate = now
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -42,8 +42,8 @@
 const maxPending = 256
 
 // NewHolder returns a holder for this number of granters, none of which is up.
-func NewHolder(keepers int) *Holder {
-	h := &Holder{granters: make([]granter, keepers), pending: map[uint64]pendingRequest{}}
+func NewHolder(granters int) *Holder {
+	h := &Holder{granters: make([]granter, granters), pending: map[uint64]pendingRequest{}}
 	for i := range h.granters {
 		h.granters[i].retryAt = map[string]time.Duration{}
 	}
@@ -83,7 +83,7 @@
 	for range h.granters {
 		k = h.next
 		h.next = (h.next + 1) % len(h.granters)
-		if p := &h.granters[k]; p.up && p.retryAt[instance] <= h.now {
+		if g := &h.granters[k]; g.up && g.retryAt[instance] <= h.now {
 			h.seq++
 			w = Want{Seq: h.seq, Instance: instance, Process: process, Work: work}
 			h.pending[h.seq] = pendingRequest{k, h.now, w}
@@ -102,8 +102,8 @@
 	}
 	delete(h.pending, g.Seq)
 	if g.ID == 0 {
-		if again := h.granters[k].retryAt; len(again) < maxLeases {
-			again[a.request.Instance] = h.now + min(g.Again, 2*time.Second)
+		if retryAt := h.granters[k].retryAt; len(retryAt) < maxLeases {
+			retryAt[a.request.Instance] = h.now + min(g.Again, 2*time.Second)
 		}
 		return Held{}, false
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -163,8 +163,8 @@
 // Budget returns the work, in slot seconds, that this granter may have counting against an encoder now.
 func (b *Book) Budget(m Member) float64 {
 	t := b.terms
-	part := (1 - TurnsShare) / float64(max(1, t.Keepers))
-	return part * Plan * t.Multiple * m.Slots * t.Warmth(b.now-m.Started) * t.Window.Seconds()
+	share := (1 - TurnsShare) / float64(max(1, t.Keepers))
+	return share * Plan * t.Multiple * m.Slots * t.Warmth(b.now-m.Started) * t.Window.Seconds()
 }
 
 // Counting returns the work that counts against an encoder's budget now.
@@ -181,9 +181,9 @@
 	b.advance(now)
 	b.Stats.Asked++
 	a := b.encoders[w.Instance]
-	deny := func(again time.Duration) Grant {
+	deny := func(retryAfter time.Duration) Grant {
 		b.Stats.Denied++
-		return Grant{Seq: w.Seq, Again: max(again, 10*time.Millisecond)}
+		return Grant{Seq: w.Seq, Again: max(retryAfter, 10*time.Millisecond)}
 	}
 	switch {
 	case a == nil || a.Process != w.Process && !a.Any || !(w.Work >= 0) || math.IsInf(w.Work, 1):
@@ -193,8 +193,8 @@
 		return deny(b.grantsFrom - b.now)
 	}
 	b.dropExpired(a)
-	if over := a.counted + w.Work - b.Budget(a.Member); over > 0 || len(a.queue) >= maxLeases {
-		return deny(a.timeUntilFree(b.now, over))
+	if excess := a.counted + w.Work - b.Budget(a.Member); excess > 0 || len(a.queue) >= maxLeases {
+		return deny(a.timeUntilFree(b.now, excess))
 	}
 	b.lastID++
 	g := &issuedLease{id: b.lastID, sender: sender, account: a, work: w.Work, expires: b.now + b.terms.Life, countsUntil: b.now + b.terms.Life + b.terms.Window}
@@ -249,10 +249,10 @@
 }
 
 // Orphans returns the number of counting leases that no living sender holds.
-func (b *Book) Orphans(now time.Duration, living func(sender string) bool) (n int) {
+func (b *Book) Orphans(now time.Duration, alive func(sender string) bool) (n int) {
 	b.advance(now)
 	for _, g := range b.leases {
-		if g.countsUntil > b.now && !living(g.sender) {
+		if g.countsUntil > b.now && !alive(g.sender) {
 			n++
 		}
 	}
--- a/internal/lease/places.go
+++ b/internal/lease/places.go
@@ -29,8 +29,8 @@
 )
 
 // NewPlaces returns the range of granter i of n, with all places in total.
-func NewPlaces(i, n, all int, now time.Duration) *Places {
-	return &Places{from: i * all / n, to: (i + 1) * all / n, assignsFrom: now + FreeAfter, now: now, assigned: map[int]*assignment{}}
+func NewPlaces(i, n, total int, now time.Duration) *Places {
+	return &Places{from: i * total / n, to: (i + 1) * total / n, assignsFrom: now + FreeAfter, now: now, assigned: map[int]*assignment{}}
 }
 
 // Take assigns a place to a sender. had is the place it already has from any granter, or -1. The result is -1 if
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -29,11 +29,11 @@
 const keyLimit = 10_000_000
 
 // NewRate returns a zone for at most this number of keys.
-func NewRate(perSecond float64, most int) (*Rate, error) {
-	if !(perSecond > 0) || math.IsInf(perSecond, 1) || most < 1 || most > keyLimit {
-		return nil, fmt.Errorf("limits: %v requests a second for %d keys", perSecond, most)
+func NewRate(perSecond float64, maxKeys int) (*Rate, error) {
+	if !(perSecond > 0) || math.IsInf(perSecond, 1) || maxKeys < 1 || maxKeys > keyLimit {
+		return nil, fmt.Errorf("limits: invalid rate zone: %v requests per second, %d keys", perSecond, maxKeys)
 	}
-	return &Rate{perSecond: perSecond, maxKeys: most, buckets: map[string]*list.Element{}, lru: list.New()}, nil
+	return &Rate{perSecond: perSecond, maxKeys: maxKeys, buckets: map[string]*list.Element{}, lru: list.New()}, nil
 }
 
 // Keys returns the number of remembered keys.
@@ -61,15 +61,15 @@
 	}
 	r.lru.MoveToFront(e)
 	k := e.Value.(*bucket)
-	passed := max(0, now-k.last).Seconds()
-	excess := max(0, k.excess-passed*r.perSecond+1)
+	elapsed := max(0, now-k.last).Seconds()
+	excess := max(0, k.excess-elapsed*r.perSecond+1)
 	// Rounding must not refuse a request that arrives exactly when it is allowed.
 	if excess > b.Burst+1e-6 {
 		return 0, false
 	}
 	k.excess, k.last = excess, max(now, k.last)
-	if over := excess - b.Delay; !b.NoDelay && over > 1e-6 {
-		return time.Duration(over / r.perSecond * float64(time.Second)), true
+	if delayed := excess - b.Delay; !b.NoDelay && delayed > 1e-6 {
+		return time.Duration(delayed / r.perSecond * float64(time.Second)), true
 	}
 	return 0, true
 }
@@ -81,11 +81,11 @@
 }
 
 // NewConns returns a zone for at most this number of keys at one time.
-func NewConns(most int) (*Conns, error) {
-	if most < 1 || most > keyLimit {
-		return nil, fmt.Errorf("limits: %d keys", most)
+func NewConns(maxKeys int) (*Conns, error) {
+	if maxKeys < 1 || maxKeys > keyLimit {
+		return nil, fmt.Errorf("limits: invalid connection zone: %d keys", maxKeys)
 	}
-	return &Conns{maxKeys: most, count: map[string]int{}}, nil
+	return &Conns{maxKeys: maxKeys, count: map[string]int{}}, nil
 }
 
 // Enter requests admission of one more request of a key; each admitted request must Leave. A new key is refused
