--- a/internal/dispatch/disconnect_test.go
+++ b/internal/dispatch/disconnect_test.go
@@ -28,7 +28,7 @@
 // processes its message: for an attempt that waits for a connection or at its gate, for a further attempt, and
 // for a command that the loop has not processed yet.
 func TestDisconnectCountsBeforeLoopProcessesIt(t *testing.T) {
-	t.Run("under an attempt", func(t *testing.T) {
+	t.Run("during an attempt", func(t *testing.T) {
 		l, f, c := loopWithCommand(t)
 		require.False(t, f.sent[0].Expired(time.Now()))
 		l.Lapse(f.sent[0].Command)
@@ -47,10 +47,10 @@
 			l.handleEvents()
 		}
 		require.Len(t, f.sent, 1)
-		require.EqualValues(t, 2, l.Books.Sent.Load(), "it was asked for")
+		require.EqualValues(t, 2, l.Books.Sent.Load(), "the decision module requested it")
 		requireCancelledOnce(t, l, c)
 	})
-	t.Run("before the loop has the command", func(t *testing.T) {
+	t.Run("before the loop processes the command", func(t *testing.T) {
 		f, c := &fleet{}, &client{}
 		l := newTestLoop(t, f)
 		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
@@ -80,17 +80,17 @@
 	older, f, c := loopWithCommand(t)
 	l, c2 := newTestLoop(t, f), &client{}
 	var cmd *HandedCommand
-	older.Yield(func(given Handed) bool {
-		cmd = given.Commands[0]
+	older.Yield(func(state Handed) bool {
+		cmd = state.Commands[0]
 		cmd.Client = c2
-		l.Relieve(given)
+		l.Relieve(state)
 		return true
 	})
 	older.runBatch()
 	require.Equal(t, []bool{true}, c.handedOver)
 	l.LapseElsewhere("c1")
 	require.True(t, (&Attempt{Command: &cmd.Command}).Expired(time.Now()))
-	require.False(t, f.sent[0].Expired(time.Now()), "the older process has its own mark")
+	require.False(t, f.sent[0].Expired(time.Now()), "the older process has its own flag")
 	l.Became(Fate{ID: "c1", Outcome: decide.Moot})
 	requireCancelledOnce(t, l, c2)
 	_, kept := l.takenOver.Load("c1")
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -95,9 +95,9 @@
 // A cancellation that is in transit during a handover, or an attempt whose response was broken after it, keeps
 // the newer process from a second attempt at that instance, for good: it is not notified of the confirmation.
 func TestNoSecondAttemptAfterHandoverOfUnconfirmedCancel(t *testing.T) {
-	for name, leave := range map[string]struct{ before, after func(older *Loop, a *Attempt) }{
-		"given up before": {before: func(older *Loop, a *Attempt) { older.cancelAttempt(decide.Cancel{Request: a.request}) }},
-		"spoilt after": {after: func(older *Loop, a *Attempt) {
+	for name, cancel := range map[string]struct{ before, after func(older *Loop, a *Attempt) }{
+		"cancelled before": {before: func(older *Loop, a *Attempt) { older.cancelAttempt(decide.Cancel{Request: a.request}) }},
+		"broken response after": {after: func(older *Loop, a *Attempt) {
 			a.Leaving()
 			older.Ended(a, decide.Reset, 0)
 		}},
@@ -106,18 +106,18 @@
 		l, first := newTestLoop(t, f), f.sent[0]
 		older.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true) // so that the command stays with the older process
 		older.runBatch()
-		if leave.before != nil {
-			leave.before(older, first)
+		if cancel.before != nil {
+			cancel.before(older, first)
 		}
-		older.Yield(func(given Handed) bool {
-			given.Commands[0].Client = &client{}
+		older.Yield(func(state Handed) bool {
+			state.Commands[0].Client = &client{}
 			l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
-			l.Relieve(given)
+			l.Relieve(state)
 			return true
 		})
 		older.runBatch()
-		if leave.after != nil {
-			leave.after(older, first)
+		if cancel.after != nil {
+			cancel.after(older, first)
 			older.runBatch()
 			l.Became(f.updates[0])
 		}
@@ -135,16 +135,16 @@
 // A client disconnected while an attempt still waited for its connection. Where cancellation is disabled, the
 // attempt was sent nevertheless.
 func TestNothingIsSentForDisconnectedClient(t *testing.T) {
-	for name, over := range map[string]func(*Loop, *Attempt){
-		"gone":     func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
-		"answered": func(l *Loop, a *Attempt) { l.failRequest(decide.FailRequest{Request: a.request}) },
+	for name, finish := range map[string]func(*Loop, *Attempt){
+		"disconnected": func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
+		"answered":     func(l *Loop, a *Attempt) { l.failRequest(decide.FailRequest{Request: a.request}) },
 	} {
 		l, f, _ := loopWithCommand(t)
 		s := l.settings
 		s.Limits.Cancel = false
 		require.NoError(t, l.mod.Retune(s))
 		require.False(t, f.sent[0].Expired(time.Now()), name)
-		over(l, f.sent[0])
+		finish(l, f.sent[0])
 		l.runBatch()
 		require.Empty(t, f.cancelled, name)
 		require.True(t, f.sent[0].Expired(time.Now()), name)
@@ -154,9 +154,9 @@
 // Nothing of a command remains once it is answered, cancelled or past its deadline.
 func TestNothingRemainsOfFinishedCommand(t *testing.T) {
 	for name, finish := range map[string]func(*Loop, *Attempt){
-		"served": func(l *Loop, a *Attempt) { l.News(News{ID: "c1", From: "s-1", State: Done}) },
-		"lapsed": func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
-		"late":   func(l *Loop, a *Attempt) { l.expireAttempt(a); l.failRequest(decide.FailRequest{Request: a.request}) },
+		"served":       func(l *Loop, a *Attempt) { l.News(News{ID: "c1", From: "s-1", State: Done}) },
+		"disconnected": func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
+		"timed out":    func(l *Loop, a *Attempt) { l.expireAttempt(a); l.failRequest(decide.FailRequest{Request: a.request}) },
 	} {
 		l, f, c := loopWithCommand(t)
 		finish(l, f.sent[0])
@@ -164,7 +164,7 @@
 		require.Empty(t, l.byID, name)
 		require.Empty(t, l.byRequest, name)
 		require.Zero(t, l.Holding(), name)
-		require.Len(t, c.answers, map[string]int{"served": 1, "lapsed": 0, "late": 1}[name], name)
+		require.Len(t, c.answers, map[string]int{"served": 1, "disconnected": 0, "timed out": 1}[name], name)
 	}
 }
 
@@ -179,15 +179,15 @@
 		l.runBatch()
 		require.Len(t, f.sent, 1)
 		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true)
-		waits := &client{}
-		l.Take(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: waits})
+		waiting := &client{}
+		l.Take(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: waiting})
 		l.runBatch()
 		for range 2 {
 			l.Finish()
 			l.runBatch()
 		}
 		require.Equal(t, []Answer{{Verdict: want}}, c.answers)
-		require.Equal(t, []Verdict{Refused}, []Verdict{waits.answers[0].Verdict})
+		require.Equal(t, []Verdict{Refused}, []Verdict{waiting.answers[0].Verdict})
 		require.Equal(t, f.sent, f.cancelled)
 		require.Empty(t, l.byRequest)
 		require.Zero(t, l.Holding())
@@ -208,22 +208,22 @@
 	} {
 		older, f, c := loopWithCommand(t)
 		l, c2 := newTestLoop(t, f), &client{}
-		older.Yield(func(given Handed) bool {
-			text, err := json.Marshal(given)
+		older.Yield(func(state Handed) bool {
+			text, err := json.Marshal(state)
 			require.NoError(t, err)
-			cmds := given.Commands
-			given = Handed{}
-			require.NoError(t, json.Unmarshal(text, &given))
+			cmds := state.Commands
+			state = Handed{}
+			require.NoError(t, json.Unmarshal(text, &state))
 			for _, cmd := range cmds {
 				text, err := json.Marshal(cmd)
 				require.NoError(t, err)
 				cmd = &HandedCommand{}
 				require.NoError(t, json.Unmarshal(text, cmd))
 				cmd.Client = c2
-				given.Commands = append(given.Commands, cmd)
+				state.Commands = append(state.Commands, cmd)
 			}
 			l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
-			l.Relieve(given)
+			l.Relieve(state)
 			return true
 		})
 		older.Take(&Command{ID: "c2", Class: "safe", Client: c})
@@ -231,7 +231,7 @@
 		older.Ended(f.sent[0], decide.Reset, 0)
 		older.Lapse(f.sent[0].Command)
 		older.runBatch()
-		require.Equal(t, []bool{true, false}, c.handedOver, "what was on its way goes whole")
+		require.Equal(t, []bool{true, false}, c.handedOver, "a command still queued must be passed on as a whole")
 		require.Empty(t, c.answers)
 		require.Zero(t, older.Holding())
 		require.Equal(t, []Fate{{ID: "c1", Outcome: decide.Reset}}, f.updates)
@@ -240,7 +240,7 @@
 		require.EqualValues(t, 1, l.Holding())
 		l.Take(&Command{ID: "c1", Class: "safe", Client: c})
 		l.runBatch()
-		require.Equal(t, []Answer{{Verdict: Unusable}}, c.answers, "the id is in hand")
+		require.Equal(t, []Answer{{Verdict: Unusable}}, c.answers, "the ID is already pending")
 		for range 2 {
 			then(l)
 			l.runBatch()
@@ -269,10 +269,10 @@
 		return c
 	}
 	names("new", "other")
-	require.Equal(t, []Answer{{Verdict: Unusable}}, take("c2", "safe").answers, "it has vanished")
+	require.Equal(t, []Answer{{Verdict: Unusable}}, take("c2", "safe").answers, "the class was removed")
 	l.News(News{ID: "c1", From: "s-1", State: Done})
 	l.runBatch()
-	require.Equal(t, Served, c.answers[0].Verdict, "what was in hand goes on")
+	require.Equal(t, Served, c.answers[0].Verdict, "a pending command must continue")
 	require.Contains(t, l.Books.Figures(), "proxy.passed.safe=1\n")
 	take("c3", "new")
 	l.News(News{ID: "c3", From: "s-1", State: Done})
@@ -282,13 +282,13 @@
 	l.News(News{ID: "c4", From: "s-1", State: Done})
 	l.runBatch()
 	require.Len(t, f.sent, 3)
-	for _, figure := range []string{"passed.safe=2", "bad_gateway.safe=1", "passed.new=1", "passed.other=0"} {
-		require.Contains(t, l.Books.Figures(), "proxy."+figure+"\n")
+	for _, counter := range []string{"passed.safe=2", "bad_gateway.safe=1", "passed.new=1", "passed.other=0"} {
+		require.Contains(t, l.Books.Figures(), "proxy."+counter+"\n")
 	}
 	s := l.settings
 	s.Limits.Attempts = 0
 	require.Error(t, l.reconfigure(l.mapSettings(s, l.allNames)))
-	require.Equal(t, 3, l.settings.Limits.Attempts, "nothing of it counts")
+	require.Equal(t, 3, l.settings.Limits.Attempts, "rejected settings must not apply")
 }
 
 // Names that are not in the settings get an index past all that are.
@@ -321,5 +321,5 @@
 		l.runBatch()
 	}
 	require.Empty(t, l.byRequest)
-	require.LessOrEqual(t, l.timers.Len(), idle+1, "the module's wake-up aside, timers are kept of what has ended")
+	require.LessOrEqual(t, l.timers.Len(), idle+1, "timers of ended commands are kept, besides the decision module's timer")
 }
--- a/internal/dispatch/gate_test.go
+++ b/internal/dispatch/gate_test.go
@@ -15,7 +15,7 @@
 func (g *gate) Begin(*Attempt) bool { return true }
 func (g *gate) Never(a *Attempt)    { g.neverRan = append(g.neverRan, a) }
 
-// loopWithGatedCommand is begin for a command with a gate.
+// loopWithGatedCommand is loopWithCommand for a command with a gate.
 func loopWithGatedCommand(t *testing.T) (*Loop, *fleet, *client, *gate) {
 	f, c, g := &fleet{}, &client{}, &gate{}
 	l := newTestLoop(t, f)
@@ -23,7 +23,7 @@
 	l.Take(&Command{ID: "p~1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c, Gate: g})
 	l.runBatch()
 	require.Len(t, g.requested, 1)
-	require.Empty(t, f.sent, "nothing goes out before its intent counts")
+	require.Empty(t, f.sent, "nothing may be sent before the gate permits it")
 	return l, f, c, g
 }
 
@@ -42,7 +42,7 @@
 	l, f, _, g = loopWithGatedCommand(t)
 	l.Pass(g.requested[0], func() bool { return false })
 	l.runBatch()
-	require.True(t, f.sent[0].Expired(time.Now()), "whoever sends looks again")
+	require.True(t, f.sent[0].Expired(time.Now()), "the sender must check the permission again")
 	l.Ended(f.sent[0], decide.Moot, 0)
 	l.runBatch()
 	require.Equal(t, f.sent, g.neverRan)
@@ -82,8 +82,8 @@
 // callbacks. A newer process does not receive it, and nothing keeps waiting at the older process's gate.
 func TestAbandonAndHandoverOfGatedCommands(t *testing.T) {
 	l, f, c, g := loopWithGatedCommand(t)
-	var strays []News
-	l.StraysTo(func(n News) bool { strays = append(strays, n); return true })
+	var unmatched []News
+	l.StraysTo(func(n News) bool { unmatched = append(unmatched, n); return true })
 	l.Pass(g.requested[0], func() bool { return true })
 	l.runBatch()
 	l.Abandon(f.sent[0].Command)
@@ -93,7 +93,7 @@
 	require.Empty(t, f.cancelled)
 	require.Empty(t, c.answers)
 	require.Empty(t, g.neverRan)
-	require.Len(t, strays, 1)
+	require.Len(t, unmatched, 1)
 	require.Zero(t, l.Holding())
 	require.Empty(t, l.byRequest)
 
@@ -111,15 +111,15 @@
 func TestReservedCommandsAreNotHandedOver(t *testing.T) {
 	f, c := &fleet{}, &client{}
 	l := newTestLoop(t, f)
-	var strays []string
+	var unmatched []string
 	l.StraysTo(func(n News) bool { return n.ID == "p~1" })
-	l.StraysTo(func(n News) bool { strays = append(strays, n.ID); return true })
+	l.StraysTo(func(n News) bool { unmatched = append(unmatched, n.ID); return true })
 	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
 	l.Take(&Command{ID: "gang-g-1-0", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c, Held: true})
 	l.News(News{ID: "p~1", From: "s-1", State: Done})
 	l.News(News{ID: "gang-h-1-0", From: "s-1", State: Done})
 	l.runBatch()
-	require.Equal(t, []string{"gang-h-1-0"}, strays)
+	require.Equal(t, []string{"gang-h-1-0"}, unmatched)
 	require.Len(t, f.sent, 1)
 	l.Yield(func(h Handed) bool { require.Empty(t, h.Commands); return true })
 	l.runBatch()
@@ -133,7 +133,7 @@
 func TestGateIsNotifiedOfAbandonedAttemptThatNeverRan(t *testing.T) {
 	abandon := func(l *Loop, a *Attempt) { l.Abandon(a.Command) }
 	cancel := func(l *Loop, a *Attempt) { l.cancelAttempt(decide.Cancel{Request: a.request}) }
-	for o, told := range map[decide.Outcome]bool{decide.Moot: true, decide.Full: true, decide.ConnectFailed: true, decide.Reset: false, decide.Errored: false, decide.TimedOut: false} {
+	for o, notified := range map[decide.Outcome]bool{decide.Moot: true, decide.Full: true, decide.ConnectFailed: true, decide.Reset: false, decide.Errored: false, decide.TimedOut: false} {
 		for _, end := range []func(*Loop, *Attempt){abandon, cancel, (*Loop).expireAttempt} {
 			l, f, c, g := loopWithGatedCommand(t)
 			l.Pass(g.requested[0], func() bool { return true })
@@ -143,7 +143,7 @@
 				l.Ended(f.sent[0], o, 0)
 				l.runBatch()
 			}
-			require.Len(t, g.neverRan, map[bool]int{true: 1}[told], "outcome %d", o)
+			require.Len(t, g.neverRan, map[bool]int{true: 1}[notified], "outcome %d", o)
 			require.Empty(t, c.answers)
 		}
 	}
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -256,7 +256,7 @@
 	l.post(func(l *Loop) {
 		mod, err := decide.New(l.settings)
 		if err != nil {
-			l.log.Error("cannot resume after the newer process exited", "err", err) // cannot happen: the same settings were accepted before
+			l.log.Error("resume", "err", err) // cannot happen: the same settings were accepted before
 			return
 		}
 		l.mod, l.handedOver = mod, false
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -25,13 +25,13 @@
 
 // drawSite draws settings. The name lists of any two sites share a prefix, so that a name has the same number at
 // both.
-func drawSite(t *rapid.T, of string, seed uint64) site {
-	number := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, of+" "+name) }
+func drawSite(t *rapid.T, prefix string, seed uint64) site {
+	number := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, prefix+" "+name) }
 	span := func(name string, from, to int) time.Duration {
 		return time.Duration(number(name, from, to)) * time.Millisecond
 	}
 	share := func(name string) float64 { return float64(number(name, 0, 100)) / 100 }
-	yes := func(name string) bool { return rapid.Bool().Draw(t, of+" "+name) }
+	yes := func(name string) bool { return rapid.Bool().Draw(t, prefix+" "+name) }
 	names := func(sort string, n int) (all []string) {
 		for i := range n {
 			all = append(all, fmt.Sprint(sort, i))
@@ -127,12 +127,12 @@
 			p.attempts[a.Request]++
 			h := fnv.New32a()
 			fmt.Fprint(h, a.Request, n, p.instanceIDs[a.Worker])
-			what, takes := h.Sum32()%8, time.Duration(20+h.Sum32()/8%200)*time.Millisecond
-			if what < 5 {
-				p.schedule(takes/8, decide.JobStarted{Request: a.Request, Attempt: n})
+			kind, duration := h.Sum32()%8, time.Duration(20+h.Sum32()/8%200)*time.Millisecond
+			if kind < 5 {
+				p.schedule(duration/8, decide.JobStarted{Request: a.Request, Attempt: n})
 			}
-			p.schedule(takes, decide.AttemptEnded{Request: a.Request, Attempt: n, Outcome: []decide.Outcome{
-				decide.OK, decide.OK, decide.OK, decide.OK, decide.Errored, decide.Full, decide.Reset, decide.ConnectFailed}[what], Over: what < 4})
+			p.schedule(duration, decide.AttemptEnded{Request: a.Request, Attempt: n, Outcome: []decide.Outcome{
+				decide.OK, decide.OK, decide.OK, decide.OK, decide.Errored, decide.Full, decide.Reset, decide.ConnectFailed}[kind], Over: kind < 4})
 		}
 	}
 }
@@ -190,9 +190,9 @@
 		for _, p := range []*simulation{reloaded, started} {
 			p.runUntil(p.now + 5*time.Second)
 		}
-		for i, told := range started.actions {
-			require.Less(rt, i, len(reloaded.actions), "it ended after %v", reloaded.actions)
-			require.Equal(rt, told, reloaded.actions[i], "action %d", i)
+		for i, want := range started.actions {
+			require.Less(rt, i, len(reloaded.actions), "no further actions after %v", reloaded.actions)
+			require.Equal(rt, want, reloaded.actions[i], "action %d", i)
 		}
 		require.Len(rt, reloaded.actions, len(started.actions))
 	})
@@ -216,10 +216,10 @@
 	s := l.settings
 	s.Classes, s.Zone = []decide.Class{{Aim: time.Second, Deadline: time.Second, Kind: 0}}, 0
 	require.NoError(t, l.reconfigure(l.mapSettings(s, wire.Names{Classes: []string{"a"}, Kinds: []string{"new"}}))) // without zones
-	require.Equal(t, at("east", "new"), at("west", "new"), "all are in the one place")
-	require.Equal(t, l.settings.Zone, at("east", "new")[0], "which is the dispatcher's")
+	require.Equal(t, at("east", "new"), at("west", "new"), "without zones all are in one zone")
+	require.Equal(t, l.settings.Zone, at("east", "new")[0], "that zone must be the dispatcher's")
 	require.Equal(t, l.settings.Classes[0].Kind, at("east", "new")[1])
-	require.Equal(t, at("east", "old"), at("east", "older"), "the settings name neither")
+	require.Equal(t, at("east", "old"), at("east", "older"), "neither kind is in the settings")
 
 	s.Zone = 1
 	require.NoError(t, l.reconfigure(l.mapSettings(s, wire.Names{Classes: []string{"a"}, Kinds: []string{"new"}, Zones: []string{"north", "west"}})))
@@ -234,18 +234,18 @@
 func TestManyTenantsCanBeReloaded(t *testing.T) {
 	f := &fleet{}
 	l := newTestLoop(t, f)
-	reload := func(of string, n int) error {
+	reload := func(prefix string, n int) error {
 		s, names := l.settings, wire.Names{Classes: []string{"safe"}}
 		s.Tenants = make([]decide.Tenant, n)
 		for i := range n {
-			names.Tenants = append(names.Tenants, fmt.Sprint(of, i))
+			names.Tenants = append(names.Tenants, fmt.Sprint(prefix, i))
 		}
 		return l.reconfigure(l.mapSettings(s, names))
 	}
 	for range 3 {
 		require.NoError(t, reload("first ", 3*maxRetiredNames))
 	}
-	require.Error(t, reload("second ", 5), "so many names have left")
+	require.Error(t, reload("second ", 5), "too many names were removed")
 	require.NoError(t, reload("first ", 2*maxRetiredNames))
 	require.Len(t, l.allNames.Tenants, 3*maxRetiredNames)
 }
@@ -266,31 +266,31 @@
 
 	l, c := newTestLoop(t, &fleet{}), &client{}
 	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
-	older.Yield(func(given Handed) bool {
-		for _, cmd := range given.Commands {
+	older.Yield(func(state Handed) bool {
+		for _, cmd := range state.Commands {
 			cmd.Client = c
 		}
-		l.Relieve(given)
+		l.Relieve(state)
 		return true
 	})
 	older.runBatch()
 	l.runBatch()
 	l.Became(Fate{ID: "c2", Outcome: decide.Reset})
 	l.runBatch()
-	require.Equal(t, []Answer{{Verdict: Failed}}, c.answers, "it may have run")
+	require.Equal(t, []Answer{{Verdict: Failed}}, c.answers, "the command may have run")
 	own := &client{}
 	l.Take(&Command{ID: "c3", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: own})
 	l.runBatch()
 	l.Ended(l.byRequest[l.lastID].attempts[0], decide.Reset, 0)
 	l.runBatch()
-	require.Empty(t, own.answers, "what has come since goes by the own settings")
+	require.Empty(t, own.answers, "later commands must use the own settings")
 	require.Contains(t, l.Books.Figures(), "proxy.bad_gateway.safe=1\n")
 	require.NotContains(t, l.Books.Figures(), "former")
 }
 
 // What an older process learned of a class counts only if the class is defined the same here.
 func TestLearnedStateOfOtherClassDefinitionIsIgnored(t *testing.T) {
-	given := func(deadline time.Duration) Handed {
+	state := func(deadline time.Duration) Handed {
 		older := newTestLoop(t, &fleet{})
 		s := older.settings
 		s.Classes = slices.Clone(s.Classes)
@@ -300,16 +300,16 @@
 		h.Module.Classes[0] = decide.ClassMemory{Run: 9, LogRun: 2, Jobs: 50, Budget: deadline}
 		return h
 	}
-	for name, teach := range map[string]func(*Loop, Handed){"handed over": (*Loop).Relieve, "of a snapshot": (*Loop).Advise} {
+	for name, load := range map[string]func(*Loop, Handed){"handed over": (*Loop).Relieve, "from a snapshot": (*Loop).Advise} {
 		learned := func(h Handed) decide.ClassMemory {
 			l := newTestLoop(t, &fleet{})
-			teach(l, h)
+			load(l, h)
 			l.runBatch()
 			return l.mod.Memory().Classes[indexOrLen(l.allNames.Classes, "safe")]
 		}
-		require.Positive(t, learned(given(time.Hour)).Jobs, name)
-		require.Zero(t, learned(given(time.Minute)).Jobs, name)
-		require.Zero(t, learned(given(time.Minute)).Budget, name)
+		require.Positive(t, learned(state(time.Hour)).Jobs, name)
+		require.Zero(t, learned(state(time.Minute)).Jobs, name)
+		require.Zero(t, learned(state(time.Minute)).Budget, name)
 	}
 }
 
@@ -323,35 +323,35 @@
 			Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, MustAskIn: time.Second},
 		}, wire.Names{Classes: []string{"keyed"}, Zones: zones}
 	}
-	begin := func(f *fleet, zones ...string) *Loop {
+	newLoop := func(f *fleet, zones ...string) *Loop {
 		s, n := settings(zones...)
 		l, err := New(s, n, f, f, f, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 		return l
 	}
 	f := &fleet{}
-	older := begin(f, "elsewhere")
+	older := newLoop(f, "elsewhere")
 	require.NoError(t, older.reconfigure(older.mapSettings(settings("east", "west"))))
 	older.Listed(List{Members: []Member{{ID: "s-1", Zone: "east", State: decide.Ready}}}, true)
 	older.Take(&Command{ID: "c1", Class: "keyed", Deadline: time.Now().Add(time.Hour), Client: &client{}})
 	older.runBatch()
 	require.Len(t, f.sent, 1)
 
-	took := &fleet{}
-	l := begin(took, "east", "west", "south")
+	newerFleet := &fleet{}
+	l := newLoop(newerFleet, "east", "west", "south")
 	l.Listed(List{Complete: true, Members: []Member{{ID: "s-2", Zone: "west", State: decide.Ready}}}, true)
-	older.Yield(func(given Handed) bool {
-		for _, cmd := range given.Commands {
+	older.Yield(func(state Handed) bool {
+		for _, cmd := range state.Commands {
 			cmd.Client = &client{}
 		}
-		l.Relieve(given)
+		l.Relieve(state)
 		return true
 	})
 	older.runBatch()
 	l.runBatch()
 	l.Became(Fate{ID: "c1", Outcome: decide.Reset})
 	l.runBatch()
-	require.Empty(t, took.sent, "its zone is the other one")
+	require.Empty(t, newerFleet.sent, "its zone does not allow the instance")
 }
 
 // A class that an older process does not have begins here as after a start.
@@ -362,9 +362,9 @@
 	require.NoError(t, err)
 	before := fresh.mod.Memory().Classes[0]
 	older, _, _ := loopWithCommand(t)
-	older.Yield(func(given Handed) bool {
-		given.Commands = nil
-		fresh.Relieve(given)
+	older.Yield(func(state Handed) bool {
+		state.Commands = nil
+		fresh.Relieve(state)
 		return true
 	})
 	older.runBatch()
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -78,11 +78,11 @@
 
 func (w *world) send(do func()) {
 	if w.Float64() >= w.loss {
-		late := w.Float64()
+		delay := w.Float64()
 		if w.IntN(2) == 0 { // no delay or the maximum: delays in between test less
-			late = math.Round(late)
+			delay = math.Round(delay)
 		}
-		w.net = append(w.net, message{w.now + time.Duration(late*float64(w.delay)), do})
+		w.net = append(w.net, message{w.now + time.Duration(delay*float64(w.delay)), do})
 	}
 }
 
@@ -189,7 +189,7 @@
 // The work sent in any window stays within what the granters may lease together, whatever messages are lost or
 // late and whichever parties die, pause or restart.
 func TestBudgetIsNeverExceeded(t *testing.T) {
-	most := 0.0
+	maxShare := 0.0
 	rapid.Check(t, func(t *rapid.T) {
 		const tick = 5 * ms
 		w := &world{
@@ -198,7 +198,7 @@
 			delay: rapid.SampledFrom([]time.Duration{ms, 50 * ms, 450 * ms}).Draw(t, "delay"),
 			slots: rapid.SampledFrom([]float64{1, 8, 32}).Draw(t, "slots"),
 		}
-		trouble := rapid.SampledFrom([]float64{0, 0.002, 0.02}).Draw(t, "trouble")
+		faultRate := rapid.SampledFrom([]float64{0, 0.002, 0.02}).Draw(t, "trouble")
 		for i := range 8 {
 			w.senders = append(w.senders, &sender{
 				clock: w.clock(), Holder: NewHolder(2), name: string(rune('a' + i)), work: 0.02 * w.slots * w.Float64(),
@@ -220,9 +220,9 @@
 			}
 			for _, b := range w.granters {
 				if b.paused <= w.now {
-					mail := b.queue
+					queue := b.queue
 					b.queue = nil
-					for _, do := range mail {
+					for _, do := range queue {
 						do()
 					}
 				}
@@ -233,7 +233,7 @@
 					w.use(s, tick)
 				}
 			}
-			if w.Float64() < trouble {
+			if w.Float64() < faultRate {
 				switch s, k := w.senders[w.IntN(len(w.senders))], w.IntN(2); w.IntN(6) {
 				case 5: // a sender's clock steps forward; it never steps back, and a granter's clock counts from its start
 					s.offset += time.Duration(w.Int64N(int64(time.Minute)))
@@ -254,12 +254,12 @@
 				}
 			}
 			if !w.check() {
-				t.Fatalf("at %v the window holds %.3f of what it may", w.now, w.maxShare)
+				t.Fatalf("at %v the work in the window is %.3f of the limit", w.now, w.maxShare)
 			}
 		}
-		most = max(most, w.maxShare)
+		maxShare = max(maxShare, w.maxShare)
 	})
-	require.Greater(t, most, 0.9, "the budget was never nearly used: nothing was tried")
+	require.Greater(t, maxShare, 0.9, "the budget was never nearly used, so the test shows nothing")
 }
 
 // A granter that restarts grants nothing while leases of its predecessor may be in use.
@@ -292,7 +292,7 @@
 	ids := fill()
 	require.Len(t, ids, int(math.Floor(b.Budget(m)/0.1)))
 	b.Done(now, "b", ids[0], false)
-	require.Empty(t, fill(), "another sender freed it")
+	require.Empty(t, fill(), "another sender must not free it")
 	b.Done(now, "a", ids[0], false)
 	b.Done(now, "a", ids[0], false)
 	require.Len(t, fill(), 1)
@@ -307,18 +307,18 @@
 func TestPlacesAreNotShared(t *testing.T) {
 	now := time.Hour
 	p := NewPlaces(1, 2, 4, now)
-	require.Equal(t, -1, p.Take(now, "a", -1), "what a keeper before gave is not known")
-	require.Equal(t, 3, p.Take(now, "z", 3), "but one that has a place keeps it")
-	require.Equal(t, 0, p.Take(now, "y", 0), "another keeper's places are its own matter")
+	require.Equal(t, -1, p.Take(now, "a", -1), "a predecessor's assignments are unknown")
+	require.Equal(t, 3, p.Take(now, "z", 3), "a sender that has a place must keep it")
+	require.Equal(t, 0, p.Take(now, "y", 0), "places of another granter are accepted")
 	now += FreeAfter
 	require.Equal(t, 2, p.Take(now, "a", -1))
 	require.Equal(t, -1, p.Take(now, "b", -1))
 	p.Left(now, "a")
-	require.Equal(t, -1, p.Take(now+FreeAfter-1, "b", -1), "it may live on")
+	require.Equal(t, -1, p.Take(now+FreeAfter-1, "b", -1), "the sender may still be alive")
 	require.Equal(t, 2, p.Take(now+FreeAfter-1, "a", -1))
 	p.Left(now+FreeAfter, "a")
 	require.Equal(t, 2, p.Take(now+2*FreeAfter, "b", -1))
-	require.Equal(t, -1, p.Take(now+2*FreeAfter, "a", 2), "it came back too late")
+	require.Equal(t, -1, p.Take(now+2*FreeAfter, "a", 2), "the place was reassigned")
 }
 
 // A sender counts a lease from its request, not from the answer. Leases that another process of the granter
@@ -328,10 +328,10 @@
 	h.Up(0, 7)
 	k, w, ok := h.Ask(time.Hour, "s", 3, 0.5)
 	require.True(t, ok)
-	require.Equal(t, 0, k, "the other keeper is not up")
+	require.Equal(t, 0, k, "the other granter is not up")
 	g := Grant{Seq: w.Seq, ID: 9, Valid: 380 * ms}
 	_, ok = h.Granted(time.Hour+ms, 1, 7, g)
-	require.False(t, ok, "another keeper")
+	require.False(t, ok, "another granter")
 	_, ok = h.Granted(time.Hour+ms, 0, 8, g)
 	require.False(t, ok, "another process")
 	got, ok := h.Granted(time.Hour+300*ms, 0, 7, g)
@@ -345,7 +345,7 @@
 	_, w, _ = h.Ask(time.Hour+800*ms, "s", 3, 0.5)
 	h.Granted(time.Hour+801*ms, 0, 7, Grant{Seq: w.Seq, Again: 50 * ms})
 	_, _, ok = h.Ask(time.Hour+850*ms, "s", 3, 0.5)
-	require.False(t, ok, "the keeper said when to ask again")
+	require.False(t, ok, "too early: the granter said when to ask again")
 	_, _, ok = h.Ask(time.Hour+851*ms, "s", 3, 0.5)
 	require.True(t, ok)
 	h.Down(0)
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -48,11 +48,11 @@
 		for n := range 200 {
 			now += int64(r.IntN(1500 * 1000 / int(rate)))
 			wait, ok := z.Take(time.Duration(now)*ms, "k", Burst{float64(burst), float64(delay), nodelay})
-			want, let := o.take(now, burst, delay, nodelay, n == 0)
+			want, wantOK := o.take(now, burst, delay, nodelay, n == 0)
 			// Each step starts from the oracle's state; otherwise rounding errors would accumulate.
 			k := z.buckets["k"].Value.(*bucket)
 			k.excess, k.last = float64(o.excess)/1000, time.Duration(o.last)*ms
-			if all++; ok != let {
+			if all++; ok != wantOK {
 				differ++ // at a boundary
 			} else if ok {
 				require.InDelta(t, float64(want), float64(wait)/1e6, 2+2000/float64(rate))
@@ -97,7 +97,7 @@
 	require.Equal(t, 100, z.Keys())
 	require.Equal(t, 100, z.lru.Len())
 	_, ok := z.Take(0, "often", Burst{})
-	require.False(t, ok, "one that is seen often is remembered")
+	require.False(t, ok, "a key seen often must be kept")
 	c, err := NewConns(2)
 	require.NoError(t, err)
 	for range 2 {
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -54,11 +54,11 @@
 			},
 			"": func(t *rapid.T) {
 				if q.Len() != len(due) {
-					t.Fatalf("%d timers are kept, %d are set", q.Len(), len(due))
+					t.Fatalf("%d timers in the queue, want %d", q.Len(), len(due))
 				}
 				for i := range timers {
 					if _, set := due[i]; set != timers[i].Set() {
-						t.Fatalf("timer %d: set is %v", i, timers[i].Set())
+						t.Fatalf("timer %d: Set() = %v", i, timers[i].Set())
 					}
 				}
 			},
@@ -77,7 +77,7 @@
 		q.Stop(&timers[i])
 	}
 	if q.Len() != 0 || cap(q.heap) > 4*minCapacity {
-		t.Errorf("%d timers in room for %d", q.Len(), cap(q.heap))
+		t.Errorf("%d timers, capacity %d", q.Len(), cap(q.heap))
 	}
 }
 
