--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -59,7 +59,7 @@
 	Again time.Duration // if not granted: when to ask again
 }
 
-// Book is a granter. It is not safe for concurrent use.
+// Book grants leases within one part of the budget. It is not safe for concurrent use.
 type Book struct {
 	terms      Terms
 	now        time.Duration
