--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -90,7 +90,7 @@
 // The verdicts.
 const (
 	Served   Verdict = iota
-	Refused          // nothing was done; a retry is harmless
+	Refused          // a retry is harmless
 	Failed           // it may or may not have run
 	Unusable         // no instance can execute the command as submitted, and none has
 	numVerdicts
--- a/internal/dispatch/gate_test.go
+++ b/internal/dispatch/gate_test.go
@@ -48,7 +48,7 @@
 	require.Equal(t, f.sent, g.neverRan)
 }
 
-// Guards against the decision module counting the time at the gate as an instance's: it is told which commands
+// Guards against the decision module counting the time at the gate as an instance's: it is notified which commands
 // have a gate, and which attempts have passed.
 func TestDecisionModuleIsToldOfGate(t *testing.T) {
 	l, _, _, g := loopWithGatedCommand(t)
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -44,7 +44,7 @@
 	N        int
 	Taken    bool // by the instance; otherwise the attempt has ended:
 	Unusable bool
-	Leaving  bool // cancelled, but the encoder may still have it
+	Leaving  bool // it has ended here, but the encoder may still have it
 	Outcome  decide.Outcome
 	Kept     time.Duration
 	Report   *decide.Report `json:",omitempty"`
--- a/internal/dispatch/input.go
+++ b/internal/dispatch/input.go
@@ -11,7 +11,7 @@
 // Input to the loop: commands from fronts and updates of the instance list. These methods only queue a message,
 // so the calling goroutine can go on.
 
-// Take submits a command. From then on it is owed exactly one answer.
+// Take submits a command. From then on it gets exactly one answer.
 func (l *Loop) Take(c *Command) {
 	l.Books.pending.Add(1)
 	l.post(func(l *Loop) { l.admit(c) })
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -351,7 +351,7 @@
 	l.runBatch()
 	l.Became(Fate{ID: "c1", Outcome: decide.Reset})
 	l.runBatch()
-	require.Empty(t, newerFleet.sent, "its zone does not allow the instance")
+	require.Empty(t, newerFleet.sent, "the only instance is in another zone")
 }
 
 // A class that an older process does not have begins here as after a start.
