--- a/internal/dispatch/batch_test.go
+++ b/internal/dispatch/batch_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Messages that came as fast as the loop took them kept it from its timers and from every decision.
-func TestTimersFireWhileMessagesKeepComing(t *testing.T) {
-	l := loop(t, &fleet{})
-	const enough = 10 * inbox
-	taken, atFire := 0, 0
-	l.timers.At(time.Now(), func() { atFire = taken })
-	var another message
-	another = func(l *Loop) {
-		if taken++; taken < enough {
-			l.in <- another
+// Messages that arrived as fast as the loop processed them kept it from its timers and from every decision.
+func TestTimersFireUnderConstantMessages(t *testing.T) {
+	l := newTestLoop(t, &fleet{})
+	const total = 10 * inboxSize
+	processed, atFire := 0, 0
+	l.timers.At(time.Now(), func() { atFire = processed })
+	var next message
+	next = func(l *Loop) {
+		if processed++; processed < total {
+			l.inbox <- next
 		}
 	}
-	l.in <- another
-	l.batch()
-	require.Less(t, atFire, inbox)
+	l.inbox <- next
+	l.runBatch()
+	require.Less(t, atFire, inboxSize)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -13,29 +13,29 @@
 	"caperrelay/internal/wire"
 )
 
-// fleet notes what it is asked for; the loop under test runs by hand, without a goroutine.
+// fleet records what it is asked to do. The loop under test is run step by step, without a goroutine.
 type fleet struct {
-	sent, givenUp []*Attempt
-	became        []Fate
-	left          []string
+	sent, cancelled []*Attempt
+	updates         []Fate
+	disconnected    []string
 }
 
 func (f *fleet) Send(a *Attempt)     { f.sent = append(f.sent, a) }
-func (f *fleet) GiveUp(a *Attempt)   { f.givenUp = append(f.givenUp, a) }
+func (f *fleet) GiveUp(a *Attempt)   { f.cancelled = append(f.cancelled, a) }
 func (f *fleet) Probe(string)        {}
 func (f *fleet) Release(string)      {}
 func (f *fleet) Subscribe()          {}
 func (f *fleet) Elsewhere(News) bool { return false }
-func (f *fleet) Became(t Fate)       { f.became = append(f.became, t) }
-func (f *fleet) Left(id string)      { f.left = append(f.left, id) }
+func (f *fleet) Became(t Fate)       { f.updates = append(f.updates, t) }
+func (f *fleet) Left(id string)      { f.disconnected = append(f.disconnected, id) }
 
 type client struct {
-	answers []Answer
-	passed  []bool
+	answers    []Answer
+	handedOver []bool
 }
 
 func (c *client) Answer(a Answer)  { c.answers = append(c.answers, a) }
-func (c *client) Pass(handed bool) { c.passed = append(c.passed, handed) }
+func (c *client) Pass(handed bool) { c.handedOver = append(c.handedOver, handed) }
 
 type repeater struct {
 	client
@@ -44,18 +44,18 @@
 
 func (r *repeater) Repeats() bool { return r.repeats }
 
-// begin returns a loop that has taken one command of a safe class and sent it to s-1.
-func begin(t *testing.T) (*Loop, *fleet, *client) {
+// loopWithCommand returns a loop that has received one command of a safe class and sent it to s-1.
+func loopWithCommand(t *testing.T) (*Loop, *fleet, *client) {
 	f, c := &fleet{}, &client{}
-	l := loop(t, f)
+	l := newTestLoop(t, f)
 	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
 	l.Take(&Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c})
-	l.batch()
+	l.runBatch()
 	require.Len(t, f.sent, 1)
 	return l, f, c
 }
 
-func loop(t *testing.T, f *fleet) *Loop {
+func newTestLoop(t *testing.T, f *fleet) *Loop {
 	l, err := New(decide.Settings{
 		Dispatchers: 1, Granularity: time.Millisecond, Limits: decide.Limits{Attempts: 3, Cancel: true},
 		Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any}},
@@ -65,259 +65,261 @@
 	return l
 }
 
-// The result of an attempt that was given up is not served, and nothing is booked twice.
-func TestLateAndRepeatedNewsIsBookedOnce(t *testing.T) {
-	l, f, c := begin(t)
-	l.cancel(decide.Cancel{Request: f.sent[0].request})
-	require.Equal(t, f.sent, f.givenUp)
+// The result of a cancelled attempt is not served, and nothing is counted twice.
+func TestLateAndRepeatedCallbacksAreCountedOnce(t *testing.T) {
+	l, f, c := loopWithCommand(t)
+	l.cancelAttempt(decide.Cancel{Request: f.sent[0].request})
+	require.Equal(t, f.sent, f.cancelled)
 	l.News(News{ID: "c1", From: "s-1", State: Done, Result: []byte("late")})
 	l.Ended(f.sent[0], decide.Reset, 0)
 	l.events = nil
-	l.batch()
+	l.runBatch()
 	require.Empty(t, c.answers)
 	require.EqualValues(t, []int64{1, 0, 1}, []int64{l.Books.outcomes[decide.Cancelled].Load(), l.Books.outcomes[decide.Reset].Load(), l.Books.StrayNews.Load()})
 }
 
-// One attempt of a command at an instance at a time: another waits for the word that the
-// first is given up, which travels on a connection of its own.
-func TestNoSecondAttemptWhileTheFirstIsLeaving(t *testing.T) {
-	l, f, _ := begin(t)
-	s := decide.Send{Request: f.sent[0].request, Worker: l.number("s-1")}
-	l.cancel(decide.Cancel{Request: s.Request})
-	l.send(s, time.Now())
+// A command has at most one attempt at an instance at a time: a second one waits until the instance has
+// confirmed the cancellation of the first, which is sent on a separate connection.
+func TestNoSecondAttemptBeforeCancelIsConfirmed(t *testing.T) {
+	l, f, _ := loopWithCommand(t)
+	s := decide.Send{Request: f.sent[0].request, Worker: l.workerID("s-1")}
+	l.cancelAttempt(decide.Cancel{Request: s.Request})
+	l.startAttempt(s, time.Now())
 	require.Len(t, f.sent, 1)
 	require.EqualValues(t, 1, l.Books.outcomes[decide.Moot].Load())
 	f.sent[0].Confirmed()
-	l.send(s, time.Now())
+	l.startAttempt(s, time.Now())
 	require.Len(t, f.sent, 2)
 }
 
-// A give-up that is on its way while the request changes hands, or an attempt whose answer was spoilt after that, keeps the
-// newer process from a second attempt there: it hears of no answer, however long it waits.
-func TestNoSecondAttemptWhileTheFirstIsLeavingElsewhere(t *testing.T) {
-	for name, leave := range map[string]struct{ before, after func(older *Loop, a *Attempt) }{
-		"given up before": {before: func(older *Loop, a *Attempt) { older.cancel(decide.Cancel{Request: a.request}) }},
-		"spoilt after": {after: func(older *Loop, a *Attempt) {
+// A cancellation that is in transit during a handover, or an attempt whose response was broken after it, keeps
+// the newer process from a second attempt at that instance, for good: it is not notified of the confirmation.
+func TestNoSecondAttemptAfterHandoverOfUnconfirmedCancel(t *testing.T) {
+	for name, cancel := range map[string]struct{ before, after func(older *Loop, a *Attempt) }{
+		"cancelled before": {before: func(older *Loop, a *Attempt) { older.cancelAttempt(decide.Cancel{Request: a.request}) }},
+		"broken response after": {after: func(older *Loop, a *Attempt) {
 			a.Leaving()
 			older.Ended(a, decide.Reset, 0)
 		}},
 	} {
-		older, f, _ := begin(t)
-		l, first := loop(t, f), f.sent[0]
-		older.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true) // so that it waits with the older
-		older.batch()
-		if leave.before != nil {
-			leave.before(older, first)
+		older, f, _ := loopWithCommand(t)
+		l, first := newTestLoop(t, f), f.sent[0]
+		older.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true) // so that the command stays with the older process
+		older.runBatch()
+		if cancel.before != nil {
+			cancel.before(older, first)
 		}
-		older.Yield(func(given Handed) bool {
-			given.Commands[0].Client = &client{}
+		older.Yield(func(state Handed) bool {
+			state.Commands[0].Client = &client{}
 			l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
-			l.Relieve(given)
+			l.Relieve(state)
 			return true
 		})
-		older.batch()
-		if leave.after != nil {
-			leave.after(older, first)
-			older.batch()
-			l.Became(f.became[0])
+		older.runBatch()
+		if cancel.after != nil {
+			cancel.after(older, first)
+			older.runBatch()
+			l.Became(f.updates[0])
 		}
-		l.batch()
-		l.timers.Fire(time.Now().Add(time.Minute)) // longer than any give-up is on its way
-		request := l.ids["c1"].request
-		for _, id := range []string{"s-1", "s-2"} { // the second perhaps once more
-			l.send(decide.Send{Request: request, Worker: l.number(id)}, time.Now())
+		l.runBatch()
+		l.timers.Fire(time.Now().Add(time.Minute)) // longer than any cancellation is in transit
+		request := l.byID["c1"].request
+		for _, id := range []string{"s-1", "s-2"} { // s-2 possibly a second time
+			l.startAttempt(decide.Send{Request: request, Worker: l.workerID(id)}, time.Now())
 		}
 		require.Len(t, f.sent, 2, name)
 		require.Equal(t, "s-2", f.sent[1].Instance, name)
 	}
 }
 
-// A client went while an attempt still waited for its connection, and where nothing is called off that was sent all the same.
-func TestNothingIsSentForWhoHasGone(t *testing.T) {
-	for name, over := range map[string]func(*Loop, *Attempt){
-		"gone":     func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
-		"answered": func(l *Loop, a *Attempt) { l.fail(decide.FailRequest{Request: a.request}) },
+// A client disconnected while an attempt still waited for its connection. Where cancellation is disabled, the
+// attempt was sent nevertheless.
+func TestNothingIsSentForDisconnectedClient(t *testing.T) {
+	for name, finish := range map[string]func(*Loop, *Attempt){
+		"disconnected": func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
+		"answered":     func(l *Loop, a *Attempt) { l.failRequest(decide.FailRequest{Request: a.request}) },
 	} {
-		l, f, _ := begin(t)
+		l, f, _ := loopWithCommand(t)
 		s := l.settings
 		s.Limits.Cancel = false
 		require.NoError(t, l.mod.Retune(s))
 		require.False(t, f.sent[0].Expired(time.Now()), name)
-		over(l, f.sent[0])
-		l.batch()
-		require.Empty(t, f.givenUp, name)
+		finish(l, f.sent[0])
+		l.runBatch()
+		require.Empty(t, f.cancelled, name)
 		require.True(t, f.sent[0].Expired(time.Now()), name)
 	}
 }
 
-// Answered, lapsed or over time: nothing of a command stays behind.
-func TestNothingStaysBehind(t *testing.T) {
+// Nothing of a command remains once it is answered, cancelled or past its deadline.
+func TestNothingRemainsOfFinishedCommand(t *testing.T) {
 	for name, finish := range map[string]func(*Loop, *Attempt){
-		"served": func(l *Loop, a *Attempt) { l.News(News{ID: "c1", From: "s-1", State: Done}) },
-		"lapsed": func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
-		"late":   func(l *Loop, a *Attempt) { l.expire(a); l.fail(decide.FailRequest{Request: a.request}) },
+		"served":       func(l *Loop, a *Attempt) { l.News(News{ID: "c1", From: "s-1", State: Done}) },
+		"disconnected": func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
+		"timed out":    func(l *Loop, a *Attempt) { l.expireAttempt(a); l.failRequest(decide.FailRequest{Request: a.request}) },
 	} {
-		l, f, c := begin(t)
+		l, f, c := loopWithCommand(t)
 		finish(l, f.sent[0])
-		l.batch()
-		require.Empty(t, l.ids, name)
-		require.Empty(t, l.requests, name)
+		l.runBatch()
+		require.Empty(t, l.byID, name)
+		require.Empty(t, l.byRequest, name)
 		require.Zero(t, l.Holding(), name)
-		require.Len(t, c.answers, map[string]int{"served": 1, "lapsed": 0, "late": 1}[name], name)
+		require.Len(t, c.answers, map[string]int{"served": 1, "disconnected": 0, "timed out": 1}[name], name)
 	}
 }
 
-// When the process's time is over nothing waits on: what may have run twice without harm, or was never sent, is refused,
-// all else has failed, and instances are told to leave it.
-func TestFinishAnswersAll(t *testing.T) {
+// At shutdown no command is left waiting: those that may be retried safely or were never sent are refused, all
+// others fail, and their attempts are cancelled.
+func TestShutdownAnswersAllCommands(t *testing.T) {
 	for repeats, want := range map[bool]Verdict{true: Refused, false: Failed} {
 		f, c := &fleet{}, &repeater{repeats: repeats}
-		l := loop(t, f)
+		l := newTestLoop(t, f)
 		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
 		l.Take(&Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c})
-		l.batch()
+		l.runBatch()
 		require.Len(t, f.sent, 1)
 		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true)
-		waits := &client{}
-		l.Take(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: waits})
-		l.batch()
+		waiting := &client{}
+		l.Take(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: waiting})
+		l.runBatch()
 		for range 2 {
 			l.Finish()
-			l.batch()
+			l.runBatch()
 		}
 		require.Equal(t, []Answer{{Verdict: want}}, c.answers)
-		require.Equal(t, []Verdict{Refused}, []Verdict{waits.answers[0].Verdict})
-		require.Equal(t, f.sent, f.givenUp)
-		require.Empty(t, l.requests)
+		require.Equal(t, []Verdict{Refused}, []Verdict{waiting.answers[0].Verdict})
+		require.Equal(t, f.sent, f.cancelled)
+		require.Empty(t, l.byRequest)
 		require.Zero(t, l.Holding())
 	}
 }
 
-// What one process hands over another goes on with: each outcome is booked there, once, also that
-// of a sending which no instance had confirmed, whether the older process tells of it or dies.
-func TestHandedOver(t *testing.T) {
+// The newer process continues what is handed over: each outcome is counted there once, including that of an
+// attempt no instance had accepted yet, whether the older process reports it or exits.
+func TestHandover(t *testing.T) {
 	for name, then := range map[string]func(l *Loop){
 		"attempts_ok": func(l *Loop) {
 			l.Became(Fate{ID: "c1", Taken: true})
-			l.Alone() // then its connection does not matter
+			l.Alone() // then the older process's connection is no longer needed
 			l.News(News{ID: "c1", From: "s-1", State: Done})
 		},
 		"attempts_errored": func(l *Loop) { l.Became(Fate{ID: "c1", Outcome: decide.Errored}) },
 		"attempts_reset":   func(l *Loop) { l.Alone() },
 	} {
-		older, f, c := begin(t)
-		l, c2 := loop(t, f), &client{}
-		older.Yield(func(given Handed) bool {
-			text, err := json.Marshal(given)
+		older, f, c := loopWithCommand(t)
+		l, c2 := newTestLoop(t, f), &client{}
+		older.Yield(func(state Handed) bool {
+			text, err := json.Marshal(state)
 			require.NoError(t, err)
-			cmds := given.Commands
-			given = Handed{}
-			require.NoError(t, json.Unmarshal(text, &given))
+			cmds := state.Commands
+			state = Handed{}
+			require.NoError(t, json.Unmarshal(text, &state))
 			for _, cmd := range cmds {
 				text, err := json.Marshal(cmd)
 				require.NoError(t, err)
 				cmd = &HandedCommand{}
 				require.NoError(t, json.Unmarshal(text, cmd))
 				cmd.Client = c2
-				given.Commands = append(given.Commands, cmd)
+				state.Commands = append(state.Commands, cmd)
 			}
 			l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
-			l.Relieve(given)
+			l.Relieve(state)
 			return true
 		})
 		older.Take(&Command{ID: "c2", Class: "safe", Client: c})
-		older.batch()
+		older.runBatch()
 		older.Ended(f.sent[0], decide.Reset, 0)
 		older.Lapse(f.sent[0].Command)
-		older.batch()
-		require.Equal(t, []bool{true, false}, c.passed, "what was on its way goes whole")
+		older.runBatch()
+		require.Equal(t, []bool{true, false}, c.handedOver, "a command still queued must be passed on as a whole")
 		require.Empty(t, c.answers)
 		require.Zero(t, older.Holding())
-		require.Equal(t, []Fate{{ID: "c1", Outcome: decide.Reset}}, f.became)
-		require.Equal(t, []string{"c1"}, f.left)
-		l.batch()
+		require.Equal(t, []Fate{{ID: "c1", Outcome: decide.Reset}}, f.updates)
+		require.Equal(t, []string{"c1"}, f.disconnected)
+		l.runBatch()
 		require.EqualValues(t, 1, l.Holding())
 		l.Take(&Command{ID: "c1", Class: "safe", Client: c})
-		l.batch()
-		require.Equal(t, []Answer{{Verdict: Unusable}}, c.answers, "the id is in hand")
+		l.runBatch()
+		require.Equal(t, []Answer{{Verdict: Unusable}}, c.answers, "the ID is already pending")
 		for range 2 {
 			then(l)
-			l.batch()
+			l.runBatch()
 		}
 		require.Contains(t, l.Books.String(), name+" 1\n")
 		require.Equal(t, name == "attempts_ok", len(c2.answers) == 1 && c2.answers[0].Verdict == Served)
 	}
 }
 
-// Classes and tenants go by their names: another order, one that vanishes and comes back or a new
-// one renumbers nothing that is in hand, and each name keeps its counts.
-func TestRetuneKeepsNames(t *testing.T) {
-	l, f, c := begin(t)
+// Classes and tenants are identified by name: reordering, removing, restoring or adding some does not renumber
+// those of pending commands, and each name keeps its counts.
+func TestReloadKeepsNumbersOfNames(t *testing.T) {
+	l, f, c := loopWithCommand(t)
 	names := func(n ...string) {
 		s := l.settings
 		s.Classes, s.Tenants = nil, nil
 		for range n {
 			s.Classes = append(s.Classes, decide.Class{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any})
 		}
-		require.NoError(t, l.retune(l.fit(s, wire.Names{Classes: n})))
+		require.NoError(t, l.reconfigure(l.mapSettings(s, wire.Names{Classes: n})))
 	}
 	take := func(id, class string) *client {
 		c := &client{}
 		l.Take(&Command{ID: id, Class: class, Deadline: time.Now().Add(time.Hour), Client: c})
-		l.batch()
+		l.runBatch()
 		return c
 	}
 	names("new", "other")
-	require.Equal(t, []Answer{{Verdict: Unusable}}, take("c2", "safe").answers, "it has vanished")
+	require.Equal(t, []Answer{{Verdict: Unusable}}, take("c2", "safe").answers, "the class was removed")
 	l.News(News{ID: "c1", From: "s-1", State: Done})
-	l.batch()
-	require.Equal(t, Served, c.answers[0].Verdict, "what was in hand goes on")
+	l.runBatch()
+	require.Equal(t, Served, c.answers[0].Verdict, "a pending command must continue")
 	require.Contains(t, l.Books.Figures(), "proxy.passed.safe=1\n")
 	take("c3", "new")
 	l.News(News{ID: "c3", From: "s-1", State: Done})
-	l.batch()
+	l.runBatch()
 	names("other", "safe")
 	take("c4", "safe")
 	l.News(News{ID: "c4", From: "s-1", State: Done})
-	l.batch()
+	l.runBatch()
 	require.Len(t, f.sent, 3)
-	for _, figure := range []string{"passed.safe=2", "bad_gateway.safe=1", "passed.new=1", "passed.other=0"} {
-		require.Contains(t, l.Books.Figures(), "proxy."+figure+"\n")
+	for _, counter := range []string{"passed.safe=2", "bad_gateway.safe=1", "passed.new=1", "passed.other=0"} {
+		require.Contains(t, l.Books.Figures(), "proxy."+counter+"\n")
 	}
 	s := l.settings
 	s.Limits.Attempts = 0
-	require.Error(t, l.retune(l.fit(s, l.names)))
-	require.Equal(t, 3, l.settings.Limits.Attempts, "nothing of it counts")
+	require.Error(t, l.reconfigure(l.mapSettings(s, l.allNames)))
+	require.Equal(t, 3, l.settings.Limits.Attempts, "rejected settings must not apply")
 }
 
-// Names that the settings do not have stand apart from those they have.
-func TestUnknownNamesComeAfterAll(t *testing.T) {
-	require.Equal(t, []int{1, 2}, []int{place([]string{"a", "b"}, "b"), place([]string{"a", "b"}, "c")})
+// Names that are not in the settings get an index past all that are.
+func TestUnknownNamesIndexPastTheEnd(t *testing.T) {
+	require.Equal(t, []int{1, 2}, []int{indexOrLen([]string{"a", "b"}, "b"), indexOrLen([]string{"a", "b"}, "c")})
 }
 
-// The people on call know instances by the name table's ids.
-func TestLogNamesInstances(t *testing.T) {
-	l, _, _ := begin(t)
-	known := fmt.Sprintf("worker %d suspected", l.number("s-1"))
-	require.Equal(t, "instance s-1 suspected", l.named(known))
-	require.Equal(t, "worker 99999999999 is not ours", l.named("worker 99999999999 is not ours"))
+// Operators know instances by their IDs in discovery.
+func TestLogNamesInstanceIDs(t *testing.T) {
+	l, _, _ := loopWithCommand(t)
+	known := fmt.Sprintf("worker %d suspected", l.workerID("s-1"))
+	require.Equal(t, "instance s-1 suspected", l.withInstanceIDs(known))
+	require.Equal(t, "worker 99999999999 is not ours", l.withInstanceIDs("worker 99999999999 is not ours"))
 }
 
-// What ends an attempt at its deadline once stayed with the whole command until then, long after
-// the command had ended: memory grew with the rate times clients' patience.
-func TestNothingIsKeptOfCommandsThatHaveEnded(t *testing.T) {
+// The function that ends an attempt at its deadline used to stay in the timer queue, with the whole command,
+// until then, even if the command had ended long before: memory grew with the request rate times the clients'
+// time limit.
+func TestNoTimersRemainOfEndedCommands(t *testing.T) {
 	f := &fleet{}
-	l := loop(t, f)
+	l := newTestLoop(t, f)
 	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
-	l.batch()
+	l.runBatch()
 	idle := l.timers.Len()
 	for i := range 500 {
 		l.Take(&Command{ID: fmt.Sprint("c", i), Class: "safe", Deadline: time.Now().Add(time.Hour), Client: &client{}})
-		l.batch()
+		l.runBatch()
 		require.Len(t, f.sent, i+1)
 		l.News(News{ID: fmt.Sprint("c", i), From: "s-1", State: Done})
-		l.batch()
+		l.runBatch()
 	}
-	require.Empty(t, l.requests)
-	require.LessOrEqual(t, l.timers.Len(), idle+1, "the module's wake-up aside, timers are kept of what has ended")
+	require.Empty(t, l.byRequest)
+	require.LessOrEqual(t, l.timers.Len(), idle+1, "timers of ended commands are kept, besides the decision module's timer")
 }
