--- a/decide/api.go
+++ b/decide/api.go
@@ -242,7 +242,7 @@
 	// ListDelta changes the lines it holds.
 	ListDelta struct{ Workers []Worker }
 	// ListFailed: a subscription or a fetch failed; the list stays. Nobody: the call did not reach the service. After:
-	// how long ago the call was made, even if not by a Subscribe; 0: not known.
+	// how long ago the call was made, whether for a Subscribe or not; 0: not known.
 	ListFailed struct {
 		Nobody bool
 		After  time.Duration
@@ -362,7 +362,7 @@
 	// Send starts an attempt; attempts of a request are numbered from 0 in order.
 	Send struct {
 		Request, Worker uint32
-		Timeout         time.Duration // 0: none
+		Timeout         time.Duration // 0: none; the attempt may last until the client gives up
 		MostIdle        time.Duration // a connection idle for longer must not be used; 0: no limit
 		Fresh           bool          // only a new connection may be used
 		Lease           uint64        // the lease that it uses; 0: none
@@ -422,7 +422,8 @@
 	d := &Dispatcher{
 		rng: s.newRand(), admitted: 1, maxIdle: s.Limits.ConnIdle * 3 / 5,
 		workers: map[uint32]*worker{}, kinds: map[int]*kindStat{}, cordons: map[uint32]bool{},
-		requests: map[uint32]*request{}, keyDemand: map[uint64]demand{}, peers: map[int]*peer{}, unplaced: map[placementKey]unplaced{}, peerSums: map[uint32]*loadSum{}, errors: tally{N: errorSamples},
+		requests: map[uint32]*request{}, keyDemand: map[uint64]demand{}, peers: map[int]*peer{},
+		unplaced: map[placementKey]unplaced{}, peerSums: map[uint32]*loadSum{}, errors: tally{N: errorSamples},
 	}
 	if err := d.Retune(s); err != nil {
 		return nil, err
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -26,10 +26,10 @@
 	speedPriorJobs         = 8.0     // most jobs that the kind's speed counts for in a worker's own
 	sizePriorJobs          = 2.0     // jobs of no length added before a worker's size or its kind's speed is estimated from runs
 	unknownKindSlowness    = 0.5     // assumed log slowness of an unknown kind, where there are several
-	speedPriorPerWorker    = 2.5     // the kind's speed counts for this many jobs per worker and dispatcher: many dispatchers see few jobs of each
+	speedPriorPerWorker    = 2.5     // the same per worker and dispatcher: many dispatchers see few jobs of each worker
 	extraPerRequest        = 0.5     // further attempts for each request, where no rule sets the budget
 	extraBase              = 5.0     // further attempts besides, in the time that a client waits
-	resortDivisor          = 16      // the fleet is sorted again after one job per 16 workers; the least interval grows by one aim per 64 workers
+	resortDivisor          = 16      // the fleet is sorted again after one job per 16 workers, at intervals of an aim per 64 workers
 	scansPerStep           = 256     // workers examined for held requests in each sweep interval while nothing happens
 	lateStartSamples       = 8.0     // starts at a worker that its share of late ones is taken over
 	admitFactor            = 0.95    // factor on the admitted share for each request that was started late
@@ -137,10 +137,13 @@
 // firstJobWorker returns a worker to be used before others: one just uncordoned, for one repeatable job, or a
 // cold one.
 func (d *Dispatcher) firstJobWorker(r *request) *worker {
-	d.firstJobQueue = slices.DeleteFunc(d.firstJobQueue, func(w *worker) bool { return !w.firstJobDue && !d.preferWhileCold(w) || d.workers[w.ID] != w })
+	d.firstJobQueue = slices.DeleteFunc(d.firstJobQueue, func(w *worker) bool {
+		return !w.firstJobDue && !d.preferWhileCold(w) || d.workers[w.ID] != w
+	})
 	for _, w := range d.firstJobQueue {
 		first := r.class.Effect == Safe && w.ownSlots == 0 || !w.firstJobDue && !d.settings.Leasing.On
-		if first && len(r.attempts)+len(r.Order) == 0 && (r.class.Kind == Any || r.class.Kind == w.Kind) && d.valid(r, w, Invalidate{Rule: Overload}) {
+		if first && len(r.attempts)+len(r.Order) == 0 && (r.class.Kind == Any || r.class.Kind == w.Kind) &&
+			d.valid(r, w, Invalidate{Rule: Overload}) {
 			return w
 		}
 	}
@@ -412,7 +415,8 @@
 	case b.ByKey:
 		start, _ = slices.BinarySearch(b.ring, hash(r.Key, 0))
 		reach = d.keyWorkers(r)
-		atLeast = min(reach, 1+(d.settings.Dispatchers-1)/int(d.size(b.members[0]))) // with more, all dispatchers' picks could overload one worker
+		// With a larger choice, all dispatchers could pick the same worker and overload it.
+		atLeast = min(reach, 1+(d.settings.Dispatchers-1)/int(d.size(b.members[0])))
 	case b.Strategy == Platform:
 		h := hash(cmp.Or(r.Key, uint64(r.Class)+1), 0)
 		start, step = int(h%uint64(n)), coprime(int(h>>32%uint64(n)), n)
@@ -452,7 +456,8 @@
 // held past its aim. It applies only while no other request waits and free slots are not reported: then the
 // ceilings may be wrong, otherwise the request would only lengthen a queue.
 func (d *Dispatcher) lastResortWorker(r *request) *worker {
-	if d.settings.ReportsFree && !d.settings.TellsStart || r.class.followup == Fail || len(r.attempts) > 0 || d.heldCount() > 1 || d.waitingJobs > 0 {
+	if d.settings.ReportsFree && !d.settings.TellsStart || r.class.followup == Fail || len(r.attempts) > 0 ||
+		d.heldCount() > 1 || d.waitingJobs > 0 {
 		return nil
 	}
 	return d.random(r.class.defaultBlock, func(w *worker) bool {
@@ -549,10 +554,11 @@
 // dispatchers share their load.
 func (d *Dispatcher) hasUnseenLoad() bool { return !d.settings.TellsStart && d.peerGroups() > 1 }
 
-// sendForbidden reports whether a request must not be sent to any worker.
+// sendForbidden reports whether a request must not be sent to any worker: by its limit on attempts, its deadline, the
+// limit on parallel attempts or the budget of further ones.
 func (d *Dispatcher) sendForbidden(r *request) bool {
-	return r.done || r.streaming || r.sentAttempts() >= d.settings.Limits.Attempts || d.now >= r.deadline || // the limit on attempts and the deadline hold for all
-		r.outstanding > 0 && !d.settings.Limits.SecondCopies || r.sentAttempts() > 0 && !d.withinBudget() // as does the budget of further attempts
+	return r.done || r.streaming || r.sentAttempts() >= d.settings.Limits.Attempts || d.now >= r.deadline ||
+		r.outstanding > 0 && !d.settings.Limits.SecondCopies || r.sentAttempts() > 0 && !d.withinBudget()
 }
 
 // forbidden reports whether the rules on sending forbid an attempt. Every attempt is checked by it.
@@ -596,10 +602,11 @@
 // later turn of the same one would come too late to balance it.
 func (d *Dispatcher) coldTurn(w *worker, r *request) bool {
 	turn, n := d.coldTurns()
-	halfWarmUp, window := d.settings.Rules.Cold/2, d.settings.Rules.FallWindow // each dispatcher gets a turn within half of the time to warm up
+	halfWarmUp, window := d.settings.Rules.Cold/2, d.settings.Rules.FallWindow // each turn comes within half of the time to warm up
 	halfWindow := d.coldBudget(w) * d.warmth(w) * window.Seconds() / 2
 	used := min(1, float64(d.arrivalsSince(d.now-2*window)-1)) // share of the turns that is used: with few requests, most expire
-	unit := min(d.longestMeanRun(), max(d.pace().Seconds(), used*d.meanRunUpTo(halfWindow), d.coldBudget(w)*d.coldTurnShare()*halfWarmUp.Seconds()*d.settings.Rules.warmth(halfWarmUp/2)))
+	unit := min(d.longestMeanRun(), max(d.pace().Seconds(), used*d.meanRunUpTo(halfWindow),
+		d.coldBudget(w)*d.coldTurnShare()*halfWarmUp.Seconds()*d.settings.Rules.warmth(halfWarmUp/2)))
 	if w.nextColdSend == 0 {
 		offset := float64((hash(uint64(w.ID), uint64(w.Started))+uint64(turn))%uint64(n)) + 0.5
 		w.nextColdSend = d.coldBudgetAt(w, w.Started, unit*offset/float64(n))
@@ -743,7 +750,7 @@
 	if !d.settings.TellsStart {
 		return
 	}
-	// After a stall of this process the delay is only an upper bound and no sign of queueing.
+	// Following a stall of this process the delay is only an upper bound and no sign of queueing.
 	delay := d.now - a.sentAt
 	d.countForZone(a, delay-d.batchDelay > r.class.Aim/2)
 	d.adjustAdmission(d.now-r.attempts[0].sentAt-d.batchDelay > r.class.Aim)
@@ -1043,7 +1050,8 @@
 			d.emit(Cancel{Request: r.ID, Attempt: i})
 			continue
 		}
-		unresponsive := d.now-a.sentAt-d.batchDelay > max(r.class.Aim, unresponsiveRuns*r.class.typical()+unresponsiveStarts*d.meanStartDelay()) && a.worker.lastAlive < a.sentAt
+		unresponsive := d.now-a.sentAt-d.batchDelay > max(r.class.Aim, unresponsiveRuns*r.class.typical()+unresponsiveStarts*d.meanStartDelay()) &&
+			a.worker.lastAlive < a.sentAt
 		if d.settings.TellsStart && !a.started && d.now-a.sentAt > d.startGrace(r, a) {
 			first := !a.queued
 			if a.queued = true; first {
@@ -1065,7 +1073,8 @@
 			}
 			return
 		}
-		stalled := d.settings.Progress > 0 && (a.started || !d.settings.TellsStart) && float64(d.now-a.lastReport) > progressSlackIntervals*float64(d.settings.Progress)
+		stalled := d.settings.Progress > 0 && (a.started || !d.settings.TellsStart) &&
+			float64(d.now-a.lastReport) > progressSlackIntervals*float64(d.settings.Progress)
 		// The job may be queued behind others that are not seen here: a copy that starts at its aim still ends in time.
 		unreported := d.hasUnseenLoad() && a.lastReport == a.sentAt && r.class.Effect == Safe && d.now-a.sentAt > r.class.Aim
 		if unresponsive && !a.queued && !d.settings.TellsStart && a.worker.lastAlive == 0 {
@@ -1088,7 +1097,8 @@
 // both run and the queues grow. So few are moved of those that are of use when late or are kept until their
 // deadline; others would otherwise be of no use at all.
 func (d *Dispatcher) mayMove(r *request) bool {
-	return d.withinBudget() && (r.class.LateWorth == 0 && !r.Patient || float64(len(d.extraAttempts)+1) <= maxMovedShare*float64(len(d.arrivals)))
+	return d.withinBudget() &&
+		(r.class.LateWorth == 0 && !r.Patient || float64(len(d.extraAttempts)+1) <= maxMovedShare*float64(len(d.arrivals)))
 }
 
 // sharesLoad reports whether load is reported to peers. Where starts are reported, the load of only some
--- a/decide/estimate.go
+++ b/decide/estimate.go
@@ -73,7 +73,8 @@
 	w := a.worker
 	w.connsInUse--
 	unanswered := !a.started && a.lastReport == a.sentAt
-	bad := unanswered && (o == Reset || o == TimedOut || o == Cancelled && d.now-a.sentAt > r.class.Aim) // an early cancellation only means that the job was moved
+	// A cancellation before the aim only means that the job was moved.
+	bad := unanswered && (o == Reset || o == TimedOut || o == Cancelled && d.now-a.sentAt > r.class.Aim)
 	if bad || o == ConnectFailed || o == Cancelled {
 		w.conns = max(w.connsInUse, w.conns-1)
 	} else {
--- a/decide/memory.go
+++ b/decide/memory.go
@@ -72,8 +72,10 @@
 // Memory returns the dispatcher's state.
 func (d *Dispatcher) Memory() Memory {
 	m := Memory{
-		Kinds: map[int]kindStat{}, Zones: map[int]tally{}, Keys: map[uint64]demand{}, Tenants: d.tenantDemand, Taken: d.arrivals, Extras: d.extraAttempts,
-		Admitted: d.admitted, Tokens: d.tokens, Fresh: d.firstJobs, Bad: d.errors, MostIdle: d.maxIdle, IdleAt: d.maxIdleSetAt, Silent: d.silentUntil, Ages: d.idleFailures,
+		Kinds: map[int]kindStat{}, Zones: map[int]tally{}, Keys: map[uint64]demand{}, Tenants: d.tenantDemand,
+		Taken: d.arrivals, Extras: d.extraAttempts,
+		Admitted: d.admitted, Tokens: d.tokens, Fresh: d.firstJobs, Bad: d.errors,
+		MostIdle: d.maxIdle, IdleAt: d.maxIdleSetAt, Silent: d.silentUntil, Ages: d.idleFailures,
 		Setups: d.connSetups, Served: d.sawLife, Confirms: d.confirmsAttempts,
 	}
 	for _, w := range d.workers {
@@ -103,7 +105,8 @@
 			continue
 		}
 		saved := RequestMemory{
-			Request: r.Request, Arrived: r.arrived, Due: r.deadline, Limit: r.aimEnd, Late: r.late, Over: r.overShare, Errs: r.errors, Unsent: r.unsent,
+			Request: r.Request, Arrived: r.arrived, Due: r.deadline, Limit: r.aimEnd, Late: r.late,
+			Over: r.overShare, Errs: r.errors, Unsent: r.unsent,
 		}
 		for _, a := range r.attempts {
 			saved.Attempts = append(saved.Attempts, AttemptMemory{
@@ -133,7 +136,8 @@
 func (d *Dispatcher) warmStart(m Memory) {
 	sane := func(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 	for i, saved := range m.Classes[:min(len(m.Classes), len(d.classes))] {
-		if c := d.classes[i]; c.jobs == 0 && saved.Jobs > 0 && sane(saved.Run) && sane(saved.Jobs) && !math.IsNaN(saved.LogRun) && !math.IsInf(saved.LogRun, 0) {
+		if c := d.classes[i]; c.jobs == 0 && saved.Jobs > 0 && sane(saved.Run) && sane(saved.Jobs) &&
+			!math.IsNaN(saved.LogRun) && !math.IsInf(saved.LogRun, 0) {
 			c.meanRun, c.meanLogRun, c.jobs = saved.Run, saved.LogRun, min(saved.Jobs, speedPriorJobs) // bounded, so that new runs outweigh it soon
 		}
 	}
@@ -154,7 +158,8 @@
 // restore takes over the state of another process of this dispatcher.
 func (d *Dispatcher) restore(m Memory) {
 	d.arrivals, d.extraAttempts, d.admitted, d.tokens, d.firstJobs, d.errors = m.Taken, m.Extras, m.Admitted, m.Tokens, m.Fresh, m.Bad
-	d.silentUntil, d.maxIdle, d.maxIdleSetAt, d.idleFailures, d.connSetups, d.sawLife, d.confirmsAttempts = m.Silent, m.MostIdle, m.IdleAt, m.Ages, m.Setups, m.Served, m.Confirms
+	d.silentUntil, d.maxIdle, d.maxIdleSetAt, d.idleFailures, d.connSetups, d.sawLife, d.confirmsAttempts =
+		m.Silent, m.MostIdle, m.IdleAt, m.Ages, m.Setups, m.Served, m.Confirms
 	for _, saved := range m.Workers {
 		if d.workers[saved.ID] == nil && saved.State == Draining { // a later list may have it again
 			if d.upsert([]Worker{saved.Worker}, false); d.workers[saved.ID] != nil {
@@ -166,7 +171,8 @@
 			w.Started = saved.Started
 		}
 		if w != nil && w.Started == saved.Started { // otherwise it has been restarted
-			w.ceiling, w.learnedSize, w.abandoned, w.logDeviation, w.deviationWeight, w.minStartDelay = saved.Ceiling, saved.Slots, saved.Ghost, saved.Dev, saved.N, saved.Lead
+			w.ceiling, w.learnedSize, w.abandoned, w.logDeviation, w.deviationWeight, w.minStartDelay =
+				saved.Ceiling, saved.Slots, saved.Ghost, saved.Dev, saved.N, saved.Lead
 			w.probes, w.retryAt, w.lastAlive, w.nextColdSend, w.lateStarts = saved.Probes, saved.RetryAt, saved.Lived, saved.ColdNext, saved.Late
 			w.errors, w.unsafeBarredUntil = saved.Bad, saved.Wary
 			copy(w.classErrors, saved.Errs)
@@ -224,8 +230,10 @@
 				classErrors: make([]tally, len(d.classes)), refusals: make([]refusal, len(d.classes))}
 		}
 		a := &attempt{
-			worker: w, sentAt: savedAttempt.Sent, lastReport: savedAttempt.Note, startedAt: savedAttempt.Begun, connIdle: savedAttempt.Idle, ended: savedAttempt.Ended, neverRan: savedAttempt.NeverRan,
-			errored: savedAttempt.Erred, started: savedAttempt.Started, queued: savedAttempt.Queued, accepted: savedAttempt.Taken, connLost: savedAttempt.Lost, zoneCounted: savedAttempt.Fared, newConn: savedAttempt.New,
+			worker: w, sentAt: savedAttempt.Sent, lastReport: savedAttempt.Note, startedAt: savedAttempt.Begun,
+			connIdle: savedAttempt.Idle, ended: savedAttempt.Ended, neverRan: savedAttempt.NeverRan,
+			errored: savedAttempt.Erred, started: savedAttempt.Started, queued: savedAttempt.Queued, accepted: savedAttempt.Taken,
+			connLost: savedAttempt.Lost, zoneCounted: savedAttempt.Fared, newConn: savedAttempt.New,
 		}
 		r.attempts = append(r.attempts, a)
 		if a.ended {
--- a/decide/state.go
+++ b/decide/state.go
@@ -347,7 +347,8 @@
 func (d *Dispatcher) addWorker(l Worker) *worker {
 	l.State = Ready
 	w := &worker{
-		Worker: l, ceiling: initialCeiling, zone: d.zone(l.Zone), peerLoad: d.peerSum(l.ID), lateStarts: tally{N: 2}, errors: tally{N: 3}, cordoned: d.cordons[l.ID],
+		Worker: l, ceiling: initialCeiling, zone: d.zone(l.Zone), peerLoad: d.peerSum(l.ID), lateStarts: tally{N: 2}, errors: tally{N: 3},
+		cordoned:    d.cordons[l.ID],
 		classErrors: slices.Repeat([]tally{{N: 3}}, len(d.classes)), refusals: make([]refusal, len(d.classes)),
 	}
 	if d.workers[l.ID] = w; d.preferWhileCold(w) {
