--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,7 +39,7 @@
 	Admin     string // operators call here; empty: nowhere
 	Dir       string // for what processes of one dispatcher leave each other
 	Limits    Limits
-	Known     dispatch.List // as last held; may be out of date
+	Known     dispatch.InstanceUpdate // as last held; may be out of date
 	Settings  decide.Settings
 	Names     wire.Names
 
@@ -208,8 +208,8 @@
 
 // checkSettings refuses what no dispatcher can go by.
 func checkSettings(s decide.Settings, n wire.Names) error {
-	if s.Limits.Attempts < 1 {
-		return fmt.Errorf("settings.Permissions.AttemptsCap: %d is no number of attempts", s.Limits.Attempts)
+	if s.Limits.MaxAttempts < 1 {
+		return fmt.Errorf("settings.Permissions.AttemptsCap: %d is no number of attempts", s.Limits.MaxAttempts)
 	}
 	if len(s.Classes) == 0 {
 		return errors.New("settings.RequestClasses: missing")
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -30,9 +30,9 @@
 	return max(len(n.Classes)-len(n.configured.Classes), len(n.Tenants)-len(n.configured.Tenants), len(n.Zones)-len(n.configured.Zones), len(n.Kinds)-len(n.configured.Kinds))
 }
 
-// Retune applies new settings. If it returns an error, nothing has changed. It waits for the loop, but not for
+// Reconfigure applies new settings. If it returns an error, nothing has changed. It waits for the loop, but not for
 // any peer.
-func (l *Loop) Retune(s decide.Settings, n wire.Names) error {
+func (l *Loop) Reconfigure(s decide.Settings, n wire.Names) error {
 	done := make(chan error, 1)
 	l.post(func(l *Loop) { done <- l.reconfigure(l.mapSettings(s, n)) })
 	return <-done
@@ -42,11 +42,11 @@
 	if n.retired() > maxRetiredNames {
 		return errors.New("settings: too many names were removed since the process started")
 	}
-	if err := l.mod.Retune(s); err != nil {
+	if err := l.mod.Reconfigure(s); err != nil {
 		return err
 	}
 	l.settings, l.allNames, l.configuredNames = s, n.Names, n.configured
-	l.Books.addClasses(n.Classes)
+	l.Counters.addClasses(n.Classes)
 	return nil
 }
 
@@ -62,18 +62,18 @@
 	s.Zone = mapNumber(s.Zone, zones)
 	allClasses := make([]decide.Class, len(all.Classes))
 	for i := range copy(allClasses, l.settings.Classes) {
-		allClasses[i].Left = true
+		allClasses[i].Removed = true
 	}
 	for i, c := range s.Classes {
 		c.Kind = mapNumber(c.Kind, kinds)
 		allClasses[classes[i]] = c
 	}
 	if len(classes) > 0 {
-		s.First = classes[0]
+		s.TimingClass = classes[0]
 	}
 	allTenants := make([]decide.Tenant, len(all.Tenants))
 	for i := range copy(allTenants, l.settings.Tenants) {
-		allTenants[i].Left = true
+		allTenants[i].Removed = true
 	}
 	for i, t := range s.Tenants {
 		allTenants[tenants[i]] = t
@@ -129,7 +129,7 @@
 
 // mergeClasses adds the classes of another process that are missing or defined differently here, since commands
 // of these classes are taken over. It returns the number of each of its classes here.
-func (l *Loop) mergeClasses(state Handed) []int {
+func (l *Loop) mergeClasses(state HandoverState) []int {
 	n, s := l.allNames, l.settings
 	theirs, classes := slices.Clone(state.Names.Classes), slices.Clone(state.Classes)
 	for i := range classes {
@@ -144,7 +144,7 @@
 	n.Classes, s.Classes = names, slices.Clone(s.Classes)
 	for i, c := range classes {
 		if classNumbers[i] >= len(s.Classes) {
-			c.Left = true
+			c.Removed = true
 			s.Classes = append(s.Classes, c)
 		}
 	}
@@ -156,7 +156,7 @@
 
 // sameClass reports whether two definitions of a class are equal.
 func sameClass(a, b decide.Class) bool {
-	a.Left = b.Left
+	a.Removed = b.Removed
 	return a == b
 }
 
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -44,26 +44,26 @@
 	}}
 	dispatchers := number("dispatchers", 1, 40)
 	s.Settings = decide.Settings{
-		Seed: seed, Dispatcher: number("slot", 0, dispatchers-1), Dispatchers: dispatchers, Zone: number("zone", 0, max(0, len(s.Zones)-1)),
-		Granularity: span("granularity", 1, 4), OverShareWorth: share("over"), Subscribe: true, Pushed: yes("pushed"),
-		TellsStart: yes("starts"), MarksRetries: yes("marks"), Progress: span("progress", 0, 300), Rated: yes("rated"), ReportsFree: yes("reports"),
+		Seed: seed, DispatcherIndex: number("slot", 0, dispatchers-1), DispatcherCount: dispatchers, Zone: number("zone", 0, max(0, len(s.Zones)-1)),
+		Granularity: span("granularity", 1, 4), OverShareWorth: share("over"), Subscribe: true, ListPushed: yes("pushed"),
+		ReportsStart: yes("starts"), RetriesMarked: yes("marks"), ProgressInterval: span("progress", 0, 300), Rated: yes("rated"), ReportsFreeSlots: yes("reports"),
 		Limits: decide.Limits{
-			Attempts: number("attempts", 1, 4), Open: number("open", 0, 12), Cancel: yes("cancel"), SecondCopies: yes("copies"), Probes: yes("probes"),
+			MaxAttempts: number("attempts", 1, 4), MaxOpen: number("open", 0, 12), Cancel: yes("cancel"), ParallelAttempts: yes("copies"), Probes: yes("probes"),
 			RetryAfter: yes("after"), MaxRetryAfter: span("most after", 0, 900), ConnectTimeout: span("connect", 50, 900), ConnIdle: span("idle", 200, 9000),
 		},
 		Rules: decide.Rules{
 			DrainGrace: span("grace", 50, 900), ColdFrom: 0.05 + 0.9*share("cold from"), Cold: span("cold", 0, 9000), FallMultiple: 1 + 2*share("fall"),
-			FallWindow: span("window", 100, 2000), MustAskIn: span("ask", 300, 9000), GoneIsAdvice: yes("advice"),
+			FallWindow: span("window", 100, 2000), MustAskIn: span("ask", 300, 9000), GoneIsAdvisory: yes("advice"),
 		},
 		Prices: decide.Prices{CrossZone: share("cross"), Waste: share("waste")},
 	}
 	if yes("budget") {
-		s.Rules.Budget = &decide.AttemptBudget{Spare: float64(number("spare", 0, 3)), PerRequest: share("per request"), Span: span("budget span", 100, 2000)}
+		s.Rules.Budget = &decide.AttemptBudget{Spare: float64(number("spare", 0, 3)), PerRequest: share("per request"), Window: span("budget span", 100, 2000)}
 	}
 	for range s.Names.Classes {
 		s.Settings.Classes = append(s.Settings.Classes, decide.Class{
 			Aim: span("aim", 10, 500), Stretch: 3 * share("stretch"), Deadline: span("deadline", 500, 4000), Worth: share("worth"), LateWorth: share("late"),
-			Effect: decide.Effect(number("effect", 0, 2)), Scope: decide.Scope(number("scope", 0, 2)), Window: span("class window", 0, 2000),
+			Effect: decide.Effect(number("effect", 0, 2)), Scope: decide.Scope(number("scope", 0, 2)), DedupWindow: span("class window", 0, 2000),
 			Kind: number("kind", -1, max(-1, len(s.Kinds)-1)),
 		})
 	}
@@ -78,7 +78,7 @@
 type simulation struct {
 	*Loop
 	now      time.Duration
-	members  []Member
+	members  []Instance
 	budget   map[uint32]time.Duration
 	attempts map[uint32]int
 	pending  []dueEvent
@@ -90,7 +90,7 @@
 	e  decide.Event
 }
 
-func newSimulation(t *rapid.T, s site, members []Member) *simulation {
+func newSimulation(t *rapid.T, s site, members []Instance) *simulation {
 	f := &fleet{}
 	l, err := New(s.Settings, s.Names, f, f, f, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
@@ -120,8 +120,8 @@
 	for _, a := range p.mod.Handle(p.now, events) {
 		p.actions = append(p.actions, fmt.Sprintf("%v %T %+v", p.now, a, a))
 		switch a := a.(type) {
-		case decide.WakeMe:
-			p.schedule(a.After, decide.Wake{Token: a.Token})
+		case decide.SetTimer:
+			p.schedule(a.After, decide.TimerFired{Token: a.Token})
 		case decide.Send:
 			n := p.attempts[a.Request]
 			p.attempts[a.Request]++
@@ -132,7 +132,7 @@
 				p.schedule(duration/8, decide.JobStarted{Request: a.Request, Attempt: n})
 			}
 			p.schedule(duration, decide.AttemptEnded{Request: a.Request, Attempt: n, Outcome: []decide.Outcome{
-				decide.OK, decide.OK, decide.OK, decide.OK, decide.Errored, decide.Full, decide.Reset, decide.ConnectFailed}[kind], Over: kind < 4})
+				decide.OK, decide.OK, decide.OK, decide.OK, decide.Errored, decide.Full, decide.Reset, decide.ConnectFailed}[kind], RequestEnded: kind < 4})
 		}
 	}
 }
@@ -157,9 +157,9 @@
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		before, after := drawSite(rt, "before", 1), drawSite(rt, "after", 2)
-		var members []Member
+		var members []Instance
 		for i := range rapid.IntRange(1, 8).Draw(rt, "workers") {
-			m := Member{
+			m := Instance{
 				ID: fmt.Sprint("s-", i), Zone: fmt.Sprint("zone", rapid.IntRange(0, 3).Draw(rt, "zone")), Kind: fmt.Sprint("kind", rapid.IntRange(0, 2).Draw(rt, "kind")),
 				Cell: i % 2, State: decide.Ready, Size: float64(1 + i%3),
 			}
@@ -203,11 +203,11 @@
 func TestZonesOfPreviousSettingsAreUnknown(t *testing.T) {
 	f := &fleet{}
 	l, err := New(decide.Settings{
-		Dispatchers: 1, Limits: decide.Limits{Attempts: 1}, Classes: []decide.Class{{Aim: time.Second, Deadline: time.Second, Kind: 1}},
+		DispatcherCount: 1, Limits: decide.Limits{MaxAttempts: 1}, Classes: []decide.Class{{Aim: time.Second, Deadline: time.Second, Kind: 1}},
 	}, wire.Names{Classes: []string{"a"}, Zones: []string{"east", "west"}, Kinds: []string{"old", "new"}}, f, f, f, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	at := func(zone, kind string) [2]int {
-		w := l.toWorker(Member{Zone: zone, Kind: kind}, 1)
+		w := l.toWorker(Instance{Zone: zone, Kind: kind}, 1)
 		return [2]int{w.Zone, w.Kind}
 	}
 	require.Equal(t, [2]int{1, 1}, at("west", "new"))
@@ -259,57 +259,57 @@
 	strict.Classes = slices.Clone(strict.Classes)
 	strict.Classes[0].Effect = decide.Unsafe
 	require.NoError(t, older.reconfigure(older.mapSettings(strict, older.allNames)))
-	older.Take(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: &client{}})
-	older.News(News{ID: "c1", From: "s-1", State: Done})
+	older.Submit(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: &client{}})
+	older.HandleCallback(Callback{ID: "c1", From: "s-1", State: Done})
 	older.runBatch()
 	require.Len(t, f.sent, 2)
 
 	l, c := newTestLoop(t, &fleet{}), &client{}
-	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
-	older.Yield(func(state Handed) bool {
+	l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
+	older.HandOver(func(state HandoverState) bool {
 		for _, cmd := range state.Commands {
 			cmd.Client = c
 		}
-		l.Relieve(state)
+		l.TakeOver(state)
 		return true
 	})
 	older.runBatch()
 	l.runBatch()
-	l.Became(Fate{ID: "c2", Outcome: decide.Reset})
+	l.UpdateAttempt(AttemptUpdate{ID: "c2", Outcome: decide.Reset})
 	l.runBatch()
 	require.Equal(t, []Answer{{Verdict: Failed}}, c.answers, "the command may have run")
 	own := &client{}
-	l.Take(&Command{ID: "c3", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: own})
+	l.Submit(&Command{ID: "c3", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: own})
 	l.runBatch()
-	l.Ended(l.byRequest[l.lastID].attempts[0], decide.Reset, 0)
+	l.AttemptEnded(l.byRequest[l.lastID].attempts[0], decide.Reset, 0)
 	l.runBatch()
 	require.Empty(t, own.answers, "later commands must use the own settings")
-	require.Contains(t, l.Books.Figures(), "proxy.bad_gateway.safe=1\n")
-	require.NotContains(t, l.Books.Figures(), "former")
+	require.Contains(t, l.Counters.OperatorCounters(), "proxy.bad_gateway.safe=1\n")
+	require.NotContains(t, l.Counters.OperatorCounters(), "former")
 }
 
 // What an older process learned of a class counts only if the class is defined the same here.
 func TestLearnedStateOfOtherClassDefinitionIsIgnored(t *testing.T) {
-	state := func(deadline time.Duration) Handed {
+	state := func(deadline time.Duration) HandoverState {
 		older := newTestLoop(t, &fleet{})
 		s := older.settings
 		s.Classes = slices.Clone(s.Classes)
 		s.Classes[0].Deadline = deadline
 		require.NoError(t, older.reconfigure(older.mapSettings(s, older.allNames)))
-		h := Handed{Module: older.mod.Memory(), Numbers: older.instanceIDs, Names: older.allNames, Classes: older.settings.Classes}
-		h.Module.Classes[0] = decide.ClassMemory{Run: 9, LogRun: 2, Jobs: 50, Budget: deadline}
+		h := HandoverState{Module: older.mod.Snapshot(), InstanceIDs: older.instanceIDs, Names: older.allNames, Classes: older.settings.Classes}
+		h.Module.Classes[0] = decide.ClassSnapshot{MeanRun: 9, MeanLogRun: 2, Jobs: 50, MaxBudget: deadline}
 		return h
 	}
-	for name, load := range map[string]func(*Loop, Handed){"handed over": (*Loop).Relieve, "from a snapshot": (*Loop).Advise} {
-		learned := func(h Handed) decide.ClassMemory {
+	for name, load := range map[string]func(*Loop, HandoverState){"handed over": (*Loop).TakeOver, "from a snapshot": (*Loop).ImportLearned} {
+		learned := func(h HandoverState) decide.ClassSnapshot {
 			l := newTestLoop(t, &fleet{})
 			load(l, h)
 			l.runBatch()
-			return l.mod.Memory().Classes[indexOrLen(l.allNames.Classes, "safe")]
+			return l.mod.Snapshot().Classes[indexOrLen(l.allNames.Classes, "safe")]
 		}
 		require.Positive(t, learned(state(time.Hour)).Jobs, name)
 		require.Zero(t, learned(state(time.Minute)).Jobs, name)
-		require.Zero(t, learned(state(time.Minute)).Budget, name)
+		require.Zero(t, learned(state(time.Minute)).MaxBudget, name)
 	}
 }
 
@@ -318,8 +318,8 @@
 func TestZonesAreHandedOverByName(t *testing.T) {
 	settings := func(zones ...string) (decide.Settings, wire.Names) {
 		return decide.Settings{
-			Dispatchers: 1, Granularity: time.Millisecond, Limits: decide.Limits{Attempts: 3, Cancel: true},
-			Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any, Effect: decide.Keyed, Scope: decide.ScopeZone, Window: time.Hour}},
+			DispatcherCount: 1, Granularity: time.Millisecond, Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
+			Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any, Effect: decide.Keyed, Scope: decide.ScopeZone, DedupWindow: time.Hour}},
 			Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, MustAskIn: time.Second},
 		}, wire.Names{Classes: []string{"keyed"}, Zones: zones}
 	}
@@ -332,24 +332,24 @@
 	f := &fleet{}
 	older := newLoop(f, "elsewhere")
 	require.NoError(t, older.reconfigure(older.mapSettings(settings("east", "west"))))
-	older.Listed(List{Members: []Member{{ID: "s-1", Zone: "east", State: decide.Ready}}}, true)
-	older.Take(&Command{ID: "c1", Class: "keyed", Deadline: time.Now().Add(time.Hour), Client: &client{}})
+	older.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", Zone: "east", State: decide.Ready}}}, true)
+	older.Submit(&Command{ID: "c1", Class: "keyed", Deadline: time.Now().Add(time.Hour), Client: &client{}})
 	older.runBatch()
 	require.Len(t, f.sent, 1)
 
 	newerFleet := &fleet{}
 	l := newLoop(newerFleet, "east", "west", "south")
-	l.Listed(List{Complete: true, Members: []Member{{ID: "s-2", Zone: "west", State: decide.Ready}}}, true)
-	older.Yield(func(state Handed) bool {
+	l.UpdateInstances(InstanceUpdate{Complete: true, Instances: []Instance{{ID: "s-2", Zone: "west", State: decide.Ready}}}, true)
+	older.HandOver(func(state HandoverState) bool {
 		for _, cmd := range state.Commands {
 			cmd.Client = &client{}
 		}
-		l.Relieve(state)
+		l.TakeOver(state)
 		return true
 	})
 	older.runBatch()
 	l.runBatch()
-	l.Became(Fate{ID: "c1", Outcome: decide.Reset})
+	l.UpdateAttempt(AttemptUpdate{ID: "c1", Outcome: decide.Reset})
 	l.runBatch()
 	require.Empty(t, newerFleet.sent, "the only instance is in another zone")
 }
@@ -360,14 +360,14 @@
 	s.Classes = append(slices.Clone(s.Classes), s.Classes[0])
 	fresh, err := New(s, wire.Names{Classes: []string{"other", "safe"}}, &fleet{}, &fleet{}, &fleet{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	before := fresh.mod.Memory().Classes[0]
+	before := fresh.mod.Snapshot().Classes[0]
 	older, _, _ := loopWithCommand(t)
-	older.Yield(func(state Handed) bool {
+	older.HandOver(func(state HandoverState) bool {
 		state.Commands = nil
-		fresh.Relieve(state)
+		fresh.TakeOver(state)
 		return true
 	})
 	older.runBatch()
 	fresh.runBatch()
-	require.Equal(t, before, fresh.mod.Memory().Classes[0])
+	require.Equal(t, before, fresh.mod.Snapshot().Classes[0])
 }
--- a/internal/full/serve.go
+++ b/internal/full/serve.go
@@ -41,7 +41,7 @@
 	}
 	adjust := func(s *decide.Settings) {
 		if f.Control != nil { // the daemon's own sends to cold encoders go by leases too
-			s.Leasing = decide.Leasing{On: true, Turn: -1, Turns: f.Control.Senders, Share: lease.TurnsShare}
+			s.Leasing = decide.Leasing{Enabled: true, Turn: -1, Turns: f.Control.Senders, Share: lease.TurnsShare}
 		}
 	}
 	read := func() ([]byte, error) {
@@ -157,18 +157,18 @@
 	}
 	fault := func() error { return nil }
 	if t := c.TLS; t != nil {
-		pair, err := keys.Load(keys.Files{Certificate: t.Certificate, Key: t.Key, CA: t.ClientCA, Names: t.Names})
+		pair, err := keys.Load(keys.Files{Certificate: t.Certificate, Key: t.Key, CA: t.ClientCA, AcceptedNames: t.Names})
 		if err != nil {
 			return nil, fmt.Errorf("control.tls: %w", err)
 		}
-		o.TLS, fault = credentials.NewTLS(pair.Server()), pair.Fault
+		o.TLS, fault = credentials.NewTLS(pair.ServerConfig()), pair.ReloadError
 	}
 	return func(core program.Core) (program.Part, error) {
 		s, err := control.New(o, core.Config.Settings, core.Loop, core.Log)
 		if err != nil {
 			return nil, err
 		}
-		core.Loop.LeaseBy(s)
+		core.Loop.SetLeaser(s)
 		return &controls{Server: s, fault: fault, log: core.Log}, nil
 	}, nil
 }
--- a/internal/net/gangs/hold.go
+++ b/internal/net/gangs/hold.go
@@ -16,11 +16,11 @@
 	s.starts.Lock()
 	for key, cmd := range s.sent {
 		if t, ok := s.s.Of(key); ok {
-			mine[t+"/"+gang.Encoder{ID: cmd.Order[0]}.Account()] += int(cmd.Slots)
+			mine[t+"/"+gang.Encoder{ID: cmd.Candidates[0]}.Account()] += int(cmd.Slots)
 		}
 	}
 	s.starts.Unlock()
-	spans := map[string][]decide.Span{}
+	spans := map[string][]decide.Reservation{}
 	once := map[gang.Taken]bool{} // two may say that they lead a group
 	for _, held := range s.held {
 		for _, t := range held {
@@ -31,17 +31,17 @@
 			if once[t] = true; t.From <= now {
 				t.Slots -= own
 			}
-			spans[t.Resource] = append(spans[t.Resource], decide.Span{From: t.From, Until: t.Until, Slots: float64(t.Slots)})
+			spans[t.Resource] = append(spans[t.Resource], decide.Reservation{From: t.From, Until: t.Until, Slots: float64(t.Slots)})
 		}
 	}
 	for _, e := range all {
 		what := spans[e.Account()]
-		slices.SortFunc(what, func(a, b decide.Span) int {
+		slices.SortFunc(what, func(a, b decide.Reservation) int {
 			return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Until, b.Until), cmp.Compare(a.Slots, b.Slots))
 		})
 		if text := fmt.Sprint(e.Slots, what); text != s.spans[e.ID] && (len(what) > 0 || s.spans[e.ID] != "") {
 			s.spans[e.ID] = text
-			s.core.Hold(e.ID, float64(e.Slots), what)
+			s.core.SetReservations(e.ID, float64(e.Slots), what)
 		}
 	}
 }
--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -36,11 +36,11 @@
 	return nil
 }
 
-func (*admin) Listed(dispatch.List)    {}
-func (*admin) Cordoned([]string)       {}
-func (*admin) Reloaded(*config.Config) {} // its address takes effect at the next start
-func (*admin) Quiet() bool             { return true }
-func (*admin) Figures() string         { return "" }
+func (*admin) Listed(dispatch.InstanceUpdate) {}
+func (*admin) Cordoned([]string)              {}
+func (*admin) Reloaded(*config.Config)        {} // its address takes effect at the next start
+func (*admin) Quiet() bool                    { return true }
+func (*admin) Figures() string                { return "" }
 
 // startParts notifies all parts that the program starts; an error from one ends the program.
 func (p *Program) startParts(ctx context.Context) error {
--- a/internal/program/callbacks_test.go
+++ b/internal/program/callbacks_test.go
@@ -37,7 +37,7 @@
 	sendList(<-env.watches, 7, true, member(env.instance.Addr().String(), "in_service"))
 	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == Yielded })
 	blocked, proceed := make(chan bool), make(chan bool)
-	older.program.loop.Learned(func(dispatch.Handed) { close(blocked); <-proceed })
+	older.program.loop.ExportLearned(func(dispatch.HandoverState) { close(blocked); <-proceed })
 	<-blocked
 	io.WriteString(encoder, call[30:])
 	require.Equal(t, 204, env.read(encoder).Status, "the encoder does not repeat the callback")
@@ -73,7 +73,7 @@
 	})
 	block := func() chan bool {
 		proceed := make(chan bool)
-		env.program.loop.Learned(func(dispatch.Handed) { <-proceed })
+		env.program.loop.ExportLearned(func(dispatch.HandoverState) { <-proceed })
 		return proceed
 	}
 	unblockFirst := block()
--- a/internal/program/harness_test.go
+++ b/internal/program/harness_test.go
@@ -236,7 +236,7 @@
 
 // counter returns a counter's value.
 func (env *testEnv) counter(name string) (n int) {
-	for line := range strings.Lines(env.program.loop.Books.String()) {
+	for line := range strings.Lines(env.program.loop.Counters.String()) {
 		if rest, ok := strings.CutPrefix(line, name+" "); ok {
 			fmt.Sscan(rest, &n)
 		}
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -15,7 +15,7 @@
 	// InForce reports whether lists come through the sharer.
 	InForce() bool
 	// Listed, Alive and Lost receive the events of this process's watch.
-	Listed(dispatch.List)
+	Listed(dispatch.InstanceUpdate)
 	Alive()
 	Lost()
 	// Moved reports that discovery has a new address.
@@ -29,13 +29,13 @@
 	// Watch starts or stops this process's watch.
 	Watch(on bool)
 	// Take applies a list.
-	Take(dispatch.List)
+	Take(dispatch.InstanceUpdate)
 }
 
 type listControl struct{ p *Program }
 
-func (l listControl) ShareBy(s Sharer)        { l.p.sharer = s }
-func (l listControl) Take(list dispatch.List) { l.p.receiveList(list) }
+func (l listControl) ShareBy(s Sharer)                  { l.p.sharer = s }
+func (l listControl) Take(list dispatch.InstanceUpdate) { l.p.receiveList(list) }
 
 func (l listControl) Watch(on bool) {
 	if on {
@@ -57,7 +57,7 @@
 func (p *Program) shared() bool { return p.sharer != nil && p.sharer.InForce() }
 
 // Listed receives an update from the watch.
-func (p *Program) Listed(l dispatch.List) {
+func (p *Program) Listed(l dispatch.InstanceUpdate) {
 	switch {
 	case !p.shared():
 		p.receiveList(l)
@@ -68,11 +68,11 @@
 
 // otherList is a newer list from another process that this process's watch has not reached yet.
 type otherList struct {
-	revision     int64          // 0: none
-	address      string         // discovery's address
-	receivedAt   time.Time      // when it was received
-	watchList    dispatch.Table // this process's watch's list, if the watch has sent a complete list that is older
-	hasWatchList bool           // watchList is in use
+	revision     int64                 // 0: none
+	address      string                // discovery's address
+	receivedAt   time.Time             // when it was received
+	watchList    dispatch.InstanceList // this process's watch's list, if the watch has sent a complete list that is older
+	hasWatchList bool                  // watchList is in use
 }
 
 // watchLag is how long a complete list may be under way after another process has received a later one: as
@@ -82,13 +82,13 @@
 
 // receiveList applies a list from any source except another process at this address, and forwards it to those:
 // what discovery sent one of them holds for all, whichever of them sends attempts.
-func (p *Program) receiveList(l dispatch.List) {
+func (p *Program) receiveList(l dispatch.InstanceUpdate) {
 	p.listMu.Lock()
 	defer p.listMu.Unlock()
 	if a := &p.otherList; l.Complete && !p.superseded(l) {
 		*a = otherList{}
 	} else if l.Complete || a.hasWatchList {
-		if a.watchList.Take(l); !a.hasWatchList {
+		if a.watchList.Update(l); !a.hasWatchList {
 			time.AfterFunc(watchLag, p.useWatchList)
 		}
 		a.hasWatchList = a.watchList.Revision() < a.revision
@@ -106,7 +106,7 @@
 
 // superseded reports whether another process has received a later list than the complete list l. Applying l would
 // revert that one, drains included, until this process's watch has sent it as well.
-func (p *Program) superseded(l dispatch.List) bool {
+func (p *Program) superseded(l dispatch.InstanceUpdate) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return l.Revision < p.otherList.revision && p.otherList.address == p.discovery && time.Since(p.otherList.receivedAt) < watchLag
@@ -117,7 +117,7 @@
 	p.listMu.Lock()
 	defer p.listMu.Unlock()
 	if p.otherList.hasWatchList {
-		l := p.otherList.watchList.List()
+		l := p.otherList.watchList.Snapshot()
 		p.otherList = otherList{}
 		p.applyList(l, false)
 		p.forwardList(true, true)
@@ -125,7 +125,7 @@
 }
 
 // noteOtherList records another process's list, which an older list from this process's watch must not revert.
-func (p *Program) noteOtherList(l dispatch.List) {
+func (p *Program) noteOtherList(l dispatch.InstanceUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.otherList = otherList{revision: l.Revision, address: p.discovery, receivedAt: time.Now(), watchList: p.otherList.watchList, hasWatchList: p.otherList.hasWatchList}
@@ -140,14 +140,14 @@
 	newer := l.Discovery == p.discovery && l.Revision > p.instances.Revision()
 	p.mu.Unlock()
 	if newer {
-		p.noteOtherList(l.List)
-		p.applyList(l.List, true)
+		p.noteOtherList(l.InstanceUpdate)
+		p.applyList(l.InstanceUpdate, true)
 		p.forwardList(!fromOlder, fromOlder)
 	}
 }
 
 // useInitialList applies the list that is known before any watch, unless the older process has sent a newer one.
-func (p *Program) useInitialList(l dispatch.List) {
+func (p *Program) useInitialList(l dispatch.InstanceUpdate) {
 	p.listMu.Lock()
 	defer p.listMu.Unlock()
 	if p.otherList.revision > 0 {
@@ -166,7 +166,7 @@
 	p.mu.Lock()
 	alone, l := p.older == nil && p.newer == nil, sharedList{Discovery: p.discovery}
 	if !alone {
-		l.List = p.instances.List()
+		l.InstanceUpdate = p.instances.Snapshot()
 	}
 	p.mu.Unlock()
 	if !alone {
@@ -197,7 +197,7 @@
 // noteUnreachable records whether a call that returned nothing has shown that discovery cannot be reached. A local
 // agent that sends nothing has no list.
 func (p *Program) noteUnreachable(err error) {
-	if errors.Is(err, discovery.ErrNobody) || p.config.Settings.Pushed {
+	if errors.Is(err, discovery.ErrNobody) || p.config.Settings.ListPushed {
 		p.discoveryUnreachable.Store(true)
 	}
 }
@@ -216,5 +216,5 @@
 		return
 	}
 	p.log.Warn("watch on discovery lost", "err", err)
-	p.loop.ListLost(errors.Is(err, discovery.ErrNobody), after)
+	p.loop.DiscoveryFailed(errors.Is(err, discovery.ErrNobody), after)
 }
--- a/internal/program/operators.go
+++ b/internal/program/operators.go
@@ -15,14 +15,14 @@
 
 // Figures returns the counters shown to operators, one per line.
 func (p *Program) Figures() string {
-	all := p.loop.Books.Figures()
+	all := p.loop.Counters.OperatorCounters()
 	p.eachPart(func(t Part) { all += t.Figures() })
 	return all
 }
 
 // counters returns all counters, for the clients' address.
 func (p *Program) counters() string {
-	all := p.loop.Books.String()
+	all := p.loop.Counters.String()
 	p.eachPart(func(t Part) { all += t.Figures() })
 	return all
 }
--- a/internal/program/part.go
+++ b/internal/program/part.go
@@ -19,7 +19,7 @@
 	// closes its listener at Yielded, which is its handover. At Stopped it ends.
 	Phase(context.Context, Phase) error
 	// Listed receives each update of the instance list.
-	Listed(dispatch.List)
+	Listed(dispatch.InstanceUpdate)
 	// Cordoned receives the IDs of all cordoned instances.
 	Cordoned(ids []string)
 	// Reloaded receives the configuration in force, including the first one.
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -100,11 +100,11 @@
 	answerBy         time.Time // after a termination request: the time by which every command has to be answered; zero: none
 	refusedSince     time.Time // since when new connections are refused
 	listener         *net.TCPListener
-	instances        dispatch.Table
+	instances        dispatch.InstanceList
 	discovery        string
-	older, newer     *handover.Link // the other processes; nil: none
-	olderState       processState   // the state sent by the older process
-	handedSnapshot   decide.Memory  // decision state sent to the newer process
+	older, newer     *handover.Link  // the other processes; nil: none
+	olderState       processState    // the state sent by the older process
+	handedSnapshot   decide.Snapshot // decision state sent to the newer process
 	handoverListener *handover.Listener
 }
 
@@ -133,7 +133,7 @@
 	p.pool.ReadBy(p.loads)
 	p.server = clients.New(p.loop, s, c.Names, p.connLimits.listener, p.counters, logger)
 	p.server.ReadBy(p.loads)
-	p.server.CountIn(&p.loop.Books)
+	p.server.CountIn(&p.loop.Counters)
 	if c.Admin != "" {
 		p.parts = append(p.parts, &admin{program: p, address: c.Admin})
 	}
@@ -167,7 +167,7 @@
 	if !p.setPhase(next, from) {
 		return false
 	}
-	p.log.Info(next.String(), "held", p.loop.Holding()) // without the lock: logging may block on a slow reader
+	p.log.Info(next.String(), "held", p.loop.Pending()) // without the lock: logging may block on a slow reader
 	p.eachPart(func(t Part) {
 		if err := t.Phase(p.ctx, next); err != nil {
 			p.log.Error("part", "name", t.Name(), "phase", next.String(), "err", err)
@@ -198,7 +198,7 @@
 		return err
 	}
 	if list := p.callOlder(ctx); list != nil {
-		known.Revision, known.Members = list.Revision, list.Members
+		known.Revision, known.Instances = list.Revision, list.Instances
 	} else {
 		p.restoreCordons(p.savedCordons())
 	}
@@ -213,7 +213,7 @@
 	if p.listener != nil {
 		p.listener.Close()
 	}
-	p.log.Info("counters at exit", p.loop.Books.Attrs()...)
+	p.log.Info("counters at exit", p.loop.Counters.Attrs()...)
 	return p.runErr
 }
 
@@ -225,7 +225,7 @@
 	if late := !last.IsZero() && now.After(last); late && (phase == Departing || phase == Draining) && !p.server.Yielded() {
 		p.refuseConnections(now)
 		p.server.Finish(now)
-		p.loop.Finish()
+		p.loop.AnswerAll()
 	}
 	switch moved := now.Sub(since) >= frontSwitchDelay; phase {
 	case Starting, TakingOver:
@@ -243,7 +243,7 @@
 	case Draining:
 		p.server.CloseIdle(now.Add(-idleGrace))
 		// Cancellations under way spare instances useless work; each ends within a second.
-		if p.loop.Holding() == 0 && !p.pool.Busy() && p.server.Quiet() && !slices.ContainsFunc(p.parts, func(t Part) bool { return !t.Quiet() }) && p.refuseConnections(now) {
+		if p.loop.Pending() == 0 && !p.pool.Busy() && p.server.Quiet() && !slices.ContainsFunc(p.parts, func(t Part) bool { return !t.Quiet() }) && p.refuseConnections(now) {
 			p.enter(Stopped, Draining)
 		}
 	}
@@ -299,8 +299,8 @@
 // and at the clients, so that requests can be refused. Package decide refuses requests beyond the limit.
 func (p *Program) limitOpen(s decide.Settings) decide.Settings {
 	clients := p.config.Limits.Sockets / clientsDivisor
-	if open := min(clients-clients/8, p.connLimits.listener-p.connLimits.listener/6); s.Limits.Open <= 0 || s.Limits.Open > open {
-		s.Limits.Open = open
+	if open := min(clients-clients/8, p.connLimits.listener-p.connLimits.listener/6); s.Limits.MaxOpen <= 0 || s.Limits.MaxOpen > open {
+		s.Limits.MaxOpen = open
 	}
 	return s
 }
@@ -318,10 +318,10 @@
 func (p *Program) reload() error {
 	next, err := p.config.Reload()
 	if err == nil {
-		err = p.loop.Retune(p.limitOpen(next.Settings), next.Names) // package decide may reject the settings
+		err = p.loop.Reconfigure(p.limitOpen(next.Settings), next.Names) // package decide may reject the settings
 	}
 	if err != nil {
-		p.loop.Books.LoadErrors.Add(1)
+		p.loop.Counters.ConfigLoadErrors.Add(1)
 		p.log.Error("configuration not reloaded", "err", err)
 		return err
 	}
@@ -333,7 +333,7 @@
 	if keys := p.config.AtRestart(next); len(keys) > 0 {
 		p.log.Warn("configuration changes that take effect at the next start", "keys", keys)
 	}
-	p.loop.Books.Loads.Add(1)
+	p.loop.Counters.ConfigLoads.Add(1)
 	p.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", next.Names.Classes)
 	p.config.Running(next)
 	p.eachPart(func(t Part) { t.Reloaded(next) })
@@ -360,9 +360,9 @@
 		return
 	}
 	p.mu.Lock()
-	l := p.instances.List()
+	l := p.instances.Snapshot()
 	p.mu.Unlock()
-	p.loop.Listed(l, true)
+	p.loop.UpdateInstances(l, true)
 }
 
 // terminate ends the program gracefully.
@@ -375,11 +375,11 @@
 }
 
 // applyList applies a list, to the pool first, which checks each send.
-func (p *Program) applyList(l dispatch.List, cached bool) {
+func (p *Program) applyList(l dispatch.InstanceUpdate, cached bool) {
 	p.mu.Lock()
-	p.instances.Take(l)
+	p.instances.Update(l)
 	p.mu.Unlock()
 	p.pool.Listed(l)
 	p.eachPart(func(t Part) { t.Listed(l) })
-	p.loop.Listed(l, cached)
+	p.loop.UpdateInstances(l, cached)
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -119,7 +119,7 @@
 	require.Equal(t, "POST /api?cut=1", <-accepted)
 	c.Close()
 	require.Equal(t, "DELETE /jobs/c1", <-accepted)
-	env.await(func() bool { return env.counter("commands_lapsed") == 1 && env.program.loop.Holding() == 0 })
+	env.await(func() bool { return env.counter("commands_lapsed") == 1 && env.program.loop.Pending() == 0 })
 }
 
 // The instance's machine closes idle connections: the next command detects that before a byte is written and uses
--- a/internal/program/takeover.go
+++ b/internal/program/takeover.go
@@ -36,24 +36,24 @@
 const (
 	msgState         = "standing"   // from the older: a processState, and its listener
 	msgReady         = "ready"      // from the newer: it is ready to serve
-	msgCommand       = "command"    // from the older: a dispatch.HandedCommand
+	msgCommand       = "command"    // from the older: a dispatch.HandoverCommand
 	msgHandedOver    = "yielded"    // from the older: a handoverState, after which it accepts nothing more
 	msgConnection    = "connection" // from the older: a clients.Passed and its socket
 	msgConnClosed    = "closed"     // from the older: one of its connections has ended
 	msgClientGone    = "left"       // from the older: the ID of a command whose client has disconnected
-	msgAttemptUpdate = "became"     // from the older: a dispatch.Fate
+	msgAttemptUpdate = "became"     // from the older: a dispatch.AttemptUpdate
 	msgCordon        = "cordoned"   // from either: a cordonChange
 	msgList          = "listed"     // from either: a sharedList, as just received
-	msgCallback      = "news"       // from either: a dispatch.News that matches no attempt there
+	msgCallback      = "news"       // from either: a dispatch.Callback that matches no attempt there
 )
 
 // processState is the state that the older process sends first.
 type processState struct {
-	List       *dispatch.List `json:"List"`
-	Discovery  string         `json:"Discovery"`  // the address that its list comes from
-	Configured string         `json:"Configured"` // discovery's address in its configuration at its start; empty: an older version, which does not send it
-	Quiesced   bool           `json:"Quiesced"`   // clients are sent away
-	Cordons    []string       `json:"Cordons"`
+	List       *dispatch.InstanceUpdate `json:"List"`
+	Discovery  string                   `json:"Discovery"`  // the address that its list comes from
+	Configured string                   `json:"Configured"` // discovery's address in its configuration at its start; empty: an older version, which does not send it
+	Quiesced   bool                     `json:"Quiesced"`   // clients are sent away
+	Cordons    []string                 `json:"Cordons"`
 }
 
 // sameDiscovery reports whether the older process's list applies to a process whose configuration has discovery at
@@ -66,19 +66,19 @@
 
 // sharedList is the complete list, with the address of the discovery that its revision refers to.
 type sharedList struct {
-	dispatch.List
+	dispatch.InstanceUpdate
 	Discovery string `json:"Discovery"`
 }
 
 // handoverState is what the older process hands over, except for the commands.
 type handoverState struct {
-	dispatch.Handed
+	dispatch.HandoverState
 	Places int `json:"Places"` // connections that it still has
 }
 
 // callOlder connects to a process that serves the address and returns the list to begin with: that process's list
 // is at least as recent as the one in the configuration. nil: there is no such process.
-func (p *Program) callOlder(ctx context.Context) *dispatch.List {
+func (p *Program) callOlder(ctx context.Context) *dispatch.InstanceUpdate {
 	until := p.phaseSince.Add(freshListTimeout) // the phase has not changed yet
 	for {
 		link, err := handover.Dial(p.socketPath())
@@ -277,7 +277,7 @@
 	if !refused {
 		p.newer = link
 	}
-	list := p.instances.List()
+	list := p.instances.Snapshot()
 	quiesced := p.phase == Quiescing || p.phase == Quiesced
 	discovery := p.discovery
 	p.mu.Unlock()
@@ -305,10 +305,10 @@
 				p.receiveOtherList(l, false)
 			}
 		case msgCallback:
-			var n dispatch.News
+			var n dispatch.Callback
 			if m.Decode(&n) == nil {
-				n.Via = dispatch.NewerProcess
-				p.loop.News(n)
+				n.Via = dispatch.FromNewerProcess
+				p.loop.HandleCallback(n)
 			}
 		}
 		if f != nil {
@@ -326,7 +326,7 @@
 // handOver hands over all pending commands and all new work to the newer process.
 func (p *Program) handOver(link *handover.Link) {
 	release := p.server.HoldCallbacks()
-	p.loop.Yield(func(state dispatch.Handed) bool {
+	p.loop.HandOver(func(state dispatch.HandoverState) bool {
 		defer release()
 		p.pool.Unsend() // before the other process can cancel one: this process may be suspended here
 		for _, c := range state.Commands {
@@ -358,7 +358,7 @@
 	p.writeUnsaved()
 	p.mu.Lock()
 	p.newer = nil
-	list, snapshot := p.instances.List(), p.handedSnapshot
+	list, snapshot := p.instances.Snapshot(), p.handedSnapshot
 	p.mu.Unlock()
 	if p.server.Yielded() {
 		p.server.Keep()
@@ -380,7 +380,7 @@
 	state         chan processState // the older process's state
 	ended         chan struct{}     // closed once the link has ended
 	stateReceived bool              // the older process's state has arrived
-	commands      []*dispatch.HandedCommand
+	commands      []*dispatch.HandoverCommand
 }
 
 // run handles messages until the link ends.
@@ -417,7 +417,7 @@
 		default:
 		}
 	case msgCommand:
-		c, q := &dispatch.HandedCommand{}, &http1.Request{}
+		c, q := &dispatch.HandoverCommand{}, &http1.Request{}
 		if err := m.Decode(c); err != nil {
 			return err
 		}
@@ -433,7 +433,7 @@
 		}
 		h.Commands, r.commands = r.commands, nil
 		r.server.Lend(h.Places)
-		r.loop.Relieve(h.Handed)
+		r.loop.TakeOver(h.HandoverState)
 		r.resize()
 		r.serve(ctx)
 	case msgConnection:
@@ -453,13 +453,13 @@
 		if err := m.Decode(&id); err != nil {
 			return err
 		}
-		r.loop.LapseElsewhere(id)
+		r.loop.ClientGoneByID(id)
 	case msgAttemptUpdate:
-		var update dispatch.Fate
+		var update dispatch.AttemptUpdate
 		if err := m.Decode(&update); err != nil {
 			return err
 		}
-		r.loop.Became(update)
+		r.loop.UpdateAttempt(update)
 	case msgCordon:
 		var c cordonChange
 		if err := m.Decode(&c); err != nil {
@@ -473,12 +473,12 @@
 		}
 		r.receiveOtherList(l, true)
 	case msgCallback:
-		var n dispatch.News
+		var n dispatch.Callback
 		if err := m.Decode(&n); err != nil {
 			return err
 		}
-		n.Via = dispatch.OlderProcess
-		r.loop.News(n)
+		n.Via = dispatch.FromOlderProcess
+		r.loop.HandleCallback(n)
 	}
 	return nil
 }
@@ -490,7 +490,7 @@
 	p.older = nil
 	p.mu.Unlock()
 	p.server.ReturnAll()
-	p.loop.Alone()
+	p.loop.OlderProcessGone()
 	p.resize()
 	p.log.Info("the older process has ended")
 }
@@ -527,13 +527,13 @@
 	return sent
 }
 
-// Elsewhere forwards a callback to the processes that it did not come from.
-func (o others) Elsewhere(n dispatch.News) bool {
-	return o.send(msgCallback, n, n.Via != dispatch.OlderProcess, n.Via != dispatch.NewerProcess)
+// ForwardCallback forwards a callback to the processes that it did not come from.
+func (o others) ForwardCallback(n dispatch.Callback) bool {
+	return o.send(msgCallback, n, n.Via != dispatch.FromOlderProcess, n.Via != dispatch.FromNewerProcess)
 }
 
-func (o others) Became(f dispatch.Fate) { o.send(msgAttemptUpdate, f, false, true) }
-func (o others) Left(id string)         { o.send(msgClientGone, id, false, true) }
+func (o others) ForwardUpdate(f dispatch.AttemptUpdate) { o.send(msgAttemptUpdate, f, false, true) }
+func (o others) ForwardClientGone(id string)            { o.send(msgClientGone, id, false, true) }
 
 // takeListener takes over the listener of the older process.
 func (p *Program) takeListener(f *os.File) error {
