--- a/decide/api.go
+++ b/decide/api.go
@@ -94,35 +94,35 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Aim       time.Duration `json:"Aim"` // full worth within Aim + Stretch x own work
-	Stretch   float64       `json:"Stretch"`
-	Deadline  time.Duration `json:"Deadline"`
-	Worth     float64       `json:"Worth"`
-	LateWorth float64       `json:"LateWorth"`
-	Effect    Effect        `json:"Effect"`
-	Scope     Scope         `json:"Scope"`
-	Window    time.Duration `json:"Window"` // how long repeats of a Keyed request are dropped
-	Kind      int           `json:"Kind"`   // the kind of worker it needs, or Any
-	Stream    bool          `json:"Stream"`
-	Left      bool          `json:"Left"` // removed from the settings; open requests may still have it
+	Aim         time.Duration `json:"Aim"` // full worth within Aim + Stretch x own work
+	Stretch     float64       `json:"Stretch"`
+	Deadline    time.Duration `json:"Deadline"`
+	Worth       float64       `json:"Worth"`
+	LateWorth   float64       `json:"LateWorth"`
+	Effect      Effect        `json:"Effect"`
+	Scope       Scope         `json:"Scope"`
+	DedupWindow time.Duration `json:"Window"` // how long repeats of a Keyed request are dropped
+	Kind        int           `json:"Kind"`   // the kind of worker it needs, or Any
+	Stream      bool          `json:"Stream"`
+	Removed     bool          `json:"Left"` // removed from the settings; open requests may still have it
 }
 
 // Tenant is a customer with an agreed rate across all dispatchers.
 type Tenant struct {
 	QuotaPerSecond float64
-	Left           bool // removed from the settings
+	Removed        bool // removed from the settings
 }
 
 // Limits is what the site allows.
 type Limits struct {
-	Attempts      int  // for one request
-	Open          int  // open requests; 0: no limit
-	Cancel        bool // attempts can be cancelled
-	SecondCopies  bool // a request may have several attempts at a time
-	Probes        bool
-	PeerMessages  bool
-	RetryAfter    bool // refusals may have one
-	MaxRetryAfter time.Duration
+	MaxAttempts      int  // for one request
+	MaxOpen          int  // open requests; 0: no limit
+	Cancel           bool // attempts can be cancelled
+	ParallelAttempts bool // a request may have several attempts at a time
+	Probes           bool
+	PeerMessages     bool
+	RetryAfter       bool // refusals may have one
+	MaxRetryAfter    time.Duration
 	// ConnectTimeout is the time after which connecting fails.
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration // idle connections are closed after this long
@@ -130,22 +130,22 @@
 
 // Rules holds the parameters of the rules.
 type Rules struct {
-	AnswerSlack  time.Duration
-	DrainGrace   time.Duration
-	ColdFrom     float64       // share of its capacity that a worker has at its start
-	Cold         time.Duration // time in which it warms up to all of it
-	FallMultiple float64       // times its capacity that a cold worker may get in a FallWindow
-	FallWindow   time.Duration
-	MustAskIn    time.Duration  // time in which the worker list must be subscribed to
-	Budget       *AttemptBudget // nil: the rules set none
-	GoneIsAdvice bool           // the list's state Gone is only advisory; Draining binds
+	AnswerSlack    time.Duration
+	DrainGrace     time.Duration
+	ColdFrom       float64       // share of its capacity that a worker has at its start
+	Cold           time.Duration // time in which it warms up to all of it
+	FallMultiple   float64       // times its capacity that a cold worker may get in a FallWindow
+	FallWindow     time.Duration
+	MustAskIn      time.Duration  // time in which the worker list must be subscribed to
+	Budget         *AttemptBudget // nil: the rules set none
+	GoneIsAdvisory bool           // the list's state Gone is only advisory; Draining binds
 }
 
-// AttemptBudget bounds attempts beyond each request's first: in any Span, Spare of them plus PerRequest for
+// AttemptBudget bounds attempts beyond each request's first: in any Window, Spare of them plus PerRequest for
 // each request that arrived in it.
 type AttemptBudget struct {
 	Spare, PerRequest float64
-	Span              time.Duration
+	Window            time.Duration
 }
 
 // Prices is the deduction from the result for one unit of each.
@@ -159,26 +159,26 @@
 
 // Settings configures a dispatcher.
 type Settings struct {
-	Dispatcher, Dispatchers int // index of this dispatcher, and their number
-	Seed                    uint64
-	Zone                    int
-	Granularity             time.Duration
-	Classes                 []Class
-	First                   int // index of the class whose times apply where no rule sets one: the first in the settings
-	Tenants                 []Tenant
-	OverShareWorth          float64
-	Limits                  Limits
-	Rules                   Rules
-	Prices                  Prices
-	Goal                    Goal
-	Subscribe               bool          // the worker list must be subscribed to
-	Pushed                  bool          // a local agent pushes the list; subscribing loads no service
-	ReportsFree             bool          // load reports include free slots
-	TellsStart              bool          // the start of jobs is reported
-	MarksRetries            bool          // clients mark their retries
-	Progress                time.Duration // interval of progress reports; 0: there are none
-	Rated                   bool          // worker ratings are meaningful
-	Leasing                 Leasing       // of the budget for cold workers
+	DispatcherIndex, DispatcherCount int // index of this dispatcher, and their number
+	Seed                             uint64
+	Zone                             int
+	Granularity                      time.Duration
+	Classes                          []Class
+	TimingClass                      int // index of the class whose times apply where no rule sets one: the first in the settings
+	Tenants                          []Tenant
+	OverShareWorth                   float64
+	Limits                           Limits
+	Rules                            Rules
+	Prices                           Prices
+	Goal                             Goal
+	Subscribe                        bool          // the worker list must be subscribed to
+	ListPushed                       bool          // a local agent pushes the list; subscribing loads no service
+	ReportsFreeSlots                 bool          // load reports include free slots
+	ReportsStart                     bool          // the start of jobs is reported
+	RetriesMarked                    bool          // clients mark their retries
+	ProgressInterval                 time.Duration // interval of progress reports; 0: there are none
+	Rated                            bool          // worker ratings are meaningful
+	Leasing                          Leasing       // of the budget for cold workers
 	// Policies has one policy for each class; nil: they are derived.
 	Policies []Policy
 }
@@ -212,8 +212,8 @@
 	FreeMemory float64 `json:"FreeMemory"`
 }
 
-// Span is a number of slots that is reserved for a time.
-type Span struct {
+// Reservation is a number of slots that is reserved for a time.
+type Reservation struct {
 	From, Until time.Duration
 	Slots       float64
 }
@@ -230,11 +230,11 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NotSent
 )
 
 // NeverRan reports whether the outcome proves that the attempt did not run.
-func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == NotSent }
 
 // Event is an input of the dispatcher.
 type Event interface{ event() }
@@ -248,11 +248,11 @@
 	}
 	// ListDelta changes the lines it holds.
 	ListDelta struct{ Workers []Worker }
-	// ListFailed: a subscription or a fetch failed; the list stays. Nobody: the call did not reach the service. After:
+	// ListFailed: a subscription or a fetch failed; the list stays. Unreachable: the call did not reach the service. Elapsed:
 	// how long ago the call was made, whether for a Subscribe or not; 0: not known.
 	ListFailed struct {
-		Nobody bool
-		After  time.Duration
+		Unreachable bool
+		Elapsed     time.Duration
 	}
 	// Request has arrived and must get one final answer.
 	Request struct {
@@ -264,15 +264,15 @@
 		Work   time.Duration `json:"Work"` // expected work, 0 when not known
 		Slots  float64       `json:"Slots"`
 		Memory float64       `json:"Memory"`
-		Repeat bool          `json:"Repeat"` // a client's retry, where clients mark them
-		// Order, if not empty, lists the only workers that it may go to, in order of preference: a route's rotation or
+		Retry  bool          `json:"Repeat"` // a client's retry, where clients mark them
+		// Candidates, if not empty, lists the only workers that it may go to, in order of preference: a route's rotation or
 		// hash. It replaces the class's blocks.
-		Order []uint32 `json:"Order"`
-		// Held: slots are reserved for it, by Holds.
-		Held bool `json:"Held"`
-		// Patient: its client waits until the deadline, so it is not given up for being late.
-		Patient bool `json:"Patient"`
-		// Gated: each of its attempts waits for permission after its Send, and is sent at its Passed event.
+		Candidates []uint32 `json:"Order"`
+		// Reserved: slots are reserved for it, by WorkerReservations.
+		Reserved bool `json:"Held"`
+		// UntilDeadline: its client waits until the deadline, so it is not given up for being late.
+		UntilDeadline bool `json:"Patient"`
+		// Gated: each of its attempts waits for permission after its Send, and is sent at its AttemptSent event.
 		Gated bool `json:"Gated"`
 	}
 	// StreamStarted: the attempt's answer has begun and is passed on to the client.
@@ -280,13 +280,13 @@
 		Request uint32
 		Attempt int
 	}
-	// Passed: an attempt of a gated request is sent now.
-	Passed struct {
+	// AttemptSent: an attempt of a gated request is sent now.
+	AttemptSent struct {
 		Request uint32
 		Attempt int
 	}
-	// Taken: the worker has confirmed that it has the attempt. Workers that confirm attempts do so at once.
-	Taken struct {
+	// AttemptAccepted: the worker has confirmed that it has the attempt. Workers that confirm attempts do so at once.
+	AttemptAccepted struct {
 		Request uint32
 		Attempt int
 	}
@@ -301,19 +301,19 @@
 		Attempt int
 		Share   float64
 	}
-	// AttemptEnded is the only outcome of an attempt. Over: the request has ended with it.
+	// AttemptEnded is the only outcome of an attempt. RequestEnded: the request has ended with it.
 	AttemptEnded struct {
-		Request uint32
-		Attempt int
-		Outcome Outcome
-		Over    bool
-		Report  *Report
-		Kept    time.Duration // how long its connection had been idle; 0: new, or not known
+		Request      uint32
+		Attempt      int
+		Outcome      Outcome
+		RequestEnded bool
+		Report       *Report
+		ConnIdle     time.Duration // how long its connection had been idle; 0: new, or not known
 	}
-	// RequestLapsed: the client has left, and expects no answer.
-	RequestLapsed struct{ Request uint32 }
-	// Wake: a timer set by a WakeMe has fired.
-	Wake struct{ Token uint64 }
+	// RequestCancelled: the client has left, and expects no answer.
+	RequestCancelled struct{ Request uint32 }
+	// TimerFired: a timer set by a SetTimer has fired.
+	TimerFired struct{ Token uint64 }
 	// Probed is the result of a probe.
 	Probed struct {
 		Worker  uint32
@@ -325,43 +325,43 @@
 		Worker uint32
 		Out    bool
 	}
-	// Holds replaces a worker's reservations, for requests of any dispatcher. From its start on a reservation counts as
+	// WorkerReservations replaces a worker's reservations, for requests of any dispatcher. From its start on a reservation counts as
 	// used; until then its slots may be used by requests that end in time: of known work, or with an earlier deadline.
-	Holds struct {
-		Worker uint32
-		Slots  float64 // of the worker
-		Spans  []Span
+	WorkerReservations struct {
+		Worker       uint32
+		Slots        float64 // of the worker
+		Reservations []Reservation
 	}
-	// Relieve: this process takes over from an earlier one with this state. No request may have arrived before.
-	Relieve struct{ Memory Memory }
-	// Advise: an earlier process, which ended some time ago, had learned this. It is only advisory.
-	Advise struct{ Memory Memory }
-	// PeerSaid is a message from another dispatcher.
-	PeerSaid struct {
+	// Restore: this process takes over from an earlier one with this state. No request may have arrived before.
+	Restore struct{ Snapshot Snapshot }
+	// WarmStart: an earlier process, which ended some time ago, had learned this. It is only advisory.
+	WarmStart struct{ Snapshot Snapshot }
+	// PeerMessage is a message from another dispatcher.
+	PeerMessage struct {
 		Peer int
 		Body []byte
 	}
 )
 
-func (ListFull) event()      {}
-func (ListDelta) event()     {}
-func (ListFailed) event()    {}
-func (Request) event()       {}
-func (StreamStarted) event() {}
-func (Passed) event()        {}
-func (Taken) event()         {}
-func (JobStarted) event()    {}
-func (JobProgress) event()   {}
-func (AttemptEnded) event()  {}
-func (RequestLapsed) event() {}
-func (Wake) event()          {}
-func (Probed) event()        {}
-func (PeerSaid) event()      {}
-func (Relieve) event()       {}
-func (Advise) event()        {}
-func (Cordon) event()        {}
-func (Lease) event()         {}
-func (Holds) event()         {}
+func (ListFull) event()           {}
+func (ListDelta) event()          {}
+func (ListFailed) event()         {}
+func (Request) event()            {}
+func (StreamStarted) event()      {}
+func (AttemptSent) event()        {}
+func (AttemptAccepted) event()    {}
+func (JobStarted) event()         {}
+func (JobProgress) event()        {}
+func (AttemptEnded) event()       {}
+func (RequestCancelled) event()   {}
+func (TimerFired) event()         {}
+func (Probed) event()             {}
+func (PeerMessage) event()        {}
+func (Restore) event()            {}
+func (WarmStart) event()          {}
+func (Cordon) event()             {}
+func (Lease) event()              {}
+func (WorkerReservations) event() {}
 
 // Action is something that the caller is to do.
 type Action interface{ action() }
@@ -372,8 +372,8 @@
 	Send struct {
 		Request, Worker uint32
 		Timeout         time.Duration // 0: none; the attempt may last until the client gives up
-		MostIdle        time.Duration // a connection idle for longer must not be used; 0: no limit
-		Fresh           bool          // only a new connection may be used
+		MaxIdle         time.Duration // a connection idle for longer must not be used; 0: no limit
+		NewConn         bool          // only a new connection may be used
 		Lease           uint64        // the lease that it uses; 0: none
 	}
 	// Cancel cancels an attempt.
@@ -388,24 +388,24 @@
 	}
 	// FailRequest is a final answer after which the job may have run.
 	FailRequest struct{ Request uint32 }
-	// WakeMe sets a timer, whose Wake comes after this time.
-	WakeMe struct {
+	// SetTimer sets a timer, whose TimerFired comes after this time.
+	SetTimer struct {
 		Token uint64
 		After time.Duration
 	}
 	// Probe checks whether a worker answers.
 	Probe struct{ Worker uint32 }
-	// Release closes the idle connections to a worker.
-	Release struct{ Worker uint32 }
+	// CloseIdle closes the idle connections to a worker.
+	CloseIdle struct{ Worker uint32 }
 	// Subscribe subscribes to the worker list at discovery.
 	Subscribe struct{}
-	// TellPeers sends a message to another dispatcher, or to all (Any).
-	TellPeers struct {
+	// SendToPeers sends a message to another dispatcher, or to all (Any).
+	SendToPeers struct {
 		To   int
 		Body []byte
 	}
-	// WantLease asks for a lease of a cold worker's budget.
-	WantLease struct {
+	// RequestLease asks for a lease of a cold worker's budget.
+	RequestLease struct {
 		Worker  uint32
 		Started time.Duration
 		Work    float64 // slot seconds
@@ -414,17 +414,17 @@
 	Log struct{ Text string }
 )
 
-func (Send) action()        {}
-func (Cancel) action()      {}
-func (Refuse) action()      {}
-func (FailRequest) action() {}
-func (WakeMe) action()      {}
-func (Probe) action()       {}
-func (Release) action()     {}
-func (Subscribe) action()   {}
-func (TellPeers) action()   {}
-func (Log) action()         {}
-func (WantLease) action()   {}
+func (Send) action()         {}
+func (Cancel) action()       {}
+func (Refuse) action()       {}
+func (FailRequest) action()  {}
+func (SetTimer) action()     {}
+func (Probe) action()        {}
+func (CloseIdle) action()    {}
+func (Subscribe) action()    {}
+func (SendToPeers) action()  {}
+func (Log) action()          {}
+func (RequestLease) action() {}
 
 // New returns a dispatcher that has just started and knows no workers or requests.
 func New(s Settings) (*Dispatcher, error) {
@@ -432,18 +432,18 @@
 		rng: s.newRand(), admitted: 1, maxIdle: s.Limits.ConnIdle * 3 / 5,
 		workers: map[uint32]*worker{}, kinds: map[int]*kindStat{}, cordons: map[uint32]bool{},
 		requests: map[uint32]*request{}, keyDemand: map[uint64]demand{}, peers: map[int]*peer{},
-		unplaced: map[placementKey]unplaced{}, peerSums: map[uint32]*loadSum{}, errors: tally{N: errorSamples},
+		unplaced: map[placementKey]unplaced{}, peerSums: map[uint32]*loadSum{}, errors: tally{Count: errorSamples},
 	}
-	if err := d.Retune(s); err != nil {
+	if err := d.Reconfigure(s); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// Retune changes the settings and keeps what was learned of workers. On an error the old settings stay. Classes
-// and tenants must keep their indexes: those removed from the settings stay in them, marked Left. Open requests
+// Reconfigure changes the settings and keeps what was learned of workers. On an error the old settings stay. Classes
+// and tenants must keep their indexes: those removed from the settings stay in them, marked Removed. Open requests
 // keep the class that they arrived with.
-func (d *Dispatcher) Retune(s Settings) error {
+func (d *Dispatcher) Reconfigure(s Settings) error {
 	if s.Policies == nil && len(s.Classes) > 0 {
 		s.Policies = defaultPolicies(s)
 	}
@@ -455,13 +455,13 @@
 	}
 	d.dropOutdated(s)
 	d.settings = s
-	d.budget = AttemptBudget{Spare: extraBase, PerRequest: extraPerRequest, Span: max(s.Classes[s.First].Deadline, time.Second)}
+	d.budget = AttemptBudget{Spare: extraBase, PerRequest: extraPerRequest, Window: max(s.Classes[s.TimingClass].Deadline, time.Second)}
 	if s.Rules.Budget != nil {
 		d.budget = *s.Rules.Budget
 	}
 	d.tenantDemand = append(d.tenantDemand, make([]demand, len(s.Tenants)-len(d.tenantDemand))...)
 	for i, p := range s.Policies {
-		c := &class{errors: tally{N: errorSamples}}
+		c := &class{errors: tally{Count: errorSamples}}
 		if i < len(d.classes) {
 			if c = d.classes[i]; c.Class != s.Classes[i] {
 				c = d.redefine(i, s.Classes[i])
@@ -482,7 +482,7 @@
 	d.updateActiveClasses()
 	for _, w := range d.workers {
 		for range len(d.classes) - len(w.classErrors) {
-			w.classErrors, w.refusals = append(w.classErrors, tally{N: 3}), append(w.refusals, refusal{})
+			w.classErrors, w.refusals = append(w.classErrors, tally{Count: 3}), append(w.refusals, refusal{})
 		}
 	}
 	d.blocksStale, d.mayHaveRoom, d.sortAfter = true, true, 0
@@ -509,9 +509,9 @@
 			d.arrive(e)
 		case StreamStarted:
 			d.attemptReported(e.Request, e.Attempt, e)
-		case Passed:
+		case AttemptSent:
 			d.gatedAttemptSent(e)
-		case Taken:
+		case AttemptAccepted:
 			if _, a := d.openAttempt(e.Request, e.Attempt); a != nil {
 				a.accepted, d.confirmsAttempts = true, true
 			}
@@ -521,26 +521,26 @@
 			d.attemptReported(e.Request, e.Attempt, e)
 		case AttemptEnded:
 			d.attemptEnded(e)
-		case RequestLapsed:
+		case RequestCancelled:
 			if r := d.requests[e.Request]; r != nil {
 				d.closeRequest(r)
 			}
-		case Wake:
+		case TimerFired:
 			d.timerSet = false
 		case Probed:
 			d.probeEnded(e)
-		case PeerSaid:
+		case PeerMessage:
 			d.peerMessage(e)
 		case Cordon:
 			d.setCordon(e.Worker, e.Out)
 		case Lease:
 			d.addLease(e)
-		case Holds:
+		case WorkerReservations:
 			d.setReservations(e)
-		case Advise:
-			d.warmStart(e.Memory)
-		case Relieve:
-			d.restore(e.Memory)
+		case WarmStart:
+			d.warmStart(e.Snapshot)
+		case Restore:
+			d.restore(e.Snapshot)
 		}
 	}
 	d.finishBatch()
--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -29,7 +29,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings(1, false, false, false)
-			s.Limits.Attempts, s.Progress = tt.limit, 0
+			s.Limits.MaxAttempts, s.ProgressInterval = tt.limit, 0
 			h := newReadyHarness(t, s, 4)
 			_, req := h.sendRequest(tt.class)
 			h.now += tt.wait
@@ -57,14 +57,14 @@
 // TestKeyedWindowEndsWhileHeld checks that a held request whose repeat window ends is answered at the next sweep.
 func TestKeyedWindowEndsWhileHeld(t *testing.T) {
 	s := testSettings(1, false, false, false)
-	s.Progress, s.Classes[1].Aim = 0, 900*ms
+	s.ProgressInterval, s.Classes[1].Aim = 0, 900*ms
 	h := newReadyHarness(t, s, 1)
 	_, req := h.sendRequest(1)
 	h.handle(h.endAttempt(req, 0, Reset, nil)) // its only worker is suspected, so it is held
 	for h.now < req.due-600*ms {
 		h.now += 10 * ms
 		h.d.workers[1].retryAt = h.now + time.Second
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	if !req.answered {
 		t.Error("still open after the end of its window")
@@ -135,7 +135,7 @@
 func TestCeilingIsLearnedFromJobEnds(t *testing.T) {
 	for _, run := range []time.Duration{50 * ms, 800 * ms} {
 		s := testSettings(1, false, false, false)
-		s.Progress = 0
+		s.ProgressInterval = 0
 		h := newReadyHarness(t, s, 1)
 		h.d.admitted, h.d.tokens = 0.5, maxTokens
 		h.d.classes[0].jobs, h.d.classes[0].meanLogRun = 50, -3 // the typical run is 50 ms
@@ -163,7 +163,7 @@
 func TestUnprovenWorkersAreProbed(t *testing.T) {
 	for _, probes := range []bool{true, false} {
 		s := testSettings(1, false, false, false)
-		s.Limits.Probes, s.Progress = probes, 0
+		s.Limits.Probes, s.ProgressInterval = probes, 0
 		h := newReadyHarness(t, s, 2)
 		for range 2 { // the first two serve
 			_, req := h.sendRequest(0)
@@ -182,7 +182,7 @@
 		h.now += 500 * ms
 		h.d.blocksStale, h.d.sortAfter = true, 0
 		probed := map[uint32]bool{}
-		for _, a := range h.handle(Wake{}) {
+		for _, a := range h.handle(TimerFired{}) {
 			if p, ok := a.(Probe); ok {
 				probed[p.Worker] = true
 			}
@@ -225,12 +225,12 @@
 // life for some typical run times is suspected, and a repeatable job gets a second copy elsewhere.
 func TestSilentWorkerIsSuspected(t *testing.T) {
 	s := testSettings(1, false, false, false)
-	s.Progress = 0
+	s.ProgressInterval = 0
 	h := newReadyHarness(t, s, 2)
 	first, req := h.sendRequest(0)
 	for range 60 {
 		h.now += 10 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	if h.d.workers[first].failures == 0 || len(req.attempts) != 2 || req.attempts[1].worker.ID == first {
 		t.Errorf("got %d consecutive failures and %d attempts, want the worker suspected and a copy elsewhere", h.d.workers[first].failures, len(req.attempts))
@@ -244,16 +244,16 @@
 		class = map[int]int{0: 0, 1: 0, 2: 2}[class]
 		h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 		_, first := h.sendRequest(0)
-		h.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
+		h.handle(AttemptAccepted{first.ID, 0}, JobStarted{first.ID, 0})
 		_, req := h.sendRequest(class)
 		if confirmed {
-			h.handle(Taken{req.ID, 0})
+			h.handle(AttemptAccepted{req.ID, 0})
 		}
 		cancelled := false
 		for range 40 {
 			h.now += 10 * ms
 			h.d.timerDue = h.now
-			for _, a := range h.handle(Wake{}, JobProgress{first.ID, 0, 0.5}) {
+			for _, a := range h.handle(TimerFired{}, JobProgress{first.ID, 0, 0.5}) {
 				c, ok := a.(Cancel)
 				cancelled = cancelled || ok && c.Request == req.ID
 			}
@@ -274,10 +274,10 @@
 	start, roomAt := h.now, h.now+80*ms
 	for h.now < roomAt {
 		if n := len(req.attempts) - 1; !req.attempts[n].over {
-			h.handle(h.endAttempt(req, n, Moot, nil))
+			h.handle(h.endAttempt(req, n, NotSent, nil))
 		}
 		h.now += ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	if req.answered {
 		t.Fatalf("answered after %d unsent attempts", len(req.attempts))
@@ -287,7 +287,7 @@
 	}
 	for h.now < roomAt+100*ms && req.attempts[len(req.attempts)-1].over {
 		h.now += ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	n := len(req.attempts) - 1
 	if req.attempts[n].over {
@@ -308,13 +308,13 @@
 		var requests []*testRequest
 		for range 4 {
 			req := h.newRequest(2, time.Second)
-			req.Patient = patient
+			req.UntilDeadline = patient
 			h.handle(req.Request)
 			requests = append(requests, req)
 		}
 		for range 50 { // past the aim of 150 ms and the time in which it could still end in time, before the deadline
 			h.now += 10 * ms
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 		}
 		for i, req := range requests {
 			if len(req.attempts) != 1 || req.answered == patient {
@@ -336,13 +336,13 @@
 		var requests []*testRequest
 		for range 3 { // more than the last resort sends
 			req := h.newRequest(2, time.Second)
-			req.Patient = patient
+			req.UntilDeadline = patient
 			h.handle(req.Request)
 			requests = append(requests, req)
 		}
 		for range 30 { // past the aim of 150 ms, before the deadline
 			h.now += 10 * ms
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 		}
 		for i, req := range requests {
 			if len(req.attempts) != 0 || req.answered == patient {
@@ -363,12 +363,12 @@
 		h := newReadyHarness(t, testSettings(1, false, false, false), 3)
 		h.d.confirmsAttempts = true
 		req := h.newRequest(0, time.Second)
-		req.Patient = patient
+		req.UntilDeadline = patient
 		h.handle(req.Request)
 		start := h.now
 		for cancelled := false; !cancelled; {
 			h.now += 10 * ms
-			for _, a := range h.handle(Wake{}) {
+			for _, a := range h.handle(TimerFired{}) {
 				_, ok := a.(Cancel)
 				cancelled = cancelled || ok
 			}
@@ -388,7 +388,7 @@
 	r.attempts = append(r.attempts, &attempt{worker: r.attempts[0].worker, sentAt: h.now, lastReport: h.now})
 	r.outstanding++
 	h.d.extraAttempts = []time.Duration{h.now} // another request's, at the same time
-	h.d.Handle(h.now, []Event{AttemptEnded{Request: req.ID, Outcome: Moot}})
+	h.d.Handle(h.now, []Event{AttemptEnded{Request: req.ID, Outcome: NotSent}})
 	if len(h.d.extraAttempts) != 1 {
 		t.Errorf("got %d further attempts in the budget, want the one that was sent", len(h.d.extraAttempts))
 	}
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -12,7 +12,7 @@
 	for _, workers := range []int{10, 100, 400} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
 			s := testSettings(1, true, false, false)
-			s.Dispatchers = 2 * workers
+			s.DispatcherCount = 2 * workers
 			d, err := New(s)
 			if err != nil {
 				b.Fatal(err)
@@ -27,9 +27,9 @@
 				d.Handle(now, []Event{JobStarted{Request: id}})
 				for range 12 {
 					now += 8 * ms
-					d.Handle(now, []Event{Wake{}})
+					d.Handle(now, []Event{TimerFired{}})
 				}
-				d.Handle(now, []Event{AttemptEnded{Request: id, Over: true}})
+				d.Handle(now, []Event{AttemptEnded{Request: id, RequestEnded: true}})
 			}
 		})
 	}
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -15,7 +15,7 @@
 	sent := []time.Duration{}
 	for place := range dispatchers {
 		s := testSettings(uint64(place), false, true, false)
-		s.Dispatchers, s.Dispatcher = dispatchers, place
+		s.DispatcherCount, s.DispatcherIndex = dispatchers, place
 		h := newHarness(t, s)
 		h.now = started + time.Duration(place)*100*ms
 		h.list[1] = Worker{ID: 1, State: Ready, Started: started}
@@ -26,7 +26,7 @@
 		for h.now < started+3*time.Second {
 			h.now += 10 * ms
 			req := h.newRequest(0, time.Second)
-			h.handle(Wake{}, req.Request)
+			h.handle(TimerFired{}, req.Request)
 			for _, req := range h.requests {
 				for i, att := range req.attempts {
 					if !att.over && h.now-att.sent >= run {
@@ -63,7 +63,7 @@
 	open, rate := 0, 0.0
 	for n := range 200 {
 		s := testSettings(uint64(n), true, false, false)
-		s.Dispatchers, s.Dispatcher = 200, n
+		s.DispatcherCount, s.DispatcherIndex = 200, n
 		h := newHarness(t, s)
 		h.now = started
 		h.list[1] = Worker{ID: 1, State: Ready, Started: started}
@@ -126,7 +126,7 @@
 		}
 		for range 60 {
 			h.now += 8 * ms
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 		}
 		h.handle(JobStarted{req.ID, 0})
 		if late := h.d.workers[1].lateStarts.Share > 0; late == cold {
--- a/decide/conn_test.go
+++ b/decide/conn_test.go
@@ -76,7 +76,7 @@
 	if !h.d.send(r, wk) {
 		t.Fatal("request not sent")
 	}
-	h.d.attemptEnded(AttemptEnded{Request: 7, Outcome: Reset, Kept: time.Second})
+	h.d.attemptEnded(AttemptEnded{Request: 7, Outcome: Reset, ConnIdle: time.Second})
 	if wk.failures != 0 {
 		t.Error("the worker is suspected")
 	}
@@ -102,9 +102,9 @@
 	send := func(class int) (*testRequest, bool) {
 		h.d.workers[1].ceiling = 9
 		req := h.newRequest(class, 10*time.Second)
-		for _, a := range h.handle(Wake{}, req.Request) {
+		for _, a := range h.handle(TimerFired{}, req.Request) {
 			if s, ok := a.(Send); ok && s.Request == req.ID {
-				return req, s.Fresh
+				return req, s.NewConn
 			}
 		}
 		t.Fatalf("class %d not sent, worker with %d consecutive failures", class, h.d.workers[1].failures)
@@ -112,19 +112,19 @@
 	}
 	firstKept, _ := send(2)
 	secondKept, _ := send(2)
-	h.handle(Taken{firstKept.ID, 0}, h.endAttempt(firstKept, 0, OK, nil), Taken{secondKept.ID, 0}, h.endAttempt(secondKept, 0, OK, nil)) // leaves two idle connections
+	h.handle(AttemptAccepted{firstKept.ID, 0}, h.endAttempt(firstKept, 0, OK, nil), AttemptAccepted{secondKept.ID, 0}, h.endAttempt(secondKept, 0, OK, nil)) // leaves two idle connections
 	first, _ := send(2)
-	h.handle(Taken{first.ID, 0}, JobStarted{first.ID, 0})
+	h.handle(AttemptAccepted{first.ID, 0}, JobStarted{first.ID, 0})
 	lost, _ := send(2) // its connection is silent; it is taken for queued
 	h.now += 500 * ms
-	h.handle(Wake{})
+	h.handle(TimerFired{})
 	if h.d.silentUntil > 0 {
 		t.Error("connection taken for silent while its worker may be")
 	}
 	reportProgress := func() { // the worker reports on another job
 		h.now += 10 * ms
 		for range 9 {
-			h.handle(Wake{}, JobProgress{first.ID, 0, 0.5})
+			h.handle(TimerFired{}, JobProgress{first.ID, 0, 0.5})
 		}
 	}
 	reportProgress()
--- a/decide/cordon_test.go
+++ b/decide/cordon_test.go
@@ -11,7 +11,7 @@
 func TestRulesWithCordons(t *testing.T) {
 	for seed := range uint64(24) {
 		s := varyRules(testSettings(seed, seed&1 != 0, seed&2 != 0, false))
-		s.Rules.GoneIsAdvice = false
+		s.Rules.GoneIsAdvisory = false
 		playRandomEventsWith(t, s, 1500, func(h *harness, i int) {
 			if id := uint32(h.rng.IntN(6) + 1); i%31 == 30 {
 				h.cordoned[id] = !h.cordoned[id]
@@ -29,11 +29,11 @@
 func TestUncordonedWorkerIsColdAndUsedSoon(t *testing.T) {
 	for n := range 3 {
 		s := testSettings(uint64(n), true, false, false)
-		s.Dispatchers, s.Dispatcher = 3, n
+		s.DispatcherCount, s.DispatcherIndex = 3, n
 		s.Rules.Cold, s.Rules.ColdFrom = 20*time.Second, 0.14
 		h := newReadyHarness(t, s, 4)
 		h.handle(Cordon{Worker: 2, Out: true}, Cordon{Worker: 2, Out: true})
-		if listed, avoided := h.d.Fleet(); listed != 4 || avoided != 1 {
+		if listed, avoided := h.d.WorkerCounts(); listed != 4 || avoided != 1 {
 			t.Errorf("got %d workers listed and %d avoided, want 4 and 1", listed, avoided)
 		}
 		h.handle(ListDelta{Workers: []Worker{{ID: 2, State: Ready, Started: h.now}}}) // restarted
@@ -47,7 +47,7 @@
 		for h.now < start+uncordonedWithin {
 			h.now += 20 * ms
 			req := h.newRequest(0, time.Second)
-			for _, a := range h.handle(Wake{}, req.Request) {
+			for _, a := range h.handle(TimerFired{}, req.Request) {
 				if s, ok := a.(Send); ok && s.Worker == 2 {
 					at = append(at, h.now-start)
 				}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -76,7 +76,7 @@
 // crossing.
 func defaultPolicies(s Settings) []Policy {
 	rule := Invalidate{Rule: MaxConcurrentInvocations, Threshold: math.MaxInt32}
-	if s.ReportsFree {
+	if s.ReportsFreeSlots {
 		rule = Invalidate{Rule: Overload}
 	}
 	var policies []Policy
@@ -109,7 +109,7 @@
 	d.sendLoad()
 	if !d.timerSet && (len(d.liveRequests) > 0 || d.subscribeAt > 0) {
 		d.timerSet, d.timerDue = true, d.now+d.sweepInterval()
-		d.emit(WakeMe{After: d.sweepInterval()})
+		d.emit(SetTimer{After: d.sweepInterval()})
 	}
 }
 
@@ -141,8 +141,8 @@
 		return !w.firstJobDue && !d.preferWhileCold(w) || d.workers[w.ID] != w
 	})
 	for _, w := range d.firstJobQueue {
-		first := r.class.Effect == Safe && w.ownSlots == 0 || !w.firstJobDue && !d.settings.Leasing.On
-		if first && len(r.attempts)+len(r.Order) == 0 && (r.class.Kind == Any || r.class.Kind == w.Kind) &&
+		first := r.class.Effect == Safe && w.ownSlots == 0 || !w.firstJobDue && !d.settings.Leasing.Enabled
+		if first && len(r.attempts)+len(r.Candidates) == 0 && (r.class.Kind == Any || r.class.Kind == w.Kind) &&
 			d.valid(r, w, Invalidate{Rule: Overload}) {
 			return w
 		}
@@ -166,7 +166,7 @@
 	switch {
 	case listed == Draining:
 		w.State = Draining
-	case listed == Gone && w.State == Ready && !d.settings.Rules.GoneIsAdvice:
+	case listed == Gone && w.State == Ready && !d.settings.Rules.GoneIsAdvisory:
 		d.dropWorker(w)
 	}
 }
@@ -177,7 +177,7 @@
 	if !d.blocksStale && d.learnedSinceSort <= len(d.fleet)/resortDivisor || d.now < d.sortAfter && len(d.fleet) > 0 {
 		return
 	}
-	d.sortAfter, d.learnedSinceSort = d.now+d.settings.Classes[d.settings.First].Aim*time.Duration(1+len(d.fleet)/(4*resortDivisor)), 0
+	d.sortAfter, d.learnedSinceSort = d.now+d.settings.Classes[d.settings.TimingClass].Aim*time.Duration(1+len(d.fleet)/(4*resortDivisor)), 0
 	changed := d.blocksStale
 	if d.blocksStale, d.mayHaveRoom = false, d.mayHaveRoom || changed; changed {
 		d.fleet = slices.AppendSeq(d.fleet[:0], maps.Values(d.workers))
@@ -191,7 +191,7 @@
 	// Weighted rendezvous hashing: each dispatcher or group of them has its own order, with first places spread by
 	// capacity. With few dispatchers speed decides; late starts make some of the dispatchers that chose the same worker
 	// leave it.
-	perDispatcher := float64(len(d.fleet)) / float64(d.settings.Dispatchers)
+	perDispatcher := float64(len(d.fleet)) / float64(d.settings.DispatcherCount)
 	for _, w := range best {
 		if d.unproven(w) && d.now >= w.retryAt {
 			w.probes++
@@ -228,7 +228,7 @@
 	// request with less than half of the budget is taken as one with a short time limit; as a retry it would be late
 	// at once.
 	c.maxBudget = max(c.maxBudget, q.Budget)
-	if elapsed := c.maxBudget - q.Budget; q.Repeat || !d.settings.MarksRetries && elapsed <= c.maxBudget/2 {
+	if elapsed := c.maxBudget - q.Budget; q.Retry || !d.settings.RetriesMarked && elapsed <= c.maxBudget/2 {
 		r.arrived -= elapsed
 	}
 	r.aimEnd = min(r.arrived+c.Aim, r.deadline)
@@ -244,9 +244,9 @@
 		d.keyDemand[q.Key] = k
 	}
 	d.tokens = min(maxTokens, d.tokens+d.admitted)
-	d.mayHaveRoom = d.mayHaveRoom || q.Held // it can use slots that others of its class cannot
+	d.mayHaveRoom = d.mayHaveRoom || q.Reserved // it can use slots that others of its class cannot
 	d.enqueue(r, false)
-	if d.settings.Limits.Open <= 0 || len(d.requests) <= d.settings.Limits.Open {
+	if d.settings.Limits.MaxOpen <= 0 || len(d.requests) <= d.settings.Limits.MaxOpen {
 		return
 	}
 	for _, q := range slices.Backward(d.queueOrder) { // over the bound: drop the unsent request of the least worth
@@ -264,17 +264,17 @@
 // more the tenant uses here. Where all tenants send more here, this dispatcher only has a larger part of the
 // traffic.
 func (d *Dispatcher) exceedsShare(tenant int) bool {
-	if tenant >= len(d.tenantDemand) || d.settings.Tenants[tenant].Left {
+	if tenant >= len(d.tenantDemand) || d.settings.Tenants[tenant].Removed {
 		return false
 	}
 	d.tenantDemand[tenant].increment(d.now, tenantWindow)
 	used := func(i int) float64 {
-		share := d.settings.Tenants[i].QuotaPerSecond / float64(d.settings.Dispatchers) * tenantWindow.Seconds()
+		share := d.settings.Tenants[i].QuotaPerSecond / float64(d.settings.DispatcherCount) * tenantWindow.Seconds()
 		return aboveNoise(d.tenantDemand[i].at(d.now, tenantWindow)) / max(share, 1e-9)
 	}
 	var usage []float64
 	for i := range d.tenantDemand {
-		if !d.settings.Tenants[i].Left {
+		if !d.settings.Tenants[i].Removed {
 			usage = append(usage, used(i))
 		}
 	}
@@ -338,11 +338,11 @@
 			}
 			d.queues[q][n] = r
 			n++
-			if d.routesByKey(r) || len(r.Order) > 0 || d.now < r.retryAt {
+			if d.routesByKey(r) || len(r.Candidates) > 0 || d.now < r.retryAt {
 				continue // the next request may go to other workers
 			}
 			r.class.stuck = len(r.attempts) == 0
-			if r.class.stuck || n >= d.settings.Limits.Attempts { // for the rest the same workers are invalid
+			if r.class.stuck || n >= d.settings.Limits.MaxAttempts { // for the rest the same workers are invalid
 				n += copy(d.queues[q][n:], d.queues[q][i+1:])
 				break
 			}
@@ -360,12 +360,12 @@
 	d.drawAvoidedZones()
 	// While connecting takes long, moving costs more than queueing, unless the move uses an open connection.
 	d.openOnly = r.outstanding > 0 && d.connSetup() > d.startGrace(r, nil)
-	for _, id := range r.Order { // given by the request's route; the rules apply nevertheless
+	for _, id := range r.Candidates { // given by the request's route; the rules apply nevertheless
 		if w := d.workers[id]; w != nil && d.valid(r, w, Invalidate{Rule: Overload}) {
 			return w
 		}
 	}
-	if w := d.firstJobWorker(r); w != nil || len(r.Order) > 0 {
+	if w := d.firstJobWorker(r); w != nil || len(r.Candidates) > 0 {
 		return w
 	}
 	keyed := d.routesByKey(r)
@@ -416,7 +416,7 @@
 		start, _ = slices.BinarySearch(b.ring, hash(r.Key, 0))
 		reach = d.keyWorkers(r)
 		// With a larger choice, all dispatchers could pick the same worker and overload it.
-		atLeast = min(reach, 1+(d.settings.Dispatchers-1)/int(d.size(b.members[0])))
+		atLeast = min(reach, 1+(d.settings.DispatcherCount-1)/int(d.size(b.members[0])))
 	case b.Strategy == Platform:
 		h := hash(cmp.Or(r.Key, uint64(r.Class)+1), 0)
 		start, step = int(h%uint64(n)), coprime(int(h>>32%uint64(n)), n)
@@ -448,7 +448,7 @@
 	if d.heldCount() <= len(d.fleet)/fewHeldDivisor { // other workers have room for the extra fetch
 		further = int(widenPerAim * float64(d.now-r.arrived) / float64(max(r.class.Aim, 1)))
 	}
-	rate := cmp.Or(d.agreedRate(), d.keyedDemand.N/d.settings.Rules.Cold.Seconds()*float64(d.settings.Dispatchers))
+	rate := cmp.Or(d.agreedRate(), d.keyedDemand.Count/d.settings.Rules.Cold.Seconds()*float64(d.settings.DispatcherCount))
 	return 1 + further + int(share*rate*cmp.Or(d.meanTypicalRun(0), r.class.mean())/slotsPerKeyWorker)
 }
 
@@ -456,12 +456,12 @@
 // held past its aim. It applies only while no other request waits and free slots are not reported: then the
 // ceilings may be wrong, otherwise the request would only lengthen a queue.
 func (d *Dispatcher) lastResortWorker(r *request) *worker {
-	if d.settings.ReportsFree && !d.settings.TellsStart || r.class.followup == Fail || len(r.attempts) > 0 ||
+	if d.settings.ReportsFreeSlots && !d.settings.ReportsStart || r.class.followup == Fail || len(r.attempts) > 0 ||
 		d.heldCount() > 1 || d.waitingJobs > 0 {
 		return nil
 	}
 	return d.random(r.class.defaultBlock, func(w *worker) bool {
-		named := len(r.Order) == 0 || slices.Contains(r.Order, w.ID)
+		named := len(r.Candidates) == 0 || slices.Contains(r.Candidates, w.ID)
 		return named && w.failures == 0 && !d.forbidden(r, w)
 	})
 }
@@ -469,7 +469,7 @@
 // valid reports whether a worker is reachable and valid for a request by a block's invalidate rule.
 func (d *Dispatcher) valid(r *request, w *worker, inv Invalidate) bool {
 	refused := (d.now < w.refusals[r.Class].Until || r.class.Effect == Unsafe && d.now < w.unsafeBarredUntil) && !d.outage()
-	if inv.Rule != CapacityUsed && !r.Held && d.noRoom(w) || !w.ready() || refused || w.zone.avoided || d.openOnly && w.conns <= w.connsInUse {
+	if inv.Rule != CapacityUsed && !r.Reserved && d.noRoom(w) || !w.ready() || refused || w.zone.avoided || d.openOnly && w.conns <= w.connsInUse {
 		return false
 	}
 	// An untrusted worker gets one trial at a time, a repeatable request's first attempt: where a whole zone is
@@ -486,7 +486,7 @@
 	}) {
 		return false
 	}
-	if w.failures > 0 || r.Held {
+	if w.failures > 0 || r.Reserved {
 		return true // a trial, whatever slots count as abandoned, or slots are reserved for the request
 	}
 	used, mem, size := d.load(w)
@@ -502,7 +502,7 @@
 		}
 		return w.ownSlots+w.abandoned+r.Slots <= inv.Threshold && used+r.Slots <= max(r.Slots, ceiling)
 	}
-	return used+r.Slots <= max(size, r.Slots) && (!d.settings.ReportsFree || mem+r.Memory <= max(size, r.Memory))
+	return used+r.Slots <= max(size, r.Slots) && (!d.settings.ReportsFreeSlots || mem+r.Memory <= max(size, r.Memory))
 }
 
 // unproven reports whether a worker may not exist, as from a list of another deployment: it has never shown
@@ -544,7 +544,7 @@
 func (d *Dispatcher) load(w *worker) (used, mem, size float64) {
 	used, mem = d.inUse(w)
 	size = cmp.Or(w.learnedSize, d.kind(w.Kind).Slots) // until learned, the size of its kind
-	if size == 0 || d.settings.TellsStart {
+	if size == 0 || d.settings.ReportsStart {
 		return used, mem, math.Floor(*d.ceiling(w))
 	}
 	return used, mem, max(1, math.Floor(size*d.warmth(w)))
@@ -552,13 +552,13 @@
 
 // hasUnseenLoad reports whether jobs of others may fill a worker unseen: starts are not reported, and not all
 // dispatchers share their load.
-func (d *Dispatcher) hasUnseenLoad() bool { return !d.settings.TellsStart && d.peerGroups() > 1 }
+func (d *Dispatcher) hasUnseenLoad() bool { return !d.settings.ReportsStart && d.peerGroups() > 1 }
 
 // sendForbidden reports whether a request must not be sent to any worker: by its limit on attempts, its deadline, the
 // limit on parallel attempts or the budget of further ones.
 func (d *Dispatcher) sendForbidden(r *request) bool {
-	return r.done || r.streaming || r.sentAttempts() >= d.settings.Limits.Attempts || d.now >= r.deadline ||
-		r.outstanding > 0 && !d.settings.Limits.SecondCopies || r.sentAttempts() > 0 && !d.withinBudget()
+	return r.done || r.streaming || r.sentAttempts() >= d.settings.Limits.MaxAttempts || d.now >= r.deadline ||
+		r.outstanding > 0 && !d.settings.Limits.ParallelAttempts || r.sentAttempts() > 0 && !d.withinBudget()
 }
 
 // forbidden reports whether the rules on sending forbid an attempt. Every attempt is checked by it.
@@ -570,7 +570,7 @@
 		if a.neverRan || r.class.Effect == Safe {
 			continue
 		}
-		if r.class.Effect == Unsafe || d.now-a.sentAt >= r.class.Window ||
+		if r.class.Effect == Unsafe || d.now-a.sentAt >= r.class.DedupWindow ||
 			r.class.Scope == ScopeZone && a.worker.Zone != w.Zone || r.class.Scope == ScopeCell && a.worker.Cell != w.Cell {
 			return true
 		}
@@ -583,7 +583,7 @@
 // window that ends now. Where no rule sets a budget, the package's own keeps retries from becoming most of the
 // load.
 func (d *Dispatcher) withinBudget() bool {
-	d.extraAttempts, d.arrivals = dropBefore(d.extraAttempts, d.now-d.budget.Span), dropBefore(d.arrivals, d.now-d.budget.Span+1)
+	d.extraAttempts, d.arrivals = dropBefore(d.extraAttempts, d.now-d.budget.Window), dropBefore(d.arrivals, d.now-d.budget.Window+1)
 	return float64(len(d.extraAttempts)+1) <= d.budget.Spare+d.budget.PerRequest*float64(len(d.arrivals))
 }
 
@@ -631,7 +631,7 @@
 	newConn := r.class.Effect == Unsafe && d.now < d.silentUntil // on a connection that has gone silent it would be lost
 	d.predictConn(r, a, newConn)
 	lease := d.takeLease(r, w)
-	d.emit(Send{Request: r.ID, Worker: w.ID, MostIdle: d.idleLimit(r.class.Effect), Fresh: newConn, Lease: lease})
+	d.emit(Send{Request: r.ID, Worker: w.ID, MaxIdle: d.idleLimit(r.class.Effect), NewConn: newConn, Lease: lease})
 	if a.extra = r.sentAttempts() > 0; a.extra {
 		d.extraAttempts = append(d.extraAttempts, d.now)
 	}
@@ -657,7 +657,7 @@
 	if idle := w.conns > w.connsInUse; idle && d.settings.Limits.ConnIdle > 0 && a.connIdle >= d.settings.Limits.ConnIdle {
 		w.conns = w.connsInUse
 	} else if idle && d.idleSendsFail(a.connIdle, r.class.Effect) && (r.class.Effect == Unsafe || d.rng.IntN(idleRecheck) > 0) {
-		d.emit(Release{Worker: w.ID})
+		d.emit(CloseIdle{Worker: w.ID})
 		w.conns = w.connsInUse
 	}
 	w.connsInUse++
@@ -691,7 +691,7 @@
 	if effect == Unsafe {
 		limit = unsafeFailShare
 	}
-	return k > 0 && effect == Unsafe && d.idleFailures[k].N == 0 || slices.ContainsFunc(d.idleFailures[1:k+1],
+	return k > 0 && effect == Unsafe && d.idleFailures[k].Count == 0 || slices.ContainsFunc(d.idleFailures[1:k+1],
 		func(t tally) bool { return t.Share > recent+(1-recent)*limit })
 }
 
@@ -701,7 +701,7 @@
 		return
 	}
 	if !r.anyAttempt(func(a *attempt) bool { // a retry does no harm
-		repeatable := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll && d.now-a.sentAt < r.class.Window
+		repeatable := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll && d.now-a.sentAt < r.class.DedupWindow
 		return !a.neverRan && !repeatable
 	}) {
 		retryAfter := time.Duration(0)
@@ -747,7 +747,7 @@
 	a.started, a.lastReport, a.startedAt = true, d.now, d.now
 	w := a.worker
 	w.runningSlots += r.Slots
-	if !d.settings.TellsStart {
+	if !d.settings.ReportsStart {
 		return
 	}
 	// Following a stall of this process the delay is only an upper bound and no sign of queueing.
@@ -763,7 +763,7 @@
 		if !a.newConn && (w.minStartDelay == 0 || delay < w.minStartDelay) {
 			w.minStartDelay = delay
 		}
-		if used, mem, size := d.load(w); used+r.Slots > size || d.settings.ReportsFree && mem+r.Memory > size { // a further one would not fit
+		if used, mem, size := d.load(w); used+r.Slots > size || d.settings.ReportsFreeSlots && mem+r.Memory > size { // a further one would not fit
 			*d.ceiling(w) += ceilingStep
 		}
 	} else if !a.queued || d.allShareLoad() { // otherwise lowered when it was taken as queued
@@ -825,8 +825,8 @@
 // throttling, quotas and wrong refusals.
 func (d *Dispatcher) workerRefused(r *request, a *attempt) {
 	refusal := &a.worker.refusals[r.Class]
-	refusal.N = min(refusal.N+1, maxFailures)
-	refusal.Until = d.now + d.backoff(r.class.Aim, refusal.N)
+	refusal.Doublings = min(refusal.Doublings+1, maxFailures)
+	refusal.Until = d.now + d.backoff(r.class.Aim, refusal.Doublings)
 	if d.now-a.sentAt-d.batchDelay <= d.startGrace(r, a) {
 		d.adjustAdmission(true)
 		d.recordFailure(a.worker)
@@ -844,8 +844,8 @@
 	d.errors.add(failed, 8*errorSamples)
 	if failed && w.classErrors[class].Share > d.classes[class].errors.Share+errorMargin {
 		refusal := &w.refusals[class]
-		refusal.N = min(refusal.N+1, maxFailures)
-		refusal.Until = d.now + d.backoff(d.classes[class].Aim, refusal.N)
+		refusal.Doublings = min(refusal.Doublings+1, maxFailures)
+		refusal.Until = d.now + d.backoff(d.classes[class].Aim, refusal.Doublings)
 	}
 	if w.errors.Share <= d.errors.Share+unsafeErrorMargin {
 		w.unsafeBarredUntil = 0
@@ -871,28 +871,28 @@
 		return
 	}
 	w := a.worker
-	if w.lastAlive == 0 && e.Outcome != Moot && e.Outcome != Cancelled {
+	if w.lastAlive == 0 && e.Outcome != NotSent && e.Outcome != Cancelled {
 		d.firstJobs.add(e.Outcome != OK, firstJobSamples)
 	}
 	a.ended, a.neverRan, a.errored = true, e.Outcome.NeverRan(), e.Outcome == Errored
 	d.recordReport(w, e.Report) // the report still counts this attempt
 	r.outstanding--
 	w.ownSlots, w.ownMemory = w.ownSlots-r.Slots, w.ownMemory-r.Memory
-	d.mayHaveRoom, d.loadChanged = d.mayHaveRoom || e.Outcome != Moot || r.done, true
+	d.mayHaveRoom, d.loadChanged = d.mayHaveRoom || e.Outcome != NotSent || r.done, true
 	if a.started {
 		w.runningSlots -= r.Slots
 	}
-	idleBroke := e.Kept > 0 && e.Outcome == Reset && !a.started && a.lastReport == a.sentAt
-	if a.connIdle = cmp.Or(e.Kept, a.connIdle); idleBroke {
-		d.idleConnBroke(e.Kept)
+	idleBroke := e.ConnIdle > 0 && e.Outcome == Reset && !a.started && a.lastReport == a.sentAt
+	if a.connIdle = cmp.Or(e.ConnIdle, a.connIdle); idleBroke {
+		d.idleConnBroke(e.ConnIdle)
 	}
 	d.recordConnEnd(r, a, e.Outcome)
-	if e.Outcome != Cancelled && e.Outcome != Moot {
+	if e.Outcome != Cancelled && e.Outcome != NotSent {
 		d.countForZone(a, e.Outcome != OK && !a.started && !idleBroke)
 	}
 	switch e.Outcome {
 	case OK:
-		w.refusals[r.Class].N /= 2
+		w.refusals[r.Class].Doublings /= 2
 		d.recordJobEnd(w, r.Class, false)
 		d.learnRun(r, a)
 		d.recordLife(w)
@@ -915,7 +915,7 @@
 			a.brokeAt = d.now
 			d.recordFailure(w)
 		}
-	case Moot: // never sent: it does not count as an attempt, and the next one waits for longer
+	case NotSent: // never sent: it does not count as an attempt, and the next one waits for longer
 		if i := slices.Index(d.extraAttempts, a.sentAt); i >= 0 && a.extra {
 			d.extraAttempts = slices.Delete(d.extraAttempts, i, i+1)
 		}
@@ -927,7 +927,7 @@
 		if r.outstanding == 0 {
 			delete(d.requests, r.ID)
 		}
-	case e.Over:
+	case e.RequestEnded:
 		r.streaming = false
 		d.closeRequest(r)
 	case r.outstanding == 0:
@@ -938,8 +938,8 @@
 // exhausted reports whether a request has no permitted attempt left, so that it is answered at once. One that
 // ended in errors at two workers would fail anywhere, and must not use up the budget of others.
 func (d *Dispatcher) exhausted(r *request) bool {
-	return r.sentAttempts() >= d.settings.Limits.Attempts || r.errors > 1 || r.anyAttempt(func(a *attempt) bool {
-		return !a.neverRan && (r.class.Effect == Unsafe || r.class.Effect == Keyed && d.now-a.sentAt >= r.class.Window)
+	return r.sentAttempts() >= d.settings.Limits.MaxAttempts || r.errors > 1 || r.anyAttempt(func(a *attempt) bool {
+		return !a.neverRan && (r.class.Effect == Unsafe || r.class.Effect == Keyed && d.now-a.sentAt >= r.class.DedupWindow)
 	})
 }
 
@@ -956,14 +956,14 @@
 // learnRun learns from the run time of a successful attempt.
 func (d *Dispatcher) learnRun(r *request, a *attempt) {
 	from := a.sentAt
-	if a.started && d.settings.TellsStart {
+	if a.started && d.settings.ReportsStart {
 		from = a.startedAt
 	}
 	run := max((d.now - from).Seconds(), 1e-4)
 	c, w := r.class, a.worker
 	d.learnedSinceSort++
 	c.addRun(run)
-	if !d.settings.TellsStart { // the end stands in for the start
+	if !d.settings.ReportsStart { // the end stands in for the start
 		if d.adjustAdmission(false); run > c.Aim.Seconds()+c.Stretch*c.typical().Seconds() {
 			*d.ceiling(w) = max(initialCeiling, *d.ceiling(w)-ceilingStep)
 		} else if w.ownSlots+2*r.Slots > math.Floor(*d.ceiling(w)) {
@@ -987,7 +987,7 @@
 			}
 		}
 	}
-	n, waiting, running, congested := 0, 0, 0, d.settings.TellsStart && d.settings.Limits.Cancel && d.waitingJobs > d.runningJobs
+	n, waiting, running, congested := 0, 0, 0, d.settings.ReportsStart && d.settings.Limits.Cancel && d.waitingJobs > d.runningJobs
 	for _, r := range d.liveRequests {
 		if r.done {
 			continue
@@ -1008,7 +1008,7 @@
 		}
 		d.checkAttempts(r)
 		queued := congested && !r.anyAttempt(func(a *attempt) bool { return !a.ended && (a.started || !a.queued) })
-		if !r.held && queued && !r.Patient && d.now >= r.aimEnd+r.lateStartAllowance() && r.class.LateWorth == 0 {
+		if !r.held && queued && !r.UntilDeadline && d.now >= r.aimEnd+r.lateStartAllowance() && r.class.LateWorth == 0 {
 			// Queued at a worker and too late to be worth anything: without this, queues would produce only late
 			// answers. A job that cannot be cancelled would run anyway, and once more for the client's retry.
 			d.answerFinal(r)
@@ -1018,7 +1018,7 @@
 			r.held, r.late = false, true
 			switch w := d.lastResortWorker(r); {
 			case w != nil && d.send(r, w):
-			case r.class.LateWorth > 0 || r.Patient:
+			case r.class.LateWorth > 0 || r.UntilDeadline:
 				d.enqueue(r, false)
 			default:
 				d.answerFinal(r)
@@ -1052,13 +1052,13 @@
 		}
 		unresponsive := d.now-a.sentAt-d.batchDelay > max(r.class.Aim, unresponsiveRuns*r.class.typical()+unresponsiveStarts*d.meanStartDelay()) &&
 			a.worker.lastAlive < a.sentAt
-		if d.settings.TellsStart && !a.started && d.now-a.sentAt > d.startGrace(r, a) {
+		if d.settings.ReportsStart && !a.started && d.now-a.sentAt > d.startGrace(r, a) {
 			first := !a.queued
 			if a.queued = true; first {
 				d.recordConnSetup(a, 2*(d.now-a.sentAt)) // a lower bound, since it has not started yet
 				// A keyed job would need another fetch elsewhere. With more dispatchers than workers it may move, since
 				// the queue then consists of other dispatchers' jobs.
-				a.stays = !d.mayMove(r) || r.Key > 0 && (r.class.Effect != Safe || d.settings.Dispatchers <= len(d.fleet))
+				a.stays = !d.mayMove(r) || r.Key > 0 && (r.class.Effect != Safe || d.settings.DispatcherCount <= len(d.fleet))
 			}
 			if lower := first && !d.allShareLoad(); unresponsive || lower && !a.stays {
 				d.recordFailure(a.worker)
@@ -1073,11 +1073,11 @@
 			}
 			return
 		}
-		stalled := d.settings.Progress > 0 && (a.started || !d.settings.TellsStart) &&
-			float64(d.now-a.lastReport) > progressSlackIntervals*float64(d.settings.Progress)
+		stalled := d.settings.ProgressInterval > 0 && (a.started || !d.settings.ReportsStart) &&
+			float64(d.now-a.lastReport) > progressSlackIntervals*float64(d.settings.ProgressInterval)
 		// The job may be queued behind others that are not seen here: a copy that starts at its aim still ends in time.
 		unreported := d.hasUnseenLoad() && a.lastReport == a.sentAt && r.class.Effect == Safe && d.now-a.sentAt > r.class.Aim
-		if unresponsive && !a.queued && !d.settings.TellsStart && a.worker.lastAlive == 0 {
+		if unresponsive && !a.queued && !d.settings.ReportsStart && a.worker.lastAlive == 0 {
 			d.firstJobs.add(true, firstJobSamples)
 		}
 		a.queued = a.queued || unresponsive
@@ -1098,13 +1098,13 @@
 // deadline; others would otherwise be of no use at all.
 func (d *Dispatcher) mayMove(r *request) bool {
 	return d.withinBudget() &&
-		(r.class.LateWorth == 0 && !r.Patient || float64(len(d.extraAttempts)+1) <= maxMovedShare*float64(len(d.arrivals)))
+		(r.class.LateWorth == 0 && !r.UntilDeadline || float64(len(d.extraAttempts)+1) <= maxMovedShare*float64(len(d.arrivals)))
 }
 
 // sharesLoad reports whether load is reported to peers. Where starts are reported, the load of only some
 // dispatchers would say less than the ceilings do, and would cost more messages than there are jobs.
 func (d *Dispatcher) sharesLoad() bool {
-	return d.settings.Limits.PeerMessages && d.settings.Dispatchers > 1 && (!d.settings.TellsStart || d.peerGroups() == 1)
+	return d.settings.Limits.PeerMessages && d.settings.DispatcherCount > 1 && (!d.settings.ReportsStart || d.peerGroups() == 1)
 }
 
 // sendLoad sends the peers this dispatcher's load at each worker: the changes, and now and then all of it. With
@@ -1121,13 +1121,13 @@
 	if !whole && len(body) == 1 {
 		return
 	}
-	if d.settings.Dispatchers <= peerGroupSize {
-		d.emit(TellPeers{To: Any, Body: body})
+	if d.settings.DispatcherCount <= peerGroupSize {
+		d.emit(SendToPeers{To: Any, Body: body})
 		return
 	}
-	for n := d.peerGroup(); n < d.settings.Dispatchers; n += d.peerGroups() {
-		if n != d.settings.Dispatcher {
-			d.emit(TellPeers{To: n, Body: body})
+	for n := d.peerGroup(); n < d.settings.DispatcherCount; n += d.peerGroups() {
+		if n != d.settings.DispatcherIndex {
+			d.emit(SendToPeers{To: n, Body: body})
 		}
 	}
 }
--- a/decide/deployment_sim_test.go
+++ b/decide/deployment_sim_test.go
@@ -187,12 +187,12 @@
 		jobsStarted: make([]int, len(model.classes)), jobsFetched: make([]int, len(model.classes)),
 	}
 	s := testSettings(seed, true, false, false)
-	s.Dispatchers, s.Granularity, s.Progress = dispatchers, 2*ms, time.Second
+	s.DispatcherCount, s.Granularity, s.ProgressInterval = dispatchers, 2*ms, time.Second
 	s.Classes = nil
 	for _, c := range model.classes {
 		s.Classes = append(s.Classes, c.Class)
 	}
-	s.Limits.Probes, s.Limits.Open, s.Limits.MaxRetryAfter = true, 20000, 2*time.Second
+	s.Limits.Probes, s.Limits.MaxOpen, s.Limits.MaxRetryAfter = true, 20000, 2*time.Second
 	model.adjust(&s)
 	sim.settings = s
 	for i := range encoders {
@@ -232,7 +232,7 @@
 // startDispatcher starts a dispatcher without memory and gives it the current list.
 func (sim *deployment) startDispatcher(disp *simDispatcher, i int) {
 	s := sim.settings
-	s.Dispatcher, s.Zone, s.Seed = i, disp.zone, uint64(sim.rng.Uint32())
+	s.DispatcherIndex, s.Zone, s.Seed = i, disp.zone, uint64(sim.rng.Uint32())
 	d, err := New(s)
 	if err != nil {
 		panic(err)
@@ -289,12 +289,12 @@
 			sim.endUnserved(disp.requests[a.Request], a.RetryAfter)
 		case FailRequest:
 			sim.endUnserved(disp.requests[a.Request], 0)
-		case WakeMe:
+		case SetTimer:
 			disp.lastTimer++
 			timer, dispatcher := disp.lastTimer, disp.d
 			sim.after(a.After, func() {
 				if disp.lastTimer == timer && disp.d == dispatcher {
-					sim.deliver(disp, Wake{})
+					sim.deliver(disp, TimerFired{})
 				}
 			})
 		case Subscribe:
@@ -339,7 +339,7 @@
 	sim.after(r.due-sim.now, func() {
 		if disp.requests[id] == r && !r.done {
 			r.done = true
-			sim.deliver(disp, RequestLapsed{id})
+			sim.deliver(disp, RequestCancelled{id})
 		}
 	})
 }
@@ -383,7 +383,7 @@
 				sim.worthServed[r.class] += r.work * sim.settings.Classes[r.class].Worth
 			}
 		}
-		sim.deliver(r.dispatcher, AttemptEnded{Request: r.id, Attempt: att.number, Outcome: o, Over: over})
+		sim.deliver(r.dispatcher, AttemptEnded{Request: r.id, Attempt: att.number, Outcome: o, RequestEnded: over})
 	})
 }
 
--- a/decide/deployment_test.go
+++ b/decide/deployment_test.go
@@ -235,7 +235,7 @@
 		kinds:      []encoderKind{{8, 1.3}, {7, 0.85}, {4, 0.45}},
 		kindDraw:   []int{0, 0, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 2, 2, 2},
 		adjust: func(s *Settings) {
-			s.Limits.Attempts, s.Limits.SecondCopies = 2, false
+			s.Limits.MaxAttempts, s.Limits.ParallelAttempts = 2, false
 			s.Prices = Prices{CrossZone: 0.06, Waste: 0.2, LateFail: 0.05, Probe: 0.0008}
 			s.Rules.Cold, s.Rules.ColdFrom, s.Rules.DrainGrace = 24*time.Second, 0.14, time.Second
 			s.Rules.FallMultiple, s.Rules.FallWindow = 2.25, 1200*ms
--- a/decide/estimate.go
+++ b/decide/estimate.go
@@ -10,32 +10,32 @@
 
 // tally is the share of bad events among the last few.
 type tally struct {
-	N     float64 `json:"N"`
+	Count float64 `json:"N"`
 	Share float64 `json:"Share"`
 }
 
 // add counts an event; memory is the number of events that the share is taken over.
 func (t *tally) add(bad bool, memory float64) {
-	t.N = min(t.N+1, memory)
-	t.Share -= t.Share / t.N
+	t.Count = min(t.Count+1, memory)
+	t.Share -= t.Share / t.Count
 	if bad {
-		t.Share += 1 / t.N
+		t.Share += 1 / t.Count
 	}
 }
 
 // demand is an exponentially decaying count of requests, of one key or tenant.
 type demand struct {
-	N    float64       `json:"N"`
-	Last time.Duration `json:"Last"`
+	Count float64       `json:"N"`
+	Last  time.Duration `json:"Last"`
 }
 
 // at returns the count at a time; it decays by a factor of e within memory.
 func (k demand) at(now, memory time.Duration) float64 {
-	return k.N * math.Exp(-(now-k.Last).Seconds()/max(memory.Seconds(), 1))
+	return k.Count * math.Exp(-(now-k.Last).Seconds()/max(memory.Seconds(), 1))
 }
 
 // increment counts one more request.
-func (k *demand) increment(now, memory time.Duration) { k.N, k.Last = 1+k.at(now, memory), now }
+func (k *demand) increment(now, memory time.Duration) { k.Count, k.Last = 1+k.at(now, memory), now }
 
 // aboveNoise returns the part of a count that exceeds its statistical noise, taken as its square root.
 func aboveNoise(n float64) float64 { return max(0, n-math.Sqrt(max(0, n))) }
@@ -54,10 +54,10 @@
 // kindStat is what was learned of a kind of worker: the deviation of its log run times and their weight, its
 // size, and the ceiling that its workers share.
 type kindStat struct {
-	Dev     float64 `json:"Dev"`
-	N       float64 `json:"N"`
-	Slots   float64 `json:"Slots"`
-	Ceiling float64 `json:"Ceiling"`
+	LogDeviation float64 `json:"Dev"`
+	Weight       float64 `json:"N"`
+	Slots        float64 `json:"Slots"`
+	Ceiling      float64 `json:"Ceiling"`
 }
 
 // countForZone counts, for its worker's zone, whether an attempt fared badly: it failed or was started late.
@@ -88,7 +88,7 @@
 	} else {
 		w.connFreedAt = d.now
 	}
-	if (!unanswered || bad || o == OK) && o != ConnectFailed && o != Moot {
+	if (!unanswered || bad || o == OK) && o != ConnectFailed && o != NotSent {
 		d.idleFailures[d.idleBucket(a.connIdle)].add(bad, idleAgeSamples)
 	}
 }
@@ -131,7 +131,7 @@
 	c.meanLogRun += (math.Log(run) - c.meanLogRun) / c.jobs
 	dev, k := math.Log(run)-c.meanLogRun, d.kind(w.Kind)
 	w.logDeviation, w.deviationWeight = w.logDeviation*(1-1/speedSamples)+dev, w.deviationWeight*(1-1/speedSamples)+1
-	k.Dev, k.N = k.Dev*(1-1/speedSamples)+dev, k.N*(1-1/speedSamples)+1
+	k.LogDeviation, k.Weight = k.LogDeviation*(1-1/speedSamples)+dev, k.Weight*(1-1/speedSamples)+1
 }
 
 // typical returns the geometric mean of the class's run times, its aim while none is known.
@@ -158,8 +158,8 @@
 // known of the worker.
 func (d *Dispatcher) slowness(w *worker) float64 {
 	k := d.kind(w.Kind)
-	prior := min(speedPriorJobs, speedPriorPerWorker*float64(len(d.fleet))/float64(d.settings.Dispatchers))
-	return (w.logDeviation + prior*k.Dev/(k.N+prior)) / max(w.deviationWeight+prior, 1e-9)
+	prior := min(speedPriorJobs, speedPriorPerWorker*float64(len(d.fleet))/float64(d.settings.DispatcherCount))
+	return (w.logDeviation + prior*k.LogDeviation/(k.Weight+prior)) / max(w.deviationWeight+prior, 1e-9)
 }
 
 // arrivalsSince returns how many of the recorded requests arrived since a time. A binary search, since it runs
@@ -176,7 +176,7 @@
 	if d.severalKinds {
 		prior = unknownKindSlowness * sizePriorJobs
 	}
-	return (k.Dev + prior) / (k.N + sizePriorJobs)
+	return (k.LogDeviation + prior) / (k.Weight + sizePriorJobs)
 }
 
 // longestMeanRun returns the mean run, in seconds, of the class with the longest one.
@@ -211,7 +211,7 @@
 // agreedRate returns the requests per second that the tenants have agreed, over all dispatchers.
 func (d *Dispatcher) agreedRate() (rate float64) {
 	for _, t := range d.settings.Tenants {
-		if !t.Left {
+		if !t.Removed {
 			rate += t.QuotaPerSecond
 		}
 	}
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -9,12 +9,12 @@
 
 func Example() {
 	d, err := decide.New(decide.Settings{
-		Dispatchers: 1,
-		Granularity: time.Millisecond,
+		DispatcherCount: 1,
+		Granularity:     time.Millisecond,
 		Classes: []decide.Class{{
 			Aim: 100 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: decide.Safe, Kind: decide.Any,
 		}},
-		Limits: decide.Limits{Attempts: 3, Open: 100},
+		Limits: decide.Limits{MaxAttempts: 3, MaxOpen: 100},
 	})
 	if err != nil {
 		fmt.Println(err)
--- a/decide/fleet_sim_test.go
+++ b/decide/fleet_sim_test.go
@@ -43,7 +43,7 @@
 	sim.runTime = func(class int, _ uint32) time.Duration { return []time.Duration{400 * ms, 2400 * ms}[class] }
 	for i := range n {
 		s := testSettings(uint64(i), true, false, false)
-		s.Dispatcher, s.Dispatchers, s.Progress = i, n, 0
+		s.DispatcherIndex, s.DispatcherCount, s.ProgressInterval = i, n, 0
 		s.Classes = []Class{
 			{Aim: 500 * ms, Stretch: 2.5, Deadline: 5 * time.Second, Worth: 1, Effect: Safe, Kind: Any},
 			{Aim: 2 * time.Second, Stretch: 2, Deadline: 25 * time.Second, Worth: 5, Effect: Unsafe, Kind: Any},
@@ -112,7 +112,7 @@
 		for _, h := range sim.dispatchers {
 			if h.now = sim.now; len(h.timers) > 0 && h.timers[0] <= sim.now {
 				h.timers = h.timers[1:]
-				sim.apply(h, h.handle(Wake{}))
+				sim.apply(h, h.handle(TimerFired{}))
 			}
 		}
 		for n := rate * step.Seconds(); sim.rng.Float64() < n; n-- {
@@ -197,7 +197,7 @@
 	h.handle(req.Request)
 	for h.now < time.Hour+3*time.Second { // its aim is 2 s, or 6 s with its own length
 		h.now += 20 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	if req.answered {
 		t.Error("request given up although its job may still end in time")
@@ -232,7 +232,7 @@
 		for _, h := range sim.dispatchers {
 			if len(h.timers) > 0 && h.timers[0] <= sim.now {
 				h.timers = h.timers[1:]
-				deliver(h, Wake{})
+				deliver(h, TimerFired{})
 			}
 		}
 		for len(queue) > 0 && sim.now >= next {
@@ -326,7 +326,7 @@
 	h := newFleetSim(t, 1, workers).dispatchers[0]
 	h.sendKeyed(8)
 	req := h.newRequest(0, 5*time.Second)
-	req.Key, h.d.keyDemand[7] = 7, demand{N: 100, Last: h.now} // demand for several workers in either zone
+	req.Key, h.d.keyDemand[7] = 7, demand{Count: 100, Last: h.now} // demand for several workers in either zone
 	h.handle(req.Request)
 	h.handle(h.endAttempt(req, 0, ConnectFailed, nil))
 	if len(req.attempts) != 2 || req.attempts[0].worker.Zone != 0 || req.attempts[1].worker.Zone != 1 {
--- a/decide/gated.go
+++ b/decide/gated.go
@@ -4,7 +4,7 @@
 
 // gatedAttemptSent records that a gated attempt is sent now: its worker's response, and its place in the window
 // of the budget for further attempts, are timed from now on.
-func (d *Dispatcher) gatedAttemptSent(e Passed) {
+func (d *Dispatcher) gatedAttemptSent(e AttemptSent) {
 	_, a := d.openAttempt(e.Request, e.Attempt)
 	if a == nil || !a.gated {
 		return
--- a/decide/gated_test.go
+++ b/decide/gated_test.go
@@ -17,13 +17,13 @@
 	wait := func(steps int) {
 		for range steps {
 			h.now += 10 * ms
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 		}
 	}
 	wait(50)
 	require.Len(t, req.attempts, 1, "attempt not sent yet")
 	require.Zero(t, h.d.workers[first].failures)
-	h.handle(Passed{req.ID, 0})
+	h.handle(AttemptSent{req.ID, 0})
 	require.Len(t, req.attempts, 1, "attempt just sent")
 	wait(50)
 	require.Greater(t, len(req.attempts), 1, "the worker does not start it")
--- a/decide/invalid_events_test.go
+++ b/decide/invalid_events_test.go
@@ -14,15 +14,15 @@
 		events []Event
 	}{
 		{"unknown request started", []Event{JobStarted{99, 0}, JobProgress{99, 0, 0.5}, StreamStarted{99, 0}}},
-		{"unknown request ended", []Event{AttemptEnded{Request: 99, Outcome: OK, Over: true}, RequestLapsed{99}}},
+		{"unknown request ended", []Event{AttemptEnded{Request: 99, Outcome: OK, RequestEnded: true}, RequestCancelled{99}}},
 		{"unknown attempt", []Event{JobStarted{1, 7}, JobProgress{1, -1, 0}, AttemptEnded{Request: 1, Attempt: 7}}},
 		{"request twice", []Event{Request{ID: 1, Budget: time.Second, Slots: 1}}},
 		{"class out of range", []Event{Request{ID: 50, Class: 9, Budget: time.Second}, Request{ID: 51, Class: -1}}},
 		{"unknown worker probed", []Event{Probed{Worker: 77, Outcome: OK, Report: &Report{Active: 1}}}},
-		{"empty message", []Event{PeerSaid{Peer: 1}}},
-		{"truncated message", []Event{PeerSaid{1, appendLoad(newLoads(true), 1, [2]uint8{8, 8}, 8)[:5]}}},
-		{"message of an unknown format", []Event{PeerSaid{1, []byte("what is this?")}}},
-		{"message about an unknown worker", []Event{PeerSaid{-5, appendLoad(newLoads(false), 400, [2]uint8{8, 8}, 8)}}},
+		{"empty message", []Event{PeerMessage{Peer: 1}}},
+		{"truncated message", []Event{PeerMessage{1, appendLoad(newLoads(true), 1, [2]uint8{8, 8}, 8)[:5]}}},
+		{"message of an unknown format", []Event{PeerMessage{1, []byte("what is this?")}}},
+		{"message about an unknown worker", []Event{PeerMessage{-5, appendLoad(newLoads(false), 400, [2]uint8{8, 8}, 8)}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -58,10 +58,10 @@
 	for _, step := range []time.Duration{0, 0, -time.Minute, time.Minute, 8 * ms, 3 * time.Second, 0, time.Hour} {
 		h.now += step
 		requests = append(requests, h.newRequest(len(requests)%3, time.Second))
-		h.handle(Wake{}, requests[len(requests)-1].Request)
+		h.handle(TimerFired{}, requests[len(requests)-1].Request)
 	}
 	h.now += time.Second
-	h.handle(Wake{})
+	h.handle(TimerFired{})
 	for i, req := range requests {
 		if !req.answered {
 			t.Errorf("request %d not answered", i)
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -26,7 +26,7 @@
 	workerOf := map[uint64]uint32{}
 	for n := range 3 {
 		s := testSettings(uint64(n), true, false, false)
-		s.Dispatcher, s.Dispatchers = n, 3
+		s.DispatcherIndex, s.DispatcherCount = n, 3
 		for key := range uint64(20) {
 			h := newReadyHarness(t, s, 8)
 			got, _ := h.sendKeyed(key + 1)
@@ -92,7 +92,7 @@
 func TestHotKeyUsesSeveralWorkers(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 8)
 	h.sendKeyed(5)
-	h.d.keyedDemand = demand{N: 400, Last: h.now}
+	h.d.keyedDemand = demand{Count: 400, Last: h.now}
 	h.d.keyDemand[5] = h.d.keyedDemand
 	var at []uint32
 	for range 3 {
@@ -113,13 +113,13 @@
 		s := testSettings(1, true, false, false)
 		h := newReadyHarness(t, s, 8)
 		first, req := h.sendKeyed(5)
-		h.d.keyDemand[5] = demand{N: 50, Last: h.now}
+		h.d.keyDemand[5] = demand{Count: 50, Last: h.now}
 		for range 50 {
 			h.now += 10 * ms
 			if alive {
 				h.d.recordLife(h.d.workers[first])
 			}
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 		}
 		if moved := len(req.attempts) > 1; moved == alive {
 			t.Errorf("worker alive %v: moved: got %v, want the opposite", alive, moved)
@@ -137,7 +137,7 @@
 	_, late := h.sendRequest(0)
 	for h.now < late.due-200*ms {
 		h.now += 10 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	if n := len(h.d.queues[1]); n > 2 {
 		t.Errorf("got %d entries for two late requests", n)
@@ -175,7 +175,7 @@
 	if suspected > 20 { // a few by chance, as a hundred requests failed
 		t.Errorf("workers lost their trust %d times, want at most 20", suspected)
 	}
-	if h.d.workers[4].refusals[0].N < 2 {
+	if h.d.workers[4].refusals[0].Doublings < 2 {
 		t.Error("the worker that fails all requests is not barred")
 	}
 }
--- a/decide/lease.go
+++ b/decide/lease.go
@@ -9,7 +9,7 @@
 // turns, the rest leased out piece by piece by the budget's owner. The zero value gives all of it out in turns,
 // one for each dispatcher.
 type Leasing struct {
-	On bool
+	Enabled bool
 	// Turn is the index of this dispatcher's turn; negative: it has none, and sends nothing to cold workers without a lease.
 	Turn, Turns int
 	// Share is the part of the budget that all turns have together, above 0 and at most 1.
@@ -34,18 +34,18 @@
 // coldTurns returns the index of this dispatcher's turn for cold workers, negative if it has none, and the
 // number of turns.
 func (d *Dispatcher) coldTurns() (turn, n int) {
-	if l := d.settings.Leasing; l.On {
+	if l := d.settings.Leasing; l.Enabled {
 		return l.Turn, max(1, l.Turns)
 	}
-	return d.settings.Dispatcher, d.settings.Dispatchers
+	return d.settings.DispatcherIndex, d.settings.DispatcherCount
 }
 
 // coldTurnShare returns the share of the budget for cold workers that each turn has.
 func (d *Dispatcher) coldTurnShare() float64 {
-	if l := d.settings.Leasing; l.On {
+	if l := d.settings.Leasing; l.Enabled {
 		return l.Share / float64(max(1, l.Turns))
 	}
-	return 1 / float64(d.settings.Dispatchers)
+	return 1 / float64(d.settings.DispatcherCount)
 }
 
 // leaseWork returns the work that a request counts as under a lease, in slot seconds: at most what fits into
@@ -61,7 +61,7 @@
 // findLease returns a lease that lets a request go to a cold worker out of turn. If there is none, it asks for
 // one and returns 0.
 func (d *Dispatcher) findLease(r *request, w *worker) (id uint64) {
-	if !d.settings.Leasing.On {
+	if !d.settings.Leasing.Enabled {
 		return 0
 	}
 	work := d.leaseWork(r)
@@ -73,7 +73,7 @@
 	}
 	if d.now-w.leaseAskedAt >= leaseRequestInterval || w.leaseAskedAt == 0 {
 		w.leaseAskedAt = d.now
-		d.emit(WantLease{Worker: w.ID, Started: w.Started, Work: work})
+		d.emit(RequestLease{Worker: w.ID, Started: w.Started, Work: work})
 	}
 	return 0
 }
@@ -82,7 +82,7 @@
 // while others have room, turns would expire unused and the worker would not warm up. Where the budget is
 // leased, this holds for its first job only, for which a lease may be asked.
 func (d *Dispatcher) preferWhileCold(w *worker) bool {
-	return d.warmth(w) < 1 && (!d.settings.Leasing.On || w.lastAlive == 0)
+	return d.warmth(w) < 1 && (!d.settings.Leasing.Enabled || w.lastAlive == 0)
 }
 
 // takeLease returns the lease that a request to a worker uses up, or 0 if the worker is warm or the request
--- a/decide/lease_test.go
+++ b/decide/lease_test.go
@@ -9,7 +9,7 @@
 // has leases for: none after a lease ends, and none by a lease for the worker's previous process.
 func TestColdWorkerGetsOneJobPerLease(t *testing.T) {
 	s := testSettings(1, false, true, false)
-	s.Leasing = Leasing{On: true, Turn: -1, Turns: 64, Share: 0.25}
+	s.Leasing = Leasing{Enabled: true, Turn: -1, Turns: 64, Share: 0.25}
 	h := newHarness(t, s)
 	h.now = time.Hour
 	started := h.now - time.Second
@@ -27,7 +27,7 @@
 		req := h.newRequest(0, 10*time.Second)
 		for _, a := range h.d.Handle(h.now, append(leases, req.Request)) {
 			switch a := a.(type) {
-			case WantLease:
+			case RequestLease:
 				if asked++; a.Worker != 1 || a.Started != started || a.Work <= 0 {
 					t.Errorf("got lease request %+v, want one for the worker's process with some work", a)
 				}
@@ -73,7 +73,7 @@
 func TestFixedTurnsKeepToTheirShare(t *testing.T) {
 	for _, turn := range []int{0, 63, -1} {
 		s := testSettings(1, false, true, false)
-		s.Leasing = Leasing{On: true, Turn: turn, Turns: 64, Share: 0.25}
+		s.Leasing = Leasing{Enabled: true, Turn: turn, Turns: 64, Share: 0.25}
 		h := newHarness(t, s)
 		h.now = time.Hour
 		h.list[1] = Worker{ID: 1, State: Ready, Started: h.now}
@@ -89,7 +89,7 @@
 		}
 	}
 	s := testSettings(1, false, true, false)
-	s.Leasing = Leasing{On: true, Turn: 64, Turns: 64, Share: 0.25}
+	s.Leasing = Leasing{Enabled: true, Turn: 64, Turns: 64, Share: 0.25}
 	if _, err := New(s); err == nil {
 		t.Error("turn out of range: got no error")
 	}
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -39,7 +39,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings(1, true, false, false)
-			s.Rules.GoneIsAdvice = tt.advice
+			s.Rules.GoneIsAdvisory = tt.advice
 			h := newHarness(t, s)
 			h.list[1] = ready
 			h.handle(ListFull{Workers: []Worker{ready}})
@@ -57,7 +57,7 @@
 // after an attempt there fails, unless no other worker is left. The list can bring it back.
 func TestUnlistedWorkerIsDroppedAfterItsFirstFailure(t *testing.T) {
 	s := testSettings(1, true, false, false)
-	s.Rules.GoneIsAdvice = true
+	s.Rules.GoneIsAdvisory = true
 	h := newReadyHarness(t, s, 2)
 	first, req := h.sendRequest(0)
 	h.handle(h.endAttempt(req, 0, OK, nil))
@@ -88,7 +88,7 @@
 // list holds.
 func TestUnlistedWorkersAreBounded(t *testing.T) {
 	s := testSettings(1, true, false, false)
-	s.Rules.GoneIsAdvice = true
+	s.Rules.GoneIsAdvisory = true
 	h := newHarness(t, s)
 	for i := range uint32(50) {
 		lines := []Worker{{ID: 3 * i, State: Ready}, {ID: 3*i + 1, State: Ready}, {ID: 3*i + 2, State: Draining}}
@@ -103,7 +103,7 @@
 // since, does not make the worker count as warm.
 func TestStaleListDoesNotMakeAWorkerWarm(t *testing.T) {
 	s := testSettings(1, true, false, false)
-	s.Rules.GoneIsAdvice = true
+	s.Rules.GoneIsAdvisory = true
 	h := newHarness(t, s)
 	old := Worker{ID: 1, State: Ready}
 	h.handle(ListFull{Workers: []Worker{old}})
@@ -126,11 +126,11 @@
 // grows.
 func TestListIsRequestedAgainAfterAFailure(t *testing.T) {
 	s := testSettings(1, true, false, false)
-	s.Dispatchers, s.Rules.DrainGrace, s.Rules.MustAskIn = 300, time.Second, 10*time.Second
+	s.DispatcherCount, s.Rules.DrainGrace, s.Rules.MustAskIn = 300, time.Second, 10*time.Second
 	delayUntilCall := func(h *harness, failed ListFailed, waits time.Duration) (after time.Duration) {
 		h.now += waits
 		failedAt := h.now
-		for actions := h.d.Handle(h.now, []Event{failed}); ; actions = h.d.Handle(h.now, []Event{Wake{}}) {
+		for actions := h.d.Handle(h.now, []Event{failed}); ; actions = h.d.Handle(h.now, []Event{TimerFired{}}) {
 			if slices.ContainsFunc(actions, func(a Action) bool { _, yes := a.(Subscribe); return yes }) {
 				return h.now - failedAt
 			}
@@ -138,16 +138,16 @@
 		}
 	}
 	for seed := range uint64(20) {
-		s.Seed, s.Pushed = seed, true
+		s.Seed, s.ListPushed = seed, true
 		h := newHarness(t, s)
 		for range 12 {
 			if after := delayUntilCall(h, ListFailed{}, ms); after > s.Rules.DrainGrace/4 {
 				t.Errorf("pushed: list requested after %v", after)
 			}
 		}
-		s.Pushed = false
+		s.ListPushed = false
 		for dispatchers, spread := range map[int]time.Duration{300: 1500 * ms, 3000: 3 * time.Second} {
-			s.Dispatchers = dispatchers
+			s.DispatcherCount = dispatchers
 			h = newHarness(t, s)
 			if after := delayUntilCall(h, ListFailed{}, 0); after > spread+10*ms {
 				t.Errorf("%d dispatchers: list requested after %v", dispatchers, after)
@@ -164,7 +164,7 @@
 			expectCall(ListFailed{}, 3*time.Second, retryGrowth*retrySpread/2, retryGrowth*retrySpread)
 			expectCall(ListFailed{}, 3*time.Second, retryGrowth*retryGrowth*retrySpread/2, retryGrowth*retryGrowth*retrySpread)
 			for range 12 {
-				expectCall(ListFailed{Nobody: true}, 3*time.Second, retrySpread/2, retrySpread)
+				expectCall(ListFailed{Unreachable: true}, 3*time.Second, retrySpread/2, retrySpread)
 			}
 			expectCall(ListFailed{}, 3*time.Second, retrySpread/2, retrySpread)
 			var soonest, latest time.Duration = time.Hour, 0
@@ -176,17 +176,17 @@
 				t.Errorf("%d dispatchers: after watches that ended, got calls after %v to %v, want them spread over %v", dispatchers, soonest, latest, spread)
 			}
 		}
-		s.Dispatchers = 300
+		s.DispatcherCount = 300
 		h = newHarness(t, s)
 		delayUntilCall(h, ListFailed{}, 0)
 		for range 20 { // calls made by the list's own timer, long after the dispatcher's last one
 			h.now += time.Minute
-			if after := delayUntilCall(h, ListFailed{After: time.Second}, 0); after < retrySpread/2 {
+			if after := delayUntilCall(h, ListFailed{Elapsed: time.Second}, 0); after < retrySpread/2 {
 				t.Errorf("a call that failed after a second was repeated after %v, as if it had been a watch", after)
 			}
 		}
 		few := s
-		few.Dispatchers = 12
+		few.DispatcherCount = 12
 		h = newHarness(t, few)
 		for range 12 {
 			if after := delayUntilCall(h, ListFailed{}, time.Second); after > time.Second {
--- a/decide/look.go
+++ b/decide/look.go
@@ -44,7 +44,7 @@
 	if waits || r.failedRound == d.rounds || d.now < r.retryAt {
 		return nil
 	}
-	unsent := len(r.attempts)+len(r.Order) == 0
+	unsent := len(r.attempts)+len(r.Candidates) == 0
 	if earlier, ok := d.unplaced[r.placementKey()]; ok && unsent && earlier.covers(r) {
 		return nil
 	}
@@ -67,7 +67,7 @@
 	if w.fullInBatch != d.batch {
 		used, _, size := d.load(w)
 		full := used > 0 && used >= max(size, math.Floor(*d.ceiling(w)))
-		full = full && (!d.settings.Leasing.On || d.warmth(w) >= 1) // a lease is requested before there is room
+		full = full && (!d.settings.Leasing.Enabled || d.warmth(w) >= 1) // a lease is requested before there is room
 		w.fullInBatch, w.isFull = d.batch, w.failures == 0 && full || w.failures > 0 && d.now < w.retryAt
 	}
 	return w.isFull
--- a/decide/many_dispatchers_test.go
+++ b/decide/many_dispatchers_test.go
@@ -8,7 +8,7 @@
 // manyDispatchers returns settings of a site with so many dispatchers that each meets a worker seldom.
 func manyDispatchers(starts, reports, peers bool) Settings {
 	s := testSettings(1, starts, reports, peers)
-	s.Dispatchers = 100
+	s.DispatcherCount = 100
 	return s
 }
 
@@ -35,13 +35,13 @@
 // group, and passes on what workers reported of other dispatchers' load.
 func TestLoadIsSentToTheOwnGroupOnly(t *testing.T) {
 	s := manyDispatchers(false, true, true)
-	s.Dispatcher = 3
+	s.DispatcherIndex = 3
 	h := newReadyHarness(t, s, 2)
 	_, req := h.sendRequest(0)
 	h.now += 100 * ms
 	messages := map[int][]byte{}
 	for _, a := range h.handle(h.endAttempt(req, 0, OK, &Report{Active: 4, FreeSlots: 1, FreeMemory: -1})) {
-		if m, ok := a.(TellPeers); ok {
+		if m, ok := a.(SendToPeers); ok {
 			messages[m.To] = m.Body
 		}
 	}
@@ -50,10 +50,10 @@
 	}
 	for n, body := range messages {
 		peer := newReadyHarness(t, s, 2)
-		if n%h.d.peerGroups() != h.d.peerGroup() || n == s.Dispatcher {
+		if n%h.d.peerGroups() != h.d.peerGroup() || n == s.DispatcherIndex {
 			t.Errorf("got a message to dispatcher %d, which is not of the group", n)
 		}
-		peer.handle(PeerSaid{Peer: 3, Body: body})
+		peer.handle(PeerMessage{Peer: 3, Body: body})
 		if got := peer.d.workers[req.attempts[0].worker.ID].foreignSlots; got != 3 {
 			t.Errorf("the peer counts a load of %v by others, want 3", got)
 		}
@@ -64,7 +64,7 @@
 // too seldom to find each of them bad.
 func TestFailingZoneIsAvoided(t *testing.T) {
 	s := manyDispatchers(true, false, false)
-	s.Limits.Attempts = 1
+	s.Limits.MaxAttempts = 1
 	h := newHarness(t, s)
 	var lines []Worker
 	for id := range uint32(200) {
@@ -183,7 +183,7 @@
 		_, req := h.sendRequest(0)
 		for range 5 {
 			h.now += 8 * ms
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 		}
 		if moved := len(req.attempts) > 1; moved == slow {
 			t.Errorf("slow connecting %v: moved %v", slow, moved)
@@ -197,13 +197,13 @@
 	for class, want := range []int{2, 1, 1, 1} {
 		s := manyDispatchers(false, true, true)
 		if class == 3 { // a safe one where all dispatchers exchange their load
-			class, s.Dispatchers = 0, 4
+			class, s.DispatcherCount = 0, 4
 		}
 		h := newReadyHarness(t, s, 2)
 		_, req := h.sendRequest(class)
 		for range 14 { // 112 ms, the aim is 100 ms
 			h.now += 8 * ms
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 		}
 		if len(req.attempts) != want {
 			t.Errorf("class %d: got %d attempts, want %d", class, len(req.attempts), want)
--- a/decide/moves_test.go
+++ b/decide/moves_test.go
@@ -44,10 +44,10 @@
 	for range 200 {
 		h.now += 10 * ms
 		req := h.newRequest(0, time.Second)
-		req.Patient = patient
+		req.UntilDeadline = patient
 		first := h.handle(req.Request)[0].(Send).Worker
 		h.now += 60 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 		if len(req.attempts) == 2 {
 			moves++
 		} else if h.d.workers[first].failures > 0 {
@@ -57,7 +57,7 @@
 		h.now += 20 * ms
 		h.handle(h.endAttempt(req, len(req.attempts)-1, OK, nil))
 	}
-	return moves, suspected, int((h.now-start)/h.d.budget.Span) + 1
+	return moves, suspected, int((h.now-start)/h.d.budget.Window) + 1
 }
 
 // TestHungJobIgnoresTheLimitOnMoves checks that a job whose worker shows no sign of life does not count as queued, and
@@ -70,12 +70,12 @@
 	for range 3 { // these use up the allowed moves
 		h.sendRequest(0)
 		h.now += 60 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	first, req := h.sendRequest(0)
 	for range 50 {
 		h.now += 10 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	require.Greater(t, len(req.attempts), 1)
 	require.Positive(t, h.d.workers[first].failures)
@@ -94,7 +94,7 @@
 		_, req := h.sendRequest(0)
 		for range 40 { // its worker runs jobs of others
 			h.now += 10 * ms
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 		}
 		if n >= 20 && len(req.attempts) > 1 {
 			moves++
@@ -183,7 +183,7 @@
 			sent++
 		}
 		h.now += 60 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	require.LessOrEqual(t, sent, 2, "jobs sent to a worker that has started none of them")
 }
--- a/decide/order_test.go
+++ b/decide/order_test.go
@@ -12,7 +12,7 @@
 	h := newReadyHarness(t, s, 4)
 	send := func(order ...uint32) (got uint32) {
 		req := h.newRequest(0, time.Second)
-		req.Order = order
+		req.Candidates = order
 		for _, a := range h.d.Handle(h.now, []Event{req.Request}) {
 			if a, ok := a.(Send); ok {
 				got = a.Worker
@@ -39,7 +39,7 @@
 // first job: a rerun restricted to other sites could reach the worker that had produced bad output.
 func TestOrderOverridesFirstJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
-	s.Dispatchers, s.Rules.Cold, s.Rules.ColdFrom = 3, 20*time.Second, 0.14
+	s.DispatcherCount, s.Rules.Cold, s.Rules.ColdFrom = 3, 20*time.Second, 0.14
 	h := newReadyHarness(t, s, 4)
 	h.handle(Cordon{Worker: 2, Out: true})
 	h.now += time.Second
@@ -47,8 +47,8 @@
 	for end := h.now + uncordonedWithin; h.now < end; {
 		h.now += 20 * ms
 		req := h.newRequest(0, time.Second)
-		req.Order = []uint32{3}
-		for _, a := range h.handle(Wake{}, req.Request) {
+		req.Candidates = []uint32{3}
+		for _, a := range h.handle(TimerFired{}, req.Request) {
 			if a, ok := a.(Send); ok && a.Worker != 3 {
 				t.Fatalf("got worker %d, want only 3", a.Worker)
 			}
@@ -70,11 +70,11 @@
 		h := newReadyHarness(t, testSettings(seed, true, false, false), 4)
 		h.d.Handle(h.now, []Event{ListDelta{Workers: []Worker{{ID: 3, State: Draining}}}})
 		req := h.newRequest(0, time.Second)
-		req.Order = []uint32{3}
+		req.Candidates = []uint32{3}
 		h.handle(req.Request)
 		for range 100 {
 			h.now += 10 * ms
-			for _, a := range h.handle(Wake{}) {
+			for _, a := range h.handle(TimerFired{}) {
 				if a, ok := a.(Send); ok {
 					t.Fatalf("seed %d: got worker %d at %v, want only 3", seed, a.Worker, h.now)
 				}
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -47,7 +47,7 @@
 }
 
 // peerMessage applies a peer's load message.
-func (d *Dispatcher) peerMessage(e PeerSaid) {
+func (d *Dispatcher) peerMessage(e PeerMessage) {
 	whole, loads, ok := parseLoads(e.Body)
 	if !ok {
 		return
@@ -121,12 +121,12 @@
 // share one order of workers. With hundreds of dispatchers, messages to all would cost more than the jobs.
 func (d *Dispatcher) peerGroup() int {
 	if d.sharesLoad() {
-		return d.settings.Dispatcher % d.peerGroups()
+		return d.settings.DispatcherIndex % d.peerGroups()
 	}
-	return d.settings.Dispatcher
+	return d.settings.DispatcherIndex
 }
 
 // peerGroups returns the number of those groups.
 func (d *Dispatcher) peerGroups() int {
-	return (d.settings.Dispatchers + peerGroupSize - 1) / peerGroupSize
+	return (d.settings.DispatcherCount + peerGroupSize - 1) / peerGroupSize
 }
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -11,7 +11,7 @@
 	"without keys":      func(*Request, int) {},
 	"with many keys":    func(r *Request, n int) { r.Key = uint64(n) + 1 },
 	"with one key":      func(r *Request, _ int) { r.Key = 1 },
-	"with an order":     func(r *Request, n int) { r.Order = []uint32{uint32(n%50) + 1} },
+	"with an order":     func(r *Request, n int) { r.Candidates = []uint32{uint32(n%50) + 1} },
 	"over their share":  func(r *Request, _ int) { r.Tenant = 0 },
 	"of unequal demand": func(r *Request, n int) { r.Key, r.Slots = 1, 1+float64(n)/1000 },
 }
@@ -19,7 +19,7 @@
 // newFullDispatcher returns a dispatcher of many whose workers are all full, and a number of held requests.
 func newFullDispatcher(tb testing.TB, workers, held int, kind string) (*Dispatcher, time.Duration) {
 	s := testSettings(1, true, false, false)
-	s.Dispatchers, s.Limits.Open, s.Progress = 330, 100000, 0
+	s.DispatcherCount, s.Limits.MaxOpen, s.ProgressInterval = 330, 100000, 0
 	for i := range s.Classes {
 		s.Classes[i].Aim, s.Classes[i].Deadline = 3*time.Second, 30*time.Second
 	}
@@ -60,7 +60,7 @@
 			before := d.scans
 			for range steps {
 				now += d.sweepInterval()
-				d.Handle(now, []Event{Wake{}})
+				d.Handle(now, []Event{TimerFired{}})
 			}
 			if mean := (d.scans - before) / steps; mean > most {
 				t.Errorf("%d requests %s, %d workers: got %d checks of a worker per batch without events, want at most %d", held, kind, workers, mean, most)
@@ -84,7 +84,7 @@
 						b.StartTimer()
 					}
 					now += d.sweepInterval()
-					d.Handle(now, []Event{Wake{}})
+					d.Handle(now, []Event{TimerFired{}})
 				}
 			})
 		}
@@ -98,12 +98,12 @@
 		d, now := newFullDispatcher(t, 50, 20, kind)
 		for range 20 { // rounds without other events
 			now += d.sweepInterval()
-			d.Handle(now, []Event{Wake{}})
+			d.Handle(now, []Event{TimerFired{}})
 		}
 		held := d.heldCount()
 		for id, r := range d.requests {
 			if r.outstanding == 1 {
-				d.Handle(now, []Event{AttemptEnded{Request: id, Over: true}})
+				d.Handle(now, []Event{AttemptEnded{Request: id, RequestEnded: true}})
 			}
 		}
 		if left := d.heldCount(); left > held/2 {
@@ -119,7 +119,7 @@
 	rounds := d.rounds
 	for n := range 2 * maxPauseSteps {
 		now += d.sweepInterval()
-		events := []Event{Wake{}}
+		events := []Event{TimerFired{}}
 		for i := range 100 {
 			id := 10000 + 100*n + i
 			events = append(events, Request{ID: uint32(id), Budget: 30 * time.Second, Slots: 1, Key: uint64(id)})
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -255,13 +255,13 @@
 		if !stalled {
 			for range 24 {
 				h.now += 8 * ms
-				h.handle(Wake{})
+				h.handle(TimerFired{})
 			}
 		}
 		h.now += 200 * ms
-		h.handle(Wake{}, JobStarted{req.ID, 0})
+		h.handle(TimerFired{}, JobStarted{req.ID, 0})
 		h.now += 8 * ms
-		h.handle(Wake{}, h.endAttempt(req, 0, OK, nil))
+		h.handle(TimerFired{}, h.endAttempt(req, 0, OK, nil))
 		if trusted := h.d.workers[1].ceiling > initialCeiling; trusted != stalled {
 			t.Errorf("own stall %v: ceiling raised %v, want the same", stalled, trusted)
 		}
@@ -276,13 +276,13 @@
 	h.handle(JobStarted{req.ID, 0})
 	for range 94 {
 		h.now += 8 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	h.now += 100 * ms // a stall; 148 ms are left
-	h.handle(Wake{})
+	h.handle(TimerFired{})
 	for range 8 {
 		h.now += 8 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 	}
 	if !req.answered {
 		t.Error("not answered earlier than the deadline by the length of a known stall")
@@ -306,15 +306,15 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings(1, false, false, false)
-			s.MarksRetries = tt.marks
+			s.RetriesMarked = tt.marks
 			h := newReadyHarness(t, s, 1)
 			h.sendRequest(2)
 			h.sendRequest(0)
 			req := h.newRequest(2, tt.budget)
-			req.Repeat = tt.repeat
+			req.Retry = tt.repeat
 			h.handle(req.Request)
 			h.now += 10 * ms
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 			if req.answered != tt.late {
 				t.Errorf("taken for late: got %v, want %v", req.answered, tt.late)
 			}
@@ -332,7 +332,7 @@
 	h.sendRequest(0) // becomes late
 	h.sendRequest(0) // a second one: no last resort while others wait
 	h.now += 200 * ms
-	h.handle(Wake{})
+	h.handle(TimerFired{})
 	fresh := h.newRequest(0, time.Second)
 	h.handle(fresh.Request)
 	for _, a := range h.handle(h.endAttempt(h.requests[1], 0, OK, nil)) {
@@ -369,7 +369,7 @@
 		h := newReadyHarness(t, s, 2)
 		first, req := h.sendRequest(class)
 		h.now += 60 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 		if moved := len(req.attempts) == 2 && req.attempts[1].worker.ID != first; moved != wantMove {
 			t.Errorf("class %d: moved: got %v, want %v", class, moved, wantMove)
 		}
@@ -396,7 +396,7 @@
 		}
 		for range 10 { // it counts as queued from 20 ms on; its aim is 150 ms
 			h.now += 20 * ms
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 		}
 		if want := crowded && s.Limits.Cancel; req.answered != want {
 			t.Errorf("crowded %v: answered: got %v, want %v", crowded, req.answered, want)
@@ -416,7 +416,7 @@
 	h.sendRequest(2)
 	for n := range 10 { // queued from 20 ms on, started at 100 ms, aim 150 ms; the other two stay queued
 		h.now += 20 * ms
-		if h.handle(Wake{}); n == 4 {
+		if h.handle(TimerFired{}); n == 4 {
 			h.handle(JobStarted{req.ID, 0})
 		}
 	}
@@ -434,7 +434,7 @@
 	second := h.newRequest(2, 800*ms)
 	h.handle(second.Request)
 	h.now += 10 * ms
-	h.handle(Wake{})
+	h.handle(TimerFired{})
 	if !second.answered {
 		t.Error("a request whose first try was 200 ms ago, past its aim of 150 ms, is still held")
 	}
@@ -465,11 +465,11 @@
 	}
 	for range 4 {
 		for _, a := range h.d.Handle(now, nil) {
-			if m, ok := a.(TellPeers); ok {
+			if m, ok := a.(SendToPeers); ok {
 				if len(m.Body) > 256 {
 					t.Fatalf("got a message of %d bytes, want at most 256", len(m.Body))
 				}
-				receiver.handle(PeerSaid{Peer: 1, Body: m.Body})
+				receiver.handle(PeerMessage{Peer: 1, Body: m.Body})
 			}
 		}
 	}
@@ -483,7 +483,7 @@
 func TestPeerLoadCountsAtWorkersOfUnknownSize(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, false, true, true), 2)
 	busy := appendLoad(newLoads(true), 1, [2]uint8{8, 0}, unknownLoad)
-	h.handle(PeerSaid{Peer: 1, Body: busy})
+	h.handle(PeerMessage{Peer: 1, Body: busy})
 	if got, _ := h.sendRequest(0); got != 2 {
 		t.Errorf("got worker %d, want 2, which no peer uses", got)
 	}
@@ -545,7 +545,7 @@
 			h.sendRequest(2)
 		}
 		h.now += 150 * ms
-		h.handle(Wake{})
+		h.handle(TimerFired{})
 		if sent := len(req.attempts) == 1; sent != alone || req.answered == alone {
 			t.Errorf("nothing else waits %v: sent %v, answered %v", alone, sent, req.answered)
 		}
@@ -556,7 +556,7 @@
 // of a class with less worth per run time, and the new one only if it is worth least. What was sent stays.
 func TestLeastValuableRequestMakesRoom(t *testing.T) {
 	s := testSettings(1, false, false, false)
-	s.Limits.Open = 4
+	s.Limits.MaxOpen = 4
 	h := newReadyHarness(t, s, 1)
 	var reqs []*testRequest
 	answered := func(class int, want ...bool) {
@@ -572,7 +572,7 @@
 	answered(0, false, false)
 	answered(0, false, false, false)
 	h.now += 150 * ms // the two held ones become late
-	h.handle(Wake{})
+	h.handle(TimerFired{})
 	answered(0, false, false, false, false)
 	answered(1, false, false, true, false, false)
 	answered(1, false, true, true, false, false, false)
@@ -584,11 +584,11 @@
 // under a rush there were thousands, and each new request scanned them.
 func TestRefusedRequestsLeaveTheQueue(t *testing.T) {
 	s := testSettings(1, false, false, false)
-	s.Limits.Open = 9
+	s.Limits.MaxOpen = 9
 	h := newReadyHarness(t, s, 1)
 	for i := range 300 {
 		h.sendRequest(i % 2)
-		if held := h.d.heldCount(); held > s.Limits.Open {
+		if held := h.d.heldCount(); held > s.Limits.MaxOpen {
 			t.Fatalf("got %d held after %d requests", held, i+1)
 		}
 	}
@@ -597,7 +597,7 @@
 // TestOpenRequestsAreBounded checks that requests beyond the limit of open ones are refused at once.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	s := testSettings(1, false, false, false)
-	s.Limits.Open = 2
+	s.Limits.MaxOpen = 2
 	h := newReadyHarness(t, s, 1)
 	for i, want := range []bool{false, false, true} {
 		if _, req := h.sendRequest(0); req.answered != want {
@@ -615,7 +615,7 @@
 		h.handle(JobStarted{req.ID, 0})
 		for range 95 {
 			h.now += 8 * ms
-			h.handle(Wake{})
+			h.handle(TimerFired{})
 		}
 		if len(req.attempts) != want {
 			t.Errorf("class %d: got %d attempts, want %d", class, len(req.attempts), want)
--- a/decide/reconfigure.go
+++ b/decide/reconfigure.go
@@ -10,7 +10,9 @@
 // A change of settings: a dispatcher keeps what it has learned, and drops what depends on the earlier settings.
 
 // newRand returns the source of random numbers for the settings.
-func (s *Settings) newRand() *rand.Rand { return rand.New(rand.NewPCG(s.Seed, uint64(s.Dispatcher))) }
+func (s *Settings) newRand() *rand.Rand {
+	return rand.New(rand.NewPCG(s.Seed, uint64(s.DispatcherIndex)))
+}
 
 // dropOutdated drops what was computed from settings that the new ones change.
 func (d *Dispatcher) dropOutdated(s Settings) {
@@ -18,7 +20,7 @@
 		return
 	}
 	slices.Sort(d.queueOrder) // the order in which equal queues were added
-	if s.Seed != d.settings.Seed || s.Dispatcher != d.settings.Dispatcher {
+	if s.Seed != d.settings.Seed || s.DispatcherIndex != d.settings.DispatcherIndex {
 		d.rng = s.newRand()
 	}
 	if s.Limits.ConnIdle != d.settings.Limits.ConnIdle { // the buckets of idle times depend on it
@@ -55,12 +57,12 @@
 
 // coldSettings returns the settings that the turns of cold workers depend on.
 func (s *Settings) coldSettings() coldSettings {
-	return coldSettings{s.Rules.ColdFrom, s.Rules.FallMultiple, s.Rules.Cold, s.Rules.FallWindow, s.Dispatcher, s.Dispatchers, s.Leasing}
+	return coldSettings{s.Rules.ColdFrom, s.Rules.FallMultiple, s.Rules.Cold, s.Rules.FallWindow, s.DispatcherIndex, s.DispatcherCount, s.Leasing}
 }
 
-// SameJobs reports whether what was learned of the class's jobs holds for another definition of it. Worth,
+// SameWorkload reports whether what was learned of the class's jobs holds for another definition of it. Worth,
 // effect and window say nothing about the jobs.
-func (c Class) SameJobs(other Class) bool {
+func (c Class) SameWorkload(other Class) bool {
 	return c.Aim == other.Aim && c.Stretch == other.Stretch && c.Deadline == other.Deadline && c.Kind == other.Kind && c.Stream == other.Stream
 }
 
@@ -69,11 +71,11 @@
 func (d *Dispatcher) redefine(i int, to Class) *class {
 	c := &class{}
 	*c = *d.classes[i]
-	if !c.SameJobs(to) {
-		c.meanRun, c.meanLogRun, c.jobs, c.maxBudget, c.errors = 0, 0, 0, 0, tally{N: errorSamples}
+	if !c.SameWorkload(to) {
+		c.meanRun, c.meanLogRun, c.jobs, c.maxBudget, c.errors = 0, 0, 0, 0, tally{Count: errorSamples}
 		d.startDelays = average{} // start delays include the queueing behind those jobs
 		for _, w := range d.workers {
-			w.classErrors[i], w.refusals[i] = tally{N: 3}, refusal{}
+			w.classErrors[i], w.refusals[i] = tally{Count: 3}, refusal{}
 		}
 	}
 	return c
@@ -83,7 +85,7 @@
 func (d *Dispatcher) updateActiveClasses() {
 	d.activeClasses = d.activeClasses[:0]
 	for _, c := range d.classes {
-		if !c.Left {
+		if !c.Removed {
 			d.activeClasses = append(d.activeClasses, c)
 		}
 	}
--- a/decide/reservations.go
+++ b/decide/reservations.go
@@ -12,13 +12,13 @@
 )
 
 // setReservations replaces the reservations at a worker. Beyond the bound the earliest ones are kept.
-func (d *Dispatcher) setReservations(e Holds) {
+func (d *Dispatcher) setReservations(e WorkerReservations) {
 	w := d.workers[e.Worker]
 	if w == nil {
 		return // reservations are sent again once it is listed
 	}
-	w.reservations, w.reservableSlots = slices.Clone(e.Spans), e.Slots
-	slices.SortFunc(w.reservations, func(a, b Span) int { return int(a.From - b.From) })
+	w.reservations, w.reservableSlots = slices.Clone(e.Reservations), e.Slots
+	slices.SortFunc(w.reservations, func(a, b Reservation) int { return int(a.From - b.From) })
 	w.reservations = w.reservations[:min(len(w.reservations), maxReservations)]
 	d.mayHaveRoom = true
 }
@@ -26,7 +26,7 @@
 // blockedByReservations reports whether a request must not use a worker's slots, because they are reserved for
 // a time in which it might run.
 func (d *Dispatcher) blockedByReservations(r *request, w *worker) bool {
-	if len(w.reservations) == 0 || r.Held {
+	if len(w.reservations) == 0 || r.Reserved {
 		return false
 	}
 	end := r.deadline
--- a/decide/reserved_test.go
+++ b/decide/reserved_test.go
@@ -12,22 +12,22 @@
 	h := newReadyHarness(t, s, 1)
 	send := func(work time.Duration, held bool) bool {
 		req := h.newRequest(0, 10*time.Second)
-		req.Work, req.Held = work, held
+		req.Work, req.Reserved = work, held
 		sent := false
 		for _, a := range h.d.Handle(h.now, []Event{req.Request}) {
 			if a, ok := a.(Send); ok && a.Request == req.ID {
 				sent = true
-				h.d.Handle(h.now, []Event{AttemptEnded{Request: req.ID, Outcome: OK, Over: true}})
+				h.d.Handle(h.now, []Event{AttemptEnded{Request: req.ID, Outcome: OK, RequestEnded: true}})
 			}
 		}
-		h.d.Handle(h.now, []Event{RequestLapsed{req.ID}})
+		h.d.Handle(h.now, []Event{RequestCancelled{req.ID}})
 		return sent
 	}
 	if !send(time.Second, false) {
 		t.Fatal("request not sent without a reservation")
 	}
 	h.now += time.Second
-	h.d.Handle(h.now, []Event{Holds{Worker: 1, Slots: 8, Spans: []Span{{From: h.now + 500*time.Millisecond, Until: h.now + 3*time.Second, Slots: 8}}}})
+	h.d.Handle(h.now, []Event{WorkerReservations{Worker: 1, Slots: 8, Reservations: []Reservation{{From: h.now + 500*time.Millisecond, Until: h.now + 3*time.Second, Slots: 8}}}})
 	if !send(100*time.Millisecond, false) {
 		t.Error("job that ends before the reservation starts: not sent")
 	}
@@ -45,7 +45,7 @@
 	if !send(time.Second, false) {
 		t.Error("request not sent after the reservation ended")
 	}
-	h.d.Handle(h.now, []Event{Holds{Worker: 1, Slots: 8, Spans: []Span{{From: h.now, Until: h.now + time.Hour, Slots: 8}}}, Holds{Worker: 1}})
+	h.d.Handle(h.now, []Event{WorkerReservations{Worker: 1, Slots: 8, Reservations: []Reservation{{From: h.now, Until: h.now + time.Hour, Slots: 8}}}, WorkerReservations{Worker: 1}})
 	if !send(time.Second, false) {
 		t.Error("request not sent after the reservation was removed")
 	}
@@ -57,7 +57,7 @@
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	for n := range 3 {
 		req := h.newRequest(0, 10*time.Second)
-		req.Held, req.Order = true, []uint32{1}
+		req.Reserved, req.Candidates = true, []uint32{1}
 		sent := false
 		for _, a := range h.d.Handle(h.now, []Event{req.Request}) {
 			_, send := a.(Send)
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -15,9 +15,9 @@
 	_, earlier := h.sendRequest(0)
 	s.Classes = slices.Clone(s.Classes)
 	s.Classes[0].Effect = Unsafe // stricter than before
-	s.Classes[1].Left = true
+	s.Classes[1].Removed = true
 	s.Classes = append(s.Classes, Class{Aim: 50 * ms, Deadline: time.Second, Worth: 1, Effect: Safe, Kind: Any})
-	if err := h.d.Retune(s); err != nil {
+	if err := h.d.Reconfigure(s); err != nil {
 		t.Fatal(err)
 	}
 	h.s = s
@@ -37,8 +37,8 @@
 		t.Error("earlier request not repeated, want its class's old definition kept")
 	}
 	h.s = s
-	s.Limits.Attempts = 1
-	if err := h.d.Retune(s); err != nil {
+	s.Limits.MaxAttempts = 1
+	if err := h.d.Reconfigure(s); err != nil {
 		t.Fatal(err)
 	}
 	h.handle(h.endAttempt(fresh, 0, Reset, nil))
@@ -46,10 +46,10 @@
 		t.Error("got more attempts than the new limit")
 	}
 	s.Classes = s.Classes[:3]
-	if h.d.Retune(s) == nil {
+	if h.d.Reconfigure(s) == nil {
 		t.Error("settings with a class missing: got no error")
 	}
-	if s.Limits.Attempts = 0; h.d.Retune(s) == nil || h.d.settings.Limits.Attempts != 1 {
+	if s.Limits.MaxAttempts = 0; h.d.Reconfigure(s) == nil || h.d.settings.Limits.MaxAttempts != 1 {
 		t.Error("invalid settings are in effect or gave no error")
 	}
 }
@@ -58,12 +58,12 @@
 func withRemoved(s Settings, classes, tenants int) Settings {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	for i := range classes {
-		s.Classes[i].Left = true
+		s.Classes[i].Removed = true
 	}
 	for i := range tenants {
-		s.Tenants[i].Left = true
+		s.Tenants[i].Removed = true
 	}
-	s.First = classes
+	s.TimingClass = classes
 	return s
 }
 
@@ -84,25 +84,25 @@
 	for _, wk := range h.d.workers {
 		wk.refusals[2].Until, wk.refusals[3].Until = h.now+time.Minute, h.now+time.Minute
 	}
-	if err := h.d.Retune(withRemoved(s, 2, 1)); err != nil {
+	if err := h.d.Reconfigure(withRemoved(s, 2, 1)); err != nil {
 		t.Fatal(err)
 	}
 	removedFirst := withRemoved(s, 2, 1)
-	if removedFirst.First = 1; h.d.Retune(removedFirst) == nil {
+	if removedFirst.TimingClass = 1; h.d.Reconfigure(removedFirst) == nil {
 		t.Error("removed class as the first: got no error")
 	}
 	d := h.d
-	_, avoided := d.Fleet()
+	_, avoided := d.WorkerCounts()
 	for name, gotWant := range map[string][2]any{
 		"pace": {d.pace(), 200 * ms}, "longest deadline": {d.longestDeadline(), 4 * time.Second}, "longest run": {math.Round(1000 * d.longestMeanRun()), 300.0},
 		"agreed rate": {d.agreedRate(), 7.0}, "usual run": {d.meanTypicalRun(0) < 0.31, true}, "mean worth": {d.meanWorth(), 2.5}, "avoided": {avoided, 3},
-		"span of attempts": {d.budget.Span, 4 * time.Second},
+		"span of attempts": {d.budget.Window, 4 * time.Second},
 	} {
 		if gotWant[0] != gotWant[1] {
 			t.Errorf("%s: got %v, want %v", name, gotWant[0], gotWant[1])
 		}
 	}
-	h.handle(Wake{})
+	h.handle(TimerFired{})
 	if at := h.d.sortAfter - h.now; at != 200*ms {
 		t.Errorf("fleet sorted again after %v, want 200 ms", at)
 	}
@@ -120,18 +120,18 @@
 	sameJobs := s
 	sameJobs.Classes = slices.Clone(s.Classes)
 	sameJobs.Classes[0].Worth, sameJobs.Classes[0].Effect = 77, Unsafe
-	if err := h.d.Retune(sameJobs); err != nil || h.d.classes[0].jobs != 200 || h.d.classes[0].maxBudget != 10*time.Second {
+	if err := h.d.Reconfigure(sameJobs); err != nil || h.d.classes[0].jobs != 200 || h.d.classes[0].maxBudget != 10*time.Second {
 		t.Errorf("change of worth and effect: got learned run times reset or error %v", err)
 	}
 	h.d.workers[1].refusals[0], h.d.workers[1].classErrors[0] = refusal{3, h.now + time.Minute}, tally{8, 1}
 	otherJobs := s
 	otherJobs.Classes = slices.Clone(s.Classes)
 	otherJobs.Classes[0].Aim, otherJobs.Classes[0].Deadline = 300*ms, 6*time.Second
-	if err := h.d.Retune(otherJobs); err != nil {
+	if err := h.d.Reconfigure(otherJobs); err != nil {
 		t.Fatal(err)
 	}
 	h.s = otherJobs
-	if c := h.d.classes[0]; c.meanRun != 0 || c.jobs != 0 || h.d.workers[1].refusals[0].N != 0 || h.d.workers[1].classErrors[0].Share != 0 {
+	if c := h.d.classes[0]; c.meanRun != 0 || c.jobs != 0 || h.d.workers[1].refusals[0].Doublings != 0 || h.d.workers[1].classErrors[0].Share != 0 {
 		t.Error("got what was learned of the old jobs, want it reset")
 	}
 	req := h.newRequest(0, 6*time.Second)
@@ -148,7 +148,7 @@
 	h.handle(ListFull{})
 	req := h.newRequest(0, time.Second)
 	h.handle(req.Request)
-	if err := h.d.Retune(withRemoved(h.s, 1, 0)); err != nil {
+	if err := h.d.Reconfigure(withRemoved(h.s, 1, 0)); err != nil {
 		t.Fatal(err)
 	}
 	h.now += time.Millisecond
@@ -166,7 +166,7 @@
 // failures at idle ages measured in parts of the old idle time.
 func TestStateDerivedFromOldSettingsIsReset(t *testing.T) {
 	s := testSettings(1, true, false, false)
-	s.Dispatchers, s.Limits.ConnIdle, s.Limits.ConnectTimeout = 400, 64*time.Second, 2*time.Second
+	s.DispatcherCount, s.Limits.ConnIdle, s.Limits.ConnectTimeout = 400, 64*time.Second, 2*time.Second
 	h := newHarness(t, s)
 	h.list[1] = Worker{ID: 1, State: Ready, Started: h.now - time.Second}
 	h.handle(ListFull{Workers: []Worker{h.list[1]}})
@@ -174,24 +174,24 @@
 	h.d.idleFailures[4], h.d.connSetups, h.d.maxBatchDelay = tally{6, 1}, [4]time.Duration{time.Second, time.Second, time.Second, time.Second}, time.Minute
 	otherPrice := s
 	otherPrice.Prices.Waste = 0.5
-	if err := h.d.Retune(otherPrice); err != nil || h.d.workers[1].nextColdSend == 0 || h.d.idleFailures[4].N == 0 {
+	if err := h.d.Reconfigure(otherPrice); err != nil || h.d.workers[1].nextColdSend == 0 || h.d.idleFailures[4].Count == 0 {
 		t.Errorf("change of a price: got state reset or error %v", err)
 	}
 	h.d.queueOrder[0], h.d.queueOrder[3] = h.d.queueOrder[3], h.d.queueOrder[0]
 	next := s
-	next.Dispatchers, next.Limits.ConnIdle, next.Limits.ConnectTimeout, next.Rules.FallWindow = 1, 4*time.Second, 50*ms, 500*ms
-	if err := h.d.Retune(next); err != nil {
+	next.DispatcherCount, next.Limits.ConnIdle, next.Limits.ConnectTimeout, next.Rules.FallWindow = 1, 4*time.Second, 50*ms, 500*ms
+	if err := h.d.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
-	if d := h.d; d.workers[1].nextColdSend != 0 || d.idleFailures[4].N != 0 || d.connSetup() != 50*ms || d.maxBatchDelay != 500*ms || !slices.IsSorted(d.queueOrder) {
+	if d := h.d; d.workers[1].nextColdSend != 0 || d.idleFailures[4].Count != 0 || d.connSetup() != 50*ms || d.maxBatchDelay != 500*ms || !slices.IsSorted(d.queueOrder) {
 		t.Errorf("got turn %v, idle ages %v, set-up time %v, stall %v; want them reset or bounded", d.workers[1].nextColdSend, d.idleFailures, d.connSetup(), d.maxBatchDelay)
 	}
 	warm := next
 	warm.Rules.Cold = 0
-	if err := h.d.Retune(warm); err != nil || len(h.d.firstJobQueue) != 0 {
+	if err := h.d.Reconfigure(warm); err != nil || len(h.d.firstJobQueue) != 0 {
 		t.Errorf("got %d workers due a first job where none is cold, error %v", len(h.d.firstJobQueue), err)
 	}
-	if err := h.d.Retune(next); err != nil || len(h.d.firstJobQueue) != 1 {
+	if err := h.d.Reconfigure(next); err != nil || len(h.d.firstJobQueue) != 1 {
 		t.Errorf("got %d workers due a first job, want 1, error %v", len(h.d.firstJobQueue), err)
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -14,31 +14,31 @@
 // slots, and whether dispatchers exchange messages.
 func testSettings(seed uint64, starts, reports, peers bool) Settings {
 	return Settings{
-		Dispatchers: 2, Seed: seed, Granularity: 2 * ms,
+		DispatcherCount: 2, Seed: seed, Granularity: 2 * ms,
 		Classes: []Class{
 			{Aim: 100 * ms, Stretch: 1.5, Deadline: time.Second, Worth: 5, Effect: Safe, Kind: Any, LateWorth: 0.2},
 			{Aim: 100 * ms, Stretch: 2, Deadline: time.Second, Worth: 9, Effect: Keyed, Scope: ScopeZone,
-				Window: 300 * ms, Kind: Any},
-			{Aim: 150 * ms, Stretch: 2, Deadline: time.Second, Worth: 10, Effect: Unsafe, Window: time.Minute,
+				DedupWindow: 300 * ms, Kind: Any},
+			{Aim: 150 * ms, Stretch: 2, Deadline: time.Second, Worth: 10, Effect: Unsafe, DedupWindow: time.Minute,
 				Kind: Any},
 		},
-		Limits: Limits{Attempts: 3, Open: 1000, Cancel: true, SecondCopies: true, RetryAfter: true,
+		Limits: Limits{MaxAttempts: 3, MaxOpen: 1000, Cancel: true, ParallelAttempts: true, RetryAfter: true,
 			PeerMessages: peers, MaxRetryAfter: time.Second},
 		Rules: Rules{AnswerSlack: 8 * ms, DrainGrace: 100 * ms, ColdFrom: 0.3, Cold: 5 * time.Second,
 			FallMultiple: 3, FallWindow: time.Second, MustAskIn: 10 * time.Second},
-		Subscribe: true, TellsStart: starts, ReportsFree: reports, Progress: 500 * ms,
+		Subscribe: true, ReportsStart: starts, ReportsFreeSlots: reports, ProgressInterval: 500 * ms,
 	}
 }
 
 // varyRules varies the rules by seed: in every second group of four seeds a worker's absence from the list is only
 // advice, every third seed allows two attempts, and every second group of eight bounds further attempts.
 func varyRules(s Settings) Settings {
-	s.Rules.GoneIsAdvice = s.Seed/4%2 == 1
+	s.Rules.GoneIsAdvisory = s.Seed/4%2 == 1
 	if s.Seed%3 == 0 { // a low limit on attempts
-		s.Limits.Attempts = 2
+		s.Limits.MaxAttempts = 2
 	}
 	if s.Seed/8%2 == 1 {
-		s.Rules.Budget = &AttemptBudget{Spare: 1, PerRequest: 0.3, Span: 500 * ms}
+		s.Rules.Budget = &AttemptBudget{Spare: 1, PerRequest: 0.3, Window: 500 * ms}
 	}
 	return s
 }
@@ -102,7 +102,7 @@
 func (h *harness) checkAction(a Action) {
 	h.t.Helper()
 	switch a := a.(type) {
-	case WakeMe:
+	case SetTimer:
 		h.timers = append(h.timers, h.now+max(a.After, h.s.Granularity))
 	case Send:
 		h.checkSend(a)
@@ -131,22 +131,22 @@
 	if req.answered || h.now >= req.due {
 		h.t.Fatalf("rule 1: request %d sent after its answer or deadline", a.Request)
 	}
-	if to.State == Draining || h.drained[a.Worker] == to.Started+1 || to.State == Gone && !h.s.Rules.GoneIsAdvice {
+	if to.State == Draining || h.drained[a.Worker] == to.Started+1 || to.State == Gone && !h.s.Rules.GoneIsAdvisory {
 		h.t.Fatalf("rule 3: request %d sent to worker %d in state %d", a.Request, a.Worker, to.State)
 	}
 	if h.cordoned[a.Worker] {
 		h.t.Fatalf("request %d sent to worker %d, which is cordoned", a.Request, a.Worker)
 	}
-	if req.sent() >= h.s.Limits.Attempts {
+	if req.sent() >= h.s.Limits.MaxAttempts {
 		h.t.Fatalf("request %d: more attempts than allowed", a.Request)
 	}
 	for i, att := range req.attempts {
-		if !att.over && !h.s.Limits.SecondCopies {
+		if !att.over && !h.s.Limits.ParallelAttempts {
 			h.t.Fatalf("request %d: second copy, which the settings do not allow", a.Request)
 		}
 		risky := !(att.over && att.neverRan)
 		if risky && c.Effect == Unsafe ||
-			risky && c.Effect == Keyed && (h.now-att.sent >= c.Window || att.worker.Zone != to.Zone) {
+			risky && c.Effect == Keyed && (h.now-att.sent >= c.DedupWindow || att.worker.Zone != to.Zone) {
 			h.t.Fatalf("rule 2: request %d repeated though attempt %d may have run", a.Request, i)
 		}
 	}
@@ -160,7 +160,7 @@
 				recent++
 			}
 		}
-		budget := h.s.Rules.FallMultiple * 4 * h.s.Rules.FallWindow.Seconds() / float64(h.s.Dispatchers) / 0.05
+		budget := h.s.Rules.FallMultiple * 4 * h.s.Rules.FallWindow.Seconds() / float64(h.s.DispatcherCount) / 0.05
 		if float64(recent) > budget {
 			h.t.Fatalf("rule 4: %d jobs sent to cold worker %d in one window", recent, a.Worker)
 		}
@@ -191,12 +191,12 @@
 	}
 	further, requests := 0, 0
 	for _, att := range h.extraAttempts {
-		if h.now-att.sent <= b.Span && !att.unsent {
+		if h.now-att.sent <= b.Window && !att.unsent {
 			further++
 		}
 	}
 	for _, at := range h.arrivals {
-		if h.now-at < b.Span {
+		if h.now-at < b.Window {
 			requests++
 		}
 	}
@@ -227,7 +227,7 @@
 // endAttempt records the outcome of attempt n and returns its event.
 func (h *harness) endAttempt(req *testRequest, n int, o Outcome, r *Report) AttemptEnded {
 	att := req.attempts[n]
-	att.over, att.neverRan, att.unsent = true, o.NeverRan(), o == Moot
+	att.over, att.neverRan, att.unsent = true, o.NeverRan(), o == NotSent
 	if o == OK && !req.answered {
 		req.answered = true
 		return AttemptEnded{req.ID, n, o, true, r, 0}
@@ -241,7 +241,7 @@
 	var events []Event
 	for len(h.timers) > 0 && h.timers[0] <= h.now {
 		h.timers = h.timers[1:]
-		events = append(events, Wake{})
+		events = append(events, TimerFired{})
 	}
 	if h.rng.Float64() < 0.01 {
 		events = append(events, h.randomListChange())
@@ -258,9 +258,9 @@
 			if h.now >= req.due {
 				events = append(events, h.endAttempt(req, n, TimedOut, nil))
 			} else if p := h.rng.Float64(); p < 0.03 {
-				o := []Outcome{OK, OK, OK, Errored, Full, ConnectFailed, Reset, Cancelled, Moot}[h.rng.IntN(9)]
+				o := []Outcome{OK, OK, OK, Errored, Full, ConnectFailed, Reset, Cancelled, NotSent}[h.rng.IntN(9)]
 				var r *Report
-				if h.s.ReportsFree {
+				if h.s.ReportsFreeSlots {
 					r = &Report{Active: -1, Waiting: 0, FreeSlots: float64(h.rng.IntN(3)), FreeMemory: -1}
 				}
 				events = append(events, h.endAttempt(req, n, o, r))
@@ -295,7 +295,7 @@
 		h.drained[id] = l.Started + 1
 	}
 	h.list[id] = l
-	if h.s.Rules.GoneIsAdvice && h.rng.Float64() < 0.2 {
+	if h.s.Rules.GoneIsAdvisory && h.rng.Float64() < 0.2 {
 		return ListFull{Workers: []Worker{l}} // omits the other workers
 	}
 	return ListDelta{Workers: []Worker{l}}
@@ -369,7 +369,7 @@
 		out += fmt.Sprint(h.handle(ListFull{Workers: []Worker{h.list[1], h.list[2]}, Cached: true}))
 		for i := range 40 {
 			h.now += 5 * ms
-			out += fmt.Sprint(h.handle(Wake{}, h.newRequest(i%3, time.Second).Request))
+			out += fmt.Sprint(h.handle(TimerFired{}, h.newRequest(i%3, time.Second).Request))
 		}
 		return out
 	}
--- a/decide/memory_test.go
+++ b/decide/snapshot_test.go
@@ -9,11 +9,11 @@
 // handOver replaces the dispatcher by a new process that receives the old one's memory as JSON.
 func (h *harness) handOver() {
 	h.t.Helper()
-	text, err := json.Marshal(h.d.Memory())
+	text, err := json.Marshal(h.d.Snapshot())
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	var m Memory
+	var m Snapshot
 	if err := json.Unmarshal(text, &m); err != nil {
 		h.t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 		h.handle(Cordon{Worker: id, Out: out})
 	}
 	h.handle(ListFull{Workers: lines, Cached: true})
-	h.handle(Relieve{Memory: m})
+	h.handle(Restore{Snapshot: m})
 }
 
 // TestRulesHoldAcrossHandovers checks that all rules hold for a sequence of processes as for one, and that no request
@@ -40,7 +40,7 @@
 func TestRulesHoldAcrossHandovers(t *testing.T) {
 	for seed := range uint64(24) {
 		s := varyRules(testSettings(seed, seed&1 != 0, seed&2 != 0, false))
-		s.Rules.GoneIsAdvice = false
+		s.Rules.GoneIsAdvisory = false
 		playRandomEventsWith(t, s, 1500, func(h *harness, i int) {
 			if i%97 == 96 {
 				h.handOver()
--- a/decide/state.go
+++ b/decide/state.go
@@ -67,8 +67,8 @@
 	rank                          float64 // sort key in blocks; the lowest goes first
 	isFull                        bool    // no request finds room here, as of batch fullInBatch
 	fullInBatch                   int
-	reservations                  []Span  // by gangs
-	reservableSlots               float64 // the worker's slots, as given with the reservations
+	reservations                  []Reservation // by gangs
+	reservableSlots               float64       // the worker's slots, as given with the reservations
 	// Connections as predicted here: in use by attempts, open, and when one was last freed.
 	connsInUse, conns int
 	connFreedAt       time.Duration
@@ -76,8 +76,8 @@
 
 // refusal bars a class from a worker that has refused a job of it.
 type refusal struct {
-	N     int           `json:"N"` // doublings of the backoff
-	Until time.Duration `json:"Until"`
+	Doublings int           `json:"N"` // doublings of the backoff
+	Until     time.Duration `json:"Until"`
 }
 
 // attempt is one sending of a request to a worker.
@@ -123,7 +123,7 @@
 	held  bool
 }
 
-func (r *request) placementKey() placementKey { return placementKey{r.queue, r.Key, r.Held} }
+func (r *request) placementKey() placementKey { return placementKey{r.queue, r.Key, r.Reserved} }
 
 // unplaced describes a request for which no worker was valid in this round.
 type unplaced struct {
@@ -234,7 +234,7 @@
 	i := slices.IndexFunc(d.zones, func(z *zoneStat) bool { return z.id == id })
 	if i < 0 {
 		i = len(d.zones)
-		d.zones = append(d.zones, &zoneStat{id: id, poorAttempts: tally{N: zoneSamples}})
+		d.zones = append(d.zones, &zoneStat{id: id, poorAttempts: tally{Count: zoneSamples}})
 	}
 	return d.zones[i]
 }
@@ -347,9 +347,9 @@
 func (d *Dispatcher) addWorker(l Worker) *worker {
 	l.State = Ready
 	w := &worker{
-		Worker: l, ceiling: initialCeiling, zone: d.zone(l.Zone), peerLoad: d.peerSum(l.ID), lateStarts: tally{N: 2}, errors: tally{N: 3},
+		Worker: l, ceiling: initialCeiling, zone: d.zone(l.Zone), peerLoad: d.peerSum(l.ID), lateStarts: tally{Count: 2}, errors: tally{Count: 3},
 		cordoned:    d.cordons[l.ID],
-		classErrors: slices.Repeat([]tally{{N: 3}}, len(d.classes)), refusals: make([]refusal, len(d.classes)),
+		classErrors: slices.Repeat([]tally{{Count: 3}}, len(d.classes)), refusals: make([]refusal, len(d.classes)),
 	}
 	if d.workers[l.ID] = w; d.preferWhileCold(w) {
 		d.queueFirstJob(w)
@@ -495,7 +495,7 @@
 
 // confirmWithin returns how long an attempt of the request may go without its worker's confirmation.
 func (r *request) confirmWithin() time.Duration {
-	if r.Patient {
+	if r.UntilDeadline {
 		return confirmDeadlineFactor * r.class.Aim / confirmAimParts
 	}
 	return r.class.Aim / confirmAimParts
@@ -508,9 +508,9 @@
 	return max(1, w.learnedSize, d.kind(w.Kind).Slots, d.agreedRate()*d.meanTypicalRun(sizePriorJobs)/float64(max(1, d.maxReady)))
 }
 
-// Fleet returns how many workers are listed, and how many of those are avoided now: not ready, not trusted, or
+// WorkerCounts returns how many workers are listed, and how many of those are avoided now: not ready, not trusted, or
 // barred for every class.
-func (d *Dispatcher) Fleet() (listed, avoided int) {
+func (d *Dispatcher) WorkerCounts() (listed, avoided int) {
 	for _, w := range d.workers {
 		if w.unlisted || w.State == Gone {
 			continue
@@ -518,7 +518,7 @@
 		listed++
 		barred := true
 		for i, c := range d.classes {
-			barred = barred && (c.Left || w.refusals[i].Until > d.now)
+			barred = barred && (c.Removed || w.refusals[i].Until > d.now)
 		}
 		if !w.ready() || w.failures > 0 || barred {
 			avoided++
--- a/decide/subscribe.go
+++ b/decide/subscribe.go
@@ -26,18 +26,18 @@
 // service is usually down: at an even pace above its capacity it would fail all calls for ever. A few
 // dispatchers overload no service.
 func (d *Dispatcher) scheduleSubscribe(failed ListFailed) {
-	if failed.After > 0 { // the call may have been made by the discovery client
-		d.subscribedAt = d.now - failed.After
+	if failed.Elapsed > 0 { // the call may have been made by the discovery client
+		d.subscribedAt = d.now - failed.Elapsed
 	}
 	within := d.settings.Rules.MustAskIn
-	spread := min(time.Duration(d.settings.Dispatchers)*firstCallSpacing, time.Duration(maxFirstSpread*float64(within)))
-	few, unreachable := spread < within/fewSpreadParts/4, failed.Nobody || d.now-d.subscribedAt < within/unreachableParts
+	spread := min(time.Duration(d.settings.DispatcherCount)*firstCallSpacing, time.Duration(maxFirstSpread*float64(within)))
+	few, unreachable := spread < within/fewSpreadParts/4, failed.Unreachable || d.now-d.subscribedAt < within/unreachableParts
 	if d.now-d.subscribedAt >= within { // no call takes this long: a watch has ended
 		d.subscribeFailures = 0
 	}
 	var delay time.Duration
 	switch {
-	case d.settings.Pushed: // the call goes to a local agent and loads no service
+	case d.settings.ListPushed: // the call goes to a local agent and loads no service
 		delay = d.backoff(d.settings.Rules.DrainGrace/16, 1)
 	case d.subscribeFailures == 0:
 		delay = time.Duration(d.rng.Float64() * float64(spread))
--- a/decide/validate.go
+++ b/decide/validate.go
@@ -8,11 +8,11 @@
 
 // check returns an error for invalid settings.
 func (s Settings) check() error {
-	if len(s.Classes) == 0 || s.Dispatchers < 1 || s.Limits.Attempts < 1 {
+	if len(s.Classes) == 0 || s.DispatcherCount < 1 || s.Limits.MaxAttempts < 1 {
 		return errors.New("settings need at least one class, one dispatcher and one attempt")
 	}
-	if s.First < 0 || s.First >= len(s.Classes) || s.Classes[s.First].Left {
-		return fmt.Errorf("first class %d is not one of the %d classes in use", s.First, len(s.Classes))
+	if s.TimingClass < 0 || s.TimingClass >= len(s.Classes) || s.Classes[s.TimingClass].Removed {
+		return fmt.Errorf("first class %d is not one of the %d classes in use", s.TimingClass, len(s.Classes))
 	}
 	if len(s.Policies) != len(s.Classes) {
 		return fmt.Errorf("%d policies for %d classes", len(s.Policies), len(s.Classes))
@@ -22,7 +22,7 @@
 			return fmt.Errorf("policy of class %d: %w", i, err)
 		}
 	}
-	if l := s.Leasing; l.On && (!(l.Share > 0 && l.Share <= 1) || l.Turn >= max(1, l.Turns)) {
+	if l := s.Leasing; l.Enabled && (!(l.Share > 0 && l.Share <= 1) || l.Turn >= max(1, l.Turns)) {
 		return fmt.Errorf("leasing: turn %d of %d, share %v", l.Turn, l.Turns, l.Share)
 	}
 	if s.Rules.Budget != nil {
@@ -70,8 +70,8 @@
 			return fmt.Errorf("attempt budget: %v is no number of attempts", v)
 		}
 	}
-	if b.Span <= 0 {
-		return fmt.Errorf("attempt budget: window of %v", b.Span)
+	if b.Window <= 0 {
+		return fmt.Errorf("attempt budget: window of %v", b.Window)
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -208,8 +208,8 @@
 
 // checkSettings refuses what no dispatcher can go by.
 func checkSettings(s decide.Settings, n wire.Names) error {
-	if s.Limits.Attempts < 1 {
-		return fmt.Errorf("settings.Permissions.AttemptsCap: %d is no number of attempts", s.Limits.Attempts)
+	if s.Limits.MaxAttempts < 1 {
+		return fmt.Errorf("settings.Permissions.AttemptsCap: %d is no number of attempts", s.Limits.MaxAttempts)
 	}
 	if len(s.Classes) == 0 {
 		return errors.New("settings.RequestClasses: missing")
--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -26,26 +26,26 @@
 			l.refuseRequest(a)
 		case decide.FailRequest:
 			l.failRequest(a)
-		case decide.WakeMe:
+		case decide.SetTimer:
 			due := now.Add(a.After)
 			l.timers.At(due, func() {
 				l.timerLag.observe(due, time.Now())
-				l.queueEvent(decide.Wake{Token: a.Token})
+				l.queueEvent(decide.TimerFired{Token: a.Token})
 			})
 		case decide.Probe:
 			l.Books.Probes.Add(1)
 			l.fleet.Probe(l.instanceIDs[a.Worker])
-		case decide.Release:
+		case decide.CloseIdle:
 			l.fleet.Release(l.instanceIDs[a.Worker])
 		case decide.Subscribe:
 			l.discovery.Subscribe()
-		case decide.WantLease:
+		case decide.RequestLease:
 			if l.leaser != nil {
 				l.leaser.Want(l.instanceIDs[a.Worker], int64(a.Started/time.Microsecond), a.Work)
 			}
 		case decide.Log:
 			l.log.Info(l.withInstanceIDs(a.Text), "from", "decide")
-		case decide.TellPeers: // dispatchers have no connection to each other here
+		case decide.SendToPeers: // dispatchers have no connection to each other here
 		}
 	}
 }
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -24,7 +24,7 @@
 		return
 	}
 	class := indexOrLen(l.allNames.Classes, c.Class)
-	unknown := class == len(l.allNames.Classes) || l.settings.Classes[class].Left
+	unknown := class == len(l.allNames.Classes) || l.settings.Classes[class].Removed
 	if l.byID[c.ID] != nil || unknown {
 		l.Books.pending.Add(-1)
 		l.Books.countAnswer(class, Unusable)
@@ -39,7 +39,7 @@
 	}
 	l.queueEvent(decide.Request{
 		ID: p.request, Class: class, Tenant: indexOrLen(l.allNames.Tenants, c.Tenant), Key: c.Key, Budget: max(0, time.Until(c.Deadline)),
-		Work: c.Work, Slots: c.Slots, Memory: c.Memory, Repeat: c.Repeat, Order: candidates, Held: c.Held, Patient: c.Patient, Gated: c.Gate != nil,
+		Work: c.Work, Slots: c.Slots, Memory: c.Memory, Retry: c.Repeat, Candidates: candidates, Reserved: c.Held, UntilDeadline: c.Patient, Gated: c.Gate != nil,
 	})
 }
 
@@ -66,7 +66,7 @@
 			if r, ok := p.Client.(Repeater); len(p.attempts) == 0 || ok && r.Repeats() {
 				v = Refused
 			}
-			l.queueEvent(decide.RequestLapsed{Request: r})
+			l.queueEvent(decide.RequestCancelled{Request: r})
 			l.answer(p, Answer{Verdict: v})
 		}
 	})
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -19,7 +19,7 @@
 	listed, skipped                        atomic.Int64 // instances, as the decision module counts them
 	pending                                atomic.Int64 // commands received and not yet answered
 	answers                                [numVerdicts]atomic.Int64
-	outcomes                               [decide.Moot + 1]atomic.Int64
+	outcomes                               [decide.NotSent + 1]atomic.Int64
 	connEnds, connEndsAtShutdown           [numConnEnds]atomic.Int64 // ends of client connections: all, and those during shutdown
 	refusedAtShutdown                      atomic.Int64              // commands refused without a decision because the process was shutting down
 
@@ -136,7 +136,7 @@
 
 var outcomeNames = [...]string{
 	decide.OK: "ok", decide.Errored: "errored", decide.Full: "full", decide.TimedOut: "timed_out",
-	decide.ConnectFailed: "connect_failed", decide.Reset: "reset", decide.Cancelled: "cancelled", decide.Moot: "moot",
+	decide.ConnectFailed: "connect_failed", decide.Reset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "moot",
 }
 
 // internalCounters returns all other counters.
@@ -181,7 +181,7 @@
 
 // sampleFleet updates the instance counts now and at every interval.
 func (l *Loop) sampleFleet() {
-	listed, skipped := l.mod.Fleet()
+	listed, skipped := l.mod.WorkerCounts()
 	l.Books.listed.Store(int64(listed))
 	l.Books.skipped.Store(int64(skipped))
 	l.timers.At(time.Now().Add(fleetSampleInterval), l.sampleFleet)
--- a/internal/dispatch/disconnect_test.go
+++ b/internal/dispatch/disconnect_test.go
@@ -33,7 +33,7 @@
 		require.False(t, f.sent[0].Expired(time.Now()))
 		l.Lapse(f.sent[0].Command)
 		require.True(t, f.sent[0].Expired(time.Now()))
-		l.Ended(f.sent[0], decide.Moot, 0)
+		l.Ended(f.sent[0], decide.NotSent, 0)
 		requireCancelledOnce(t, l, c)
 	})
 	t.Run("between two attempts", func(t *testing.T) {
@@ -91,7 +91,7 @@
 	l.LapseElsewhere("c1")
 	require.True(t, (&Attempt{Command: &cmd.Command}).Expired(time.Now()))
 	require.False(t, f.sent[0].Expired(time.Now()), "the older process has its own flag")
-	l.Became(Fate{ID: "c1", Outcome: decide.Moot})
+	l.Became(Fate{ID: "c1", Outcome: decide.NotSent})
 	requireCancelledOnce(t, l, c2)
 	_, kept := l.takenOver.Load("c1")
 	require.False(t, kept)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -57,7 +57,7 @@
 
 func newTestLoop(t *testing.T, f *fleet) *Loop {
 	l, err := New(decide.Settings{
-		Dispatchers: 1, Granularity: time.Millisecond, Limits: decide.Limits{Attempts: 3, Cancel: true},
+		DispatcherCount: 1, Granularity: time.Millisecond, Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
 		Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any}},
 		Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, MustAskIn: time.Second},
 	}, wire.Names{Classes: []string{"safe"}}, f, f, f, slog.New(slog.DiscardHandler))
@@ -86,7 +86,7 @@
 	l.cancelAttempt(decide.Cancel{Request: s.Request})
 	l.startAttempt(s, time.Now())
 	require.Len(t, f.sent, 1)
-	require.EqualValues(t, 1, l.Books.outcomes[decide.Moot].Load())
+	require.EqualValues(t, 1, l.Books.outcomes[decide.NotSent].Load())
 	f.sent[0].Confirmed()
 	l.startAttempt(s, time.Now())
 	require.Len(t, f.sent, 2)
@@ -142,7 +142,7 @@
 		l, f, _ := loopWithCommand(t)
 		s := l.settings
 		s.Limits.Cancel = false
-		require.NoError(t, l.mod.Retune(s))
+		require.NoError(t, l.mod.Reconfigure(s))
 		require.False(t, f.sent[0].Expired(time.Now()), name)
 		finish(l, f.sent[0])
 		l.runBatch()
@@ -286,9 +286,9 @@
 		require.Contains(t, l.Books.Figures(), "proxy."+counter+"\n")
 	}
 	s := l.settings
-	s.Limits.Attempts = 0
+	s.Limits.MaxAttempts = 0
 	require.Error(t, l.reconfigure(l.mapSettings(s, l.allNames)))
-	require.Equal(t, 3, l.settings.Limits.Attempts, "rejected settings must not apply")
+	require.Equal(t, 3, l.settings.Limits.MaxAttempts, "rejected settings must not apply")
 }
 
 // Names that are not in the settings get an index past all that are.
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -69,11 +69,11 @@
 		}
 		if a.Command.clientGone.Load() { // the disconnect message is still queued
 			l.cancelCommand(l.byRequest[a.request])
-			l.endAttempt(a, decide.Moot)
+			l.endAttempt(a, decide.NotSent)
 			return
 		}
 		a.gateState, a.permitted = gatePassed, permitted
-		l.queueEvent(decide.Passed{Request: a.request, Attempt: a.N})
+		l.queueEvent(decide.AttemptSent{Request: a.request, Attempt: a.N})
 		l.fleet.Send(a)
 	})
 }
@@ -82,7 +82,7 @@
 func (l *Loop) Deny(a *Attempt) {
 	l.post(func(l *Loop) {
 		if !l.handedOver && !a.ended && a.gateState == gateWaiting {
-			l.endAttempt(a, decide.Moot)
+			l.endAttempt(a, decide.NotSent)
 		}
 	})
 }
@@ -91,7 +91,7 @@
 // decision module: an attempt that was never sent says nothing about an instance.
 func (l *Loop) settleGate(a *Attempt, o decide.Outcome) decide.Outcome {
 	if a.gateState == gateWaiting {
-		o = decide.Moot
+		o = decide.NotSent
 	}
 	if a.gateState != gateNone && o.NeverRan() {
 		a.Command.Gate.Never(a)
@@ -137,6 +137,6 @@
 				l.endAttempt(a, decide.Cancelled)
 			}
 		}
-		l.queueEvent(decide.RequestLapsed{Request: p.request})
+		l.queueEvent(decide.RequestCancelled{Request: p.request})
 	})
 }
--- a/internal/dispatch/gate_test.go
+++ b/internal/dispatch/gate_test.go
@@ -43,7 +43,7 @@
 	l.Pass(g.requested[0], func() bool { return false })
 	l.runBatch()
 	require.True(t, f.sent[0].Expired(time.Now()), "the sender must check the permission again")
-	l.Ended(f.sent[0], decide.Moot, 0)
+	l.Ended(f.sent[0], decide.NotSent, 0)
 	l.runBatch()
 	require.Equal(t, f.sent, g.neverRan)
 }
@@ -55,8 +55,8 @@
 	a := g.requested[0]
 	l.Pass(a, func() bool { return true })
 	(<-l.inbox)(l)
-	require.Equal(t, []decide.Event{decide.Passed{Request: a.request, Attempt: 0}}, l.events)
-	require.True(t, l.mod.Memory().Requests[0].Gated)
+	require.Equal(t, []decide.Event{decide.AttemptSent{Request: a.request, Attempt: 0}}, l.events)
+	require.True(t, l.mod.Snapshot().Requests[0].Gated)
 }
 
 // A command that the decision module fails as too late is refused while all of its attempts wait at the gate: it
@@ -133,7 +133,7 @@
 func TestGateIsNotifiedOfAbandonedAttemptThatNeverRan(t *testing.T) {
 	abandon := func(l *Loop, a *Attempt) { l.Abandon(a.Command) }
 	cancel := func(l *Loop, a *Attempt) { l.cancelAttempt(decide.Cancel{Request: a.request}) }
-	for o, notified := range map[decide.Outcome]bool{decide.Moot: true, decide.Full: true, decide.ConnectFailed: true, decide.Reset: false, decide.Errored: false, decide.TimedOut: false} {
+	for o, notified := range map[decide.Outcome]bool{decide.NotSent: true, decide.Full: true, decide.ConnectFailed: true, decide.Reset: false, decide.Errored: false, decide.TimedOut: false} {
 		for _, end := range []func(*Loop, *Attempt){abandon, cancel, (*Loop).expireAttempt} {
 			l, f, c, g := loopWithGatedCommand(t)
 			l.Pass(g.requested[0], func() bool { return true })
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -52,7 +52,7 @@
 
 // Handed is the state that one loop hands over to another.
 type Handed struct {
-	Module   decide.Memory     `json:"Module"`
+	Module   decide.Snapshot   `json:"Module"`
 	Numbers  map[uint32]string `json:"Numbers"` // instance IDs by the decision module's worker IDs
 	Commands []*HandedCommand  `json:"-"`       // each is sent as a separate message
 	Names    wire.Names        `json:"Names"`
@@ -62,9 +62,9 @@
 // HandedCommand is a command that is handed over.
 type HandedCommand struct {
 	Command
-	Payload  json.RawMessage      `json:"Payload"`
-	Memory   decide.RequestMemory `json:"Memory"` // of the decision module; not contained in Handed.Module
-	Attempts []HandedAttempt      `json:"Attempts"`
+	Payload  json.RawMessage        `json:"Payload"`
+	Memory   decide.RequestSnapshot `json:"Memory"` // of the decision module; not contained in Handed.Module
+	Attempts []HandedAttempt        `json:"Attempts"`
 }
 
 // HandedAttempt is one attempt of a command that is handed over.
@@ -83,7 +83,7 @@
 		for len(l.events) > 0 {
 			l.handleEvents()
 		}
-		state := Handed{Module: l.mod.Memory(), Numbers: l.instanceIDs, Names: l.allNames, Classes: l.settings.Classes}
+		state := Handed{Module: l.mod.Snapshot(), Numbers: l.instanceIDs, Names: l.allNames, Classes: l.settings.Classes}
 		for _, r := range state.Module.Requests {
 			if p := l.byRequest[r.ID]; p != nil && !p.answered && p.Gate == nil && !p.Held { // other clients have no connection that could be passed on
 				state.Commands = append(state.Commands, p.export(r))
@@ -111,7 +111,7 @@
 	})
 }
 
-func (p *pendingCommand) export(r decide.RequestMemory) *HandedCommand {
+func (p *pendingCommand) export(r decide.RequestSnapshot) *HandedCommand {
 	payload, _ := json.Marshal(p.Payload) // plain data: encoding cannot fail
 	c := &HandedCommand{Command: p.encodableCopy(), Payload: payload, Memory: r}
 	for _, a := range p.attempts {
@@ -123,7 +123,7 @@
 // Learned passes the learned state to a function, for a persistent snapshot. The function must not block.
 func (l *Loop) Learned(save func(Handed)) {
 	l.post(func(l *Loop) {
-		state := Handed{Module: l.mod.Memory().Advice(), Numbers: maps.Clone(l.instanceIDs), Names: l.allNames, Classes: l.settings.Classes}
+		state := Handed{Module: l.mod.Snapshot().LongLived(), Numbers: maps.Clone(l.instanceIDs), Names: l.allNames, Classes: l.settings.Classes}
 		save(state)
 	})
 }
@@ -136,20 +136,20 @@
 		for i, name := range state.Names.Classes {
 			classNumbers[i] = slices.Index(l.allNames.Classes, name)
 		}
-		l.queueEvent(decide.Advise{Memory: l.translateMemory(state, classNumbers)})
+		l.queueEvent(decide.WarmStart{Snapshot: l.translateMemory(state, classNumbers)})
 	})
 }
 
 // translateMemory converts another process's memory, without its requests, to the numbers in use here. classNumbers has
 // this loop's number for each of its classes, or -1.
-func (l *Loop) translateMemory(state Handed, classNumbers []int) decide.Memory {
+func (l *Loop) translateMemory(state Handed, classNumbers []int) decide.Snapshot {
 	m := state.Module
 	for i := range m.Workers {
 		m.Workers[i].Worker = l.translateWorker(m.Workers[i].Worker, state)
 	}
-	known := make([]decide.ClassMemory, len(l.allNames.Classes))
+	known := make([]decide.ClassSnapshot, len(l.allNames.Classes))
 	for i, c := range m.Classes[:min(len(m.Classes), len(classNumbers))] {
-		if classNumbers[i] >= 0 && i < len(state.Classes) && state.Classes[i].SameJobs(l.settings.Classes[classNumbers[i]]) {
+		if classNumbers[i] >= 0 && i < len(state.Classes) && state.Classes[i].SameWorkload(l.settings.Classes[classNumbers[i]]) {
 			known[classNumbers[i]] = c
 		}
 	}
@@ -189,7 +189,7 @@
 			l.resumeCommand(c, r.ID, r.Class)
 			m.Requests = append(m.Requests, r)
 		}
-		l.queueEvent(decide.Relieve{Memory: m})
+		l.queueEvent(decide.Restore{Snapshot: m})
 	})
 }
 
@@ -254,7 +254,7 @@
 
 // Resume reports that the newer process has exited: this one accepts commands again, with what the newer one had
 // learned. The commands that were pending there are lost.
-func (l *Loop) Resume(list List, memory decide.Memory) {
+func (l *Loop) Resume(list List, memory decide.Snapshot) {
 	l.post(func(l *Loop) {
 		mod, err := decide.New(l.settings)
 		if err != nil {
@@ -263,6 +263,6 @@
 		}
 		l.mod, l.handedOver = mod, false
 		l.updateInstances(list, true)
-		l.queueEvent(decide.Relieve{Memory: memory})
+		l.queueEvent(decide.Restore{Snapshot: memory})
 	})
 }
--- a/internal/dispatch/input.go
+++ b/internal/dispatch/input.go
@@ -49,7 +49,7 @@
 	if !p.answered {
 		l.Books.Lapsed.Add(1)
 		l.markAnswered(p)
-		l.queueEvent(decide.RequestLapsed{Request: p.request})
+		l.queueEvent(decide.RequestCancelled{Request: p.request})
 		l.removeIfDone(p)
 	}
 }
@@ -138,14 +138,16 @@
 
 // Hold sets the time spans, in Unix time, during which slots of an instance are reserved, whichever dispatcher
 // sends the commands they are reserved for. slots is the instance's number of slots.
-func (l *Loop) Hold(id string, slots float64, spans []decide.Span) {
-	l.post(func(l *Loop) { l.queueEvent(decide.Holds{Worker: l.workerID(id), Slots: slots, Spans: spans}) })
+func (l *Loop) Hold(id string, slots float64, spans []decide.Reservation) {
+	l.post(func(l *Loop) {
+		l.queueEvent(decide.WorkerReservations{Worker: l.workerID(id), Slots: slots, Reservations: spans})
+	})
 }
 
 // ListLost reports that the watch on the instance list, or a request for it, has failed; elapsed is the time from
 // the call to the failure. unreachable: no server could be reached.
 func (l *Loop) ListLost(unreachable bool, elapsed time.Duration) {
-	l.post(func(l *Loop) { l.queueEvent(decide.ListFailed{Nobody: unreachable, After: elapsed}) })
+	l.post(func(l *Loop) { l.queueEvent(decide.ListFailed{Unreachable: unreachable, Elapsed: elapsed}) })
 }
 
 // workerID returns the decision module's ID of an instance. It is the same at every dispatcher, since the module
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -46,7 +46,7 @@
 
 func (l *Loop) attemptAccepted(a *Attempt) {
 	a.accepted = true
-	l.queueEvent(decide.Taken{Request: a.request, Attempt: a.N})
+	l.queueEvent(decide.AttemptAccepted{Request: a.request, Attempt: a.N})
 	a.notifyStarted(false)
 }
 
@@ -68,7 +68,7 @@
 		case !a.ended:
 			l.attemptUnusable(a)
 		default:
-			a.reportLateEnd(decide.Moot)
+			a.reportLateEnd(decide.NotSent)
 		}
 	})
 }
@@ -77,7 +77,7 @@
 	if p := l.byRequest[a.request]; !p.answered {
 		l.answer(p, Answer{Verdict: Unusable})
 	}
-	l.endAttempt(a, decide.Moot)
+	l.endAttempt(a, decide.NotSent)
 }
 
 // Probed reports the result of a probe.
@@ -185,7 +185,7 @@
 	p.outstanding--
 	o = l.settleGate(a, o)
 	l.Books.countOutcome(o)
-	l.queueEvent(decide.AttemptEnded{Request: a.request, Attempt: a.N, Outcome: o, Over: p.answered, Kept: a.connIdle, Report: a.report})
+	l.queueEvent(decide.AttemptEnded{Request: a.request, Attempt: a.N, Outcome: o, RequestEnded: p.answered, ConnIdle: a.connIdle, Report: a.report})
 	l.removeIfDone(p)
 }
 
@@ -228,7 +228,7 @@
 		v = Refused
 		for _, a := range p.attempts {
 			if !a.ended {
-				l.endAttempt(a, decide.Moot)
+				l.endAttempt(a, decide.NotSent)
 			}
 		}
 	}
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -14,7 +14,7 @@
 	}
 	a := &Attempt{
 		Command: p.Command, Instance: l.instanceIDs[s.Worker], N: len(p.attempts), Deadline: p.Deadline,
-		MostIdle: s.MostIdle, Fresh: s.Fresh, request: s.Request,
+		MostIdle: s.MaxIdle, Fresh: s.NewConn, request: s.Request,
 	}
 	if s.Timeout > 0 {
 		if t := now.Add(s.Timeout); t.Before(a.Deadline) {
@@ -33,7 +33,7 @@
 		l.cancelCommand(p)
 	}
 	if p.answered || !a.Deadline.After(now) || p.mayBeAt(a.Instance, a) {
-		l.endAttempt(a, decide.Moot)
+		l.endAttempt(a, decide.NotSent)
 		return
 	}
 	l.timers.Start(&a.deadlineTimer, a.Deadline, func() { l.expireAttempt(a) })
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -42,7 +42,7 @@
 	if n.retired() > maxRetiredNames {
 		return errors.New("settings: too many names were removed since the process started")
 	}
-	if err := l.mod.Retune(s); err != nil {
+	if err := l.mod.Reconfigure(s); err != nil {
 		return err
 	}
 	l.settings, l.allNames, l.configuredNames = s, n.Names, n.configured
@@ -62,18 +62,18 @@
 	s.Zone = mapNumber(s.Zone, zones)
 	allClasses := make([]decide.Class, len(all.Classes))
 	for i := range copy(allClasses, l.settings.Classes) {
-		allClasses[i].Left = true
+		allClasses[i].Removed = true
 	}
 	for i, c := range s.Classes {
 		c.Kind = mapNumber(c.Kind, kinds)
 		allClasses[classes[i]] = c
 	}
 	if len(classes) > 0 {
-		s.First = classes[0]
+		s.TimingClass = classes[0]
 	}
 	allTenants := make([]decide.Tenant, len(all.Tenants))
 	for i := range copy(allTenants, l.settings.Tenants) {
-		allTenants[i].Left = true
+		allTenants[i].Removed = true
 	}
 	for i, t := range s.Tenants {
 		allTenants[tenants[i]] = t
@@ -144,7 +144,7 @@
 	n.Classes, s.Classes = names, slices.Clone(s.Classes)
 	for i, c := range classes {
 		if classNumbers[i] >= len(s.Classes) {
-			c.Left = true
+			c.Removed = true
 			s.Classes = append(s.Classes, c)
 		}
 	}
@@ -156,7 +156,7 @@
 
 // sameClass reports whether two definitions of a class are equal.
 func sameClass(a, b decide.Class) bool {
-	a.Left = b.Left
+	a.Removed = b.Removed
 	return a == b
 }
 
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -44,26 +44,26 @@
 	}}
 	dispatchers := number("dispatchers", 1, 40)
 	s.Settings = decide.Settings{
-		Seed: seed, Dispatcher: number("slot", 0, dispatchers-1), Dispatchers: dispatchers, Zone: number("zone", 0, max(0, len(s.Zones)-1)),
-		Granularity: span("granularity", 1, 4), OverShareWorth: share("over"), Subscribe: true, Pushed: yes("pushed"),
-		TellsStart: yes("starts"), MarksRetries: yes("marks"), Progress: span("progress", 0, 300), Rated: yes("rated"), ReportsFree: yes("reports"),
+		Seed: seed, DispatcherIndex: number("slot", 0, dispatchers-1), DispatcherCount: dispatchers, Zone: number("zone", 0, max(0, len(s.Zones)-1)),
+		Granularity: span("granularity", 1, 4), OverShareWorth: share("over"), Subscribe: true, ListPushed: yes("pushed"),
+		ReportsStart: yes("starts"), RetriesMarked: yes("marks"), ProgressInterval: span("progress", 0, 300), Rated: yes("rated"), ReportsFreeSlots: yes("reports"),
 		Limits: decide.Limits{
-			Attempts: number("attempts", 1, 4), Open: number("open", 0, 12), Cancel: yes("cancel"), SecondCopies: yes("copies"), Probes: yes("probes"),
+			MaxAttempts: number("attempts", 1, 4), MaxOpen: number("open", 0, 12), Cancel: yes("cancel"), ParallelAttempts: yes("copies"), Probes: yes("probes"),
 			RetryAfter: yes("after"), MaxRetryAfter: span("most after", 0, 900), ConnectTimeout: span("connect", 50, 900), ConnIdle: span("idle", 200, 9000),
 		},
 		Rules: decide.Rules{
 			DrainGrace: span("grace", 50, 900), ColdFrom: 0.05 + 0.9*share("cold from"), Cold: span("cold", 0, 9000), FallMultiple: 1 + 2*share("fall"),
-			FallWindow: span("window", 100, 2000), MustAskIn: span("ask", 300, 9000), GoneIsAdvice: yes("advice"),
+			FallWindow: span("window", 100, 2000), MustAskIn: span("ask", 300, 9000), GoneIsAdvisory: yes("advice"),
 		},
 		Prices: decide.Prices{CrossZone: share("cross"), Waste: share("waste")},
 	}
 	if yes("budget") {
-		s.Rules.Budget = &decide.AttemptBudget{Spare: float64(number("spare", 0, 3)), PerRequest: share("per request"), Span: span("budget span", 100, 2000)}
+		s.Rules.Budget = &decide.AttemptBudget{Spare: float64(number("spare", 0, 3)), PerRequest: share("per request"), Window: span("budget span", 100, 2000)}
 	}
 	for range s.Names.Classes {
 		s.Settings.Classes = append(s.Settings.Classes, decide.Class{
 			Aim: span("aim", 10, 500), Stretch: 3 * share("stretch"), Deadline: span("deadline", 500, 4000), Worth: share("worth"), LateWorth: share("late"),
-			Effect: decide.Effect(number("effect", 0, 2)), Scope: decide.Scope(number("scope", 0, 2)), Window: span("class window", 0, 2000),
+			Effect: decide.Effect(number("effect", 0, 2)), Scope: decide.Scope(number("scope", 0, 2)), DedupWindow: span("class window", 0, 2000),
 			Kind: number("kind", -1, max(-1, len(s.Kinds)-1)),
 		})
 	}
@@ -120,8 +120,8 @@
 	for _, a := range p.mod.Handle(p.now, events) {
 		p.actions = append(p.actions, fmt.Sprintf("%v %T %+v", p.now, a, a))
 		switch a := a.(type) {
-		case decide.WakeMe:
-			p.schedule(a.After, decide.Wake{Token: a.Token})
+		case decide.SetTimer:
+			p.schedule(a.After, decide.TimerFired{Token: a.Token})
 		case decide.Send:
 			n := p.attempts[a.Request]
 			p.attempts[a.Request]++
@@ -132,7 +132,7 @@
 				p.schedule(duration/8, decide.JobStarted{Request: a.Request, Attempt: n})
 			}
 			p.schedule(duration, decide.AttemptEnded{Request: a.Request, Attempt: n, Outcome: []decide.Outcome{
-				decide.OK, decide.OK, decide.OK, decide.OK, decide.Errored, decide.Full, decide.Reset, decide.ConnectFailed}[kind], Over: kind < 4})
+				decide.OK, decide.OK, decide.OK, decide.OK, decide.Errored, decide.Full, decide.Reset, decide.ConnectFailed}[kind], RequestEnded: kind < 4})
 		}
 	}
 }
@@ -203,7 +203,7 @@
 func TestZonesOfPreviousSettingsAreUnknown(t *testing.T) {
 	f := &fleet{}
 	l, err := New(decide.Settings{
-		Dispatchers: 1, Limits: decide.Limits{Attempts: 1}, Classes: []decide.Class{{Aim: time.Second, Deadline: time.Second, Kind: 1}},
+		DispatcherCount: 1, Limits: decide.Limits{MaxAttempts: 1}, Classes: []decide.Class{{Aim: time.Second, Deadline: time.Second, Kind: 1}},
 	}, wire.Names{Classes: []string{"a"}, Zones: []string{"east", "west"}, Kinds: []string{"old", "new"}}, f, f, f, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	at := func(zone, kind string) [2]int {
@@ -296,20 +296,20 @@
 		s.Classes = slices.Clone(s.Classes)
 		s.Classes[0].Deadline = deadline
 		require.NoError(t, older.reconfigure(older.mapSettings(s, older.allNames)))
-		h := Handed{Module: older.mod.Memory(), Numbers: older.instanceIDs, Names: older.allNames, Classes: older.settings.Classes}
-		h.Module.Classes[0] = decide.ClassMemory{Run: 9, LogRun: 2, Jobs: 50, Budget: deadline}
+		h := Handed{Module: older.mod.Snapshot(), Numbers: older.instanceIDs, Names: older.allNames, Classes: older.settings.Classes}
+		h.Module.Classes[0] = decide.ClassSnapshot{MeanRun: 9, MeanLogRun: 2, Jobs: 50, MaxBudget: deadline}
 		return h
 	}
 	for name, load := range map[string]func(*Loop, Handed){"handed over": (*Loop).Relieve, "from a snapshot": (*Loop).Advise} {
-		learned := func(h Handed) decide.ClassMemory {
+		learned := func(h Handed) decide.ClassSnapshot {
 			l := newTestLoop(t, &fleet{})
 			load(l, h)
 			l.runBatch()
-			return l.mod.Memory().Classes[indexOrLen(l.allNames.Classes, "safe")]
+			return l.mod.Snapshot().Classes[indexOrLen(l.allNames.Classes, "safe")]
 		}
 		require.Positive(t, learned(state(time.Hour)).Jobs, name)
 		require.Zero(t, learned(state(time.Minute)).Jobs, name)
-		require.Zero(t, learned(state(time.Minute)).Budget, name)
+		require.Zero(t, learned(state(time.Minute)).MaxBudget, name)
 	}
 }
 
@@ -318,8 +318,8 @@
 func TestZonesAreHandedOverByName(t *testing.T) {
 	settings := func(zones ...string) (decide.Settings, wire.Names) {
 		return decide.Settings{
-			Dispatchers: 1, Granularity: time.Millisecond, Limits: decide.Limits{Attempts: 3, Cancel: true},
-			Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any, Effect: decide.Keyed, Scope: decide.ScopeZone, Window: time.Hour}},
+			DispatcherCount: 1, Granularity: time.Millisecond, Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
+			Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any, Effect: decide.Keyed, Scope: decide.ScopeZone, DedupWindow: time.Hour}},
 			Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, MustAskIn: time.Second},
 		}, wire.Names{Classes: []string{"keyed"}, Zones: zones}
 	}
@@ -360,7 +360,7 @@
 	s.Classes = append(slices.Clone(s.Classes), s.Classes[0])
 	fresh, err := New(s, wire.Names{Classes: []string{"other", "safe"}}, &fleet{}, &fleet{}, &fleet{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	before := fresh.mod.Memory().Classes[0]
+	before := fresh.mod.Snapshot().Classes[0]
 	older, _, _ := loopWithCommand(t)
 	older.Yield(func(state Handed) bool {
 		state.Commands = nil
@@ -369,5 +369,5 @@
 	})
 	older.runBatch()
 	fresh.runBatch()
-	require.Equal(t, before, fresh.mod.Memory().Classes[0])
+	require.Equal(t, before, fresh.mod.Snapshot().Classes[0])
 }
--- a/internal/fleetmodel/draw.go
+++ b/internal/fleetmodel/draw.go
@@ -135,8 +135,8 @@
 	if d.Peak > 1 {
 		fmt.Fprintf(&b, " peak=%.1f", d.Peak)
 	}
-	fmt.Fprintf(&b, " dispatchers=%d encoders=%d slots=%.0f zones=%d depth=%.0f order=%s attempts=%d", s.Dispatchers, len(d.Encoders), slots, d.Zones, d.Depth, d.Order, s.Limits.Attempts)
-	b.WriteString(yes(s.TellsStart, "starts") + yes(s.Progress > 0, "progress") + yes(s.Limits.SecondCopies, "copies") + yes(s.Limits.Probes, "probes") +
+	fmt.Fprintf(&b, " dispatchers=%d encoders=%d slots=%.0f zones=%d depth=%.0f order=%s attempts=%d", s.DispatcherCount, len(d.Encoders), slots, d.Zones, d.Depth, d.Order, s.Limits.MaxAttempts)
+	b.WriteString(yes(s.ReportsStart, "starts") + yes(s.ProgressInterval > 0, "progress") + yes(s.Limits.ParallelAttempts, "copies") + yes(s.Limits.Probes, "probes") +
 		yes(s.Limits.PeerMessages, "peers") + yes(s.Rated, "rated") + yes(s.Rules.Budget != nil, "budget") + yes(d.ByWork, "bywork"))
 	if len(d.Fields) > 0 {
 		fmt.Fprintf(&b, " reports=%s%s", strings.Join(d.Fields, "+"), map[bool]string{true: "(probes)"}[d.Pull])
@@ -207,27 +207,27 @@
 
 func (d *Deployment) settings(r dice) {
 	s := &d.Settings
-	s.Dispatchers = pick(r, 1, 2, 3, 4, 6, 8, 12, 16)
+	s.DispatcherCount = pick(r, 1, 2, 3, 4, 6, 8, 12, 16)
 	s.Granularity = pick(r, time.Millisecond, 2*time.Millisecond, 5*time.Millisecond)
 	d.Zones = pick(r, 1, 1, 2, 3)
-	s.TellsStart = r.yes(0.5)
+	s.ReportsStart = r.yes(0.5)
 	if r.yes(0.4) {
-		s.Progress = r.time(0.3, 2)
+		s.ProgressInterval = r.time(0.3, 2)
 	}
 	s.Subscribe = r.yes(0.5)
-	s.Pushed = !s.Subscribe
+	s.ListPushed = !s.Subscribe
 	s.Rated = r.yes(0.3)
-	s.MarksRetries = r.yes(0.5)
+	s.RetriesMarked = r.yes(0.5)
 	s.Limits = decide.Limits{
-		Attempts: 2 + r.IntN(3), Open: pick(r, 500, 20000), Cancel: d.Cancel != CancelBarred, SecondCopies: r.yes(0.6), Probes: r.yes(0.7),
+		MaxAttempts: 2 + r.IntN(3), MaxOpen: pick(r, 500, 20000), Cancel: d.Cancel != CancelBarred, ParallelAttempts: r.yes(0.6), Probes: r.yes(0.7),
 		PeerMessages: r.yes(0.3), RetryAfter: r.yes(0.7), MaxRetryAfter: r.time(0.5, 4), ConnectTimeout: r.time(0.05, 0.5), ConnIdle: r.time(5, 60),
 	}
 	s.Rules = decide.Rules{
 		AnswerSlack: r.time(0.005, 0.05), DrainGrace: r.time(0.2, 1.5), ColdFrom: r.between(0.1, 0.4), Cold: r.time(5, 25),
-		FallMultiple: r.between(2, 4), FallWindow: time.Second, MustAskIn: 10 * time.Second, GoneIsAdvice: r.yes(0.2),
+		FallMultiple: r.between(2, 4), FallWindow: time.Second, MustAskIn: 10 * time.Second, GoneIsAdvisory: r.yes(0.2),
 	}
 	if r.yes(0.2) {
-		s.Rules.Budget = &decide.AttemptBudget{Spare: r.between(1, 10), PerRequest: r.between(0.1, 0.5), Span: r.time(1, 10)}
+		s.Rules.Budget = &decide.AttemptBudget{Spare: r.between(1, 10), PerRequest: r.between(0.1, 0.5), Window: r.time(1, 10)}
 	}
 	s.Prices = decide.Prices{CrossZone: pick(r, 0, 0, 0.05, 0.1), Waste: pick(r, 0, 0.1, 0.3), LateFail: 0.03, Probe: 0.001, Peer: 0.001}
 	s.Goal = decide.Goal{Whole: 1}
@@ -235,7 +235,7 @@
 		d.Fields = pick(r, []string{"active"}, []string{"active", "waiting"}, []string{"x0"}, []string{"active", "x0"}, []string{"active", "waiting", "x0"})
 		d.Pull = r.yes(0.25)
 		for _, f := range d.Fields {
-			s.ReportsFree = s.ReportsFree || f == "x0" && !d.Pull
+			s.ReportsFreeSlots = s.ReportsFreeSlots || f == "x0" && !d.Pull
 		}
 	}
 	parts, sum := []float64{}, 0.0
@@ -249,7 +249,7 @@
 		if r.yes(0.15) {
 			c.Slots = 2
 		}
-		k := decide.Class{Stretch: pick(r, 0, 1.5, 2, 2.5, 3), Worth: r.log(0.5, 8), Kind: decide.Any, Window: r.time(1, 30)}
+		k := decide.Class{Stretch: pick(r, 0, 1.5, 2, 2.5, 3), Worth: r.log(0.5, 8), Kind: decide.Any, DedupWindow: r.time(1, 30)}
 		k.Aim = seconds(c.Mean * r.log(0.5, 6))
 		if k.Stretch < 2 {
 			k.Aim = seconds(c.Mean * r.log(2, 12)) // else hardly any could be in time
--- a/internal/fleetmodel/encoder.go
+++ b/internal/fleetmodel/encoder.go
@@ -183,15 +183,15 @@
 	}
 	a.ends = e.finish(long / e.Speed / e.warmth())
 	n := a.r.n
-	if w.d.Settings.TellsStart {
+	if w.d.Settings.ReportsStart {
 		w.after(n.hop(e), func() {
 			if !a.told {
 				n.tell(decide.JobStarted{Request: a.r.id, Attempt: a.n})
 			}
 		})
 	}
-	if w.d.Settings.Progress > 0 {
-		w.after(w.d.Settings.Progress, func() { e.progress(a) })
+	if w.d.Settings.ProgressInterval > 0 {
+		w.after(w.d.Settings.ProgressInterval, func() { e.progress(a) })
 	}
 	w.after(a.ends-w.now, func() {
 		if !a.over {
@@ -227,7 +227,7 @@
 			n.tell(decide.JobProgress{Request: a.r.id, Attempt: a.n, Share: share})
 		}
 	})
-	w.after(w.d.Settings.Progress, func() { e.progress(a) })
+	w.after(w.d.Settings.ProgressInterval, func() { e.progress(a) })
 }
 
 // off takes a call-off as the deployment has it.
--- a/internal/fleetmodel/fleetmodel_test.go
+++ b/internal/fleetmodel/fleetmodel_test.go
@@ -56,7 +56,7 @@
 		switch e := e.(type) {
 		case decide.Request:
 			out = append(out, s.send(e)...)
-		case decide.Wake:
+		case decide.TimerFired:
 			out = append(out, s.wakes[e.Token]...)
 		case decide.JobStarted:
 			s.heard = append(s.heard, fmt.Sprintf("%v start %d", at, e.Request))
@@ -70,7 +70,7 @@
 // stage is one dispatcher and one encoder of one slot and two places in its queue; jobs take a second each.
 func stage(cancel Cancel, spells ...Spell) (*world, *scripted) {
 	d := Small(1, cancel, Calm, true)
-	d.Settings.Dispatchers, d.Depth = 1, 2
+	d.Settings.DispatcherCount, d.Depth = 1, 2
 	d.Encoders = []Encoder{{Worker: decide.Worker{ID: 5, State: decide.Ready}, Slots: 1, Speed: 1, Spells: spells}}
 	s := &scripted{wakes: map[uint64][]decide.Action{}}
 	w := &world{d: d, now: dayStart, encoders: map[uint32]*encoder{}, trace: func(string, ...any) {}}
@@ -118,7 +118,7 @@
 			w.job(0)
 		}
 		s.wakes[1] = []decide.Action{decide.Cancel{Request: 1}, decide.Cancel{Request: 2}}
-		w.after(500*time.Millisecond, func() { w.nodes[0].tell(decide.Wake{Token: 1}) })
+		w.after(500*time.Millisecond, func() { w.nodes[0].tell(decide.TimerFired{Token: 1}) })
 		w.until(5 * time.Second)
 		off := func(id int) string { return fmt.Sprintf("500ms end %d of %d", decide.Cancelled, id) }
 		require.Equal(t, append([]string{"0s start 1", off(1), off(2)}, want...), s.heard, cancel)
@@ -127,7 +127,7 @@
 	w, s := stage(CancelBarred)
 	w.job(0)
 	s.wakes[1] = []decide.Action{decide.Cancel{Request: 1}}
-	w.after(500*time.Millisecond, func() { w.nodes[0].tell(decide.Wake{Token: 1}) })
+	w.after(500*time.Millisecond, func() { w.nodes[0].tell(decide.TimerFired{Token: 1}) })
 	w.until(time.Second)
 	require.NotEmpty(t, w.result.Broken, "a call-off where the settings bar it")
 }
--- a/internal/fleetmodel/grid.go
+++ b/internal/fleetmodel/grid.go
@@ -16,13 +16,13 @@
 		Hop: time.Millisecond, Skew: 0.2, Patience: 1, Tries: 2, Pause: 100 * time.Millisecond,
 		Classes: []Class{{Part: 0.7, Mean: 0.2, Sigma: 0.5, Slots: 1}, {Part: 0.3, Mean: 0.6, Sigma: 0.5, Slots: 1, Priority: 1}},
 		Settings: decide.Settings{
-			Dispatchers: 3, Granularity: 2 * time.Millisecond, TellsStart: starts, Pushed: true, Goal: decide.Goal{Whole: 1},
+			DispatcherCount: 3, Granularity: 2 * time.Millisecond, ReportsStart: starts, ListPushed: true, Goal: decide.Goal{Whole: 1},
 			Classes: []decide.Class{
 				{Aim: 500 * time.Millisecond, Stretch: 2.5, Deadline: 5 * time.Second, Worth: 1, Effect: decide.Safe, Kind: decide.Any},
 				{Aim: time.Second, Stretch: 2, Deadline: 15 * time.Second, Worth: 4, Effect: decide.Unsafe, Kind: decide.Any},
 			},
 			Limits: decide.Limits{
-				Attempts: 3, Open: 20000, Cancel: cancel != CancelBarred, SecondCopies: true, Probes: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+				MaxAttempts: 3, MaxOpen: 20000, Cancel: cancel != CancelBarred, ParallelAttempts: true, Probes: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 				ConnectTimeout: 120 * time.Millisecond, ConnIdle: 30 * time.Second,
 			},
 			Rules: decide.Rules{
--- a/internal/fleetmodel/plain.go
+++ b/internal/fleetmodel/plain.go
@@ -45,7 +45,7 @@
 }
 
 func newPlain(p Policy, s decide.Settings) *plain {
-	return &plain{Policy: p, s: s, rng: rand.New(rand.NewPCG(s.Seed, uint64(s.Dispatcher))), out: map[uint32]int{}, reqs: map[uint32]*plainRequest{}}
+	return &plain{Policy: p, s: s, rng: rand.New(rand.NewPCG(s.Seed, uint64(s.DispatcherIndex))), out: map[uint32]int{}, reqs: map[uint32]*plainRequest{}}
 }
 
 func (p *plain) do(a decide.Action) { p.actions = append(p.actions, a) }
@@ -66,7 +66,7 @@
 		case decide.Request:
 			p.reqs[e.ID] = &plainRequest{Request: e}
 			p.send(p.reqs[e.ID])
-		case decide.RequestLapsed:
+		case decide.RequestCancelled:
 			delete(p.reqs, e.Request)
 		case decide.AttemptEnded:
 			p.ended(e)
@@ -152,9 +152,9 @@
 	p.out[r.workers[e.Attempt]]--
 	r.ran = r.ran || !e.Outcome.NeverRan()
 	switch {
-	case e.Over:
+	case e.RequestEnded:
 		delete(p.reqs, e.Request)
-	case e.Outcome != decide.TimedOut && len(r.workers) < min(2, p.s.Limits.Attempts) && (!r.ran || p.s.Classes[r.Class].Effect == decide.Safe):
+	case e.Outcome != decide.TimedOut && len(r.workers) < min(2, p.s.Limits.MaxAttempts) && (!r.ran || p.s.Classes[r.Class].Effect == decide.Safe):
 		p.send(r)
 	default:
 		p.give(r)
--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -157,10 +157,10 @@
 		w.encoders[e.ID] = &encoder{Encoder: e, w: w}
 		list = append(list, e.Worker)
 	}
-	for i := range d.Settings.Dispatchers {
+	for i := range d.Settings.DispatcherCount {
 		s := d.Settings
-		s.Dispatcher, s.Zone, s.Seed = i, i%d.Zones, d.Seed+uint64(i)*1_000_003
-		n := &node{w: w, i: i, zone: s.Zone, reqs: map[uint32]*request{}, subscribed: s.Pushed, ended: map[uint32]time.Duration{}}
+		s.DispatcherIndex, s.Zone, s.Seed = i, i%d.Zones, d.Seed+uint64(i)*1_000_003
+		n := &node{w: w, i: i, zone: s.Zone, reqs: map[uint32]*request{}, subscribed: s.ListPushed, ended: map[uint32]time.Duration{}}
 		if p == Module {
 			m, err := decide.New(s)
 			if err != nil {
@@ -269,7 +269,7 @@
 	s := w.d.Settings
 	n.tell(decide.Request{
 		ID: r.id, Class: j.class, Tenant: j.tenant, Key: j.key, Budget: j.due - w.now, Work: seconds(j.hint),
-		Slots: w.d.Classes[j.class].Slots, Memory: w.d.Classes[j.class].Memory, Repeat: try > 0 && s.MarksRetries,
+		Slots: w.d.Classes[j.class].Slots, Memory: w.d.Classes[j.class].Memory, Retry: try > 0 && s.RetriesMarked,
 	})
 	w.after(j.due-w.now, func() { // what is out times out
 		for _, a := range r.attempts {
@@ -280,7 +280,7 @@
 		if !r.done {
 			r.done = true
 			w.broke("request %d of dispatcher %d has no final answer in time", r.id, n.i)
-			n.tell(decide.RequestLapsed{Request: r.id})
+			n.tell(decide.RequestCancelled{Request: r.id})
 		}
 	})
 }
@@ -346,12 +346,12 @@
 	case decide.FailRequest:
 		if r := n.final(a.Request); r != nil {
 			w.result.Failed++
-			if k := s.Classes[r.j.class]; k.Effect == decide.Safe || k.Effect == decide.Keyed && k.Scope == decide.ScopeAll && w.now-r.j.at < k.Window {
+			if k := s.Classes[r.j.class]; k.Effect == decide.Safe || k.Effect == decide.Keyed && k.Scope == decide.ScopeAll && w.now-r.j.at < k.DedupWindow {
 				w.again(r, 0)
 			}
 		}
-	case decide.WakeMe:
-		w.after(a.After, func() { n.tell(decide.Wake{Token: a.Token}) })
+	case decide.SetTimer:
+		w.after(a.After, func() { n.tell(decide.TimerFired{Token: a.Token}) })
 	case decide.Subscribe:
 		w.after(2*w.d.Hop, func() {
 			n.subscribed = true
@@ -360,10 +360,10 @@
 		})
 	case decide.Probe:
 		w.probe(n, a.Worker)
-	case decide.TellPeers:
+	case decide.SendToPeers:
 		for _, o := range w.nodes {
 			if o != n && (a.To == decide.Any || a.To == o.i) {
-				w.after(w.d.Hop+w.far(n.zone, o.zone), func() { o.tell(decide.PeerSaid{Peer: n.i, Body: a.Body}) })
+				w.after(w.d.Hop+w.far(n.zone, o.zone), func() { o.tell(decide.PeerMessage{Peer: n.i, Body: a.Body}) })
 			}
 		}
 	case decide.Log:
@@ -386,7 +386,7 @@
 func (r *request) harmless() bool {
 	k, now := r.n.w.d.Settings.Classes[r.j.class], r.n.w.now
 	for _, a := range r.attempts {
-		again := k.Effect == decide.Safe || k.Effect == decide.Keyed && k.Scope == decide.ScopeAll && now-a.sent < k.Window
+		again := k.Effect == decide.Safe || k.Effect == decide.Keyed && k.Scope == decide.ScopeAll && now-a.sent < k.DedupWindow
 		if !a.neverRan && !again {
 			return false
 		}
@@ -412,19 +412,19 @@
 	}
 	t := &attempt{r: r, n: len(r.attempts), e: e, sent: w.now}
 	r.attempts = append(r.attempts, t)
-	if r.done || len(r.attempts) > s.Limits.Attempts || w.now >= r.due {
-		t.ended(decide.Moot, nil)
+	if r.done || len(r.attempts) > s.Limits.MaxAttempts || w.now >= r.due {
+		t.ended(decide.NotSent, nil)
 		return
 	}
 	k := s.Classes[r.j.class]
 	for _, o := range r.attempts[:t.n] {
-		if !o.told && !s.Limits.SecondCopies {
+		if !o.told && !s.Limits.ParallelAttempts {
 			w.broke("a second copy of request %d, which is not allowed", r.id)
 		}
 		if o.neverRan || k.Effect == decide.Safe {
 			continue
 		}
-		if k.Effect == decide.Unsafe || w.now-o.sent >= k.Window || k.Scope == decide.ScopeZone && o.e.Zone != e.Zone || k.Scope == decide.ScopeCell && o.e.Cell != e.Cell {
+		if k.Effect == decide.Unsafe || w.now-o.sent >= k.DedupWindow || k.Scope == decide.ScopeZone && o.e.Zone != e.Zone || k.Scope == decide.ScopeCell && o.e.Cell != e.Cell {
 			w.broke("request %d is repeated against its class", r.id)
 		}
 	}
@@ -461,7 +461,7 @@
 			j.got = j.worth * k.LateWorth
 		}
 	}
-	r.n.tell(decide.AttemptEnded{Request: r.id, Attempt: a.n, Outcome: o, Over: r.done, Report: report})
+	r.n.tell(decide.AttemptEnded{Request: r.id, Attempt: a.n, Outcome: o, RequestEnded: r.done, Report: report})
 }
 
 // outcome sends an outcome on its way back.
--- a/internal/fleetmodel/trace.go
+++ b/internal/fleetmodel/trace.go
@@ -42,7 +42,7 @@
 		}
 		*to = append(*to, w)
 	}
-	for range d.Settings.Dispatchers {
+	for range d.Settings.DispatcherCount {
 		add(&nodes, math.Exp(d.Skew*r.NormFloat64()))
 	}
 	for _, c := range d.Classes {
--- a/internal/full/gangs.go
+++ b/internal/full/gangs.go
@@ -70,7 +70,7 @@
 func (p *ganging) Reloaded(c *config.Config) {
 	once := map[string]bool{}
 	for i, name := range c.Names.Classes {
-		if !c.Settings.Classes[i].Left {
+		if !c.Settings.Classes[i].Removed {
 			once[name] = c.Settings.Classes[i].Effect != decide.Safe
 		}
 	}
--- a/internal/full/serve.go
+++ b/internal/full/serve.go
@@ -41,7 +41,7 @@
 	}
 	adjust := func(s *decide.Settings) {
 		if f.Control != nil { // the daemon's own sends to cold encoders go by leases too
-			s.Leasing = decide.Leasing{On: true, Turn: -1, Turns: f.Control.Senders, Share: lease.TurnsShare}
+			s.Leasing = decide.Leasing{Enabled: true, Turn: -1, Turns: f.Control.Senders, Share: lease.TurnsShare}
 		}
 	}
 	read := func() ([]byte, error) {
--- a/internal/net/clients/leaving_test.go
+++ b/internal/net/clients/leaving_test.go
@@ -37,7 +37,7 @@
 func behind(t *testing.T) (*dispatch.Loop, *slowFleet) {
 	f := &slowFleet{make(chan *dispatch.Attempt, 9), make(chan struct{})}
 	l, err := dispatch.New(decide.Settings{
-		Dispatchers: 1, Granularity: time.Millisecond, Limits: decide.Limits{Attempts: 3, Cancel: true},
+		DispatcherCount: 1, Granularity: time.Millisecond, Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
 		Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any}},
 		Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, MustAskIn: time.Second},
 	}, wire.Names{Classes: []string{"safe"}}, f, f, dispatch.Alone{}, slog.New(slog.DiscardHandler))
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -101,8 +101,8 @@
 // terms is what the settings say of the list. A pushed one comes by an agent on this machine, which has been sent it;
 // else by a service that many call.
 func terms(s decide.Settings) listclock.Terms {
-	t := listclock.Terms{Way: listclock.Watched, Within: s.Rules.MustAskIn, Grace: s.Rules.DrainGrace, Spread: time.Duration(s.Dispatchers) * pace}
-	if s.Pushed {
+	t := listclock.Terms{Way: listclock.Watched, Within: s.Rules.MustAskIn, Grace: s.Rules.DrainGrace, Spread: time.Duration(s.DispatcherCount) * pace}
+	if s.ListPushed {
 		t.Way = listclock.Pushed
 	}
 	return t
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -73,7 +73,7 @@
 	// TakeBack has an encoder drop what another dispatcher sent.
 	TakeBack(instance, id string)
 	// Hold says what is held of an encoder.
-	Hold(id string, slots float64, spans []decide.Span)
+	Hold(id string, slots float64, spans []decide.Reservation)
 }
 
 // Server is a dispatcher's part in gangs.
--- a/internal/net/gangs/gangs_test.go
+++ b/internal/net/gangs/gangs_test.go
@@ -71,7 +71,7 @@
 
 func (e *encoders) TakeBack(string, string) {}
 
-func (e *encoders) Hold(id string, _ float64, spans []decide.Span) {
+func (e *encoders) Hold(id string, _ float64, spans []decide.Reservation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.held[id] = max(e.held[id], len(spans))
--- a/internal/net/gangs/hold.go
+++ b/internal/net/gangs/hold.go
@@ -20,7 +20,7 @@
 		}
 	}
 	s.starts.Unlock()
-	spans := map[string][]decide.Span{}
+	spans := map[string][]decide.Reservation{}
 	once := map[gang.Taken]bool{} // two may say that they lead a group
 	for _, held := range s.held {
 		for _, t := range held {
@@ -31,12 +31,12 @@
 			if once[t] = true; t.From <= now {
 				t.Slots -= own
 			}
-			spans[t.Resource] = append(spans[t.Resource], decide.Span{From: t.From, Until: t.Until, Slots: float64(t.Slots)})
+			spans[t.Resource] = append(spans[t.Resource], decide.Reservation{From: t.From, Until: t.Until, Slots: float64(t.Slots)})
 		}
 	}
 	for _, e := range all {
 		what := spans[e.Account()]
-		slices.SortFunc(what, func(a, b decide.Span) int {
+		slices.SortFunc(what, func(a, b decide.Reservation) int {
 			return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Until, b.Until), cmp.Compare(a.Slots, b.Slots))
 		})
 		if text := fmt.Sprint(e.Slots, what); text != s.spans[e.ID] && (len(what) > 0 || s.spans[e.ID] != "") {
--- a/internal/net/plain/servers.go
+++ b/internal/net/plain/servers.go
@@ -116,7 +116,7 @@
 			a.Command.Payload.(*Exchange).timedOut.Store(true)
 		}
 		x := a.Command.Payload.(*Exchange)
-		if x.done != nil && o != decide.Moot && !f.given.Load() {
+		if x.done != nil && o != decide.NotSent && !f.given.Load() {
 			x.done(a.Instance, o != decide.OK)
 		}
 		s.mu.Lock()
@@ -201,7 +201,7 @@
 	k, age, err := s.take(ctx, a)
 	switch {
 	case errors.Is(err, errGone):
-		return nil, decide.Moot, 0
+		return nil, decide.NotSent, 0
 	case err != nil:
 		return nil, decide.ConnectFailed, 0
 	}
--- a/internal/net/plain/site.go
+++ b/internal/net/plain/site.go
@@ -98,9 +98,9 @@
 // may be repeated and one for what may not.
 func Settings(c *routes.Config, within time.Duration) (decide.Settings, wire.Names, dispatch.List) {
 	s := decide.Settings{
-		Dispatchers: 1, Granularity: 2 * time.Millisecond, ReportsFree: true,
+		DispatcherCount: 1, Granularity: 2 * time.Millisecond, ReportsFreeSlots: true,
 		Limits: decide.Limits{
-			Attempts: 3, Open: 20_000, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, ConnectTimeout: 2 * time.Second, ConnIdle: time.Minute,
+			MaxAttempts: 3, MaxOpen: 20_000, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, ConnectTimeout: 2 * time.Second, ConnIdle: time.Minute,
 		},
 		Rules: decide.Rules{FallWindow: time.Second, Cold: time.Second, ColdFrom: 1, FallMultiple: 3, DrainGrace: 750 * time.Millisecond, MustAskIn: 10 * time.Second},
 		Goal:  decide.Goal{Whole: 1},
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -116,7 +116,7 @@
 func (s *Server) Retune(settings decide.Settings, n wire.Names) {
 	classes := map[string]decide.Class{}
 	for i, name := range n.Classes {
-		if i < len(settings.Classes) && !settings.Classes[i].Left {
+		if i < len(settings.Classes) && !settings.Classes[i].Removed {
 			classes[name] = settings.Classes[i]
 		}
 	}
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -39,7 +39,7 @@
 func (e end) outcome() (o decide.Outcome, over bool) {
 	switch e.stage {
 	case unsent:
-		return decide.Moot, true
+		return decide.NotSent, true
 	case unmade:
 		return decide.ConnectFailed, true
 	case broken:
--- a/internal/net/upstream/dial_test.go
+++ b/internal/net/upstream/dial_test.go
@@ -58,7 +58,7 @@
 			one.cross(p, e, a)
 			release()
 			c := e.accept()
-			require.Equal(t, decide.Moot, next(t, r.ended))
+			require.Equal(t, decide.NotSent, next(t, r.ended))
 			rests(t, p, one.kept)
 			require.Equal(t, one.kept, open(p))
 			p.Release("s-1")
@@ -128,6 +128,6 @@
 	a := attempt("s-1")
 	a.Deadline = time.Now()
 	p.Send(a)
-	require.Equal(t, decide.Moot, next(t, r.ended))
+	require.Equal(t, decide.NotSent, next(t, r.ended))
 	require.Eventually(t, func() bool { return open(p) == 0 }, patience, time.Millisecond)
 }
--- a/internal/net/upstream/pool_test.go
+++ b/internal/net/upstream/pool_test.go
@@ -109,7 +109,7 @@
 	p.Send(attempt("s-2"))
 	<-seen
 	p.Send(attempt("s-1"))
-	require.Equal(t, decide.Moot, <-r.ended)
+	require.Equal(t, decide.NotSent, <-r.ended)
 }
 
 // A connection that may have been dropped unseen is not used: what is written to it would
@@ -160,7 +160,7 @@
 	require.Equal(t, decide.OK, <-r.probed)
 	p.Listed(dispatch.List{Members: []dispatch.Member{{ID: "s-1", State: decide.Draining}}})
 	p.Send(attempt("s-1"))
-	require.Equal(t, decide.Moot, <-r.ended)
+	require.Equal(t, decide.NotSent, <-r.ended)
 	require.Empty(t, seen)
 }
 
@@ -217,7 +217,7 @@
 func TestUnknownInstanceIsNeverSentTo(t *testing.T) {
 	p, r, _ := pool(t, 9)
 	p.Send(attempt("s-9"))
-	require.Equal(t, decide.Moot, <-r.ended)
+	require.Equal(t, decide.NotSent, <-r.ended)
 }
 
 // What encoders know a repeat by goes with every attempt as it came, and nothing is made up where none came.
--- a/internal/net/upstream/retire_test.go
+++ b/internal/net/upstream/retire_test.go
@@ -89,7 +89,7 @@
 		r.ended <- o
 	}}
 	p.start("s-1", x)
-	require.Equal(t, decide.Moot, next(t, r.ended))
+	require.Equal(t, decide.NotSent, next(t, r.ended))
 	c.ends()
 }
 
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -196,7 +196,7 @@
 // notReached notes whether a call that told nothing has shown that discovery cannot be reached. An agent that says nothing
 // knows nothing.
 func (p *Program) notReached(err error) {
-	if errors.Is(err, discovery.ErrNobody) || p.config.Settings.Pushed {
+	if errors.Is(err, discovery.ErrNobody) || p.config.Settings.ListPushed {
 		p.unreached.Store(true)
 	}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -101,9 +101,9 @@
 	listener     *net.TCPListener
 	table        dispatch.Table
 	discovery    string
-	older, newer *handover.Link // the other processes, nil: none
-	before       standing       // the older one's
-	given        decide.Memory  // to the newer one
+	older, newer *handover.Link  // the other processes, nil: none
+	before       standing        // the older one's
+	given        decide.Snapshot // to the newer one
 	door         *handover.Door
 }
 
@@ -296,8 +296,8 @@
 // nobody could be told no. The module refuses what goes beyond.
 func (p *Program) bound(s decide.Settings) decide.Settings {
 	clients := p.config.Limits.Sockets / clientsPart
-	if open := min(clients-clients/8, p.bounds.listener-p.bounds.listener/6); s.Limits.Open <= 0 || s.Limits.Open > open {
-		s.Limits.Open = open
+	if open := min(clients-clients/8, p.bounds.listener-p.bounds.listener/6); s.Limits.MaxOpen <= 0 || s.Limits.MaxOpen > open {
+		s.Limits.MaxOpen = open
 	}
 	return s
 }
--- a/internal/prove/deployments.go
+++ b/internal/prove/deployments.go
@@ -141,7 +141,7 @@
 				sums[k] += v / smallSeeds
 			}
 		}
-		fmt.Printf("starts=%-5v cancel=%-6s %-5s module=%.3f random=%.3f two=%.3f least=%.3f ran_twice=%.3f\n", d.Settings.TellsStart, d.Cancel, d.Day, sums[0], sums[1], sums[2], sums[3], sums[4])
+		fmt.Printf("starts=%-5v cancel=%-6s %-5s module=%.3f random=%.3f two=%.3f least=%.3f ran_twice=%.3f\n", d.Settings.ReportsStart, d.Cancel, d.Day, sums[0], sums[1], sums[2], sums[3], sums[4])
 	}
 	return nil
 }
--- a/internal/siteconf/siteconf_test.go
+++ b/internal/siteconf/siteconf_test.go
@@ -41,7 +41,7 @@
 	require.Equal(t, 0, s.Classes[0].Kind)
 	require.Equal(t, -1, s.Classes[1].Kind)
 	require.Equal(t, 50.0, s.Tenants[0].QuotaPerSecond)
-	require.Equal(t, 2, s.Dispatchers)
+	require.Equal(t, 2, s.DispatcherCount)
 	require.Equal(t, 0.05, s.Prices.CrossZone)
 	require.Equal(t, 64, f.Control.Senders)
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -128,10 +128,10 @@
 	names := Names{Zones: p.Zones, Kinds: p.Skus}
 	m, d, r := p.Permissions, p.Deductions, p.Rules
 	s := decide.Settings{
-		Dispatcher: p.SlotNo, Dispatchers: p.Balancers, Zone: p.Zone,
+		DispatcherIndex: p.SlotNo, DispatcherCount: p.Balancers, Zone: p.Zone,
 		Granularity: us(p.GranularityUs), OverShareWorth: p.OverShareWorth,
 		Limits: decide.Limits{
-			Attempts: m.AttemptsCap, Open: m.OpenCap, Cancel: m.Cancelling, SecondCopies: m.ParallelTries,
+			MaxAttempts: m.AttemptsCap, MaxOpen: m.OpenCap, Cancel: m.Cancelling, ParallelAttempts: m.ParallelTries,
 			Probes: m.Probes, PeerMessages: m.PeerMessages, RetryAfter: m.RetryAfter,
 			MaxRetryAfter: us(m.MaxRetryAfterUs), ConnIdle: us(m.ConnIdleUs),
 			ConnectTimeout: us(m.ConnectTimeoutUs),
@@ -139,21 +139,21 @@
 		Rules: decide.Rules{
 			AnswerSlack: us(r.AnswerSlackUs), DrainGrace: us(r.DrainGraceUs), ColdFrom: r.ColdFrom,
 			Cold: us(r.ColdUs), FallMultiple: r.FallMultiple, FallWindow: us(r.FallUs),
-			MustAskIn: us(r.MustAskInUs), GoneIsAdvice: r.GoneIsAdvice,
+			MustAskIn: us(r.MustAskInUs), GoneIsAdvisory: r.GoneIsAdvice,
 		},
 		Prices: decide.Prices{
 			CrossZone: d.CrossZone, Waste: d.Waste, LateFail: d.LateFail, Probe: d.Probe, Peer: d.Peer,
 		},
-		Goal:       decide.Goal(p.ObjectiveMix),
-		Subscribe:  p.Discovery == "subscribe",
-		Pushed:     p.Discovery == "automatic",
-		TellsStart: p.Domain.TellsStart, MarksRetries: p.Clients.MarksRetry,
-		Progress: us(p.Domain.ProgressUs),
-		Rated:    p.Weights != "silent",
+		Goal:         decide.Goal(p.ObjectiveMix),
+		Subscribe:    p.Discovery == "subscribe",
+		ListPushed:   p.Discovery == "automatic",
+		ReportsStart: p.Domain.TellsStart, RetriesMarked: p.Clients.MarksRetry,
+		ProgressInterval: us(p.Domain.ProgressUs),
+		Rated:            p.Weights != "silent",
 	}
 	if r.SpareAttempts != nil || r.ExtraPerRequest != nil || r.BudgetSpanUs != nil {
 		s.Rules.Budget = &decide.AttemptBudget{
-			Spare: orZero(r.SpareAttempts), PerRequest: orZero(r.ExtraPerRequest), Span: us(orZero(r.BudgetSpanUs)),
+			Spare: orZero(r.SpareAttempts), PerRequest: orZero(r.ExtraPerRequest), Window: us(orZero(r.BudgetSpanUs)),
 		}
 	}
 	var fields []string
@@ -162,7 +162,7 @@
 		names.Reports = fields
 	}
 	for _, f := range fields {
-		s.ReportsFree = s.ReportsFree || f == "x0" && p.LoadReport.Via == "piggyback"
+		s.ReportsFreeSlots = s.ReportsFreeSlots || f == "x0" && p.LoadReport.Via == "piggyback"
 	}
 	for i, c := range p.RequestClasses {
 		effect, ok := effects[c.Effect]
@@ -172,7 +172,7 @@
 		}
 		k := decide.Class{
 			Aim: us(c.AimUs), Stretch: c.AimStretch, Deadline: us(c.DeadlineUs), Worth: c.Points,
-			LateWorth: c.LateWorth, Effect: effect, Scope: scope, Window: us(c.MemorySpanUs),
+			LateWorth: c.LateWorth, Effect: effect, Scope: scope, DedupWindow: us(c.MemorySpanUs),
 			Kind: decide.Any, Stream: c.Stream,
 		}
 		if i < len(p.Domain.ClassStretch) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -164,7 +164,7 @@
 		if b[37]&1 != 0 {
 			q.Work = b.us(25)
 		}
-		q.Repeat = b[37]&2 != 0
+		q.Retry = b[37]&2 != 0
 		it.What = q
 	case evStarted:
 		it.What = decide.StreamStarted{Request: b.u32(3), Attempt: int(b[7])}
@@ -176,15 +176,15 @@
 			it.What = decide.JobProgress{Request: b.u32(3), Attempt: int(b[16]), Share: b.f32(12)}
 		}
 	case evReportBack:
-		out := decide.AttemptEnded{Request: b.u32(3), Over: b[7] != 0, Attempt: int(b[13])}
+		out := decide.AttemptEnded{Request: b.u32(3), RequestEnded: b[7] != 0, Attempt: int(b[13])}
 		if out.Outcome, err = outcome(b[12]); err == nil {
 			out.Report, err = d.report(it.Instance, b[22:])
 		}
 		it.What = out
 	case evLapsed:
-		it.What = decide.RequestLapsed{Request: b.u32(3)}
+		it.What = decide.RequestCancelled{Request: b.u32(3)}
 	case evFired:
-		it.What = decide.Wake{Token: b.u64(3)}
+		it.What = decide.TimerFired{Token: b.u64(3)}
 	case evProbed:
 		out := decide.Probed{Worker: b.u32(3)}
 		if out.Outcome, err = outcome(b[7]); err == nil {
@@ -194,7 +194,7 @@
 	case evNeighbour:
 		var body []byte
 		body, err = b.span(7, 1, tail)
-		it.What = decide.PeerSaid{Peer: int(b.u32(3)), Body: body}
+		it.What = decide.PeerMessage{Peer: int(b.u32(3)), Body: body}
 	default:
 		err = fmt.Errorf("unknown event code %d", code)
 	}
@@ -335,17 +335,17 @@
 		b[0] = acCallOff
 		put.PutUint32(b[3:], a.Request)
 		b[7] = byte(a.Attempt)
-	case decide.WakeMe:
+	case decide.SetTimer:
 		b[0] = acNotifyMe
 		put.PutUint64(b[3:], a.Token)
 		put.PutUint32(b[11:], micros(a.After))
 	case decide.Probe:
 		b[0] = acInspect
 		put.PutUint32(b[3:], a.Worker)
-	case decide.Release:
+	case decide.CloseIdle:
 		b[0] = acRelease
 		put.PutUint32(b[3:], a.Worker)
-	case decide.TellPeers:
+	case decide.SendToPeers:
 		b[0] = acMemoTo
 		put.PutUint16(b[3:], allPeers)
 		if a.To != decide.Any {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -62,13 +62,13 @@
 	want := []Item{
 		{3, decide.Request{ID: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Budget: 240 * time.Millisecond,
 			Work: 12 * time.Millisecond, Slots: 2}},
-		{3, decide.Wake{Token: 0x4d}},
-		{5, decide.RequestLapsed{Request: 0x0e6f2b19}},
+		{3, decide.TimerFired{Token: 0x4d}},
+		{5, decide.RequestCancelled{Request: 0x0e6f2b19}},
 		{3, decide.ListFull{Cached: true, Workers: []decide.Worker{
 			{ID: 0x03124a07, Rating: 1, State: decide.Ready},
 			{ID: 0x2c9011f2, Rating: 1.5, Zone: 1, Started: 0x5d1420 * time.Microsecond, State: decide.Ready},
 		}}},
-		{3, decide.AttemptEnded{Request: 0x5d3a91c4, Over: true,
+		{3, decide.AttemptEnded{Request: 0x5d3a91c4, RequestEnded: true,
 			Report: &decide.Report{Active: -1, Waiting: 3, FreeSlots: float64(float32(0.4)), FreeMemory: -1}}},
 	}
 	if !reflect.DeepEqual(b.Items, want) {
@@ -94,7 +94,7 @@
 	got := AppendReply(nil, 12, []Reply{
 		{3, []decide.Action{
 			decide.Send{Request: 0x5d3a91c4, Worker: 0x03124a07, Timeout: 80 * time.Millisecond},
-			decide.WakeMe{Token: 0x4d, After: 500 * time.Millisecond},
+			decide.SetTimer{Token: 0x4d, After: 500 * time.Millisecond},
 		}},
 		{5, []decide.Action{decide.Log{Text: "two servers known"}}},
 	})
@@ -117,10 +117,10 @@
 		{decide.FailRequest{Request: 7}, "12 0002 00000007"},
 		{decide.Cancel{Request: 7, Attempt: 2}, "13 0002 00000007 02"},
 		{decide.Probe{Worker: 9}, "15 0002 00000009"},
-		{decide.Release{Worker: 9}, "16 0002 00000009"},
+		{decide.CloseIdle{Worker: 9}, "16 0002 00000009"},
 		{decide.Subscribe{}, "1a 0002 01"},
-		{decide.TellPeers{To: decide.Any, Body: []byte("hi 7")}, "17 0002 ffff 00000000 00000004"},
-		{decide.TellPeers{To: 300, Body: []byte("hi 7")}, "17 0002 012c 00000000 00000004"},
+		{decide.SendToPeers{To: decide.Any, Body: []byte("hi 7")}, "17 0002 ffff 00000000 00000004"},
+		{decide.SendToPeers{To: 300, Body: []byte("hi 7")}, "17 0002 012c 00000000 00000004"},
 	}
 	for _, tt := range tests {
 		got := AppendReply(nil, 1, []Reply{{2, []decide.Action{tt.a}}})
@@ -173,14 +173,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Dispatchers != 4 || s.Dispatcher != 2 || !s.Subscribe || !s.ReportsFree || !s.TellsStart ||
-		!s.Rules.GoneIsAdvice || s.Goal != (decide.Goal{Whole: 0.5, WorstTenant: 0.2, Punctual: 0.3, MissAllowed: 0.01}) ||
-		s.Progress != 2*time.Second || !reflect.DeepEqual(fields, []string{"waiting", "x0"}) {
+	if s.DispatcherCount != 4 || s.DispatcherIndex != 2 || !s.Subscribe || !s.ReportsFreeSlots || !s.ReportsStart ||
+		!s.Rules.GoneIsAdvisory || s.Goal != (decide.Goal{Whole: 0.5, WorstTenant: 0.2, Punctual: 0.3, MissAllowed: 0.01}) ||
+		s.ProgressInterval != 2*time.Second || !reflect.DeepEqual(fields, []string{"waiting", "x0"}) {
 		t.Errorf("settings %+v, fields %v", s, fields)
 	}
 	want := []decide.Class{
 		{Aim: 120 * time.Millisecond, Stretch: 1.75, Kind: decide.Any},
-		{Effect: decide.Keyed, Scope: decide.ScopeCell, Window: 7500 * time.Millisecond, Stretch: 2, Kind: 1},
+		{Effect: decide.Keyed, Scope: decide.ScopeCell, DedupWindow: 7500 * time.Millisecond, Stretch: 2, Kind: 1},
 	}
 	if !reflect.DeepEqual(s.Classes, want) {
 		t.Errorf("classes %+v, want %+v", s.Classes, want)
@@ -195,8 +195,8 @@
 	}{
 		{`{}`, nil},
 		{`{"SpareAttempts": 1, "ExtraPerRequest": 0.15, "BudgetSpanUs": 10000000}`,
-			&decide.AttemptBudget{Spare: 1, PerRequest: 0.15, Span: 10 * time.Second}},
-		{`{"BudgetSpanUs": 10000000}`, &decide.AttemptBudget{Span: 10 * time.Second}},
+			&decide.AttemptBudget{Spare: 1, PerRequest: 0.15, Window: 10 * time.Second}},
+		{`{"BudgetSpanUs": 10000000}`, &decide.AttemptBudget{Window: 10 * time.Second}},
 		{`{"SpareAttempts": 1}`, &decide.AttemptBudget{Spare: 1}}, // which New refuses
 	}
 	for _, tt := range tests {
--- a/winglb/attempt.go
+++ b/winglb/attempt.go
@@ -81,10 +81,10 @@
 	case turnedAway:
 		return decide.Full
 	case a.late.Load(): // by the picker, of a drain or an ended lease; or grpc would have sent it again
-		return decide.Moot
+		return decide.NotSent
 	case !a.out.Load():
 		if a.givenUp.Load() {
-			return decide.Moot
+			return decide.NotSent
 		}
 		return decide.ConnectFailed
 	case a.replied.Load() && code == codes.DeadlineExceeded:
--- a/winglb/pick_test.go
+++ b/winglb/pick_test.go
@@ -43,7 +43,7 @@
 	require.NoError(t, err)
 	_, err = p.Pick(balancer.PickInfo{Ctx: context.WithValue(t.Context(), attemptKey{}, a)})
 	require.ErrorIs(t, err, errAgain, "what grpc would send again by itself")
-	require.Equal(t, decide.Moot, a.outcome(err, nil), "it never ran")
+	require.Equal(t, decide.NotSent, a.outcome(err, nil), "it never ran")
 	_, err = p.Pick(balancer.PickInfo{Ctx: t.Context()})
 	require.ErrorIs(t, err, errUndecided)
 	_, err = pick(func(a *attempt) { a.instance = "s-9" })
@@ -51,7 +51,7 @@
 
 	a, err = pick(func(a *attempt) { a.of.Until = time.Now().Add(-time.Millisecond) })
 	require.ErrorIs(t, err, errLate, "the lease has ended")
-	require.Equal(t, decide.Moot, a.outcome(err, nil))
+	require.Equal(t, decide.NotSent, a.outcome(err, nil))
 	_, err = pick(func(a *attempt) { a.of.Until = time.Now().Add(time.Hour) })
 	require.NoError(t, err)
 	f.cordoned["s-1"] = true
--- a/winglb/sheet.go
+++ b/winglb/sheet.go
@@ -444,12 +444,12 @@
 	d := s.parsed
 	d.Seed = s.balancer.boot
 	// Of all senders, whoever they are, which one this is decides whom it prefers.
-	d.Dispatchers = int(max(2, s.settings.Living))
-	d.Dispatcher = int(s.balancer.boot % uint64(d.Dispatchers))
-	d.Leasing = decide.Leasing{On: true, Turn: int(s.place) - 1, Turns: int(max(1, s.senders)), Share: lease.TurnsShare}
+	d.DispatcherCount = int(max(2, s.settings.Living))
+	d.DispatcherIndex = int(s.balancer.boot % uint64(d.DispatcherCount))
+	d.Leasing = decide.Leasing{Enabled: true, Turn: int(s.place) - 1, Turns: int(max(1, s.senders)), Share: lease.TurnsShare}
 	// A call has no word of its progress; its header says that it has started, where encoders tell that at
 	// all. Nobody tells load.
-	d.Progress, d.ReportsFree, d.Limits.PeerMessages, d.Limits.Probes = 0, false, false, false
+	d.ProgressInterval, d.ReportsFreeSlots, d.Limits.PeerMessages, d.Limits.Probes = 0, false, false, false
 	d.Subscribe = false // the daemons tell
 	d.Limits.ConnIdle = time.Hour
 	if d.Limits.ConnectTimeout <= 0 {
