--- a/cmd/winglb-full/routes.go
+++ b/cmd/winglb-full/routes.go
@@ -131,7 +131,7 @@
 		}
 	}
 	if c.JSON {
-		out := map[string]any{"server": d.Server, "location": d.Location, "pool": d.Pool, "upstream_uri": d.URI, "why": d.Why}
+		out := map[string]any{"server": d.Server, "location": d.Location, "pool": d.Pool, "upstream_uri": d.URI, "why": d.Trace}
 		if d.Status != 0 {
 			out["status"] = d.Status
 		}
@@ -148,7 +148,7 @@
 		fmt.Println(string(text))
 		return nil
 	}
-	for _, w := range d.Why {
+	for _, w := range d.Trace {
 		fmt.Println(w)
 	}
 	if d.Status != 0 {
--- a/internal/full/gangs.go
+++ b/internal/full/gangs.go
@@ -34,11 +34,11 @@
 		o.Partners = append(o.Partners, gangs.Partner{Name: p.Name, Sites: p.Sites, Slots: p.Slots, Share: float64(p.Share), Hours: p.Hours})
 	}
 	if t := f.Control.TLS; t != nil {
-		pair, err := keys.Load(keys.Files{Certificate: t.Certificate, Key: t.Key, CA: t.ClientCA, Names: t.Names})
+		pair, err := keys.Load(keys.Files{Certificate: t.Certificate, Key: t.Key, CA: t.ClientCA, AcceptedNames: t.Names})
 		if err != nil {
 			return nil, fmt.Errorf("control.tls: %w", err)
 		}
-		o.Keys = func(name string) credentials.TransportCredentials { return credentials.NewTLS(pair.Client(name)) }
+		o.Keys = func(name string) credentials.TransportCredentials { return credentials.NewTLS(pair.ClientConfig(name)) }
 	}
 	return func(core program.Core) (program.Part, error) {
 		s, err := gangs.New(o, host, core.Loop, core.Log)
--- a/internal/full/replicas.go
+++ b/internal/full/replicas.go
@@ -40,11 +40,11 @@
 		Repair: r.Repair, Survivors: r.Survivors,
 	}
 	if t := f.Control.TLS; t != nil {
-		pair, err := keys.Load(keys.Files{Certificate: t.Certificate, Key: t.Key, CA: t.ClientCA, Names: t.Names})
+		pair, err := keys.Load(keys.Files{Certificate: t.Certificate, Key: t.Key, CA: t.ClientCA, AcceptedNames: t.Names})
 		if err != nil {
 			return nil, fmt.Errorf("control.tls: %w", err)
 		}
-		o.Dial = func(name string) credentials.TransportCredentials { return credentials.NewTLS(pair.Client(name)) }
+		o.Dial = func(name string) credentials.TransportCredentials { return credentials.NewTLS(pair.ClientConfig(name)) }
 	}
 	s, err := replicas.New(o, slog.New(slog.DiscardHandler))
 	if err == nil {
--- a/internal/full/serve.go
+++ b/internal/full/serve.go
@@ -157,11 +157,11 @@
 	}
 	fault := func() error { return nil }
 	if t := c.TLS; t != nil {
-		pair, err := keys.Load(keys.Files{Certificate: t.Certificate, Key: t.Key, CA: t.ClientCA, Names: t.Names})
+		pair, err := keys.Load(keys.Files{Certificate: t.Certificate, Key: t.Key, CA: t.ClientCA, AcceptedNames: t.Names})
 		if err != nil {
 			return nil, fmt.Errorf("control.tls: %w", err)
 		}
-		o.TLS, fault = credentials.NewTLS(pair.Server()), pair.Fault
+		o.TLS, fault = credentials.NewTLS(pair.ServerConfig()), pair.ReloadError
 	}
 	return func(core program.Core) (program.Part, error) {
 		s, err := control.New(o, core.Config.Settings, core.Loop, core.Log)
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -17,7 +17,7 @@
 type Files struct {
 	Certificate, Key string
 	CA               string   // that issues the peer's certificate
-	Names            []string // accepted in a client's certificate; used by servers only
+	AcceptedNames    []string // accepted in a client's certificate; used by servers only
 }
 
 // checkInterval is the shortest time between two checks of the files for changes.
@@ -96,17 +96,17 @@
 	return c.cert, c.roots
 }
 
-// Fault returns why changed files are not in use, nil if they are.
-func (c *Credentials) Fault() error {
+// ReloadError returns why changed files are not in use, nil if they are.
+func (c *Credentials) ReloadError() error {
 	c.current()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.reloadErr
 }
 
-// Server returns the configuration of a listener: a client must present a certificate of the CA with one of the
+// ServerConfig returns the configuration of a listener: a client must present a certificate of the CA with one of the
 // accepted names.
-func (c *Credentials) Server() *tls.Config {
+func (c *Credentials) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -126,15 +126,15 @@
 	}
 	leaf := s.PeerCertificates[0]
 	for _, name := range append(slices.Clone(leaf.DNSNames), leaf.Subject.CommonName) {
-		if name != "" && slices.Contains(c.files.Names, name) {
+		if name != "" && slices.Contains(c.files.AcceptedNames, name) {
 			return nil
 		}
 	}
 	return fmt.Errorf("the client certificate for %q has no accepted name", leaf.DNSNames)
 }
 
-// Client returns the configuration of a client; name must be in the server's certificate.
-func (c *Credentials) Client(name string) *tls.Config {
+// ClientConfig returns the configuration of a client; name must be in the server's certificate.
+func (c *Credentials) ClientConfig(name string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, ServerName: name,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -58,16 +58,16 @@
 	require.NoError(t, err)
 	otherCA, err := authority.New(t.TempDir(), "theirs")
 	require.NoError(t, err)
-	server := issueCredentials(t, ca, "daemon", "portal").Server()
+	server := issueCredentials(t, ca, "daemon", "portal").ServerConfig()
 	portal := issueCredentials(t, ca, "portal")
-	require.NoError(t, handshake(t, server, portal.Client("daemon")))
-	require.Error(t, handshake(t, server, portal.Client("another")), "the server's certificate has another name")
-	require.Error(t, handshake(t, server, issueCredentials(t, ca, "guest").Client("daemon")), "a client name that is not accepted")
-	require.Error(t, handshake(t, server, issueCredentials(t, otherCA, "portal").Client("daemon")), "a client certificate of another CA")
-	noCert := portal.Client("daemon")
+	require.NoError(t, handshake(t, server, portal.ClientConfig("daemon")))
+	require.Error(t, handshake(t, server, portal.ClientConfig("another")), "the server's certificate has another name")
+	require.Error(t, handshake(t, server, issueCredentials(t, ca, "guest").ClientConfig("daemon")), "a client name that is not accepted")
+	require.Error(t, handshake(t, server, issueCredentials(t, otherCA, "portal").ClientConfig("daemon")), "a client certificate of another CA")
+	noCert := portal.ClientConfig("daemon")
 	noCert.GetClientCertificate = nil
 	require.Error(t, handshake(t, server, noCert), "no client certificate")
-	require.Error(t, handshake(t, issueCredentials(t, otherCA, "daemon", "portal").Server(), portal.Client("daemon")), "a server certificate of another CA")
+	require.Error(t, handshake(t, issueCredentials(t, otherCA, "daemon", "portal").ServerConfig(), portal.ClientConfig("daemon")), "a server certificate of another CA")
 }
 
 // Changed files are reloaded; with invalid ones the previous certificate stays in use, and the error is reported.
@@ -85,7 +85,7 @@
 	creds.checkedAt = time.Time{}
 	third, _ := creds.current()
 	require.Equal(t, second, third)
-	require.ErrorContains(t, creds.Fault(), "daemon.key")
+	require.ErrorContains(t, creds.ReloadError(), "daemon.key")
 	cert, key, err := ca.Issue("old", time.Now().Add(-time.Minute))
 	require.NoError(t, err)
 	_, err = Load(Files{cert, key, ca.CA, nil})
--- a/internal/listclock/clock.go
+++ b/internal/listclock/clock.go
@@ -39,28 +39,28 @@
 	minWait      = time.Second / 8           // the shortest wait: an answer must not be missed because the process was stopped for less
 )
 
-// Way is how lists arrive.
-type Way int
+// Mode is how lists arrive.
+type Mode int
 
 // The ways in which lists arrive.
 const (
-	Pushed  Way = iota // by an agent on this machine: a watch there puts no load on others
-	Watched            // by a watch at the service that all dispatchers share
-	Asked              // from that service, one call per list
+	Pushed  Mode = iota // by an agent on this machine: a watch there puts no load on others
+	Watched             // by a watch at the service that all dispatchers share
+	Polled              // from that service, one call per list
 )
 
-// Terms are the settings of a [Clock]. Negative times count as zero.
-type Terms struct {
-	Way    Way
-	Within time.Duration // how long a list is valid after the last call if nothing is open; never more than 6 s
-	Grace  time.Duration // how long requests may be sent to an instance after its drain was received
-	Spread time.Duration // over which all dispatchers spread the calls with one cause; not used for calls to an agent
+// Settings are the settings of a [Clock]. Negative times count as zero.
+type Settings struct {
+	Mode       Mode
+	MaxAge     time.Duration // how long a list is valid after the last call if nothing is open; never more than 6 s
+	DrainGrace time.Duration // how long requests may be sent to an instance after its drain was received
+	Spread     time.Duration // over which all dispatchers spread the calls with one cause; not used for calls to an agent
 }
 
 // Clock must not be used by several goroutines at once. Times are since the process started and must not go back;
 // an earlier time counts as the latest one seen.
 type Clock struct {
-	settings Terms
+	settings Settings
 	state    connState
 	paused   bool // no call is to be made
 	now      time.Duration
@@ -86,16 +86,16 @@
 
 // New returns the clock of a process that starts now and has at most the list of an earlier process. A service is
 // not called before the first [Clock.Called]: the caller decides when to start. An agent is called at once.
-func New(settings Terms, now time.Duration) *Clock {
+func New(settings Settings, now time.Duration) *Clock {
 	c := &Clock{now: now, knownUpTo: now, lastActivity: now, lastList: -1, calledAt: -1, listStartedAt: -1, movedAt: -1, silentSince: -1}
-	c.Retune(settings)
-	c.paused = settings.Way != Pushed
+	c.UpdateSettings(settings)
+	c.paused = settings.Mode != Pushed
 	return c
 }
 
-// Retune replaces the settings.
-func (c *Clock) Retune(settings Terms) {
-	settings.Within, settings.Grace, settings.Spread = max(0, settings.Within), max(0, settings.Grace), max(0, settings.Spread)
+// UpdateSettings replaces the settings.
+func (c *Clock) UpdateSettings(settings Settings) {
+	settings.MaxAge, settings.DrainGrace, settings.Spread = max(0, settings.MaxAge), max(0, settings.DrainGrace), max(0, settings.Spread)
 	c.settings = settings
 }
 
@@ -104,47 +104,47 @@
 	return c.now
 }
 
-// Called reports that a call is made on a new connection, which replaces what was open. maxWait is how long the call
+// CallStarted reports that a call is made on a new connection, which replaces what was open. maxWait is how long the call
 // may wait for changes; 0: it is answered at once. share, in [0, 1), is drawn at random.
-func (c *Clock) Called(now, maxWait time.Duration, share float64) {
+func (c *Clock) CallStarted(now, maxWait time.Duration, share float64) {
 	now = c.advance(now)
 	c.state, c.calledAt, c.maxWait, c.share = calling, now, max(0, maxWait), min(max(share, 0), 1)
 	c.lastActivity, c.knownUpTo = now, now
 	c.listStartedAt, c.movedAt, c.silentSince, c.paused = -1, -1, -1, false
 }
 
-// Heard reports that data arrived on the open call or watch, be it an empty line or part of one. A watch that has
+// DataReceived reports that data arrived on the open call or watch, be it an empty line or part of one. A watch that has
 // been silent stays broken, because the changes that it missed are unknown.
-func (c *Clock) Heard(now time.Duration) {
+func (c *Clock) DataReceived(now time.Duration) {
 	if now = c.advance(now); c.state == idle {
 		return
 	}
 	if c.state == watching && c.silentSince < 0 && now >= c.lastActivity+silentAfter {
 		c.silentSince = c.lastActivity
 	}
-	if c.lastActivity = now; c.settings.Way != Asked {
+	if c.lastActivity = now; c.settings.Mode != Polled {
 		c.state = watching
 	}
 }
 
-// Begun reports that the first part of a list has arrived, but not all of it.
-func (c *Clock) Begun(now time.Duration) {
+// ListStarted reports that the first part of a list has arrived, but not all of it.
+func (c *Clock) ListStarted(now time.Duration) {
 	if now = c.advance(now); c.state != idle && c.listStartedAt < 0 {
 		c.listStartedAt = now
 	}
 }
 
-// Beat reports an empty line: nothing has changed up to now. An empty line that precedes any list and comes sooner
+// Heartbeat reports an empty line: nothing has changed up to now. An empty line that precedes any list and comes sooner
 // than the first one of a watch may come does not count: changes may follow it.
-func (c *Clock) Beat(now time.Duration) {
+func (c *Clock) Heartbeat(now time.Duration) {
 	if now = c.advance(now); c.lastList >= c.calledAt || now >= c.calledAt+heartbeatInterval/2 {
 		c.markKnown(now)
 	}
 }
 
-// Told reports that a complete list, or a change of it, has been read. It does not contain changes made after it
+// ListReceived reports that a complete list, or a change of it, has been read. It does not contain changes made after it
 // began.
-func (c *Clock) Told(now time.Duration) {
+func (c *Clock) ListReceived(now time.Duration) {
 	if c.lastList = c.advance(now); c.listStartedAt >= 0 {
 		now = c.listStartedAt
 	}
@@ -152,8 +152,8 @@
 	c.listStartedAt = -1
 }
 
-// PassedOver reports that the list that has begun is ignored because it is older than an earlier one.
-func (c *Clock) PassedOver(now time.Duration) {
+// ListIgnored reports that the list that has begun is ignored because it is older than an earlier one.
+func (c *Clock) ListIgnored(now time.Duration) {
 	c.advance(now)
 	c.listStartedAt = -1
 }
@@ -165,27 +165,27 @@
 	}
 }
 
-// Ended reports that the call or watch is over: it was refused or broke off, or the call was answered. A silent
+// CallEnded reports that the call or watch is over: it was refused or broke off, or the call was answered. A silent
 // watch or call is not ended by this but by the next call.
-func (c *Clock) Ended(now time.Duration) {
+func (c *Clock) CallEnded(now time.Duration) {
 	c.advance(now)
 	c.state, c.listStartedAt, c.silentSince = idle, -1, -1
-	if c.settings.Way == Pushed {
+	if c.settings.Mode == Pushed {
 		c.lastActivity = c.now // the next attempt counts from here
 	}
 }
 
-// Moved reports that the list has a new address from now on.
-func (c *Clock) Moved(now time.Duration) { c.movedAt = c.advance(now) }
+// AddressChanged reports that the list has a new address from now on.
+func (c *Clock) AddressChanged(now time.Duration) { c.movedAt = c.advance(now) }
 
-// Rest stops all calls until the next [Clock.Called]: the list arrives from other dispatchers.
-func (c *Clock) Rest(now time.Duration) {
+// Pause stops all calls until the next [Clock.Called]: the list arrives from other dispatchers.
+func (c *Clock) Pause(now time.Duration) {
 	c.advance(now)
 	c.state, c.listStartedAt, c.movedAt, c.silentSince, c.paused = idle, -1, -1, -1, true
 }
 
-// Moving reports whether the address has changed since the last call.
-func (c *Clock) Moving() bool { return c.movedAt >= 0 }
+// AddressChangePending reports whether the address has changed since the last call.
+func (c *Clock) AddressChangePending() bool { return c.movedAt >= 0 }
 
 // Open reports whether a call or a watch is open, silent or not.
 func (c *Clock) Open() bool { return c.state != idle }
@@ -208,17 +208,17 @@
 	switch {
 	case c.state == watching:
 		return c.knownUpTo + silenceTimeout
-	case c.settings.Way == Pushed:
+	case c.settings.Mode == Pushed:
 		return c.lastActivity
 	case c.state == calling:
 		return max(c.lastActivity+silenceTimeout, c.calledAt+c.maxWait+waitMargin)
 	}
-	return c.knownUpTo + min(silenceTimeout, c.settings.Within)
+	return c.knownUpTo + min(silenceTimeout, c.settings.MaxAge)
 }
 
-// Ask returns when to make the next call, on a new connection; false: not until the caller decides. It is before
+// NextCall returns when to make the next call, on a new connection; false: not until the caller decides. It is before
 // [Clock.Deadline], unless that is in the past from the start.
-func (c *Clock) Ask() (time.Duration, bool) {
+func (c *Clock) NextCall() (time.Duration, bool) {
 	next := c.nextCall()
 	if c.silentSince >= 0 {
 		next = min(next, c.reconnectAt(c.silentSince, c.silentSince+silenceTimeout))
@@ -231,17 +231,17 @@
 
 // nextCall is Ask without a watch that fell silent and without a change of the address.
 func (c *Clock) nextCall() time.Duration {
-	switch agent := c.settings.Way == Pushed; {
+	switch agent := c.settings.Mode == Pushed; {
 	case c.state == watching:
 		return c.reconnectAt(c.lastActivity, c.deadline())
 	case c.state == calling && agent:
-		return c.calledAt + min(max(c.settings.Grace/2, minWait), maxAgentWait)
+		return c.calledAt + min(max(c.settings.DrainGrace/2, minWait), maxAgentWait)
 	case c.state == calling:
 		return c.reconnectAt(max(c.lastActivity, c.calledAt+c.maxWait+waitMargin-answerTime-silentAfter), c.deadline())
 	case agent && c.calledAt < 0: // when the process starts
 		return c.lastActivity
 	case agent:
-		return c.lastActivity + max(c.settings.Grace/4, minWait)
+		return c.lastActivity + max(c.settings.DrainGrace/4, minWait)
 	}
 	return c.nextCallWhenIdle()
 }
@@ -249,8 +249,8 @@
 // nextCallWhenIdle returns the latest time of a call if nothing is open. The caller may call sooner, by taking
 // turns with other dispatchers.
 func (c *Clock) nextCallWhenIdle() time.Duration {
-	margin := min(answerTime, c.settings.Within/8)
-	latest := min(c.settings.Within-margin, silenceTimeout-answerTime)
+	margin := min(answerTime, c.settings.MaxAge/8)
+	latest := min(c.settings.MaxAge-margin, silenceTimeout-answerTime)
 	return max(c.knownUpTo+latest-time.Duration(c.share*float64(margin)), c.calledAt+minWait)
 }
 
@@ -262,7 +262,7 @@
 
 // spreadDelay returns this dispatcher's delay in the spread of the fleet, up to limit.
 func (c *Clock) spreadDelay(limit time.Duration) time.Duration {
-	if c.settings.Way == Pushed {
+	if c.settings.Mode == Pushed {
 		return 0
 	}
 	return time.Duration(c.share * float64(max(0, min(c.settings.Spread, limit))))
@@ -275,5 +275,5 @@
 	if drainedAt < 0 {
 		drainedAt = c.Deadline()
 	}
-	return drainedAt + c.settings.Grace
+	return drainedAt + c.settings.DrainGrace
 }
--- a/internal/listclock/simulation_test.go
+++ b/internal/listclock/simulation_test.go
@@ -13,7 +13,7 @@
 // spec is the rules of the operators' manual in their simplest form: what is open, since when it is really silent,
 // and the time by which another call must be out. It knows what no dispatcher can know.
 type spec struct {
-	Terms
+	Settings
 	open                    bool
 	silentSince             time.Duration // since when the open call or watch is silent; negative: it is not
 	calledAt, lastReceived  time.Duration // the last call, the last data on what it opened
@@ -30,30 +30,30 @@
 func (p *spec) deadline() time.Duration {
 	deadline := forever
 	switch {
-	case p.open && p.silentSince >= 0 && p.lastReceived < 0 && p.Way == Pushed: // a call to an agent
-		deadline = p.calledAt + p.Grace
+	case p.open && p.silentSince >= 0 && p.lastReceived < 0 && p.Mode == Pushed: // a call to an agent
+		deadline = p.calledAt + p.DrainGrace
 	case p.open && p.silentSince >= 0:
 		deadline = p.silentSince + 6*s
-	case !p.open && p.Way == Pushed:
-		deadline = p.endedAt + p.Grace
+	case !p.open && p.Mode == Pushed:
+		deadline = p.endedAt + p.DrainGrace
 	case !p.open && p.failed:
-		deadline = max(p.endedAt, min(p.calledAt+4*p.Within, p.knownUpTo+6*s))
+		deadline = max(p.endedAt, min(p.calledAt+4*p.MaxAge, p.knownUpTo+6*s))
 	case !p.open:
-		deadline = max(p.endedAt, min(max(p.calledAt, p.lastReceived)+p.Within, p.knownUpTo+6*s))
+		deadline = max(p.endedAt, min(max(p.calledAt, p.lastReceived)+p.MaxAge, p.knownUpTo+6*s))
 	}
-	if p.open && p.Way != Pushed {
+	if p.open && p.Mode != Pushed {
 		deadline = min(deadline, p.knownUpTo+6*s)
 	}
 	if p.movedAt >= 0 {
 		deadline = min(deadline, p.movedAt+4*s)
 	}
-	if p.Way == Pushed && p.downAt >= 0 {
+	if p.Mode == Pushed && p.downAt >= 0 {
 		return forever // the agent learns nothing
 	}
 	if p.backAt >= 0 { // no grace ran during the outage; a new one starts at the recovery
-		grace := min(p.Within, 6*s)
-		if p.Way == Pushed {
-			grace = p.Grace
+		grace := min(p.MaxAge, 6*s)
+		if p.Mode == Pushed {
+			grace = p.DrainGrace
 		}
 		deadline = max(deadline, p.backAt+grace)
 	}
@@ -95,29 +95,29 @@
 	if sim.spec.open && sim.spec.silentSince < 0 && sim.spec.movedAt < 0 && !slow {
 		sim.t.Fatalf("at %v a call although an open watch works (%+v)", sim.now, sim.spec)
 	}
-	if sim.spec.open && sim.spec.movedAt < 0 && !slow && sim.spec.Way != Pushed && sim.now-max(sim.spec.calledAt, sim.spec.lastReceived) < 3*s {
+	if sim.spec.open && sim.spec.movedAt < 0 && !slow && sim.spec.Mode != Pushed && sim.now-max(sim.spec.calledAt, sim.spec.lastReceived) < 3*s {
 		sim.t.Fatalf("at %v a call before silence was certain (%+v)", sim.now, sim.spec)
 	}
 	sim.calls++
 	sim.noteEmptyCall()
-	sim.clock.Called(sim.now, 0, float64(sim.draw(3, "share"))/3.001)
+	sim.clock.CallStarted(sim.now, 0, float64(sim.draw(3, "share"))/3.001)
 	sim.spec.open, sim.spec.silentSince, sim.spec.calledAt, sim.spec.lastReceived, sim.spec.failed, sim.spec.movedAt = true, sim.now, sim.now, -1, false, -1
 	sim.spec.knownUpTo, sim.spec.listStartedAt = sim.now, -1
 	if sim.spec.downAt < 0 && sim.spec.backAt >= 0 && sim.now > sim.spec.backAt+tick {
 		sim.spec.backAt = -1
 	}
 	sim.outcome, sim.answerAt = answered, sim.now+time.Duration(1+sim.draw(90, "answered"))*tick
-	if sim.spec.Way == Pushed {
+	if sim.spec.Mode == Pushed {
 		sim.answerAt = sim.now + tick
 	}
-	switch agent := sim.spec.Way == Pushed; {
+	switch agent := sim.spec.Mode == Pushed; {
 	case sim.spec.downAt >= 0 && agent:
 		sim.outcome = silent
 	case sim.spec.downAt >= 0:
 		sim.outcome = refused + outcome(sim.draw(1, "down"))
 	case sim.draw(9, "outcome") == 0 && agent:
 		sim.outcome = refused + outcome(sim.draw(1, "fault"))
-	case sim.spec.Way == Watched && sim.draw(9, "outcome") == 0:
+	case sim.spec.Mode == Watched && sim.draw(9, "outcome") == 0:
 		sim.outcome = refused + outcome(sim.draw(3, "fault"))
 	case sim.draw(9, "outcome") == 0:
 		sim.outcome = refused + outcome(sim.draw(1, "fault"))
@@ -133,7 +133,7 @@
 
 func (sim *simulation) endCall(failed bool) {
 	sim.noteEmptyCall()
-	sim.clock.Ended(sim.now)
+	sim.clock.CallEnded(sim.now)
 	sim.spec.open, sim.spec.failed, sim.spec.endedAt, sim.spec.silentSince, sim.spec.listStartedAt = false, failed, sim.now, -1, -1
 	sim.maybeChange()
 }
@@ -147,32 +147,32 @@
 
 // receive delivers a complete list, or an empty line.
 func (sim *simulation) receive(list bool) {
-	sim.clock.Heard(sim.now)
+	sim.clock.DataReceived(sim.now)
 	sim.spec.lastReceived, sim.spec.silentSince = sim.now, -1
 	if list {
-		sim.clock.Begun(sim.now)
-		sim.clock.Told(sim.now)
+		sim.clock.ListStarted(sim.now)
+		sim.clock.ListReceived(sim.now)
 		sim.knownChanges = len(sim.changes)
 	} else {
-		sim.clock.Beat(sim.now)
+		sim.clock.Heartbeat(sim.now)
 	}
-	if sim.spec.Way != Asked {
+	if sim.spec.Mode != Polled {
 		sim.spec.knownUpTo = sim.now
 	}
 }
 
 // startList delivers the first part of a list.
 func (sim *simulation) startList() {
-	sim.clock.Heard(sim.now)
-	sim.clock.Begun(sim.now)
+	sim.clock.DataReceived(sim.now)
+	sim.clock.ListStarted(sim.now)
 	sim.spec.lastReceived, sim.spec.listStartedAt, sim.incomingChanges = sim.now, sim.now, len(sim.changes)
 	sim.listCompleteAt = sim.now + time.Duration(sim.draw(70, "complete"))*10*tick
 }
 
 // finishList delivers the rest of the list.
 func (sim *simulation) finishList() {
-	sim.clock.Heard(sim.now)
-	sim.clock.Told(sim.now)
+	sim.clock.DataReceived(sim.now)
+	sim.clock.ListReceived(sim.now)
 	sim.knownChanges, sim.spec.lastReceived, sim.spec.knownUpTo, sim.spec.listStartedAt = sim.incomingChanges, sim.now, sim.spec.listStartedAt, -1
 }
 
@@ -201,16 +201,16 @@
 		if sim.now >= sim.listCompleteAt {
 			sim.finishList()
 		} else if sim.now-p.lastReceived >= s {
-			sim.clock.Heard(sim.now) // another byte
+			sim.clock.DataReceived(sim.now) // another byte
 			p.lastReceived = sim.now
 		}
-	case p.open && p.silentSince < 0 && pending && p.Way == Watched && sim.draw(3, "parts") == 0:
+	case p.open && p.silentSince < 0 && pending && p.Mode == Watched && sim.draw(3, "parts") == 0:
 		sim.startList()
 	case p.open && p.silentSince < 0 && (pending || sim.now-p.lastReceived >= 2*s):
 		sim.receive(pending)
 	}
 	sim.checkInformed()
-	if next, ok := sim.clock.Ask(); ok && sim.now >= next {
+	if next, ok := sim.clock.NextCall(); ok && sim.now >= next {
 		sim.call()
 	} else if sim.now > p.deadline()+tick {
 		sim.t.Fatalf("at %v no call, but its deadline was %v (%+v)", sim.now, p.deadline(), sim.spec)
@@ -221,13 +221,13 @@
 func (sim *simulation) resolveCall() {
 	switch sim.outcome {
 	case answered:
-		if sim.receive(true); sim.spec.Way == Asked {
+		if sim.receive(true); sim.spec.Mode == Polled {
 			sim.endCall(false)
 		}
 	case refused:
 		sim.endCall(true)
 	case headOnly, resetAfterHead:
-		sim.clock.Heard(sim.now)
+		sim.clock.DataReceived(sim.now)
 		if sim.outcome == resetAfterHead {
 			sim.endCall(true)
 		}
@@ -241,12 +241,12 @@
 func TestSilenceOutagesAndAddressChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(limit int, label string) int { return rapid.IntRange(0, limit).Draw(t, label) }
-		settings := Terms{
-			Way: Way(draw(2, "way")), Within: time.Duration(4000+draw(8000, "within")) * ms, Grace: time.Duration(250+draw(1250, "grace")) * ms,
+		settings := Settings{
+			Mode: Mode(draw(2, "way")), MaxAge: time.Duration(4000+draw(8000, "within")) * ms, DrainGrace: time.Duration(250+draw(1250, "grace")) * ms,
 			Spread: time.Duration(draw(2, "spread")) * 3 * s,
 		}
-		sim := &simulation{t: t, draw: draw, clock: New(settings, 0), spec: spec{Terms: settings, silentSince: -1, movedAt: -1, backAt: -1, downAt: -1, lastReceived: -1, listStartedAt: -1}}
-		if settings.Way != Pushed {
+		sim := &simulation{t: t, draw: draw, clock: New(settings, 0), spec: spec{Settings: settings, silentSince: -1, movedAt: -1, backAt: -1, downAt: -1, lastReceived: -1, listStartedAt: -1}}
+		if settings.Mode != Pushed {
 			sim.call() // the clock alone decides on the first call to an agent
 		}
 		for range 12 {
@@ -264,7 +264,7 @@
 			case 3: // discovery goes down
 				if p.downAt < 0 {
 					if p.downAt = sim.now; p.open && p.silentSince < 0 {
-						if settings.Way == Pushed {
+						if settings.Mode == Pushed {
 							p.silentSince = sim.now
 						} else {
 							sim.endCall(false)
@@ -276,7 +276,7 @@
 					p.downAt, p.backAt, p.lastBackAt = -1, sim.now, sim.now
 				}
 			case 5: // the address changes
-				sim.clock.Moved(sim.now)
+				sim.clock.AddressChanged(sim.now)
 				p.movedAt = sim.now
 			case 7: // a watch falls silent and sends again; what it missed is unknown
 				if p.open && p.lastReceived >= 0 {
@@ -285,8 +285,8 @@
 					}
 					for calls := sim.calls; calls == sim.calls && p.silentSince >= 0; sim.step() {
 						if sim.now-p.lastReceived >= 3*s {
-							if sim.clock.Heard(sim.now); p.listStartedAt < 0 {
-								sim.clock.Beat(sim.now)
+							if sim.clock.DataReceived(sim.now); p.listStartedAt < 0 {
+								sim.clock.Heartbeat(sim.now)
 							}
 							break
 						}
@@ -303,7 +303,7 @@
 			sim.spec.downAt, sim.spec.backAt, sim.spec.lastBackAt = -1, sim.now, sim.now
 		}
 		sim.draw = func(int, string) int { return 1 } // no faults from here on
-		for range int(4*settings.Within/tick) + 800 {
+		for range int(4*settings.MaxAge/tick) + 800 {
 			sim.step()
 		}
 		if sim.knownChanges != len(sim.changes) {
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -94,16 +94,16 @@
 func (w *Watcher) Retune(s decide.Settings) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.clock.Retune(terms(s))
+	w.clock.UpdateSettings(terms(s))
 	nudge(w.nudged)
 }
 
 // terms is what the settings say of the list. A pushed one comes by an agent on this machine, which has been sent it;
 // else by a service that many call.
-func terms(s decide.Settings) listclock.Terms {
-	t := listclock.Terms{Way: listclock.Watched, Within: s.Rules.MustAskIn, Grace: s.Rules.DrainGrace, Spread: time.Duration(s.DispatcherCount) * pace}
+func terms(s decide.Settings) listclock.Settings {
+	t := listclock.Settings{Mode: listclock.Watched, MaxAge: s.Rules.MustAskIn, DrainGrace: s.Rules.DrainGrace, Spread: time.Duration(s.DispatcherCount) * pace}
 	if s.ListPushed {
-		t.Way = listclock.Pushed
+		t.Mode = listclock.Pushed
 	}
 	return t
 }
@@ -133,9 +133,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.address, w.revision = address, 0
-	w.clock.Moved(w.now())
+	w.clock.AddressChanged(w.now())
 	nudge(w.nudged)
-	if ask, ok := w.clock.Ask(); ok {
+	if ask, ok := w.clock.NextCall(); ok {
 		time.AfterFunc(ask-w.now(), w.follow)
 	}
 }
@@ -144,14 +144,14 @@
 func (w *Watcher) Moving() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.clock.Moving()
+	return w.clock.AddressChangePending()
 }
 
 // follow ends the watch at an address that the name table has left.
 func (w *Watcher) follow() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.clock.Moving() {
+	if w.clock.AddressChangePending() {
 		w.leave()
 	}
 }
@@ -161,7 +161,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.forget()
-	w.clock.Rest(w.now())
+	w.clock.Pause(w.now())
 	w.rested = true
 	w.leave()
 }
@@ -210,7 +210,7 @@
 	defer alarm.Stop()
 	for {
 		w.mu.Lock()
-		ask, goes := w.clock.Ask()
+		ask, goes := w.clock.NextCall()
 		w.mu.Unlock()
 		if alarm.Stop(); goes {
 			alarm.Reset(ask - w.now())
@@ -235,7 +235,7 @@
 		return "", 0, false
 	}
 	w.called = w.now()
-	w.clock.Called(w.called, 0, rand.Float64())
+	w.clock.CallStarted(w.called, 0, rand.Float64())
 	w.leave, w.rested, w.answered = leave, false, false
 	return w.address, w.revision, true
 }
@@ -258,8 +258,8 @@
 		return lost, w.answered
 	}
 	w.forget() // what was asked for while the watch was on is answered with it
-	ask, goes := w.clock.Ask()
-	due, moving := goes && w.now() > ask-slack, w.clock.Moving()
+	ask, goes := w.clock.NextCall()
+	due, moving := goes && w.now() > ask-slack, w.clock.AddressChangePending()
 	var timeout net.Error
 	switch {
 	case due && moving:
@@ -267,7 +267,7 @@
 	case due && errors.As(err, &timeout) && timeout.Timeout():
 		return anew, w.answered
 	}
-	if w.clock.Ended(w.now()); moving {
+	if w.clock.CallEnded(w.now()); moving {
 		return moves, w.answered
 	}
 	return lost, w.answered
@@ -277,7 +277,7 @@
 func (w *Watcher) told(revision int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.clock.Told(w.now()); !w.clock.Moving() {
+	if w.clock.ListReceived(w.now()); !w.clock.AddressChangePending() {
 		w.revision = revision
 	}
 }
@@ -286,21 +286,21 @@
 func (w *Watcher) passedOver() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.clock.PassedOver(w.now())
+	w.clock.ListIgnored(w.now())
 }
 
 // beat tells the clock that nothing has changed.
 func (w *Watcher) beat() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.clock.Beat(w.now())
+	w.clock.Heartbeat(w.now())
 }
 
 // deadline is when what is open has been silent for too long.
 func (w *Watcher) deadline() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ask, _ := w.clock.Ask()
+	ask, _ := w.clock.NextCall()
 	return w.start.Add(ask)
 }
 
@@ -406,7 +406,7 @@
 	n, err := s.Conn.Read(p)
 	if n > 0 {
 		s.w.mu.Lock()
-		s.w.clock.Heard(s.w.now())
+		s.w.clock.DataReceived(s.w.now())
 		s.w.mu.Unlock()
 	}
 	return n, err
@@ -454,7 +454,7 @@
 	}
 	if len(text) > 0 {
 		o.w.mu.Lock()
-		o.w.clock.Begun(o.w.now())
+		o.w.clock.ListStarted(o.w.now())
 		o.w.mu.Unlock()
 	}
 	o.size = len(text)
--- a/internal/net/plain/front.go
+++ b/internal/net/plain/front.go
@@ -263,8 +263,8 @@
 		}
 	}
 	within := time.Now().Add(f.within)
-	if d.Within > 0 && d.Within < f.within {
-		within = time.Now().Add(d.Within)
+	if d.Timeout > 0 && d.Timeout < f.within {
+		within = time.Now().Add(d.Timeout)
 	}
 	hold, cancelHold := context.WithDeadline(context.Background(), within)
 	leave, ok := f.limits.Load().Enter(hold, d.Limits)
@@ -274,7 +274,7 @@
 	}
 	defer leave()
 	class := d.Pool + repeatable
-	if !mayRepeat(q.Method) && !d.RepeatAll || d.Tries == 1 { // with one try there is no second anyway, and the failure is told at once
+	if !mayRepeat(q.Method) && !d.RetryNonIdempotent || d.Tries == 1 { // with one try there is no second anyway, and the failure is told at once
 		class = d.Pool + once
 	}
 	x.began, x.deadline = time.Now(), within
@@ -283,7 +283,7 @@
 		ID: strconv.FormatUint(f.boot, 36) + "-" + strconv.FormatUint(f.ids.Add(1), 36), Class: class, Payload: x, Client: w, Deadline: within,
 	}
 	if p := f.pools.Load(); p != nil {
-		if cmd.Order = p.Order(d.Pool, cmd.ID, pools.Ask{Key: d.Key, Remote: remote}); cmd.Order == nil {
+		if cmd.Order = p.Order(d.Pool, cmd.ID, pools.Criteria{Key: d.Key, Remote: remote}); cmd.Order == nil {
 			return reply(nc, q, 502, nil, []byte("no such pool\n"), q.Close)
 		} else if len(cmd.Order) == 0 {
 			return reply(nc, q, 502, nil, []byte("no server of the pool is up\n"), q.Close)
--- a/internal/net/plain/limits.go
+++ b/internal/net/plain/limits.go
@@ -33,9 +33,9 @@
 		case same && z.Rate > 0:
 			l.rates[z.Name] = before.rates[z.Name]
 		case z.Rate > 0:
-			l.rates[z.Name], err = limits.NewRate(z.Rate, z.Keys)
+			l.rates[z.Name], err = limits.NewRate(z.Rate, z.MaxKeys)
 		default: // what is under way leaves where it entered
-			l.conns[z.Name], err = limits.NewConns(z.Keys)
+			l.conns[z.Name], err = limits.NewConns(z.MaxKeys)
 		}
 		if err != nil {
 			return nil, err
@@ -46,13 +46,13 @@
 
 // Enter asks for one request. It waits its turn, for as long as the context lets it; leave must be called once
 // the request has ended, where it was let in.
-func (l *Limits) Enter(ctx context.Context, all []routes.Limited) (leave func(), ok bool) {
+func (l *Limits) Enter(ctx context.Context, all []routes.KeyedLimit) (leave func(), ok bool) {
 	if len(all) == 0 {
 		return func() {}, true
 	}
 	l.mu.Lock()
 	now, wait := time.Since(l.start), time.Duration(0)
-	var entered []routes.Limited
+	var entered []routes.KeyedLimit
 	leave = func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -68,7 +68,7 @@
 				ok, wait = in, max(wait, w)
 			}
 		} else if c := l.conns[x.Zone]; c != nil && ok {
-			if ok = c.Enter(x.Key, x.Most); ok {
+			if ok = c.Enter(x.Key, x.MaxConcurrent); ok {
 				entered = append(entered, x)
 			}
 		}
--- a/internal/net/plain/site.go
+++ b/internal/net/plain/site.go
@@ -58,7 +58,7 @@
 
 // Order is where a request goes: the member whose turn it is, then the others, backups last. It counts as
 // taken by the command until Done.
-func (p *Pools) Order(pool, command string, a pools.Ask) []string {
+func (p *Pools) Order(pool, command string, a pools.Criteria) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := p.pools[pool]
--- a/internal/net/plain/story_test.go
+++ b/internal/net/plain/story_test.go
@@ -263,8 +263,8 @@
 	a, b, c := serve(t, "a", nil), serve(t, "b", nil), serve(t, "c", nil)
 	routed := one("consistent", routes.Member{Address: a.at()}, routes.Member{Address: b.at()}, routes.Member{Address: c.at()})
 	routed.Servers[0].Locations = append(routed.Servers[0].Locations,
-		routes.Location{Modifier: "=", Pattern: "/health", Steps: []routes.Step{{Do: "return", Args: []string{"200", "well"}}}},
-		routes.Location{Modifier: "=", Pattern: "/moved", Steps: []routes.Step{{Do: "return", Args: []string{"301", "/there"}}}},
+		routes.Location{Modifier: "=", Pattern: "/health", Steps: []routes.Step{{Action: "return", Args: []string{"200", "well"}}}},
+		routes.Location{Modifier: "=", Pattern: "/moved", Steps: []routes.Step{{Action: "return", Args: []string{"301", "/there"}}}},
 		routes.Location{Pattern: "/nowhere", Pass: "http://$arg_pool"})
 	s := begin(t, routed)
 	k := dial(t, s)
@@ -332,10 +332,10 @@
 		return true
 	})
 	c := one("", routes.Member{Address: a.at()})
-	c.Zones = []routes.Zone{{Name: "r", Key: "$arg_k", Rate: 0.001, Keys: 10}, {Name: "c", Key: "$host", Keys: 10}}
+	c.Zones = []routes.Zone{{Name: "r", Key: "$arg_k", Rate: 0.001, MaxKeys: 10}, {Name: "c", Key: "$host", MaxKeys: 10}}
 	c.Servers[0].Locations = []routes.Location{
 		{Pattern: "/", Pass: "http://p", Limits: []routes.Limit{{Zone: "r", Burst: 2, NoDelay: true}}, Headers: [][2]string{{"Host", "inner"}, {"X-Real", "$remote_addr"}, {"X-Keep", ""}}},
-		{Pattern: "/hold", Pass: "http://p", Limits: []routes.Limit{{Zone: "c", Most: 2}}},
+		{Pattern: "/hold", Pass: "http://p", Limits: []routes.Limit{{Zone: "c", MaxConcurrent: 2}}},
 	}
 	s := begin(t, c)
 	k := dial(t, s)
@@ -377,7 +377,7 @@
 		return true
 	})
 	c := one("", routes.Member{Address: a.at()})
-	c.Servers[0].Locations = append(c.Servers[0].Locations, routes.Location{Pattern: "/slow", Pass: "http://p", Within: "300ms"})
+	c.Servers[0].Locations = append(c.Servers[0].Locations, routes.Location{Pattern: "/slow", Pass: "http://p", Timeout: "300ms"})
 	s := begin(t, c)
 	k := dial(t, s)
 	p := k.ask("HEAD", "/", "")
@@ -395,7 +395,7 @@
 	for target, want := range map[string]int{"/once": 502, "/again": 200, "/plain": 502} {
 		c := one("", routes.Member{Address: broken.at(), Weight: 9}, routes.Member{Address: good.at()})
 		c.Servers[0].Locations = append(c.Servers[0].Locations,
-			routes.Location{Pattern: "/once", Pass: "http://p", Tries: 1, RepeatAll: true}, routes.Location{Pattern: "/again", Pass: "http://p", RepeatAll: true})
+			routes.Location{Pattern: "/once", Pass: "http://p", Tries: 1, RetryNonIdempotent: true}, routes.Location{Pattern: "/again", Pass: "http://p", RetryNonIdempotent: true})
 		require.Equal(t, want, dial(t, begin(t, c)).ask("POST", target, "b").Status, target)
 	}
 }
--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -207,7 +207,7 @@
 			if !m.zones[d.Args[0]] {
 				return out, fault(d, "zero size shared memory zone %q", d.Args[0])
 			}
-			conns = append(conns, routes.Limit{Zone: d.Args[0], Most: n})
+			conns = append(conns, routes.Limit{Zone: d.Args[0], MaxConcurrent: n})
 		case "proxy_next_upstream":
 			out.off, out.again = false, false
 			for _, a := range d.Args {
@@ -274,7 +274,7 @@
 			if err != nil || name == "" || n <= 0 {
 				return fault(d, "invalid zone size %q", value)
 			}
-			z.Name, z.Keys = name, int(min(max(1, n*unit/128), 1e6)) // a state takes 128 bytes there
+			z.Name, z.MaxKeys = name, int(min(max(1, n*unit/128), 1e6)) // a state takes 128 bytes there
 		case "rate":
 			number, per, found := value, 1.0, false
 			if number, found = strings.CutSuffix(value, "r/s"); !found {
@@ -418,7 +418,7 @@
 			n, err = number()
 			s.MaxFails = &n
 		case key == "fail_timeout" && has:
-			s.FailTime = value
+			s.FailTimeout = value
 		case a == "backup":
 			s.Backup = true
 		case a == "down":
@@ -469,7 +469,7 @@
 			}
 			m.note(c, Carried, "")
 		case "merge_slashes":
-			s.Keep = c.Args[0] == "off"
+			s.KeepSlashes = c.Args[0] == "off"
 			m.note(c, Carried, "")
 		case "location":
 			l, err := m.location(c, "", in)
@@ -552,7 +552,7 @@
 	if in, err = m.gather(d.Block, in); err != nil {
 		return l, err
 	}
-	l.Headers, l.Limits, l.Within, l.Tries, l.RepeatAll = in.headers, in.limits(), in.within, in.tries, in.again
+	l.Headers, l.Limits, l.Timeout, l.Tries, l.RetryNonIdempotent = in.headers, in.limits(), in.within, in.tries, in.again
 	if in.off {
 		l.Tries = 1
 	}
@@ -628,11 +628,11 @@
 			m.plain(c, r)
 			switch {
 			case strings.HasPrefix(last, "@"):
-				l.Steps = append(l.Steps, routes.Step{Do: "named", Args: []string{last[1:]}})
+				l.Steps = append(l.Steps, routes.Step{Action: "named", Args: []string{last[1:]}})
 			case strings.HasPrefix(last, "="):
-				l.Steps = append(l.Steps, routes.Step{Do: "return", Args: []string{last[1:]}})
+				l.Steps = append(l.Steps, routes.Step{Action: "return", Args: []string{last[1:]}})
 			default:
-				l.Steps = append(l.Steps, routes.Step{Do: "rewrite", Args: []string{"^", last, "last"}})
+				l.Steps = append(l.Steps, routes.Step{Action: "rewrite", Args: []string{"^", last, "last"}})
 			}
 		default:
 			m.plain(c, r)
@@ -680,7 +680,7 @@
 
 // step reads one of the rewriting module's; false: it is not carried.
 func (m *importer) step(d *Directive, context string) (s routes.Step, ok bool, err error) {
-	s = routes.Step{Do: d.Name, Args: d.Args}
+	s = routes.Step{Action: d.Name, Args: d.Args}
 	if d.Name == "if" {
 		words := strings.TrimSpace(strings.Join(d.Args, " "))
 		if !strings.HasPrefix(words, "(") || !strings.HasSuffix(words, ")") {
@@ -763,12 +763,12 @@
 		case c.Has:
 			return fault(c, "unexpected block in %s", d.Name)
 		case len(c.Args) == 0 && c.Name == "hostnames" && d.Name == "map":
-			v.Hosts = true
+			v.Hostnames = true
 		case len(c.Args) == 0 && c.Name == "volatile":
 		case len(c.Args) != 1:
 			return fault(c, "invalid number of the %s parameters", d.Name)
 		case c.Name == "default":
-			v.Other = c.Args[0]
+			v.Default = c.Args[0]
 		case slices.Contains([]string{"include", "ranges", "proxy", "proxy_recursive", "delete"}, c.Name) && d.Name == "geo":
 			m.note(c, NotCarried, "clients are known by their own address here")
 			continue
--- a/internal/nginx/import_test.go
+++ b/internal/nginx/import_test.go
@@ -253,7 +253,7 @@
 		if d.Pool == "" {
 			got = itoa(d.Status) + " " + d.Text
 		}
-		require.Equal(t, c.want, got, "%s %s %s: %v", c.host, c.method, c.target, d.Why)
+		require.Equal(t, c.want, got, "%s %s %s: %v", c.host, c.method, c.target, d.Trace)
 	}
 }
 
@@ -338,13 +338,13 @@
 	}
 	d := ask("/")
 	require.Equal(t, [][2]string{{"Host", "h"}, {"X-A", "outer"}}, d.Headers)
-	require.Equal(t, 90*time.Second, d.Within)
-	require.Equal(t, []any{2, true}, []any{d.Tries, d.RepeatAll})
-	require.Equal(t, []routes.Limited{{Limit: routes.Limit{Zone: "r", Burst: 5, Delay: 2}, Key: "10.0.0.1"}, {Limit: routes.Limit{Zone: "c", Most: 7}, Key: "s"}}, d.Limits)
+	require.Equal(t, 90*time.Second, d.Timeout)
+	require.Equal(t, []any{2, true}, []any{d.Tries, d.RetryNonIdempotent})
+	require.Equal(t, []routes.KeyedLimit{{Limit: routes.Limit{Zone: "r", Burst: 5, Delay: 2}, Key: "10.0.0.1"}, {Limit: routes.Limit{Zone: "c", MaxConcurrent: 7}, Key: "s"}}, d.Limits)
 	for _, target := range []string{"/own", "/own/in"} {
 		d = ask(target)
 		require.Equal(t, [][2]string{{"X-B", "inner"}}, d.Headers)
-		require.Equal(t, []any{1, false}, []any{d.Tries, d.RepeatAll})
-		require.Equal(t, []routes.Limited{{Limit: routes.Limit{Zone: "r", NoDelay: true, DryRun: true}, Key: "10.0.0.1"}, {Limit: routes.Limit{Zone: "c", Most: 7}, Key: "s"}}, d.Limits)
+		require.Equal(t, []any{1, false}, []any{d.Tries, d.RetryNonIdempotent})
+		require.Equal(t, []routes.KeyedLimit{{Limit: routes.Limit{Zone: "r", NoDelay: true, DryRun: true}, Key: "10.0.0.1"}, {Limit: routes.Limit{Zone: "c", MaxConcurrent: 7}, Key: "s"}}, d.Limits)
 	}
 }
--- a/internal/nginx/oracle_test.go
+++ b/internal/nginx/oracle_test.go
@@ -61,7 +61,7 @@
 				continue
 			}
 			want, redirect, _ := nginxmeaning.Chosen(all, path)
-			at := fmt.Sprintf("file %d, %s%s (%s)\n%s\n%v", n, raw, args, path, file, d.Why)
+			at := fmt.Sprintf("file %d, %s%s (%s)\n%s\n%v", n, raw, args, path, file, d.Trace)
 			if want == nil {
 				require.Equal(t, 404, d.Status, at)
 				continue
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -97,9 +97,9 @@
 		if s.MaxFails != nil {
 			m.MaxFails = *s.MaxFails
 		}
-		if s.FailTime != "" {
+		if s.FailTimeout != "" {
 			var err error
-			if m.FailTimeout, err = ParseDuration(s.FailTime); err != nil {
+			if m.FailTimeout, err = ParseDuration(s.FailTimeout); err != nil {
 				return nil, fmt.Errorf("pool %q: member %s: %w", p.Name, s.Address, err)
 			}
 		}
@@ -138,15 +138,15 @@
 // Members returns all members.
 func (p *Pool) Members() []*Member { return p.members }
 
-// Ask holds what a selection depends on.
-type Ask struct {
+// Criteria holds what a selection depends on.
+type Criteria struct {
 	Key    string       // the hash key
 	Remote string       // the client's address
 	Tried  map[int]bool // indexes of the members that this request has already been sent to
 }
 
 // Pick selects a member and counts a connection to it until Done; false: none is eligible.
-func (p *Pool) Pick(now time.Duration, criteria Ask) (*Member, bool) {
+func (p *Pool) Pick(now time.Duration, criteria Criteria) (*Member, bool) {
 	var m *Member
 	switch p.method {
 	case IPHash:
@@ -177,13 +177,13 @@
 }
 
 // eligible reports whether a request may be sent to the member.
-func (m *Member) eligible(now time.Duration, criteria Ask) bool {
+func (m *Member) eligible(now time.Duration, criteria Criteria) bool {
 	return !m.Down && !criteria.Tried[m.index] && (m.MaxConns == 0 || m.conns < m.MaxConns) &&
 		(m.MaxFails == 0 || m.fails < m.MaxFails || now-m.failWindowStart > m.FailTimeout)
 }
 
 // pickRoundRobin selects by smooth weighted round robin among the members that accept allows.
-func (p *Pool) pickRoundRobin(now time.Duration, criteria Ask, backup bool, accept func(*Member) bool) (best *Member) {
+func (p *Pool) pickRoundRobin(now time.Duration, criteria Criteria, backup bool, accept func(*Member) bool) (best *Member) {
 	total := 0
 	for _, m := range p.members {
 		if m.Backup != backup || !m.eligible(now, criteria) || accept != nil && !accept(m) {
@@ -230,7 +230,7 @@
 }
 
 // pickIPHash is ip_hash: it hashes the first three octets of an IPv4 address, or a whole IPv6 address.
-func (p *Pool) pickIPHash(now time.Duration, criteria Ask) *Member {
+func (p *Pool) pickIPHash(now time.Duration, criteria Criteria) *Member {
 	address, err := netip.ParseAddr(criteria.Remote)
 	bytes := []byte{0, 0, 0}
 	if err == nil {
@@ -265,7 +265,7 @@
 
 // pickHash is hash without consistent: CRC-32 of the key, modulo the total weight. Most keys move when a server is
 // removed.
-func (p *Pool) pickHash(now time.Duration, criteria Ask) *Member {
+func (p *Pool) pickHash(now time.Duration, criteria Criteria) *Member {
 	hash := uint32(0)
 	for n := range maxPicks {
 		text := criteria.Key
@@ -312,7 +312,7 @@
 }
 
 // pickConsistent selects the first eligible member on the ring, starting at the key's hash.
-func (p *Pool) pickConsistent(now time.Duration, criteria Ask) *Member {
+func (p *Pool) pickConsistent(now time.Duration, criteria Criteria) *Member {
 	hash := crc32.ChecksumIEEE([]byte(criteria.Key))
 	start, _ := slices.BinarySearchFunc(p.points, hash, func(x point, h uint32) int {
 		switch {
@@ -333,7 +333,7 @@
 }
 
 // pickLeastConn selects the member with the fewest connections per weight; round robin among equals.
-func (p *Pool) pickLeastConn(now time.Duration, criteria Ask, backup bool) *Member {
+func (p *Pool) pickLeastConn(now time.Duration, criteria Criteria, backup bool) *Member {
 	var best *Member
 	for _, m := range p.members {
 		if m.Backup == backup && m.eligible(now, criteria) && (best == nil || m.conns*best.Weight < best.conns*m.Weight) {
@@ -348,7 +348,7 @@
 }
 
 // pickRandomTwo draws two members by weight and selects the less loaded one.
-func (p *Pool) pickRandomTwo(now time.Duration, criteria Ask) *Member {
+func (p *Pool) pickRandomTwo(now time.Duration, criteria Criteria) *Member {
 	var first *Member
 	for range maxPicks {
 		m := p.memberAtWeight(p.rng.IntN(p.totalWeight))
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -27,7 +27,7 @@
 }
 
 // pickPort returns the port of the next member selected; its request ends at once.
-func pickPort(p *Pool, now time.Duration, a Ask, failed bool) string {
+func pickPort(p *Pool, now time.Duration, a Criteria, failed bool) string {
 	m, ok := p.Pick(now, a)
 	if !ok {
 		return ""
@@ -41,7 +41,7 @@
 	p := newPool(t, "", "", member(1, 5), member(2, 1), member(3, 1))
 	got := ""
 	for range 14 {
-		got += pickPort(p, 0, Ask{}, false)
+		got += pickPort(p, 0, Criteria{}, false)
 	}
 	require.Equal(t, "11213111121311", got)
 }
@@ -54,7 +54,7 @@
 	p := newPool(t, "", "", member(1, 7), member(2, 3), member(3, 3), member(4, 1), backup)
 	requests := map[string]int{}
 	for range 10_000 {
-		requests[pickPort(p, 0, Ask{}, false)]++
+		requests[pickPort(p, 0, Criteria{}, false)]++
 	}
 	for address, weight := range map[string]int{"1": 7, "2": 3, "3": 3, "4": 1} {
 		require.InDelta(t, float64(weight)/14, float64(requests[address])/10_000, 0.02)
@@ -66,7 +66,7 @@
 	p = newPool(t, "", "", limited, member(2, 1), backup)
 	var selected []*Member
 	for range 7 {
-		m, ok := p.Pick(0, Ask{})
+		m, ok := p.Pick(0, Criteria{})
 		require.True(t, ok)
 		require.NotEqual(t, "127.0.0.1:9", m.Address)
 		selected = append(selected, m)
@@ -85,31 +85,31 @@
 func TestFailuresAndRecovery(t *testing.T) {
 	lenient, backup := member(1, 5), member(9, 1)
 	maxFails := 2
-	lenient.MaxFails, lenient.FailTime, backup.Backup = &maxFails, "5s", true
+	lenient.MaxFails, lenient.FailTimeout, backup.Backup = &maxFails, "5s", true
 	p := newPool(t, "", "", lenient, member(2, 1), backup)
 	now := time.Minute
 	for _, m := range p.members[:2] {
-		for m.eligible(now, Ask{}) {
+		for m.eligible(now, Criteria{}) {
 			m.conns++
 			p.Done(now, m, true)
 		}
 	}
 	for range 20 {
-		require.Equal(t, "9", pickPort(p, now, Ask{}, false))
+		require.Equal(t, "9", pickPort(p, now, Criteria{}, false))
 	}
 	now += 5*time.Second + 1
-	require.Equal(t, "1", pickPort(p, now, Ask{}, true), "one trial after fail_timeout")
-	require.Equal(t, "9", pickPort(p, now, Ask{}, false), "excluded again after the failed trial")
+	require.Equal(t, "1", pickPort(p, now, Criteria{}, true), "one trial after fail_timeout")
+	require.Equal(t, "9", pickPort(p, now, Criteria{}, false), "excluded again after the failed trial")
 	now += 5*time.Second + 1
 	requests := map[string]int{}
 	for range 600 {
-		requests[pickPort(p, now, Ask{}, false)]++
+		requests[pickPort(p, now, Criteria{}, false)]++
 		now += time.Millisecond
 	}
 	require.Zero(t, requests["9"])
 	require.InDelta(t, 500, requests["1"], 30, "its weight recovers step by step: %v", requests)
-	require.Equal(t, "", pickPort(newPool(t, "", "", routes.Member{Address: "a:1", Down: true}), 0, Ask{}, false))
-	require.Equal(t, "2", pickPort(p, now, Ask{Tried: map[int]bool{0: true}}, false), "a member that was tried is not selected again")
+	require.Equal(t, "", pickPort(newPool(t, "", "", routes.Member{Address: "a:1", Down: true}), 0, Criteria{}, false))
+	require.Equal(t, "2", pickPort(p, now, Criteria{Tried: map[int]bool{0: true}}, false), "a member that was tried is not selected again")
 }
 
 // The consistent hash selects the oracle's server for every key; when a server is removed, only its keys move.
@@ -126,10 +126,10 @@
 	moved, keysOf := 0, map[string]int{}
 	for n := range 3000 {
 		key := "/lecture/" + strconv.Itoa(n)
-		m, _ := p.Pick(0, Ask{Key: key})
+		m, _ := p.Pick(0, Criteria{Key: key})
 		require.Equal(t, nginxmeaning.Ring(addresses, weights, key), m.Address)
 		keysOf[m.Address]++
-		remaining, ok := reducedPool.Pick(0, Ask{Key: key})
+		remaining, ok := reducedPool.Pick(0, Criteria{Key: key})
 		require.True(t, ok)
 		require.NotEqual(t, "10.0.0.2:80", remaining.Address)
 		if remaining.Address != m.Address {
@@ -156,12 +156,12 @@
 		o := [3]byte{byte(r.IntN(256)), byte(r.IntN(256)), byte(r.IntN(256))}
 		want := oracle(o)
 		for range 2 {
-			got := pickPort(p, 0, Ask{Remote: fmt.Sprintf("%d.%d.%d.%d", o[0], o[1], o[2], r.IntN(256))}, false)
+			got := pickPort(p, 0, Criteria{Remote: fmt.Sprintf("%d.%d.%d.%d", o[0], o[1], o[2], r.IntN(256))}, false)
 			require.Equal(t, want, got)
 		}
 	}
-	require.NotEmpty(t, pickPort(p, 0, Ask{Remote: "no address"}, false))
-	require.NotEmpty(t, pickPort(p, 0, Ask{Remote: "2001:db8::1"}, false))
+	require.NotEmpty(t, pickPort(p, 0, Criteria{Remote: "no address"}, false))
+	require.NotEmpty(t, pickPort(p, 0, Criteria{Remote: "2001:db8::1"}, false))
 }
 
 // hash selects the server whose share of the weights contains the CRC-32 of the key.
@@ -175,7 +175,7 @@
 			want = "1"
 			share++
 		}
-		require.Equal(t, want, pickPort(p, 0, Ask{Key: key}, false))
+		require.Equal(t, want, pickPort(p, 0, Criteria{Key: key}, false))
 	}
 	require.InDelta(t, 0.75, float64(share)/4000, 0.03)
 }
@@ -184,13 +184,13 @@
 func TestLeastConnAndRandom(t *testing.T) {
 	p := newPool(t, "least_conn", "", member(1, 2), member(2, 1))
 	for range 30 {
-		_, ok := p.Pick(0, Ask{})
+		_, ok := p.Pick(0, Criteria{})
 		require.True(t, ok)
 	}
 	require.Equal(t, []int{20, 10}, []int{p.members[0].conns, p.members[1].conns})
 	p = newPool(t, "random", "", member(1, 1), member(2, 1), member(3, 1), member(4, 1))
 	for range 4000 {
-		_, ok := p.Pick(0, Ask{})
+		_, ok := p.Pick(0, Criteria{})
 		require.True(t, ok)
 	}
 	for _, m := range p.members {
@@ -205,7 +205,7 @@
 		"0 members, must be":      {},
 		"missing port":            {Members: []routes.Member{{Address: "a"}}},
 		"invalid weight":          {Members: []routes.Member{member(1, 70_000)}},
-		"invalid duration":        {Members: []routes.Member{{Address: "a:1", FailTime: "soon"}}},
+		"invalid duration":        {Members: []routes.Member{{Address: "a:1", FailTimeout: "soon"}}},
 	} {
 		_, err := New(&p, 1)
 		require.ErrorContains(t, err, want)
--- a/internal/prove/import.go
+++ b/internal/prove/import.go
@@ -130,7 +130,7 @@
 	}
 	for n := range hashKeys {
 		key := fmt.Sprintf("/l/%d/%x", n, r.Uint32())
-		m, ok := p.Pick(0, pools.Ask{Key: key})
+		m, ok := p.Pick(0, pools.Criteria{Key: key})
 		if ok && m.Address == nginxmeaning.Ring(addresses, weights, key) {
 			hashed++
 		}
@@ -149,7 +149,7 @@
 		}
 		count := map[string]int{}
 		for n := range 10_000 {
-			m, ok := p.Pick(time.Duration(n)*time.Millisecond, pools.Ask{})
+			m, ok := p.Pick(time.Duration(n)*time.Millisecond, pools.Criteria{})
 			if !ok {
 				return 0, 0, 0, errors.New("no member")
 			}
--- a/internal/routes/decide.go
+++ b/internal/routes/decide.go
@@ -12,7 +12,7 @@
 func (t *Table) Decide(request Request) Decision {
 	e := &evaluation{table: t, request: request}
 	d := e.decide()
-	d.Why = e.why
+	d.Trace = e.why
 	return d
 }
 
@@ -41,7 +41,7 @@
 	e.trace("server %q %s", e.server.name(), e.server.Source)
 	d := Decision{Server: e.server.name()}
 	var err error
-	if e.path, e.args, err = Normalise(e.request.Target, !e.server.Keep); err != nil {
+	if e.path, e.args, err = Normalise(e.request.Target, !e.server.KeepSlashes); err != nil {
 		e.trace("malformed URI")
 		d.Status = 400
 		return d
@@ -201,11 +201,11 @@
 	}
 	for _, l := range loc.Limits {
 		if key := e.table.zones[l.Zone].eval(e); key != "" {
-			d.Limits = append(d.Limits, Limited{l, key})
+			d.Limits = append(d.Limits, KeyedLimit{l, key})
 			e.trace("limit zone %s, key %q", l.Zone, key)
 		}
 	}
-	d.Pool, d.Scheme, d.Within, d.Tries, d.RepeatAll = pool, loc.scheme, loc.timeout, loc.Tries, loc.RepeatAll
+	d.Pool, d.Scheme, d.Timeout, d.Tries, d.RetryNonIdempotent = pool, loc.scheme, loc.timeout, loc.Tries, loc.RetryNonIdempotent
 	if hasURI {
 		uri = "/" + uri
 	}
--- a/internal/routes/model.go
+++ b/internal/routes/model.go
@@ -15,12 +15,12 @@
 
 // Server is a virtual host.
 type Server struct {
-	Listen    []Listen   `toml:"listen,omitempty"`
-	Names     []string   `toml:"names,omitempty"` // exact, *.x, .x, x.*, ~regex
-	Steps     []Step     `toml:"step,omitempty"`
-	Locations []Location `toml:"location,omitempty"`
-	Keep      bool       `toml:"keep_slashes,omitempty"` // does not merge // into /
-	Source    string     `toml:"source,omitempty"`
+	Listen      []Listen   `toml:"listen,omitempty"`
+	Names       []string   `toml:"names,omitempty"` // exact, *.x, .x, x.*, ~regex
+	Steps       []Step     `toml:"step,omitempty"`
+	Locations   []Location `toml:"location,omitempty"`
+	KeepSlashes bool       `toml:"keep_slashes,omitempty"` // does not merge // into /
+	Source      string     `toml:"source,omitempty"`
 }
 
 // Listen is an address that a server listens on.
@@ -32,17 +32,17 @@
 
 // Location is a location of a server, or nested in another location.
 type Location struct {
-	Modifier  string      `toml:"modifier,omitempty"` // "", "=", "^~", "~", "~*", "@"
-	Pattern   string      `toml:"pattern"`
-	Steps     []Step      `toml:"step,omitempty"`
-	Pass      string      `toml:"pass,omitempty"`    // scheme://pool[URI], with variables
-	Headers   [][2]string `toml:"headers,omitempty"` // names and values, with variables, for the pool's servers; empty value: not passed on
-	Limits    []Limit     `toml:"limit,omitempty"`
-	Within    string      `toml:"within,omitempty"`     // of a request with all its attempts, such as "30s"; empty: that of the front
-	Tries     int         `toml:"tries,omitempty"`      // servers that a request may be sent to; 0: as many as the decision module allows
-	RepeatAll bool        `toml:"repeat_all,omitempty"` // requests that may have been processed may be sent again, whatever their method
-	Locations []Location  `toml:"location,omitempty"`
-	Source    string      `toml:"source,omitempty"`
+	Modifier           string      `toml:"modifier,omitempty"` // "", "=", "^~", "~", "~*", "@"
+	Pattern            string      `toml:"pattern"`
+	Steps              []Step      `toml:"step,omitempty"`
+	Pass               string      `toml:"pass,omitempty"`    // scheme://pool[URI], with variables
+	Headers            [][2]string `toml:"headers,omitempty"` // names and values, with variables, for the pool's servers; empty value: not passed on
+	Limits             []Limit     `toml:"limit,omitempty"`
+	Timeout            string      `toml:"within,omitempty"`     // of a request with all its attempts, such as "30s"; empty: that of the front
+	Tries              int         `toml:"tries,omitempty"`      // servers that a request may be sent to; 0: as many as the decision module allows
+	RetryNonIdempotent bool        `toml:"repeat_all,omitempty"` // requests that may have been processed may be sent again, whatever their method
+	Locations          []Location  `toml:"location,omitempty"`
+	Source             string      `toml:"source,omitempty"`
 }
 
 // String returns the location as it is written in a file.
@@ -58,9 +58,9 @@
 
 // Step is a directive of the rewrite module; they are carried out in order.
 type Step struct {
-	Do    string   `toml:"do"` // "rewrite", "return", "set", "if", "break", "named"
-	Args  []string `toml:"args,omitempty"`
-	Steps []Step   `toml:"step,omitempty"` // the body of an if
+	Action string   `toml:"do"` // "rewrite", "return", "set", "if", "break", "named"
+	Args   []string `toml:"args,omitempty"`
+	Steps  []Step   `toml:"step,omitempty"` // the body of an if
 }
 
 // Pool is a group of servers.
@@ -74,45 +74,45 @@
 
 // Member is a server of a pool.
 type Member struct {
-	Address  string `toml:"address"`
-	Weight   int    `toml:"weight,omitempty"`
-	Backup   bool   `toml:"backup,omitempty"`
-	Down     bool   `toml:"down,omitempty"`
-	MaxConns int    `toml:"max_conns,omitempty"`
-	MaxFails *int   `toml:"max_fails,omitempty"`
-	FailTime string `toml:"fail_timeout,omitempty"`
+	Address     string `toml:"address"`
+	Weight      int    `toml:"weight,omitempty"`
+	Backup      bool   `toml:"backup,omitempty"`
+	Down        bool   `toml:"down,omitempty"`
+	MaxConns    int    `toml:"max_conns,omitempty"`
+	MaxFails    *int   `toml:"max_fails,omitempty"`
+	FailTimeout string `toml:"fail_timeout,omitempty"`
 }
 
 // Mapping is a variable whose value depends on another value.
 type Mapping struct {
-	Name  string      `toml:"name"`
-	Kind  string      `toml:"kind"` // "map", "split", "geo"
-	From  string      `toml:"from"`
-	Cases [][2]string `toml:"cases"` // pattern and value
-	Other string      `toml:"default,omitempty"`
-	Hosts bool        `toml:"hostnames,omitempty"`
+	Name      string      `toml:"name"`
+	Kind      string      `toml:"kind"` // "map", "split", "geo"
+	From      string      `toml:"from"`
+	Cases     [][2]string `toml:"cases"` // pattern and value
+	Default   string      `toml:"default,omitempty"`
+	Hostnames bool        `toml:"hostnames,omitempty"`
 }
 
 // Zone is a shared counter for limits, per key: a text with variables. Requests with an empty key are not counted.
 type Zone struct {
-	Name string  `toml:"name"`
-	Key  string  `toml:"key"`
-	Rate float64 `toml:"rate,omitempty"` // requests per second; 0: the zone counts concurrent requests
-	Keys int     `toml:"keys"`           // the number of keys that are kept
+	Name    string  `toml:"name"`
+	Key     string  `toml:"key"`
+	Rate    float64 `toml:"rate,omitempty"` // requests per second; 0: the zone counts concurrent requests
+	MaxKeys int     `toml:"keys"`           // the number of keys that are kept
 }
 
 // Limit applies a zone to a location.
 type Limit struct {
-	Zone    string  `toml:"zone"`
-	Burst   float64 `toml:"burst,omitempty"`
-	Delay   float64 `toml:"delay,omitempty"`
-	NoDelay bool    `toml:"nodelay,omitempty"`
-	Most    int     `toml:"most,omitempty"` // concurrent requests
-	DryRun  bool    `toml:"dry_run,omitempty"`
+	Zone          string  `toml:"zone"`
+	Burst         float64 `toml:"burst,omitempty"`
+	Delay         float64 `toml:"delay,omitempty"`
+	NoDelay       bool    `toml:"nodelay,omitempty"`
+	MaxConcurrent int     `toml:"most,omitempty"` // concurrent requests
+	DryRun        bool    `toml:"dry_run,omitempty"`
 }
 
-// Limited is a Limit with the key of a request.
-type Limited struct {
+// KeyedLimit is a Limit with the key of a request.
+type KeyedLimit struct {
 	Limit
 	Key string
 }
@@ -130,18 +130,18 @@
 
 // Decision is how a request is handled.
 type Decision struct {
-	Server    string      // the first name of the virtual host
-	Location  string      // as it is written in the file; empty: none
-	Pool      string      // empty: the dispatcher answers itself
-	Scheme    string      // of the pool's servers
-	URI       string      // for the pool's servers
-	Key       string      // the hash key of the pool, if it has one
-	Headers   [][2]string // for the pool's servers, replacing the client's headers of these names; empty value: not passed on
-	Limits    []Limited
-	Within    time.Duration // time limit of the request; 0: that of the front
-	Tries     int           // servers that it may be sent to; 0: as many as the decision module allows
-	RepeatAll bool          // it may be sent again although it may have been processed
-	Status    int           // of an answer that the dispatcher gives itself
-	Text      string        // the body of that answer, or the target of its redirect
-	Why       []string      // a line for each step of the decision
+	Server             string      // the first name of the virtual host
+	Location           string      // as it is written in the file; empty: none
+	Pool               string      // empty: the dispatcher answers itself
+	Scheme             string      // of the pool's servers
+	URI                string      // for the pool's servers
+	Key                string      // the hash key of the pool, if it has one
+	Headers            [][2]string // for the pool's servers, replacing the client's headers of these names; empty value: not passed on
+	Limits             []KeyedLimit
+	Timeout            time.Duration // time limit of the request; 0: that of the front
+	Tries              int           // servers that it may be sent to; 0: as many as the decision module allows
+	RetryNonIdempotent bool          // it may be sent again although it may have been processed
+	Status             int           // of an answer that the dispatcher gives itself
+	Text               string        // the body of that answer, or the target of its redirect
+	Trace              []string      // a line for each step of the decision
 }
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -104,8 +104,8 @@
 	}
 	for _, z := range c.Zones {
 		key, err := parseTemplate(z.Key)
-		if err != nil || z.Rate < 0 || z.Keys < 1 {
-			return nil, fmt.Errorf("zone %q: invalid key %q, rate %v per second or number of keys %d", z.Name, z.Key, z.Rate, z.Keys)
+		if err != nil || z.Rate < 0 || z.MaxKeys < 1 {
+			return nil, fmt.Errorf("zone %q: invalid key %q, rate %v per second or number of keys %d", z.Name, z.Key, z.Rate, z.MaxKeys)
 		}
 		if _, duplicate := t.zones[z.Name]; duplicate {
 			return nil, fmt.Errorf("duplicate zone %q", z.Name)
@@ -191,9 +191,9 @@
 		if loc.steps, err = compileSteps(loc.Steps, 0); err == nil {
 			err = loc.compilePass()
 		}
-		if loc.Within != "" {
-			if loc.timeout, err = time.ParseDuration(loc.Within); err != nil || loc.timeout <= 0 {
-				return nil, fmt.Errorf("location %s: within: invalid duration %q", loc, loc.Within)
+		if loc.Timeout != "" {
+			if loc.timeout, err = time.ParseDuration(loc.Timeout); err != nil || loc.timeout <= 0 {
+				return nil, fmt.Errorf("location %s: within: invalid duration %q", loc, loc.Timeout)
 			}
 		}
 		for _, header := range loc.Headers {
@@ -328,9 +328,9 @@
 		return nil, errors.New("if blocks are nested too deeply")
 	}
 	for _, s := range all {
-		compiled := step{action: s.Do}
+		compiled := step{action: s.Action}
 		texts := s.Args
-		switch s.Do {
+		switch s.Action {
 		case "rewrite":
 			if len(s.Args) < 2 || len(s.Args) > 3 {
 				return nil, fmt.Errorf("rewrite needs a pattern, a replacement and an optional flag, got %q", s.Args)
@@ -382,7 +382,7 @@
 				return nil, err
 			}
 		default:
-			return nil, fmt.Errorf("unknown step %q", s.Do)
+			return nil, fmt.Errorf("unknown step %q", s.Action)
 		}
 		for _, text := range texts {
 			v, err := parseTemplate(text)
--- a/internal/routes/vars.go
+++ b/internal/routes/vars.go
@@ -242,10 +242,10 @@
 		return nil, err
 	}
 	out := &mapping{kind: m.Kind, from: from, exact: map[string]template{}}
-	if out.defaultValue, err = parseTemplate(m.Other); err != nil {
+	if out.defaultValue, err = parseTemplate(m.Default); err != nil {
 		return nil, err
 	}
-	if m.Hosts {
+	if m.Hostnames {
 		out.hosts = newHostTable()
 	}
 	total := 0.0
@@ -284,7 +284,7 @@
 				return nil, err
 			}
 			out.regex = append(out.regex, regexCase{re, value})
-		case m.Hosts:
+		case m.Hostnames:
 			if err := out.hosts.add(pattern, len(out.values)); err != nil {
 				return nil, err
 			}
--- a/winglb/hostile_test.go
+++ b/winglb/hostile_test.go
@@ -174,7 +174,7 @@
 		require.NoError(t, err)
 		p, err := keys.Load(keys.Files{Certificate: cert, Key: key, CA: a.CA})
 		require.NoError(t, err)
-		lb, err := winglb.New(winglb.Config{Name: name, Daemons: r.Controls(), TLS: p.Client("daemon"), Class: "preview"})
+		lb, err := winglb.New(winglb.Config{Name: name, Daemons: r.Controls(), TLS: p.ClientConfig("daemon"), Class: "preview"})
 		require.NoError(t, err)
 		t.Cleanup(lb.Close)
 		return lb
