--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,7 +39,7 @@
 	Admin     string // operators call here; empty: nowhere
 	Dir       string // for what processes of one dispatcher leave each other
 	Limits    Limits
-	Known     dispatch.List // as last held; may be out of date
+	Known     dispatch.InstanceUpdate // as last held; may be out of date
 	Settings  decide.Settings
 	Names     wire.Names
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,7 +32,7 @@
 		[]any{c.Name, c.Listen, c.Discovery, c.Settings.Seed})
 	require.Equal(t, Limits{1, 2048, 4096}, c.Limits)
 	require.Equal(t, []string{"preview"}, c.Names.Classes)
-	require.Len(t, c.Known.Members, 1)
+	require.Len(t, c.Known.Instances, 1)
 	require.Empty(t, c.Admin, "operators have no address in older configurations")
 	require.Equal(t, []time.Duration{defaultConnect, defaultIdle}, []time.Duration{c.Settings.Limits.ConnectTimeout, c.Settings.Limits.ConnIdle})
 	c, err = load(t, strings.Replace(whole, `"limits"`, `"other"`, 1), nil)
--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -33,15 +33,15 @@
 				l.queueEvent(decide.TimerFired{Token: a.Token})
 			})
 		case decide.Probe:
-			l.Books.Probes.Add(1)
+			l.Counters.Probes.Add(1)
 			l.fleet.Probe(l.instanceIDs[a.Worker])
 		case decide.CloseIdle:
-			l.fleet.Release(l.instanceIDs[a.Worker])
+			l.fleet.CloseIdle(l.instanceIDs[a.Worker])
 		case decide.Subscribe:
 			l.discovery.Subscribe()
 		case decide.RequestLease:
 			if l.leaser != nil {
-				l.leaser.Want(l.instanceIDs[a.Worker], int64(a.Started/time.Microsecond), a.Work)
+				l.leaser.Request(l.instanceIDs[a.Worker], int64(a.Started/time.Microsecond), a.Work)
 			}
 		case decide.Log:
 			l.log.Info(l.withInstanceIDs(a.Text), "from", "decide")
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -13,49 +13,49 @@
 // class is not in the settings.
 func (l *Loop) admit(c *Command) {
 	if l.handedOver { // it was queued during the handover
-		l.Books.pending.Add(-1)
-		c.Client.Pass(false)
+		l.Counters.pending.Add(-1)
+		c.Client.HandOver(false)
 		return
 	}
-	l.Books.Taken.Add(1)
+	l.Counters.Received.Add(1)
 	if c.clientGone.Load() { // the client disconnected while the command was queued
-		l.Books.pending.Add(-1)
-		l.Books.Lapsed.Add(1)
+		l.Counters.pending.Add(-1)
+		l.Counters.Cancelled.Add(1)
 		return
 	}
 	class := indexOrLen(l.allNames.Classes, c.Class)
 	unknown := class == len(l.allNames.Classes) || l.settings.Classes[class].Removed
 	if l.byID[c.ID] != nil || unknown {
-		l.Books.pending.Add(-1)
-		l.Books.countAnswer(class, Unusable)
+		l.Counters.pending.Add(-1)
+		l.Counters.countAnswer(class, Unusable)
 		c.Client.Answer(Answer{Verdict: Unusable})
 		return
 	}
 	p := &pendingCommand{Command: c, class: class, request: l.newRequestID()}
 	l.byID[c.ID], l.byRequest[p.request] = p, p
 	var candidates []uint32
-	for _, id := range c.Order {
+	for _, id := range c.Candidates {
 		candidates = append(candidates, l.workerID(id))
 	}
 	l.queueEvent(decide.Request{
 		ID: p.request, Class: class, Tenant: indexOrLen(l.allNames.Tenants, c.Tenant), Key: c.Key, Budget: max(0, time.Until(c.Deadline)),
-		Work: c.Work, Slots: c.Slots, Memory: c.Memory, Retry: c.Repeat, Candidates: candidates, Reserved: c.Held, UntilDeadline: c.Patient, Gated: c.Gate != nil,
+		Work: c.Work, Slots: c.Slots, Memory: c.Memory, Retry: c.Retry, Candidates: candidates, Reserved: c.Reserved, UntilDeadline: c.UntilDeadline, Gated: c.Gate != nil,
 	})
 }
 
-// Repeater is a client that reports whether its command may be retried even if it may have run, by the settings
+// RetryChecker is a client that reports whether its command may be retried even if it may have run, by the settings
 // at the time it was received.
-type Repeater interface{ Repeats() bool }
+type RetryChecker interface{ MayRetry() bool }
 
-// Repeats reports whether commands of a class may be retried even if they may have run.
-func Repeats(c decide.Class) bool {
+// MayRetry reports whether commands of a class may be retried even if they may have run.
+func MayRetry(c decide.Class) bool {
 	return c.Effect == decide.Safe || c.Effect == decide.Keyed && c.Scope == decide.ScopeAll
 }
 
-// Finish answers all pending commands, because the process may be killed from now on, which would leave their
+// AnswerAll answers all pending commands, because the process may be killed from now on, which would leave their
 // clients without an answer. Commands that the client may retry are refused, all others fail, and their attempts
 // are cancelled.
-func (l *Loop) Finish() {
+func (l *Loop) AnswerAll() {
 	l.post(func(l *Loop) {
 		for _, r := range slices.Sorted(maps.Keys(l.byRequest)) {
 			p := l.byRequest[r]
@@ -63,7 +63,7 @@
 				continue
 			}
 			v := Failed
-			if r, ok := p.Client.(Repeater); len(p.attempts) == 0 || ok && r.Repeats() {
+			if r, ok := p.Client.(RetryChecker); len(p.attempts) == 0 || ok && r.MayRetry() {
 				v = Refused
 			}
 			l.queueEvent(decide.RequestCancelled{Request: r})
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -11,46 +11,46 @@
 	"caperrelay/decide"
 )
 
-// Books counts the outcomes of commands and attempts.
-type Books struct {
-	Taken, Lapsed, Sent, Probes, StrayNews atomic.Int64
-	Loads, LoadErrors                      atomic.Int64 // configuration files accepted and rejected
-	written                                atomic.Int64 // attempts sent completely
-	listed, skipped                        atomic.Int64 // instances, as the decision module counts them
-	pending                                atomic.Int64 // commands received and not yet answered
-	answers                                [numVerdicts]atomic.Int64
-	outcomes                               [decide.NotSent + 1]atomic.Int64
-	connEnds, connEndsAtShutdown           [numConnEnds]atomic.Int64 // ends of client connections: all, and those during shutdown
-	refusedAtShutdown                      atomic.Int64              // commands refused without a decision because the process was shutting down
+// Counters counts the outcomes of commands and attempts.
+type Counters struct {
+	Received, Cancelled, Sent, Probes, UnmatchedCallbacks atomic.Int64
+	ConfigLoads, ConfigLoadErrors                         atomic.Int64 // configuration files accepted and rejected
+	written                                               atomic.Int64 // attempts sent completely
+	listed, skipped                                       atomic.Int64 // instances, as the decision module counts them
+	pending                                               atomic.Int64 // commands received and not yet answered
+	answers                                               [numVerdicts]atomic.Int64
+	outcomes                                              [decide.NotSent + 1]atomic.Int64
+	connEnds, connEndsAtShutdown                          [numConnEnds]atomic.Int64 // ends of client connections: all, and those during shutdown
+	refusedAtShutdown                                     atomic.Int64              // commands refused without a decision because the process was shutting down
 
 	mu      sync.Mutex
 	classes []*classCounters // by class number; classes that are no longer in the settings stay
 }
 
-// End is how this process closed a client's connection other than after an answer or while it was idle.
-type End int
+// ConnEnd is how this process closed a client's connection other than after an answer or while it was idle.
+type ConnEnd int
 
 // The kinds of ends.
 const (
-	Unanswered End = iota // no request on it was ever answered
-	Cut                   // during a request, without a complete answer
-	Crossed               // between two requests, the next of which had already been sent; its client sends it again
+	Unanswered      ConnEnd = iota // no request on it was ever answered
+	Truncated                      // during a request, without a complete answer
+	RequestInFlight                // between two requests, the next of which had already been sent; its client sends it again
 	numConnEnds
 )
 
-var connEndNames = [...]string{Unanswered: "unanswered", Cut: "cut", Crossed: "crossed"}
+var connEndNames = [...]string{Unanswered: "unanswered", Truncated: "cut", RequestInFlight: "crossed"}
 
-// Ended counts the end of a client's connection. shutdown is set while the process shuts down.
-func (b *Books) Ended(e End, shutdown bool) {
+// CountConnEnd counts the end of a client's connection. shutdown is set while the process shuts down.
+func (b *Counters) CountConnEnd(e ConnEnd, shutdown bool) {
 	b.connEnds[e].Add(1)
 	if shutdown {
 		b.connEndsAtShutdown[e].Add(1)
 	}
 }
 
-// Refused counts a command that was refused without asking the decision module.
-func (b *Books) Refused(class string) {
-	b.Taken.Add(1)
+// CountShutdownRefusal counts a command that was refused without asking the decision module.
+func (b *Counters) CountShutdownRefusal(class string) {
+	b.Received.Add(1)
 	b.refusedAtShutdown.Add(1)
 	b.answers[Refused].Add(1)
 	b.mu.Lock()
@@ -68,7 +68,7 @@
 
 // addClasses adds counters for each new class. A class that an older process defined differently shares the
 // counters of its namesake.
-func (b *Books) addClasses(names []string) {
+func (b *Counters) addClasses(names []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, name := range names[len(b.classes):] {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (b *Books) countAnswer(class int, v Verdict) {
+func (b *Counters) countAnswer(class int, v Verdict) {
 	b.answers[v].Add(1)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-func (b *Books) countOutcome(o decide.Outcome) { b.outcomes[o].Add(1) }
+func (b *Counters) countOutcome(o decide.Outcome) { b.outcomes[o].Add(1) }
 
 // counter is a named value.
 type counter struct {
@@ -99,7 +99,7 @@
 }
 
 // operatorCounters returns the counters that operators monitor.
-func (b *Books) operatorCounters() (all []counter) {
+func (b *Counters) operatorCounters() (all []counter) {
 	add := func(name string, n int64) { all = append(all, counter{"proxy." + name, n}) }
 	b.mu.Lock()
 	for i, c := range b.classes {
@@ -115,8 +115,8 @@
 	add("in_progress", b.pending.Load())
 	add("known_encoders", b.listed.Load())
 	add("skipped_encoders", b.skipped.Load())
-	add("loads", b.Loads.Load())
-	add("load_errors", b.LoadErrors.Load())
+	add("loads", b.ConfigLoads.Load())
+	add("load_errors", b.ConfigLoadErrors.Load())
 	for e, name := range connEndNames {
 		add("closed_"+name, b.connEnds[e].Load())
 		add("ending_"+name, b.connEndsAtShutdown[e].Load())
@@ -125,8 +125,8 @@
 	return all
 }
 
-// Figures lists the operators' counters, one "proxy.name=value" per line.
-func (b *Books) Figures() string {
+// OperatorCounters lists the operators' counters, one "proxy.name=value" per line.
+func (b *Counters) OperatorCounters() string {
 	var s strings.Builder
 	for _, f := range b.operatorCounters() {
 		fmt.Fprintf(&s, "%s=%d\n", f.name, f.n)
@@ -140,35 +140,35 @@
 }
 
 // internalCounters returns all other counters.
-func (b *Books) internalCounters() (all []counter) {
+func (b *Counters) internalCounters() (all []counter) {
 	add := func(name string, n *atomic.Int64) { all = append(all, counter{name, n.Load()}) }
-	add("commands_taken_in", &b.Taken)
+	add("commands_taken_in", &b.Received)
 	add("commands_answered", &b.answers[Served])
 	add("commands_nacked", &b.answers[Refused])
 	add("commands_failed", &b.answers[Failed])
 	add("commands_unusable", &b.answers[Unusable])
-	add("commands_lapsed", &b.Lapsed)
+	add("commands_lapsed", &b.Cancelled)
 	add("attempts_sent", &b.Sent)
 	for o := range b.outcomes {
 		add("attempts_"+outcomeNames[o], &b.outcomes[o])
 	}
 	add("probes_sent", &b.Probes)
-	add("news_for_no_attempt", &b.StrayNews)
+	add("news_for_no_attempt", &b.UnmatchedCallbacks)
 	return all
 }
 
 // String lists all counters, one "name value" per line, followed by the operators' counters.
-func (b *Books) String() string {
+func (b *Counters) String() string {
 	var s strings.Builder
 	for _, f := range b.internalCounters() {
 		fmt.Fprintf(&s, "%s %d\n", f.name, f.n)
 	}
-	s.WriteString(b.Figures())
+	s.WriteString(b.OperatorCounters())
 	return s.String()
 }
 
 // Attrs returns all counters as log attributes.
-func (b *Books) Attrs() (all []any) {
+func (b *Counters) Attrs() (all []any) {
 	for _, f := range append(b.internalCounters(), b.operatorCounters()...) {
 		all = append(all, f.name, f.n)
 	}
@@ -182,14 +182,14 @@
 // sampleFleet updates the instance counts now and at every interval.
 func (l *Loop) sampleFleet() {
 	listed, skipped := l.mod.WorkerCounts()
-	l.Books.listed.Store(int64(listed))
-	l.Books.skipped.Store(int64(skipped))
+	l.Counters.listed.Store(int64(listed))
+	l.Counters.skipped.Store(int64(skipped))
 	l.timers.At(time.Now().Add(fleetSampleInterval), l.sampleFleet)
 }
 
 // answer counts a command's one final answer and sends it to the client.
 func (l *Loop) answer(p *pendingCommand, a Answer) {
-	l.Books.countAnswer(p.class, a.Verdict)
+	l.Counters.countAnswer(p.class, a.Verdict)
 	l.markAnswered(p)
 	p.Client.Answer(a)
 	l.removeIfDone(p)
@@ -201,7 +201,7 @@
 	for _, a := range p.attempts {
 		a.obsolete.Store(true)
 	}
-	l.Books.pending.Add(-1)
+	l.Counters.pending.Add(-1)
 }
 
 // removeIfDone removes a command that is answered and has no outstanding attempt.
--- a/internal/dispatch/disconnect_test.go
+++ b/internal/dispatch/disconnect_test.go
@@ -18,10 +18,10 @@
 // kept.
 func requireCancelledOnce(t *testing.T, l *Loop, c *client) {
 	l.runBatch()
-	require.EqualValues(t, 1, l.Books.Lapsed.Load())
+	require.EqualValues(t, 1, l.Counters.Cancelled.Load())
 	require.Empty(t, c.answers)
 	require.Empty(t, l.byRequest)
-	require.Zero(t, l.Holding())
+	require.Zero(t, l.Pending())
 }
 
 // A loop that was behind started attempts for clients that had disconnected. A disconnect counts before the loop
@@ -31,32 +31,32 @@
 	t.Run("during an attempt", func(t *testing.T) {
 		l, f, c := loopWithCommand(t)
 		require.False(t, f.sent[0].Expired(time.Now()))
-		l.Lapse(f.sent[0].Command)
+		l.ClientGone(f.sent[0].Command)
 		require.True(t, f.sent[0].Expired(time.Now()))
-		l.Ended(f.sent[0], decide.NotSent, 0)
+		l.AttemptEnded(f.sent[0], decide.NotSent, 0)
 		requireCancelledOnce(t, l, c)
 	})
 	t.Run("between two attempts", func(t *testing.T) {
 		l, f, c := loopWithCommand(t)
-		l.Ended(f.sent[0], decide.Reset, 0)
+		l.AttemptEnded(f.sent[0], decide.Reset, 0)
 		processOne(l)
 		l.handleEvents()
-		l.Lapse(f.sent[0].Command)
+		l.ClientGone(f.sent[0].Command)
 		l.startAttempt(decide.Send{Request: f.sent[0].request, Worker: l.workerID("s-1")}, time.Now())
 		for len(l.events) > 0 {
 			l.handleEvents()
 		}
 		require.Len(t, f.sent, 1)
-		require.EqualValues(t, 2, l.Books.Sent.Load(), "the decision module requested it")
+		require.EqualValues(t, 2, l.Counters.Sent.Load(), "the decision module requested it")
 		requireCancelledOnce(t, l, c)
 	})
 	t.Run("before the loop processes the command", func(t *testing.T) {
 		f, c := &fleet{}, &client{}
 		l := newTestLoop(t, f)
-		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
+		l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Ready}}}, true)
 		cmd := &Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c}
-		l.Take(cmd)
-		l.Lapse(cmd)
+		l.Submit(cmd)
+		l.ClientGone(cmd)
 		processOne(l)
 		processOne(l)
 		require.Empty(t, l.byRequest)
@@ -65,8 +65,8 @@
 	})
 	t.Run("at the gate", func(t *testing.T) {
 		l, f, c, g := loopWithGatedCommand(t)
-		l.Pass(g.requested[0], func() bool { return true })
-		l.Lapse(g.requested[0].Command)
+		l.AllowSend(g.requested[0], func() bool { return true })
+		l.ClientGone(g.requested[0].Command)
 		processOne(l)
 		require.Empty(t, f.sent)
 		require.Equal(t, g.requested, g.neverRan)
@@ -79,19 +79,19 @@
 func TestDisconnectSeenByOlderProcessCountsAtOnce(t *testing.T) {
 	older, f, c := loopWithCommand(t)
 	l, c2 := newTestLoop(t, f), &client{}
-	var cmd *HandedCommand
-	older.Yield(func(state Handed) bool {
+	var cmd *HandoverCommand
+	older.HandOver(func(state HandoverState) bool {
 		cmd = state.Commands[0]
 		cmd.Client = c2
-		l.Relieve(state)
+		l.TakeOver(state)
 		return true
 	})
 	older.runBatch()
 	require.Equal(t, []bool{true}, c.handedOver)
-	l.LapseElsewhere("c1")
+	l.ClientGoneByID("c1")
 	require.True(t, (&Attempt{Command: &cmd.Command}).Expired(time.Now()))
 	require.False(t, f.sent[0].Expired(time.Now()), "the older process has its own flag")
-	l.Became(Fate{ID: "c1", Outcome: decide.NotSent})
+	l.UpdateAttempt(AttemptUpdate{ID: "c1", Outcome: decide.NotSent})
 	requireCancelledOnce(t, l, c2)
 	_, kept := l.takenOver.Load("c1")
 	require.False(t, kept)
@@ -100,7 +100,7 @@
 // The copy that is sent to another process contains all data of a command, without the disconnect flag, which
 // this process may set concurrently.
 func TestEncodableCopyOfCommand(t *testing.T) {
-	c := &Command{Payload: "p", Client: &client{}, Gate: &gate{}, Order: []string{"s-1"}, Deadline: time.Now()}
+	c := &Command{Payload: "p", Client: &client{}, Gate: &gate{}, Candidates: []string{"s-1"}, Deadline: time.Now()}
 	for v, i := reflect.ValueOf(c).Elem(), 0; i < v.NumField(); i++ {
 		switch f := v.Field(i); f.Kind() {
 		case reflect.String:
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
 // Package dispatch runs commands through the stages submission, admission, decision, sending, relaying and
 // counting, each in its own file. It knows no protocol: fronts submit commands and receive answers, a [Fleet]
-// reaches the instances, and a [NameTable] lists them.
+// reaches the instances, and a [Discovery] lists them.
 //
 // One goroutine, [Loop.Run], owns the decision module and all state. Everything else reaches it as a message,
 // and it never waits for a peer.
@@ -20,21 +20,21 @@
 
 // Command is one request of a client.
 type Command struct {
-	ID       string        `json:"ID"` // correlation ID, unique among the pending commands
-	Class    string        `json:"Class"`
-	Tenant   string        `json:"Tenant"`
-	Key      uint64        `json:"Key"`  // 0: none
-	Work     time.Duration `json:"Work"` // expected; 0: unknown
-	Slots    float64       `json:"Slots"`
-	Memory   float64       `json:"Memory"`
-	Repeat   bool          `json:"Repeat"`
-	Order    []string      `json:"Order"`    // the only instances it may be sent to, in order of preference; nil: any that its class allows
-	Held     bool          `json:"Held"`     // instance slots are reserved for it
-	Patient  bool          `json:"Patient"`  // its client waits for the result until the deadline, however late
-	Deadline time.Time     `json:"Deadline"` // when the client stops waiting
-	Payload  any           `json:"-"`        // what the fleet needs to send it
-	Client   Client        `json:"-"`
-	Gate     Gate          `json:"-"` // nil: attempts are sent without waiting; otherwise the command stays with this process
+	ID            string        `json:"ID"` // correlation ID, unique among the pending commands
+	Class         string        `json:"Class"`
+	Tenant        string        `json:"Tenant"`
+	Key           uint64        `json:"Key"`  // 0: none
+	Work          time.Duration `json:"Work"` // expected; 0: unknown
+	Slots         float64       `json:"Slots"`
+	Memory        float64       `json:"Memory"`
+	Retry         bool          `json:"Repeat"`
+	Candidates    []string      `json:"Order"`    // the only instances it may be sent to, in order of preference; nil: any that its class allows
+	Reserved      bool          `json:"Held"`     // instance slots are reserved for it
+	UntilDeadline bool          `json:"Patient"`  // its client waits for the result until the deadline, however late
+	Deadline      time.Time     `json:"Deadline"` // when the client stops waiting
+	Payload       any           `json:"-"`        // what the fleet needs to send it
+	Client        Client        `json:"-"`
+	Gate          Gate          `json:"-"` // nil: attempts are sent without waiting; otherwise the command stays with this process
 
 	clientGone atomic.Bool // the client has disconnected; no further attempt may begin
 }
@@ -43,8 +43,8 @@
 // meaningful in this process only.
 func (c *Command) encodableCopy() Command {
 	return Command{
-		ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Work: c.Work, Slots: c.Slots, Memory: c.Memory, Repeat: c.Repeat,
-		Order: c.Order, Held: c.Held, Patient: c.Patient, Deadline: c.Deadline, Payload: c.Payload, Client: c.Client, Gate: c.Gate,
+		ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Work: c.Work, Slots: c.Slots, Memory: c.Memory, Retry: c.Retry,
+		Candidates: c.Candidates, Reserved: c.Reserved, UntilDeadline: c.UntilDeadline, Deadline: c.Deadline, Payload: c.Payload, Client: c.Client, Gate: c.Gate,
 	}
 }
 
@@ -52,22 +52,22 @@
 type Client interface {
 	// Answer receives the one final answer. It must not block.
 	Answer(Answer)
-	// Pass reports that another process will answer and needs the connection to the client. If handed is false, that
+	// HandOver reports that another process will answer and needs the connection to the client. If handed is false, that
 	// process has not received the command and needs it as well. It must not block.
-	Pass(handed bool)
+	HandOver(handed bool)
 }
 
-// Starter is a client that is also notified when an instance has accepted the command, and when it starts to run
+// StartObserver is a client that is also notified when an instance has accepted the command, and when it starts to run
 // if instances report that.
-type Starter interface {
+type StartObserver interface {
 	// Started is called from the loop, possibly once per attempt. It must not block.
 	Started(instance string, runs bool)
 }
 
-// Watched is a client whose connection can be checked: it may have closed before anybody has called Lapse.
-type Watched interface {
-	// Gone may be called from any goroutine and must not block.
-	Gone() bool
+// DisconnectChecker is a client whose connection can be checked: it may have closed before anybody has called ClientGone.
+type DisconnectChecker interface {
+	// Disconnected may be called from any goroutine and must not block.
+	Disconnected() bool
 }
 
 // checkClientGone reports whether the command's client has disconnected. It checks the connection if that is
@@ -76,8 +76,8 @@
 	if c.clientGone.Load() {
 		return true
 	}
-	w, ok := c.Client.(Watched)
-	if !ok || !w.Gone() {
+	w, ok := c.Client.(DisconnectChecker)
+	if !ok || !w.Disconnected() {
 		return false
 	}
 	c.clientGone.Store(true)
@@ -107,13 +107,13 @@
 
 // Attempt is one sending of a command to an instance.
 type Attempt struct {
-	Command  *Command
-	Instance string
-	N        int // index among the command's attempts, from 0
-	Deadline time.Time
-	MostIdle time.Duration // longest permitted idle time of a reused connection; 0: no limit
-	Fresh    bool          // must use a new connection
-	Until    time.Time     // must not be sent later; zero: not bound by a lease
+	Command   *Command
+	Instance  string
+	Index     int // index among the command's attempts, from 0
+	Deadline  time.Time
+	MaxIdle   time.Duration // longest permitted idle time of a reused connection; 0: no limit
+	NewConn   bool          // must use a new connection
+	SendUntil time.Time     // must not be sent later; zero: not bound by a lease
 
 	// Private to the loop.
 	request           uint32
@@ -131,39 +131,39 @@
 	obsolete          atomic.Bool // its command needs no answer any more
 }
 
-// Confirmed reports that the instance has processed the cancellation of the attempt, or never will.
-func (a *Attempt) Confirmed() { a.cancelUnconfirmed.Store(false) }
+// CancelConfirmed reports that the instance has processed the cancellation of the attempt, or never will.
+func (a *Attempt) CancelConfirmed() { a.cancelUnconfirmed.Store(false) }
 
 // Fleet is the connection to the instances. Its methods must not block; results are reported through methods of
 // Loop.
 type Fleet interface {
 	// Send starts an attempt.
 	Send(*Attempt)
-	// GiveUp cancels an outstanding attempt. The instance is notified if it may have received it. The fleet calls
-	// Confirmed when that is done.
-	GiveUp(*Attempt)
+	// Cancel cancels an outstanding attempt. The instance is notified if it may have received it. The fleet calls
+	// CancelConfirmed when that is done.
+	Cancel(*Attempt)
 	// Probe checks an instance's health.
 	Probe(instance string)
-	// Release closes the idle connections to an instance.
-	Release(instance string)
+	// CloseIdle closes the idle connections to an instance.
+	CloseIdle(instance string)
 }
 
 // Expired reports whether an attempt must no longer be sent: its command has been answered (which may happen
 // while the attempt waits for a connection, even where cancellation is disabled), its client has disconnected,
-// or the lease that permits it has ended. A client counts as disconnected as soon as Lapse is called or its
+// or the lease that permits it has ended. A client counts as disconnected as soon as ClientGone is called or its
 // connection is seen to be closed, however far the loop is behind. The sender calls this as late as possible,
 // since the process may have been stopped for a while.
 func (a *Attempt) Expired(now time.Time) bool {
-	return a.obsolete.Load() || !a.Until.IsZero() && !now.Before(a.Until) || a.permitted != nil && !a.permitted() || a.Command.checkClientGone()
+	return a.obsolete.Load() || !a.SendUntil.IsZero() && !now.Before(a.SendUntil) || a.permitted != nil && !a.permitted() || a.Command.checkClientGone()
 }
 
 // Begin must be called before the first byte of an attempt is sent, and before the last check of Expired. If it
 // returns false, the attempt must not be sent.
 func (a *Attempt) Begin() bool { return a.Command.Gate == nil || a.Command.Gate.Begin(a) }
 
-// NameTable is the source of the instance list. After Subscribe it reports through Loop.Listed and
-// Loop.ListLost.
-type NameTable interface{ Subscribe() }
+// Discovery is the source of the instance list. After Subscribe it reports through Loop.UpdateInstances and
+// Loop.DiscoveryFailed.
+type Discovery interface{ Subscribe() }
 
 // Loop owns the decision module.
 type Loop struct {
@@ -172,8 +172,8 @@
 	allNames        wire.Names // all names that have a number
 	configuredNames wire.Names // the subset that is in the current settings
 	fleet           Fleet
-	discovery       NameTable
-	otherProcess    Other
+	discovery       Discovery
+	otherProcess    OtherProcess
 	log             *slog.Logger
 	inbox           chan message
 	events          []decide.Event // of the current batch
@@ -190,10 +190,10 @@
 	leaser      Leaser // nil: leases are not used
 	leases      map[uint64]Lease
 	leaseID     uint64
-	onUnmatched func(News) bool // nil: no handler for unmatched callbacks
-	persist     func(News) bool // nil: callbacks are not persisted
+	onUnmatched func(Callback) bool // nil: no handler for unmatched callbacks
+	persist     func(Callback) bool // nil: callbacks are not persisted
 	timerLag    timerLagLog
-	Books       Books
+	Counters    Counters
 }
 
 // pendingCommand is a command that is unanswered or has outstanding attempts.
@@ -213,7 +213,7 @@
 const inboxSize = 8192
 
 // New returns a loop without any commands.
-func New(s decide.Settings, n wire.Names, fleet Fleet, discovery NameTable, otherProcess Other, logger *slog.Logger) (*Loop, error) {
+func New(s decide.Settings, n wire.Names, fleet Fleet, discovery Discovery, otherProcess OtherProcess, logger *slog.Logger) (*Loop, error) {
 	l := &Loop{
 		fleet: fleet, discovery: discovery, otherProcess: otherProcess, log: logger, inbox: make(chan message, inboxSize),
 		byID: map[string]*pendingCommand{}, byRequest: map[uint32]*pendingCommand{}, instanceIDs: map[uint32]string{}, workerIDs: map[string]uint32{},
@@ -225,12 +225,12 @@
 		return nil, err
 	}
 	l.mod, l.settings, l.allNames, l.configuredNames = mod, s, all.Names, n
-	l.Books.addClasses(n.Classes)
+	l.Counters.addClasses(n.Classes)
 	return l, nil
 }
 
-// Holding returns the number of commands that have been received and not yet answered.
-func (l *Loop) Holding() int64 { return l.Books.pending.Load() }
+// Pending returns the number of commands that have been received and not yet answered.
+func (l *Loop) Pending() int64 { return l.Counters.pending.Load() }
 
 // Run serves until the context ends.
 func (l *Loop) Run(ctx context.Context) {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -16,40 +16,40 @@
 // fleet records what it is asked to do. The loop under test is run step by step, without a goroutine.
 type fleet struct {
 	sent, cancelled []*Attempt
-	updates         []Fate
+	updates         []AttemptUpdate
 	disconnected    []string
 }
 
-func (f *fleet) Send(a *Attempt)     { f.sent = append(f.sent, a) }
-func (f *fleet) GiveUp(a *Attempt)   { f.cancelled = append(f.cancelled, a) }
-func (f *fleet) Probe(string)        {}
-func (f *fleet) Release(string)      {}
-func (f *fleet) Subscribe()          {}
-func (f *fleet) Elsewhere(News) bool { return false }
-func (f *fleet) Became(t Fate)       { f.updates = append(f.updates, t) }
-func (f *fleet) Left(id string)      { f.disconnected = append(f.disconnected, id) }
+func (f *fleet) Send(a *Attempt)               { f.sent = append(f.sent, a) }
+func (f *fleet) Cancel(a *Attempt)             { f.cancelled = append(f.cancelled, a) }
+func (f *fleet) Probe(string)                  {}
+func (f *fleet) CloseIdle(string)              {}
+func (f *fleet) Subscribe()                    {}
+func (f *fleet) ForwardCallback(Callback) bool { return false }
+func (f *fleet) ForwardUpdate(t AttemptUpdate) { f.updates = append(f.updates, t) }
+func (f *fleet) ForwardClientGone(id string)   { f.disconnected = append(f.disconnected, id) }
 
 type client struct {
 	answers    []Answer
 	handedOver []bool
 }
 
-func (c *client) Answer(a Answer)  { c.answers = append(c.answers, a) }
-func (c *client) Pass(handed bool) { c.handedOver = append(c.handedOver, handed) }
+func (c *client) Answer(a Answer)      { c.answers = append(c.answers, a) }
+func (c *client) HandOver(handed bool) { c.handedOver = append(c.handedOver, handed) }
 
-type repeater struct {
+type retryClient struct {
 	client
-	repeats bool
+	mayRetry bool
 }
 
-func (r *repeater) Repeats() bool { return r.repeats }
+func (r *retryClient) MayRetry() bool { return r.mayRetry }
 
 // loopWithCommand returns a loop that has received one command of a safe class and sent it to s-1.
 func loopWithCommand(t *testing.T) (*Loop, *fleet, *client) {
 	f, c := &fleet{}, &client{}
 	l := newTestLoop(t, f)
-	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
-	l.Take(&Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c})
+	l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Ready}}}, true)
+	l.Submit(&Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c})
 	l.runBatch()
 	require.Len(t, f.sent, 1)
 	return l, f, c
@@ -70,12 +70,12 @@
 	l, f, c := loopWithCommand(t)
 	l.cancelAttempt(decide.Cancel{Request: f.sent[0].request})
 	require.Equal(t, f.sent, f.cancelled)
-	l.News(News{ID: "c1", From: "s-1", State: Done, Result: []byte("late")})
-	l.Ended(f.sent[0], decide.Reset, 0)
+	l.HandleCallback(Callback{ID: "c1", From: "s-1", State: Done, Result: []byte("late")})
+	l.AttemptEnded(f.sent[0], decide.Reset, 0)
 	l.events = nil
 	l.runBatch()
 	require.Empty(t, c.answers)
-	require.EqualValues(t, []int64{1, 0, 1}, []int64{l.Books.outcomes[decide.Cancelled].Load(), l.Books.outcomes[decide.Reset].Load(), l.Books.StrayNews.Load()})
+	require.EqualValues(t, []int64{1, 0, 1}, []int64{l.Counters.outcomes[decide.Cancelled].Load(), l.Counters.outcomes[decide.Reset].Load(), l.Counters.UnmatchedCallbacks.Load()})
 }
 
 // A command has at most one attempt at an instance at a time: a second one waits until the instance has
@@ -86,8 +86,8 @@
 	l.cancelAttempt(decide.Cancel{Request: s.Request})
 	l.startAttempt(s, time.Now())
 	require.Len(t, f.sent, 1)
-	require.EqualValues(t, 1, l.Books.outcomes[decide.NotSent].Load())
-	f.sent[0].Confirmed()
+	require.EqualValues(t, 1, l.Counters.outcomes[decide.NotSent].Load())
+	f.sent[0].CancelConfirmed()
 	l.startAttempt(s, time.Now())
 	require.Len(t, f.sent, 2)
 }
@@ -98,28 +98,28 @@
 	for name, cancel := range map[string]struct{ before, after func(older *Loop, a *Attempt) }{
 		"cancelled before": {before: func(older *Loop, a *Attempt) { older.cancelAttempt(decide.Cancel{Request: a.request}) }},
 		"broken response after": {after: func(older *Loop, a *Attempt) {
-			a.Leaving()
-			older.Ended(a, decide.Reset, 0)
+			a.CancelPending()
+			older.AttemptEnded(a, decide.Reset, 0)
 		}},
 	} {
 		older, f, _ := loopWithCommand(t)
 		l, first := newTestLoop(t, f), f.sent[0]
-		older.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true) // so that the command stays with the older process
+		older.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Draining}}}, true) // so that the command stays with the older process
 		older.runBatch()
 		if cancel.before != nil {
 			cancel.before(older, first)
 		}
-		older.Yield(func(state Handed) bool {
+		older.HandOver(func(state HandoverState) bool {
 			state.Commands[0].Client = &client{}
-			l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
-			l.Relieve(state)
+			l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
+			l.TakeOver(state)
 			return true
 		})
 		older.runBatch()
 		if cancel.after != nil {
 			cancel.after(older, first)
 			older.runBatch()
-			l.Became(f.updates[0])
+			l.UpdateAttempt(f.updates[0])
 		}
 		l.runBatch()
 		l.timers.Fire(time.Now().Add(time.Minute)) // longer than any cancellation is in transit
@@ -136,7 +136,7 @@
 // attempt was sent nevertheless.
 func TestNothingIsSentForDisconnectedClient(t *testing.T) {
 	for name, finish := range map[string]func(*Loop, *Attempt){
-		"disconnected": func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
+		"disconnected": func(l *Loop, a *Attempt) { l.ClientGone(a.Command) },
 		"answered":     func(l *Loop, a *Attempt) { l.failRequest(decide.FailRequest{Request: a.request}) },
 	} {
 		l, f, _ := loopWithCommand(t)
@@ -154,8 +154,8 @@
 // Nothing of a command remains once it is answered, cancelled or past its deadline.
 func TestNothingRemainsOfFinishedCommand(t *testing.T) {
 	for name, finish := range map[string]func(*Loop, *Attempt){
-		"served":       func(l *Loop, a *Attempt) { l.News(News{ID: "c1", From: "s-1", State: Done}) },
-		"disconnected": func(l *Loop, a *Attempt) { l.Lapse(a.Command) },
+		"served":       func(l *Loop, a *Attempt) { l.HandleCallback(Callback{ID: "c1", From: "s-1", State: Done}) },
+		"disconnected": func(l *Loop, a *Attempt) { l.ClientGone(a.Command) },
 		"timed out":    func(l *Loop, a *Attempt) { l.expireAttempt(a); l.failRequest(decide.FailRequest{Request: a.request}) },
 	} {
 		l, f, c := loopWithCommand(t)
@@ -163,7 +163,7 @@
 		l.runBatch()
 		require.Empty(t, l.byID, name)
 		require.Empty(t, l.byRequest, name)
-		require.Zero(t, l.Holding(), name)
+		require.Zero(t, l.Pending(), name)
 		require.Len(t, c.answers, map[string]int{"served": 1, "disconnected": 0, "timed out": 1}[name], name)
 	}
 }
@@ -172,25 +172,25 @@
 // others fail, and their attempts are cancelled.
 func TestShutdownAnswersAllCommands(t *testing.T) {
 	for repeats, want := range map[bool]Verdict{true: Refused, false: Failed} {
-		f, c := &fleet{}, &repeater{repeats: repeats}
+		f, c := &fleet{}, &retryClient{mayRetry: repeats}
 		l := newTestLoop(t, f)
-		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
-		l.Take(&Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c})
+		l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Ready}}}, true)
+		l.Submit(&Command{ID: "c1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c})
 		l.runBatch()
 		require.Len(t, f.sent, 1)
-		l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Draining}}}, true)
+		l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Draining}}}, true)
 		waiting := &client{}
-		l.Take(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: waiting})
+		l.Submit(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: waiting})
 		l.runBatch()
 		for range 2 {
-			l.Finish()
+			l.AnswerAll()
 			l.runBatch()
 		}
 		require.Equal(t, []Answer{{Verdict: want}}, c.answers)
 		require.Equal(t, []Verdict{Refused}, []Verdict{waiting.answers[0].Verdict})
 		require.Equal(t, f.sent, f.cancelled)
 		require.Empty(t, l.byRequest)
-		require.Zero(t, l.Holding())
+		require.Zero(t, l.Pending())
 	}
 }
 
@@ -199,53 +199,53 @@
 func TestHandover(t *testing.T) {
 	for name, then := range map[string]func(l *Loop){
 		"attempts_ok": func(l *Loop) {
-			l.Became(Fate{ID: "c1", Taken: true})
-			l.Alone() // then the older process's connection is no longer needed
-			l.News(News{ID: "c1", From: "s-1", State: Done})
+			l.UpdateAttempt(AttemptUpdate{ID: "c1", Accepted: true})
+			l.OlderProcessGone() // then the older process's connection is no longer needed
+			l.HandleCallback(Callback{ID: "c1", From: "s-1", State: Done})
 		},
-		"attempts_errored": func(l *Loop) { l.Became(Fate{ID: "c1", Outcome: decide.Errored}) },
-		"attempts_reset":   func(l *Loop) { l.Alone() },
+		"attempts_errored": func(l *Loop) { l.UpdateAttempt(AttemptUpdate{ID: "c1", Outcome: decide.Errored}) },
+		"attempts_reset":   func(l *Loop) { l.OlderProcessGone() },
 	} {
 		older, f, c := loopWithCommand(t)
 		l, c2 := newTestLoop(t, f), &client{}
-		older.Yield(func(state Handed) bool {
+		older.HandOver(func(state HandoverState) bool {
 			text, err := json.Marshal(state)
 			require.NoError(t, err)
 			cmds := state.Commands
-			state = Handed{}
+			state = HandoverState{}
 			require.NoError(t, json.Unmarshal(text, &state))
 			for _, cmd := range cmds {
 				text, err := json.Marshal(cmd)
 				require.NoError(t, err)
-				cmd = &HandedCommand{}
+				cmd = &HandoverCommand{}
 				require.NoError(t, json.Unmarshal(text, cmd))
 				cmd.Client = c2
 				state.Commands = append(state.Commands, cmd)
 			}
-			l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
-			l.Relieve(state)
+			l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Ready}}}, true)
+			l.TakeOver(state)
 			return true
 		})
-		older.Take(&Command{ID: "c2", Class: "safe", Client: c})
+		older.Submit(&Command{ID: "c2", Class: "safe", Client: c})
 		older.runBatch()
-		older.Ended(f.sent[0], decide.Reset, 0)
-		older.Lapse(f.sent[0].Command)
+		older.AttemptEnded(f.sent[0], decide.Reset, 0)
+		older.ClientGone(f.sent[0].Command)
 		older.runBatch()
 		require.Equal(t, []bool{true, false}, c.handedOver, "a command still queued must be passed on as a whole")
 		require.Empty(t, c.answers)
-		require.Zero(t, older.Holding())
-		require.Equal(t, []Fate{{ID: "c1", Outcome: decide.Reset}}, f.updates)
+		require.Zero(t, older.Pending())
+		require.Equal(t, []AttemptUpdate{{ID: "c1", Outcome: decide.Reset}}, f.updates)
 		require.Equal(t, []string{"c1"}, f.disconnected)
 		l.runBatch()
-		require.EqualValues(t, 1, l.Holding())
-		l.Take(&Command{ID: "c1", Class: "safe", Client: c})
+		require.EqualValues(t, 1, l.Pending())
+		l.Submit(&Command{ID: "c1", Class: "safe", Client: c})
 		l.runBatch()
 		require.Equal(t, []Answer{{Verdict: Unusable}}, c.answers, "the ID is already pending")
 		for range 2 {
 			then(l)
 			l.runBatch()
 		}
-		require.Contains(t, l.Books.String(), name+" 1\n")
+		require.Contains(t, l.Counters.String(), name+" 1\n")
 		require.Equal(t, name == "attempts_ok", len(c2.answers) == 1 && c2.answers[0].Verdict == Served)
 	}
 }
@@ -264,26 +264,26 @@
 	}
 	take := func(id, class string) *client {
 		c := &client{}
-		l.Take(&Command{ID: id, Class: class, Deadline: time.Now().Add(time.Hour), Client: c})
+		l.Submit(&Command{ID: id, Class: class, Deadline: time.Now().Add(time.Hour), Client: c})
 		l.runBatch()
 		return c
 	}
 	names("new", "other")
 	require.Equal(t, []Answer{{Verdict: Unusable}}, take("c2", "safe").answers, "the class was removed")
-	l.News(News{ID: "c1", From: "s-1", State: Done})
+	l.HandleCallback(Callback{ID: "c1", From: "s-1", State: Done})
 	l.runBatch()
 	require.Equal(t, Served, c.answers[0].Verdict, "a pending command must continue")
-	require.Contains(t, l.Books.Figures(), "proxy.passed.safe=1\n")
+	require.Contains(t, l.Counters.OperatorCounters(), "proxy.passed.safe=1\n")
 	take("c3", "new")
-	l.News(News{ID: "c3", From: "s-1", State: Done})
+	l.HandleCallback(Callback{ID: "c3", From: "s-1", State: Done})
 	l.runBatch()
 	names("other", "safe")
 	take("c4", "safe")
-	l.News(News{ID: "c4", From: "s-1", State: Done})
+	l.HandleCallback(Callback{ID: "c4", From: "s-1", State: Done})
 	l.runBatch()
 	require.Len(t, f.sent, 3)
 	for _, counter := range []string{"passed.safe=2", "bad_gateway.safe=1", "passed.new=1", "passed.other=0"} {
-		require.Contains(t, l.Books.Figures(), "proxy."+counter+"\n")
+		require.Contains(t, l.Counters.OperatorCounters(), "proxy."+counter+"\n")
 	}
 	s := l.settings
 	s.Limits.MaxAttempts = 0
@@ -310,14 +310,14 @@
 func TestNoTimersRemainOfEndedCommands(t *testing.T) {
 	f := &fleet{}
 	l := newTestLoop(t, f)
-	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
+	l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Ready}}}, true)
 	l.runBatch()
 	idle := l.timers.Len()
 	for i := range 500 {
-		l.Take(&Command{ID: fmt.Sprint("c", i), Class: "safe", Deadline: time.Now().Add(time.Hour), Client: &client{}})
+		l.Submit(&Command{ID: fmt.Sprint("c", i), Class: "safe", Deadline: time.Now().Add(time.Hour), Client: &client{}})
 		l.runBatch()
 		require.Len(t, f.sent, i+1)
-		l.News(News{ID: fmt.Sprint("c", i), From: "s-1", State: Done})
+		l.HandleCallback(Callback{ID: fmt.Sprint("c", i), From: "s-1", State: Done})
 		l.runBatch()
 	}
 	require.Empty(t, l.byRequest)
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -12,13 +12,13 @@
 
 // Gate is asked before an attempt of a command is sent. Its methods must not block, since the loop calls them.
 type Gate interface {
-	// Ask requests permission to send an attempt, which waits until [Loop.Pass] or [Loop.Deny] is called with it.
-	Ask(*Attempt)
+	// RequestSend requests permission to send an attempt, which waits until [Loop.AllowSend] or [Loop.DenySend] is called with it.
+	RequestSend(*Attempt)
 	// Begin is called immediately before the first byte of an attempt. If it returns false, the attempt must not be
 	// sent. It may be called by any goroutine.
 	Begin(*Attempt) bool
-	// Never reports that an attempt that permission was requested for has ended without having run.
-	Never(*Attempt)
+	// NeverRan reports that an attempt that permission was requested for has ended without having run.
+	NeverRan(*Attempt)
 }
 
 // gateState is the state of an attempt at its command's gate.
@@ -30,24 +30,24 @@
 	gatePassed                   // it may run
 )
 
-// StraysTo registers a handler for callbacks that match no pending attempt. It returns false if it does not
+// OnUnmatchedCallback registers a handler for callbacks that match no pending attempt. It returns false if it does not
 // handle the callback. Handlers registered earlier are called first. It must be called before Run, and f must
 // not block.
-func (l *Loop) StraysTo(f func(News) bool) {
+func (l *Loop) OnUnmatchedCallback(f func(Callback) bool) {
 	if before := l.onUnmatched; before != nil {
-		l.onUnmatched = func(n News) bool { return before(n) || f(n) }
+		l.onUnmatched = func(n Callback) bool { return before(n) || f(n) }
 		return
 	}
 	l.onUnmatched = f
 }
 
-// KeptBy registers a function that persists callbacks before they are acknowledged; f may block briefly. It must
+// PersistCallbacksWith registers a function that persists callbacks before they are acknowledged; f may block briefly. It must
 // be called before Run.
-func (l *Loop) KeptBy(f func(News) bool) { l.persist = f }
+func (l *Loop) PersistCallbacksWith(f func(Callback) bool) { l.persist = f }
 
-// Keep is called before a callback is acknowledged, by its receiver. If it returns false, the callback must not
+// PersistCallback is called before a callback is acknowledged, by its receiver. If it returns false, the callback must not
 // be acknowledged, so that the instance repeats it.
-func (l *Loop) Keep(n News) bool { return l.persist == nil || l.persist(n) }
+func (l *Loop) PersistCallback(n Callback) bool { return l.persist == nil || l.persist(n) }
 
 // sendOrWait sends an attempt, or has it wait at its gate.
 func (l *Loop) sendOrWait(a *Attempt) {
@@ -57,12 +57,12 @@
 		return
 	}
 	a.gateState = gateWaiting
-	g.Ask(a)
+	g.RequestSend(a)
 }
 
-// Pass sends an attempt that waits at its gate, unless it has ended meanwhile, provided that permitted returns true.
+// AllowSend sends an attempt that waits at its gate, unless it has ended meanwhile, provided that permitted returns true.
 // The sender calls permitted as late as possible; it must not block.
-func (l *Loop) Pass(a *Attempt, permitted func() bool) {
+func (l *Loop) AllowSend(a *Attempt, permitted func() bool) {
 	l.post(func(l *Loop) {
 		if l.handedOver || a.ended || a.gateState != gateWaiting {
 			return
@@ -73,13 +73,13 @@
 			return
 		}
 		a.gateState, a.permitted = gatePassed, permitted
-		l.queueEvent(decide.AttemptSent{Request: a.request, Attempt: a.N})
+		l.queueEvent(decide.AttemptSent{Request: a.request, Attempt: a.Index})
 		l.fleet.Send(a)
 	})
 }
 
-// Deny ends an attempt that waits at its gate. It is never sent.
-func (l *Loop) Deny(a *Attempt) {
+// DenySend ends an attempt that waits at its gate. It is never sent.
+func (l *Loop) DenySend(a *Attempt) {
 	l.post(func(l *Loop) {
 		if !l.handedOver && !a.ended && a.gateState == gateWaiting {
 			l.endAttempt(a, decide.NotSent)
@@ -94,7 +94,7 @@
 		o = decide.NotSent
 	}
 	if a.gateState != gateNone && o.NeverRan() {
-		a.Command.Gate.Never(a)
+		a.Command.Gate.NeverRan(a)
 	}
 	if a.gateState == gatePassed && (o == decide.Cancelled || o == decide.TimedOut) { // the fleet may still report that it was never sent
 		a.gateReportDue = true
@@ -107,7 +107,7 @@
 // run.
 func (a *Attempt) reportLateEnd(o decide.Outcome) {
 	if a.gateReportDue && o.NeverRan() {
-		a.Command.Gate.Never(a)
+		a.Command.Gate.NeverRan(a)
 	}
 	a.gateReportDue = false
 }
@@ -127,7 +127,7 @@
 			return
 		}
 		if !p.answered {
-			l.Books.Lapsed.Add(1)
+			l.Counters.Cancelled.Add(1)
 			l.markAnswered(p)
 		}
 		for _, a := range p.attempts {
--- a/internal/dispatch/gate_test.go
+++ b/internal/dispatch/gate_test.go
@@ -11,16 +11,16 @@
 
 type gate struct{ requested, neverRan []*Attempt }
 
-func (g *gate) Ask(a *Attempt)      { g.requested = append(g.requested, a) }
-func (g *gate) Begin(*Attempt) bool { return true }
-func (g *gate) Never(a *Attempt)    { g.neverRan = append(g.neverRan, a) }
+func (g *gate) RequestSend(a *Attempt) { g.requested = append(g.requested, a) }
+func (g *gate) Begin(*Attempt) bool    { return true }
+func (g *gate) NeverRan(a *Attempt)    { g.neverRan = append(g.neverRan, a) }
 
 // loopWithGatedCommand is loopWithCommand for a command with a gate.
 func loopWithGatedCommand(t *testing.T) (*Loop, *fleet, *client, *gate) {
 	f, c, g := &fleet{}, &client{}, &gate{}
 	l := newTestLoop(t, f)
-	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
-	l.Take(&Command{ID: "p~1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c, Gate: g})
+	l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
+	l.Submit(&Command{ID: "p~1", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c, Gate: g})
 	l.runBatch()
 	require.Len(t, g.requested, 1)
 	require.Empty(t, f.sent, "nothing may be sent before the gate permits it")
@@ -33,17 +33,17 @@
 	l, f, _, g := loopWithGatedCommand(t)
 	a := g.requested[0]
 	l.cancelAttempt(decide.Cancel{Request: a.request})
-	l.Pass(a, func() bool { return true })
+	l.AllowSend(a, func() bool { return true })
 	l.runBatch()
 	require.Empty(t, f.sent)
 	require.Empty(t, f.cancelled)
 	require.Equal(t, []*Attempt{a}, g.neverRan)
 
 	l, f, _, g = loopWithGatedCommand(t)
-	l.Pass(g.requested[0], func() bool { return false })
+	l.AllowSend(g.requested[0], func() bool { return false })
 	l.runBatch()
 	require.True(t, f.sent[0].Expired(time.Now()), "the sender must check the permission again")
-	l.Ended(f.sent[0], decide.NotSent, 0)
+	l.AttemptEnded(f.sent[0], decide.NotSent, 0)
 	l.runBatch()
 	require.Equal(t, f.sent, g.neverRan)
 }
@@ -53,7 +53,7 @@
 func TestDecisionModuleIsToldOfGate(t *testing.T) {
 	l, _, _, g := loopWithGatedCommand(t)
 	a := g.requested[0]
-	l.Pass(a, func() bool { return true })
+	l.AllowSend(a, func() bool { return true })
 	(<-l.inbox)(l)
 	require.Equal(t, []decide.Event{decide.AttemptSent{Request: a.request, Attempt: 0}}, l.events)
 	require.True(t, l.mod.Snapshot().Requests[0].Gated)
@@ -65,14 +65,14 @@
 	for _, passed := range []bool{false, true} {
 		l, f, c, g := loopWithGatedCommand(t)
 		if passed {
-			l.Pass(g.requested[0], func() bool { return true })
+			l.AllowSend(g.requested[0], func() bool { return true })
 			l.runBatch()
 		}
 		l.failRequest(decide.FailRequest{Request: g.requested[0].request})
 		require.Len(t, c.answers, 1)
 		require.Equal(t, map[bool]Verdict{false: Refused, true: Failed}[passed], c.answers[0].Verdict)
 		require.Len(t, g.neverRan, map[bool]int{false: 1}[passed])
-		l.Pass(g.requested[0], func() bool { return true })
+		l.AllowSend(g.requested[0], func() bool { return true })
 		l.runBatch()
 		require.Len(t, f.sent, map[bool]int{true: 1}[passed])
 	}
@@ -82,27 +82,27 @@
 // callbacks. A newer process does not receive it, and nothing keeps waiting at the older process's gate.
 func TestAbandonAndHandoverOfGatedCommands(t *testing.T) {
 	l, f, c, g := loopWithGatedCommand(t)
-	var unmatched []News
-	l.StraysTo(func(n News) bool { unmatched = append(unmatched, n); return true })
-	l.Pass(g.requested[0], func() bool { return true })
+	var unmatched []Callback
+	l.OnUnmatchedCallback(func(n Callback) bool { unmatched = append(unmatched, n); return true })
+	l.AllowSend(g.requested[0], func() bool { return true })
 	l.runBatch()
 	l.Abandon(f.sent[0].Command)
 	l.runBatch()
-	l.News(News{ID: "p~1", From: "s-1", State: Done})
+	l.HandleCallback(Callback{ID: "p~1", From: "s-1", State: Done})
 	l.runBatch()
 	require.Empty(t, f.cancelled)
 	require.Empty(t, c.answers)
 	require.Empty(t, g.neverRan)
 	require.Len(t, unmatched, 1)
-	require.Zero(t, l.Holding())
+	require.Zero(t, l.Pending())
 	require.Empty(t, l.byRequest)
 
 	l, f, _, g = loopWithGatedCommand(t)
-	l.Yield(func(h Handed) bool { require.Empty(t, h.Commands); return true })
-	l.Pass(g.requested[0], func() bool { return true })
+	l.HandOver(func(h HandoverState) bool { require.Empty(t, h.Commands); return true })
+	l.AllowSend(g.requested[0], func() bool { return true })
 	l.runBatch()
 	require.Empty(t, f.sent)
-	require.Zero(t, l.Holding())
+	require.Zero(t, l.Pending())
 }
 
 // Guards against a handover cutting off a member of a gang: the newer process waited for a client connection for
@@ -112,20 +112,20 @@
 	f, c := &fleet{}, &client{}
 	l := newTestLoop(t, f)
 	var unmatched []string
-	l.StraysTo(func(n News) bool { return n.ID == "p~1" })
-	l.StraysTo(func(n News) bool { unmatched = append(unmatched, n.ID); return true })
-	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}}}, true)
-	l.Take(&Command{ID: "gang-g-1-0", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c, Held: true})
-	l.News(News{ID: "p~1", From: "s-1", State: Done})
-	l.News(News{ID: "gang-h-1-0", From: "s-1", State: Done})
+	l.OnUnmatchedCallback(func(n Callback) bool { return n.ID == "p~1" })
+	l.OnUnmatchedCallback(func(n Callback) bool { unmatched = append(unmatched, n.ID); return true })
+	l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Ready}}}, true)
+	l.Submit(&Command{ID: "gang-g-1-0", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: c, Reserved: true})
+	l.HandleCallback(Callback{ID: "p~1", From: "s-1", State: Done})
+	l.HandleCallback(Callback{ID: "gang-h-1-0", From: "s-1", State: Done})
 	l.runBatch()
 	require.Equal(t, []string{"gang-h-1-0"}, unmatched)
 	require.Len(t, f.sent, 1)
-	l.Yield(func(h Handed) bool { require.Empty(t, h.Commands); return true })
+	l.HandOver(func(h HandoverState) bool { require.Empty(t, h.Commands); return true })
 	l.runBatch()
 	require.Empty(t, f.cancelled)
 	require.Equal(t, []bool{true}, c.handedOver)
-	require.Zero(t, l.Holding())
+	require.Zero(t, l.Pending())
 }
 
 // Guards against a gate that is never notified of an attempt that was abandoned or cancelled when it was about
@@ -136,11 +136,11 @@
 	for o, notified := range map[decide.Outcome]bool{decide.NotSent: true, decide.Full: true, decide.ConnectFailed: true, decide.Reset: false, decide.Errored: false, decide.TimedOut: false} {
 		for _, end := range []func(*Loop, *Attempt){abandon, cancel, (*Loop).expireAttempt} {
 			l, f, c, g := loopWithGatedCommand(t)
-			l.Pass(g.requested[0], func() bool { return true })
+			l.AllowSend(g.requested[0], func() bool { return true })
 			l.runBatch()
 			end(l, f.sent[0])
 			for range 2 { // the gate is notified once, however often the attempt ends
-				l.Ended(f.sent[0], o, 0)
+				l.AttemptEnded(f.sent[0], o, 0)
 				l.runBatch()
 			}
 			require.Len(t, g.neverRan, map[bool]int{true: 1}[notified], "outcome %d", o)
--- a/internal/dispatch/input.go
+++ b/internal/dispatch/input.go
@@ -11,34 +11,34 @@
 // Input to the loop: commands from fronts and updates of the instance list. These methods only queue a message,
 // so the calling goroutine can go on.
 
-// Take submits a command. From then on it gets exactly one answer.
-func (l *Loop) Take(c *Command) {
-	l.Books.pending.Add(1)
+// Submit submits a command. From then on it gets exactly one answer.
+func (l *Loop) Submit(c *Command) {
+	l.Counters.pending.Add(1)
 	l.post(func(l *Loop) { l.admit(c) })
 }
 
-// Lapse reports that the client has disconnected, so no answer is needed. Attempts that have not been sent yet
+// ClientGone reports that the client has disconnected, so no answer is needed. Attempts that have not been sent yet
 // are stopped at once, even if the loop is behind.
-func (l *Loop) Lapse(c *Command) {
+func (l *Loop) ClientGone(c *Command) {
 	c.clientGone.Store(true)
 	l.post(func(l *Loop) {
 		if l.handedOver {
-			l.otherProcess.Left(c.ID)
+			l.otherProcess.ForwardClientGone(c.ID)
 		} else if p := l.byID[c.ID]; p != nil && p.Command == c {
 			l.cancelCommand(p)
 		}
 	})
 }
 
-// LapseElsewhere does the same for a command that was taken over and whose client's disconnect was seen by the
+// ClientGoneByID does the same for a command that was taken over and whose client's disconnect was seen by the
 // older process.
-func (l *Loop) LapseElsewhere(id string) {
+func (l *Loop) ClientGoneByID(id string) {
 	if c, ok := l.takenOver.Load(id); ok {
 		c.(*Command).clientGone.Store(true)
 	}
 	l.post(func(l *Loop) {
 		if l.handedOver { // handed over to a third process meanwhile
-			l.otherProcess.Left(id)
+			l.otherProcess.ForwardClientGone(id)
 		} else if p := l.byID[id]; p != nil {
 			l.cancelCommand(p)
 		}
@@ -47,22 +47,22 @@
 
 func (l *Loop) cancelCommand(p *pendingCommand) {
 	if !p.answered {
-		l.Books.Lapsed.Add(1)
+		l.Counters.Cancelled.Add(1)
 		l.markAnswered(p)
 		l.queueEvent(decide.RequestCancelled{Request: p.request})
 		l.removeIfDone(p)
 	}
 }
 
-// List is an update from discovery: the complete instance list, or the changed entries only.
-type List struct {
-	Revision int64    `json:"Revision"`
-	Complete bool     `json:"Complete"`
-	Members  []Member `json:"Members"`
+// InstanceUpdate is an update from discovery: the complete instance list, or the changed entries only.
+type InstanceUpdate struct {
+	Revision  int64      `json:"Revision"`
+	Complete  bool       `json:"Complete"`
+	Instances []Instance `json:"Members"`
 }
 
-// Member is one entry of the instance list.
-type Member struct {
+// Instance is one entry of the instance list.
+type Instance struct {
 	ID      string             `json:"ID"`
 	Address string             `json:"Address"`
 	GRPC    string             `json:"GRPC"` // address of its gRPC service; empty: none
@@ -75,7 +75,7 @@
 }
 
 // toWorker converts an instance list entry to the decision module's form.
-func (l *Loop) toWorker(m Member, id uint32) decide.Worker {
+func (l *Loop) toWorker(m Instance, id uint32) decide.Worker {
 	return decide.Worker{
 		ID: id, Zone: l.zoneNumber(m.Zone), Kind: l.kindNumber(m.Kind), Cell: m.Cell, Rating: m.Size,
 		Started: sinceEpoch(m.Started), State: m.State,
@@ -92,14 +92,14 @@
 	return len(names)
 }
 
-// Listed processes an instance list from discovery. If cached is set, the list is from an earlier time.
-func (l *Loop) Listed(list List, cached bool) {
+// UpdateInstances processes an instance list from discovery. If cached is set, the list is from an earlier time.
+func (l *Loop) UpdateInstances(list InstanceUpdate, cached bool) {
 	l.post(func(l *Loop) { l.updateInstances(list, cached) })
 }
 
-func (l *Loop) updateInstances(list List, cached bool) {
+func (l *Loop) updateInstances(list InstanceUpdate, cached bool) {
 	var ws []decide.Worker
-	for _, m := range list.Members {
+	for _, m := range list.Instances {
 		ws = append(ws, l.toWorker(m, l.workerID(m.ID)))
 	}
 	l.prune(list)
@@ -115,12 +115,12 @@
 
 // prune removes the worker IDs of instances that are gone. Otherwise the tables would grow without bound where
 // machines are replaced under new IDs for months.
-func (l *Loop) prune(list List) {
+func (l *Loop) prune(list InstanceUpdate) {
 	if len(l.workerIDs) <= maxWorkerIDs {
 		return
 	}
 	state := map[string]decide.WorkerState{}
-	for _, m := range list.Members {
+	for _, m := range list.Instances {
 		state[m.ID] = m.State
 	}
 	for id, n := range l.workerIDs {
@@ -136,17 +136,17 @@
 	l.post(func(l *Loop) { l.queueEvent(decide.Cordon{Worker: l.workerID(id), Out: out}) })
 }
 
-// Hold sets the time spans, in Unix time, during which slots of an instance are reserved, whichever dispatcher
+// SetReservations sets the time spans, in Unix time, during which slots of an instance are reserved, whichever dispatcher
 // sends the commands they are reserved for. slots is the instance's number of slots.
-func (l *Loop) Hold(id string, slots float64, spans []decide.Reservation) {
+func (l *Loop) SetReservations(id string, slots float64, spans []decide.Reservation) {
 	l.post(func(l *Loop) {
 		l.queueEvent(decide.WorkerReservations{Worker: l.workerID(id), Slots: slots, Reservations: spans})
 	})
 }
 
-// ListLost reports that the watch on the instance list, or a request for it, has failed; elapsed is the time from
+// DiscoveryFailed reports that the watch on the instance list, or a request for it, has failed; elapsed is the time from
 // the call to the failure. unreachable: no server could be reached.
-func (l *Loop) ListLost(unreachable bool, elapsed time.Duration) {
+func (l *Loop) DiscoveryFailed(unreachable bool, elapsed time.Duration) {
 	l.post(func(l *Loop) { l.queueEvent(decide.ListFailed{Unreachable: unreachable, Elapsed: elapsed}) })
 }
 
--- a/internal/dispatch/instancelist.go
+++ b/internal/dispatch/instancelist.go
@@ -7,37 +7,37 @@
 	"caperrelay/decide"
 )
 
-// Table is the instance list as received so far. It is not safe for concurrent use.
-type Table struct {
-	revision int64
-	members  map[string]Member
+// InstanceList is the instance list as received so far. It is not safe for concurrent use.
+type InstanceList struct {
+	revision  int64
+	instances map[string]Instance
 }
 
-// Take applies an update.
-func (t *Table) Take(l List) {
-	if l.Complete || t.members == nil {
-		t.members = map[string]Member{}
+// Update applies an update.
+func (t *InstanceList) Update(l InstanceUpdate) {
+	if l.Complete || t.instances == nil {
+		t.instances = map[string]Instance{}
 	}
 	t.revision = l.Revision
-	for _, m := range l.Members {
-		if t.members[m.ID] = m; m.State == decide.Gone {
-			delete(t.members, m.ID)
+	for _, m := range l.Instances {
+		if t.instances[m.ID] = m; m.State == decide.Gone {
+			delete(t.instances, m.ID)
 		}
 	}
 }
 
 // Revision returns the revision of the last update.
-func (t *Table) Revision() int64 { return t.revision }
+func (t *InstanceList) Revision() int64 { return t.revision }
 
-// Members returns the instances by ID. The map must not be modified.
-func (t *Table) Members() map[string]Member { return t.members }
+// Instances returns the instances by ID. The map must not be modified.
+func (t *InstanceList) Instances() map[string]Instance { return t.instances }
 
-// List returns the complete list, ordered by ID.
-func (t *Table) List() List {
-	l := List{Revision: t.revision, Complete: true}
-	for _, m := range t.members {
-		l.Members = append(l.Members, m)
+// Snapshot returns the complete list, ordered by ID.
+func (t *InstanceList) Snapshot() InstanceUpdate {
+	l := InstanceUpdate{Revision: t.revision, Complete: true}
+	for _, m := range t.instances {
+		l.Instances = append(l.Instances, m)
 	}
-	slices.SortFunc(l.Members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(l.Instances, func(a, b Instance) int { return cmp.Compare(a.ID, b.ID) })
 	return l
 }
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -7,10 +7,10 @@
 )
 
 // Leaser obtains leases of the budget for cold instances. Its methods must not block; granted leases are
-// reported through [Loop.Leased].
+// reported through [Loop.AddLease].
 type Leaser interface {
-	// Want requests a lease.
-	Want(instance string, process int64, work float64)
+	// Request requests a lease.
+	Request(instance string, process int64, work float64)
 	// Spent reports that a lease has been used.
 	Spent(Lease)
 }
@@ -27,11 +27,11 @@
 // maxLeases bounds the stored leases; unused ones that have expired are removed when it is reached.
 const maxLeases = 4096
 
-// LeaseBy sets the leaser. It must be called before Run.
-func (l *Loop) LeaseBy(leaser Leaser) { l.leaser = leaser }
+// SetLeaser sets the leaser. It must be called before Run.
+func (l *Loop) SetLeaser(leaser Leaser) { l.leaser = leaser }
 
-// Leased stores a granted lease.
-func (l *Loop) Leased(t Lease) {
+// AddLease stores a granted lease.
+func (l *Loop) AddLease(t Lease) {
 	l.post(func(l *Loop) {
 		now := time.Now()
 		if !t.Until.After(now) || l.handedOver {
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -9,13 +9,13 @@
 // Reports of instances about attempts are relayed to the decision module and to the client. Reports about an
 // attempt that has ended are dropped: they may be late or repeated.
 
-// Ended reports how an attempt ended, other than by a callback, and how long its connection had been idle
+// AttemptEnded reports how an attempt ended, other than by a callback, and how long its connection had been idle
 // before; 0 for a new connection.
-func (l *Loop) Ended(a *Attempt, o decide.Outcome, connIdle time.Duration) {
+func (l *Loop) AttemptEnded(a *Attempt, o decide.Outcome, connIdle time.Duration) {
 	l.post(func(l *Loop) {
 		switch {
 		case l.handedOver:
-			l.otherProcess.Became(Fate{ID: a.Command.ID, N: a.N, Leaving: a.cancelUnconfirmed.Load(), Outcome: o, Kept: connIdle, Report: a.report})
+			l.otherProcess.ForwardUpdate(AttemptUpdate{ID: a.Command.ID, Index: a.Index, CancelPending: a.cancelUnconfirmed.Load(), Outcome: o, ConnIdle: connIdle, Report: a.report})
 		case !a.ended:
 			a.connIdle = connIdle
 			l.endAttempt(a, o)
@@ -25,19 +25,19 @@
 	})
 }
 
-// Leaving reports that the fleet itself cancels an attempt, before it reports the attempt's end. Confirmed
+// CancelPending reports that the fleet itself cancels an attempt, before it reports the attempt's end. Confirmed
 // follows when the instance has processed it.
-func (a *Attempt) Leaving() { a.cancelUnconfirmed.Store(true) }
+func (a *Attempt) CancelPending() { a.cancelUnconfirmed.Store(true) }
 
-// Written reports that an attempt has been sent completely.
-func (l *Loop) Written(*Attempt) { l.Books.written.Add(1) }
+// AttemptSent reports that an attempt has been sent completely.
+func (l *Loop) AttemptSent(*Attempt) { l.Counters.written.Add(1) }
 
-// Taken reports that the instance has accepted an attempt with status 202.
-func (l *Loop) Taken(a *Attempt) {
+// AttemptAccepted reports that the instance has accepted an attempt with status 202.
+func (l *Loop) AttemptAccepted(a *Attempt) {
 	l.post(func(l *Loop) {
 		switch {
 		case l.handedOver:
-			l.otherProcess.Became(Fate{ID: a.Command.ID, N: a.N, Taken: true})
+			l.otherProcess.ForwardUpdate(AttemptUpdate{ID: a.Command.ID, Index: a.Index, Accepted: true})
 		case !a.ended:
 			l.attemptAccepted(a)
 		}
@@ -46,25 +46,25 @@
 
 func (l *Loop) attemptAccepted(a *Attempt) {
 	a.accepted = true
-	l.queueEvent(decide.AttemptAccepted{Request: a.request, Attempt: a.N})
+	l.queueEvent(decide.AttemptAccepted{Request: a.request, Attempt: a.Index})
 	a.notifyStarted(false)
 }
 
 // notifyStarted notifies a client that wants to know about its command's progress.
 func (a *Attempt) notifyStarted(runs bool) {
-	if s, ok := a.Command.Client.(Starter); ok {
+	if s, ok := a.Command.Client.(StartObserver); ok {
 		s.Started(a.Instance, runs)
 	}
 }
 
-// Unusable reports that an instance cannot execute a command as submitted. No other instance could either, so it
+// AttemptUnusable reports that an instance cannot execute a command as submitted. No other instance could either, so it
 // is answered at once. Faulty input from a client must not count against an instance's health, so for the
 // decision module the attempt was never made.
-func (l *Loop) Unusable(a *Attempt) {
+func (l *Loop) AttemptUnusable(a *Attempt) {
 	l.post(func(l *Loop) {
 		switch {
 		case l.handedOver:
-			l.otherProcess.Became(Fate{ID: a.Command.ID, N: a.N, Unusable: true})
+			l.otherProcess.ForwardUpdate(AttemptUpdate{ID: a.Command.ID, Index: a.Index, Unusable: true})
 		case !a.ended:
 			l.attemptUnusable(a)
 		default:
@@ -80,57 +80,57 @@
 	l.endAttempt(a, decide.NotSent)
 }
 
-// Probed reports the result of a probe.
-func (l *Loop) Probed(instance string, o decide.Outcome, report *decide.Report) {
+// ProbeEnded reports the result of a probe.
+func (l *Loop) ProbeEnded(instance string, o decide.Outcome, report *decide.Report) {
 	l.post(func(l *Loop) { l.queueEvent(decide.Probed{Worker: l.workerID(instance), Outcome: o, Report: report}) })
 }
 
-// News is a callback of an instance about a job.
-type News struct {
+// Callback is a callback of an instance about a job.
+type Callback struct {
 	ID     string         `json:"ID"`   // of the command
 	From   string         `json:"From"` // of the instance
-	State  NewsState      `json:"State"`
+	State  JobState       `json:"State"`
 	Share  float64        `json:"Share"`            // of a running job
 	Result []byte         `json:"Result"`           // of a job that is done
 	Report *decide.Report `json:"Report,omitempty"` // of the instance, if the callback ends the attempt
-	Via    Process        `json:"-"`
+	Via    Origin         `json:"-"`
 }
 
-// Process is where a callback was received.
-type Process int
+// Origin is where a callback was received.
+type Origin int
 
 // The processes.
 const (
-	This Process = iota // received from an instance directly
-	OlderProcess
-	NewerProcess
+	FromInstance Origin = iota // received from an instance directly
+	FromOlderProcess
+	FromNewerProcess
 )
 
-// NewsState is the state of a job.
-type NewsState int
+// JobState is the state of a job.
+type JobState int
 
 // The states of a job.
 const (
-	Started  NewsState = iota
-	Running            // Share is the progress
-	Done               // Result is the result
-	Errored            // the job failed
-	Returned           // returned without having been started
-	Lost               // the job was killed
+	Started  JobState = iota
+	Running           // Share is the progress
+	Done              // Result is the result
+	Errored           // the job failed
+	Returned          // returned without having been started
+	Lost              // the job was killed
 )
 
-// News processes a callback. It may arrive before the instance's acceptance of the job, repeatedly, late, or for
+// HandleCallback processes a callback. It may arrive before the instance's acceptance of the job, repeatedly, late, or for
 // a command from before a restart.
-func (l *Loop) News(n News) { l.post(func(l *Loop) { l.handleCallback(n) }) }
+func (l *Loop) HandleCallback(n Callback) { l.post(func(l *Loop) { l.handleCallback(n) }) }
 
-func (l *Loop) handleCallback(n News) {
+func (l *Loop) handleCallback(n Callback) {
 	a := l.openAttemptAt(n.ID, n.From)
 	if a == nil {
 		if l.onUnmatched != nil && !l.handedOver && l.onUnmatched(n) {
 			return
 		}
-		if l.byID[n.ID] != nil || !l.otherProcess.Elsewhere(n) {
-			l.Books.StrayNews.Add(1)
+		if l.byID[n.ID] != nil || !l.otherProcess.ForwardCallback(n) {
+			l.Counters.UnmatchedCallbacks.Add(1)
 		}
 		return
 	}
@@ -139,10 +139,10 @@
 	}
 	switch n.State {
 	case Started:
-		l.queueEvent(decide.JobStarted{Request: a.request, Attempt: a.N})
+		l.queueEvent(decide.JobStarted{Request: a.request, Attempt: a.Index})
 		a.notifyStarted(true)
 	case Running:
-		l.queueEvent(decide.JobProgress{Request: a.request, Attempt: a.N, Share: n.Share})
+		l.queueEvent(decide.JobProgress{Request: a.request, Attempt: a.Index, Share: n.Share})
 	case Done:
 		l.attemptServed(a, Answer{Verdict: Served, Result: n.Result})
 	case Errored:
@@ -184,27 +184,27 @@
 	a.ended = true
 	p.outstanding--
 	o = l.settleGate(a, o)
-	l.Books.countOutcome(o)
-	l.queueEvent(decide.AttemptEnded{Request: a.request, Attempt: a.N, Outcome: o, RequestEnded: p.answered, ConnIdle: a.connIdle, Report: a.report})
+	l.Counters.countOutcome(o)
+	l.queueEvent(decide.AttemptEnded{Request: a.request, Attempt: a.Index, Outcome: o, RequestEnded: p.answered, ConnIdle: a.connIdle, Report: a.report})
 	l.removeIfDone(p)
 }
 
-// Began reports that the instance runs an attempt, if it reports that other than by a callback.
-func (l *Loop) Began(a *Attempt) {
+// AttemptStarted reports that the instance runs an attempt, if it reports that other than by a callback.
+func (l *Loop) AttemptStarted(a *Attempt) {
 	l.post(func(l *Loop) {
 		if !a.ended {
-			l.queueEvent(decide.JobStarted{Request: a.request, Attempt: a.N})
+			l.queueEvent(decide.JobStarted{Request: a.request, Attempt: a.Index})
 			a.notifyStarted(true)
 		}
 	})
 }
 
-// Loaded reports the instance's load figures that arrive with an attempt's end. It must be called before that
+// LoadReported reports the instance's load figures that arrive with an attempt's end. It must be called before that
 // end is reported.
-func (l *Loop) Loaded(a *Attempt, r decide.Report) { l.post(func(*Loop) { a.report = &r }) }
+func (l *Loop) LoadReported(a *Attempt, r decide.Report) { l.post(func(*Loop) { a.report = &r }) }
 
-// Finished reports that an attempt was served directly by its response, with this value.
-func (l *Loop) Finished(a *Attempt, value any) {
+// AttemptServed reports that an attempt was served directly by its response, with this value.
+func (l *Loop) AttemptServed(a *Attempt, value any) {
 	l.post(func(l *Loop) {
 		if !a.ended {
 			l.attemptServed(a, Answer{Verdict: Served, Value: value})
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -13,8 +13,8 @@
 		return
 	}
 	a := &Attempt{
-		Command: p.Command, Instance: l.instanceIDs[s.Worker], N: len(p.attempts), Deadline: p.Deadline,
-		MostIdle: s.MaxIdle, Fresh: s.NewConn, request: s.Request,
+		Command: p.Command, Instance: l.instanceIDs[s.Worker], Index: len(p.attempts), Deadline: p.Deadline,
+		MaxIdle: s.MaxIdle, NewConn: s.NewConn, request: s.Request,
 	}
 	if s.Timeout > 0 {
 		if t := now.Add(s.Timeout); t.Before(a.Deadline) {
@@ -22,13 +22,13 @@
 		}
 	}
 	if t, ok := l.leases[s.Lease]; ok {
-		a.Until = t.Until
+		a.SendUntil = t.Until
 		delete(l.leases, s.Lease)
 		l.leaser.Spent(t)
 	}
 	p.attempts = append(p.attempts, a)
 	p.outstanding++
-	l.Books.Sent.Add(1)
+	l.Counters.Sent.Add(1)
 	if p.clientGone.Load() { // the disconnect message is still queued
 		l.cancelCommand(p)
 	}
@@ -75,10 +75,10 @@
 		return // no instance has it
 	}
 	a.cancelUnconfirmed.Store(true)
-	l.fleet.GiveUp(a)
+	l.fleet.Cancel(a)
 }
 
-// TakeBack cancels a job at an instance that was sent by another dispatcher, which can no longer do so itself.
-func (l *Loop) TakeBack(instance, id string) {
-	l.post(func(l *Loop) { l.fleet.GiveUp(&Attempt{Command: &Command{ID: id}, Instance: instance}) })
+// CancelJob cancels a job at an instance that was sent by another dispatcher, which can no longer do so itself.
+func (l *Loop) CancelJob(instance, id string) {
+	l.post(func(l *Loop) { l.fleet.Cancel(&Attempt{Command: &Command{ID: id}, Instance: instance}) })
 }
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -30,9 +30,9 @@
 	return max(len(n.Classes)-len(n.configured.Classes), len(n.Tenants)-len(n.configured.Tenants), len(n.Zones)-len(n.configured.Zones), len(n.Kinds)-len(n.configured.Kinds))
 }
 
-// Retune applies new settings. If it returns an error, nothing has changed. It waits for the loop, but not for
+// Reconfigure applies new settings. If it returns an error, nothing has changed. It waits for the loop, but not for
 // any peer.
-func (l *Loop) Retune(s decide.Settings, n wire.Names) error {
+func (l *Loop) Reconfigure(s decide.Settings, n wire.Names) error {
 	done := make(chan error, 1)
 	l.post(func(l *Loop) { done <- l.reconfigure(l.mapSettings(s, n)) })
 	return <-done
@@ -46,7 +46,7 @@
 		return err
 	}
 	l.settings, l.allNames, l.configuredNames = s, n.Names, n.configured
-	l.Books.addClasses(n.Classes)
+	l.Counters.addClasses(n.Classes)
 	return nil
 }
 
@@ -129,7 +129,7 @@
 
 // mergeClasses adds the classes of another process that are missing or defined differently here, since commands
 // of these classes are taken over. It returns the number of each of its classes here.
-func (l *Loop) mergeClasses(state Handed) []int {
+func (l *Loop) mergeClasses(state HandoverState) []int {
 	n, s := l.allNames, l.settings
 	theirs, classes := slices.Clone(state.Names.Classes), slices.Clone(state.Classes)
 	for i := range classes {
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -78,7 +78,7 @@
 type simulation struct {
 	*Loop
 	now      time.Duration
-	members  []Member
+	members  []Instance
 	budget   map[uint32]time.Duration
 	attempts map[uint32]int
 	pending  []dueEvent
@@ -90,7 +90,7 @@
 	e  decide.Event
 }
 
-func newSimulation(t *rapid.T, s site, members []Member) *simulation {
+func newSimulation(t *rapid.T, s site, members []Instance) *simulation {
 	f := &fleet{}
 	l, err := New(s.Settings, s.Names, f, f, f, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
@@ -157,9 +157,9 @@
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		before, after := drawSite(rt, "before", 1), drawSite(rt, "after", 2)
-		var members []Member
+		var members []Instance
 		for i := range rapid.IntRange(1, 8).Draw(rt, "workers") {
-			m := Member{
+			m := Instance{
 				ID: fmt.Sprint("s-", i), Zone: fmt.Sprint("zone", rapid.IntRange(0, 3).Draw(rt, "zone")), Kind: fmt.Sprint("kind", rapid.IntRange(0, 2).Draw(rt, "kind")),
 				Cell: i % 2, State: decide.Ready, Size: float64(1 + i%3),
 			}
@@ -207,7 +207,7 @@
 	}, wire.Names{Classes: []string{"a"}, Zones: []string{"east", "west"}, Kinds: []string{"old", "new"}}, f, f, f, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	at := func(zone, kind string) [2]int {
-		w := l.toWorker(Member{Zone: zone, Kind: kind}, 1)
+		w := l.toWorker(Instance{Zone: zone, Kind: kind}, 1)
 		return [2]int{w.Zone, w.Kind}
 	}
 	require.Equal(t, [2]int{1, 1}, at("west", "new"))
@@ -259,49 +259,49 @@
 	strict.Classes = slices.Clone(strict.Classes)
 	strict.Classes[0].Effect = decide.Unsafe
 	require.NoError(t, older.reconfigure(older.mapSettings(strict, older.allNames)))
-	older.Take(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: &client{}})
-	older.News(News{ID: "c1", From: "s-1", State: Done})
+	older.Submit(&Command{ID: "c2", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: &client{}})
+	older.HandleCallback(Callback{ID: "c1", From: "s-1", State: Done})
 	older.runBatch()
 	require.Len(t, f.sent, 2)
 
 	l, c := newTestLoop(t, &fleet{}), &client{}
-	l.Listed(List{Members: []Member{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
-	older.Yield(func(state Handed) bool {
+	l.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Ready}, {ID: "s-2", State: decide.Ready}}}, true)
+	older.HandOver(func(state HandoverState) bool {
 		for _, cmd := range state.Commands {
 			cmd.Client = c
 		}
-		l.Relieve(state)
+		l.TakeOver(state)
 		return true
 	})
 	older.runBatch()
 	l.runBatch()
-	l.Became(Fate{ID: "c2", Outcome: decide.Reset})
+	l.UpdateAttempt(AttemptUpdate{ID: "c2", Outcome: decide.Reset})
 	l.runBatch()
 	require.Equal(t, []Answer{{Verdict: Failed}}, c.answers, "the command may have run")
 	own := &client{}
-	l.Take(&Command{ID: "c3", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: own})
+	l.Submit(&Command{ID: "c3", Class: "safe", Deadline: time.Now().Add(time.Hour), Client: own})
 	l.runBatch()
-	l.Ended(l.byRequest[l.lastID].attempts[0], decide.Reset, 0)
+	l.AttemptEnded(l.byRequest[l.lastID].attempts[0], decide.Reset, 0)
 	l.runBatch()
 	require.Empty(t, own.answers, "later commands must use the own settings")
-	require.Contains(t, l.Books.Figures(), "proxy.bad_gateway.safe=1\n")
-	require.NotContains(t, l.Books.Figures(), "former")
+	require.Contains(t, l.Counters.OperatorCounters(), "proxy.bad_gateway.safe=1\n")
+	require.NotContains(t, l.Counters.OperatorCounters(), "former")
 }
 
 // What an older process learned of a class counts only if the class is defined the same here.
 func TestLearnedStateOfOtherClassDefinitionIsIgnored(t *testing.T) {
-	state := func(deadline time.Duration) Handed {
+	state := func(deadline time.Duration) HandoverState {
 		older := newTestLoop(t, &fleet{})
 		s := older.settings
 		s.Classes = slices.Clone(s.Classes)
 		s.Classes[0].Deadline = deadline
 		require.NoError(t, older.reconfigure(older.mapSettings(s, older.allNames)))
-		h := Handed{Module: older.mod.Snapshot(), Numbers: older.instanceIDs, Names: older.allNames, Classes: older.settings.Classes}
+		h := HandoverState{Module: older.mod.Snapshot(), InstanceIDs: older.instanceIDs, Names: older.allNames, Classes: older.settings.Classes}
 		h.Module.Classes[0] = decide.ClassSnapshot{MeanRun: 9, MeanLogRun: 2, Jobs: 50, MaxBudget: deadline}
 		return h
 	}
-	for name, load := range map[string]func(*Loop, Handed){"handed over": (*Loop).Relieve, "from a snapshot": (*Loop).Advise} {
-		learned := func(h Handed) decide.ClassSnapshot {
+	for name, load := range map[string]func(*Loop, HandoverState){"handed over": (*Loop).TakeOver, "from a snapshot": (*Loop).ImportLearned} {
+		learned := func(h HandoverState) decide.ClassSnapshot {
 			l := newTestLoop(t, &fleet{})
 			load(l, h)
 			l.runBatch()
@@ -332,24 +332,24 @@
 	f := &fleet{}
 	older := newLoop(f, "elsewhere")
 	require.NoError(t, older.reconfigure(older.mapSettings(settings("east", "west"))))
-	older.Listed(List{Members: []Member{{ID: "s-1", Zone: "east", State: decide.Ready}}}, true)
-	older.Take(&Command{ID: "c1", Class: "keyed", Deadline: time.Now().Add(time.Hour), Client: &client{}})
+	older.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", Zone: "east", State: decide.Ready}}}, true)
+	older.Submit(&Command{ID: "c1", Class: "keyed", Deadline: time.Now().Add(time.Hour), Client: &client{}})
 	older.runBatch()
 	require.Len(t, f.sent, 1)
 
 	newerFleet := &fleet{}
 	l := newLoop(newerFleet, "east", "west", "south")
-	l.Listed(List{Complete: true, Members: []Member{{ID: "s-2", Zone: "west", State: decide.Ready}}}, true)
-	older.Yield(func(state Handed) bool {
+	l.UpdateInstances(InstanceUpdate{Complete: true, Instances: []Instance{{ID: "s-2", Zone: "west", State: decide.Ready}}}, true)
+	older.HandOver(func(state HandoverState) bool {
 		for _, cmd := range state.Commands {
 			cmd.Client = &client{}
 		}
-		l.Relieve(state)
+		l.TakeOver(state)
 		return true
 	})
 	older.runBatch()
 	l.runBatch()
-	l.Became(Fate{ID: "c1", Outcome: decide.Reset})
+	l.UpdateAttempt(AttemptUpdate{ID: "c1", Outcome: decide.Reset})
 	l.runBatch()
 	require.Empty(t, newerFleet.sent, "the only instance is in another zone")
 }
@@ -362,9 +362,9 @@
 	require.NoError(t, err)
 	before := fresh.mod.Snapshot().Classes[0]
 	older, _, _ := loopWithCommand(t)
-	older.Yield(func(state Handed) bool {
+	older.HandOver(func(state HandoverState) bool {
 		state.Commands = nil
-		fresh.Relieve(state)
+		fresh.TakeOver(state)
 		return true
 	})
 	older.runBatch()
--- a/internal/full/accord.go
+++ b/internal/full/accord.go
@@ -193,9 +193,9 @@
 	p.a.fresh = true
 }
 
-func (*accorded) Listed(dispatch.List)    {}
-func (*accorded) Cordoned([]string)       {}
-func (*accorded) Reloaded(*config.Config) {}
+func (*accorded) Listed(dispatch.InstanceUpdate) {}
+func (*accorded) Cordoned([]string)              {}
+func (*accorded) Reloaded(*config.Config)        {}
 
 // Quiet: the others go on without this one.
 func (*accorded) Quiet() bool { return true }
--- a/internal/full/front.go
+++ b/internal/full/front.go
@@ -113,8 +113,8 @@
 	return nil
 }
 
-func (*front) Listed(dispatch.List) {}
-func (*front) Cordoned([]string)    {}
+func (*front) Listed(dispatch.InstanceUpdate) {}
+func (*front) Cordoned([]string)              {}
 
 func (p *front) Reloaded(*config.Config) {
 	if !p.loaded { // the first is what it was made of
@@ -137,6 +137,6 @@
 func (p *front) Quiet() bool { return p.site.Front.Quiet() }
 
 func (p *front) Figures() string {
-	b := &p.site.Loop.Books
-	return fmt.Sprintf("proxy.front.taken=%d\nproxy.front.attempts=%d\nproxy.front.in_progress=%d\n", b.Taken.Load(), b.Sent.Load(), p.site.Loop.Holding())
+	b := &p.site.Loop.Counters
+	return fmt.Sprintf("proxy.front.taken=%d\nproxy.front.attempts=%d\nproxy.front.in_progress=%d\n", b.Received.Load(), b.Sent.Load(), p.site.Loop.Pending())
 }
--- a/internal/full/gangs.go
+++ b/internal/full/gangs.go
@@ -46,7 +46,7 @@
 			return nil, err
 		}
 		register(s.Register)
-		core.Loop.StraysTo(s.Stray)
+		core.Loop.OnUnmatchedCallback(s.Stray)
 		return &ganging{s}, nil
 	}, nil
 }
--- a/internal/full/members.go
+++ b/internal/full/members.go
@@ -42,8 +42,8 @@
 }
 
 // The list service's own news come by way of Sharer.
-func (*among) Listed(dispatch.List) {}
-func (*among) Cordoned([]string)    {}
+func (*among) Listed(dispatch.InstanceUpdate) {}
+func (*among) Cordoned([]string)              {}
 
 func (a *among) Reloaded(c *config.Config) {
 	a.Retune(fmt.Sprintf("%x", sha256.Sum256(c.Document))[:12])
--- a/internal/full/promises.go
+++ b/internal/full/promises.go
@@ -21,8 +21,8 @@
 	o := promises.Options{Within: time.Duration(f.Promises.Within), Keep: time.Duration(f.Promises.Keep), Dir: f.Promises.Dir}
 	return func(core program.Core) (program.Part, error) {
 		s := promises.New(o, host, core.Loop, core.Log)
-		core.Loop.StraysTo(s.Stray)
-		core.Loop.KeptBy(s.Keep)
+		core.Loop.OnUnmatchedCallback(s.Stray)
+		core.Loop.PersistCallbacksWith(s.Keep)
 		register(func(r grpc.ServiceRegistrar) { promisev1.RegisterPromisesServer(r, s) })
 		return &promising{Server: s}, nil
 	}
@@ -64,6 +64,6 @@
 	return nil
 }
 
-func (*promising) Listed(dispatch.List)        {}
-func (*promising) Cordoned([]string)           {}
-func (p *promising) Reloaded(c *config.Config) { p.Retune(c.Settings, c.Names) }
+func (*promising) Listed(dispatch.InstanceUpdate) {}
+func (*promising) Cordoned([]string)              {}
+func (p *promising) Reloaded(c *config.Config)    { p.Retune(c.Settings, c.Names) }
--- a/internal/full/replicas.go
+++ b/internal/full/replicas.go
@@ -78,9 +78,9 @@
 	return nil
 }
 
-func (*record) Listed(dispatch.List)    {}
-func (*record) Cordoned([]string)       {}
-func (*record) Reloaded(*config.Config) {}
+func (*record) Listed(dispatch.InstanceUpdate) {}
+func (*record) Cordoned([]string)              {}
+func (*record) Reloaded(*config.Config)        {}
 
 // Quiet: the others go on without this one.
 func (*record) Quiet() bool { return true }
--- a/internal/full/serve.go
+++ b/internal/full/serve.go
@@ -168,7 +168,7 @@
 		if err != nil {
 			return nil, err
 		}
-		core.Loop.LeaseBy(s)
+		core.Loop.SetLeaser(s)
 		return &controls{Server: s, fault: fault, log: core.Log}, nil
 	}, nil
 }
--- a/internal/full/snapshot.go
+++ b/internal/full/snapshot.go
@@ -31,10 +31,10 @@
 				core.Log.Warn("snapshot not used", "file", o.File, "err", fmt.Sprintf("it is %v old", age.Round(time.Second)))
 				break
 			}
-			core.Log.Info("snapshot taken up", "age", age.Round(time.Millisecond), "encoders", len(last.List.Members))
+			core.Log.Info("snapshot taken up", "age", age.Round(time.Millisecond), "encoders", len(last.List.Instances))
 			s.last = last
-			if len(core.Config.Known.Members) == 0 {
-				core.Config.Known.Members = last.List.Members
+			if len(core.Config.Known.Instances) == 0 {
+				core.Config.Known.Instances = last.List.Instances
 			}
 		}
 		return s, nil
@@ -51,7 +51,7 @@
 	written    atomic.Int64
 
 	mu      sync.Mutex
-	table   dispatch.Table
+	table   dispatch.InstanceList
 	cordons []string
 	cancel  context.CancelFunc
 	ended   chan struct{}
@@ -66,7 +66,7 @@
 		defer s.mu.Unlock()
 		if s.cancel == nil {
 			if s.last != nil {
-				s.loop.Advise(s.last.Learned)
+				s.loop.ImportLearned(s.last.Learned)
 				s.last = nil
 			}
 			ctx, s.cancel = context.WithCancel(ctx)
@@ -118,8 +118,8 @@
 }
 
 func (s *snapshots) write(ctx context.Context, file *snapshot.File) error {
-	learned := make(chan dispatch.Handed, 1)
-	s.loop.Learned(func(h dispatch.Handed) { learned <- h })
+	learned := make(chan dispatch.HandoverState, 1)
+	s.loop.ExportLearned(func(h dispatch.HandoverState) { learned <- h })
 	c := &snapshot.Content{Node: s.node, Written: time.Now()}
 	select {
 	case <-ctx.Done():
@@ -127,7 +127,7 @@
 	case c.Learned = <-learned:
 	}
 	s.mu.Lock()
-	c.List, c.Cordons = s.table.List(), s.cordons
+	c.List, c.Cordons = s.table.Snapshot(), s.cordons
 	s.mu.Unlock()
 	if err := file.Write(c); err != nil {
 		return err
@@ -136,10 +136,10 @@
 	return nil
 }
 
-func (s *snapshots) Listed(l dispatch.List) {
+func (s *snapshots) Listed(l dispatch.InstanceUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Take(l)
+	s.table.Update(l)
 }
 
 func (s *snapshots) Cordoned(ids []string) {
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Held is a lease that a sender holds.
-type Held struct {
-	Keeper   int
+// HeldLease is a lease that a sender holds.
+type HeldLease struct {
+	Granter  int
 	Epoch    uint64 // of the granter's process
 	ID       uint64
 	Instance string
@@ -32,7 +32,7 @@
 type pendingRequest struct {
 	granter int
 	at      time.Duration
-	request Want
+	request Request
 }
 
 // answerTimeout is how long a grant is waited for; a lease granted later has expired anyway.
@@ -70,7 +70,7 @@
 func (h *Holder) advance(now time.Duration) { h.now = max(h.now, now) }
 
 // Ask returns the granter to send a request to, and the request. It returns false if there is none to ask now.
-func (h *Holder) Ask(now time.Duration, instance string, process int64, work float64) (k int, w Want, ok bool) {
+func (h *Holder) Ask(now time.Duration, instance string, process int64, work float64) (k int, w Request, ok bool) {
 	h.advance(now)
 	for seq, a := range h.pending {
 		if h.now-a.at >= answerTimeout {
@@ -78,35 +78,35 @@
 		}
 	}
 	if len(h.pending) >= maxPending {
-		return 0, Want{}, false
+		return 0, Request{}, false
 	}
 	for range h.granters {
 		k = h.next
 		h.next = (h.next + 1) % len(h.granters)
 		if g := &h.granters[k]; g.up && g.retryAt[instance] <= h.now {
 			h.seq++
-			w = Want{Seq: h.seq, Instance: instance, Process: process, Work: work}
+			w = Request{Seq: h.seq, Instance: instance, Process: process, Work: work}
 			h.pending[h.seq] = pendingRequest{k, h.now, w}
 			return k, w, true
 		}
 	}
-	return 0, Want{}, false
+	return 0, Request{}, false
 }
 
 // Granted processes a granter's answer. It returns false if the answer contains no usable lease.
-func (h *Holder) Granted(now time.Duration, k int, epoch uint64, g Grant) (Held, bool) {
+func (h *Holder) Granted(now time.Duration, k int, epoch uint64, g Grant) (HeldLease, bool) {
 	h.advance(now)
 	a, ok := h.pending[g.Seq]
 	if !ok || a.granter != k || h.granters[k].epoch != epoch {
-		return Held{}, false
+		return HeldLease{}, false
 	}
 	delete(h.pending, g.Seq)
 	if g.ID == 0 {
 		if retryAt := h.granters[k].retryAt; len(retryAt) < maxLeases {
-			retryAt[a.request.Instance] = h.now + min(g.Again, 2*time.Second)
+			retryAt[a.request.Instance] = h.now + min(g.RetryAfter, 2*time.Second)
 		}
-		return Held{}, false
+		return HeldLease{}, false
 	}
-	held := Held{Keeper: k, Epoch: epoch, ID: g.ID, Instance: a.request.Instance, Process: a.request.Process, Work: a.request.Work, Until: a.at + g.Valid}
+	held := HeldLease{Granter: k, Epoch: epoch, ID: g.ID, Instance: a.request.Instance, Process: a.request.Process, Work: a.request.Work, Until: a.at + g.Valid}
 	return held, held.Until > h.now
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,7 +1,7 @@
 // Package lease divides the budget for cold encoders among senders: the work that all of them together may send
 // to an encoder that has just started. It does no I/O and reads no clock.
 //
-// A granter ([Book], one in each daemon) has a fixed part of the budget and grants it in pieces of one job, as
+// A granter ([Granter], one in each daemon) has a fixed part of the budget and grants it in pieces of one job, as
 // leases that expire (Gray and Cheriton, SOSP 1989). A sender ([Holder]) counts a lease's life from its request,
 // the granter from its grant, which is later, so clocks need not agree but only run at about the same speed. The
 // sum over all granters stays within the budget by construction, whichever of them are alive and whatever each
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// Plan is the share of the load limit Terms.Multiple that is planned with: the work of a job and the size of an
+// PlannedShare is the share of the load limit Terms.Multiple that is planned with: the work of a job and the size of an
 // encoder are estimates.
-const Plan = 0.5
+const PlannedShare = 0.5
 
 // TurnsShare is the part of the planned budget reserved for the senders' fixed turns, which need no lease. The
 // granters share the rest evenly.
@@ -31,36 +31,36 @@
 	Multiple float64       // load limit of an encoder, as a multiple of its present capacity
 	ColdFrom float64       // share of its capacity that an encoder starts with
 	Cold     time.Duration // time until an encoder is warm
-	Keepers  int           // that the budget is divided among
+	Granters int           // that the budget is divided among
 }
 
-// Member is an encoder as a granter knows it.
-type Member struct {
-	ID      string
-	Started time.Duration // by the granter's clock; may be before the clock's start
-	Process int64         // distinguishes it from its predecessor: its start time in the instance list
-	Slots   float64       // when warm
-	Any     bool          // senders may name any process: an operator has put the encoder back, and each sender counts from when it was notified
+// Encoder is an encoder as a granter knows it.
+type Encoder struct {
+	ID         string
+	Started    time.Duration // by the granter's clock; may be before the clock's start
+	Process    int64         // distinguishes it from its predecessor: its start time in the instance list
+	Slots      float64       // when warm
+	AnyProcess bool          // senders may name any process: an operator has put the encoder back, and each sender counts from when it was notified
 }
 
-// Want is a request for a lease.
-type Want struct {
+// Request is a request for a lease.
+type Request struct {
 	Seq      uint64
 	Instance string
 	Process  int64
 	Work     float64 // slot seconds that the job needs within one window
 }
 
-// Grant answers a Want. ID 0: not granted.
+// Grant answers a Request. ID 0: not granted.
 type Grant struct {
-	Seq   uint64
-	ID    uint64
-	Valid time.Duration // from the request, by the sender's clock
-	Again time.Duration // if not granted: when to ask again
+	Seq        uint64
+	ID         uint64
+	Valid      time.Duration // from the request, by the sender's clock
+	RetryAfter time.Duration // if not granted: when to ask again
 }
 
-// Book grants leases within one part of the budget. It is not safe for concurrent use.
-type Book struct {
+// Granter grants leases within one part of the budget. It is not safe for concurrent use.
+type Granter struct {
 	terms      Terms
 	now        time.Duration
 	grantsFrom time.Duration // nothing is granted earlier, since leases of a preceding granter may be in use
@@ -74,7 +74,7 @@
 type Stats struct{ Asked, Granted, Denied, Spent, Returned, Expired, Stale uint64 }
 
 type account struct {
-	Member
+	Encoder
 	counted float64 // work of the leases that count
 	queue   []*issuedLease
 }
@@ -93,34 +93,34 @@
 // maxLeases bounds the leases kept per encoder; beyond it none is granted.
 const maxLeases = 4096
 
-// NewBook returns a granter that grants nothing for a lease's life and a window from now on.
-func NewBook(t Terms, now time.Duration) *Book {
-	return &Book{
+// NewGranter returns a granter that grants nothing for a lease's life and a window from now on.
+func NewGranter(t Terms, now time.Duration) *Granter {
+	return &Granter{
 		terms: t, now: now, grantsFrom: now + t.Life + t.Window, encoders: map[string]*account{}, leases: map[uint64]*issuedLease{},
 	}
 }
 
-// Retune applies other terms. Leases already granted keep their life. A larger part of the budget than before
+// SetTerms applies other terms. Leases already granted keep their life. A larger part of the budget than before
 // takes effect only when the leases of the other granters, which may have had it, have ended.
-func (b *Book) Retune(now time.Duration, t Terms) {
+func (b *Granter) SetTerms(now time.Duration, t Terms) {
 	b.advance(now)
-	if t.Keepers < b.terms.Keepers || t.Multiple != b.terms.Multiple {
+	if t.Granters < b.terms.Granters || t.Multiple != b.terms.Multiple {
 		b.grantsFrom = max(b.grantsFrom, b.now+max(t.Life, b.terms.Life)+max(t.Window, b.terms.Window))
 	}
 	b.terms = t
 }
 
 // Suspend stops granting for as long as after a start, since another granter may have granted meanwhile.
-func (b *Book) Suspend(now time.Duration) {
+func (b *Granter) Suspend(now time.Duration) {
 	b.advance(now)
 	b.grantsFrom = max(b.grantsFrom, b.now+b.terms.Life+b.terms.Window)
 }
 
 // advance moves the granter's time forward; it never goes back.
-func (b *Book) advance(now time.Duration) { b.now = max(b.now, now) }
+func (b *Granter) advance(now time.Duration) { b.now = max(b.now, now) }
 
-// Listed sets the list of encoders. One with a new process starts with an empty account.
-func (b *Book) Listed(now time.Duration, members []Member) {
+// SetEncoders sets the list of encoders. One with a new process starts with an empty account.
+func (b *Granter) SetEncoders(now time.Duration, members []Encoder) {
 	b.advance(now)
 	next := make(map[string]*account, len(members))
 	for _, m := range members {
@@ -131,7 +131,7 @@
 			}
 			a = &account{}
 		}
-		a.Member = m
+		a.Encoder = m
 		next[m.ID] = a
 	}
 	for id, a := range b.encoders {
@@ -143,7 +143,7 @@
 }
 
 // dropLeases removes the leases of a process that no longer exists: nobody can use them.
-func (b *Book) dropLeases(a *account) {
+func (b *Granter) dropLeases(a *account) {
 	for _, g := range a.queue {
 		if !g.released {
 			g.released = true
@@ -161,14 +161,14 @@
 }
 
 // Budget returns the work, in slot seconds, that this granter may have counting against an encoder now.
-func (b *Book) Budget(m Member) float64 {
+func (b *Granter) Budget(m Encoder) float64 {
 	t := b.terms
-	share := (1 - TurnsShare) / float64(max(1, t.Keepers))
-	return share * Plan * t.Multiple * m.Slots * t.Warmth(b.now-m.Started) * t.Window.Seconds()
+	share := (1 - TurnsShare) / float64(max(1, t.Granters))
+	return share * PlannedShare * t.Multiple * m.Slots * t.Warmth(b.now-m.Started) * t.Window.Seconds()
 }
 
-// Counting returns the work that counts against an encoder's budget now.
-func (b *Book) Counting(id string) float64 {
+// Counted returns the work that counts against an encoder's budget now.
+func (b *Granter) Counted(id string) float64 {
 	if a := b.encoders[id]; a != nil {
 		b.dropExpired(a)
 		return a.counted
@@ -177,23 +177,23 @@
 }
 
 // Ask processes a sender's request. A lease is granted only if, with all that count, it stays within the budget.
-func (b *Book) Ask(now time.Duration, sender string, w Want) Grant {
+func (b *Granter) Ask(now time.Duration, sender string, w Request) Grant {
 	b.advance(now)
 	b.Stats.Asked++
 	a := b.encoders[w.Instance]
 	deny := func(retryAfter time.Duration) Grant {
 		b.Stats.Denied++
-		return Grant{Seq: w.Seq, Again: max(retryAfter, 10*time.Millisecond)}
+		return Grant{Seq: w.Seq, RetryAfter: max(retryAfter, 10*time.Millisecond)}
 	}
 	switch {
-	case a == nil || a.Process != w.Process && !a.Any || !(w.Work >= 0) || math.IsInf(w.Work, 1):
+	case a == nil || a.Process != w.Process && !a.AnyProcess || !(w.Work >= 0) || math.IsInf(w.Work, 1):
 		b.Stats.Stale++
 		return deny(b.terms.Life)
 	case b.now < b.grantsFrom:
 		return deny(b.grantsFrom - b.now)
 	}
 	b.dropExpired(a)
-	if excess := a.counted + w.Work - b.Budget(a.Member); excess > 0 || len(a.queue) >= maxLeases {
+	if excess := a.counted + w.Work - b.Budget(a.Encoder); excess > 0 || len(a.queue) >= maxLeases {
 		return deny(a.timeUntilFree(b.now, excess))
 	}
 	b.lastID++
@@ -219,8 +219,8 @@
 	return soonest
 }
 
-// Done records that a lease was spent just now, or returned unused.
-func (b *Book) Done(now time.Duration, sender string, id uint64, spent bool) {
+// Settle records that a lease was spent just now, or returned unused.
+func (b *Granter) Settle(now time.Duration, sender string, id uint64, spent bool) {
 	b.advance(now)
 	g := b.leases[id]
 	if g == nil || g.sender != sender || g.released {
@@ -237,8 +237,8 @@
 	b.dropExpired(g.account)
 }
 
-// Held returns the number of a sender's leases that are neither expired, returned nor spent.
-func (b *Book) Held(now time.Duration, sender string) (n int) {
+// HeldBy returns the number of a sender's leases that are neither expired, returned nor spent.
+func (b *Granter) HeldBy(now time.Duration, sender string) (n int) {
 	b.advance(now)
 	for _, g := range b.leases {
 		if g.sender == sender && g.expires > b.now {
@@ -249,7 +249,7 @@
 }
 
 // Orphans returns the number of counting leases that no living sender holds.
-func (b *Book) Orphans(now time.Duration, alive func(sender string) bool) (n int) {
+func (b *Granter) Orphans(now time.Duration, alive func(sender string) bool) (n int) {
 	b.advance(now)
 	for _, g := range b.leases {
 		if g.countsUntil > b.now && !alive(g.sender) {
@@ -260,7 +260,7 @@
 }
 
 // dropExpired removes the leases that no longer count.
-func (b *Book) dropExpired(a *account) {
+func (b *Granter) dropExpired(a *account) {
 	n := 0
 	a.counted = 0
 	for _, g := range a.queue {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-var testTerms = Terms{Life: 400 * ms, Window: time.Second, Multiple: 3, ColdFrom: 0.14, Cold: 24 * time.Second, Keepers: 2}
+var testTerms = Terms{Life: 400 * ms, Window: time.Second, Multiple: 3, ColdFrom: 0.14, Cold: 24 * time.Second, Granters: 2}
 
 // clock is the clock of one party, with its own start and a small rate error.
 type clock struct {
@@ -55,7 +55,7 @@
 
 type simGranter struct {
 	clock
-	*Book
+	*Granter
 	epoch  uint64
 	paused time.Duration
 	queue  []func()
@@ -65,7 +65,7 @@
 	clock
 	*Holder
 	name       string
-	held       []Held
+	held       []HeldLease
 	paused     time.Duration // inactive until then
 	work       float64       // of its jobs
 	lastMoment bool          // uses a lease at its last moment, otherwise at once
@@ -93,7 +93,7 @@
 		epoch = old.epoch + 1
 	}
 	c := w.clock()
-	w.granters[k] = &simGranter{clock: c, Book: NewBook(testTerms, c.at(w.now)), epoch: epoch}
+	w.granters[k] = &simGranter{clock: c, Granter: NewGranter(testTerms, c.at(w.now)), epoch: epoch}
 	w.list(k)
 	for _, s := range w.senders {
 		s.Up(k, epoch)
@@ -103,7 +103,7 @@
 func (w *world) list(k int) {
 	b := w.granters[k]
 	at := b.at(w.now)
-	b.Listed(at, []Member{{ID: "s", Started: at - (w.now - w.started), Process: w.process, Slots: w.slots}})
+	b.SetEncoders(at, []Encoder{{ID: "s", Started: at - (w.now - w.started), Process: w.process, Slots: w.slots}})
 }
 
 // take has a granter process a message, or queues it while it is paused.
@@ -139,22 +139,22 @@
 // use sends what a sender's leases allow.
 func (w *world) use(s *sender, tick time.Duration) {
 	at := s.at(w.now)
-	var left []Held
+	var left []HeldLease
 	for _, h := range s.held {
 		switch {
 		case h.Until <= at: // returned: it can no longer be used
-			b := w.granters[h.Keeper]
+			b := w.granters[h.Granter]
 			w.send(func() {
-				b.take(w.now, func() { b.Done(b.at(w.now), s.name, h.ID, false) })
+				b.take(w.now, func() { b.Settle(b.at(w.now), s.name, h.ID, false) })
 			})
 		case h.Process != w.process:
 		case s.lastMoment && h.Until > at+tick:
 			left = append(left, h)
 		default:
 			w.sent = append(w.sent, sentJob{w.now, h.Work})
-			if b := w.granters[h.Keeper]; w.Float64() < s.reportRate {
+			if b := w.granters[h.Granter]; w.Float64() < s.reportRate {
 				w.send(func() {
-					b.take(w.now, func() { b.Done(b.at(w.now), s.name, h.ID, true) })
+					b.take(w.now, func() { b.Settle(b.at(w.now), s.name, h.ID, true) })
 				})
 			}
 		}
@@ -172,7 +172,7 @@
 	}
 	// A granter's clock may run up to 1% fast, which makes the encoder look older by that much.
 	age := time.Duration(float64(w.now-w.started) * 1.011)
-	limit := (1 - TurnsShare) * Plan * testTerms.Multiple * w.slots * testTerms.Warmth(age) * testTerms.Window.Seconds()
+	limit := (1 - TurnsShare) * PlannedShare * testTerms.Multiple * w.slots * testTerms.Warmth(age) * testTerms.Window.Seconds()
 	w.maxShare = max(w.maxShare, sum/limit)
 	return sum <= limit*1.0001
 }
@@ -264,26 +264,26 @@
 
 // A granter that restarts grants nothing while leases of its predecessor may be in use.
 func TestNoGrantsAfterRestart(t *testing.T) {
-	b := NewBook(testTerms, time.Hour)
-	b.Listed(time.Hour, []Member{{ID: "s", Started: time.Hour, Slots: 8}})
-	g := b.Ask(time.Hour+1399*ms, "a", Want{Seq: 1, Instance: "s", Work: 0.01})
+	b := NewGranter(testTerms, time.Hour)
+	b.SetEncoders(time.Hour, []Encoder{{ID: "s", Started: time.Hour, Slots: 8}})
+	g := b.Ask(time.Hour+1399*ms, "a", Request{Seq: 1, Instance: "s", Work: 0.01})
 	require.Zero(t, g.ID)
-	require.LessOrEqual(t, g.Again, 10*ms)
-	require.NotZero(t, b.Ask(time.Hour+1400*ms, "a", Want{Seq: 2, Instance: "s", Work: 0.01}).ID)
+	require.LessOrEqual(t, g.RetryAfter, 10*ms)
+	require.NotZero(t, b.Ask(time.Hour+1400*ms, "a", Request{Seq: 2, Instance: "s", Work: 0.01}).ID)
 }
 
 // Leases of a sender that died are freed within a lease's life and a window, those of a sender that reports the
 // outcome earlier, and no sender can free another's.
 func TestLeasesAreFreed(t *testing.T) {
 	now := time.Hour
-	b := NewBook(testTerms, 0)
-	m := Member{ID: "s", Started: now, Slots: 8}
-	b.Listed(now, []Member{m})
+	b := NewGranter(testTerms, 0)
+	m := Encoder{ID: "s", Started: now, Slots: 8}
+	b.SetEncoders(now, []Encoder{m})
 	fill := func() (ids []uint64) {
 		for {
-			g := b.Ask(now, "a", Want{Instance: "s", Work: 0.1})
+			g := b.Ask(now, "a", Request{Instance: "s", Work: 0.1})
 			if g.ID == 0 {
-				require.Positive(t, g.Again)
+				require.Positive(t, g.RetryAfter)
 				return ids
 			}
 			ids = append(ids, g.ID)
@@ -291,15 +291,15 @@
 	}
 	ids := fill()
 	require.Len(t, ids, int(math.Floor(b.Budget(m)/0.1)))
-	b.Done(now, "b", ids[0], false)
+	b.Settle(now, "b", ids[0], false)
 	require.Empty(t, fill(), "another sender must not free it")
-	b.Done(now, "a", ids[0], false)
-	b.Done(now, "a", ids[0], false)
+	b.Settle(now, "a", ids[0], false)
+	b.Settle(now, "a", ids[0], false)
 	require.Len(t, fill(), 1)
-	require.Zero(t, b.Held(now+testTerms.Life, "a"))
+	require.Zero(t, b.HeldBy(now+testTerms.Life, "a"))
 	now += testTerms.Life + testTerms.Window
-	b.Ask(now, "a", Want{Instance: "other"})
-	require.Zero(t, b.Counting("s"))
+	b.Ask(now, "a", Request{Instance: "other"})
+	require.Zero(t, b.Counted("s"))
 }
 
 // No two senders ever have the same place, whichever party forgets about the other; a sender gets its own place
@@ -313,10 +313,10 @@
 	now += FreeAfter
 	require.Equal(t, 2, p.Take(now, "a", -1))
 	require.Equal(t, -1, p.Take(now, "b", -1))
-	p.Left(now, "a")
+	p.Disconnected(now, "a")
 	require.Equal(t, -1, p.Take(now+FreeAfter-1, "b", -1), "the sender may still be alive")
 	require.Equal(t, 2, p.Take(now+FreeAfter-1, "a", -1))
-	p.Left(now+FreeAfter, "a")
+	p.Disconnected(now+FreeAfter, "a")
 	require.Equal(t, 2, p.Take(now+2*FreeAfter, "b", -1))
 	require.Equal(t, -1, p.Take(now+2*FreeAfter, "a", 2), "the place was reassigned")
 }
@@ -336,14 +336,14 @@
 	require.False(t, ok, "another process")
 	got, ok := h.Granted(time.Hour+300*ms, 0, 7, g)
 	require.True(t, ok)
-	require.Equal(t, Held{Keeper: 0, Epoch: 7, ID: 9, Instance: "s", Process: 3, Work: 0.5, Until: time.Hour + 380*ms}, got)
+	require.Equal(t, HeldLease{Granter: 0, Epoch: 7, ID: 9, Instance: "s", Process: 3, Work: 0.5, Until: time.Hour + 380*ms}, got)
 	_, ok = h.Granted(time.Hour+301*ms, 0, 7, g)
 	require.False(t, ok, "twice")
 	_, w, _ = h.Ask(time.Hour+400*ms, "s", 3, 0.5)
 	_, ok = h.Granted(time.Hour+800*ms, 0, 7, Grant{Seq: w.Seq, ID: 10, Valid: 380 * ms})
 	require.False(t, ok, "late")
 	_, w, _ = h.Ask(time.Hour+800*ms, "s", 3, 0.5)
-	h.Granted(time.Hour+801*ms, 0, 7, Grant{Seq: w.Seq, Again: 50 * ms})
+	h.Granted(time.Hour+801*ms, 0, 7, Grant{Seq: w.Seq, RetryAfter: 50 * ms})
 	_, _, ok = h.Ask(time.Hour+850*ms, "s", 3, 0.5)
 	require.False(t, ok, "too early: the granter said when to ask again")
 	_, _, ok = h.Ask(time.Hour+851*ms, "s", 3, 0.5)
--- a/internal/lease/places.go
+++ b/internal/lease/places.go
@@ -66,8 +66,8 @@
 	return -1
 }
 
-// Left reports that a sender's stream has ended. The sender may still be alive.
-func (p *Places) Left(now time.Duration, sender string) {
+// Disconnected reports that a sender's stream has ended. The sender may still be alive.
+func (p *Places) Disconnected(now time.Duration, sender string) {
 	p.now = max(p.now, now)
 	for _, s := range p.assigned {
 		if s.sender == sender {
@@ -76,5 +76,5 @@
 	}
 }
 
-// Open ends the waiting period after the start, for a deployment that starts from scratch.
-func (p *Places) Open() { p.assignsFrom = 0 }
+// SkipWait ends the waiting period after the start, for a deployment that starts from scratch.
+func (p *Places) SkipWait() { p.assignsFrom = 0 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -74,15 +74,15 @@
 
 // Told is what one dispatcher tells another of the list: a whole one, a change of one, or a beat, which has no members.
 type Told struct {
-	Source  string            `json:"Source"` // whose own watch it comes from, and root of the tree in which it is passed on
-	Mark    Mark              `json:"Mark"`
-	Base    Mark              `json:"Base"`  // of the table that a change is of
-	Heard   time.Time         `json:"Heard"` // by the source, by its clock
-	Age     time.Duration     `json:"Age"`   // since then, each measuring its own part
-	Whole   bool              `json:"Whole"`
-	Beat    bool              `json:"Beat"`
-	Answer  bool              `json:"Answer"` // to one who asked: it is not passed on
-	Members []dispatch.Member `json:"Members"`
+	Source  string              `json:"Source"` // whose own watch it comes from, and root of the tree in which it is passed on
+	Mark    Mark                `json:"Mark"`
+	Base    Mark                `json:"Base"`  // of the table that a change is of
+	Heard   time.Time           `json:"Heard"` // by the source, by its clock
+	Age     time.Duration       `json:"Age"`   // since then, each measuring its own part
+	Whole   bool                `json:"Whole"`
+	Beat    bool                `json:"Beat"`
+	Answer  bool                `json:"Answer"` // to one who asked: it is not passed on
+	Members []dispatch.Instance `json:"Members"`
 }
 
 // Config is what a dispatcher is told of itself.
@@ -113,7 +113,7 @@
 	// Keep has the own watch begin, or end.
 	Keep struct{ Watch bool }
 	// Take takes a list.
-	Take struct{ dispatch.List }
+	Take struct{ dispatch.InstanceUpdate }
 	// Show has the membership tell how the own watch is.
 	Show struct{ Watch Watch }
 	// Note is for the log.
@@ -140,7 +140,7 @@
 	ranked  []string  // of the own zone, self among them, who comes first as a watcher
 	trees   map[string][]string
 
-	table  dispatch.Table
+	table  dispatch.InstanceList
 	has    bool // a list at all
 	mark   Mark
 	source string
@@ -275,7 +275,7 @@
 }
 
 // Heard takes what the own watch tells.
-func (s *State) Heard(now time.Time, l dispatch.List) {
+func (s *State) Heard(now time.Time, l dispatch.InstanceUpdate) {
 	if !s.wants {
 		return // it comes from a watch that is over
 	}
@@ -295,7 +295,7 @@
 		return // a change of a list that was not taken
 	}
 	s.moved, s.older, s.lost, s.watch = false, time.Time{}, 0, Well
-	t := Told{Source: s.c.Name, Mark: mark, Base: s.mark, Heard: now, Whole: l.Complete, Members: l.Members}
+	t := Told{Source: s.c.Name, Mark: mark, Base: s.mark, Heard: now, Whole: l.Complete, Members: l.Instances}
 	s.take(now, t, l)
 	s.pass(now, t)
 	s.beat = now
@@ -352,8 +352,8 @@
 }
 
 // take takes a list that is believed.
-func (s *State) take(now time.Time, t Told, l dispatch.List) {
-	s.table.Take(l)
+func (s *State) take(now time.Time, t Told, l dispatch.InstanceUpdate) {
+	s.table.Update(l)
 	s.has, s.mark, s.source, s.heard, s.fresh = true, t.Mark, t.Source, t.Heard, now.Add(-t.Age)
 	s.do(Take{l})
 }
@@ -398,7 +398,7 @@
 		return
 	case news:
 		s.moved = s.moved && t.Mark.Term == s.mark.Term // else others have begun the new term
-		s.take(now, t, dispatch.List{Revision: t.Mark.Revision, Complete: t.Whole, Members: t.Members})
+		s.take(now, t, dispatch.InstanceUpdate{Revision: t.Mark.Revision, Complete: t.Whole, Instances: t.Members})
 		s.show()
 	case t.Beat && t.Mark.Before(s.mark) && from == t.Source && now.Sub(s.set) >= askEvery:
 		s.set = now // a watcher that slept, or whose service is behind, hears of it from those it tells first
@@ -429,7 +429,7 @@
 		return "what it tells is from the future"
 	case s.has && (t.Mark.Revision-s.mark.Revision > mostJump || t.Mark.Term-s.mark.Term > mostJump):
 		return fmt.Sprintf("its list's revision %v is far beyond %v", t.Mark, s.mark)
-	case t.Whole && len(t.Members) == 0 && s.has && len(s.table.Members()) > 0:
+	case t.Whole && len(t.Members) == 0 && s.has && len(s.table.Instances()) > 0:
 		return "its list is empty"
 	}
 	return ""
@@ -437,7 +437,7 @@
 
 // halved tells whether a list lacks more than half of what is known, without a word on any.
 func (s *State) halved(t Told) bool {
-	known := s.table.Members()
+	known := s.table.Instances()
 	if len(known) < fewMembers {
 		return false
 	}
@@ -483,7 +483,7 @@
 }
 
 func (s *State) whole(now time.Time) Told {
-	return Told{Source: s.source, Mark: s.mark, Heard: s.heard, Age: max(0, now.Sub(s.fresh)), Whole: true, Answer: true, Members: s.table.List().Members}
+	return Told{Source: s.source, Mark: s.mark, Heard: s.heard, Age: max(0, now.Sub(s.fresh)), Whole: true, Answer: true, Members: s.table.Snapshot().Instances}
 }
 
 // pass passes on what came down a source's tree, once.
@@ -681,7 +681,7 @@
 func (s *State) View(now time.Time) View {
 	v := View{
 		Name: s.c.Name, Zone: s.c.Zone, Watch: s.watch.String(), Term: s.mark.Term, Revision: s.mark.Revision, Source: s.source, Heard: s.heard,
-		Age: -time.Millisecond, Encoders: len(s.table.Members()), Tells: s.children(cmp.Or(s.source, s.c.Name), s.c.Name),
+		Age: -time.Millisecond, Encoders: len(s.table.Instances()), Tells: s.children(cmp.Or(s.source, s.c.Name), s.c.Name),
 	}
 	if s.has {
 		v.Age = max(0, now.Sub(s.fresh))
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -21,7 +21,7 @@
 	now      time.Time
 	rng      *rand.Rand
 	nodes    []*node
-	service  dispatch.List
+	service  dispatch.InstanceUpdate
 	down     bool
 	cut      func(a, b string) bool // messages are lost
 	unserved func(string) bool      // cut off from the list service
@@ -37,7 +37,7 @@
 	watch          bool
 	told           Mark
 	shows          Watch
-	table          dispatch.Table
+	table          dispatch.InstanceList
 	notes          []string
 }
 
@@ -60,9 +60,9 @@
 
 // publish has the service's list be of so many encoders, at the next revision.
 func (f *fleet) publish(encoders int) {
-	f.service = dispatch.List{Revision: f.service.Revision + 1, Complete: true}
+	f.service = dispatch.InstanceUpdate{Revision: f.service.Revision + 1, Complete: true}
 	for i := range encoders {
-		f.service.Members = append(f.service.Members, dispatch.Member{ID: fmt.Sprint("s-", i), State: decide.Ready})
+		f.service.Instances = append(f.service.Instances, dispatch.Instance{ID: fmt.Sprint("s-", i), State: decide.Ready})
 	}
 	for _, d := range f.nodes {
 		if d.watch && !f.unserved(d.name) {
@@ -104,7 +104,7 @@
 				f.mail = append(f.mail, letter{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.Lost(f.now) }})
 			}
 		case Take:
-			d.table.Take(a.List)
+			d.table.Update(a.InstanceUpdate)
 			d.told = d.mark
 		case Show:
 			d.shows = a.Watch
@@ -168,7 +168,7 @@
 	for _, d := range f.nodes {
 		if d.alive && !d.stopped {
 			require.Equal(t, f.service.Revision, d.told.Revision, "%s (%v) %v", d.name, d.watch, d.notes)
-			require.Len(t, d.table.Members(), len(f.service.Members), d.name)
+			require.Len(t, d.table.Instances(), len(f.service.Instances), d.name)
 		}
 	}
 }
@@ -263,7 +263,7 @@
 	f := newFleet(3, 6, 1)
 	f.run(3 * time.Second)
 	d := f.nodes[0]
-	good := Told{Source: "n1", Mark: Mark{0, 2}, Heard: f.now, Whole: true, Members: f.service.Members}
+	good := Told{Source: "n1", Mark: Mark{0, 2}, Heard: f.now, Whole: true, Members: f.service.Instances}
 	for i, spoil := range []func(*Told){
 		func(w *Told) { w.Members = nil },
 		func(w *Told) { w.Heard = f.now.Add(time.Minute) },
--- a/internal/net/clients/callback.go
+++ b/internal/net/clients/callback.go
@@ -9,7 +9,7 @@
 	"caperrelay/internal/net/http1"
 )
 
-var newsStates = map[string]dispatch.NewsState{
+var newsStates = map[string]dispatch.JobState{
 	"started": dispatch.Started, "running": dispatch.Running, "done": dispatch.Done,
 	"failed": dispatch.Errored, "returned": dispatch.Returned, "lost": dispatch.Lost,
 }
@@ -26,7 +26,7 @@
 	}
 	n := in.news(state)
 	n.Report = c.server.reports.Object(in.Load)
-	if !c.hand(q, n) || !c.server.core.Keep(n) {
+	if !c.hand(q, n) || !c.server.core.PersistCallback(n) {
 		return false
 	}
 	return c.reply(204, nil, "", q.Close)
@@ -34,14 +34,14 @@
 
 // hand gives the core a call-back; false: a newer process has the connection, and the call-back to read and to answer. This
 // process could die before it had passed on what the instance takes for heard.
-func (c *conn) hand(q *http1.Request, n dispatch.News) bool {
+func (c *conn) hand(q *http1.Request, n dispatch.Callback) bool {
 	s := c.server
 	s.callbacks.RLock()
 	defer s.callbacks.RUnlock()
 	if s.Yielded() && c.passUnread(q) {
 		return false
 	}
-	s.core.News(n)
+	s.core.HandleCallback(n)
 	return true
 }
 
@@ -58,8 +58,8 @@
 }
 
 // news is what a call-back tells, but for the instance's load report.
-func (c *callback) news(state dispatch.NewsState) dispatch.News {
-	n := dispatch.News{ID: c.ID, From: c.From, State: state, Share: c.Share, Result: c.Result}
+func (c *callback) news(state dispatch.JobState) dispatch.Callback {
+	n := dispatch.Callback{ID: c.ID, From: c.From, State: state, Share: c.Share, Result: c.Result}
 	if plain, rest, ok := text(c.Result); ok && len(rest) == 0 { // a text stands for itself, all else as it is
 		n.Result = plain
 	} else if c.Result != nil {
--- a/internal/net/clients/callback_test.go
+++ b/internal/net/clients/callback_test.go
@@ -51,7 +51,7 @@
 func TestCallThatIsNotKeptHasNoAnswer(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		c, _, dial := serve(t, 2, 0)
-		c.keep = func(dispatch.News) bool { return kept }
+		c.keep = func(dispatch.Callback) bool { return kept }
 		nc := dial()
 		fmt.Fprintf(nc, "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(usualCallback), usualCallback)
 		text, err := io.ReadAll(nc)
--- a/internal/net/clients/conn.go
+++ b/internal/net/clients/conn.go
@@ -290,7 +290,7 @@
 	if err != nil { // a peer that has gone owes nothing; one that only did not read in time is cut
 		c.gone = true
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.server.count(dispatch.Cut)
+			c.server.count(dispatch.Truncated)
 		}
 	}
 	c.parts = false
@@ -326,7 +326,7 @@
 	for left := 4 * http1.MaxBody; left > 0; {
 		n, err := c.nc.Read(rest[:])
 		if n > 0 && between {
-			s.count(dispatch.Crossed)
+			s.count(dispatch.RequestInFlight)
 			between = false
 		}
 		if err != nil {
@@ -356,11 +356,11 @@
 // Answer wakes the connection's goroutine, which watches for the client's leaving.
 func (w *waiter) Answer(a dispatch.Answer) { w.say(word{Answer: a}) }
 
-// Repeats tells whether its command may be tried again even when it may have run.
-func (w *waiter) Repeats() bool { return w.repeats }
+// MayRetry tells whether its command may be tried again even when it may have run.
+func (w *waiter) MayRetry() bool { return w.repeats }
 
-// Gone looks at the connection: the goroutine that watches it may not have come to run since its end.
-func (w *waiter) Gone() bool {
+// Disconnected looks at the connection: the goroutine that watches it may not have come to run since its end.
+func (w *waiter) Disconnected() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nc != nil && closed(w.nc)
@@ -386,8 +386,8 @@
 	return ended || err != nil
 }
 
-// Pass wakes it likewise.
-func (w *waiter) Pass(handed bool) { w.say(word{passed: true, handed: handed}) }
+// HandOver wakes it likewise.
+func (w *waiter) HandOver(handed bool) { w.say(word{passed: true, handed: handed}) }
 
 // say wakes first: set after the goroutine has the word the deadline would cut its next read.
 func (w *waiter) say(what word) {
@@ -422,7 +422,7 @@
 	}
 	last, over := c.server.last()
 	if over {
-		c.server.books.Refused(cmd.Class)
+		c.server.books.CountShutdownRefusal(cmd.Class)
 		return c.relay(dispatch.Answer{Verdict: dispatch.Refused}, q.Close)
 	}
 	if !last.IsZero() && cmd.Deadline.After(last) {
@@ -433,7 +433,7 @@
 	}
 	w := &waiter{cmd: cmd, end: q.Close, repeats: repeats, answer: make(chan word, 1), nc: c.nc}
 	cmd.Client = w
-	c.server.core.Take(cmd)
+	c.server.core.Submit(cmd)
 	return c.wait(w)
 }
 
@@ -454,7 +454,7 @@
 		err = c.watch()
 	}
 	if answered := len(w.answer) > 0; err != nil && !(answered && errors.Is(err, errFlood)) {
-		c.server.core.Lapse(w.cmd)
+		c.server.core.ClientGone(w.cmd)
 		return c.leave(err)
 	}
 	a := <-w.answer
--- a/internal/net/clients/crowd_test.go
+++ b/internal/net/clients/crowd_test.go
@@ -26,7 +26,7 @@
 func tells(t *testing.T, c *core, nc net.Conn, id string) (ends bool) {
 	p := ask(t, nc, callbackText(id))
 	require.Equal(t, 204, p.Status)
-	require.Equal(t, dispatch.News{ID: id, From: "s-1", State: dispatch.Done, Result: []byte("r")}, <-c.told)
+	require.Equal(t, dispatch.Callback{ID: id, From: "s-1", State: dispatch.Done, Result: []byte("r")}, <-c.told)
 	return p.Close
 }
 
--- a/internal/net/clients/leaving_test.go
+++ b/internal/net/clients/leaving_test.go
@@ -28,9 +28,9 @@
 }
 
 func (f *slowFleet) Send(a *dispatch.Attempt) { f.sent <- a; <-f.on }
-func (f *slowFleet) GiveUp(*dispatch.Attempt) {}
+func (f *slowFleet) Cancel(*dispatch.Attempt) {}
 func (f *slowFleet) Probe(string)             {}
-func (f *slowFleet) Release(string)           {}
+func (f *slowFleet) CloseIdle(string)         {}
 func (f *slowFleet) Subscribe()               {}
 
 // behind is a loop that sends to one encoder and stands still from the first send on.
@@ -40,9 +40,9 @@
 		DispatcherCount: 1, Granularity: time.Millisecond, Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
 		Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any}},
 		Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, MustAskIn: time.Second},
-	}, wire.Names{Classes: []string{"safe"}}, f, f, dispatch.Alone{}, slog.New(slog.DiscardHandler))
+	}, wire.Names{Classes: []string{"safe"}}, f, f, dispatch.NoOtherProcess{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	l.Listed(dispatch.List{Members: []dispatch.Member{{ID: "s-1", State: decide.Ready}}}, true)
+	l.UpdateInstances(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-1", State: decide.Ready}}}, true)
 	go l.Run(t.Context())
 	t.Cleanup(func() { close(f.on) })
 	return l, f
@@ -238,7 +238,7 @@
 		require.Eventually(t, func() bool { return a.Expired(time.Now()) }, 20*time.Second, time.Millisecond, name)
 	}
 	w := &waiter{cmd: &dispatch.Command{ID: "1"}, answer: make(chan word, 1)}
-	require.False(t, w.Gone(), "it is on its way from an older process")
+	require.False(t, w.Disconnected(), "it is on its way from an older process")
 }
 
 // A client that left while its connection was on its way between two processes has gone in the newer one: its request, in hand
--- a/internal/net/clients/parse.go
+++ b/internal/net/clients/parse.go
@@ -44,7 +44,7 @@
 	}
 	c := &dispatch.Command{
 		ID: h.Get("X-Correlation-Id"), Class: h.Get("X-Service-Class"), Tenant: h.Get("X-Account"),
-		Payload: q, Repeat: h.Get("X-Repeat") == "1",
+		Payload: q, Retry: h.Get("X-Repeat") == "1",
 	}
 	// The id goes into lines and targets that are written on.
 	if !http1.Visible(c.ID) || len(c.ID) > maxID || strings.ContainsAny(c.ID, "/?#%") {
@@ -80,7 +80,7 @@
 		}
 		c.Key = max(key, 1) // 0 is none
 	}
-	return c, dispatch.Repeats(class), facts(h.Get("X-Facts"), map[string]*float64{"slots": &c.Slots, "memory": &c.Memory})
+	return c, dispatch.MayRetry(class), facts(h.Get("X-Facts"), map[string]*float64{"slots": &c.Slots, "memory": &c.Memory})
 }
 
 // span reads a number with its unit, m for milliseconds or u for microseconds.
--- a/internal/net/clients/server.go
+++ b/internal/net/clients/server.go
@@ -59,11 +59,11 @@
 
 // Core is where commands and call-backs go.
 type Core interface {
-	Take(*dispatch.Command)
-	Lapse(*dispatch.Command)
-	News(dispatch.News)
-	// Keep is called before the answer to a call-back; false: it must have none, so that the instance calls again.
-	Keep(dispatch.News) bool
+	Submit(*dispatch.Command)
+	ClientGone(*dispatch.Command)
+	HandleCallback(dispatch.Callback)
+	// PersistCallback is called before the answer to a call-back; false: it must have none, so that the instance calls again.
+	PersistCallback(dispatch.Callback) bool
 }
 
 // Server serves the listener.
@@ -75,7 +75,7 @@
 	reports  *loadreport.Reader // of instances; nil: none come
 	patience patience
 	slots    chan struct{} // one for each connection; bounds the descriptors used here
-	books    *dispatch.Books
+	books    *dispatch.Counters
 
 	// callbacks is held for reading while a call-back is handed to the core, and for writing while the core yields.
 	callbacks sync.RWMutex
@@ -114,7 +114,7 @@
 func New(core Core, s decide.Settings, n wire.Names, most int, counters func() string, logger *slog.Logger) *Server {
 	server := &Server{
 		core: core, counters: counters, log: logger, patience: usual, slots: make(chan struct{}, most),
-		conns: map[*conn]struct{}{}, expected: map[string]*waiter{}, books: new(dispatch.Books),
+		conns: map[*conn]struct{}{}, expected: map[string]*waiter{}, books: new(dispatch.Counters),
 	}
 	server.Retune(s, n)
 	return server
@@ -124,13 +124,13 @@
 func (s *Server) ReadBy(r *loadreport.Reader) { s.reports = r }
 
 // CountIn says in which books the ends of connections are counted. It must come before Serve.
-func (s *Server) CountIn(b *dispatch.Books) { s.books = b }
+func (s *Server) CountIn(b *dispatch.Counters) { s.books = b }
 
 // count counts the end of a connection.
-func (s *Server) count(e dispatch.End) {
+func (s *Server) count(e dispatch.ConnEnd) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.books.Ended(e, !s.by.IsZero())
+	s.books.CountConnEnd(e, !s.by.IsZero())
 }
 
 // Retune has commands read by other settings from now on.
@@ -216,9 +216,9 @@
 	s.mu.Lock()
 	switch ours := !c.passed && !c.gone; {
 	case ours && c.parts:
-		s.books.Ended(dispatch.Cut, !s.by.IsZero())
+		s.books.CountConnEnd(dispatch.Truncated, !s.by.IsZero())
 	case ours && !c.answered:
-		s.books.Ended(dispatch.Unanswered, !s.by.IsZero())
+		s.books.CountConnEnd(dispatch.Unanswered, !s.by.IsZero())
 	}
 	delete(s.conns, c)
 	if s.heir != nil && !c.passed {
@@ -313,7 +313,7 @@
 		verdict = dispatch.Refused
 	}
 	if w != nil {
-		s.core.Lapse(w.cmd)
+		s.core.ClientGone(w.cmd)
 	}
 	if p.ID != "" || p.Request != nil {
 		c.relay(dispatch.Answer{Verdict: verdict}, true)
@@ -361,7 +361,7 @@
 	clear(s.expected)
 	s.mu.Unlock()
 	for _, w := range lost {
-		s.core.Lapse(w.cmd)
+		s.core.ClientGone(w.cmd)
 	}
 }
 
--- a/internal/net/clients/server_test.go
+++ b/internal/net/clients/server_test.go
@@ -28,14 +28,14 @@
 type core struct {
 	taken  chan *dispatch.Command
 	lapsed chan *dispatch.Command
-	told   chan dispatch.News
-	keep   func(dispatch.News) bool // nil: all is kept
+	told   chan dispatch.Callback
+	keep   func(dispatch.Callback) bool // nil: all is kept
 }
 
-func (c *core) Take(cmd *dispatch.Command)  { c.taken <- cmd }
-func (c *core) Lapse(cmd *dispatch.Command) { c.lapsed <- cmd }
-func (c *core) News(n dispatch.News)        { c.told <- n }
-func (c *core) Keep(n dispatch.News) bool   { return c.keep == nil || c.keep(n) }
+func (c *core) Submit(cmd *dispatch.Command)             { c.taken <- cmd }
+func (c *core) ClientGone(cmd *dispatch.Command)         { c.lapsed <- cmd }
+func (c *core) HandleCallback(n dispatch.Callback)       { c.told <- n }
+func (c *core) PersistCallback(n dispatch.Callback) bool { return c.keep == nil || c.keep(n) }
 
 // next returns the next command taken. Bounded: a fault must fail the test, not hang it.
 func (c *core) next(t *testing.T) *dispatch.Command {
@@ -81,7 +81,7 @@
 
 // newServer returns a server of so many connections that does not serve yet, and where its commands go.
 func newServer(most int) (*core, *Server) {
-	c := &core{taken: make(chan *dispatch.Command, 9), lapsed: make(chan *dispatch.Command, 9), told: make(chan dispatch.News, 9)}
+	c := &core{taken: make(chan *dispatch.Command, 9), lapsed: make(chan *dispatch.Command, 9), told: make(chan dispatch.Callback, 9)}
 	return c, New(c, decide.Settings{Classes: []decide.Class{{Deadline: time.Minute}}}, wire.Names{Classes: []string{"safe"}},
 		most, func() string { return "" }, slog.New(slog.DiscardHandler))
 }
@@ -197,7 +197,7 @@
 	cmd := c.next(t)
 	require.WithinRange(t, cmd.Deadline, before.Add(480*time.Millisecond), time.Now().Add(480*time.Millisecond))
 	require.NotZero(t, cmd.Key)
-	require.Equal(t, []any{"9b", true, 2500 * time.Microsecond, 2.0, 0.5}, []any{cmd.ID, cmd.Repeat, cmd.Work, cmd.Slots, cmd.Memory})
+	require.Equal(t, []any{"9b", true, 2500 * time.Microsecond, 2.0, 0.5}, []any{cmd.ID, cmd.Retry, cmd.Work, cmd.Slots, cmd.Memory})
 }
 
 // An instance's load comes with its word, by the quick way too, and rubbish in it takes nothing from that word.
@@ -221,7 +221,7 @@
 // A result is served as the instance gave it; one that says "done" without any has none to serve.
 func TestResultsAreTheInstancesOwn(t *testing.T) {
 	c, _, dial := serve(t, 2, 0)
-	for result, want := range map[string]dispatch.News{
+	for result, want := range map[string]dispatch.Callback{
 		`,"result":"a\u00e9"`:  {State: dispatch.Done, Result: []byte("aé")},
 		`,"result":""`:         {State: dispatch.Done, Result: []byte{}},
 		`,"result":{"a": [1]}`: {State: dispatch.Done, Result: []byte(`{"a": [1]}`)},
@@ -238,7 +238,7 @@
 
 // shown is one of the figures that the server keeps.
 func shown(t *testing.T, s *Server, name string) (n int) {
-	_, rest, ok := strings.Cut(s.books.Figures(), "proxy."+name+"=")
+	_, rest, ok := strings.Cut(s.books.OperatorCounters(), "proxy."+name+"=")
 	require.True(t, ok, name)
 	fmt.Sscan(rest, &n)
 	return n
--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -58,7 +58,7 @@
 }
 
 // Core is where the daemon's own leases go.
-type Core interface{ Leased(dispatch.Lease) }
+type Core interface{ AddLease(dispatch.Lease) }
 
 // Server is the control service of a daemon.
 type Server struct {
@@ -72,9 +72,9 @@
 	mu       sync.Mutex
 	address  string       // once it has listened
 	grpc     *grpc.Server // nil: it does not listen
-	book     *lease.Book
+	book     *lease.Granter
 	places   *lease.Places
-	table    dispatch.Table
+	table    dispatch.InstanceList
 	settings *controlv1.Settings
 	cordons  []string
 	eased    map[string]time.Duration // when people put an instance back
@@ -99,10 +99,10 @@
 		options: o, core: core, log: logger, start: time.Now(), epoch: uint64(time.Now().UnixNano()), senders: map[*sender]struct{}{}, eased: map[string]time.Duration{},
 		again: map[string]time.Duration{}, settings: &controlv1.Settings{},
 	}
-	c.book = lease.NewBook(c.terms(s), 0)
+	c.book = lease.NewGranter(c.terms(s), 0)
 	c.places = lease.NewPlaces(o.Daemon, o.Daemons, o.Senders, 0)
 	if o.New {
-		c.places.Open()
+		c.places.SkipWait()
 	}
 	return c, nil
 }
@@ -153,7 +153,7 @@
 func (c *Server) terms(s decide.Settings) lease.Terms {
 	return lease.Terms{
 		Life: c.options.Life, Window: s.Rules.FallWindow, Multiple: s.Rules.FallMultiple,
-		ColdFrom: s.Rules.ColdFrom, Cold: s.Rules.Cold, Keepers: c.options.Daemons,
+		ColdFrom: s.Rules.ColdFrom, Cold: s.Rules.Cold, Granters: c.options.Daemons,
 	}
 }
 
@@ -181,7 +181,7 @@
 func (c *Server) Retune(s decide.Settings, document []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Retune(c.now(), c.terms(s))
+	c.book.SetTerms(c.now(), c.terms(s))
 	c.settings = &controlv1.Settings{Revision: c.settings.Revision + 1, Document: document, Living: c.living()}
 	c.listed()
 	c.all(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
@@ -194,10 +194,10 @@
 }
 
 // Listed takes the name table's news.
-func (c *Server) Listed(l dispatch.List) {
+func (c *Server) Listed(l dispatch.InstanceUpdate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Take(l)
+	c.table.Update(l)
 	c.listed()
 	c.all(&controlv1.ToSender{Kind: &controlv1.ToSender_List{List: list(l)}})
 }
@@ -205,8 +205,8 @@
 // listed tells the keeper of the encoders.
 func (c *Server) listed() {
 	now := c.now()
-	var members []lease.Member
-	for _, m := range c.table.List().Members {
+	var members []lease.Encoder
+	for _, m := range c.table.Snapshot().Instances {
 		at, eased := c.eased[m.ID]
 		if m.Started.IsZero() && !eased || m.State != decide.Ready {
 			continue
@@ -225,11 +225,11 @@
 		if m.Size > 0 {
 			slots *= m.Size
 		}
-		members = append(members, lease.Member{
-			ID: m.ID, Process: process, Started: started, Slots: slots, Any: eased,
+		members = append(members, lease.Encoder{
+			ID: m.ID, Process: process, Started: started, Slots: slots, AnyProcess: eased,
 		})
 	}
-	c.book.Listed(now, members)
+	c.book.SetEncoders(now, members)
 }
 
 // Cordoned takes all instances that people leave out.
@@ -271,9 +271,9 @@
 	decide.Ready: controlv1.State_STATE_READY, decide.Draining: controlv1.State_STATE_DRAINING, decide.Gone: controlv1.State_STATE_GONE,
 }
 
-func list(l dispatch.List) *controlv1.List {
+func list(l dispatch.InstanceUpdate) *controlv1.List {
 	out := &controlv1.List{Revision: l.Revision, Complete: l.Complete}
-	for _, m := range l.Members {
+	for _, m := range l.Instances {
 		t := &controlv1.Member{Id: m.ID, Address: m.GRPC, Zone: m.Zone, Kind: m.Kind, Cell: int32(m.Cell), State: states[m.State], Size: m.Size}
 		if !m.Started.IsZero() {
 			t.StartedUs = m.Started.UnixMicro()
@@ -306,7 +306,7 @@
 	}
 	s.tell(&controlv1.ToSender{Kind: &controlv1.ToSender_Welcome{Welcome: &controlv1.Welcome{
 		Place: uint32(place + 1), Senders: uint32(c.options.Senders), SilenceMs: uint32(c.options.Silence.Milliseconds()),
-		Settings: c.settings, List: list(c.table.List()), Cordons: &controlv1.Cordons{Ids: c.cordons}, Epoch: c.epoch,
+		Settings: c.settings, List: list(c.table.Snapshot()), Cordons: &controlv1.Cordons{Ids: c.cordons}, Epoch: c.epoch,
 	}}})
 	return s, nil
 }
@@ -325,7 +325,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.senders, s)
-	c.places.Left(c.now(), s.key)
+	c.places.Disconnected(c.now(), s.key)
 	if c.settings.Living != c.living() {
 		c.resized(nil)
 	}
@@ -412,10 +412,10 @@
 			return status.Error(codes.InvalidArgument, "want: a number, an instance and its work are needed")
 		}
 		c.mu.Lock()
-		g := c.book.Ask(c.now(), s.key, lease.Want{Seq: w.Seq, Instance: w.Instance, Process: w.StartedUs, Work: float64(w.WorkUs) / 1e6})
+		g := c.book.Ask(c.now(), s.key, lease.Request{Seq: w.Seq, Instance: w.Instance, Process: w.StartedUs, Work: float64(w.WorkUs) / 1e6})
 		c.mu.Unlock()
 		s.tell(&controlv1.ToSender{Kind: &controlv1.ToSender_Grant{Grant: &controlv1.Grant{
-			Seq: g.Seq, Epoch: c.epoch, Lease: g.ID, ValidMs: uint32(g.Valid.Milliseconds()), AgainMs: uint32(min(g.Again, time.Minute).Milliseconds()),
+			Seq: g.Seq, Epoch: c.epoch, Lease: g.ID, ValidMs: uint32(g.Valid.Milliseconds()), AgainMs: uint32(min(g.RetryAfter, time.Minute).Milliseconds()),
 		}}})
 	case *controlv1.FromSender_Done:
 		if k.Done == nil {
@@ -423,7 +423,7 @@
 		}
 		if k.Done.Epoch == c.epoch {
 			c.mu.Lock()
-			c.book.Done(c.now(), s.key, k.Done.Lease, k.Done.Spent)
+			c.book.Settle(c.now(), s.key, k.Done.Lease, k.Done.Spent)
 			c.mu.Unlock()
 		}
 	case *controlv1.FromSender_Hello:
@@ -438,8 +438,8 @@
 
 const self = "daemon"
 
-// Want asks for a lease for the daemon itself.
-func (c *Server) Want(instance string, process int64, work float64) {
+// Request asks for a lease for the daemon itself.
+func (c *Server) Request(instance string, process int64, work float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -447,21 +447,21 @@
 		return
 	}
 	asked := time.Now()
-	g := c.book.Ask(now, self, lease.Want{Instance: instance, Process: process, Work: work})
+	g := c.book.Ask(now, self, lease.Request{Instance: instance, Process: process, Work: work})
 	if g.ID == 0 {
 		if len(c.again) > 4096 {
 			clear(c.again)
 		}
-		c.again[instance] = now + min(g.Again, 2*time.Second)
+		c.again[instance] = now + min(g.RetryAfter, 2*time.Second)
 		return
 	}
 	// Not from here: the loop, which calls, must not wait for itself.
 	until := asked.Add(g.Valid)
-	go c.core.Leased(dispatch.Lease{Instance: instance, Process: process, Work: work, Until: until, Ref: g.ID})
+	go c.core.AddLease(dispatch.Lease{Instance: instance, Process: process, Work: work, Until: until, Ref: g.ID})
 	time.AfterFunc(time.Until(until)+time.Millisecond, func() { // past its end nothing goes out by it
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.book.Done(c.now(), self, g.ID, false)
+		c.book.Settle(c.now(), self, g.ID, false)
 	})
 }
 
@@ -470,7 +470,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id, ok := l.Ref.(uint64); ok {
-		c.book.Done(c.now(), self, id, true)
+		c.book.Settle(c.now(), self, id, true)
 	}
 }
 
--- a/internal/net/discovery/faulty_test.go
+++ b/internal/net/discovery/faulty_test.go
@@ -48,16 +48,16 @@
 }
 
 // states is who a list names, and in what state.
-func states(l dispatch.List) map[string]decide.WorkerState {
+func states(l dispatch.InstanceUpdate) map[string]decide.WorkerState {
 	all := map[string]decide.WorkerState{}
-	for _, m := range l.Members {
+	for _, m := range l.Instances {
 		all[m.ID] = m.State
 	}
 	return all
 }
 
 // next is the next list that counts. A watch that is lost instead fails the test.
-func (s sink) next(t *testing.T) dispatch.List {
+func (s sink) next(t *testing.T) dispatch.InstanceUpdate {
 	t.Helper()
 	select {
 	case l := <-s.listed:
@@ -65,7 +65,7 @@
 	case err := <-s.lost:
 		require.FailNow(t, "the watch was lost", err.Error())
 	}
-	return dispatch.List{}
+	return dispatch.InstanceUpdate{}
 }
 
 // One entry that cannot be read used to end the watch at every call: the dispatcher stayed blind to all other encoders.
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -55,27 +55,27 @@
 func (e *EntryError) Unwrap() error { return e.Err }
 
 // ParseList reads a list in discovery's form. An entry that cannot be read makes all of it faulty.
-func ParseList(text []byte) (dispatch.List, error) {
+func ParseList(text []byte) (dispatch.InstanceUpdate, error) {
 	l, faulty, err := readList(text)
 	if err == nil && len(faulty) > 0 {
 		err = faulty[0]
 	}
 	if err != nil {
-		return dispatch.List{}, err
+		return dispatch.InstanceUpdate{}, err
 	}
 	return l, nil
 }
 
 // readList reads a list without the entries that cannot be read, and says which those are.
-func readList(text []byte) (dispatch.List, []*EntryError, error) {
+func readList(text []byte) (dispatch.InstanceUpdate, []*EntryError, error) {
 	var in listText
 	if err := json.Unmarshal(text, &in); err != nil {
-		return dispatch.List{}, nil, fmt.Errorf("list: %w", err)
+		return dispatch.InstanceUpdate{}, nil, fmt.Errorf("list: %w", err)
 	}
 	if in.Members == nil { // guards against taking some other object for an empty list
-		return dispatch.List{}, nil, errors.New("list: an object without members")
+		return dispatch.InstanceUpdate{}, nil, errors.New("list: an object without members")
 	}
-	l := dispatch.List{Revision: in.Revision, Complete: in.Complete}
+	l := dispatch.InstanceUpdate{Revision: in.Revision, Complete: in.Complete}
 	var faulty []*EntryError
 	for i, text := range in.Members {
 		m, err := readMember(text)
@@ -83,16 +83,16 @@
 			faulty = append(faulty, &EntryError{Index: i, ID: m.ID, Err: err})
 			continue
 		}
-		l.Members = append(l.Members, m)
+		l.Instances = append(l.Instances, m)
 	}
 	return l, faulty, nil
 }
 
 // readMember reads an entry. Of a faulty one it returns the id, if that can be read.
-func readMember(text []byte) (dispatch.Member, error) {
+func readMember(text []byte) (dispatch.Instance, error) {
 	var in memberText
 	err := json.Unmarshal(text, &in) // goes on behind a value of the wrong type
-	named := dispatch.Member{ID: in.ID}
+	named := dispatch.Instance{ID: in.ID}
 	state, known := phases[in.Phase]
 	switch {
 	case err != nil:
@@ -104,7 +104,7 @@
 	case in.UpSince > latestStart:
 		return named, fmt.Errorf("up_since_ms %g is no time", in.UpSince)
 	}
-	m := dispatch.Member{
+	m := dispatch.Instance{
 		ID: in.ID, Address: in.HostPort, GRPC: in.GRPC, Zone: in.Locality, Kind: in.Flavor, Cell: in.Cell, State: state, Size: in.Size,
 	}
 	if in.UpSince > 0 {
@@ -114,13 +114,13 @@
 }
 
 // keep has encoders whose entries in a whole list cannot be read stay as they were: the list says that they are there.
-func keep(l dispatch.List, faulty []*EntryError, before map[string]dispatch.Member) dispatch.List {
+func keep(l dispatch.InstanceUpdate, faulty []*EntryError, before map[string]dispatch.Instance) dispatch.InstanceUpdate {
 	if !l.Complete {
 		return l
 	}
 	for _, f := range faulty {
 		if m, listed := before[f.ID]; listed {
-			l.Members = append(l.Members, m)
+			l.Instances = append(l.Instances, m)
 		}
 	}
 	return l
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -41,7 +41,7 @@
 // Sink takes what discovery tells. Its calls come from one goroutine and in order.
 type Sink interface {
 	// Listed takes a list as it was read.
-	Listed(dispatch.List)
+	Listed(dispatch.InstanceUpdate)
 	// Alive: the watch is on, and nothing has changed.
 	Alive()
 	// Silent: the watch, or the call for one, has fallen silent, for the nth time in a row from 1, and is made anew
@@ -64,11 +64,11 @@
 	clock    *listclock.Clock
 	address  string
 	revision int64
-	called   time.Duration      // when the last call was made
-	table    dispatch.Table     // as told, of the watch's goroutine
-	leave    context.CancelFunc // ends the watch that is on
-	rested   bool               // the watch that is on was ended by Rest
-	answered bool               // the call for it succeeded
+	called   time.Duration         // when the last call was made
+	table    dispatch.InstanceList // as told, of the watch's goroutine
+	leave    context.CancelFunc    // ends the watch that is on
+	rested   bool                  // the watch that is on was ended by Rest
+	answered bool                  // the call for it succeeded
 }
 
 // NewWatcher watches from the given revision on, as the settings say.
@@ -375,8 +375,8 @@
 		w.told(last)
 		in.next(rest)
 		report(sink, faulty)
-		l = keep(l, faulty, w.table.Members())
-		w.table.Take(l)
+		l = keep(l, faulty, w.table.Instances())
+		w.table.Update(l)
 		sink.Listed(l)
 	}
 }
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -19,20 +19,20 @@
 )
 
 type sink struct {
-	listed       chan dispatch.List
+	listed       chan dispatch.InstanceUpdate
 	alive        chan struct{}
 	silent, lost chan error
 	faulty       chan error
 }
 
 func newSink() sink {
-	return sink{make(chan dispatch.List, 99), make(chan struct{}, 999), make(chan error, 99), make(chan error, 99), make(chan error, 99)}
+	return sink{make(chan dispatch.InstanceUpdate, 99), make(chan struct{}, 999), make(chan error, 99), make(chan error, 99), make(chan error, 99)}
 }
 
-func (s sink) Listed(l dispatch.List)  { s.listed <- l }
-func (s sink) Alive()                  { s.alive <- struct{}{} }
-func (s sink) Silent(_ int, err error) { s.silent <- err }
-func (s sink) Faulty(err error)        { s.faulty <- err }
+func (s sink) Listed(l dispatch.InstanceUpdate) { s.listed <- l }
+func (s sink) Alive()                           { s.alive <- struct{}{} }
+func (s sink) Silent(_ int, err error)          { s.silent <- err }
+func (s sink) Faulty(err error)                 { s.faulty <- err }
 
 func (s sink) Lost(err error, after time.Duration) { s.lost <- lostWatch{err, after} }
 
@@ -112,8 +112,8 @@
 		require.Error(t, <-s.lost)
 	}
 	got := <-s.listed
-	require.Equal(t, dispatch.Member{ID: "s-5", Address: "h:1", Zone: "a", Kind: "m2", Cell: 3, State: decide.Draining,
-		Size: 1, Started: time.UnixMilli(2000)}, got.Members[0])
+	require.Equal(t, dispatch.Instance{ID: "s-5", Address: "h:1", Zone: "a", Kind: "m2", Cell: 3, State: decide.Draining,
+		Size: 1, Started: time.UnixMilli(2000)}, got.Instances[0])
 	require.Empty(t, s.listed)
 	require.Empty(t, s.silent)
 }
@@ -230,7 +230,7 @@
 					}
 					require.Len(t, s.listed, tt.lists)
 					for range tt.lists {
-						require.Equal(t, "s-5", (<-s.listed).Members[0].ID)
+						require.Equal(t, "s-5", (<-s.listed).Instances[0].ID)
 					}
 					if size == 1 {
 						require.Len(t, s.alive, tt.beats)
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -68,12 +68,12 @@
 
 // Core is the dispatcher's loop.
 type Core interface {
-	Take(*dispatch.Command)
-	Lapse(*dispatch.Command)
-	// TakeBack has an encoder drop what another dispatcher sent.
-	TakeBack(instance, id string)
-	// Hold says what is held of an encoder.
-	Hold(id string, slots float64, spans []decide.Reservation)
+	Submit(*dispatch.Command)
+	ClientGone(*dispatch.Command)
+	// CancelJob has an encoder drop what another dispatcher sent.
+	CancelJob(instance, id string)
+	// SetReservations says what is held of an encoder.
+	SetReservations(id string, slots float64, spans []decide.Reservation)
 }
 
 // Server is a dispatcher's part in gangs.
@@ -111,7 +111,7 @@
 	mu      sync.Mutex // of ends and stopped
 
 	tables sync.Mutex // of what follows
-	table  dispatch.Table
+	table  dispatch.InstanceList
 	out    map[string]bool // left out by hand
 
 	errors  atomic.Int64
@@ -282,7 +282,7 @@
 func (s *Server) encoders() (all []gang.Encoder) {
 	s.tables.Lock()
 	defer s.tables.Unlock()
-	for _, m := range s.table.Members() {
+	for _, m := range s.table.Instances() {
 		e := gang.Encoder{ID: m.ID, Site: m.Zone, Kind: m.Kind, Out: m.State != decide.Ready || s.out[m.ID], Slots: int(s.o.Slots[m.Kind]), Gen: 1}
 		if !m.Started.IsZero() {
 			e.Gen = uint64(m.Started.UnixMicro())
@@ -533,7 +533,7 @@
 		case gang.Launch:
 			m := a.Member
 			cmd := &dispatch.Command{
-				ID: a.Key, Class: m.Class, Key: m.Key, Work: m.Work, Slots: float64(m.Slots), Order: []string{a.Encoder}, Held: true,
+				ID: a.Key, Class: m.Class, Key: m.Key, Work: m.Work, Slots: float64(m.Slots), Candidates: []string{a.Encoder}, Reserved: true,
 				Deadline: time.Now().Add(2*m.Work + 5*time.Second),
 				Payload: &http1.Request{Method: "POST", Target: m.Target, Body: m.Payload, Header: http1.Header{
 					{Name: "X-Correlation-Id", Value: a.Key}, {Name: "X-Service-Class", Value: m.Class},
@@ -543,17 +543,17 @@
 			s.starts.Lock()
 			s.sent[a.Key] = cmd
 			s.starts.Unlock()
-			s.core.Take(cmd)
+			s.core.Submit(cmd)
 		case gang.GiveUp:
 			s.starts.Lock()
 			cmd := s.sent[a.Key]
 			delete(s.sent, a.Key)
 			s.starts.Unlock()
 			if cmd != nil {
-				s.core.Lapse(cmd)
+				s.core.ClientGone(cmd)
 			}
 		case gang.TakeBack:
-			s.core.TakeBack(a.Encoder, a.Key)
+			s.core.CancelJob(a.Encoder, a.Key)
 		}
 	}
 }
@@ -588,8 +588,8 @@
 	})
 }
 
-// Pass says that another process has it: what becomes of it is not known here.
-func (c *client) Pass(bool) {
+// HandOver says that another process has it: what becomes of it is not known here.
+func (c *client) HandOver(bool) {
 	c.tellStarts(func() {
 		delete(c.sent, c.key)
 		c.s.Over(c.now(), c.key, gang.MayRun, "it changed hands")
@@ -597,7 +597,7 @@
 }
 
 // Stray takes a call of an encoder that matches nothing in the loop's hand: a process before this one may have sent the member.
-func (s *Server) Stray(n dispatch.News) bool {
+func (s *Server) Stray(n dispatch.Callback) bool {
 	s.starts.Lock()
 	_, ours := s.s.Of(n.ID)
 	s.starts.Unlock()
@@ -736,10 +736,10 @@
 func (s *Server) Retune(once map[string]bool) { s.once.Store(&once) }
 
 // Listed takes the name table's news.
-func (s *Server) Listed(l dispatch.List) {
+func (s *Server) Listed(l dispatch.InstanceUpdate) {
 	s.tables.Lock()
 	defer s.tables.Unlock()
-	s.table.Take(l)
+	s.table.Update(l)
 }
 
 // Cordoned takes all that are left out by hand.
--- a/internal/net/gangs/gangs_test.go
+++ b/internal/net/gangs/gangs_test.go
@@ -42,15 +42,15 @@
 	held   map[string]int // by encoder: spans that the loop was told of at one time, at most
 }
 
-func (e *encoders) Take(c *dispatch.Command) {
+func (e *encoders) Submit(c *dispatch.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if c.Order[0] == e.refuse {
+	if c.Candidates[0] == e.refuse {
 		c.Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
 		return
 	}
 	e.begun[c.ID] = time.Now()
-	c.Client.(interface{ Started(string, bool) }).Started(c.Order[0], true)
+	c.Client.(interface{ Started(string, bool) }).Started(c.Candidates[0], true)
 	time.AfterFunc(c.Work, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -61,7 +61,7 @@
 	})
 }
 
-func (e *encoders) Lapse(c *dispatch.Command) {
+func (e *encoders) ClientGone(c *dispatch.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended[c.ID] == "" {
@@ -69,9 +69,9 @@
 	}
 }
 
-func (e *encoders) TakeBack(string, string) {}
+func (e *encoders) CancelJob(string, string) {}
 
-func (e *encoders) Hold(id string, _ float64, spans []decide.Reservation) {
+func (e *encoders) SetReservations(id string, _ float64, spans []decide.Reservation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.held[id] = max(e.held[id], len(spans))
@@ -90,9 +90,9 @@
 		require.NoError(t, err)
 		listeners, sites[fmt.Sprint("n", i)] = append(listeners, l), []string{"a", "b"}[i%2]
 	}
-	list := dispatch.List{Complete: true}
+	list := dispatch.InstanceUpdate{Complete: true}
 	for i := range 4 {
-		list.Members = append(list.Members, dispatch.Member{ID: fmt.Sprint("s-", i), Zone: []string{"a", "b"}[i%2], Kind: "m2", State: decide.Ready})
+		list.Instances = append(list.Instances, dispatch.Instance{ID: fmt.Sprint("s-", i), Zone: []string{"a", "b"}[i%2], Kind: "m2", State: decide.Ready})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -205,10 +205,10 @@
 	run := gang.Word{Kind: gang.Run, Gang: "g", Round: 1, Parts: []gang.Part{{Encoder: "s-0"}}}
 	require.Equal(t, gang.Began, s.word(run).Parts[0].Fate)
 	require.Empty(t, s.s.Did(), "its encoder goes on with it")
-	require.False(t, s.Stray(dispatch.News{ID: gang.Key("g", 2, 0), From: "s-0", State: dispatch.Done}))
-	require.True(t, s.Stray(dispatch.News{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Running}))
+	require.False(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 2, 0), From: "s-0", State: dispatch.Done}))
+	require.True(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Running}))
 	require.Equal(t, gang.Began, s.word(run).Parts[0].Fate)
-	require.True(t, s.Stray(dispatch.News{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Done}))
+	require.True(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Done}))
 	require.Equal(t, gang.Done, s.word(run).Parts[0].Fate)
 	run.Kind = gang.Go // what is not known to run is taken back as before
 	run.Gang = "h"
--- a/internal/net/gangs/hold.go
+++ b/internal/net/gangs/hold.go
@@ -16,7 +16,7 @@
 	s.starts.Lock()
 	for key, cmd := range s.sent {
 		if t, ok := s.s.Of(key); ok {
-			mine[t+"/"+gang.Encoder{ID: cmd.Order[0]}.Account()] += int(cmd.Slots)
+			mine[t+"/"+gang.Encoder{ID: cmd.Candidates[0]}.Account()] += int(cmd.Slots)
 		}
 	}
 	s.starts.Unlock()
@@ -41,7 +41,7 @@
 		})
 		if text := fmt.Sprint(e.Slots, what); text != s.spans[e.ID] && (len(what) > 0 || s.spans[e.ID] != "") {
 			s.spans[e.ID] = text
-			s.core.Hold(e.ID, float64(e.Slots), what)
+			s.core.SetReservations(e.ID, float64(e.Slots), what)
 		}
 	}
 }
--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -48,7 +48,7 @@
 // Lists is where lists go and how the own watch is begun and ended.
 type Lists interface {
 	Watch(on bool)
-	Take(dispatch.List)
+	Take(dispatch.InstanceUpdate)
 }
 
 // Options of a dispatcher among others.
@@ -139,7 +139,7 @@
 }
 
 // Listed takes what the own watch tells.
-func (s *Server) Listed(l dispatch.List) {
+func (s *Server) Listed(l dispatch.InstanceUpdate) {
 	s.event(func(m *members.State, now time.Time) { m.Heard(now, l) })
 }
 
@@ -325,7 +325,7 @@
 		case members.Keep:
 			s.lists.Watch(a.Watch)
 		case members.Take:
-			s.lists.Take(a.List)
+			s.lists.Take(a.InstanceUpdate)
 		case members.Show:
 			s.watch = a.Watch
 			s.log.Info("members: list service", "watch", a.Watch.String())
--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -90,7 +90,7 @@
 	listed  bool           // likewise
 	rooms   map[string]int // what sites take at once, by zone.site, of those of which all kinds' slots are known
 	busy    map[string]bool
-	members dispatch.Table
+	members dispatch.InstanceList
 	wg      sync.WaitGroup
 }
 
@@ -103,12 +103,12 @@
 func (s *Server) Use(jobs Jobs) { s.jobs = jobs }
 
 // Listed takes the name table's news, by which reruns are narrowed.
-func (s *Server) Listed(l dispatch.List) {
+func (s *Server) Listed(l dispatch.InstanceUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.members.Take(l)
+	s.members.Update(l)
 	rooms := map[string]float64{}
-	for id, m := range s.members.Members() {
+	for id, m := range s.members.Instances() {
 		if p := placeOf(id, m); m.State == decide.Ready && s.o.Slots[m.Kind] > 0 {
 			rooms[p.Zone+"."+p.Site] += s.o.Slots[m.Kind] * cmp.Or(m.Size, 1)
 		}
@@ -117,7 +117,7 @@
 	for place, room := range rooms {
 		s.rooms[place] = max(1, int(min(room, mostOut)))
 	}
-	if !s.listed && len(s.members.Members()) > 0 {
+	if !s.listed && len(s.members.Instances()) > 0 {
 		close(s.known)
 		s.listed = true
 	}
@@ -433,10 +433,10 @@
 func (s *Server) place(worker string) policy.Place {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return placeOf(worker, s.members.Members()[worker])
+	return placeOf(worker, s.members.Instances()[worker])
 }
 
-func placeOf(worker string, m dispatch.Member) policy.Place {
+func placeOf(worker string, m dispatch.Instance) policy.Place {
 	p := policy.Place{Worker: worker, Kind: m.Kind, Zone: m.Zone}
 	if m.ID != "" {
 		p.Site = strconv.Itoa(m.Cell)
@@ -460,7 +460,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	best := -1
-	for id, m := range s.members.Members() {
+	for id, m := range s.members.Instances() {
 		at, rank := placeOf(id, m), 0
 		if m.State != decide.Ready || kind != "" && kind != m.Kind || !t.Where.Allows(t.Failed, at) {
 			continue
--- a/internal/net/pipelines/pipelines_test.go
+++ b/internal/net/pipelines/pipelines_test.go
@@ -153,7 +153,7 @@
 			a, b := New(o, host, slog.New(slog.DiscardHandler)), New(o, host, slog.New(slog.DiscardHandler))
 			a.Use(j)
 			b.Use(j)
-			b.Listed(dispatch.List{Complete: true, Members: []dispatch.Member{{ID: "s-9", Cell: 1, State: decide.Ready}}})
+			b.Listed(dispatch.InstanceUpdate{Complete: true, Instances: []dispatch.Instance{{ID: "s-9", Cell: 1, State: decide.Ready}}})
 			for _, command := range []rerun.Command{
 				{Op: rerun.OpPolicy, Text: oneStage, Site: &o.Site}, {Op: rerun.OpSubmit, ID: "lec", Pipeline: "one"}, {Op: rerun.OpStart, Key: "r/lec/publish", Gen: 1, By: "d1"},
 			} {
@@ -255,9 +255,9 @@
 		t.Fatal("nothing was told yet")
 	default:
 	}
-	l := dispatch.List{Complete: true}
+	l := dispatch.InstanceUpdate{Complete: true}
 	for i, id := range []string{"w1", "w2", "w3", "w4", "w5"} {
-		l.Members = append(l.Members, dispatch.Member{ID: id, Kind: "m2", Zone: "a", Cell: i + 1, State: decide.Ready})
+		l.Instances = append(l.Instances, dispatch.Instance{ID: id, Kind: "m2", Zone: "a", Cell: i + 1, State: decide.Ready})
 	}
 	s.Listed(l)
 	<-s.known
@@ -290,9 +290,9 @@
 	o := Options{Name: "d1", Policy: oneStage, Version: "1", Site: policy.Site{Classes: map[string]policy.Class{"publish": {Once: true}}}, Slots: map[string]float64{"m2": 4}}
 	s := New(o, host, slog.New(slog.DiscardHandler))
 	look := func(workers int) {
-		l := dispatch.List{Complete: true, Members: []dispatch.Member{{ID: "x", Kind: "unknown", Zone: "b", State: decide.Ready}}}
+		l := dispatch.InstanceUpdate{Complete: true, Instances: []dispatch.Instance{{ID: "x", Kind: "unknown", Zone: "b", State: decide.Ready}}}
 		for i := range workers {
-			l.Members = append(l.Members, dispatch.Member{ID: fmt.Sprint("w", i), Kind: "m2", Zone: "a", Cell: 1, Size: 1.5, State: decide.Ready})
+			l.Instances = append(l.Instances, dispatch.Instance{ID: fmt.Sprint("w", i), Kind: "m2", Zone: "a", Cell: 1, Size: 1.5, State: decide.Ready})
 		}
 		s.Listed(l)
 		s.act(t.Context(), 0)
--- a/internal/net/plain/front.go
+++ b/internal/net/plain/front.go
@@ -62,8 +62,8 @@
 
 // Core is where requests go.
 type Core interface {
-	Take(*dispatch.Command)
-	Lapse(*dispatch.Command)
+	Submit(*dispatch.Command)
+	ClientGone(*dispatch.Command)
 }
 
 // New returns a front for at most so many connections.
@@ -283,22 +283,22 @@
 		ID: strconv.FormatUint(f.boot, 36) + "-" + strconv.FormatUint(f.ids.Add(1), 36), Class: class, Payload: x, Client: w, Deadline: within,
 	}
 	if p := f.pools.Load(); p != nil {
-		if cmd.Order = p.Order(d.Pool, cmd.ID, pools.Criteria{Key: d.Key, Remote: remote}); cmd.Order == nil {
+		if cmd.Candidates = p.Order(d.Pool, cmd.ID, pools.Criteria{Key: d.Key, Remote: remote}); cmd.Candidates == nil {
 			return reply(nc, q, 502, nil, []byte("no such pool\n"), q.Close)
-		} else if len(cmd.Order) == 0 {
+		} else if len(cmd.Candidates) == 0 {
 			return reply(nc, q, 502, nil, []byte("no server of the pool is up\n"), q.Close)
 		}
-		if d.Tries > 0 && d.Tries < len(cmd.Order) {
-			cmd.Order = cmd.Order[:d.Tries]
+		if d.Tries > 0 && d.Tries < len(cmd.Candidates) {
+			cmd.Candidates = cmd.Candidates[:d.Tries]
 		}
 		x.done = func(instance string, failed bool) {
-			if instance == cmd.Order[0] {
+			if instance == cmd.Candidates[0] {
 				p.Done(d.Pool, cmd.ID, failed)
 			}
 		}
 		defer p.Done(d.Pool, cmd.ID, false)
 	}
-	f.core.Take(cmd)
+	f.core.Submit(cmd)
 	// A client that goes away while it waits is owed nothing more.
 	gone := make(chan struct{})
 	stop := make(chan struct{})
@@ -319,7 +319,7 @@
 	case a := <-w.answer:
 		return f.relay(nc, q, a, x)
 	case <-gone:
-		f.core.Lapse(cmd)
+		f.core.ClientGone(cmd)
 		return false
 	}
 }
@@ -343,7 +343,7 @@
 type waiter struct{ answer chan dispatch.Answer }
 
 func (w *waiter) Answer(a dispatch.Answer) { w.answer <- a }
-func (w *waiter) Pass(bool)                {}
+func (w *waiter) HandOver(bool)            {}
 
 // relay hands an answer to the client.
 func (f *Front) relay(nc net.Conn, q *http1.Request, a dispatch.Answer, x *Exchange) bool {
--- a/internal/net/plain/servers.go
+++ b/internal/net/plain/servers.go
@@ -35,10 +35,10 @@
 
 // Reports takes what comes of attempts; a loop does.
 type Reports interface {
-	Ended(_ *dispatch.Attempt, _ decide.Outcome, kept time.Duration)
-	Written(*dispatch.Attempt)
-	Finished(_ *dispatch.Attempt, value any)
-	Loaded(*dispatch.Attempt, decide.Report)
+	AttemptEnded(_ *dispatch.Attempt, _ decide.Outcome, kept time.Duration)
+	AttemptSent(*dispatch.Attempt)
+	AttemptServed(_ *dispatch.Attempt, value any)
+	LoadReported(*dispatch.Attempt, decide.Report)
 }
 
 // Servers is the way to the members of all pools.
@@ -76,11 +76,11 @@
 func (s *Servers) ReportTo(r Reports) { s.reports = r }
 
 // Listed takes all members that there are. Nothing new goes to others from now on.
-func (s *Servers) Listed(l dispatch.List) {
+func (s *Servers) Listed(l dispatch.InstanceUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.address)
-	for _, m := range l.Members {
+	for _, m := range l.Instances {
 		if m.State == decide.Ready {
 			s.address[m.ID] = m.Address
 		}
@@ -110,7 +110,7 @@
 		delete(s.out, a)
 		s.mu.Unlock()
 		if f.given.Load() {
-			a.Confirmed()
+			a.CancelConfirmed()
 		}
 		if o == decide.TimedOut {
 			a.Command.Payload.(*Exchange).timedOut.Store(true)
@@ -123,22 +123,22 @@
 		s.active[a.Instance]--
 		n := s.active[a.Instance]
 		s.mu.Unlock()
-		s.reports.Loaded(a, decide.Report{Active: float64(n + 1), Waiting: -1, FreeSlots: float64(max(0, room-n-1)), FreeMemory: -1})
+		s.reports.LoadReported(a, decide.Report{Active: float64(n + 1), Waiting: -1, FreeSlots: float64(max(0, room-n-1)), FreeMemory: -1})
 		if o == decide.OK {
-			s.reports.Finished(a, p)
+			s.reports.AttemptServed(a, p)
 			return
 		}
-		s.reports.Ended(a, o, kept)
+		s.reports.AttemptEnded(a, o, kept)
 	}()
 }
 
-// GiveUp ends an attempt by closing its connection: HTTP/1.1 has no other word for it.
-func (s *Servers) GiveUp(a *dispatch.Attempt) {
+// Cancel ends an attempt by closing its connection: HTTP/1.1 has no other word for it.
+func (s *Servers) Cancel(a *dispatch.Attempt) {
 	s.mu.Lock()
 	f := s.out[a]
 	s.mu.Unlock()
 	if f == nil {
-		a.Confirmed()
+		a.CancelConfirmed()
 		return
 	}
 	f.given.Store(true)
@@ -148,8 +148,8 @@
 // Probe does nothing: servers are judged by what they answer.
 func (s *Servers) Probe(string) {}
 
-// Release closes the idle connections to a member.
-func (s *Servers) Release(id string) {
+// CloseIdle closes the idle connections to a member.
+func (s *Servers) CloseIdle(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range s.idle[id] {
@@ -168,7 +168,7 @@
 		address := s.address[a.Instance]
 		all := s.idle[a.Instance]
 		var k *kept
-		if n := len(all); n > 0 && !a.Fresh {
+		if n := len(all); n > 0 && !a.NewConn {
 			k, s.idle[a.Instance] = all[n-1], all[:n-1]
 		}
 		s.mu.Unlock()
@@ -184,7 +184,7 @@
 			return &kept{Conn: nc, br: bufio.NewReaderSize(nc, http1.MaxLine)}, 0, nil
 		}
 		age := max(time.Since(k.since), 1)
-		if a.MostIdle > 0 && age > a.MostIdle || k.br.Buffered() > 0 || k.SetDeadline(time.Time{}) != nil || sock.Look(k.Conn) != sock.Empty {
+		if a.MaxIdle > 0 && age > a.MaxIdle || k.br.Buffered() > 0 || k.SetDeadline(time.Time{}) != nil || sock.Look(k.Conn) != sock.Empty {
 			k.Close() // too old, closed, or it says what nobody asked for
 			continue
 		}
@@ -218,7 +218,7 @@
 	if n, err := k.Write(text); err != nil && n < len(text) {
 		return nil, decide.ConnectFailed, age
 	}
-	s.reports.Written(a)
+	s.reports.AttemptSent(a)
 	p, err := http1.ReadResponse(k.br, x.Method)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -246,7 +246,7 @@
 
 // Close closes all idle connections.
 func (s *Servers) Close() {
-	s.Listed(dispatch.List{Complete: true})
+	s.Listed(dispatch.InstanceUpdate{Complete: true})
 }
 
 var _ dispatch.Fleet = (*Servers)(nil)
--- a/internal/net/plain/site.go
+++ b/internal/net/plain/site.go
@@ -96,7 +96,7 @@
 
 // Settings puts pools into the decision module's terms: each pool is a kind of worker, with a class for what
 // may be repeated and one for what may not.
-func Settings(c *routes.Config, within time.Duration) (decide.Settings, wire.Names, dispatch.List) {
+func Settings(c *routes.Config, within time.Duration) (decide.Settings, wire.Names, dispatch.InstanceUpdate) {
 	s := decide.Settings{
 		DispatcherCount: 1, Granularity: 2 * time.Millisecond, ReportsFreeSlots: true,
 		Limits: decide.Limits{
@@ -106,7 +106,7 @@
 		Goal:  decide.Goal{Whole: 1},
 	}
 	n := wire.Names{Zones: []string{"here"}}
-	l := dispatch.List{Revision: 1, Complete: true}
+	l := dispatch.InstanceUpdate{Revision: 1, Complete: true}
 	for kind, p := range c.Pools {
 		n.Kinds = append(n.Kinds, p.Name)
 		for _, effect := range []decide.Effect{decide.Safe, decide.Unsafe} {
@@ -115,7 +115,7 @@
 		}
 		for _, m := range p.Members {
 			if !m.Down {
-				l.Members = append(l.Members, dispatch.Member{ID: memberID(p.Name, m.Address), Address: m.Address, Zone: "here", Kind: p.Name, State: decide.Ready, Size: 1})
+				l.Instances = append(l.Instances, dispatch.Instance{ID: memberID(p.Name, m.Address), Address: m.Address, Zone: "here", Kind: p.Name, State: decide.Ready, Size: 1})
 			}
 		}
 	}
@@ -144,12 +144,12 @@
 	}
 	s := &Site{Servers: NewServers(2*time.Second, 64), within: within, rev: 1}
 	settings, names, list := Settings(c, within)
-	if s.Loop, err = dispatch.New(settings, names, s.Servers, s.Servers, dispatch.Alone{}, logger); err != nil {
+	if s.Loop, err = dispatch.New(settings, names, s.Servers, s.Servers, dispatch.NoOtherProcess{}, logger); err != nil {
 		return nil, err
 	}
 	s.Servers.ReportTo(s.Loop)
 	s.Servers.Listed(list)
-	s.Loop.Listed(list, true)
+	s.Loop.UpdateInstances(list, true)
 	s.Front = New(address, t, p, l, s.Loop, within, most, logger)
 	return s, nil
 }
@@ -182,11 +182,11 @@
 	settings, names, list := Settings(c, s.within)
 	s.rev++
 	list.Revision = s.rev
-	if err := s.Loop.Retune(settings, names); err != nil {
+	if err := s.Loop.Reconfigure(settings, names); err != nil {
 		return err
 	}
 	s.Servers.Listed(list)
-	s.Loop.Listed(list, false)
+	s.Loop.UpdateInstances(list, false)
 	s.Front.Reroute(t, p, l)
 	return nil
 }
--- a/internal/net/promises/booking.go
+++ b/internal/net/promises/booking.go
@@ -73,7 +73,7 @@
 			return true
 		}
 		if s.yielded.Load() { // the record is the newer process's, which the loop passes it on to
-			s.core.News(news(c))
+			s.core.HandleCallback(news(c))
 			return false
 		}
 		select {
@@ -97,7 +97,7 @@
 // Keep has an instance's word of a promised job committed before the instance is answered: one that is answered does not
 // call again, and its word would be lost with this process. It waits for that for keepWithin at most; false: the instance
 // is to call again. Word that ends nothing, and of jobs that are not promised, need not be kept.
-func (s *Server) Keep(n dispatch.News) bool {
+func (s *Server) Keep(n dispatch.Callback) bool {
 	c, promised, ends := wordOf(n)
 	if !promised || !ends || c.Kind == promise.Refused && s.repeatsHere(c.ID) {
 		return true
@@ -138,7 +138,7 @@
 }
 
 // Stray takes a call of an instance that matches nothing in hand here: whoever it reaches books it.
-func (s *Server) Stray(n dispatch.News) bool {
+func (s *Server) Stray(n dispatch.Callback) bool {
 	c, promised, ends := wordOf(n)
 	if promised && ends {
 		s.book(s.group(c.ID), c)
@@ -147,7 +147,7 @@
 }
 
 // wordOf is what an instance tells, as a command; ends is false where it tells of no end.
-func wordOf(n dispatch.News) (c promise.Command, promised, ends bool) {
+func wordOf(n dispatch.Callback) (c promise.Command, promised, ends bool) {
 	id, index, k, ok := promise.ReadWireID(n.ID)
 	if !ok {
 		return c, false, false
@@ -172,8 +172,8 @@
 }
 
 // news is what an instance told, of which a command was made.
-func news(c promise.Command) dispatch.News {
-	n := dispatch.News{ID: promise.WireID(c.ID, c.Index, c.Hand), From: c.Instance, State: dispatch.Done, Result: c.Result}
+func news(c promise.Command) dispatch.Callback {
+	n := dispatch.Callback{ID: promise.WireID(c.ID, c.Index, c.Hand), From: c.Instance, State: dispatch.Done, Result: c.Result}
 	switch c.Kind {
 	case promise.Failed:
 		n.State = dispatch.Lost
--- a/internal/net/promises/booking_test.go
+++ b/internal/net/promises/booking_test.go
@@ -44,14 +44,14 @@
 }
 
 // sentOnce has a job that must not run twice sent, and returns what its instance will say of it.
-func sentOnce(t *testing.T, s [2]*Server, c [2]*core, h [2]*copies, id string) dispatch.News {
+func sentOnce(t *testing.T, s [2]*Server, c [2]*core, h [2]*copies, id string) dispatch.Callback {
 	h[0].term.Store(1)
 	_, err := s[0].Promise(t.Context(), &promisev1.PromiseRequest{Id: id, Job: job("once")})
 	require.NoError(t, err)
 	m := of(t, c[0].taken, "it is handed in")
-	m.Gate.Ask(&dispatch.Attempt{Command: m, Instance: "s-1", Deadline: m.Deadline})
+	m.Gate.RequestSend(&dispatch.Attempt{Command: m, Instance: "s-1", Deadline: m.Deadline})
 	require.True(t, of(t, c[0].passed, "its intent is committed")())
-	return dispatch.News{ID: m.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}
+	return dispatch.Callback{ID: m.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}
 }
 
 // another is a dispatcher that acts for nobody and is called by instances.
@@ -76,11 +76,11 @@
 		require.True(t, of(t, answered, "it is answered"))
 	}
 	require.True(t, called.Keep(news), "the record knows its end")
-	require.True(t, called.Keep(dispatch.News{ID: "another's", From: "s-1", State: dispatch.Done}))
-	require.True(t, called.Keep(dispatch.News{ID: news.ID, From: "s-1", State: dispatch.Running}))
+	require.True(t, called.Keep(dispatch.Callback{ID: "another's", From: "s-1", State: dispatch.Done}))
+	require.True(t, called.Keep(dispatch.Callback{ID: news.ID, From: "s-1", State: dispatch.Running}))
 	host.words = nil
 	unknown := strings.Replace(news.ID, "j~", "k~", 1)
-	require.True(t, called.Keep(dispatch.News{ID: unknown, From: "s-1", State: dispatch.Done}), "no such promise: to call again helps nobody")
+	require.True(t, called.Keep(dispatch.Callback{ID: unknown, From: "s-1", State: dispatch.Done}), "no such promise: to call again helps nobody")
 }
 
 // Guards against calls that are answered though no majority has what they told, or that hold up all else meanwhile.
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -31,12 +31,12 @@
 
 // Core is the dispatcher's loop.
 type Core interface {
-	Take(*dispatch.Command)
-	Lapse(*dispatch.Command)
+	Submit(*dispatch.Command)
+	ClientGone(*dispatch.Command)
 	Abandon(*dispatch.Command)
-	Pass(*dispatch.Attempt, func() bool)
-	Deny(*dispatch.Attempt)
-	News(dispatch.News)
+	AllowSend(*dispatch.Attempt, func() bool)
+	DenySend(*dispatch.Attempt)
+	HandleCallback(dispatch.Callback)
 }
 
 // Options of a server.
@@ -221,12 +221,12 @@
 				if sending := h.sends.get(a.N); sending != nil {
 					s.sends.committed(sending)
 				}
-				s.core.Pass(h.asks[a.N], func() bool { return replicas.Now() < a.Until })
+				s.core.AllowSend(h.asks[a.N], func() bool { return replicas.Now() < a.Until })
 				delete(h.asks, a.N)
 			}
 		case promise.Deny:
 			if h := s.hands[inHand{a.ID, a.Hand}]; h != nil && h.asks[a.N] != nil {
-				s.core.Deny(h.asks[a.N])
+				s.core.DenySend(h.asks[a.N])
 				delete(h.asks, a.N)
 			}
 		case promise.Leave:
@@ -236,8 +236,8 @@
 			}
 		case promise.Heard:
 			if h := s.drop(a.ID, a.Hand); h != nil {
-				s.core.News(dispatch.News{ID: h.cmd.ID, From: a.End.By, State: dispatch.Done, Result: a.End.Result})
-				s.core.Lapse(h.cmd) // other copies have no use any more
+				s.core.HandleCallback(dispatch.Callback{ID: h.cmd.ID, From: a.End.By, State: dispatch.Done, Result: a.End.Result})
+				s.core.ClientGone(h.cmd) // other copies have no use any more
 			}
 		}
 	}
@@ -282,14 +282,14 @@
 		left = min(left, class.Deadline)
 	}
 	h.cmd = &dispatch.Command{
-		ID: promise.WireID(a.ID, a.Index, a.Hand), Class: a.Job.Class, Tenant: a.Job.Tenant, Key: keyNumber(a.Job.Key), Work: a.Job.Work, Slots: a.Job.Slots, Order: a.Job.Order,
-		Repeat: a.Repeat, Patient: true, Deadline: time.Now().Add(left), Client: h, Gate: h,
+		ID: promise.WireID(a.ID, a.Index, a.Hand), Class: a.Job.Class, Tenant: a.Job.Tenant, Key: keyNumber(a.Job.Key), Work: a.Job.Work, Slots: a.Job.Slots, Candidates: a.Job.Order,
+		Retry: a.Repeat, UntilDeadline: true, Deadline: time.Now().Add(left), Client: h, Gate: h,
 		Payload: &http1.Request{
 			Method: "POST", Target: cmp.Or(a.Job.Target, "/api"), Body: a.Job.Payload, Header: http1.Header{{Name: "Idempotency-Key", Value: a.ID}},
 		},
 	}
 	s.hands[inHand{a.ID, a.Hand}] = h
-	s.core.Take(h.cmd)
+	s.core.Submit(h.cmd)
 }
 
 // keyNumber is a key as the module knows it, the same as of commands by HTTP.
@@ -335,38 +335,38 @@
 	})
 }
 
-// Pass says that a newer process takes over: it has its own.
-func (h *hand) Pass(bool) {
+// HandOver says that a newer process takes over: it has its own.
+func (h *hand) HandOver(bool) {
 	h.on(func(promise.Clock, *promise.Owner) { h.server.drop(h.id, h.n) })
 }
 
-// Ask has an attempt wait until its intent is committed.
-func (h *hand) Ask(a *dispatch.Attempt) {
+// RequestSend has an attempt wait until its intent is committed.
+func (h *hand) RequestSend(a *dispatch.Attempt) {
 	at, until := time.Now(), a.Deadline
 	h.on(func(c promise.Clock, o *promise.Owner) {
 		if h.server.hands[inHand{h.id, h.n}] != h {
-			h.server.core.Deny(a)
+			h.server.core.DenySend(a)
 			return
 		}
-		h.asks[a.N] = a
-		o.Ask(c, h.id, h.n, a.N, a.Instance, c.Unix+until.Sub(at))
+		h.asks[a.Index] = a
+		o.Ask(c, h.id, h.n, a.Index, a.Instance, c.Unix+until.Sub(at))
 	})
 }
 
 // Begin notes that an attempt's first byte is next, if it still may be sent.
 func (h *hand) Begin(a *dispatch.Attempt) bool {
-	sending := h.sends.get(a.N)
+	sending := h.sends.get(a.Index)
 	return sending == nil || h.server.sends.begin(sending)
 }
 
-// Never says that an attempt has not run.
-func (h *hand) Never(a *dispatch.Attempt) {
+// NeverRan says that an attempt has not run.
+func (h *hand) NeverRan(a *dispatch.Attempt) {
 	h.on(func(c promise.Clock, o *promise.Owner) {
-		delete(h.asks, a.N)
-		if sending := h.sends.get(a.N); sending != nil {
+		delete(h.asks, a.Index)
+		if sending := h.sends.get(a.Index); sending != nil {
 			h.server.sends.neverRan(sending, c.Mono)
 		}
-		o.Over(h.id, h.n, a.N)
+		o.Over(h.id, h.n, a.Index)
 	})
 }
 
--- a/internal/net/promises/server_test.go
+++ b/internal/net/promises/server_test.go
@@ -53,15 +53,15 @@
 	taken, abandoned, lapsed chan *dispatch.Command
 	passed                   chan func() bool
 	denied                   chan *dispatch.Attempt
-	news                     chan dispatch.News
+	news                     chan dispatch.Callback
 }
 
-func (c *core) Take(m *dispatch.Command)                  { c.taken <- m }
-func (c *core) Lapse(m *dispatch.Command)                 { c.lapsed <- m }
-func (c *core) Abandon(m *dispatch.Command)               { c.abandoned <- m }
-func (c *core) Pass(_ *dispatch.Attempt, may func() bool) { c.passed <- may }
-func (c *core) Deny(a *dispatch.Attempt)                  { c.denied <- a }
-func (c *core) News(n dispatch.News)                      { c.news <- n }
+func (c *core) Submit(m *dispatch.Command)                     { c.taken <- m }
+func (c *core) ClientGone(m *dispatch.Command)                 { c.lapsed <- m }
+func (c *core) Abandon(m *dispatch.Command)                    { c.abandoned <- m }
+func (c *core) AllowSend(_ *dispatch.Attempt, may func() bool) { c.passed <- may }
+func (c *core) DenySend(a *dispatch.Attempt)                   { c.denied <- a }
+func (c *core) HandleCallback(n dispatch.Callback)             { c.news <- n }
 func of[T any](t *testing.T, c chan T, what string) (v T) {
 	t.Helper()
 	select {
@@ -76,7 +76,7 @@
 	table := replicas.NewAlone(2, func(uint32) replica.Mux { return replica.Mux{replica.Promises: promise.New()} })
 	for i := range s {
 		h[i] = &copies{Alone: table, changed: make(chan struct{})}
-		c[i] = &core{make(chan *dispatch.Command, 9), make(chan *dispatch.Command, 9), make(chan *dispatch.Command, 9), make(chan func() bool, 9), make(chan *dispatch.Attempt, 9), make(chan dispatch.News, 9)}
+		c[i] = &core{make(chan *dispatch.Command, 9), make(chan *dispatch.Command, 9), make(chan *dispatch.Command, 9), make(chan func() bool, 9), make(chan *dispatch.Attempt, 9), make(chan dispatch.Callback, 9)}
 		s[i] = New(Options{Within: time.Minute, Keep: time.Minute}, h[i], c[i], slog.New(slog.DiscardHandler))
 		s[i].Retune(decide.Settings{Classes: []decide.Class{{Effect: decide.Unsafe, Deadline: 20 * time.Second}, {Deadline: time.Second}}}, wire.Names{Classes: []string{"once", "safe"}})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -97,12 +97,12 @@
 	_, err := s[1].Promise(t.Context(), &promisev1.PromiseRequest{Id: "j", Job: job("once")})
 	require.NoError(t, err)
 	m := of(t, c[0].taken, "it is handed in where the lease is")
-	m.Gate.Ask(&dispatch.Attempt{Command: m, Instance: "s-1", Deadline: m.Deadline})
+	m.Gate.RequestSend(&dispatch.Attempt{Command: m, Instance: "s-1", Deadline: m.Deadline})
 	may := of(t, c[0].passed, "its intent is committed")
 	require.True(t, may())
 	h[0].term.Store(0)
 	require.Equal(t, m, of(t, c[0].abandoned, "it is left alone"))
-	m.Gate.Ask(&dispatch.Attempt{Command: m, Instance: "s-2", N: 1, Deadline: m.Deadline})
+	m.Gate.RequestSend(&dispatch.Attempt{Command: m, Instance: "s-2", Index: 1, Deadline: m.Deadline})
 	of(t, c[0].denied, "nothing more goes out")
 	h[1].term.Store(2)
 	require.Eventually(t, func() bool { return s[1].acting.Load() == 1 }, 20*time.Second, time.Millisecond)
@@ -111,9 +111,9 @@
 	require.NoError(t, err)
 	require.Nil(t, r.End)
 	require.Empty(t, c[1].taken)
-	require.False(t, s[1].Stray(dispatch.News{ID: "another's", From: "s-1", State: dispatch.Done}))
-	require.True(t, s[1].Stray(dispatch.News{ID: m.ID, From: "s-3", State: dispatch.Done, Result: []byte("nobody sent it there")}))
-	require.True(t, s[1].Stray(dispatch.News{ID: m.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
+	require.False(t, s[1].Stray(dispatch.Callback{ID: "another's", From: "s-1", State: dispatch.Done}))
+	require.True(t, s[1].Stray(dispatch.Callback{ID: m.ID, From: "s-3", State: dispatch.Done, Result: []byte("nobody sent it there")}))
+	require.True(t, s[1].Stray(dispatch.Callback{ID: m.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
 	for _, s := range s {
 		r, err := s.Await(t.Context(), &promisev1.AwaitRequest{Id: "j", WaitMs: 20_000})
 		require.NoError(t, err)
@@ -130,15 +130,15 @@
 	_, err := s[0].Promise(t.Context(), &promisev1.PromiseRequest{Id: "j", Job: job("safe")})
 	require.NoError(t, err)
 	first := of(t, c[0].taken, "it is handed in")
-	first.Gate.Ask(&dispatch.Attempt{Command: first, Instance: "s-1", Deadline: first.Deadline})
+	first.Gate.RequestSend(&dispatch.Attempt{Command: first, Instance: "s-1", Deadline: first.Deadline})
 	of(t, c[0].passed, "its intent is committed")
 	h[0].term.Store(0)
 	of(t, c[0].abandoned, "it is left alone")
 	h[1].term.Store(2)
 	again := of(t, c[1].taken, "it is handed in again")
-	require.True(t, again.Repeat)
+	require.True(t, again.Retry)
 	require.NotEqual(t, first.ID, again.ID)
-	require.True(t, s[0].Stray(dispatch.News{ID: first.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
+	require.True(t, s[0].Stray(dispatch.Callback{ID: first.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
 	require.Equal(t, again.ID, of(t, c[1].news, "the loop is told").ID)
 	require.Equal(t, again, of(t, c[1].lapsed, "and lets go"))
 }
--- a/internal/net/promises/unsent_test.go
+++ b/internal/net/promises/unsent_test.go
@@ -88,14 +88,14 @@
 func TestIntentThatComesTooLateIsTakenBack(t *testing.T) {
 	for name, ends := range map[string]func(*Server, *core, *copies, *dispatch.Command){
 		"lease lost":    func(_ *Server, c *core, h *copies, _ *dispatch.Command) { leaves(t, c, h) },
-		"newer process": func(s *Server, _ *core, _ *copies, m *dispatch.Command) { s.Yield(true); m.Client.Pass(true) },
+		"newer process": func(s *Server, _ *core, _ *copies, m *dispatch.Command) { s.Yield(true); m.Client.HandOver(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, c, h := pair(t)
 			asked, over, let := stall(h[0], false, promise.OpIntent)
 			m, a := handed(t, s, c, h)
-			m.Gate.Ask(a)
+			m.Gate.RequestSend(a)
 			of(t, asked, "its intent is proposed")
 			ends(s[0], c[0], h[0], m)
 			close(let)
@@ -114,7 +114,7 @@
 			t.Parallel()
 			s, c, h := pair(t)
 			m, a := handed(t, s, c, h)
-			m.Gate.Ask(a)
+			m.Gate.RequestSend(a)
 			of(t, c[0].passed, "its intent is committed")
 			asked, _, let := stall(h[0], true, promise.OpOver, promise.OpWord)
 			before := name == "lease lost before" || name == "lease lost once begun"
@@ -124,7 +124,7 @@
 			if before {
 				leaves(t, c[0], h[0])
 			}
-			m.Gate.Never(a) // as of a connection that did not come up
+			m.Gate.NeverRan(a) // as of a connection that did not come up
 			if !before {
 				of(t, asked, "that it never ran is proposed")
 			}
@@ -147,7 +147,7 @@
 			t.Parallel()
 			s, c, h := pair(t)
 			m, a := handed(t, s, c, h)
-			m.Gate.Ask(a)
+			m.Gate.RequestSend(a)
 			of(t, c[0].passed, "its intent is committed")
 			asked, _, let := stall(h[0], true, promise.OpOver)
 			require.True(t, m.Gate.Begin(a))
@@ -155,7 +155,7 @@
 				m.Client.(*hand).until = 0 // its time is over
 			}
 			m.Client.Answer(dispatch.Answer{Verdict: v}) // by the answer to its attempt, 400 or 503: the loop tells the gate next
-			m.Gate.Never(a)
+			m.Gate.NeverRan(a)
 			of(t, asked, "that it never ran is proposed")
 			defer close(let) // and is under way for long
 			r, err := s[0].Await(t.Context(), &promisev1.AwaitRequest{Id: "j", WaitMs: 20_000})
@@ -170,9 +170,9 @@
 func TestWhatTheGroupKnowsIsFollowedNoMore(t *testing.T) {
 	s, c, h := pair(t)
 	m, a := handed(t, s, c, h)
-	m.Gate.Ask(a)
+	m.Gate.RequestSend(a)
 	of(t, c[0].passed, "its intent is committed")
-	m.Gate.Never(a) // as of a connection that did not come up
+	m.Gate.NeverRan(a) // as of a connection that did not come up
 	require.Eventually(t, func() bool {
 		s[0].sends.mu.Lock()
 		defer s[0].sends.mu.Unlock()
@@ -185,13 +185,13 @@
 func TestReloadDoesNotMixTwoAttemptsAtOneInstance(t *testing.T) {
 	s, c, h := pair(t)
 	m, a := handed(t, s, c, h)
-	m.Gate.Ask(a)
+	m.Gate.RequestSend(a)
 	of(t, c[0].passed, "its intent is committed")
 	_, _, let := stall(h[0], true, promise.OpOver)
 	defer close(let)
-	m.Gate.Never(a)
+	m.Gate.NeverRan(a)
 	s[0].Retune(decide.Settings{Classes: []decide.Class{{Effect: decide.Safe, Deadline: 20 * time.Second}}}, wire.Names{Classes: []string{"once"}})
-	m.Gate.Ask(&dispatch.Attempt{Command: m, Instance: a.Instance, N: 1, Deadline: m.Deadline})
+	m.Gate.RequestSend(&dispatch.Attempt{Command: m, Instance: a.Instance, Index: 1, Deadline: m.Deadline})
 	select {
 	case <-c[0].abandoned: // another hand-in has it
 	case <-c[0].passed:
--- a/internal/net/upstream/answer_test.go
+++ b/internal/net/upstream/answer_test.go
@@ -18,7 +18,7 @@
 // sent has an attempt sent on a new connection and read by its encoder.
 func (e *encoder) sent(p *Pool) (*dispatch.Attempt, *peer) {
 	a := attempt("s-1")
-	a.Fresh = true
+	a.NewConn = true
 	p.Send(a)
 	c := e.accept()
 	c.read()
@@ -112,7 +112,7 @@
 	written, on chan bool
 }
 
-func (p paused) Written(*dispatch.Attempt) {
+func (p paused) AttemptSent(*dispatch.Attempt) {
 	p.written <- true
 	<-p.on
 }
@@ -168,7 +168,7 @@
 	a, c := e.sent(p)
 	next(t, r.written)
 	c.write(accepted)
-	p.GiveUp(a)
+	p.Cancel(a)
 	d := e.accept()
 	d.isGiveUp()
 	r.on <- true
@@ -187,7 +187,7 @@
 		p, r := dial(t, e, 9)
 		a, c := e.sent(p)
 		c.write(text)
-		p.GiveUp(a) // as the loop does at the deadline
+		p.Cancel(a) // as the loop does at the deadline
 		d := e.accept()
 		d.isGiveUp()
 		d.write(deleted)
--- a/internal/net/upstream/dial_test.go
+++ b/internal/net/upstream/dial_test.go
@@ -29,12 +29,12 @@
 		cross func(*Pool, *encoder, *dispatch.Attempt)
 		kept  int
 	}{
-		"given up":              {func(p *Pool, _ *encoder, a *dispatch.Attempt) { p.GiveUp(a) }, 1},
+		"given up":              {func(p *Pool, _ *encoder, a *dispatch.Attempt) { p.Cancel(a) }, 1},
 		"client gone":           {func(p *Pool, _ *encoder, a *dispatch.Attempt) { stop(p, a, gone) }, 1},
 		"another process's":     {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Unsend() }, 1},
 		"drain":                 {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.Listed(e.list(decide.Draining)) }, 1},
 		"gone":                  {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.Listed(e.list(decide.Gone)) }, 0},
-		"gone from a full list": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Listed(dispatch.List{Complete: true}) }, 0},
+		"gone from a full list": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Listed(dispatch.InstanceUpdate{Complete: true}) }, 0},
 		"gone and back": {func(p *Pool, e *encoder, _ *dispatch.Attempt) {
 			p.Listed(e.list(decide.Gone))
 			p.Listed(e.list(decide.Ready))
@@ -43,7 +43,7 @@
 		"cordoned": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Cordon("s-1", true) }, 0},
 		"started anew": {func(p *Pool, e *encoder, _ *dispatch.Attempt) {
 			l := e.list(decide.Ready)
-			l.Members[0].Started = time.Now()
+			l.Instances[0].Started = time.Now()
 			p.Listed(l)
 		}, 0},
 	} {
@@ -61,7 +61,7 @@
 			require.Equal(t, decide.NotSent, next(t, r.ended))
 			rests(t, p, one.kept)
 			require.Equal(t, one.kept, open(p))
-			p.Release("s-1")
+			p.CloseIdle("s-1")
 			c.ends()
 			require.Eventually(t, func() bool { return open(p) == 0 }, patience, time.Millisecond)
 			require.Empty(t, r.ended)
@@ -122,7 +122,7 @@
 	c := e.accept()
 	require.Equal(t, unsent, next(t, ends).stage)
 	rests(t, p, 1)
-	p.Release("s-1")
+	p.CloseIdle("s-1")
 	c.ends()
 
 	a := attempt("s-1")
--- a/internal/net/upstream/encoder_test.go
+++ b/internal/net/upstream/encoder_test.go
@@ -158,8 +158,8 @@
 }
 
 // list is the list's line of an encoder.
-func (e *encoder) list(state decide.WorkerState) dispatch.List {
-	return dispatch.List{Members: []dispatch.Member{{ID: "s-1", Address: e.Addr().String(), State: state}}}
+func (e *encoder) list(state decide.WorkerState) dispatch.InstanceUpdate {
+	return dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-1", Address: e.Addr().String(), State: state}}}
 }
 
 // dial returns a pool whose only encoder is scripted.
@@ -173,7 +173,7 @@
 func (e *encoder) serves(p *Pool, r reports) *peer {
 	idle := p.Idle()
 	a := attempt("s-1")
-	a.Fresh = idle > 0
+	a.NewConn = idle > 0
 	p.Send(a)
 	c := e.accept()
 	c.read()
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -37,12 +37,12 @@
 
 // Reports takes what comes of what was sent.
 type Reports interface {
-	Ended(_ *dispatch.Attempt, _ decide.Outcome, kept time.Duration)
-	Written(*dispatch.Attempt)
-	Taken(*dispatch.Attempt)
-	Unusable(*dispatch.Attempt)
-	Probed(encoder string, o decide.Outcome, report *decide.Report)
-	Loaded(*dispatch.Attempt, decide.Report)
+	AttemptEnded(_ *dispatch.Attempt, _ decide.Outcome, kept time.Duration)
+	AttemptSent(*dispatch.Attempt)
+	AttemptAccepted(*dispatch.Attempt)
+	AttemptUnusable(*dispatch.Attempt)
+	ProbeEnded(encoder string, o decide.Outcome, report *decide.Report)
+	LoadReported(*dispatch.Attempt, decide.Report)
 }
 
 // Limits bounds the pool.
@@ -95,7 +95,7 @@
 
 // Listed takes discovery's news as soon as it has been read: what drains or is gone
 // gets nothing new, whatever has been decided by then.
-func (p *Pool) Listed(l dispatch.List) {
+func (p *Pool) Listed(l dispatch.InstanceUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l.Complete {
@@ -104,7 +104,7 @@
 		}
 	}
 	now := time.Now()
-	for _, m := range l.Members {
+	for _, m := range l.Instances {
 		in := p.endpoints[m.ID]
 		if in == nil {
 			in = &endpoint{id: m.ID}
@@ -202,8 +202,8 @@
 	return c.in.state == decide.Ready && !p.cordoned[c.in.id] && c.leads()
 }
 
-// Release closes the idle connections to an encoder.
-func (p *Pool) Release(id string) {
+// CloseIdle closes the idle connections to an encoder.
+func (p *Pool) CloseIdle(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if in := p.endpoints[id]; in != nil {
@@ -214,25 +214,25 @@
 // Send starts an attempt.
 func (p *Pool) Send(a *dispatch.Attempt) {
 	q := a.Command.Payload.(*http1.Request)
-	x := &exchange{method: q.Method, target: q.Target, body: q.Body, id: a.Command.ID, passed: passedOn(q.Header), deadline: a.Deadline, mostIdle: a.MostIdle, fresh: a.Fresh, gated: true, begin: a.Begin, expired: a.Expired}
-	x.sent = func() { p.reports.Written(a) }
+	x := &exchange{method: q.Method, target: q.Target, body: q.Body, id: a.Command.ID, passed: passedOn(q.Header), deadline: a.Deadline, mostIdle: a.MaxIdle, fresh: a.NewConn, gated: true, begin: a.Begin, expired: a.Expired}
+	x.sent = func() { p.reports.AttemptSent(a) }
 	x.done = func(e end) {
 		p.mu.Lock()
 		delete(p.out, a)
 		p.mu.Unlock()
 		if e.unusable() {
-			p.reports.Unusable(a)
+			p.reports.AttemptUnusable(a)
 		} else if o, over := e.outcome(); over {
 			if e.spoilt { // the encoder may take it for taken
-				a.Leaving()
+				a.CancelPending()
 				p.takeBack(a)
 			}
 			if r := p.load(e); r != nil {
-				p.reports.Loaded(a, *r)
+				p.reports.LoadReported(a, *r)
 			}
-			p.reports.Ended(a, o, e.kept)
+			p.reports.AttemptEnded(a, o, e.kept)
 		} else {
-			p.reports.Taken(a)
+			p.reports.AttemptAccepted(a)
 		}
 	}
 	p.mu.Lock()
@@ -241,15 +241,15 @@
 	p.start(a.Instance, x)
 }
 
-// GiveUp ends an attempt. One that the encoder may have is taken back by DELETE; before
+// Cancel ends an attempt. One that the encoder may have is taken back by DELETE; before
 // its 202 the connection is closed too. Not instead: the 202 may be on its way. It stays unconfirmed
 // where no DELETE is answered: the encoder may still have it.
-func (p *Pool) GiveUp(a *dispatch.Attempt) {
+func (p *Pool) Cancel(a *dispatch.Attempt) {
 	p.mu.Lock()
 	x := p.out[a]
 	p.mu.Unlock()
 	if x != nil && !x.abort() {
-		a.Confirmed()
+		a.CancelConfirmed()
 		return
 	}
 	p.takeBack(a)
@@ -277,7 +277,7 @@
 // takeBack tells an encoder that an attempt is given up. A DELETE may be repeated, unlike a request: the second goes over a
 // new connection, since a kept one may be dead. The attempt counts as given up only once the encoder has answered.
 func (p *Pool) takeBack(a *dispatch.Attempt) {
-	p.tell(&giveUp{encoder: a.Instance, id: a.Command.ID, until: time.Now().Add(courtesy), tries: giveUpTries, confirm: a.Confirmed})
+	p.tell(&giveUp{encoder: a.Instance, id: a.Command.ID, until: time.Now().Add(courtesy), tries: giveUpTries, confirm: a.CancelConfirmed})
 }
 
 func (p *Pool) tell(g *giveUp) {
@@ -335,7 +335,7 @@
 			if report == nil && e.stage == answered {
 				report = p.loads.Object(e.response.Body)
 			}
-			p.reports.Probed(id, e.probeOutcome(), report)
+			p.reports.ProbeEnded(id, e.probeOutcome(), report)
 		},
 	})
 }
--- a/internal/net/upstream/pool_test.go
+++ b/internal/net/upstream/pool_test.go
@@ -24,12 +24,12 @@
 	taken  chan *dispatch.Attempt
 }
 
-func (r reports) Ended(_ *dispatch.Attempt, o decide.Outcome, _ time.Duration) { r.ended <- o }
-func (r reports) Written(*dispatch.Attempt)                                    {}
-func (r reports) Taken(a *dispatch.Attempt)                                    { r.taken <- a }
-func (r reports) Unusable(*dispatch.Attempt)                                   {}
-func (r reports) Loaded(_ *dispatch.Attempt, l decide.Report)                  { r.loads <- &l }
-func (r reports) Probed(_ string, o decide.Outcome, l *decide.Report) {
+func (r reports) AttemptEnded(_ *dispatch.Attempt, o decide.Outcome, _ time.Duration) { r.ended <- o }
+func (r reports) AttemptSent(*dispatch.Attempt)                                       {}
+func (r reports) AttemptAccepted(a *dispatch.Attempt)                                 { r.taken <- a }
+func (r reports) AttemptUnusable(*dispatch.Attempt)                                   {}
+func (r reports) LoadReported(_ *dispatch.Attempt, l decide.Report)                   { r.loads <- &l }
+func (r reports) ProbeEnded(_ string, o decide.Outcome, l *decide.Report) {
 	if r.probed <- o; l != nil {
 		r.loads <- l
 	}
@@ -43,12 +43,12 @@
 	r, seen := reports{make(chan decide.Outcome, 9), make(chan decide.Outcome, 9), make(chan *decide.Report, 9), make(chan *dispatch.Attempt, 9)}, make(chan *http1.Request, 9)
 	p := NewPool(Limits{Connections: most, Connect: 10 * time.Second, Idle: time.Minute})
 	p.ReportTo(r)
-	var l dispatch.List
+	var l dispatch.InstanceUpdate
 	for _, id := range ids {
 		in, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(func() { in.Close() })
-		l.Members = append(l.Members, dispatch.Member{ID: id, Address: in.Addr().String(), State: decide.Ready})
+		l.Instances = append(l.Instances, dispatch.Instance{ID: id, Address: in.Addr().String(), State: decide.Ready})
 		go func() {
 			for {
 				c, err := in.Accept()
@@ -121,7 +121,7 @@
 		require.Equal(t, decide.OK, <-r.probed)
 		require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
 		a := attempt("s-1")
-		a.MostIdle = most
+		a.MaxIdle = most
 		p.Send(a)
 		probed, sent := <-seen, <-seen
 		require.Equal(t, same, probed.Header.Get("From") == sent.Header.Get("From"))
@@ -135,7 +135,7 @@
 	require.Equal(t, decide.OK, <-r.probed)
 	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
 	a := attempt("s-1")
-	a.Fresh, a.Command.Payload.(*http1.Request).Target = true, "/take"
+	a.NewConn, a.Command.Payload.(*http1.Request).Target = true, "/take"
 	p.Send(a)
 	<-r.taken
 	require.NotEqual(t, (<-seen).Header.Get("From"), (<-seen).Header.Get("From"))
@@ -158,7 +158,7 @@
 	p.Probe("s-1")
 	<-seen
 	require.Equal(t, decide.OK, <-r.probed)
-	p.Listed(dispatch.List{Members: []dispatch.Member{{ID: "s-1", State: decide.Draining}}})
+	p.Listed(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-1", State: decide.Draining}}})
 	p.Send(attempt("s-1"))
 	require.Equal(t, decide.NotSent, <-r.ended)
 	require.Empty(t, seen)
@@ -170,7 +170,7 @@
 	a := attempt("s-1")
 	p.Send(a)
 	require.Equal(t, "POST", (<-seen).Method)
-	p.GiveUp(a)
+	p.Cancel(a)
 	q := <-seen
 	require.Equal(t, []string{"DELETE", "/jobs/c1"}, []string{q.Method, q.Target})
 	require.Equal(t, decide.Reset, <-r.ended, "which the loop drops: it has given the attempt up")
--- a/internal/net/upstream/retire_test.go
+++ b/internal/net/upstream/retire_test.go
@@ -15,9 +15,9 @@
 // to the encoder as it is listed by then.
 func TestBusyConnectionsOutliveNoMove(t *testing.T) {
 	to := listen(t)
-	restarted := func(e *encoder) dispatch.List {
+	restarted := func(e *encoder) dispatch.InstanceUpdate {
 		l := e.list(decide.Ready)
-		l.Members[0].Started = time.Now()
+		l.Instances[0].Started = time.Now()
 		return l
 	}
 	for name, cross := range map[string]func(*Pool, *encoder) *encoder{
@@ -63,12 +63,12 @@
 	p, r := dial(t, e, 9)
 	old := e.serves(p, r)
 	l := e.list(decide.Ready)
-	l.Members[0].Started = time.Now()
+	l.Instances[0].Started = time.Now()
 	young := e.serves(p, r) // which closes the one before, being a fresh one
 	old.ends()
 	p.Listed(l)
 	rests(t, p, 1)
-	l.Members[0].Started = time.Now()
+	l.Instances[0].Started = time.Now()
 	p.Listed(l)
 	young.ends()
 	rests(t, p, 0)
@@ -112,7 +112,7 @@
 	}
 	rests(t, p, most)
 	other := listen(t)
-	p.Listed(dispatch.List{Members: []dispatch.Member{{ID: "s-2", Address: other.Addr().String(), State: decide.Ready}}})
+	p.Listed(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-2", Address: other.Addr().String(), State: decide.Ready}}})
 	for i := range most {
 		p.mu.Lock()
 		oldest := p.endpoints["s-1"].idle[0].nc
@@ -189,7 +189,7 @@
 		default:
 		}
 		c = resting()
-		p.Release("s-1")
+		p.CloseIdle("s-1")
 		_, ok = c.next(up)
 		require.False(t, ok)
 		p.closed(c)
--- a/internal/program/acked_test.go
+++ b/internal/program/acked_test.go
@@ -37,7 +37,7 @@
 	tellTable(<-w.watches, 7, true, member(w.instance.Addr().String(), "in_service"))
 	w.await(func() bool { return w.program.Phase() == Serving && older.program.Phase() == Yielded })
 	stands, goes := make(chan bool), make(chan bool)
-	older.program.loop.Learned(func(dispatch.Handed) { close(stands); <-goes })
+	older.program.loop.ExportLearned(func(dispatch.HandoverState) { close(stands); <-goes })
 	<-stands
 	io.WriteString(ours, call[30:])
 	require.Equal(t, 204, w.read(ours).Status, "the encoder does not call again")
@@ -72,7 +72,7 @@
 	})
 	hold := func() chan bool {
 		goes := make(chan bool)
-		w.program.loop.Learned(func(dispatch.Handed) { <-goes })
+		w.program.loop.ExportLearned(func(dispatch.HandoverState) { <-goes })
 		return goes
 	}
 	before := hold()
--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -36,11 +36,11 @@
 	return nil
 }
 
-func (*admin) Listed(dispatch.List)    {}
-func (*admin) Cordoned([]string)       {}
-func (*admin) Reloaded(*config.Config) {} // its address counts from the next start on
-func (*admin) Quiet() bool             { return true }
-func (*admin) Figures() string         { return "" }
+func (*admin) Listed(dispatch.InstanceUpdate) {}
+func (*admin) Cordoned([]string)              {}
+func (*admin) Reloaded(*config.Config)        {} // its address counts from the next start on
+func (*admin) Quiet() bool                    { return true }
+func (*admin) Figures() string                { return "" }
 
 // begin tells all parts that the program starts; one that cannot is the program's end.
 func (p *Program) begin(ctx context.Context) error {
--- a/internal/program/desk.go
+++ b/internal/program/desk.go
@@ -16,14 +16,14 @@
 
 // Figures lists what operators go by.
 func (p *Program) Figures() string {
-	all := p.loop.Books.Figures()
+	all := p.loop.Counters.OperatorCounters()
 	p.each(func(t Part) { all += t.Figures() })
 	return all
 }
 
 // counters is all of them, for the clients' address.
 func (p *Program) counters() string {
-	all := p.loop.Books.String()
+	all := p.loop.Counters.String()
 	p.each(func(t Part) { all += t.Figures() })
 	return all
 }
