--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -15,7 +15,7 @@
 	// InForce tells whether the list comes by way of it.
 	InForce() bool
 	// Listed, Alive and Lost take what the own watch tells.
-	Listed(dispatch.List)
+	Listed(dispatch.InstanceUpdate)
 	Alive()
 	Lost()
 	// Moved says that the name table is at another address from now on.
@@ -29,13 +29,13 @@
 	// Watch begins the own watch, or ends it.
 	Watch(on bool)
 	// Take takes a list that counts.
-	Take(dispatch.List)
+	Take(dispatch.InstanceUpdate)
 }
 
 type lists struct{ p *Program }
 
-func (l lists) ShareBy(s Sharer)        { l.p.sharer = s }
-func (l lists) Take(list dispatch.List) { l.p.told(list) }
+func (l lists) ShareBy(s Sharer)                  { l.p.sharer = s }
+func (l lists) Take(list dispatch.InstanceUpdate) { l.p.told(list) }
 
 func (l lists) Watch(on bool) {
 	if on {
@@ -57,7 +57,7 @@
 func (p *Program) shared() bool { return p.sharer != nil && p.sharer.InForce() }
 
 // Listed takes the name table's news.
-func (p *Program) Listed(l dispatch.List) {
+func (p *Program) Listed(l dispatch.InstanceUpdate) {
 	switch {
 	case !p.shared():
 		p.told(l)
@@ -68,11 +68,11 @@
 
 // ahead is what another process's list has that the own watch has not told yet.
 type ahead struct {
-	revision int64          // 0: nothing
-	at       string         // the name table's address
-	since    time.Time      // when it was heard
-	behind   dispatch.Table // as the own watch has it, where that tells a whole list of before
-	holds    bool           // there is such a table
+	revision int64                 // 0: nothing
+	at       string                // the name table's address
+	since    time.Time             // when it was heard
+	behind   dispatch.InstanceList // as the own watch has it, where that tells a whole list of before
+	holds    bool                  // there is such a table
 }
 
 // overtaken is how long a whole list may be on its way while another process has heard of a later one: by the operators' page
@@ -81,13 +81,13 @@
 
 // told takes a list that counts, from wherever but another process. The other processes hear of it: what the name table
 // tells one of them holds for all, whichever of them sends.
-func (p *Program) told(l dispatch.List) {
+func (p *Program) told(l dispatch.InstanceUpdate) {
 	p.telling.Lock()
 	defer p.telling.Unlock()
 	if a := &p.ahead; l.Complete && !p.overtook(l) {
 		*a = ahead{}
 	} else if l.Complete || a.holds {
-		if a.behind.Take(l); !a.holds {
+		if a.behind.Update(l); !a.holds {
 			time.AfterFunc(overtaken, p.anew)
 		}
 		a.holds = a.behind.Revision() < a.revision
@@ -105,7 +105,7 @@
 
 // overtook tells whether what another process has heard is later than a whole list. It would be taken back otherwise, drains
 // included, until the own watch has told of it as well.
-func (p *Program) overtook(l dispatch.List) bool {
+func (p *Program) overtook(l dispatch.InstanceUpdate) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return l.Revision < p.ahead.revision && p.ahead.at == p.discovery && time.Since(p.ahead.since) < overtaken
@@ -116,7 +116,7 @@
 	p.telling.Lock()
 	defer p.telling.Unlock()
 	if p.ahead.holds {
-		l := p.ahead.behind.List()
+		l := p.ahead.behind.Snapshot()
 		p.ahead = ahead{}
 		p.take(l, false)
 		p.pass(true, true)
@@ -124,7 +124,7 @@
 }
 
 // lead notes another process's list, which the own watch must not take back.
-func (p *Program) lead(l dispatch.List) {
+func (p *Program) lead(l dispatch.InstanceUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ahead = ahead{revision: l.Revision, at: p.discovery, since: time.Now(), behind: p.ahead.behind, holds: p.ahead.holds}
@@ -139,14 +139,14 @@
 	newer := l.Discovery == p.discovery && l.Revision > p.table.Revision()
 	p.mu.Unlock()
 	if newer {
-		p.lead(l.List)
-		p.take(l.List, true)
+		p.lead(l.InstanceUpdate)
+		p.take(l.InstanceUpdate, true)
 		p.pass(!fromOlder, fromOlder)
 	}
 }
 
 // known takes the list that there is before any watch, unless the older process has told of a newer one by now.
-func (p *Program) known(l dispatch.List) {
+func (p *Program) known(l dispatch.InstanceUpdate) {
 	p.telling.Lock()
 	defer p.telling.Unlock()
 	if p.ahead.revision > 0 {
@@ -165,7 +165,7 @@
 	p.mu.Lock()
 	alone, l := p.older == nil && p.newer == nil, listing{Discovery: p.discovery}
 	if !alone {
-		l.List = p.table.List()
+		l.InstanceUpdate = p.table.Snapshot()
 	}
 	p.mu.Unlock()
 	if !alone {
@@ -215,5 +215,5 @@
 		return
 	}
 	p.log.Warn("watch on discovery lost", "err", err)
-	p.loop.ListLost(errors.Is(err, discovery.ErrNobody), after)
+	p.loop.DiscoveryFailed(errors.Is(err, discovery.ErrNobody), after)
 }
--- a/internal/program/part.go
+++ b/internal/program/part.go
@@ -18,7 +18,7 @@
 	// and lets go at Yielded: that is its handing over. At Stopped it ends.
 	Phase(context.Context, Phase) error
 	// Listed takes the name table's news.
-	Listed(dispatch.List)
+	Listed(dispatch.InstanceUpdate)
 	// Cordoned takes all instances that people leave out.
 	Cordoned(ids []string)
 	// Reloaded takes the configuration that counts from now on, the first one included.
--- a/internal/program/peers_test.go
+++ b/internal/program/peers_test.go
@@ -235,7 +235,7 @@
 
 // count is a counter's value.
 func (w *world) count(name string) (n int) {
-	for line := range strings.Lines(w.program.loop.Books.String()) {
+	for line := range strings.Lines(w.program.loop.Counters.String()) {
 		if rest, ok := strings.CutPrefix(line, name+" "); ok {
 			fmt.Sscan(rest, &n)
 		}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -99,7 +99,7 @@
 	last         time.Time // told to end: when all has to be answered; zero: not told
 	barred       time.Time // since when nobody can connect any more
 	listener     *net.TCPListener
-	table        dispatch.Table
+	table        dispatch.InstanceList
 	discovery    string
 	older, newer *handover.Link  // the other processes, nil: none
 	before       standing        // the older one's
@@ -132,7 +132,7 @@
 	p.pool.ReadBy(p.loads)
 	p.server = clients.New(p.loop, s, c.Names, p.bounds.listener, p.counters, logger)
 	p.server.ReadBy(p.loads)
-	p.server.CountIn(&p.loop.Books)
+	p.server.CountIn(&p.loop.Counters)
 	if c.Admin != "" {
 		p.parts = append(p.parts, &admin{program: p, address: c.Admin})
 	}
@@ -166,7 +166,7 @@
 	if !p.change(next, from) {
 		return false
 	}
-	p.log.Info(next.String(), "held", p.loop.Holding()) // without the lock: the log may wait for whoever reads it
+	p.log.Info(next.String(), "held", p.loop.Pending()) // without the lock: the log may wait for whoever reads it
 	p.each(func(t Part) {
 		if err := t.Phase(p.context, next); err != nil {
 			p.log.Error("part", "name", t.Name(), "phase", next.String(), "err", err)
@@ -197,7 +197,7 @@
 		return err
 	}
 	if list := p.meet(ctx); list != nil {
-		known.Revision, known.Members = list.Revision, list.Members
+		known.Revision, known.Instances = list.Revision, list.Instances
 	} else {
 		p.recall(p.leftOut())
 	}
@@ -212,7 +212,7 @@
 	if p.listener != nil {
 		p.listener.Close()
 	}
-	p.log.Info("counters at exit", p.loop.Books.Attrs()...)
+	p.log.Info("counters at exit", p.loop.Counters.Attrs()...)
 	return p.failure
 }
 
@@ -224,7 +224,7 @@
 	if late := !last.IsZero() && now.After(last); late && (phase == Departing || phase == Draining) && !p.server.Yielded() {
 		p.bar(now)
 		p.server.Finish(now)
-		p.loop.Finish()
+		p.loop.AnswerAll()
 	}
 	switch moved := now.Sub(since) >= departure; phase {
 	case Starting, Relieving:
@@ -242,7 +242,7 @@
 	case Draining:
 		p.server.CloseIdle(now.Add(-quiet))
 		// Give-ups that are on their way spare instances work for nobody; each ends within a second.
-		if p.loop.Holding() == 0 && !p.pool.Busy() && p.server.Quiet() && !slices.ContainsFunc(p.parts, func(t Part) bool { return !t.Quiet() }) && p.bar(now) {
+		if p.loop.Pending() == 0 && !p.pool.Busy() && p.server.Quiet() && !slices.ContainsFunc(p.parts, func(t Part) bool { return !t.Quiet() }) && p.bar(now) {
 			p.enter(Stopped, Draining)
 		}
 	}
@@ -315,10 +315,10 @@
 func (p *Program) reload() error {
 	next, err := p.config.Reload()
 	if err == nil {
-		err = p.loop.Retune(p.bound(next.Settings), next.Names) // the module has the last word
+		err = p.loop.Reconfigure(p.bound(next.Settings), next.Names) // the module has the last word
 	}
 	if err != nil {
-		p.loop.Books.LoadErrors.Add(1)
+		p.loop.Counters.ConfigLoadErrors.Add(1)
 		p.log.Error("configuration not reloaded", "err", err)
 		return err
 	}
@@ -330,7 +330,7 @@
 	if keys := p.config.AtRestart(next); len(keys) > 0 {
 		p.log.Warn("configuration: counts from the next start on", "keys", keys)
 	}
-	p.loop.Books.Loads.Add(1)
+	p.loop.Counters.ConfigLoads.Add(1)
 	p.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", next.Names.Classes)
 	p.config.Running(next)
 	p.each(func(t Part) { t.Reloaded(next) })
@@ -356,9 +356,9 @@
 		return
 	}
 	p.mu.Lock()
-	l := p.table.List()
+	l := p.table.Snapshot()
 	p.mu.Unlock()
-	p.loop.Listed(l, true)
+	p.loop.UpdateInstances(l, true)
 }
 
 // end has the program end in order.
@@ -371,11 +371,11 @@
 }
 
 // take takes a list: the pool first, which guards each send.
-func (p *Program) take(l dispatch.List, cached bool) {
+func (p *Program) take(l dispatch.InstanceUpdate, cached bool) {
 	p.mu.Lock()
-	p.table.Take(l)
+	p.table.Update(l)
 	p.mu.Unlock()
 	p.pool.Listed(l)
 	p.each(func(t Part) { t.Listed(l) })
-	p.loop.Listed(l, cached)
+	p.loop.UpdateInstances(l, cached)
 }
--- a/internal/program/relief.go
+++ b/internal/program/relief.go
@@ -35,24 +35,24 @@
 const (
 	told       = "standing"   // the older: a standing, and its listener
 	ready      = "ready"      // the newer: it could serve
-	command    = "command"    // the older: a dispatch.HandedCommand
+	command    = "command"    // the older: a dispatch.HandoverCommand
 	yielded    = "yielded"    // the older: a handed, after which it takes nothing more
 	connection = "connection" // the older: a clients.Passed and its socket
 	closed     = "closed"     // the older: one of its connections has ended
 	left       = "left"       // the older: the id of a command whose client has left
-	became     = "became"     // the older: a dispatch.Fate
+	became     = "became"     // the older: a dispatch.AttemptUpdate
 	cordoned   = "cordoned"   // either: a cordoning
 	listed     = "listed"     // either: a listing, as it has just been told
-	news       = "news"       // either: a dispatch.News that matches nothing there
+	news       = "news"       // either: a dispatch.Callback that matches nothing there
 )
 
 // standing is what the older process goes by.
 type standing struct {
-	List       *dispatch.List `json:"List"`
-	Discovery  string         `json:"Discovery"`  // where its list comes from
-	Configured string         `json:"Configured"` // where its configuration had it come from when it started; empty: an older version, which does not tell
-	Quiesced   bool           `json:"Quiesced"`   // clients are sent away
-	Cordons    []string       `json:"Cordons"`
+	List       *dispatch.InstanceUpdate `json:"List"`
+	Discovery  string                   `json:"Discovery"`  // where its list comes from
+	Configured string                   `json:"Configured"` // where its configuration had it come from when it started; empty: an older version, which does not tell
+	Quiesced   bool                     `json:"Quiesced"`   // clients are sent away
+	Cordons    []string                 `json:"Cordons"`
 }
 
 // listsFor tells whether its list is the one of a process whose configuration has discovery at an address. It may have been moved
@@ -64,19 +64,19 @@
 
 // listing is the whole list, and whose revision it has.
 type listing struct {
-	dispatch.List
+	dispatch.InstanceUpdate
 	Discovery string `json:"Discovery"`
 }
 
 // handed is all that it hands over, but for commands.
 type handed struct {
-	dispatch.Handed
+	dispatch.HandoverState
 	Places int `json:"Places"` // connections that it has yet
 }
 
 // meet calls at the door of a process that serves the address, and returns the list to begin with: that process's is at
 // least as fresh as the one in the configuration. nil: there is none.
-func (p *Program) meet(ctx context.Context) *dispatch.List {
+func (p *Program) meet(ctx context.Context) *dispatch.InstanceUpdate {
 	until := p.since.Add(freshPatience) // nothing has changed the phase yet
 	for {
 		link, err := handover.Call(p.path())
@@ -275,7 +275,7 @@
 	if !taken {
 		p.newer = link
 	}
-	list := p.table.List()
+	list := p.table.Snapshot()
 	quiesced := p.phase == Quiescing || p.phase == Quiesced
 	discovery := p.discovery
 	p.mu.Unlock()
@@ -303,10 +303,10 @@
 				p.heard(l, false)
 			}
 		case news:
-			var n dispatch.News
+			var n dispatch.Callback
 			if m.Read(&n) == nil {
-				n.Via = dispatch.NewerProcess
-				p.loop.News(n)
+				n.Via = dispatch.FromNewerProcess
+				p.loop.HandleCallback(n)
 			}
 		}
 		if f != nil {
@@ -324,7 +324,7 @@
 // yield leaves all that is in hand and all that comes to the newer process.
 func (p *Program) yield(link *handover.Link) {
 	release := p.server.HoldCallbacks()
-	p.loop.Yield(func(given dispatch.Handed) bool {
+	p.loop.HandOver(func(given dispatch.HandoverState) bool {
 		defer release()
 		p.pool.Unsend() // before the other process can give one up: this one may stand still here
 		for _, c := range given.Commands {
@@ -356,7 +356,7 @@
 	p.keepAll()
 	p.mu.Lock()
 	p.newer = nil
-	list, given := p.table.List(), p.given
+	list, given := p.table.Snapshot(), p.given
 	p.mu.Unlock()
 	if p.server.Yielded() {
 		p.server.Keep()
@@ -378,7 +378,7 @@
 	state    chan standing // how the older stands
 	gone     chan struct{} // closed once the link has ended
 	met      bool          // the older has told how it stands
-	commands []*dispatch.HandedCommand
+	commands []*dispatch.HandoverCommand
 }
 
 // run takes what comes until the link ends.
@@ -415,7 +415,7 @@
 		default:
 		}
 	case command:
-		c, q := &dispatch.HandedCommand{}, &http1.Request{}
+		c, q := &dispatch.HandoverCommand{}, &http1.Request{}
 		if err := m.Read(c); err != nil {
 			return err
 		}
@@ -431,7 +431,7 @@
 		}
 		h.Commands, r.commands = r.commands, nil
 		r.server.Lend(h.Places)
-		r.loop.Relieve(h.Handed)
+		r.loop.TakeOver(h.HandoverState)
 		r.resize()
 		r.serve(ctx)
 	case connection:
@@ -451,13 +451,13 @@
 		if err := m.Read(&id); err != nil {
 			return err
 		}
-		r.loop.LapseElsewhere(id)
+		r.loop.ClientGoneByID(id)
 	case became:
-		var fate dispatch.Fate
+		var fate dispatch.AttemptUpdate
 		if err := m.Read(&fate); err != nil {
 			return err
 		}
-		r.loop.Became(fate)
+		r.loop.UpdateAttempt(fate)
 	case cordoned:
 		var c cordoning
 		if err := m.Read(&c); err != nil {
@@ -471,12 +471,12 @@
 		}
 		r.heard(l, true)
 	case news:
-		var n dispatch.News
+		var n dispatch.Callback
 		if err := m.Read(&n); err != nil {
 			return err
 		}
-		n.Via = dispatch.OlderProcess
-		r.loop.News(n)
+		n.Via = dispatch.FromOlderProcess
+		r.loop.HandleCallback(n)
 	}
 	return nil
 }
@@ -488,7 +488,7 @@
 	p.older = nil
 	p.mu.Unlock()
 	p.server.ReturnAll()
-	p.loop.Alone()
+	p.loop.OlderProcessGone()
 	p.resize()
 	p.log.Info("the older process has gone")
 }
@@ -525,13 +525,13 @@
 	return told
 }
 
-// Elsewhere passes news on to the processes that it did not come from.
-func (o others) Elsewhere(n dispatch.News) bool {
-	return o.tell(news, n, n.Via != dispatch.OlderProcess, n.Via != dispatch.NewerProcess)
+// ForwardCallback passes news on to the processes that it did not come from.
+func (o others) ForwardCallback(n dispatch.Callback) bool {
+	return o.tell(news, n, n.Via != dispatch.FromOlderProcess, n.Via != dispatch.FromNewerProcess)
 }
 
-func (o others) Became(f dispatch.Fate) { o.tell(became, f, false, true) }
-func (o others) Left(id string)         { o.tell(left, id, false, true) }
+func (o others) ForwardUpdate(f dispatch.AttemptUpdate) { o.tell(became, f, false, true) }
+func (o others) ForwardClientGone(id string)            { o.tell(left, id, false, true) }
 
 // inherit takes the listener of the older process.
 func (p *Program) inherit(f *os.File) error {
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -214,7 +214,7 @@
 	const many = 40
 	allowed := min(many, int(permissions(h.settings)["OpenCap"].(float64)))
 	refused := make(chan string, many)
-	held := h.program.loop.Holding()
+	held := h.program.loop.Pending()
 	var clients []net.Conn
 	for i := range many {
 		client := h.connect()
@@ -235,11 +235,11 @@
 		require.Equal(h.t, permissions(h.settings)["RetryAfter"], err == nil, "Retry-After: %q", after)
 		require.LessOrEqual(h.t, seconds, permissions(h.settings)["MaxRetryAfterUs"].(float64)/1e6)
 	}
-	h.await(func() bool { return h.program.loop.Holding() == held+int64(allowed) })
+	h.await(func() bool { return h.program.loop.Pending() == held+int64(allowed) })
 	for _, client := range clients {
 		client.Close()
 	}
-	h.await(func() bool { return h.program.loop.Holding() == held })
+	h.await(func() bool { return h.program.loop.Pending() == held })
 }
 
 // shortLeft is the time of clients whose commands come to nothing.
--- a/internal/program/story_test.go
+++ b/internal/program/story_test.go
@@ -119,7 +119,7 @@
 	require.Equal(t, "POST /api?cut=1", <-took)
 	c.Close()
 	require.Equal(t, "DELETE /jobs/c1", <-took)
-	w.await(func() bool { return w.count("commands_lapsed") == 1 && w.program.loop.Holding() == 0 })
+	w.await(func() bool { return w.count("commands_lapsed") == 1 && w.program.loop.Pending() == 0 })
 }
 
 // The instance's machine closes idle connections: the next command sees it before a byte is
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -32,12 +32,12 @@
 
 // Content is one snapshot.
 type Content struct {
-	Format  int             `json:"Format"`
-	Node    string          `json:"Node"` // whose it is
-	Written time.Time       `json:"Written"`
-	List    dispatch.List   `json:"List"`
-	Cordons []string        `json:"Cordons"`
-	Learned dispatch.Handed `json:"Learned"` // without commands
+	Format  int                     `json:"Format"`
+	Node    string                  `json:"Node"` // whose it is
+	Written time.Time               `json:"Written"`
+	List    dispatch.InstanceUpdate `json:"List"`
+	Cordons []string                `json:"Cordons"`
+	Learned dispatch.HandoverState  `json:"Learned"` // without commands
 }
 
 // ErrNone says that nothing was written yet.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -27,7 +27,7 @@
 	path := filepath.Join(t.TempDir(), "snapshot")
 	_, err := Read(path, "n1")
 	require.ErrorIs(t, err, ErrNone)
-	c := &Content{Node: "n1", Written: time.Now().UTC(), Cordons: []string{"s-1"}, List: dispatch.List{Revision: 7, Complete: true, Members: []dispatch.Member{{ID: "s-1", State: decide.Ready}}}}
+	c := &Content{Node: "n1", Written: time.Now().UTC(), Cordons: []string{"s-1"}, List: dispatch.InstanceUpdate{Revision: 7, Complete: true, Instances: []dispatch.Instance{{ID: "s-1", State: decide.Ready}}}}
 	write(t, path, c)
 	got, err := Read(path, "n1")
 	require.NoError(t, err)
--- a/internal/standin/teller/teller.go
+++ b/internal/standin/teller/teller.go
@@ -42,7 +42,7 @@
 
 type noCore struct{}
 
-func (noCore) Leased(dispatch.Lease) {}
+func (noCore) AddLease(dispatch.Lease) {}
 
 // New returns one that listens and tells of encoders at such addresses, s-1 and on, warm and ready.
 func New(addresses ...string) (*control.Server, error) {
@@ -76,10 +76,10 @@
 }
 
 // Members is a whole list of such encoders in a state.
-func Members(revision int64, state decide.WorkerState, addresses ...string) dispatch.List {
-	l := dispatch.List{Revision: revision, Complete: true}
+func Members(revision int64, state decide.WorkerState, addresses ...string) dispatch.InstanceUpdate {
+	l := dispatch.InstanceUpdate{Revision: revision, Complete: true}
 	for i, a := range addresses {
-		l.Members = append(l.Members, dispatch.Member{ID: fmt.Sprint("s-", i+1), GRPC: a, Zone: "a", Kind: "m2", State: state, Size: 1})
+		l.Instances = append(l.Instances, dispatch.Instance{ID: fmt.Sprint("s-", i+1), GRPC: a, Zone: "a", Kind: "m2", State: state, Size: 1})
 	}
 	return l
 }
--- a/winglb/attempt.go
+++ b/winglb/attempt.go
@@ -58,11 +58,11 @@
 	switch s.(type) {
 	case *stats.OutPayload:
 		if !a.out.Swap(true) {
-			a.fleet.reports().Written(a.of)
+			a.fleet.reports().AttemptSent(a.of)
 		}
 	case *stats.InHeader:
 		if !a.began.Swap(true) {
-			a.fleet.reports().Began(a.of)
+			a.fleet.reports().AttemptStarted(a.of)
 		}
 	case *stats.InTrailer:
 		a.replied.Store(true)
@@ -130,7 +130,7 @@
 }
 
 func (c *call) Answer(a dispatch.Answer) { c.answer <- a }
-func (c *call) Pass(bool)                {}
+func (c *call) HandOver(bool)            {}
 
 // lastError is the status that an encoder itself gave last, nil if none has.
 func (c *call) lastError() error {
@@ -204,7 +204,7 @@
 	err := c.invoke(ctx, c.method, c.request, r.reply, c.cc, options...)
 	a.fleet.drop(a)
 	if a.givenUp.Load() {
-		a.of.Confirmed()
+		a.of.CancelConfirmed()
 	}
 	o := a.outcome(err, r.trailer)
 	if err != nil && a.replied.Load() && o != decide.Full {
@@ -214,11 +214,11 @@
 	}
 	switch {
 	case o == decide.OK:
-		a.fleet.reports().Finished(a.of, r)
+		a.fleet.reports().AttemptServed(a.of, r)
 	case o == decide.Errored && a.unusable(err):
-		a.fleet.reports().Unusable(a.of)
+		a.fleet.reports().AttemptUnusable(a.of)
 	default:
-		a.fleet.reports().Ended(a.of, o, 0)
+		a.fleet.reports().AttemptEnded(a.of, o, 0)
 	}
 }
 
@@ -257,13 +257,13 @@
 	go a.run(ctx, c)
 }
 
-// GiveUp ends an attempt: its stream is reset, on the connection that a later attempt would use too.
-func (f *fleet) GiveUp(d *dispatch.Attempt) {
+// Cancel ends an attempt: its stream is reset, on the connection that a later attempt would use too.
+func (f *fleet) Cancel(d *dispatch.Attempt) {
 	f.mu.Lock()
 	a := f.out[d]
 	f.mu.Unlock()
 	if a == nil {
-		d.Confirmed()
+		d.CancelConfirmed()
 		return
 	}
 	a.givenUp.Store(true)
@@ -282,11 +282,11 @@
 	if f.takes(id) {
 		o = decide.OK
 	}
-	go f.reports().Probed(id, o, nil)
+	go f.reports().ProbeEnded(id, o, nil)
 }
 
-// Release does nothing: an encoder's one connection carries all calls.
-func (f *fleet) Release(string) {}
+// CloseIdle does nothing: an encoder's one connection carries all calls.
+func (f *fleet) CloseIdle(string) {}
 
 // takes tells whether an instance may be sent new work now.
 func (f *fleet) takes(id string) bool {
--- a/winglb/intercept.go
+++ b/winglb/intercept.go
@@ -90,15 +90,15 @@
 		deadline = time.Now().Add(b.sheet.deadline(j.Class))
 	}
 	cmd := &dispatch.Command{
-		ID: j.ID, Class: j.Class, Tenant: j.Tenant, Key: keyNumber(j.Key), Work: j.Work, Slots: j.Slots, Repeat: j.Repeat,
+		ID: j.ID, Class: j.Class, Tenant: j.Tenant, Key: keyNumber(j.Key), Work: j.Work, Slots: j.Slots, Retry: j.Repeat,
 		Deadline: deadline, Payload: c, Client: c,
 	}
-	b.loop.Take(cmd)
+	b.loop.Submit(cmd)
 	select {
 	case a := <-c.answer:
 		return c.end(a)
 	case <-ctx.Done():
-		b.loop.Lapse(cmd)
+		b.loop.ClientGone(cmd)
 		select { // it may have been answered in time after all
 		case a := <-c.answer:
 			if a.Verdict == dispatch.Served {
--- a/winglb/pick_test.go
+++ b/winglb/pick_test.go
@@ -49,10 +49,10 @@
 	_, err = pick(func(a *attempt) { a.instance = "s-9" })
 	require.ErrorIs(t, err, errUnknown)
 
-	a, err = pick(func(a *attempt) { a.of.Until = time.Now().Add(-time.Millisecond) })
+	a, err = pick(func(a *attempt) { a.of.SendUntil = time.Now().Add(-time.Millisecond) })
 	require.ErrorIs(t, err, errLate, "the lease has ended")
 	require.Equal(t, decide.NotSent, a.outcome(err, nil))
-	_, err = pick(func(a *attempt) { a.of.Until = time.Now().Add(time.Hour) })
+	_, err = pick(func(a *attempt) { a.of.SendUntil = time.Now().Add(time.Hour) })
 	require.NoError(t, err)
 	f.cordoned["s-1"] = true
 	_, err = pick(nil)
--- a/winglb/sheet.go
+++ b/winglb/sheet.go
@@ -43,7 +43,7 @@
 
 	leases  sync.Mutex // apart: the loop asks under it, and must not wait for who tells the loop
 	holder  *lease.Holder
-	unspent map[lease.Held]bool // granted, neither spent nor over
+	unspent map[lease.HeldLease]bool // granted, neither spent nor over
 
 	mu       sync.Mutex
 	revision int64 // of the list
@@ -70,7 +70,7 @@
 }
 
 func newSheet(b *Balancer) *sheet {
-	s := &sheet{balancer: b, start: time.Now(), known: map[string]*controlv1.Member{}, unspent: map[lease.Held]bool{}, holder: lease.NewHolder(len(b.config.Daemons)), from: -1}
+	s := &sheet{balancer: b, start: time.Now(), known: map[string]*controlv1.Member{}, unspent: map[lease.HeldLease]bool{}, holder: lease.NewHolder(len(b.config.Daemons)), from: -1}
 	for n, a := range b.config.Daemons {
 		s.links = append(s.links, &link{sheet: s, n: n, address: a})
 	}
@@ -293,7 +293,7 @@
 		}
 		s.leases.Lock()
 		h, ok := s.holder.Granted(s.now(), l.n, k.Grant.Epoch, lease.Grant{
-			Seq: k.Grant.Seq, ID: k.Grant.Lease, Valid: time.Duration(k.Grant.ValidMs) * time.Millisecond, Again: time.Duration(k.Grant.AgainMs) * time.Millisecond,
+			Seq: k.Grant.Seq, ID: k.Grant.Lease, Valid: time.Duration(k.Grant.ValidMs) * time.Millisecond, RetryAfter: time.Duration(k.Grant.AgainMs) * time.Millisecond,
 		})
 		if ok {
 			s.unspent[h] = true
@@ -303,7 +303,7 @@
 		}
 		s.leases.Unlock()
 		if ok && s.began {
-			go s.balancer.loop.Leased(dispatch.Lease{
+			go s.balancer.loop.AddLease(dispatch.Lease{
 				Instance: h.Instance, Process: h.Process, Work: h.Work, Until: s.start.Add(h.Until), Ref: h,
 			})
 		}
@@ -337,7 +337,7 @@
 		clear(s.known)
 	}
 	s.revision = l.Revision
-	given := dispatch.List{Revision: l.Revision, Complete: l.Complete}
+	given := dispatch.InstanceUpdate{Revision: l.Revision, Complete: l.Complete}
 	f := s.balancer.fleet
 	f.mu.Lock()
 	if l.Complete {
@@ -350,12 +350,12 @@
 			delete(s.known, m.Id)
 		}
 		f.instances[m.Id] = &instance{address: m.Address, state: stateOf[m.State]}
-		line := dispatch.Member{ID: m.Id, Address: m.Address, GRPC: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: int(m.Cell), State: stateOf[m.State], Size: m.Size}
+		line := dispatch.Instance{ID: m.Id, Address: m.Address, GRPC: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: int(m.Cell), State: stateOf[m.State], Size: m.Size}
 		if m.StartedUs > 0 {
 			line.Started = time.UnixMicro(m.StartedUs)
 		}
 		if m.Address != "" {
-			given.Members = append(given.Members, line)
+			given.Instances = append(given.Instances, line)
 		}
 	}
 	for id, in := range f.instances {
@@ -365,7 +365,7 @@
 	}
 	f.mu.Unlock()
 	s.begin()
-	s.balancer.loop.Listed(given, false)
+	s.balancer.loop.UpdateInstances(given, false)
 	for _, f := range s.watchers {
 		go f()
 	}
@@ -456,18 +456,18 @@
 		d.Limits.ConnectTimeout = time.Second
 	}
 	if !s.began && s.balancer.loop == nil {
-		loop, err := dispatch.New(d, s.names, s.balancer.fleet, s, dispatch.Alone{}, s.balancer.log)
+		loop, err := dispatch.New(d, s.names, s.balancer.fleet, s, dispatch.NoOtherProcess{}, s.balancer.log)
 		if err != nil {
 			return err
 		}
-		loop.LeaseBy(s)
+		loop.SetLeaser(s)
 		s.balancer.loop = loop
 		return nil
 	}
 	if s.began {
 		names := s.names
 		go func() { // it waits for the loop, which may be asking for a lease
-			if err := s.balancer.loop.Retune(d, names); err != nil {
+			if err := s.balancer.loop.Reconfigure(d, names); err != nil {
 				s.balancer.log.Error("settings", "err", err)
 			}
 		}()
@@ -495,8 +495,8 @@
 	}
 }
 
-// Want asks a daemon for a lease.
-func (s *sheet) Want(instance string, process int64, work float64) {
+// Request asks a daemon for a lease.
+func (s *sheet) Request(instance string, process int64, work float64) {
 	s.leases.Lock()
 	defer s.leases.Unlock()
 	us := uint64(math.Ceil(work * 1e6))
@@ -511,7 +511,7 @@
 
 // Spent tells the daemon that granted a lease.
 func (s *sheet) Spent(l dispatch.Lease) {
-	h, ok := l.Ref.(lease.Held)
+	h, ok := l.Ref.(lease.HeldLease)
 	if !ok {
 		return
 	}
@@ -521,19 +521,19 @@
 }
 
 // over gives a lease back that has ended unspent.
-func (s *sheet) over(h lease.Held) {
+func (s *sheet) over(h lease.HeldLease) {
 	s.leases.Lock()
 	defer s.leases.Unlock()
 	s.done(h, false)
 }
 
 // done tells the daemon that granted a lease what became of it, once.
-func (s *sheet) done(h lease.Held, spent bool) {
+func (s *sheet) done(h lease.HeldLease, spent bool) {
 	if !s.unspent[h] {
 		return
 	}
 	delete(s.unspent, h)
-	if k := s.links[h.Keeper]; k.epoch == h.Epoch {
+	if k := s.links[h.Granter]; k.epoch == h.Epoch {
 		k.tell(&controlv1.FromSender{Kind: &controlv1.FromSender_Done{Done: &controlv1.Done{Epoch: h.Epoch, Lease: h.ID, Spent: spent}}})
 	}
 }
--- a/winglb/winglb.go
+++ b/winglb/winglb.go
@@ -149,7 +149,7 @@
 func (b *Balancer) Counters() string {
 	select {
 	case <-b.primed:
-		return b.loop.Books.String()
+		return b.loop.Counters.String()
 	default:
 		return ""
 	}
