--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -15,106 +15,107 @@
 	"caperrelay/internal/net/handover"
 )
 
-// cordons is which instances people leave out. It outlives the process: a file holds it. What is said counts before it
-// is written, and nothing waits for the disk but who said it.
+// cordons is the set of cordoned instances. It outlives the process in a file. An order takes effect before it is
+// written, and only the operator who gave it waits for the disk.
 type cordons struct {
-	write func(path string, text []byte) error // replaces the file; it may take any time
+	write func(path string, text []byte) error // replaces the file; may block
 
-	mu      sync.Mutex // never held over a file, a log line or a peer
-	out     map[string]bool
-	unkept  bool         // another process has told of some, and writes them
-	writing bool         // somebody does
-	waits   []chan error // of those who want to know of the next file; each holds one
+	mu       sync.Mutex // never held during file access, logging or messages to a peer
+	cordoned map[string]bool
+	unsaved  bool         // another process has sent changes and writes them
+	writing  bool         // a writer goroutine runs
+	waiters  []chan error // callers waiting for the next write; each has a buffer of one
 }
 
 const (
-	keepPatience = 500 * time.Millisecond // of an operator, with the disk
-	mostWaits    = 64                     // for the disk; who comes beyond is told so
+	cordonWriteTimeout = 500 * time.Millisecond // how long an operator waits for the disk
+	maxCordonWaiters   = 64                     // callers waiting for the disk; further ones get an error
 )
 
-// cordoning is what processes tell each other of one.
-type cordoning struct {
+// cordonChange is the message between processes about one cordon.
+type cordonChange struct {
 	ID  string `json:"ID"`
 	Out bool   `json:"Out"`
 }
 
-// Keeper is where cordons are kept that are not this dispatcher's alone. Its part's LeftOut tells them at the start.
+// Keeper stores cordons that are shared among dispatchers. The LeftOut method of its part returns them at the
+// start.
 type Keeper interface {
-	// Cordon leaves an instance out, or uses it again, everywhere; an error says how far that is not so. It may wait for
-	// as long as a disk may.
+	// Cordon sets or removes a cordon everywhere; an error says how far that failed. It may block for as long as a
+	// disk may.
 	Cordon(id string, out bool) error
 }
 
-// Cordons is what a Keeper does.
+// Cordons is the interface of the program that a Keeper uses.
 type Cordons interface {
-	// KeepBy has cordons go by way of it. It must come before the program runs.
+	// KeepBy sets the store that cordons go through. It must be called before the program runs.
 	KeepBy(Keeper)
-	// Leave leaves instances out; only: and uses all others again.
+	// Leave cordons the given instances; with only, it also removes all other cordons.
 	Leave(ids []string, only bool)
 }
 
-type agreed struct{ p *Program }
+type cordonControl struct{ p *Program }
 
-func (a agreed) KeepBy(k Keeper) { a.p.keeper = k }
+func (a cordonControl) KeepBy(k Keeper) { a.p.cordonStore = k }
 
-func (a agreed) Leave(ids []string, only bool) {
+func (a cordonControl) Leave(ids []string, only bool) {
 	p := a.p
 	p.cordons.mu.Lock()
 	defer p.cordons.mu.Unlock()
-	var changes []cordoning
+	var changes []cordonChange
 	for _, id := range ids {
-		if !p.cordons.out[id] {
-			changes = append(changes, cordoning{id, true})
+		if !p.cordons.cordoned[id] {
+			changes = append(changes, cordonChange{id, true})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(p.cordons.out)) {
+	for _, id := range slices.Sorted(maps.Keys(p.cordons.cordoned)) {
 		if only && !slices.Contains(ids, id) {
-			changes = append(changes, cordoning{id, false})
+			changes = append(changes, cordonChange{id, false})
 		}
 	}
 	for _, c := range changes {
-		p.leaveOut(c, nil)
+		p.applyCordon(c, nil)
 	}
 }
 
-// Cordon leaves an instance out: from the yes on nothing new is sent there.
-func (p *Program) Cordon(id string) error { return p.cordon(cordoning{id, true}, nil) }
+// Cordon cordons an instance: once it returns nil, nothing new is sent there.
+func (p *Program) Cordon(id string) error { return p.cordon(cordonChange{id, true}, nil) }
 
-// Uncordon uses it again.
-func (p *Program) Uncordon(id string) error { return p.cordon(cordoning{id, false}, nil) }
+// Uncordon removes an instance's cordon.
+func (p *Program) Uncordon(id string) error { return p.cordon(cordonChange{id, false}, nil) }
 
-// leaveOut does either here, and tells other processes but one. The lock is held.
-func (p *Program) leaveOut(c cordoning, from *handover.Link) (ids []string) {
-	if p.cordons.out[c.ID] = c.Out; !c.Out {
-		delete(p.cordons.out, c.ID)
+// applyCordon applies a change in this process and sends it to the other processes except from. The lock is held.
+func (p *Program) applyCordon(c cordonChange, from *handover.Link) (ids []string) {
+	if p.cordons.cordoned[c.ID] = c.Out; !c.Out {
+		delete(p.cordons.cordoned, c.ID)
 	}
 	p.pool.Cordon(c.ID, c.Out)
 	p.loop.Cordon(c.ID, c.Out)
 	p.mu.Lock()
 	for _, l := range []*handover.Link{p.older, p.newer} {
 		if l != nil && l != from {
-			l.Tell(cordoned, c)
+			l.Send(msgCordon, c)
 		}
 	}
 	p.mu.Unlock()
-	ids = slices.Sorted(maps.Keys(p.cordons.out))
-	p.each(func(t Part) { t.Cordoned(ids) })
+	ids = slices.Sorted(maps.Keys(p.cordons.cordoned))
+	p.eachPart(func(t Part) { t.Cordoned(ids) })
 	return ids
 }
 
-// cordon does either. from is the process that told of it, nil: an operator here.
-func (p *Program) cordon(c cordoning, from *handover.Link) error {
+// cordon applies a change. from is the process that sent it; nil: an operator of this process.
+func (p *Program) cordon(c cordonChange, from *handover.Link) error {
 	if !p.pool.Knows(c.ID) && from == nil {
 		return fmt.Errorf("%s is not known", c.ID)
 	}
-	if p.keeper != nil && from == nil {
-		return p.keeper.Cordon(c.ID, c.Out)
+	if p.cordonStore != nil && from == nil {
+		return p.cordonStore.Cordon(c.ID, c.Out)
 	}
 	p.cordons.mu.Lock()
-	ids := p.leaveOut(c, from)
-	var kept <-chan error
-	if p.cordons.unkept = from != nil; from == nil { // else that process writes the file, or this one once that has gone
-		kept = p.keep()
+	ids := p.applyCordon(c, from)
+	var written <-chan error
+	if p.cordons.unsaved = from != nil; from == nil { // otherwise that process writes the file, or this one once that process has ended
+		written = p.queueWrite()
 	}
 	p.cordons.mu.Unlock()
 	if p.log.Info("cordoned", "ids", ids); from != nil {
@@ -122,8 +123,8 @@
 	}
 	err := errors.New("the disk does not answer")
 	select {
-	case err = <-kept:
-	case <-time.After(keepPatience):
+	case err = <-written:
+	case <-time.After(cordonWriteTimeout):
 	}
 	if err != nil {
 		return fmt.Errorf("done, but the next process may not know: %w", err)
@@ -131,43 +132,45 @@
 	return nil
 }
 
-// keep has the file written as things stand, and returns where the outcome will be. The lock is held.
-func (p *Program) keep() <-chan error {
-	kept := make(chan error, 1)
-	if len(p.cordons.waits) >= mostWaits { // the next file holds this too
-		kept <- errors.New("the disk does not answer")
-		return kept
+// queueWrite has the current set written and returns a channel for the outcome. The lock is held.
+func (p *Program) queueWrite() <-chan error {
+	written := make(chan error, 1)
+	if len(p.cordons.waiters) >= maxCordonWaiters { // the next write includes this change too
+		written <- errors.New("the disk does not answer")
+		return written
 	}
-	p.cordons.waits = append(p.cordons.waits, kept)
+	p.cordons.waiters = append(p.cordons.waiters, written)
 	if !p.cordons.writing {
 		p.cordons.writing = true
-		go p.store()
+		go p.runWriter()
 	}
-	return kept
+	return written
 }
 
-func (p *Program) cordonsFile() string { return strings.TrimSuffix(p.path(), ".sock") + ".cordons" }
+func (p *Program) cordonsFile() string {
+	return strings.TrimSuffix(p.socketPath(), ".sock") + ".cordons"
+}
 
-// keepAll has it written once another process has gone that may not have come to it.
-func (p *Program) keepAll() {
+// writeUnsaved writes the set once another process has ended that may not have written it.
+func (p *Program) writeUnsaved() {
 	p.cordons.mu.Lock()
 	defer p.cordons.mu.Unlock()
-	if p.cordons.unkept && p.keeper == nil {
-		p.keep()
+	if p.cordons.unsaved && p.cordonStore == nil {
+		p.queueWrite()
 	}
 }
 
-// store writes files until nobody waits for one.
-func (p *Program) store() {
+// runWriter writes the file until no caller waits for it.
+func (p *Program) runWriter() {
 	for {
 		p.cordons.mu.Lock()
-		waits := p.cordons.waits
-		if p.cordons.waits = nil; len(waits) == 0 {
+		waiters := p.cordons.waiters
+		if p.cordons.waiters = nil; len(waiters) == 0 {
 			p.cordons.writing = false
 			p.cordons.mu.Unlock()
 			return
 		}
-		text, err := json.Marshal(slices.Sorted(maps.Keys(p.cordons.out)))
+		text, err := json.Marshal(slices.Sorted(maps.Keys(p.cordons.cordoned)))
 		p.cordons.mu.Unlock()
 		if err == nil {
 			err = p.cordons.write(p.cordonsFile(), text)
@@ -175,15 +178,15 @@
 		if err != nil {
 			p.log.Error("cordons", "err", err)
 		}
-		for _, w := range waits {
+		for _, w := range waiters {
 			w <- err
 		}
 	}
 }
 
-// replace writes a file beside the old one and puts it in its place: who reads finds one of both. The name beside is
-// nobody else's: two processes replace the same file while one takes over from the other.
-func replace(path string, text []byte) error {
+// replaceFile writes a temporary file and renames it: readers find either the old or the new content. The
+// temporary name is unique because two processes replace the same file during a handover.
+func replaceFile(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*.new")
 	if err != nil {
 		return err
@@ -198,13 +201,13 @@
 	return err
 }
 
-// leftOut is who was left out last: by the file, which is of this moment, or where the machine has lost that by a
-// part that keeps it for longer.
-func (p *Program) leftOut() (ids []string) {
-	if _, err := os.Stat(p.cordonsFile()); p.keeper == nil && !errors.Is(err, os.ErrNotExist) {
-		return p.stored()
+// savedCordons returns the cordons of the previous process: from the file, which is the most recent, or, where the
+// machine has lost that, from a part with longer-lived storage.
+func (p *Program) savedCordons() (ids []string) {
+	if _, err := os.Stat(p.cordonsFile()); p.cordonStore == nil && !errors.Is(err, os.ErrNotExist) {
+		return p.readCordons()
 	}
-	p.each(func(t Part) {
+	p.eachPart(func(t Part) {
 		if k, ok := t.(interface{ LeftOut() []string }); ok {
 			ids = append(ids, k.LeftOut()...)
 		}
@@ -212,8 +215,8 @@
 	return ids
 }
 
-// stored is what an earlier process has left.
-func (p *Program) stored() (ids []string) {
+// readCordons returns the cordons that an earlier process has written.
+func (p *Program) readCordons() (ids []string) {
 	text, err := os.ReadFile(p.cordonsFile())
 	if err == nil {
 		err = json.Unmarshal(text, &ids)
@@ -224,15 +227,15 @@
 	return ids
 }
 
-// recall takes up what an earlier process has left, or an older one tells.
-func (p *Program) recall(ids []string) {
+// restoreCordons applies the cordons of an earlier process or of a running older one.
+func (p *Program) restoreCordons(ids []string) {
 	p.cordons.mu.Lock()
 	defer p.cordons.mu.Unlock()
 	for _, id := range ids {
-		p.cordons.out[id] = true
+		p.cordons.cordoned[id] = true
 		p.pool.Cordon(id, true)
 		p.loop.Cordon(id, true)
 	}
-	all := slices.Sorted(maps.Keys(p.cordons.out))
-	p.each(func(t Part) { t.Cordoned(all) })
+	all := slices.Sorted(maps.Keys(p.cordons.cordoned))
+	p.eachPart(func(t Part) { t.Cordoned(all) })
 }
--- a/internal/program/ending_test.go
+++ b/internal/program/termination_test.go
@@ -24,7 +24,7 @@
 	"caperrelay/internal/net/sock"
 )
 
-// The test's own program stands in for the daemon where a story needs a process that ends.
+// The test binary also runs as the daemon where a test needs a process of its own that ends.
 func TestMain(m *testing.M) {
 	if os.Getenv("WINGLB_ENDING") == "" {
 		os.Exit(m.Run())
@@ -45,25 +45,25 @@
 	os.Exit(0)
 }
 
-// process is a daemon as a process of its own.
-type process struct {
+// daemonProcess is a daemon in a process of its own.
+type daemonProcess struct {
 	*testing.T
-	cmd     *exec.Cmd
-	address string
-	log     bytes.Buffer // to be read once it has ended
-	told    time.Time
-	ended   chan error
+	cmd          *exec.Cmd
+	address      string
+	log          bytes.Buffer // to be read only after the process has ended
+	terminatedAt time.Time
+	ended        chan error
 }
 
-// launch starts a daemon whose instance goes by a script.
-func launch(t *testing.T, settings string, script func(p *process, c net.Conn, q *http1.Request) bool) *process {
-	p := &process{T: t, ended: make(chan error, 1)}
+// launch starts a daemon whose instance runs a script.
+func launch(t *testing.T, settings string, script func(p *daemonProcess, c net.Conn, q *http1.Request) bool) *daemonProcess {
+	p := &daemonProcess{T: t, ended: make(chan error, 1)}
 	instance := listen(t, func(c net.Conn, q *http1.Request) bool { return script(p, c, q) })
 	table := listen(t, func(c net.Conn, q *http1.Request) bool {
-		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"+unchanged)
+		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"+unchangedList)
 		return true
 	})
-	// A socket that shares the port keeps it for the daemon, and refuses once that has gone.
+	// A socket that shares the port reserves it for the daemon, and refuses connections once that has ended.
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { syscall.Close(fd) })
@@ -88,34 +88,34 @@
 			a.Body.Close()
 		}
 		return err == nil && a.StatusCode == 200
-	}, patience, 5*time.Millisecond)
+	}, testTimeout, 5*time.Millisecond)
 	return p
 }
 
-// terminate tells the process to end, and kills it when the platform would.
-func (p *process) terminate(after time.Duration) {
-	p.told = time.Now()
+// terminate sends SIGTERM, and kills the process when the platform would.
+func (p *daemonProcess) terminate(after time.Duration) {
+	p.terminatedAt = time.Now()
 	require.NoError(p, p.cmd.Process.Signal(syscall.SIGTERM))
 	kill := time.AfterFunc(after, func() { p.cmd.Process.Kill() })
 	p.Cleanup(func() { kill.Stop() })
 }
 
-// end waits for the process's own end, and returns its counters.
-func (p *process) end() string {
+// waitForExit waits for the process to end by itself, and returns its log with the final counters.
+func (p *daemonProcess) waitForExit() string {
 	select {
 	case err := <-p.ended:
-		require.NoError(p, err, "it ended by itself, before it was killed: %s", p.log.String())
-	case <-time.After(patience):
-		require.FailNow(p, "it did not end")
+		require.NoError(p, err, "the process did not end by itself before it was killed: %s", p.log.String())
+	case <-time.After(testTimeout):
+		require.FailNow(p, "the process did not end")
 	}
 	return p.log.String()
 }
 
-// done tells of a job as the instance would.
-func (p *process) done(id string) {
+// postResult posts a job's result as the instance would.
+func (p *daemonProcess) postResult(id string) {
 	c, err := net.Dial("tcp", p.address)
 	if err != nil {
-		return // it has ended
+		return // the process has ended
 	}
 	defer c.Close()
 	body := fmt.Sprintf(`{"id":%q,"from":"s-1","state":"done","result":"r"}`, id)
@@ -128,40 +128,40 @@
 		{Name: "X-Account", Value: "acme"}, {Name: "X-Time-Left", Value: "30000m"}}, []byte("the work"))
 }
 
-// tally is what clients saw.
-type tally struct{ sent, answered, refused, again, unanswered, cut atomic.Int64 }
+// clientCounts counts the responses that clients received.
+type clientCounts struct{ sent, answered, refused, retried, unanswered, cut atomic.Int64 }
 
-// ask sends a batch of commands on a connection at once and reads their answers. used: something was answered on it before. false:
-// the connection is to be used no more.
-func (y *tally) ask(c net.Conn, br *bufio.Reader, used bool, batch ...[]byte) bool {
+// sendBatch writes a batch of commands to a connection at once and reads their responses. used: a response has
+// already been read from the connection. It returns false if the connection must not be used again.
+func (t *clientCounts) sendBatch(c net.Conn, br *bufio.Reader, used bool, batch ...[]byte) bool {
 	if _, err := c.Write(bytes.Join(batch, nil)); err != nil && used {
-		y.again.Add(1)
+		t.retried.Add(1)
 		return false
 	}
-	y.sent.Add(int64(len(batch)))
+	t.sent.Add(int64(len(batch)))
 	for n := range batch {
 		_, err := br.Peek(1)
 		switch {
-		case err != nil && used && n == 0: // it crossed the end of a connection between requests
-			y.sent.Add(-int64(len(batch)))
-			y.again.Add(1)
+		case err != nil && used && n == 0: // the request crossed the regular close of an idle connection
+			t.sent.Add(-int64(len(batch)))
+			t.retried.Add(1)
 			return false
 		case err != nil && n == 0:
-			y.unanswered.Add(int64(len(batch)))
+			t.unanswered.Add(int64(len(batch)))
 			return false
 		case err != nil:
-			y.cut.Add(int64(len(batch) - n))
+			t.cut.Add(int64(len(batch) - n))
 			return false
 		}
 		a, err := http1.ReadResponse(br, "POST")
 		switch {
 		case err != nil:
-			y.cut.Add(1)
+			t.cut.Add(1)
 			return false
 		case a.Status == 503:
-			y.refused.Add(1)
+			t.refused.Add(1)
 		default:
-			y.answered.Add(1)
+			t.answered.Add(1)
 		}
 		if a.Close && n == len(batch)-1 {
 			return false
@@ -170,38 +170,39 @@
 	return true
 }
 
-// Clients that send on as soon as they are answered, behind one another as well, on connections that they keep and on new ones up to
-// the very end: each has an answer or a refusal, whole, before the process could be killed. Jobs that never end, and what
-// waits for them, were cut off by that; newcomers that nobody had accepted were reset by the process's end.
-func TestNobodyIsCutOffByTheEnd(t *testing.T) {
+// Clients send as soon as they are answered, pipelined as well, on kept and new connections up to the very end:
+// each request gets a complete response or a 503 before the process could be killed. Guards against two faults:
+// jobs that never end, and commands waiting for them, were cut off by the kill; and connections that had not been
+// accepted were reset when the process ended.
+func TestTerminationAnswersEveryRequest(t *testing.T) {
 	hang := make(chan string, 99)
-	p := launch(t, strings.ReplaceAll(usualSettings, `"TellsStart":true`, `"TellsStart":false`), func(p *process, c net.Conn, q *http1.Request) bool {
+	p := launch(t, strings.ReplaceAll(defaultSettings, `"TellsStart":true`, `"TellsStart":false`), func(p *daemonProcess, c net.Conn, q *http1.Request) bool {
 		switch hangs := strings.HasPrefix(id(q), "hangs"); {
 		case hangs && q.Method == "POST":
 			hang <- id(q)
 		case q.Method == "POST":
-			p.done(id(q))
+			p.postResult(id(q))
 		}
 		return answer(c, 202)
 	})
-	var y tally
+	var counts clientCounts
 	var all sync.WaitGroup
-	var asked sync.WaitGroup // each client has had an answer, or is asking what has none
+	var asked sync.WaitGroup // clients that have neither a response nor a request without one
 	client := func(i int) {
 		first := true
 		for n := 0; ; n++ {
 			c, err := net.Dial("tcp", p.address)
 			if err != nil {
-				return // refused: the front goes elsewhere
+				return // refused: the front uses another dispatcher
 			}
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			br, used := bufio.NewReader(c), false
 			for ok := true; ok; n++ {
 				var batch [][]byte
 				for k := range 1 + i%3 {
 					batch = append(batch, commandText(fmt.Sprintf("c%d-%d-%d", i, n, k), "safe"))
 				}
-				ok = y.ask(c, br, used, batch...)
+				ok = counts.sendBatch(c, br, used, batch...)
 				if used = true; first {
 					first = false
 					asked.Done()
@@ -215,22 +216,22 @@
 		all.Go(func() { client(i) })
 	}
 	asked.Wait()
-	for i := range 6 { // never done, some never sent on
+	for i := range 6 { // jobs that never end; some are never sent again
 		all.Go(func() {
 			c, err := net.Dial("tcp", p.address)
 			if err != nil {
 				return
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
-			y.ask(c, bufio.NewReader(c), false, commandText(fmt.Sprint("hangs", i), []string{"safe", "once"}[i%2]))
+			c.SetDeadline(time.Now().Add(testTimeout))
+			counts.sendBatch(c, bufio.NewReader(c), false, commandText(fmt.Sprint("hangs", i), []string{"safe", "once"}[i%2]))
 		})
 	}
-	require.NotEmpty(t, <-hang)             // with all of its client's patience, before the process is told
-	kept, err := net.Dial("tcp", p.address) // its next request is never whole
+	require.NotEmpty(t, <-hang)             // with its client's whole time left, before the process gets SIGTERM
+	kept, err := net.Dial("tcp", p.address) // its next request is never complete
 	require.NoError(t, err)
 	defer kept.Close()
-	kept.SetDeadline(time.Now().Add(patience))
+	kept.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprint(kept, "GET /_health HTTP/1.1\r\n\r\n")
 	br := bufio.NewReader(kept)
 	a, err := http1.ReadResponse(br, "GET")
@@ -240,20 +241,21 @@
 	_, err = kept.Write(half[:len(half)/2])
 	require.NoError(t, err)
 	all.Go(func() {
-		y.ask(kept, br, false, nil)
+		counts.sendBatch(kept, br, false, nil)
 	})
-	p.terminate(longestKill + time.Second) // with some room for a machine that is short of CPU
-	log := p.end()
+	p.terminate(maxKillDelay + time.Second) // with a margin for an overloaded machine
+	log := p.waitForExit()
 	all.Wait()
-	t.Logf("sent %d answered %d refused %d sent again %d", y.sent.Load(), y.answered.Load(), y.refused.Load(), y.again.Load())
-	require.Equal(t, y.sent.Load(), y.answered.Load()+y.refused.Load())
-	require.Zero(t, y.unanswered.Load()+y.cut.Load())
-	require.Positive(t, y.answered.Load())
-	require.Positive(t, y.refused.Load())
+	t.Logf("sent %d answered %d refused %d retried %d", counts.sent.Load(), counts.answered.Load(), counts.refused.Load(), counts.retried.Load())
+	require.Equal(t, counts.sent.Load(), counts.answered.Load()+counts.refused.Load())
+	require.Zero(t, counts.unanswered.Load()+counts.cut.Load())
+	require.Positive(t, counts.answered.Load())
+	require.Positive(t, counts.refused.Load())
 	for _, name := range []string{"ending_unanswered", "ending_cut", "closed_unanswered", "closed_cut"} {
 		require.Contains(t, log, "proxy."+name+"=0")
 	}
 }
 
-// longestKill is when the platform kills what was told to end, where a class has more than three seconds.
-const longestKill = 3700 * time.Millisecond
+// maxKillDelay is the time after SIGTERM at which the platform kills the process where a class has a deadline over
+// three seconds.
+const maxKillDelay = 3700 * time.Millisecond
