--- a/internal/wiretest/wiretest_test.go
+++ b/internal/wiretest/wiretest_test.go
@@ -26,5 +26,6 @@
 		At      time.Time         `json:"At"`
 		private int
 	}
+	require.Zero(t, sample{}.private, "an unexported field needs no tag")
 	require.Equal(t, []string{"wiretest.embedded.Within", "wiretest.sample.Empty", "wiretest.inner.Deep"}, untagged(reflect.TypeFor[sample]()))
 }
