--- a/internal/rerun/claims.go
+++ b/internal/rerun/claims.go
@@ -12,136 +12,136 @@
 
 // print has a fingerprint take a letter. Of failures with one fingerprint one rerun goes first and the others wait for
 // its verdict; after a good one twice as many go at once each time, up to the room of the place.
-func (m *Machine) print(l *Letter) {
-	p := m.s.Prints[l.To]
+func (m *Machine) handleFingerprint(l *Message) {
+	p := m.state.Fingerprints[l.To]
 	if p == nil {
 		if l.Kind == "verdict" {
 			return
 		}
-		if len(m.s.Prints) >= mostKept {
-			m.send(Letter{Kind: "no", To: "r/" + l.From, Stage: l.Stage})
+		if len(m.state.Fingerprints) >= maxTracked {
+			m.send(Message{Kind: "no", To: "r/" + l.From, Stage: l.Stage})
 			return
 		}
-		p = &Print{Room: 1}
-		m.s.Prints[l.To] = p
+		p = &Fingerprint{Room: 1}
+		m.state.Fingerprints[l.To] = p
 	}
-	p.Idle = m.s.At + claimFor
-	m.wake(p.Idle, "print", l.To)
+	p.ForgetAt = m.state.At + claimRetention
+	m.setTimer(p.ForgetAt, "print", l.To)
 	if l.Kind == "try" {
-		m.say(l.To)
-		if len(p.Waiting) >= mostTries || p.Bad >= badInRow && m.s.At < p.Not {
-			m.send(Letter{Kind: "no", To: "r/" + l.From, Stage: l.Stage})
+		m.countSiteFailure(l.To)
+		if len(p.Waiting) >= maxWaitingTrials || p.FailedTrials >= maxFailedTrials && m.state.At < p.NotBefore {
+			m.send(Message{Kind: "no", To: "r/" + l.From, Stage: l.Stage})
 			return
 		}
 		p.Waiting = append(p.Waiting, *l)
-		m.letGo(l.To, p)
+		m.admitTrials(l.To, p)
 		return
 	}
-	i := slices.Index(p.Trying, l.From)
+	i := slices.Index(p.Trials, l.From)
 	if i < 0 { // it may still wait
-		p.Waiting = slices.DeleteFunc(p.Waiting, func(w Letter) bool { return fmt.Sprintf("%s/%d", w.From, w.Stage) == l.From })
+		p.Waiting = slices.DeleteFunc(p.Waiting, func(w Message) bool { return fmt.Sprintf("%s/%d", w.From, w.Stage) == l.From })
 		return
 	}
-	p.Trying = slices.Delete(p.Trying, i, i+1)
+	p.Trials = slices.Delete(p.Trials, i, i+1)
 	switch {
 	case l.Text == "none":
 	case l.OK:
-		p.Bad, p.Not = 0, 0
-		p.Room = min(2*p.Room, max(1, cmp.Or(m.s.Room[l.To[strings.LastIndexByte(l.To, '/')+1:]], usualRoom)))
-		p.Waiting = slices.DeleteFunc(p.Waiting, func(w Letter) bool { // it is the output that they wait for
+		p.FailedTrials, p.NotBefore = 0, 0
+		p.Room = min(2*p.Room, max(1, cmp.Or(m.state.Room[l.To[strings.LastIndexByte(l.To, '/')+1:]], defaultCapacity)))
+		p.Waiting = slices.DeleteFunc(p.Waiting, func(w Message) bool { // it is the output that they wait for
 			if w.Key == l.Key {
-				m.send(Letter{Kind: "go", To: "r/" + w.From, Stage: w.Stage, Sites: m.often(l.To)})
+				m.send(Message{Kind: "go", To: "r/" + w.From, Stage: w.Stage, SuspectSites: m.suspectSites(l.To)})
 			}
 			return w.Key == l.Key
 		})
 	default:
 		p.Room = 1
-		p.Bad++
-		p.Not = m.s.At + time.Second<<min(p.Bad, 6)
-		if p.Bad >= badInRow {
+		p.FailedTrials++
+		p.NotBefore = m.state.At + time.Second<<min(p.FailedTrials, 6)
+		if p.FailedTrials >= maxFailedTrials {
 			for _, w := range p.Waiting {
-				m.send(Letter{Kind: "no", To: "r/" + w.From, Stage: w.Stage})
+				m.send(Message{Kind: "no", To: "r/" + w.From, Stage: w.Stage})
 			}
-			p.Waiting, p.Not = nil, m.s.At+cool
+			p.Waiting, p.NotBefore = nil, m.state.At+trialCooldown
 		}
-		m.wake(p.Not, "print", l.To)
+		m.setTimer(p.NotBefore, "print", l.To)
 	}
-	m.letGo(l.To, p)
+	m.admitTrials(l.To, p)
 }
 
-// letGo lets go first who may.
-func (m *Machine) letGo(key string, p *Print) {
-	if p.Bad >= badInRow && m.s.At >= p.Not {
-		p.Bad = 0
+// admitTrials lets go first who may.
+func (m *Machine) admitTrials(key string, p *Fingerprint) {
+	if p.FailedTrials >= maxFailedTrials && m.state.At >= p.NotBefore {
+		p.FailedTrials = 0
 	}
-	for len(p.Waiting) > 0 && (len(p.Trying) < p.Room && m.s.At >= p.Not || m.faulty.NoTrial) {
+	for len(p.Waiting) > 0 && (len(p.Trials) < p.Room && m.state.At >= p.NotBefore || m.faults.NoTrial) {
 		w := p.Waiting[0]
 		p.Waiting = p.Waiting[1:]
-		p.Trying = append(p.Trying, fmt.Sprintf("%s/%d", w.From, w.Stage))
-		m.send(Letter{Kind: "go", To: "r/" + w.From, Stage: w.Stage, Sites: m.often(key)})
+		p.Trials = append(p.Trials, fmt.Sprintf("%s/%d", w.From, w.Stage))
+		m.send(Message{Kind: "go", To: "r/" + w.From, Stage: w.Stage, SuspectSites: m.suspectSites(key)})
 	}
 }
 
 // say counts what a fingerprint says of its place.
-func (m *Machine) say(print string) {
-	f := family(print)
+func (m *Machine) countSiteFailure(print string) {
+	f := withoutPlace(print)
 	zone, site, ok := strings.Cut(print[len(f)+1:], ".")
-	if all, known := m.s.Often[f]; !ok || site == "" || !known && len(m.s.Often) >= mostKept {
+	if all, known := m.state.SiteFailures[f]; !ok || site == "" || !known && len(m.state.SiteFailures) >= maxTracked {
 		return
-	} else if m.s.Often[f] = slices.DeleteFunc(all, func(o Often) bool { return o.Last+claimFor <= m.s.At }); !known {
-		m.wake(m.s.At+claimFor, "often", f)
+	} else if m.state.SiteFailures[f] = slices.DeleteFunc(all, func(o SiteFailures) bool { return o.LastFailure+claimRetention <= m.state.At }); !known {
+		m.setTimer(m.state.At+claimRetention, "often", f)
 	}
 	at := policy.Place{Zone: zone, Site: site}
-	i := slices.IndexFunc(m.s.Often[f], func(o Often) bool { return o.Site == at })
+	i := slices.IndexFunc(m.state.SiteFailures[f], func(o SiteFailures) bool { return o.Site == at })
 	if i < 0 {
-		if len(m.s.Often[f]) >= mostSites {
+		if len(m.state.SiteFailures[f]) >= maxSites {
 			return
 		}
-		i = len(m.s.Often[f])
-		m.s.Often[f] = append(m.s.Often[f], Often{Site: at})
+		i = len(m.state.SiteFailures[f])
+		m.state.SiteFailures[f] = append(m.state.SiteFailures[f], SiteFailures{Site: at})
 	}
-	m.s.Often[f][i].N++
-	m.s.Often[f][i].Last = m.s.At
+	m.state.SiteFailures[f][i].Failures++
+	m.state.SiteFailures[f][i].LastFailure = m.state.At
 }
 
 // praise tells the sites where a stage's inputs were made that it was content with them, where a rule has bad ones made anew.
 // of is the generations of its inputs.
-func (m *Machine) praise(r *Run, i int, of []int64) {
-	if !slices.ContainsFunc(r.p.Rules, func(rule *policy.Rule) bool { return rule.On == i && rule.Target == policy.Input }) {
+func (m *Machine) reportAccepted(r *Run, i int, of []int64) {
+	if !slices.ContainsFunc(r.pipeline.Rules, func(rule *policy.Rule) bool { return rule.On == i && rule.Target == policy.Input }) {
 		return
 	}
-	for k, n := range r.p.Stages[i].Needs {
-		if at := r.Stages[n].At; at.Site != "" && k < len(of) && of[k] == r.Stages[n].Have {
-			m.send(Letter{Kind: "fine", To: fingerprint(r.Pipeline, r.p.Stages[n].Name, policy.BadInput, at)})
+	for k, n := range r.pipeline.Stages[i].Needs {
+		if at := r.Stages[n].At; at.Site != "" && k < len(of) && of[k] == r.Stages[n].UsedGen {
+			m.send(Message{Kind: "fine", To: fingerprint(r.Pipeline, r.pipeline.Stages[n].Name, policy.BadInput, at)})
 		}
 	}
 }
 
 // fine counts for a site that a stage was content with what was made there. Of a site that was not called bad nothing is kept.
-func (m *Machine) fine(l *Letter) {
-	for i, o := range m.s.Often[family(l.To)] {
+func (m *Machine) countAccepted(l *Message) {
+	for i, o := range m.state.SiteFailures[withoutPlace(l.To)] {
 		if strings.HasSuffix(l.To, "/"+o.Site.Zone+"."+o.Site.Site) {
-			m.s.Often[family(l.To)][i].Fine++
+			m.state.SiteFailures[withoutPlace(l.To)][i].Accepted++
 		}
 	}
 }
 
 // often is the sites of which a fingerprint's stage and cause are said far more often than of others, of late: out of what was
 // made there, or where nobody tells of that, by count.
-func (m *Machine) often(print string) (sites []policy.Place) {
-	var named []Often
+func (m *Machine) suspectSites(print string) (sites []policy.Place) {
+	var named []SiteFailures
 	rated := false
-	for _, o := range m.s.Often[family(print)] {
-		if o.Last+claimFor > m.s.At && o.N >= oftenFrom {
+	for _, o := range m.state.SiteFailures[withoutPlace(print)] {
+		if o.LastFailure+claimRetention > m.state.At && o.Failures >= minSiteFailures {
 			named = append(named, o)
 		}
-		rated = rated || o.Fine > 0
+		rated = rated || o.Accepted > 0
 	}
-	weight := func(o Often) int {
+	weight := func(o SiteFailures) int {
 		if rated {
-			return 1000 * o.N / (o.N + o.Fine)
+			return 1000 * o.Failures / (o.Failures + o.Accepted)
 		}
-		return o.N
+		return o.Failures
 	}
 	most := 0
 	for _, o := range named {
@@ -156,33 +156,33 @@
 }
 
 // approve tells the shared inputs of a turn that its worker was content with them.
-func (m *Machine) approve(t *Turn, worker string) {
+func (m *Machine) sendApprovals(t *Turn, worker string) {
 	for i, key := range t.Inputs {
-		if shared(key) && i < len(t.Of) {
-			m.send(Letter{Kind: "approve", To: key, From: t.Run, Gen: t.Of[i], Worker: worker})
+		if isShared(key) && i < len(t.Of) {
+			m.send(Message{Kind: "approve", To: key, From: t.Run, Gen: t.Of[i], Worker: worker})
 		}
 	}
 }
 
 // approved has a shared output keep who was content with it.
-func (m *Machine) approved(l *Letter) {
-	o := m.s.Outputs[l.To]
-	if o == nil || o.Gen != l.Gen || len(o.Approved) >= mostApproved {
+func (m *Machine) handleApproval(l *Message) {
+	o := m.state.Outputs[l.To]
+	if o == nil || o.Gen != l.Gen || len(o.Approvals) >= maxApprovals {
 		return
 	}
-	if !slices.ContainsFunc(o.Approved, func(a Approval) bool { return a.Run == l.From || a.Worker == l.Worker }) {
-		o.Approved = append(o.Approved, Approval{Run: l.From, Worker: l.Worker})
+	if !slices.ContainsFunc(o.Approvals, func(a Approval) bool { return a.Run == l.From || a.Worker == l.Worker }) {
+		o.Approvals = append(o.Approvals, Approval{Run: l.From, Worker: l.Worker})
 	}
 }
 
 // challenge has a shared output tell whether another run's stage, at another worker than the one that claims that it is bad, was
 // content with it. What the run itself knows of that it looks at by itself.
-func (m *Machine) challenge(l *Letter) {
-	o := m.s.Outputs[l.To]
-	content := o != nil && o.Gen == l.Gen && slices.ContainsFunc(o.Approved, func(a Approval) bool {
+func (m *Machine) handleChallenge(l *Message) {
+	o := m.state.Outputs[l.To]
+	content := o != nil && o.Gen == l.Gen && slices.ContainsFunc(o.Approvals, func(a Approval) bool {
 		return a.Run != l.From && a.Worker != l.Worker
 	})
-	m.send(Letter{Kind: "challenged", To: "r/" + l.From, Stage: l.Stage, OK: content})
+	m.send(Message{Kind: "challenged", To: "r/" + l.From, Stage: l.Stage, OK: content})
 }
 
 // claimant has what is known of a worker's claims take a letter. The first ones are believed. While those are neither
@@ -190,53 +190,53 @@
 // as often at that stage: if that says so too, more are believed from then on; who was refuted is not believed for
 // a while. One in eight is looked into all the same, else who lies now and then would never be found out. A claim that
 // confirms another worker's needs no third look, unless its own worker was refuted.
-func (m *Machine) claimant(l *Letter) {
-	c := m.s.Claimants[l.To]
+func (m *Machine) handleClaim(l *Message) {
+	c := m.state.Claimants[l.To]
 	if c == nil {
-		if l.Kind == "opinion" || len(m.s.Claimants) >= mostKept {
+		if l.Kind == "opinion" || len(m.state.Claimants) >= maxTracked {
 			if l.Kind == "claim" {
-				m.send(Letter{Kind: "believed", To: "r/" + l.From, Stage: l.Stage, OK: true})
+				m.send(Message{Kind: "believed", To: "r/" + l.From, Stage: l.Stage, OK: true})
 			}
 			return
 		}
-		c = &Claimant{Since: m.s.At, Trust: trustFirst}
-		m.s.Claimants[l.To] = c
-		m.wake(m.s.At+claimFor, "claimant", l.To)
+		c = &Claimant{Since: m.state.At, Trust: initialTrust}
+		m.state.Claimants[l.To] = c
+		m.setTimer(m.state.At+claimRetention, "claimant", l.To)
 	}
-	if c.Content == nil {
-		c.Content = map[string]int64{}
+	if c.Accepted == nil {
+		c.Accepted = map[string]int64{}
 	}
 	if l.Kind == "content" {
-		if c.Content[l.Text] > 0 || len(c.Content) < mostSites {
-			c.Content[l.Text]++
+		if c.Accepted[l.Text] > 0 || len(c.Accepted) < maxSites {
+			c.Accepted[l.Text]++
 		}
 		return
 	}
 	same := func(x Claim) bool { return x.Key == l.Key && x.Gen == l.Gen }
 	if l.Kind == "opinion" {
-		c.Open = slices.DeleteFunc(c.Open, same)
+		c.OpenClaims = slices.DeleteFunc(c.OpenClaims, same)
 		if l.OK { // another worker says so too: its claims are worth something
-			c.Open, c.Refuted, c.Trust = nil, 0, min(2*c.Trust, trustMost)
-		} else if c.Refuted, c.Trust, c.Content = c.Refuted+1, 0, nil; c.Refuted >= refutedMost {
-			c.Until = m.s.At + claimFor
+			c.OpenClaims, c.Refuted, c.Trust = nil, 0, min(2*c.Trust, maxTrust)
+		} else if c.Refuted, c.Trust, c.Accepted = c.Refuted+1, 0, nil; c.Refuted >= maxRefuted {
+			c.Until = m.state.At + claimRetention
 		}
 		return
 	}
-	answer := Letter{Kind: "believed", To: "r/" + l.From, Stage: l.Stage, OK: true, At: l.At}
+	answer := Message{Kind: "believed", To: "r/" + l.From, Stage: l.Stage, OK: true, At: l.At}
 	if !l.OK {
 		c.Claims++
 	}
 	switch {
-	case m.s.At < c.Until:
+	case m.state.At < c.Until:
 		answer.OK, answer.Text = false, "its worker's claims were refuted"
 	case l.OK: // it confirms another's
-	case slices.ContainsFunc(c.Open, same):
-	case int64(len(c.Open)) < int64(c.Trust)+c.Content[l.Text]/trustEach && c.Claims%lookEach > 0:
-		c.Open = append(c.Open, Claim{Key: l.Key, Gen: l.Gen})
+	case slices.ContainsFunc(c.OpenClaims, same):
+	case int64(len(c.OpenClaims)) < int64(c.Trust)+c.Accepted[l.Text]/acceptedPerClaim && c.Claims%checkInterval > 0:
+		c.OpenClaims = append(c.OpenClaims, Claim{Key: l.Key, Gen: l.Gen})
 	default:
 		answer.OK, answer.Text = false, "its worker calls many inputs bad"
-		if len(c.Open) < 64 {
-			c.Open = append(c.Open, Claim{Key: l.Key, Gen: l.Gen})
+		if len(c.OpenClaims) < 64 {
+			c.OpenClaims = append(c.OpenClaims, Claim{Key: l.Key, Gen: l.Gen})
 		}
 	}
 	m.send(answer)
--- a/internal/rerun/command.go
+++ b/internal/rerun/command.go
@@ -47,9 +47,9 @@
 	Cause    policy.Cause      `json:"cause,omitempty"`
 	Input    string            `json:"input,omitempty"`
 	Place    *policy.Place     `json:"place,omitempty"`
-	Ran      time.Duration     `json:"ran,omitempty"`
+	RunTime      time.Duration     `json:"ran,omitempty"`
 	Group    uint32            `json:"group,omitempty"`
-	Letters  []Letter          `json:"letters,omitempty"`
+	Letters  []Message          `json:"letters,omitempty"`
 	Seq      uint64            `json:"seq,omitempty"`
 	Rooms    map[string]int    `json:"rooms,omitempty"` // by zone.site
 }
@@ -79,59 +79,59 @@
 
 // Apply steps the machine by a committed command. at is Unix time, and never less than before.
 func (m *Machine) Apply(_ uint64, at time.Duration, cmd []byte) []byte {
-	m.s.At = max(m.s.At, at)
+	m.state.At = max(m.state.At, at)
 	var c Command
 	r := Result{Why: "it cannot be read"}
 	if err := json.Unmarshal(cmd, &c); err == nil && c.V != Version {
 		r.Why = fmt.Sprintf("version %d is not spoken here, %d is", c.V, Version)
 	} else if err == nil {
-		m.time()
+		m.fireTimers()
 		r = m.step(&c)
-		m.settle()
+		m.deliverLocal()
 	}
 	text, _ := json.Marshal(r)
 	return text
 }
 
-func no(format string, args ...any) Result { return Result{Why: fmt.Sprintf(format, args...)} }
+func refuse(format string, args ...any) Result { return Result{Why: fmt.Sprintf(format, args...)} }
 
 func (m *Machine) step(c *Command) Result {
 	switch c.Op {
 	case OpPolicy:
-		return m.policy(c)
+		return m.setPolicy(c)
 	case OpSubmit:
 		return m.submit(c)
 	case OpStart:
 		return m.start(c)
 	case OpTurn:
-		if o := m.s.Outputs[c.Key]; o == nil || o.Turn == nil || o.Turn.Gen != c.Gen || o.Turn.Phase != Started {
-			return no("no such turn runs")
+		if o := m.state.Outputs[c.Key]; o == nil || o.Turn == nil || o.Turn.Gen != c.Gen || o.Turn.Phase != Started {
+			return refuse("no such turn runs")
 		}
 		return Result{OK: true}
 	case OpEnd:
 		return m.end(c)
 	case OpLetters:
 		for _, l := range c.Letters {
-			if l.Seq == m.s.In[c.Group]+1 || m.faulty.GrantTwice && l.Kind == "grant" {
-				m.s.In[c.Group] = max(l.Seq, m.s.In[c.Group])
-				m.local = append(m.local, l)
+			if l.Seq == m.state.LastReceived[c.Group]+1 || m.faults.GrantTwice && l.Kind == "grant" {
+				m.state.LastReceived[c.Group] = max(l.Seq, m.state.LastReceived[c.Group])
+				m.localMessages = append(m.localMessages, l)
 			}
 		}
-		return Result{OK: true, Seq: m.s.In[c.Group]}
+		return Result{OK: true, Seq: m.state.LastReceived[c.Group]}
 	case OpSent:
-		m.s.Out[c.Group] = slices.DeleteFunc(m.s.Out[c.Group], func(l Letter) bool { return l.Seq <= c.Seq })
+		m.state.Outbox[c.Group] = slices.DeleteFunc(m.state.Outbox[c.Group], func(l Message) bool { return l.Seq <= c.Seq })
 		return Result{OK: true}
 	case OpCallOff:
-		if r := m.s.Runs[c.ID]; r != nil && r.Answer == nil {
+		if r := m.state.Runs[c.ID]; r != nil && r.Answer == nil {
 			m.finish(r, Answer{Kind: CalledOff, Reason: "called off"})
 		} else if r == nil {
-			return no("no run %q", c.ID)
+			return refuse("no run %q", c.ID)
 		}
 		return Result{OK: true}
 	case OpRoom:
 		for place, room := range c.Rooms {
-			if len(m.s.Room) < mostKept && len(place) <= mostParam {
-				m.s.Room[place] = max(1, room)
+			if len(m.state.Room) < maxTracked && len(place) <= maxParamBytes {
+				m.state.Room[place] = max(1, room)
 			}
 		}
 		return Result{OK: true}
@@ -140,7 +140,7 @@
 	case OpLook:
 		e, ok := m.Explain(c.ID)
 		if !ok {
-			return no("no run %q", c.ID)
+			return refuse("no run %q", c.ID)
 		}
 		return Result{OK: true, Answer: e.Answer, Explained: &e}
 	case OpTakeOver:
@@ -149,83 +149,83 @@
 		}
 		return Result{OK: true}
 	}
-	return no("no such command")
+	return refuse("no such command")
 }
 
-func (m *Machine) policy(c *Command) Result {
+func (m *Machine) setPolicy(c *Command) Result {
 	if c.Site == nil {
-		return no("without a site")
+		return refuse("without a site")
 	}
 	p, err := policy.Parse("policy", []byte(c.Text), *c.Site)
 	if err != nil {
-		return no("%v", err)
+		return refuse("%v", err)
 	}
-	if before, known := m.s.Policies[p.Version]; known {
+	if before, known := m.state.Policies[p.Version]; known {
 		if before.Text != c.Text {
-			return no("version %q is another text: give it another version", p.Version)
+			return refuse("version %q is another text: give it another version", p.Version)
 		}
 	} else {
-		m.s.Policies[p.Version], m.loaded[p.Version] = policyText{c.Text, *c.Site}, p
-		m.s.Versions = append(m.s.Versions, p.Version)
+		m.state.Policies[p.Version], m.policies[p.Version] = storedPolicy{c.Text, *c.Site}, p
+		m.state.Versions = append(m.state.Versions, p.Version)
 	}
-	m.s.Current = p.Version
+	m.state.CurrentVersion = p.Version
 	used := map[string]bool{p.Version: true}
-	for _, r := range m.s.Runs {
+	for _, r := range m.state.Runs {
 		used[r.Policy] = true
 	}
-	for len(m.s.Versions) > mostPolicies {
-		i := slices.IndexFunc(m.s.Versions, func(v string) bool { return !used[v] })
+	for len(m.state.Versions) > maxPolicies {
+		i := slices.IndexFunc(m.state.Versions, func(v string) bool { return !used[v] })
 		if i < 0 {
 			break
 		}
-		delete(m.s.Policies, m.s.Versions[i])
-		delete(m.loaded, m.s.Versions[i])
-		m.s.Versions = slices.Delete(m.s.Versions, i, i+1)
+		delete(m.state.Policies, m.state.Versions[i])
+		delete(m.policies, m.state.Versions[i])
+		m.state.Versions = slices.Delete(m.state.Versions, i, i+1)
 	}
 	return Result{OK: true}
 }
 
 func (m *Machine) submit(c *Command) Result {
-	if r := m.s.Runs[c.ID]; r != nil { // asked again: whoever asked did not hear
+	if r := m.state.Runs[c.ID]; r != nil { // asked again: whoever asked did not hear
 		if r.Pipeline != c.Pipeline || r.Tenant != c.Tenant || !maps.Equal(r.Params, c.Params) {
-			return no("run %q is another", c.ID)
+			return refuse("run %q is another", c.ID)
 		}
 		return Result{OK: true, Answer: r.Answer}
 	}
-	pol := m.loaded[m.s.Current]
+	pol := m.policies[m.state.CurrentVersion]
 	switch {
 	case c.ID == "" || len(c.ID) > 96 || strings.ContainsAny(c.ID, "/ ~?#%"):
-		return no("a run's id has 1 to 96 bytes, without / ? # %% ~ and spaces")
+		return refuse("a run's id has 1 to 96 bytes, without / ? # %% ~ and spaces")
 	case pol == nil:
-		return no("there is no policy yet")
+		return refuse("there is no policy yet")
 	case pol.Pipelines[c.Pipeline] == nil:
-		return no("version %q has no pipeline %q", pol.Version, c.Pipeline)
-	case len(m.s.Runs) >= mostRuns || len(m.s.Outputs) >= mostOutputs:
-		return no("the group holds %d runs and %d outputs: it is full", len(m.s.Runs), len(m.s.Outputs))
-	case len(c.Tenant) > mostParam || len(c.Params) > mostParams:
-		return no("too many parameters, or too long")
+		return refuse("version %q has no pipeline %q", pol.Version, c.Pipeline)
+	case len(m.state.Runs) >= maxRuns || len(m.state.Outputs) >= maxOutputs:
+		return refuse("the group holds %d runs and %d outputs: it is full", len(m.state.Runs), len(m.state.Outputs))
+	case len(c.Tenant) > maxParamBytes || len(c.Params) > maxParams:
+		return refuse("too many parameters, or too long")
 	}
 	for k, v := range c.Params {
-		if len(k) > mostParam || len(v) > mostParam {
-			return no("too many parameters, or too long")
+		if len(k) > maxParamBytes || len(v) > maxParamBytes {
+			return refuse("too many parameters, or too long")
 		}
 	}
 	p := pol.Pipelines[c.Pipeline]
 	for _, s := range p.Stages {
 		if s.Shared != "" && (c.Params[s.Shared] == "" || strings.ContainsAny(c.Params[s.Shared], "/ ")) {
-			return no("stage %q is shared by the parameter %q, which must be given, without / and spaces", s.Name, s.Shared)
+			return refuse("stage %q is shared by the parameter %q, which must be given, without / and spaces", s.Name, s.Shared)
 		}
 	}
 	r := &Run{
 		ID: c.ID, Pipeline: c.Pipeline, Policy: pol.Version, Tenant: c.Tenant, Params: c.Params,
-		Began: m.s.At, Until: m.s.At + p.Within, Uses: make([]int, len(p.Rules)), p: p,
+		Began: m.state.At, Until: m.state.At + p.Within, RuleUses: make([]int, len(p.Rules)), pipeline: p,
 	}
 	for range p.Stages {
 		r.Stages = append(r.Stages, &Stage{})
 	}
-	m.s.Runs[c.ID] = r
-	m.open++
-	m.wake(r.Until, "run", r.ID)
+	m.state.Runs[c.ID] = r
+	m.unfinished++
+	m.setTimer(r.Until, "run", r.ID)
 	m.advance(r)
 	return Result{OK: true}
 }
--- a/internal/rerun/explain.go
+++ b/internal/rerun/explain.go
@@ -16,7 +16,7 @@
 	Tenant   string            `json:"tenant,omitempty"`
 	Began    time.Duration     `json:"began"`
 	Answer   *Answer           `json:"answer,omitempty"`
-	Waits    []string          `json:"waits_for,omitempty"`
+	WaitsFor    []string          `json:"waits_for,omitempty"`
 	Reruns   int               `json:"reruns"`
 	Work     time.Duration     `json:"rerun_work"`
 	Story    []Line            `json:"story"`
@@ -24,30 +24,30 @@
 }
 
 // waits is what a run waits for, and the stage that it is at.
-func (m *Machine) waits(r *Run) (stage string, all []string) {
+func (m *Machine) waitingFor(r *Run) (stage string, all []string) {
 	for i, s := range r.Stages {
-		name := r.p.Stages[i].Name
-		switch n := s.Next; {
-		case n != nil && n.Phase == Pausing:
-			all = append(all, fmt.Sprintf("%s: %v until %s is run again", name, max(0, n.At-m.s.At).Round(time.Millisecond), r.p.Stages[n.Target].Name))
-		case n != nil && n.Phase == OnTrial:
-			all = append(all, fmt.Sprintf("%s: the verdict of a rerun that went first, of %s", name, strings.TrimPrefix(n.Print, "f/")))
-		case n != nil && n.Phase == Challenging:
+		name := r.pipeline.Stages[i].Name
+		switch n := s.Pending; {
+		case n != nil && n.Phase == BackingOff:
+			all = append(all, fmt.Sprintf("%s: %v until %s is run again", name, max(0, n.At-m.state.At).Round(time.Millisecond), r.pipeline.Stages[n.Target].Name))
+		case n != nil && n.Phase == AwaitingTrial:
+			all = append(all, fmt.Sprintf("%s: the verdict of a rerun that went first, of %s", name, strings.TrimPrefix(n.Fingerprint, "f/")))
+		case n != nil && n.Phase == CheckingInput:
 			all = append(all, name+": whether others were content with its input")
-		case n != nil && n.Phase == AskingSites:
+		case n != nil && n.Phase == AwaitingSites:
 			all = append(all, name+": which sites spoil what it makes")
 		case n != nil:
 			all = append(all, fmt.Sprintf("%s: whether its worker is believed", name))
-		case s.Wants:
+		case s.Requested:
 			text := "its output"
-			if o := m.s.Outputs[r.Key(i)]; o != nil && o.Turn != nil {
+			if o := m.state.Outputs[r.Key(i)]; o != nil && o.Turn != nil {
 				switch o.Turn.Phase {
-				case Paying:
+				case AwaitingBudget:
 					text = "a budget: " + strings.Join(o.Turn.Charge, ", ")
 				case Queued:
 					text = "its turn"
 				case Started:
-					text = fmt.Sprintf("generation %d, which %s has had run for %v", o.Turn.Gen, o.Turn.By, (m.s.At - o.Turn.Began).Round(time.Millisecond))
+					text = fmt.Sprintf("generation %d, which %s has had run for %v", o.Turn.Gen, o.Turn.By, (m.state.At - o.Turn.Began).Round(time.Millisecond))
 				}
 			}
 			all = append(all, name+": "+text)
@@ -62,7 +62,7 @@
 // Explain tells of one run: each rerun, by which line of which version, what it made stale, what it cost, what it
 // waits for; false: there is none.
 func (m *Machine) Explain(id string) (e Explained, ok bool) {
-	r := m.s.Runs[id]
+	r := m.state.Runs[id]
 	if r == nil {
 		return e, false
 	}
@@ -71,19 +71,19 @@
 		Story: slices.Clone(r.Story), Stages: map[string]string{},
 	}
 	if r.Answer == nil {
-		_, e.Waits = m.waits(r)
+		_, e.WaitsFor = m.waitingFor(r)
 	}
 	for i, s := range r.Stages {
 		text := "not made"
-		if s.Have > s.Over {
-			text = fmt.Sprintf("generation %d", s.Have)
-		} else if s.Have > 0 {
-			text = fmt.Sprintf("generation %d, stale", s.Have)
+		if s.UsedGen > s.StaleUpTo {
+			text = fmt.Sprintf("generation %d", s.UsedGen)
+		} else if s.UsedGen > 0 {
+			text = fmt.Sprintf("generation %d, stale", s.UsedGen)
 		}
 		if s.At.Worker != "" {
 			text += " at " + s.At.Worker
 		}
-		e.Stages[r.p.Stages[i].Name] = text
+		e.Stages[r.pipeline.Stages[i].Name] = text
 	}
 	return e, true
 }
--- a/internal/rerun/hard_test.go
+++ b/internal/rerun/hard_test.go
@@ -12,7 +12,7 @@
 )
 
 // diamond is source > left, right > join > publish, and what is said of them.
-const diamond = `[[pipeline]]
+const diamondPipeline = `[[pipeline]]
 name="diamond"
 result=["publish"]
 within="1h"
@@ -66,11 +66,11 @@
 budget="fleet"
 `
 
-func inDiamond(t *testing.T, outcome func(g Go) Command) (*world, *Run) {
-	w := newWorld(t, 21, 4, 100)
-	w.double = 0.5 // each end and many letters are told twice: the first word of it counts
-	w.policy(words("7", "100%", "10m", diamond))
-	w.outcome = func(_ *world, g Go) Command {
+func runDiamond(t *testing.T, outcome func(g Go) Command) (*simulation, *Run) {
+	w := newSimulation(t, 21, 4, 100)
+	w.duplicate = 0.5 // each end and many letters are told twice: the first word of it counts
+	w.policy(policyFile("7", "100%", "10m", diamondPipeline))
+	w.outcome = func(_ *simulation, g Go) Command {
 		c := outcome(g)
 		if c.Place == nil {
 			c.Place = worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")
@@ -82,7 +82,7 @@
 	return w, w.run("r0")
 }
 
-func (w *world) gens() map[string]int {
+func (w *simulation) generations() map[string]int {
 	all := map[string]int{}
 	for key, gens := range w.started {
 		all[stageOf(key)] = len(gens)
@@ -93,21 +93,21 @@
 // Both branches fail by one input, at once or one after the other: it is made anew once, and each stage below it once.
 func TestDiamond(t *testing.T) {
 	for _, one := range []bool{false, true} {
-		w, r := inDiamond(t, func(g Go) Command {
+		w, r := runDiamond(t, func(g Go) Command {
 			if s := stageOf(g.Key); (s == "left" || s == "right" && !one) && g.Of[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "source"}
 			}
 			return Command{OK: true}
 		})
 		require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
-		require.Equal(t, map[string]int{"source": 2, "left": 2, "right": 2, "join": 1, "publish": 1}, w.gens(), "%v", r.Story)
+		require.Equal(t, map[string]int{"source": 2, "left": 2, "right": 2, "join": 1, "publish": 1}, w.generations(), "%v", r.Story)
 	}
 }
 
 // Guards against one worker's word having an input made anew, and all below it, though another stage's worker was content with it.
-func TestStageContentWithAnInputHasAClaimLookedInto(t *testing.T) {
+func TestClaimOnInputAcceptedByAnotherStageIsChecked(t *testing.T) {
 	for _, lies := range []bool{true, false} {
-		w, r := inDiamond(t, func(g Go) Command {
+		w, r := runDiamond(t, func(g Go) Command {
 			if stageOf(g.Key) == "left" && g.Of[0] == 1 && (g.Gen == 1 || !lies) {
 				return Command{Cause: policy.BadInput, Input: "source", Place: worker(7+int(g.Gen), "s3", "b")}
 			}
@@ -118,61 +118,61 @@
 		if !lies { // the second worker says so too
 			want["source"], want["left"], want["right"] = 2, 3, 2
 		}
-		require.Equal(t, want, w.gens(), "%v", r.Story)
+		require.Equal(t, want, w.generations(), "%v", r.Story)
 	}
 }
 
 // Guards against one worker's word having a shared input made anew, and all below it in several runs, though the worker of
 // another run was content with it.
-func TestSharedInputThatAnotherRunWasContentWithHasAClaimLookedInto(t *testing.T) {
+func TestClaimOnSharedInputAcceptedByAnotherRunIsChecked(t *testing.T) {
 	for _, lies := range []bool{true, false} {
-		w := newWorld(t, 22, 4, 100)
-		w.double = 0.5
-		w.policy(words("1", "100%", "60m", film("fleet", 3, "")))
-		w.outcome = func(_ *world, g Go) Command {
+		w := newSimulation(t, 22, 4, 100)
+		w.duplicate = 0.5
+		w.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
+		w.outcome = func(_ *simulation, g Go) Command {
 			if strings.HasPrefix(g.Key, "r/r1/encode") && g.Of[0] == 1 && (g.Gen == 1 || !lies) {
 				return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(7+int(g.Gen), "s3", "b")}
 			}
 			return Command{OK: true, Place: worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")}
 		}
 		for i := range 2 {
-			w.submit(name(i), "film", "t", map[string]string{"asset": "one"})
+			w.submit(runID(i), "film", "t", map[string]string{"asset": "one"})
 			w.finish(2000)
 		}
 		story := w.run("r1").Story
-		require.Equal(t, map[Kind]int{Done: 2}, w.ends(2, name), "%v", story)
+		require.Equal(t, map[Kind]int{Done: 2}, w.endKinds(2, runID), "%v", story)
 		require.Len(t, w.started["s/film/ingest/one"], map[bool]int{true: 1, false: 2}[lies], "%v", story)
 		require.Len(t, w.started["r/r1/encode"], map[bool]int{true: 2, false: 3}[lies], "%v", story)
 	}
 }
 
 // Guards against a shared input being made anew on a claim that another run's worker spoke against while the claim was looked at.
-func TestContentThatComesAfterAClaimCounts(t *testing.T) {
-	w := newWorld(t, 23, 4, 100)
-	w.policy(words("1", "100%", "60m", film("fleet", 3, "")))
-	w.takes = func(_ *world, g Go) time.Duration {
+func TestAcceptanceAfterAClaimCounts(t *testing.T) {
+	w := newSimulation(t, 23, 4, 100)
+	w.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
+	w.duration = func(_ *simulation, g Go) time.Duration {
 		if g.Key == "r/r0/encode" {
 			return g.Work/2 + 400*time.Millisecond // the claim's rerun waits half a second at least
 		}
 		return g.Work / 2
 	}
-	w.outcome = func(_ *world, g Go) Command {
+	w.outcome = func(_ *simulation, g Go) Command {
 		if g.Key == "r/r1/encode" && g.Gen == 1 {
 			return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(8, "s3", "b")}
 		}
 		return Command{OK: true, Place: worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")}
 	}
 	for i := range 2 {
-		w.submit(name(i), "film", "t", map[string]string{"asset": "one"})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": "one"})
 	}
 	w.finish(2000)
-	require.Equal(t, map[Kind]int{Done: 2}, w.ends(2, name))
+	require.Equal(t, map[Kind]int{Done: 2}, w.endKinds(2, runID))
 	require.Len(t, w.started["s/film/ingest/one"], 1, "%v", w.run("r1").Story)
 }
 
 // What is being made again loses its own input meanwhile, or is lost as soon as it is there.
-func TestLostWhileItIsMadeAgain(t *testing.T) {
-	w, r := inDiamond(t, func(g Go) Command {
+func TestOutputLostDuringRerun(t *testing.T) {
+	w, r := runDiamond(t, func(g Go) Command {
 		switch s := stageOf(g.Key); {
 		case s == "join" && g.Of[0] == 1:
 			return Command{Cause: policy.BadInput, Input: "left"}
@@ -182,18 +182,18 @@
 		return Command{OK: true}
 	})
 	require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
-	require.Equal(t, map[string]int{"source": 2, "left": 3, "right": 2, "join": 2, "publish": 1}, w.gens(), "%v", r.Story)
+	require.Equal(t, map[string]int{"source": 2, "left": 3, "right": 2, "join": 2, "publish": 1}, w.generations(), "%v", r.Story)
 
-	w, r = inDiamond(t, func(g Go) Command {
+	w, r = runDiamond(t, func(g Go) Command {
 		if stageOf(g.Key) == "join" && g.Of[0] < 3 {
 			return Command{Cause: policy.OutputLost, Input: "left"}
 		}
 		return Command{OK: true}
 	})
 	require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
-	require.Equal(t, map[string]int{"source": 1, "left": 3, "right": 1, "join": 3, "publish": 1}, w.gens(), "%v", r.Story)
+	require.Equal(t, map[string]int{"source": 1, "left": 3, "right": 1, "join": 3, "publish": 1}, w.generations(), "%v", r.Story)
 
-	w, r = inDiamond(t, func(g Go) Command { // again and again: a final answer, and no more than the rule's
+	w, r = runDiamond(t, func(g Go) Command { // again and again: a final answer, and no more than the rule's
 		if stageOf(g.Key) == "join" {
 			return Command{Cause: policy.OutputLost, Input: "left"}
 		}
@@ -201,16 +201,16 @@
 	})
 	require.Equal(t, Dead, r.Answer.Kind)
 	require.Equal(t, "join", r.Answer.Stage)
-	require.LessOrEqual(t, w.gens()["left"], 3)
+	require.LessOrEqual(t, w.generations()["left"], 3)
 }
 
 // explain tells of each rerun by which line of which version it was, what it made stale, what it cost, and what is waited
 // for meanwhile.
 func TestExplain(t *testing.T) {
-	w := newWorld(t, 22, 4, 100)
-	text := words("7", "100%", "10m", diamond)
+	w := newSimulation(t, 22, 4, 100)
+	text := policyFile("7", "100%", "10m", diamondPipeline)
 	w.policy(text)
-	w.outcome = func(_ *world, g Go) Command {
+	w.outcome = func(_ *simulation, g Go) Command {
 		if stageOf(g.Key) == "join" && g.Of[0] == 1 {
 			return Command{Cause: policy.BadInput, Input: "left", Place: worker(5, "s5", "a")}
 		}
@@ -224,7 +224,7 @@
 	}
 	waited := map[string]bool{}
 	for explain().Answer == nil {
-		for _, line := range explain().Waits {
+		for _, line := range explain().WaitsFor {
 			for _, what := range []string{"until left is run again", "which d", "whether its worker is believed", "verdict of a rerun that went first"} {
 				waited[what] = waited[what] || strings.Contains(line, what)
 			}
--- a/internal/rerun/model.go
+++ b/internal/rerun/model.go
@@ -47,71 +47,71 @@
 	Began    time.Duration     `json:"began"`
 	Until    time.Duration     `json:"until"`
 	Stages   []*Stage          `json:"stages"`
-	Uses     []int             `json:"uses,omitempty"` // of each rule
-	Others   int               `json:"others,omitempty"`
+	RuleUses     []int             `json:"uses,omitempty"` // of each rule
+	OthersReruns   int               `json:"others,omitempty"`
 	Reruns   int               `json:"reruns,omitempty"`
 	Work     time.Duration     `json:"work,omitempty"` // of reruns that it began
 	Answer   *Answer           `json:"answer,omitempty"`
 	Story    []Line            `json:"story,omitempty"`
 
-	p *policy.Pipeline
+	pipeline *policy.Pipeline
 }
 
 // Stage is one of a run's. Generations count from 1; 0 is none.
 type Stage struct {
-	Have   int64          `json:"have,omitempty"` // generation of its output that the run uses
-	Over   int64          `json:"over,omitempty"` // generations up to this one do not count
+	UsedGen   int64          `json:"have,omitempty"` // generation of its output that the run uses
+	StaleUpTo   int64          `json:"over,omitempty"` // generations up to this one do not count
 	Of     []int64        `json:"of,omitempty"`   // generations of its inputs, by its needs, that are asked for
-	Wants  bool           `json:"wants,omitempty"`
-	Own    bool           `json:"own,omitempty"` // it has been asked for anew, by a rule of this run
-	Ran    bool           `json:"ran,omitempty"` // of one that must not run twice: it may have
+	Requested  bool           `json:"wants,omitempty"`
+	ByRule    bool           `json:"own,omitempty"` // it has been asked for anew, by a rule of this run
+	MayHaveRun    bool           `json:"ran,omitempty"` // of one that must not run twice: it may have
 	Runs   int64          `json:"runs,omitempty"`
 	At     policy.Place   `json:"at"`
-	Made   time.Duration  `json:"made,omitempty"`
+	MadeAt   time.Duration  `json:"made,omitempty"`
 	Result string         `json:"result,omitempty"`
 	Rule   int            `json:"rule,omitempty"`  // one above the rule by which it is asked for anew
-	Bad    []policy.Place `json:"bad,omitempty"`   // where generations of it came to nothing, the last ones
-	Sites  []policy.Place `json:"sites,omitempty"` // of which that is said often
-	Next   *Next          `json:"next,omitempty"`  // since it failed
-	Tried  *Tried         `json:"tried,omitempty"`
+	FailedPlaces    []policy.Place `json:"bad,omitempty"`   // where generations of it came to nothing, the last ones
+	SuspectSites  []policy.Place `json:"sites,omitempty"` // of which that is said often
+	Pending   *PendingRerun          `json:"next,omitempty"`  // since it failed
+	Trial  *TrialRef         `json:"tried,omitempty"`
 	Doubt  *Claim         `json:"doubt,omitempty"` // it runs for a second opinion on this
 }
 
-// Next is what is to be done since a stage failed.
-type Next struct {
+// NextTimer is what is to be done since a stage failed.
+type PendingRerun struct {
 	Rule   int            `json:"rule"`
 	Target int            `json:"target"`
-	Bad    int64          `json:"bad"` // generation of the target's output that came to nothing
+	BadGen    int64          `json:"bad"` // generation of the target's output that came to nothing
 	Cause  policy.Cause   `json:"cause"`
 	Failed policy.Place   `json:"failed"` // whom the rerun must not be at
-	Print  string         `json:"print"`
-	Phase  NextPhase      `json:"phase"`
+	Fingerprint  string         `json:"print"`
+	Phase  RerunPhase      `json:"phase"`
 	At     time.Duration  `json:"at,omitempty"`
 	Claim  *Claim         `json:"claim,omitempty"`
 	By     policy.Place   `json:"by"`               // who claims
-	Sure   bool           `json:"sure,omitempty"`   // two workers claim it
+	Confirmed   bool           `json:"sure,omitempty"`   // two workers claim it
 	Second bool           `json:"second,omitempty"` // the stage itself runs elsewhere first: is its claim true?
-	Sites  []policy.Place `json:"sites,omitempty"`  // that the fingerprint told are bad
+	SuspectSites  []policy.Place `json:"sites,omitempty"`  // that the fingerprint told are bad
 }
 
-// NextPhase is how far a rerun is on its way to be asked for.
-type NextPhase string
+// RerunPhase is how far a rerun is on its way to be asked for.
+type RerunPhase string
 
 // The phases of a rerun, in their order.
 const (
-	Claiming    NextPhase = "claim"     // whether the worker that calls an input bad is believed
-	Pausing     NextPhase = "wait"      // its rule's time
-	OnTrial     NextPhase = "trial"     // the verdicts of reruns that went first
-	Challenging NextPhase = "challenge" // whether other runs were content with the input
-	AskingSites NextPhase = "sites"     // which sites spoil what the stage makes
+	CheckingClaim    RerunPhase = "claim"     // whether the worker that calls an input bad is believed
+	BackingOff     RerunPhase = "wait"      // its rule's time
+	AwaitingTrial     RerunPhase = "trial"     // the verdicts of reruns that went first
+	CheckingInput RerunPhase = "challenge" // whether other runs were content with the input
+	AwaitingSites RerunPhase = "sites"     // which sites spoil what the stage makes
 )
 
-// onTrial tells whether a fingerprint knows of the rerun, as one that waits there or that it has let go.
-func (p NextPhase) onTrial() bool { return p == OnTrial || p == Challenging || p == AskingSites }
+// tracked tells whether a fingerprint knows of the rerun, as one that waits there or that it has let go.
+func (p RerunPhase) tracked() bool { return p == AwaitingTrial || p == CheckingInput || p == AwaitingSites }
 
-// Tried is a trial, or a place in its wake, whose verdict this stage's next end is.
-type Tried struct {
-	Print string `json:"print"`
+// TrialRef is a trial, or a place in its wake, whose verdict this stage's next end is.
+type TrialRef struct {
+	Fingerprint string `json:"print"`
 	Key   string `json:"key"`
 }
 
@@ -125,20 +125,20 @@
 // Output is what a stage makes, of one run or of all that share it.
 type Output struct {
 	Key    string           `json:"key"`
-	Last   int64            `json:"last"`           // generation that was begun last
+	LastGen   int64            `json:"last"`           // generation that was begun last
 	Gen    int64            `json:"gen,omitempty"`  // that was made last
 	Of     []int64          `json:"of,omitempty"`   // made of these
 	At     policy.Place     `json:"at"`             // where
-	Made   time.Duration    `json:"made,omitempty"` // when
+	MadeAt   time.Duration    `json:"made,omitempty"` // when
 	Result string           `json:"result,omitempty"`
 	Turn   *Turn            `json:"turn,omitempty"`
-	Wants  map[string]*Want `json:"wants,omitempty"` // by run
+	Requests  map[string]*Want `json:"wants,omitempty"` // by run
 	Users  map[string]int64 `json:"users,omitempty"` // run and the generation that it was told
-	Idle   time.Duration    `json:"idle,omitempty"`
+	ForgetAt   time.Duration    `json:"idle,omitempty"`
 	// Accrued: its first run has added to the budgets.
 	Accrued bool `json:"accrued,omitempty"`
 	// Approved: who was content with it as an input, where it is shared. No two are of one run or one worker.
-	Approved []Approval `json:"approved,omitempty"`
+	Approvals []Approval `json:"approved,omitempty"`
 }
 
 // Approval is that a run's stage was content with an output, which its worker had as an input.
@@ -152,7 +152,7 @@
 	Balance int64 `json:"balance"`
 	Accrued int64 `json:"accrued"` // by first runs, ever
 	Spent   int64 `json:"spent"`   // by reruns, ever
-	Asked   int64 `json:"asked,omitempty"`
+	Requested   int64 `json:"asked,omitempty"`
 	Spare   int64 `json:"spare,omitempty"` // as the policies say that each account has from the start
 }
 
@@ -160,10 +160,10 @@
 type Pool struct {
 	Balance int64    `json:"balance"`
 	Spare   int64    `json:"spare"` // that it was given at its start
-	Asking  []asking `json:"asking,omitempty"`
+	Requests  []poolRequest `json:"asking,omitempty"`
 }
 
-type asking struct {
+type poolRequest struct {
 	Group  uint32 `json:"group"`
 	Amount int64  `json:"amount"`
 }
@@ -177,7 +177,7 @@
 	Once   bool              `json:"once,omitempty"`
 	Tenant string            `json:"tenant,omitempty"`
 	Params map[string]string `json:"params,omitempty"`
-	Over   int64             `json:"over,omitempty"`
+	AboveGen   int64             `json:"over,omitempty"`
 	Of     []int64           `json:"of,omitempty"`
 	Inputs []string          `json:"inputs,omitempty"` // keys
 	Work   time.Duration     `json:"work"`
@@ -203,54 +203,54 @@
 	Want                // of who began it
 	Gen   int64         `json:"gen"`
 	First bool          `json:"first,omitempty"`
-	Phase Phase         `json:"phase"`
+	Phase ExecutionPhase         `json:"phase"`
 	Order uint64        `json:"order"`
 	By    string        `json:"by,omitempty"` // dispatcher
 	Began time.Duration `json:"began,omitempty"`
 }
 
-// Phase is how far a turn is.
-type Phase string
+// ExecutionPhase is how far a turn is.
+type ExecutionPhase string
 
 // The phases.
 const (
-	Paying  Phase = "pay"   // its budget is asked for
-	Queued  Phase = "queue" // it may start
-	Started Phase = "run"
+	AwaitingBudget  ExecutionPhase = "pay"   // its budget is asked for
+	Queued  ExecutionPhase = "queue" // it may start
+	Started ExecutionPhase = "run"
 )
 
-// Print is a fingerprint: stage, cause and place of failures that may be one.
-type Print struct {
-	Trying  []string      `json:"trying,omitempty"` // runs whose verdicts are out
-	Waiting []Letter      `json:"waiting,omitempty"`
+// Fingerprint is a fingerprint: stage, cause and place of failures that may be one.
+type Fingerprint struct {
+	Trials  []string      `json:"trying,omitempty"` // runs whose verdicts are out
+	Waiting []Message      `json:"waiting,omitempty"`
 	Room    int           `json:"room"` // at once; doubled by a good verdict
-	Bad     int           `json:"bad,omitempty"`
-	Not     time.Duration `json:"not,omitempty"` // before which no further trial begins
-	Idle    time.Duration `json:"idle,omitempty"`
+	FailedTrials     int           `json:"bad,omitempty"`
+	NotBefore     time.Duration `json:"not,omitempty"` // before which no further trial begins
+	ForgetAt    time.Duration `json:"idle,omitempty"`
 }
 
-// Often is how often one thing was said of a site, of late.
-type Often struct {
+// SiteFailures is how often one thing was said of a site, of late.
+type SiteFailures struct {
 	Site policy.Place  `json:"site"` // zone and site alone
-	N    int           `json:"n"`
-	Fine int           `json:"fine,omitempty"` // outputs of it since that a stage was content with
-	Last time.Duration `json:"last"`
+	Failures    int           `json:"n"`
+	Accepted int           `json:"fine,omitempty"` // outputs of it since that a stage was content with
+	LastFailure time.Duration `json:"last"`
 }
 
 // Claimant is a worker that called outputs bad.
 type Claimant struct {
-	Open    []Claim          `json:"open,omitempty"` // neither confirmed nor refuted
+	OpenClaims    []Claim          `json:"open,omitempty"` // neither confirmed nor refuted
 	Trust   int              `json:"trust"`          // how many may be open and are believed
 	Since   time.Duration    `json:"since"`
 	Refuted int              `json:"refuted,omitempty"`
 	Claims  int              `json:"claims,omitempty"`
-	Content map[string]int64 `json:"content,omitempty"` // by stage: its runs that were content with their inputs
+	Accepted map[string]int64 `json:"content,omitempty"` // by stage: its runs that were content with their inputs
 	Until   time.Duration    `json:"until,omitempty"`   // it is not believed
 }
 
-// Letter is what one object tells another, in this group or another one. Between groups letters are numbered and taken
+// Message is what one object tells another, in this group or another one. Between groups letters are numbered and taken
 // in once, in their order.
-type Letter struct {
+type Message struct {
 	Seq    uint64         `json:"seq,omitempty"`
 	Kind   string         `json:"kind"`
 	To     string         `json:"to"` // key of the object
@@ -259,11 +259,11 @@
 	Gen    int64          `json:"gen,omitempty"`
 	Of     []int64        `json:"of,omitempty"`
 	At     policy.Place   `json:"at"`
-	Made   time.Duration  `json:"made,omitempty"`
+	MadeAt   time.Duration  `json:"made,omitempty"`
 	Key    string         `json:"key,omitempty"`
 	Cause  policy.Cause   `json:"cause,omitempty"`
 	Input  string         `json:"input,omitempty"`
-	Ran    time.Duration  `json:"ran,omitempty"`
+	RunTime    time.Duration  `json:"ran,omitempty"`
 	Text   string         `json:"text,omitempty"`
 	OK     bool           `json:"ok,omitempty"`
 	Amount int64          `json:"amount,omitempty"`
@@ -271,7 +271,7 @@
 	Group  uint32         `json:"group,omitempty"`
 	Want   *Want          `json:"want,omitempty"`
 	Worker string         `json:"worker,omitempty"`
-	Sites  []policy.Place `json:"sites,omitempty"`
+	SuspectSites  []policy.Place `json:"sites,omitempty"`
 }
 
 // Faults switches a rule off, for the tests that must notice.
--- a/internal/rerun/outputs.go
+++ b/internal/rerun/outputs.go
@@ -10,142 +10,142 @@
 )
 
 // output has an output take a letter.
-func (m *Machine) output(l *Letter) {
-	o := m.s.Outputs[l.To]
+func (m *Machine) handleOutput(l *Message) {
+	o := m.state.Outputs[l.To]
 	if o == nil {
 		if l.Kind == "leave" || l.Want == nil {
 			return
 		}
-		o = &Output{Key: l.To, Wants: map[string]*Want{}, Users: map[string]int64{}}
-		m.s.Outputs[l.To] = o
+		o = &Output{Key: l.To, Requests: map[string]*Want{}, Users: map[string]int64{}}
+		m.state.Outputs[l.To] = o
 	}
 	if l.Kind == "leave" {
-		delete(o.Wants, l.From)
+		delete(o.Requests, l.From)
 		delete(o.Users, l.From)
-		if t := o.Turn; t != nil && t.Phase != Started && len(o.Wants) == 0 {
-			m.drop(o)
+		if t := o.Turn; t != nil && t.Phase != Started && len(o.Requests) == 0 {
+			m.cancelExecution(o)
 		}
-		m.idle(o)
+		m.releaseIdle(o)
 		return
 	}
-	if len(o.Wants) >= mostWants {
-		m.send(Letter{Kind: "fell", To: "r/" + l.From, Stage: l.Want.Stage, Gen: o.Last, Cause: policy.Refused, Text: "too many wait for this output"})
+	if len(o.Requests) >= maxRequests {
+		m.send(Message{Kind: "fell", To: "r/" + l.From, Stage: l.Want.Stage, Gen: o.LastGen, Cause: policy.Refused, Text: "too many wait for this output"})
 		return
 	}
-	if m.faulty.AnyGeneration && l.Want.Over > 0 {
-		l.Want.Over = o.Last
+	if m.faults.AnyGeneration && l.Want.AboveGen > 0 {
+		l.Want.AboveGen = o.LastGen
 	}
-	o.Wants[l.From] = l.Want
-	m.serve(o)
+	o.Requests[l.From] = l.Want
+	m.serveRequests(o)
 }
 
 // drop takes back a turn that nobody waits for any more and that has not started; what it has paid is given back.
-func (m *Machine) drop(o *Output) {
+func (m *Machine) cancelExecution(o *Output) {
 	t := o.Turn
 	if t.Phase == Queued && !t.First {
 		for _, name := range t.Charge {
-			a := m.s.Accounts[name]
+			a := m.state.Accounts[name]
 			a.Balance += t.Work.Microseconds()
 			a.Spent -= t.Work.Microseconds()
 		}
 	}
-	o.Last = t.Gen - 1
-	m.turn(o, nil)
+	o.LastGen = t.Gen - 1
+	m.setExecution(o, nil)
 }
 
-func (m *Machine) turn(o *Output, t *Turn) {
+func (m *Machine) setExecution(o *Output, t *Turn) {
 	if o.Turn = t; t == nil {
-		delete(m.turns, o.Key)
+		delete(m.executions, o.Key)
 	} else {
-		m.turns[o.Key] = o
+		m.executions[o.Key] = o
 	}
 }
 
 // idle forgets an output that nobody uses: a run's own with the run, a shared one after a while.
-func (m *Machine) idle(o *Output) {
-	if len(o.Wants) == 0 && len(o.Users) == 0 && o.Turn == nil {
+func (m *Machine) releaseIdle(o *Output) {
+	if len(o.Requests) == 0 && len(o.Users) == 0 && o.Turn == nil {
 		if rest, own := strings.CutPrefix(o.Key, "r/"); own {
 			id, _, _ := strings.Cut(rest, "/")
-			if r := m.s.Runs[id]; r == nil || r.Answer != nil {
-				delete(m.s.Outputs, o.Key)
+			if r := m.state.Runs[id]; r == nil || r.Answer != nil {
+				delete(m.state.Outputs, o.Key)
 			}
 			return
 		}
-		o.Idle = m.s.At + keepOutput
-		m.wake(o.Idle, "idle", o.Key)
+		o.ForgetAt = m.state.At + outputRetention
+		m.setTimer(o.ForgetAt, "idle", o.Key)
 	}
 }
 
 // serve answers the wants that can be, and begins a turn for the others. One turn serves all that have the same output
 // fail: whoever wants a generation over one that is made, or is being made, gets that.
-func (m *Machine) serve(o *Output) {
-	for _, id := range slices.Sorted(maps.Keys(o.Wants)) {
-		w := o.Wants[id]
-		if o.Gen > w.Over && covers(o.Of, w.Of) {
-			delete(o.Wants, id)
+func (m *Machine) serveRequests(o *Output) {
+	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
+		w := o.Requests[id]
+		if o.Gen > w.AboveGen && coversInputs(o.Of, w.Of) {
+			delete(o.Requests, id)
 			o.Users[id] = o.Gen
-			m.send(Letter{Kind: "made", To: "r/" + id, Stage: w.Stage, Gen: o.Gen, Of: o.Of, At: o.At, Made: o.Made, Text: o.Result})
+			m.send(Message{Kind: "made", To: "r/" + id, Stage: w.Stage, Gen: o.Gen, Of: o.Of, At: o.At, MadeAt: o.MadeAt, Text: o.Result})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(o.Wants)) {
-		w := o.Wants[id]
+	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
+		w := o.Requests[id]
 		if t := o.Turn; t != nil {
-			if t.Phase != Started && !covers(t.Of, w.Of) && covers(w.Of, t.Of) { // not begun: it takes the newer inputs
+			if t.Phase != Started && !coversInputs(t.Of, w.Of) && coversInputs(w.Of, t.Of) { // not begun: it takes the newer inputs
 				t.Of = w.Of
 			}
 			continue
 		}
-		if w.Over > o.Last { // lost with a group's state: generations go on above it
-			o.Last = w.Over
+		if w.AboveGen > o.LastGen { // lost with a group's state: generations go on above it
+			o.LastGen = w.AboveGen
 		}
-		o.Last++
-		m.s.Order++
-		m.turn(o, &Turn{Want: *w, Gen: o.Last, First: o.Last == 1, Phase: Paying, Order: m.s.Order})
-		m.payTurn(o)
+		o.LastGen++
+		m.state.Order++
+		m.setExecution(o, &Turn{Want: *w, Gen: o.LastGen, First: o.LastGen == 1, Phase: AwaitingBudget, Order: m.state.Order})
+		m.chargeBudgets(o)
 	}
 }
 
 // start takes that a dispatcher is about to have a turn run.
 func (m *Machine) start(c *Command) Result {
-	o := m.s.Outputs[c.Key]
+	o := m.state.Outputs[c.Key]
 	switch {
 	case o == nil || o.Turn == nil || o.Turn.Gen != c.Gen:
-		return no("no such turn")
+		return refuse("no such turn")
 	case o.Turn.Phase == Started && o.Turn.By == c.By:
 		return Result{OK: true}
 	case o.Turn.Phase != Queued:
-		return no("not to be started")
-	case m.s.Running >= m.c.Running:
-		return no("as many run as may")
-	case !o.Turn.First && m.queuedFirst():
-		return no("first runs go first")
+		return refuse("not to be started")
+	case m.state.Running >= m.config.Running:
+		return refuse("as many run as may")
+	case !o.Turn.First && m.firstRunQueued():
+		return refuse("first runs go first")
 	}
 	t := o.Turn
-	t.Phase, t.By, t.Began = Started, c.By, m.s.At
-	m.s.Running++
-	if m.Begun++; !t.First {
+	t.Phase, t.By, t.Began = Started, c.By, m.state.At
+	m.state.Running++
+	if m.StagesStarted++; !t.First {
 		m.Reruns++
 	}
-	m.wake(t.over(), "turn", o.Key)
-	m.send(Letter{Kind: "begun", To: "r/" + t.Run, Stage: t.Stage, Gen: t.Gen, OK: t.First})
-	m.giveBack()
+	m.setTimer(t.lateAt(), "turn", o.Key)
+	m.send(Message{Kind: "begun", To: "r/" + t.Run, Stage: t.Stage, Gen: t.Gen, OK: t.First})
+	m.returnBudgets()
 	return Result{OK: true}
 }
 
 // over is when a turn that has started is late: it is waited for no longer. What must not run twice has its job's end waited
 // for: that tells whether it ran, and comes once the job's time is over.
-func (t *Turn) over() time.Duration {
+func (t *Turn) lateAt() time.Duration {
 	switch {
 	case t.Within > 0 && t.Once:
-		return min(t.Began+t.Within, t.Until) + overdue
+		return min(t.Began+t.Within, t.Until) + lateGrace
 	case t.Within > 0:
-		return min(t.Began+t.Within, t.Until+overdue)
+		return min(t.Began+t.Within, t.Until+lateGrace)
 	}
-	return t.Until + overdue
+	return t.Until + lateGrace
 }
 
-func (m *Machine) queuedFirst() bool {
-	for _, o := range m.turns {
+func (m *Machine) firstRunQueued() bool {
+	for _, o := range m.executions {
 		if o.Turn.Phase == Queued && o.Turn.First {
 			return true
 		}
@@ -155,46 +155,46 @@
 
 // end takes how a turn ended. Only the first word of it counts.
 func (m *Machine) end(c *Command) Result {
-	o := m.s.Outputs[c.Key]
+	o := m.state.Outputs[c.Key]
 	if o == nil || o.Turn == nil || o.Turn.Gen != c.Gen || o.Turn.Phase != Started {
-		return no("no such turn runs")
+		return refuse("no such turn runs")
 	}
 	if !c.OK && !c.Cause.Known() {
-		return no("%q is no cause", c.Cause)
+		return refuse("%q is no cause", c.Cause)
 	}
-	if len(c.Text) > 4*mostParam {
-		c.Text = c.Text[:4*mostParam]
+	if len(c.Text) > 4*maxParamBytes {
+		c.Text = c.Text[:4*maxParamBytes]
 	}
 	t, at := o.Turn, policy.Place{}
 	if c.Place != nil {
 		at = *c.Place
 	}
-	m.turn(o, nil)
-	m.s.Running--
+	m.setExecution(o, nil)
+	m.state.Running--
 	if c.OK {
-		o.Gen, o.Of, o.At, o.Made, o.Result, o.Approved = t.Gen, t.Of, at, m.s.At, c.Text, nil
+		o.Gen, o.Of, o.At, o.MadeAt, o.Result, o.Approvals = t.Gen, t.Of, at, m.state.At, c.Text, nil
 		if len(t.Of) > 0 && at.Worker != "" {
-			m.send(Letter{Kind: "content", To: "c/" + at.Worker, Text: t.Name})
-			m.approve(t, at.Worker)
+			m.send(Message{Kind: "content", To: "c/" + at.Worker, Text: t.Name})
+			m.sendApprovals(t, at.Worker)
 		}
 		for _, id := range slices.Sorted(maps.Keys(o.Users)) {
-			if o.Wants[id] == nil {
-				m.send(Letter{Kind: "newer", To: "r/" + id, Key: o.Key, Gen: o.Gen, Of: o.Of, At: o.At, Made: o.Made})
+			if o.Requests[id] == nil {
+				m.send(Message{Kind: "newer", To: "r/" + id, Key: o.Key, Gen: o.Gen, Of: o.Of, At: o.At, MadeAt: o.MadeAt})
 			}
 		}
 	} else {
-		for _, id := range slices.Sorted(maps.Keys(o.Wants)) {
-			w := o.Wants[id]
-			if w.Over >= t.Gen || !covers(t.Of, w.Of) && !w.Once { // it wants what was not tried yet
+		for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
+			w := o.Requests[id]
+			if w.AboveGen >= t.Gen || !coversInputs(t.Of, w.Of) && !w.Once { // it wants what was not tried yet
 				continue
 			}
-			delete(o.Wants, id)
-			m.send(Letter{Kind: "fell", To: "r/" + id, Stage: w.Stage, Gen: t.Gen, Cause: c.Cause, Input: c.Input, At: at, Ran: m.s.At - t.Began, Text: c.Text})
+			delete(o.Requests, id)
+			m.send(Message{Kind: "fell", To: "r/" + id, Stage: w.Stage, Gen: t.Gen, Cause: c.Cause, Input: c.Input, At: at, RunTime: m.state.At - t.Began, Text: c.Text})
 		}
 	}
-	m.serve(o)
-	m.idle(o)
-	m.settle()
-	m.giveBack()
+	m.serveRequests(o)
+	m.releaseIdle(o)
+	m.deliverLocal()
+	m.returnBudgets()
 	return Result{OK: true}
 }
--- a/internal/rerun/plant/lecture.go
+++ b/internal/rerun/plant/lecture.go
@@ -9,10 +9,10 @@
 	if shared != "" {
 		shared = fmt.Sprintf("shared = %q\n", shared)
 	}
-	return fmt.Sprintf(lecture, version, shared)
+	return fmt.Sprintf(lecturePolicy, version, shared)
 }
 
-const lecture = `version = %q
+const lecturePolicy = `version = %q
 [budget]
 fleet = "50%%"
 spare = "10m"
--- a/internal/rerun/plant/place_test.go
+++ b/internal/rerun/plant/place_test.go
@@ -19,21 +19,21 @@
 	t.Cleanup(p.Close)
 	require.NoError(t, p.Join(r, "reruns.toml"))
 	require.NoError(t, p.Down("s-1", true))
-	for _, d := range p.doors {
+	for _, d := range p.servers {
 		if d.worker != "s-1" {
 			continue
 		}
-		_, err := net.Dial("tcp", d.at)
+		_, err := net.Dial("tcp", d.addr)
 		require.Error(t, err)
-		other, err := net.Listen("tcp", d.at)
+		other, err := net.Listen("tcp", d.addr)
 		if err == nil {
 			other.Close()
 		}
 		require.Error(t, err, "another listens where the worker was")
 	}
 	require.NoError(t, p.Down("s-1", false))
-	for _, d := range p.doors {
-		c, err := net.Dial("tcp", d.at)
+	for _, d := range p.servers {
+		c, err := net.Dial("tcp", d.addr)
 		require.NoError(t, err)
 		c.Close()
 	}
--- a/internal/rerun/plant/plant.go
+++ b/internal/rerun/plant/plant.go
@@ -38,8 +38,8 @@
 	Outcome      pipelines.Outcome
 }
 
-// Plant is all workers. Decide is asked when a run's work is done, and Work when it begins.
-type Plant struct {
+// Cluster is all workers. Decide is asked when a run's work is done, and Work when it begins.
+type Cluster struct {
 	Workers []Worker
 	Work    func(Run) time.Duration
 	Decide  func(Run) pipelines.Outcome
@@ -47,33 +47,33 @@
 	mu    sync.Mutex
 	runs  []*Run
 	down  map[string]bool
-	doors []*place
-	calls http.Client
+	servers []*server
+	client http.Client
 	done  chan struct{}
 	wg    sync.WaitGroup
 }
 
 // New returns a plant.
-func New(workers []Worker) *Plant {
-	return &Plant{
-		Workers: workers, down: map[string]bool{}, done: make(chan struct{}), calls: http.Client{Timeout: 2 * time.Second},
+func New(workers []Worker) *Cluster {
+	return &Cluster{
+		Workers: workers, down: map[string]bool{}, done: make(chan struct{}), client: http.Client{Timeout: 2 * time.Second},
 		Work:   func(Run) time.Duration { return 20 * time.Millisecond },
 		Decide: func(Run) pipelines.Outcome { return pipelines.Outcome{} },
 	}
 }
 
 // Close ends it.
-func (p *Plant) Close() {
+func (p *Cluster) Close() {
 	close(p.done)
-	for _, d := range p.doors {
+	for _, d := range p.servers {
 		d.close()
 	}
-	p.calls.CloseIdleConnections()
+	p.client.CloseIdleConnections()
 	p.wg.Wait()
 }
 
 // Runs is all runs so far.
-func (p *Plant) Runs() (all []Run) {
+func (p *Cluster) Runs() (all []Run) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.runs {
@@ -83,11 +83,11 @@
 }
 
 // Down has a worker's process be dead, with all it runs, or alive again: a dead one takes no connections.
-func (p *Plant) Down(worker string, down bool) error {
+func (p *Cluster) Down(worker string, down bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down[worker] = down
-	for _, d := range p.doors {
+	for _, d := range p.servers {
 		if d.worker != worker {
 			continue
 		}
@@ -101,39 +101,39 @@
 }
 
 // place is where a server listens, over its lives.
-type place struct {
-	worker, at string
+type server struct {
+	worker, addr string
 	handler    http.Handler
 	listener   net.Listener
-	server     *http.Server
+	httpServer     *http.Server
 }
 
 // open has the server listen. The address is kept by the rig, so that nobody else has it while the server is dead.
-func (d *place) open() (err error) {
-	if d.listener, err = sock.Listen(d.at); err != nil {
+func (d *server) open() (err error) {
+	if d.listener, err = sock.Listen(d.addr); err != nil {
 		return err
 	}
-	d.server = &http.Server{Handler: d.handler, ReadHeaderTimeout: 5 * time.Second}
-	go d.server.Serve(d.listener)
+	d.httpServer = &http.Server{Handler: d.handler, ReadHeaderTimeout: 5 * time.Second}
+	go d.httpServer.Serve(d.listener)
 	return nil
 }
 
 // close ends the server and its connections.
-func (d *place) close() {
-	d.server.Close()
+func (d *server) close() {
+	d.httpServer.Close()
 	d.listener.Close() // which the server may not have taken yet
 }
 
-func (p *Plant) listen(r *rig.Rig, worker string, h http.Handler) (string, error) {
+func (p *Cluster) listen(r *rig.Rig, worker string, h http.Handler) (string, error) {
 	at, err := r.Reserve()
 	if err != nil {
 		return "", err
 	}
-	d := &place{worker: worker, at: at, handler: h}
+	d := &server{worker: worker, addr: at, handler: h}
 	if err := d.open(); err != nil {
 		return "", err
 	}
-	p.doors = append(p.doors, d)
+	p.servers = append(p.servers, d)
 	return at, nil
 }
 
@@ -141,7 +141,7 @@
 
 // Join has a rig's daemons, not started yet, find these workers instead of the rig's encoders, and take runs of the
 // pipelines of a policy's file.
-func (p *Plant) Join(r *rig.Rig, policy string) error {
+func (p *Cluster) Join(r *rig.Rig, policy string) error {
 	for n := range r.Daemons {
 		d := r.Daemon(n)
 		type member struct {
@@ -155,7 +155,7 @@
 		}
 		var members []member
 		for _, w := range p.Workers {
-			at, err := p.listen(r, w.ID, p.door(w, n, r))
+			at, err := p.listen(r, w.ID, p.workerHandler(w, n, r))
 			if err != nil {
 				return err
 			}
@@ -165,7 +165,7 @@
 		if err != nil {
 			return err
 		}
-		at, err := p.listen(r, "", p.list(text))
+		at, err := p.listen(r, "", p.listHandler(text))
 		if err != nil {
 			return err
 		}
@@ -186,7 +186,7 @@
 }
 
 // list is the name table, and a watch on it, in which nothing changes.
-func (p *Plant) list(text []byte) http.Handler {
+func (p *Cluster) listHandler(text []byte) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path != "/catalog/members" {
 			http.NotFound(w, q)
@@ -216,7 +216,7 @@
 }
 
 // door is where a daemon finds a worker.
-func (p *Plant) door(worker Worker, daemon int, r *rig.Rig) http.Handler {
+func (p *Cluster) workerHandler(worker Worker, daemon int, r *rig.Rig) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		id := q.Header.Get("X-Correlation-Id")
 		if q.Method != "POST" || id == "" {
@@ -236,12 +236,12 @@
 		p.runs = append(p.runs, run)
 		p.mu.Unlock()
 		w.WriteHeader(http.StatusAccepted)
-		p.wg.Go(func() { p.do(run, id, daemon, r) })
+		p.wg.Go(func() { p.runJob(run, id, daemon, r) })
 	})
 }
 
-func (p *Plant) do(run *Run, id string, daemon int, r *rig.Rig) {
-	p.call(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "started"}, 1)
+func (p *Cluster) runJob(run *Run, id string, daemon int, r *rig.Rig) {
+	p.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "started"}, 1)
 	select {
 	case <-p.done:
 		return
@@ -251,18 +251,18 @@
 	down := p.down[run.Worker.ID]
 	p.mu.Unlock()
 	if down { // its machine's agent sees the process die
-		p.call(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "lost"}, 40)
+		p.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "lost"}, 40)
 		return
 	}
 	o := p.Decide(*run)
 	p.mu.Lock()
 	run.Ended, run.Outcome = time.Now(), o
 	p.mu.Unlock()
-	p.call(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "done", "result": o}, 40)
+	p.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "done", "result": o}, 40)
 }
 
 // call tells a daemon, the job's own first and then any that answers.
-func (p *Plant) call(r *rig.Rig, daemon int, news map[string]any, tries int) {
+func (p *Cluster) sendCallback(r *rig.Rig, daemon int, news map[string]any, tries int) {
 	body, _ := json.Marshal(news) // plain data: it cannot fail
 	for n := range tries {
 		at := daemon
@@ -274,7 +274,7 @@
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
-		a, err := p.calls.Post("http://"+r.Daemon(at).Listen+"/_jobs/news", "application/json", bytes.NewReader(body))
+		a, err := p.client.Post("http://"+r.Daemon(at).Listen+"/_jobs/news", "application/json", bytes.NewReader(body))
 		if err != nil {
 			continue
 		}
--- a/internal/rerun/plant/plant_test.go
+++ b/internal/rerun/plant/plant_test.go
@@ -39,23 +39,23 @@
 
 const (
 	daemons  = 3
-	patience = time.Minute // with what must come; no story waits it out
+	waitLimit = time.Minute // with what must come; no story waits it out
 )
 
 // shop is daemons, workers, and one lecture whose first rendition is spoilt. Its run at a step is held there until it is
 // let go.
-type shop struct {
+type testCluster struct {
 	*testing.T
 	*rig.Rig
-	*plant.Plant
+	*plant.Cluster
 	net     *link.Net
 	clients []pipelinev1.PipelinesClient
-	at      chan plant.Run // that is held
-	goOn    chan struct{}
+	heldRun      chan plant.Run // that is held
+	release    chan struct{}
 }
 
-func open(t *testing.T, step string) *shop {
-	s := &shop{T: t, net: link.New(1), at: make(chan plant.Run, 1), goOn: make(chan struct{})}
+func openCluster(t *testing.T, step string) *testCluster {
+	s := &testCluster{T: t, net: link.New(1), heldRun: make(chan plant.Run, 1), release: make(chan struct{})}
 	t.Cleanup(s.net.Close)
 	dir := t.TempDir()
 	var err error
@@ -74,15 +74,15 @@
 	for i := range 4 {
 		workers = append(workers, plant.Worker{ID: fmt.Sprint("s-", i+1), Zone: []string{"a", "b"}[i%2], Kind: "m2", Cell: i / 2})
 	}
-	s.Plant = plant.New(workers)
-	t.Cleanup(s.Plant.Close)
+	s.Cluster = plant.New(workers)
+	t.Cleanup(s.Cluster.Close)
 	var once sync.Once
 	s.Work = func(run plant.Run) time.Duration {
 		if fmt.Sprint(run.Stage, "@", run.Generation) == step {
 			once.Do(func() {
-				s.at <- run
+				s.heldRun <- run
 				select {
-				case <-s.goOn:
+				case <-s.release:
 				case <-t.Context().Done():
 				}
 			})
@@ -98,7 +98,7 @@
 	file := filepath.Join(dir, "reruns.toml")
 	require.NoError(t, os.WriteFile(file, []byte(plant.Lecture("3", "")), 0o600))
 	require.NoError(t, s.Join(s.Rig, file))
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
 	defer cancel()
 	require.NoError(t, s.StartAll(ctx))
 	for n := range daemons {
@@ -115,10 +115,10 @@
 }
 
 // until asks one daemon after the other: the one that is asked may be lost.
-func (s *shop) until(call func(context.Context, pipelinev1.PipelinesClient) error) {
+func (s *testCluster) until(call func(context.Context, pipelinev1.PipelinesClient) error) {
 	s.Helper()
 	var err error
-	for n, began := 0, time.Now(); time.Since(began) < patience; n++ {
+	for n, began := 0, time.Now(); time.Since(began) < waitLimit; n++ {
 		ctx, cancel := context.WithTimeout(s.Context(), 2*time.Second)
 		err = call(ctx, s.clients[n%daemons])
 		if cancel(); err == nil {
@@ -130,11 +130,11 @@
 }
 
 // held waits for the run at the step, and tells who acts for the lecture.
-func (s *shop) held() (run plant.Run, acting int) {
+func (s *testCluster) held() (run plant.Run, acting int) {
 	s.Helper()
 	select {
-	case run = <-s.at:
-	case <-time.After(patience):
+	case run = <-s.heldRun:
+	case <-time.After(waitLimit):
 		s.Fatalf("the step was not reached: %v", s.Runs())
 	}
 	most := int64(0)
@@ -148,7 +148,7 @@
 }
 
 // ends waits for the lecture's answer, and checks that nothing ran that was not to.
-func (s *shop) ends() *pipelinev1.Answer {
+func (s *testCluster) ends() *pipelinev1.Answer {
 	s.Helper()
 	var answer *pipelinev1.Answer
 	for range 2 { // and it is the same answer, whoever is asked
@@ -188,14 +188,14 @@
 		sent bool // the one that has sent the run
 	}{{"encode@1", false}, {"package@1", false}, {"encode@2", false}, {"encode@2", true}, {"publish@1", false}, {"publish@1", true}} {
 		t.Run(fmt.Sprint(c.step, map[bool]string{true: " its sender"}[c.sent]), func(t *testing.T) {
-			s := open(t, c.step)
+			s := openCluster(t, c.step)
 			run, lost := s.held()
 			if c.sent {
 				lost = run.Daemon
 			}
 			s.Daemon(lost).Kill()
 			require.NoError(t, s.Daemon(lost).Forget())
-			close(s.goOn)
+			close(s.release)
 			if a := s.ends(); !strings.HasPrefix(c.step, "publish") {
 				require.Equal(t, "done", a.Kind, "%v\n%v", a, s.Runs())
 			}
@@ -208,7 +208,7 @@
 func TestActingDispatcherIsCutOffFromItsGroup(t *testing.T) {
 	for _, step := range []string{"encode@2", "publish@1"} {
 		t.Run(step, func(t *testing.T) {
-			s := open(t, step)
+			s := openCluster(t, step)
 			_, acting := s.held()
 			cut := func(yes bool) {
 				for n := range daemons {
@@ -225,7 +225,7 @@
 				}
 				return nil
 			})
-			close(s.goOn)
+			close(s.release)
 			s.until(func(context.Context, pipelinev1.PipelinesClient) error {
 				for _, run := range s.Runs() {
 					if fmt.Sprint(run.Stage, "@", run.Generation) == step && !run.Ended.IsZero() {
--- a/internal/rerun/policy/causes.go
+++ b/internal/rerun/policy/causes.go
@@ -46,8 +46,8 @@
 	OtherZone   Where = "other-zone"
 )
 
-// Wheres is all of them.
-var Wheres = []Where{Anywhere, OtherWorker, OtherKind, OtherSite, OtherZone}
+// WhereValues is all of them.
+var WhereValues = []Where{Anywhere, OtherWorker, OtherKind, OtherSite, OtherZone}
 
 // Place is where a run was.
 type Place struct {
--- a/internal/rerun/policy/condition.go
+++ b/internal/rerun/policy/condition.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	mostCost   = 500       // of a condition, in CEL's units: one comparison is about one
-	mostString = 128       // bytes of anything that a condition asks for
-	mostPoints = 20_000    // at which a condition is tried when it is loaded
-	someOther  = "\x00any" // a string that no condition names
+	maxCost   = 500       // of a condition, in CEL's units: one comparison is about one
+	maxStringBytes = 128       // bytes of anything that a condition asks for
+	maxPoints = 20_000    // at which a condition is tried when it is loaded
+	otherString  = "\x00any" // a string that no condition names
 )
 
 // Facts is what a condition may ask for. All of it stands in the replicated state, so that all replicas judge alike.
@@ -41,7 +41,7 @@
 type variable struct {
 	name string
 	kind *cel.Type
-	of   func(*Facts) any
+	get   func(*Facts) any
 }
 
 var variables = []variable{
@@ -66,19 +66,19 @@
 	Text    string
 	Cost    uint64 // at most
 	program cel.Program
-	uses    []string // variables
+	variables    []string // variables
 	exact   bool     // it compares variables with constants and nothing else, so that some points tell all of it
 	strings []string
 	// compared is the strings that each variable is compared with.
 	compared map[string][]string
 	ints     []int64
-	times    []time.Duration
+	durations    []time.Duration
 }
 
 // environment is the same for all conditions. Regular expressions are left out: their cost is not worth it.
 var environment = func() *cel.Env {
 	options := []cel.EnvOption{
-		cel.ParserExpressionSizeLimit(mostWhen), cel.ParserRecursionLimit(32), cel.ClearMacros(),
+		cel.ParserExpressionSizeLimit(maxConditionBytes), cel.ParserRecursionLimit(32), cel.ClearMacros(),
 		cel.ASTValidators(cel.ValidateDurationLiterals()),
 	}
 	for _, v := range variables {
@@ -95,7 +95,7 @@
 type sizes struct{}
 
 func (sizes) EstimateSize(node checker.AstNode) *checker.SizeEstimate {
-	return &checker.SizeEstimate{Max: mostString}
+	return &checker.SizeEstimate{Max: maxStringBytes}
 }
 
 func (sizes) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
@@ -104,8 +104,8 @@
 
 // compile reads a condition. Its error says what is wrong and what to write.
 func compile(text string) (*Condition, error) {
-	if len(text) > mostWhen {
-		return nil, fmt.Errorf("%d bytes: at most %d; write several rules", len(text), mostWhen)
+	if len(text) > maxConditionBytes {
+		return nil, fmt.Errorf("%d bytes: at most %d; write several rules", len(text), maxConditionBytes)
 	}
 	checked, issues := environment.Compile(text)
 	if issues != nil && issues.Err() != nil {
@@ -113,7 +113,7 @@
 		mend := ""
 		if _, rest, ok := strings.Cut(e.Message, "undeclared reference to '"); ok {
 			wrong, _, _ := strings.Cut(rest, "'")
-			if whole := longest(text, wrong); whole != "" {
+			if whole := dottedName(text, wrong); whole != "" {
 				wrong = whole
 			}
 			var names []string
@@ -133,22 +133,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("its cost cannot be told: %w; write it more simply", err)
 	}
-	if cost.Max > mostCost {
-		return nil, fmt.Errorf("it may cost %d, over %d: write it more simply, or as several rules", cost.Max, mostCost)
+	if cost.Max > maxCost {
+		return nil, fmt.Errorf("it may cost %d, over %d: write it more simply, or as several rules", cost.Max, maxCost)
 	}
-	program, err := environment.Program(checked, cel.CostLimit(mostCost), cel.EvalOptions(cel.OptOptimize))
+	program, err := environment.Program(checked, cel.CostLimit(maxCost), cel.EvalOptions(cel.OptOptimize))
 	if err != nil {
 		return nil, fmt.Errorf("%w; write it more simply", err)
 	}
 	c := &Condition{Text: text, Cost: cost.Max, program: program, compared: map[string][]string{}}
-	c.exact = c.look(ast.NavigateAST(checked.NativeRep()))
-	slices.Sort(c.uses)
-	c.uses = slices.Compact(c.uses)
+	c.exact = c.collect(ast.NavigateAST(checked.NativeRep()))
+	slices.Sort(c.variables)
+	c.variables = slices.Compact(c.variables)
 	return c, nil
 }
 
 // longest is the whole dotted name in a text that begins with a word.
-func longest(text, word string) string {
+func dottedName(text, word string) string {
 	at := strings.Index(text, word)
 	if at < 0 {
 		return ""
@@ -161,13 +161,13 @@
 }
 
 // look walks a condition for its variables and constants, and tells whether those tell all of it.
-func (c *Condition) look(e ast.NavigableExpr) bool {
+func (c *Condition) collect(e ast.NavigableExpr) bool {
 	switch e.Kind() {
 	case ast.LiteralKind:
 		c.constant(e)
 		return e.Type().String() == "bool"
 	case ast.IdentKind:
-		c.uses = append(c.uses, e.AsIdent())
+		c.variables = append(c.variables, e.AsIdent())
 		return e.Type().String() == "bool"
 	case ast.CallKind:
 		name, args := e.AsCall().FunctionName(), e.Children()
@@ -175,7 +175,7 @@
 		switch name {
 		case operators.LogicalAnd, operators.LogicalOr, operators.LogicalNot:
 			for _, a := range args {
-				all = c.look(a) && all
+				all = c.collect(a) && all
 			}
 			return all
 		case operators.Equals, operators.NotEquals, operators.Less, operators.LessEquals, operators.Greater, operators.GreaterEquals, operators.In:
@@ -184,12 +184,12 @@
 				switch {
 				case a.Kind() == ast.IdentKind:
 					variable = a.AsIdent()
-					c.uses = append(c.uses, variable)
+					c.variables = append(c.variables, variable)
 					named++
 				case c.constant(a):
 					constants++
 				default:
-					c.look(a)
+					c.collect(a)
 				}
 			}
 			if named == 1 && constants == 1 {
@@ -200,7 +200,7 @@
 		}
 	}
 	for _, a := range e.Children() {
-		c.look(a)
+		c.collect(a)
 	}
 	return false
 }
@@ -229,7 +229,7 @@
 		if args := e.Children(); e.AsCall().FunctionName() == "duration" && len(args) == 1 && args[0].Kind() == ast.LiteralKind {
 			text, _ := args[0].AsLiteral().Value().(string)
 			d, err := time.ParseDuration(text)
-			c.times = append(c.times, d)
+			c.durations = append(c.durations, d)
 			return err == nil
 		}
 	}
@@ -238,10 +238,10 @@
 
 // Holds tells whether the condition holds. What cannot be reckoned does not, and says why.
 func (c *Condition) Holds(f Facts) (bool, error) {
-	values := make(map[string]any, len(c.uses))
+	values := make(map[string]any, len(c.variables))
 	for _, v := range variables {
-		if slices.Contains(c.uses, v.name) {
-			values[v.name] = v.of(&f)
+		if slices.Contains(c.variables, v.name) {
+			values[v.name] = v.get(&f)
 		}
 	}
 	out, _, err := c.program.Eval(values)
@@ -253,7 +253,7 @@
 }
 
 // condition reads a rule's when and finds what it can never mean.
-func (l *loader) condition(r *Rule, text string, at func(string) string) (err error) {
+func (l *loader) loadCondition(r *Rule, text string, at func(string) string) (err error) {
 	if r.When, err = compile(text); err != nil {
 		return l.doc.At(at("when"), "%v", err)
 	}
@@ -264,7 +264,7 @@
 	}
 	for _, k := range r.When.compared["cause.kind"] {
 		if !Cause(k).Known() {
-			return l.doc.At(at("when"), "%q is no cause%s", k, siteconf.Nearest(k, kinds(), "; the causes are "+strings.Join(kinds(), ", ")))
+			return l.doc.At(at("when"), "%q is no cause%s", k, siteconf.Nearest(k, causeNames(), "; the causes are "+strings.Join(causeNames(), ", ")))
 		}
 	}
 	for _, s := range r.When.compared["cause.input.stage"] {
@@ -273,7 +273,7 @@
 		}
 	}
 	var holds []Facts
-	whole := l.points(r.On, []*Condition{r.When}, func(f Facts) bool {
+	whole := l.samplePoints(r.On, []*Condition{r.When}, func(f Facts) bool {
 		if yes, _ := r.When.Holds(f); yes {
 			holds = append(holds, f)
 		}
@@ -281,7 +281,7 @@
 	})
 	if len(holds) == 0 {
 		if whole {
-			return l.doc.At(at("when"), "it can never hold for a failure of %q: the causes are %s, and only bad_input and output_lost name an input, one of its needs (%s); mend it or remove the rule", on.Name, strings.Join(kinds(), ", "), strings.Join(needs, ", "))
+			return l.doc.At(at("when"), "it can never hold for a failure of %q: the causes are %s, and only bad_input and output_lost name an input, one of its needs (%s); mend it or remove the rule", on.Name, strings.Join(causeNames(), ", "), strings.Join(needs, ", "))
 		}
 		return l.doc.At(at("when"), "nothing was found for which it holds: compare each name with a constant, as in cause.kind == \"failed\"")
 	}
@@ -291,7 +291,7 @@
 				return l.doc.At(at("rerun"), `it holds also for %q, which names no input: add cause.kind in ["bad_input", "output_lost"] to when`, f.Kind)
 			}
 		}
-		if !slices.Contains(r.When.uses, "cause.kind") && !whole {
+		if !slices.Contains(r.When.variables, "cause.kind") && !whole {
 			return l.doc.At(at("rerun"), `it might hold for a cause that names no input: add cause.kind in ["bad_input", "output_lost"] to when`)
 		}
 	}
@@ -305,7 +305,7 @@
 	return nil
 }
 
-func kinds() (all []string) {
+func causeNames() (all []string) {
 	for _, k := range Causes {
 		all = append(all, string(k))
 	}
@@ -314,21 +314,21 @@
 
 // points has conditions tried at all that can differ for them: each cause with each input that it can name, and below,
 // at and above each constant. It tells whether that was all there is.
-func (l *loader) points(on int, cs []*Condition, try func(Facts) bool) (whole bool) {
+func (l *loader) samplePoints(on int, cs []*Condition, try func(Facts) bool) (whole bool) {
 	whole = true
 	var uses, texts []string
 	ints, times := []int64{1}, []time.Duration{0}
 	for _, c := range cs {
 		whole = whole && c.exact
-		uses, texts = append(uses, c.uses...), append(texts, c.strings...)
+		uses, texts = append(uses, c.variables...), append(texts, c.strings...)
 		for _, n := range c.ints {
 			ints = append(ints, n-1, n, n+1)
 		}
-		for _, t := range c.times {
+		for _, t := range c.durations {
 			times = append(times, t-1, t, t+1)
 		}
 	}
-	ints, times, texts = unique(ints), unique(times), unique(append(texts, someOther))
+	ints, times, texts = unique(ints), unique(times), unique(append(texts, otherString))
 	used := func(name string) bool { return slices.Contains(uses, name) }
 	all := []Facts{}
 	for _, k := range Causes {
@@ -343,12 +343,12 @@
 	for i := range all {
 		all[i].Runs, all[i].Left = 1, l.p.Within
 	}
-	most := int64(mostRuns)
+	most := int64(maxRuns)
 	spread := func(name string, n int, set func(*Facts, int) bool) {
 		if !used(name) || !whole {
 			return
 		}
-		if len(all)*n > mostPoints {
+		if len(all)*n > maxPoints {
 			whole = false
 			return
 		}
@@ -370,7 +370,7 @@
 		f.Generation = ints[i]
 		return f.Input != "" && ints[i] >= 1 && ints[i] <= most
 	})
-	spread("cause.input.age", len(times), func(f *Facts, i int) bool { f.Age = times[i]; return f.Input != "" && between(times[i], mostAge) })
+	spread("cause.input.age", len(times), func(f *Facts, i int) bool { f.Age = times[i]; return f.Input != "" && between(times[i], maxAge) })
 	spread("cause.ran", len(times), func(f *Facts, i int) bool { f.Ran = times[i]; return between(times[i], l.p.Within) })
 	spread("run.age", len(times), func(f *Facts, i int) bool { f.RunAge = times[i]; return between(times[i], l.p.Within) })
 	spread("run.left", len(times), func(f *Facts, i int) bool { f.Left = times[i]; return between(times[i], l.p.Within) })
@@ -398,14 +398,14 @@
 }
 
 // contradictions finds two rules that hold for one failure: which counts would be an accident of their order.
-func (l *loader) contradictions() error {
+func (l *loader) checkContradictions() error {
 	for i, b := range l.p.Rules {
 		for j, a := range l.p.Rules[:i] {
 			if a.On != b.On {
 				continue
 			}
 			var both *Facts
-			l.points(a.On, []*Condition{a.When, b.When}, func(f Facts) bool {
+			l.samplePoints(a.On, []*Condition{a.When, b.When}, func(f Facts) bool {
 				first, _ := a.When.Holds(f)
 				second, _ := b.When.Holds(f)
 				if first && second {
@@ -420,7 +420,7 @@
 			if both.Input != "" {
 				example += fmt.Sprintf(" with cause.input.stage == %q", both.Input)
 			}
-			if l.same(i, j) {
+			if l.sameButCondition(i, j) {
 				return l.doc.At(l.ruleAt(i)+".when", "the rule of line %d says the same for %s: remove one of them", a.Line, example)
 			}
 			return l.doc.At(l.ruleAt(i)+".when", "it contradicts the rule of line %d: both hold for %s; narrow one of them", a.Line, example)
@@ -430,8 +430,8 @@
 }
 
 // same tells whether two rules differ in their conditions alone.
-func (l *loader) same(i, j int) bool {
-	a, b := l.text.Rules[i], l.text.Rules[j]
+func (l *loader) sameButCondition(i, j int) bool {
+	a, b := l.config.Rules[i], l.config.Rules[j]
 	a.When = b.When
 	return a == b
 }
--- a/internal/rerun/policy/policy.go
+++ b/internal/rerun/policy/policy.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	mostPipelines = 64
-	mostStages    = 64 // of one pipeline
-	mostRules     = 64
-	mostTimes     = 16 // that one rule may rerun in one run of a pipeline
-	mostOthers    = 8
-	mostName      = 64               // bytes
-	mostRuns      = 4096             // of all stages in one run of a pipeline
-	mostWhen      = 1024             // bytes of a condition
-	mostText      = 1 << 20          // bytes of a file
-	mostAge       = 8760 * time.Hour // of anything that a condition asks for
+	maxPipelines = 64
+	maxStages    = 64 // of one pipeline
+	maxRules     = 64
+	maxUses     = 16 // that one rule may rerun in one run of a pipeline
+	maxOthers    = 8
+	maxNameBytes      = 64               // bytes
+	maxRuns      = 4096             // of all stages in one run of a pipeline
+	maxConditionBytes      = 1024             // bytes of a condition
+	maxFileBytes      = 1 << 20          // bytes of a file
+	maxAge       = 8760 * time.Hour // of anything that a condition asks for
 )
 
 // Site is what a policy is checked against: the classes that stages name, and how many zones there are.
@@ -65,7 +65,7 @@
 	Result              bool          // it is what the pipeline is for
 	Needs               []int         // indices of stages
 	Line                int
-	Above, Below        []int // all that it needs, and all that need it, by whatever way
+	Upstream, Downstream        []int // all that it needs, and all that need it, by whatever way
 }
 
 // Self and Input are targets of a rule that are not stages by name.
@@ -81,8 +81,8 @@
 	When     *Condition
 	Target   int // a stage above On, or Self, or Input: the input that the cause names
 	Where    Where
-	From, To time.Duration // of the wait before it; it doubles each time
-	Most     int
+	MinWait, To time.Duration // of the wait before it; it doubles each time
+	MaxUses     int
 	Tenant   float64 // share of its tenant's first runs' work; 0: only the fleet's counts
 	Keep     bool    // what used the old output and has ended well keeps it
 	Person   bool    // once this rule is used up, a person is asked; else the pipeline is dead
@@ -91,32 +91,32 @@
 // Bound is what one run of a pipeline can cost at most.
 type Bound struct {
 	Runs []int // of each stage
-	All  int
+	Total  int
 	Work time.Duration
 }
 
-type fileText struct {
+type fileConfig struct {
 	Version   string         `toml:"version"`
-	Budget    budgetText     `toml:"budget"`
-	Pipelines []pipelineText `toml:"pipeline"`
+	Budget    budgetConfig     `toml:"budget"`
+	Pipelines []pipelineConfig `toml:"pipeline"`
 }
 
-type budgetText struct {
+type budgetConfig struct {
 	Fleet siteconf.Percent  `toml:"fleet"`
 	Spare siteconf.Duration `toml:"spare"`
 }
 
-type pipelineText struct {
+type pipelineConfig struct {
 	Name   string            `toml:"name"`
 	Result []string          `toml:"result"`
 	Within siteconf.Duration `toml:"within"`
 	Work   siteconf.Duration `toml:"most_work"`
 	Others int               `toml:"others"`
-	Stages []stageText       `toml:"stage"`
-	Rules  []ruleText        `toml:"rerun"`
+	Stages []stageConfig       `toml:"stage"`
+	Rules  []ruleConfig        `toml:"rerun"`
 }
 
-type stageText struct {
+type stageConfig struct {
 	Name   string            `toml:"name"`
 	Class  string            `toml:"class"`
 	Work   siteconf.Duration `toml:"work"`
@@ -125,7 +125,7 @@
 	Shared string            `toml:"shared"`
 }
 
-type ruleText struct {
+type ruleConfig struct {
 	On     string `toml:"on"`
 	When   string `toml:"when"`
 	Rerun  string `toml:"rerun"`
@@ -138,8 +138,8 @@
 }
 
 var (
-	words = strings.Fields("version budget fleet spare pipeline name result within most_work others stage class work needs shared rerun on when where after most stale else")
-	units = map[string]string{
+	keywords = strings.Fields("version budget fleet spare pipeline name result within most_work others stage class work needs shared rerun on when where after most stale else")
+	unitHints = map[string]string{
 		"fleet": `write "%s%%"`, "spare": `write "%[1]sm" or "%[1]ss"`, "within": `write "%[1]sm" or "%[1]sh"`, "most_work": `write "%[1]sm" or "%[1]sh"`,
 		"work": `write "%[1]ss" or "%[1]sm"`, "after": `write "%[1]ss" or "%[1]ss..30s"`, "budget": `write "tenant:%s%%"`,
 	}
@@ -156,33 +156,33 @@
 
 // Parse reads a file's text. Its error is a *siteconf.Error, with line, key and mend, for the first fault.
 func Parse(path string, text []byte, site Site) (*Policy, error) {
-	if len(text) > mostText {
-		return nil, &siteconf.Error{File: path, Text: fmt.Sprintf("%d bytes: at most %d", len(text), mostText)}
+	if len(text) > maxFileBytes {
+		return nil, &siteconf.Error{File: path, Text: fmt.Sprintf("%d bytes: at most %d", len(text), maxFileBytes)}
 	}
-	var f fileText
-	doc, err := siteconf.ReadStrict(path, text, &f, units, words)
+	var f fileConfig
+	doc, err := siteconf.ReadStrict(path, text, &f, unitHints, keywords)
 	if err != nil {
 		return nil, err
 	}
 	p := &Policy{Version: f.Version, Fleet: float64(f.Budget.Fleet), Spare: time.Duration(f.Budget.Spare), Pipelines: map[string]*Pipeline{}}
 	switch {
-	case f.Version == "" || len(f.Version) > mostName:
-		return nil, doc.At("version", `missing or over %d bytes: write version = "1"; runs keep the version that they began under`, mostName)
+	case f.Version == "" || len(f.Version) > maxNameBytes:
+		return nil, doc.At("version", `missing or over %d bytes: write version = "1"; runs keep the version that they began under`, maxNameBytes)
 	case f.Budget.Fleet == 0:
 		return nil, doc.At("budget.fleet", `missing: write fleet = "5%%", the share of the first runs' work that all reruns together may take`)
-	case len(f.Pipelines) == 0 || len(f.Pipelines) > mostPipelines:
-		return nil, doc.At("pipeline", "%d: from 1 to %d [[pipeline]] are needed", len(f.Pipelines), mostPipelines)
+	case len(f.Pipelines) == 0 || len(f.Pipelines) > maxPipelines:
+		return nil, doc.At("pipeline", "%d: from 1 to %d [[pipeline]] are needed", len(f.Pipelines), maxPipelines)
 	}
 	stages, rules := 0, 0
 	for i, t := range f.Pipelines {
-		l := loader{doc: doc, at: fmt.Sprintf("pipeline[%d]", i), stage0: stages, rule0: rules, text: t, site: site}
+		l := loader{doc: doc, prefix: fmt.Sprintf("pipeline[%d]", i), firstStage: stages, firstRule: rules, config: t, site: site}
 		stages, rules = stages+len(t.Stages), rules+len(t.Rules)
 		one, err := l.load()
 		if err != nil {
 			return nil, err
 		}
 		if p.Pipelines[one.Name] != nil {
-			return nil, doc.At(l.at+".name", "%q is there twice: give one of them another name", one.Name)
+			return nil, doc.At(l.prefix+".name", "%q is there twice: give one of them another name", one.Name)
 		}
 		p.Pipelines[one.Name] = one
 	}
@@ -192,37 +192,37 @@
 // loader reads one pipeline.
 type loader struct {
 	doc           *siteconf.Strict
-	at            string
-	stage0, rule0 int // of the file's, that come before this one's
-	text          pipelineText
+	prefix            string
+	firstStage, firstRule int // of the file's, that come before this one's
+	config          pipelineConfig
 	site          Site
 	order         []int // of the stages in the file, each after its needs
 	p             *Pipeline
 }
 
-func (l *loader) fault(key, format string, args ...any) error {
-	return l.doc.At(l.at+"."+key, format, args...)
+func (l *loader) errorAt(key, format string, args ...any) error {
+	return l.doc.At(l.prefix+"."+key, format, args...)
 }
 
-func (l *loader) stageAt(i int) string { return fmt.Sprintf("pipeline.stage[%d]", l.stage0+i) }
-func (l *loader) ruleAt(i int) string  { return fmt.Sprintf("pipeline.rerun[%d]", l.rule0+i) }
+func (l *loader) stageAt(i int) string { return fmt.Sprintf("pipeline.stage[%d]", l.firstStage+i) }
+func (l *loader) ruleAt(i int) string  { return fmt.Sprintf("pipeline.rerun[%d]", l.firstRule+i) }
 
 func (l *loader) load() (*Pipeline, error) {
-	t := l.text
+	t := l.config
 	switch {
-	case t.Name == "" || len(t.Name) > mostName:
-		return nil, l.fault("name", `missing or over %d bytes: write name = "lecture"`, mostName)
-	case len(t.Stages) == 0 || len(t.Stages) > mostStages:
-		return nil, l.fault("stage", "%d: from 1 to %d [[pipeline.stage]] are needed", len(t.Stages), mostStages)
-	case len(t.Rules) > mostRules:
-		return nil, l.fault("rerun", "%d: at most %d", len(t.Rules), mostRules)
+	case t.Name == "" || len(t.Name) > maxNameBytes:
+		return nil, l.errorAt("name", `missing or over %d bytes: write name = "lecture"`, maxNameBytes)
+	case len(t.Stages) == 0 || len(t.Stages) > maxStages:
+		return nil, l.errorAt("stage", "%d: from 1 to %d [[pipeline.stage]] are needed", len(t.Stages), maxStages)
+	case len(t.Rules) > maxRules:
+		return nil, l.errorAt("rerun", "%d: at most %d", len(t.Rules), maxRules)
 	case t.Within <= 0:
-		return nil, l.fault("within", `missing: write within = "2h", after which a run ends whatever it waits for`)
-	case t.Others < 0 || t.Others > mostOthers:
-		return nil, l.fault("others", "%d: from 0 to %d times that other pipelines' reruns may make this one's stages stale", t.Others, mostOthers)
+		return nil, l.errorAt("within", `missing: write within = "2h", after which a run ends whatever it waits for`)
+	case t.Others < 0 || t.Others > maxOthers:
+		return nil, l.errorAt("others", "%d: from 0 to %d times that other pipelines' reruns may make this one's stages stale", t.Others, maxOthers)
 	}
 	l.p = &Pipeline{Name: t.Name, Within: time.Duration(t.Within), Others: t.Others}
-	for _, step := range []func() error{l.stages, l.sort, l.results, l.shared, l.rules, l.contradictions, l.bound} {
+	for _, step := range []func() error{l.loadStages, l.sortStages, l.checkResults, l.checkShared, l.loadRules, l.checkContradictions, l.computeBound} {
 		if err := step(); err != nil {
 			return nil, err
 		}
@@ -231,19 +231,19 @@
 }
 
 // index is a stage of the file by its name; -1: there is none.
-func (l *loader) index(name string) int {
-	return slices.IndexFunc(l.text.Stages, func(s stageText) bool { return s.Name == name })
+func (l *loader) stageIndex(name string) int {
+	return slices.IndexFunc(l.config.Stages, func(s stageConfig) bool { return s.Name == name })
 }
 
-func (l *loader) names() (all []string) {
-	for _, s := range l.text.Stages {
+func (l *loader) stageNames() (all []string) {
+	for _, s := range l.config.Stages {
 		all = append(all, s.Name)
 	}
 	return all
 }
 
-func (l *loader) stages() error {
-	for i, s := range l.text.Stages {
+func (l *loader) loadStages() error {
+	for i, s := range l.config.Stages {
 		at := l.stageAt(i)
 		class, known := l.site.Classes[s.Class]
 		var classes []string
@@ -252,11 +252,11 @@
 		}
 		slices.Sort(classes)
 		switch {
-		case s.Name == "" || len(s.Name) > mostName || strings.ContainsAny(s.Name, " /@"):
-			return l.doc.At(at+".name", `%q: write a name of up to %d bytes without spaces, "/" and "@"`, s.Name, mostName)
+		case s.Name == "" || len(s.Name) > maxNameBytes || strings.ContainsAny(s.Name, " /@"):
+			return l.doc.At(at+".name", `%q: write a name of up to %d bytes without spaces, "/" and "@"`, s.Name, maxNameBytes)
 		case s.Name == "self" || s.Name == "cause.input":
 			return l.doc.At(at+".name", "%q means something else in rules: give it another name", s.Name)
-		case l.index(s.Name) != i:
+		case l.stageIndex(s.Name) != i:
 			return l.doc.At(at+".name", "%q is there twice: give one of them another name", s.Name)
 		case s.Class == "":
 			return l.doc.At(at+".class", "missing: write the class of commands by which its workers are chosen, one of %s", strings.Join(classes, ", "))
@@ -269,8 +269,8 @@
 			return l.doc.At(at+".within", "%v: write from its work, %v, to the pipeline's within, %v", time.Duration(s.Within), time.Duration(s.Work), l.p.Within)
 		}
 		for _, n := range s.Needs {
-			if l.index(n) < 0 {
-				return l.doc.At(at+".needs", "%q is no stage of %q%s", n, l.text.Name, siteconf.Nearest(n, l.names(), "; remove it"))
+			if l.stageIndex(n) < 0 {
+				return l.doc.At(at+".needs", "%q is no stage of %q%s", n, l.config.Name, siteconf.Nearest(n, l.stageNames(), "; remove it"))
 			}
 		}
 		l.p.Stages = append(l.p.Stages, &Stage{
@@ -281,12 +281,12 @@
 }
 
 // sort puts each stage after what it needs, and finds cycles.
-func (l *loader) sort() error {
-	state := make([]int, len(l.text.Stages)) // 1: being visited, 2: done
+func (l *loader) sortStages() error {
+	state := make([]int, len(l.config.Stages)) // 1: being visited, 2: done
 	var path []string
 	var visit func(i int) error
 	visit = func(i int) error {
-		s := l.text.Stages[i]
+		s := l.config.Stages[i]
 		path = append(path, s.Name)
 		defer func() { path = path[:len(path)-1] }()
 		if state[i] == 2 {
@@ -298,7 +298,7 @@
 		}
 		state[i] = 1
 		for _, n := range s.Needs {
-			if err := visit(l.index(n)); err != nil {
+			if err := visit(l.stageIndex(n)); err != nil {
 				return err
 			}
 		}
@@ -306,7 +306,7 @@
 		l.order = append(l.order, i)
 		return nil
 	}
-	for i := range l.text.Stages {
+	for i := range l.config.Stages {
 		if err := visit(i); err != nil {
 			return err
 		}
@@ -318,21 +318,21 @@
 	l.p.Stages = sorted
 	for place, i := range l.order {
 		s := sorted[place]
-		for _, name := range l.text.Stages[i].Needs {
+		for _, name := range l.config.Stages[i].Needs {
 			n := l.p.Stage(name)
 			if !slices.Contains(s.Needs, n) {
 				s.Needs = append(s.Needs, n)
 			}
-			for _, above := range append([]int{n}, sorted[n].Above...) {
-				if !slices.Contains(s.Above, above) {
-					s.Above = append(s.Above, above)
+			for _, above := range append([]int{n}, sorted[n].Upstream...) {
+				if !slices.Contains(s.Upstream, above) {
+					s.Upstream = append(s.Upstream, above)
 				}
 			}
 		}
 		slices.Sort(s.Needs)
-		slices.Sort(s.Above)
-		for _, above := range s.Above {
-			sorted[above].Below = append(sorted[above].Below, place)
+		slices.Sort(s.Upstream)
+		for _, above := range s.Upstream {
+			sorted[above].Downstream = append(sorted[above].Downstream, place)
 		}
 	}
 	return nil
@@ -344,23 +344,23 @@
 }
 
 // results finds stages that nothing which is wanted needs.
-func (l *loader) results() error {
-	if len(l.text.Result) == 0 {
-		return l.fault("result", `missing: write result = ["publish"], the stages that the pipeline is for`)
+func (l *loader) checkResults() error {
+	if len(l.config.Result) == 0 {
+		return l.errorAt("result", `missing: write result = ["publish"], the stages that the pipeline is for`)
 	}
 	wanted := map[int]bool{}
-	for _, name := range l.text.Result {
+	for _, name := range l.config.Result {
 		i := l.p.Stage(name)
 		if i < 0 {
-			return l.fault("result", "%q is no stage%s", name, siteconf.Nearest(name, l.names(), "; remove it"))
+			return l.errorAt("result", "%q is no stage%s", name, siteconf.Nearest(name, l.stageNames(), "; remove it"))
 		}
 		l.p.Stages[i].Result, wanted[i] = true, true
-		for _, above := range l.p.Stages[i].Above {
+		for _, above := range l.p.Stages[i].Upstream {
 			wanted[above] = true
 		}
 	}
-	for i := range l.text.Stages {
-		if name := l.text.Stages[i].Name; !wanted[l.p.Stage(name)] {
+	for i := range l.config.Stages {
+		if name := l.config.Stages[i].Name; !wanted[l.p.Stage(name)] {
 			return l.doc.At(l.stageAt(i), "nobody reaches %q: nothing in result needs it; have a stage need it, name it in result, or remove it", name)
 		}
 	}
@@ -368,8 +368,8 @@
 }
 
 // shared finds shared stages that depend on what is not.
-func (l *loader) shared() error {
-	for i, t := range l.text.Stages {
+func (l *loader) checkShared() error {
+	for i, t := range l.config.Stages {
 		if t.Shared == "" {
 			continue
 		}
@@ -386,43 +386,43 @@
 	return nil
 }
 
-func (l *loader) rules() error {
-	for i, t := range l.text.Rules {
+func (l *loader) loadRules() error {
+	for i, t := range l.config.Rules {
 		at := func(key string) string { return l.ruleAt(i) + "." + key }
-		r := &Rule{Line: l.doc.Line(l.ruleAt(i)), On: l.p.Stage(t.On), Where: Where(t.Where), Most: t.Most, Keep: t.Stale == "keep", Person: t.Else == "person"}
+		r := &Rule{Line: l.doc.Line(l.ruleAt(i)), On: l.p.Stage(t.On), Where: Where(t.Where), MaxUses: t.Most, Keep: t.Stale == "keep", Person: t.Else == "person"}
 		var wheres []string
-		for _, w := range Wheres {
+		for _, w := range WhereValues {
 			wheres = append(wheres, string(w))
 		}
 		switch {
 		case t.On == "":
-			return l.doc.At(at("on"), "missing: write the stage whose failure it is about, one of %s", strings.Join(l.names(), ", "))
+			return l.doc.At(at("on"), "missing: write the stage whose failure it is about, one of %s", strings.Join(l.stageNames(), ", "))
 		case r.On < 0:
-			return l.doc.At(at("on"), "%q is no stage%s", t.On, siteconf.Nearest(t.On, l.names(), ": write one of "+strings.Join(l.names(), ", ")))
+			return l.doc.At(at("on"), "%q is no stage%s", t.On, siteconf.Nearest(t.On, l.stageNames(), ": write one of "+strings.Join(l.stageNames(), ", ")))
 		case t.When == "":
 			return l.doc.At(at("when"), `missing: write when = 'cause.kind == "failed"'`)
 		case t.Most == 0:
-			return l.doc.At(at("most"), "missing: a run would have no bound; write most = 2, from 1 to %d", mostTimes)
-		case t.Most < 0 || t.Most > mostTimes:
-			return l.doc.At(at("most"), "%d: write from 1 to %d times", t.Most, mostTimes)
+			return l.doc.At(at("most"), "missing: a run would have no bound; write most = 2, from 1 to %d", maxUses)
+		case t.Most < 0 || t.Most > maxUses:
+			return l.doc.At(at("most"), "%d: write from 1 to %d times", t.Most, maxUses)
 		case !slices.Contains([]string{"", "rerun", "keep"}, t.Stale):
 			return l.doc.At(at("stale"), `%q: write "rerun" (what used the old output runs again) or "keep"`, t.Stale)
 		case !slices.Contains([]string{"", "dead", "person"}, t.Else):
 			return l.doc.At(at("else"), `%q: write "dead" or "person"`, t.Else)
-		case t.Where != "" && !slices.Contains(Wheres, r.Where):
+		case t.Where != "" && !slices.Contains(WhereValues, r.Where):
 			return l.doc.At(at("where"), "%q%s", t.Where, siteconf.Nearest(t.Where, wheres, ": write one of "+strings.Join(wheres, ", ")))
 		}
 		if r.Where == "" {
 			r.Where = Anywhere
 		}
 		var err error
-		if r.From, r.To, err = spread(t.After); err != nil {
+		if r.MinWait, r.To, err = parseWait(t.After); err != nil {
 			return l.doc.At(at("after"), "%v", err)
 		}
 		if r.To > l.p.Within {
 			return l.doc.At(at("after"), "%v is longer than the pipeline's within, %v: it would never come to that", r.To, l.p.Within)
 		}
-		if r.Tenant, err = budget(t.Budget); err != nil {
+		if r.Tenant, err = parseBudget(t.Budget); err != nil {
 			return l.doc.At(at("budget"), "%v", err)
 		}
 		switch t.Rerun {
@@ -435,9 +435,9 @@
 				return l.doc.At(at("rerun"), `%q has no input: write rerun = "self"`, t.On)
 			}
 		default:
-			if r.Target = l.p.Stage(t.Rerun); !slices.Contains(l.p.Stages[r.On].Above, r.Target) {
+			if r.Target = l.p.Stage(t.Rerun); !slices.Contains(l.p.Stages[r.On].Upstream, r.Target) {
 				var above []string
-				for _, n := range l.p.Stages[r.On].Above {
+				for _, n := range l.p.Stages[r.On].Upstream {
 					above = append(above, l.p.Stages[n].Name)
 				}
 				return l.doc.At(at("rerun"), `%q is not above %q, so it mends nothing: write "self", "cause.input"%s`, t.Rerun, t.On, list(above))
@@ -446,7 +446,7 @@
 		if err := l.possible(r, at); err != nil {
 			return err
 		}
-		if err := l.condition(r, t.When, at); err != nil {
+		if err := l.loadCondition(r, t.When, at); err != nil {
 			return err
 		}
 		l.p.Rules = append(l.p.Rules, r)
@@ -487,7 +487,7 @@
 }
 
 // spread reads "2s..30s", or "2s", or nothing: one second to thirty.
-func spread(text string) (from, to time.Duration, err error) {
+func parseWait(text string) (from, to time.Duration, err error) {
 	if text == "" {
 		return time.Second, 30 * time.Second, nil
 	}
@@ -512,7 +512,7 @@
 }
 
 // budget reads "tenant:3%" or "fleet".
-func budget(text string) (float64, error) {
+func parseBudget(text string) (float64, error) {
 	switch share, tenant := strings.CutPrefix(text, "tenant:"); {
 	case text == "fleet":
 		return 0, nil
@@ -534,8 +534,8 @@
 // (or, where old outputs are kept, only what lies between), and the stage that failed.
 func (p *Pipeline) Affected(r *Rule, target int) (all []int) {
 	for i, s := range p.Stages {
-		below := i == target || slices.Contains(s.Above, target)
-		if below && (!r.Keep || i == target || i == r.On || slices.Contains(p.Stages[r.On].Above, i)) {
+		below := i == target || slices.Contains(s.Upstream, target)
+		if below && (!r.Keep || i == target || i == r.On || slices.Contains(p.Stages[r.On].Upstream, i)) {
 			all = append(all, i)
 		}
 	}
@@ -544,7 +544,7 @@
 
 // bound reckons the most that one run can cost: each stage once, and once more for each use of a rule that can reach
 // it, and for each rerun by others of what it uses.
-func (l *loader) bound() error {
+func (l *loader) computeBound() error {
 	p := l.p
 	b := Bound{Runs: make([]int, len(p.Stages))}
 	for i := range p.Stages {
@@ -558,22 +558,22 @@
 			}
 		}
 		for i := range reached {
-			b.Runs[i] += r.Most
+			b.Runs[i] += r.MaxUses
 		}
 	}
 	for i, s := range p.Stages {
-		if s.Shared != "" || slices.ContainsFunc(s.Above, func(a int) bool { return p.Stages[a].Shared != "" }) {
+		if s.Shared != "" || slices.ContainsFunc(s.Upstream, func(a int) bool { return p.Stages[a].Shared != "" }) {
 			b.Runs[i] += p.Others
 		}
-		b.All += b.Runs[i]
+		b.Total += b.Runs[i]
 		b.Work += time.Duration(b.Runs[i]) * s.Work
 	}
 	p.Bound = b
 	switch {
-	case b.All > mostRuns:
-		return l.fault("name", "a run could take %d runs of stages, over %d: lower the most of its rules", b.All, mostRuns)
-	case l.text.Work > 0 && b.Work > time.Duration(l.text.Work):
-		return l.fault("most_work", "a run could take %v of work: lower the most of its rules, or write most_work = %q", b.Work, b.Work)
+	case b.Total > maxRuns:
+		return l.errorAt("name", "a run could take %d runs of stages, over %d: lower the most of its rules", b.Total, maxRuns)
+	case l.config.Work > 0 && b.Work > time.Duration(l.config.Work):
+		return l.errorAt("most_work", "a run could take %v of work: lower the most of its rules, or write most_work = %q", b.Work, b.Work)
 	}
 	return nil
 }
@@ -581,7 +581,7 @@
 // String is the bound in words, for operators.
 func (p *Pipeline) String() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "pipeline %s: at most %d runs, %v of work, within %v:", p.Name, p.Bound.All, p.Bound.Work, p.Within)
+	fmt.Fprintf(&s, "pipeline %s: at most %d runs, %v of work, within %v:", p.Name, p.Bound.Total, p.Bound.Work, p.Within)
 	for i, stage := range p.Stages {
 		fmt.Fprintf(&s, " %s %d", stage.Name, p.Bound.Runs[i])
 	}
--- a/internal/rerun/policy/policy_test.go
+++ b/internal/rerun/policy/policy_test.go
@@ -69,7 +69,7 @@
 budget = "fleet"
 `
 
-func TestBoundIsReckoned(t *testing.T) {
+func TestBoundIsComputed(t *testing.T) {
 	p, err := Parse("reruns.toml", []byte(lecture), site)
 	require.NoError(t, err)
 	b := p.Pipelines["lecture"]
@@ -77,7 +77,7 @@
 }
 
 // Each fault of a file is one line with file, line, key and mend.
-func TestFaultsNameLineKeyAndMend(t *testing.T) {
+func TestErrorsNameLineKeyAndFix(t *testing.T) {
 	const rule, when = `on = "package"`, `when = 'cause.kind == "bad_input" && cause.input.age < duration("2h")'`
 	for _, c := range []struct {
 		from, to string
@@ -156,7 +156,7 @@
 }
 
 // A narrowing takes workers away and never adds any.
-func TestNarrowingsOnlyTakeAway(t *testing.T) {
+func TestWhereOnlyExcludesWorkers(t *testing.T) {
 	failed := Place{"w1", "m2", "c1", "a"}
 	allowed := func(w Where) (n []bool) {
 		for _, at := range []Place{failed, {"w2", "m2", "c1", "a"}, {"w3", "m3", "c1", "a"}, {"w4", "m2", "c2", "a"}, {"w5", "m2", "c1", "b"}} {
@@ -172,7 +172,7 @@
 }
 
 // drawn is a pipeline by chance, as text.
-func drawn(t *rapid.T) string {
+func drawPipeline(t *rapid.T) string {
 	n := rapid.IntRange(1, 7).Draw(t, "stages")
 	var s strings.Builder
 	fmt.Fprintf(&s, "version=\"1\"\n[budget]\nfleet=\"5%%\"\n[[pipeline]]\nname=\"p\"\nwithin=\"1h\"\nresult=[")
@@ -211,7 +211,7 @@
 // with the worst of its targets, some stage reaches its bound.
 func TestBoundHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := drawn(t)
+		text := drawPipeline(t)
 		pol, err := Parse("p.toml", []byte(text), site)
 		if err != nil && (strings.Contains(err.Error(), "contradicts") || strings.Contains(err.Error(), "says the same")) {
 			t.Skip("two rules for one failure")
@@ -243,7 +243,7 @@
 			}
 			k := rapid.IntRange(0, len(p.Rules)-1).Draw(t, "rule")
 			r := p.Rules[k]
-			if uses[k] == r.Most {
+			if uses[k] == r.MaxUses {
 				continue
 			}
 			uses[k]++
@@ -261,8 +261,8 @@
 			require.LessOrEqual(t, n, p.Bound.Runs[i], "%s\n%s", p, text)
 			all += n
 		}
-		require.LessOrEqual(t, all, p.Bound.All)
-		require.Equal(t, time.Duration(p.Bound.All)*time.Second, p.Bound.Work)
+		require.LessOrEqual(t, all, p.Bound.Total)
+		require.Equal(t, time.Duration(p.Bound.Total)*time.Second, p.Bound.Work)
 	})
 }
 
@@ -271,7 +271,7 @@
 	c, err := compile(`cause.worker.contains(run.tenant) || cause.zone + cause.site == "ab" && 10 / stage.runs > 3`)
 	require.NoError(t, err)
 	require.False(t, c.exact)
-	long := strings.Repeat("x", mostString)
+	long := strings.Repeat("x", maxStringBytes)
 	holds, err := c.Holds(Facts{At: Place{Worker: long, Zone: long, Site: long}, Tenant: long[1:] + "y", Runs: 1})
 	require.NoError(t, err)
 	require.False(t, holds)
--- a/internal/rerun/rerun_test.go
+++ b/internal/rerun/rerun_test.go
@@ -26,36 +26,36 @@
 	return &policy.Place{Worker: fmt.Sprint("w", n), Kind: "m2", Site: siteName, Zone: zone}
 }
 
-func name(i int) string { return fmt.Sprint("r", i) }
+func runID(i int) string { return fmt.Sprint("r", i) }
 
 // A thousand runs use one spoilt output. It is made anew once, one trial goes first, and what each had not begun yet
 // runs as if nothing had been.
 func TestThousandRunsOnOneBadOutput(t *testing.T) {
-	w := newWorld(t, 1, 5, 1000)
-	w.policy(words("1", "100%", "10m", film("tenant:100%", 2, "")))
-	w.outcome = func(w *world, g Go) Command {
+	w := newSimulation(t, 1, 5, 1000)
+	w.policy(policyFile("1", "100%", "10m", filmPipeline("tenant:100%", 2, "")))
+	w.outcome = func(w *simulation, g Go) Command {
 		if stageOf(g.Key) == "encode" && g.Of[0] == 1 {
 			return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(w.rng.IntN(50), "s2", "b")}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	for i := range 1000 {
-		w.submit(name(i), "film", fmt.Sprint("t", i%3), map[string]string{"asset": "jingle"})
+		w.submit(runID(i), "film", fmt.Sprint("t", i%3), map[string]string{"asset": "jingle"})
 	}
 	w.finish(200_000)
-	require.Equal(t, map[Kind]int{Done: 1000}, w.ends(1000, name))
+	require.Equal(t, map[Kind]int{Done: 1000}, w.endKinds(1000, runID))
 	require.Equal(t, map[int64]int{1: 1, 2: 1}, w.started["s/film/ingest/jingle"])
-	e, _ := w.ms[GroupOfRun("r0", 5)].Explain("r0")
+	e, _ := w.machines[GroupOfRun("r0", 5)].Explain("r0")
 	require.NotEmpty(t, e.Story)
 	require.Contains(t, fmt.Sprint(e.Story), "encode: bad_input ingest")
 }
 
 // Three deep: package calls encode bad, encode anew calls ingest bad; all below each runs anew, once, elsewhere.
-func TestThreeDeep(t *testing.T) {
-	w := newWorld(t, 2, 4, 100)
-	w.policy(words("1", "5%", "10m", film("fleet", 2, "")))
+func TestRerunsPropagateUpstream(t *testing.T) {
+	w := newSimulation(t, 2, 4, 100)
+	w.policy(policyFile("1", "5%", "10m", filmPipeline("fleet", 2, "")))
 	var narrowed []policy.Where
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		if !g.First {
 			narrowed = append(narrowed, g.Where)
 		}
@@ -82,12 +82,12 @@
 }
 
 // A publish that may have run stops its pipeline: a person is asked, with what is known. One that surely did not, runs.
-func TestWhatMustNotRunTwice(t *testing.T) {
+func TestOnceStageIsNotRunTwice(t *testing.T) {
 	again := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind == \"never_ran\"'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
 	for _, cause := range []policy.Cause{policy.MayHaveRun, policy.RanFailed, policy.BadInput, policy.Late, policy.CalledOff, policy.NeverRan} {
-		w := newWorld(t, 3, 3, 100)
-		w.policy(words("1", "5%", "10m", film("fleet", 2, again)))
-		w.outcome = func(w *world, g Go) Command {
+		w := newSimulation(t, 3, 3, 100)
+		w.policy(policyFile("1", "5%", "10m", filmPipeline("fleet", 2, again)))
+		w.outcome = func(w *simulation, g Go) Command {
 			if stageOf(g.Key) == "publish" && g.Gen == 1 {
 				return Command{Cause: cause, Input: "package", Place: worker(4, "s", "a")}
 			}
@@ -109,7 +109,7 @@
 }
 
 // What has published must not publish again because another stage calls what both used spoilt.
-const two = `[[pipeline]]
+const twoResults = `[[pipeline]]
 name="two"
 result=["publish","notify"]
 within="1h"
@@ -135,12 +135,12 @@
 budget="fleet"
 `
 
-func unsafe(w *world) {
-	w.policy(words("1", "5%", "10m", two))
-	w.takes = func(w *world, g Go) time.Duration {
+func rerunUnsafe(w *simulation) {
+	w.policy(policyFile("1", "5%", "10m", twoResults))
+	w.duration = func(w *simulation, g Go) time.Duration {
 		return map[string]time.Duration{"package": time.Second, "publish": time.Second, "notify": 3 * time.Second}[stageOf(g.Key)]
 	}
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		if stageOf(g.Key) == "notify" {
 			return Command{Cause: policy.BadInput, Input: "package"}
 		}
@@ -150,9 +150,9 @@
 	w.finish(1000)
 }
 
-func TestUpstreamOfWhatMustNotRunTwice(t *testing.T) {
-	w := newWorld(t, 4, 3, 100)
-	unsafe(w)
+func TestRerunUpstreamOfOnceStageNeedsPerson(t *testing.T) {
+	w := newSimulation(t, 4, 3, 100)
+	rerunUnsafe(w)
 	a := w.run("r0").Answer
 	require.Equal(t, Person, a.Kind)
 	require.Contains(t, a.Reason, "notify says that package is spoilt, and publish, which must not run twice, has used it")
@@ -160,11 +160,11 @@
 }
 
 // A worker calls every input bad. Its first claim is believed; then others are asked, and it is not believed any more.
-func TestLyingWorker(t *testing.T) {
-	w := newWorld(t, 5, 4, 4)
-	w.policy(words("1", "100%", "60m", film("tenant:100%", 3, "")))
+func TestWorkerWithFalseClaimsIsDistrusted(t *testing.T) {
+	w := newSimulation(t, 5, 4, 4)
+	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	lies := 0
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		at := worker(w.rng.IntN(10), "s1", "a")
 		if g.Where != "" && g.Where != policy.Anywhere && at.Worker == g.Failed.Worker {
 			at = worker(50, "s2", "b")
@@ -176,10 +176,10 @@
 		return Command{OK: true, Place: at}
 	}
 	for i := range 200 {
-		w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
 	w.finish(100_000)
-	require.Equal(t, map[Kind]int{Done: 200}, w.ends(200, name), "lies %d", lies)
+	require.Equal(t, map[Kind]int{Done: 200}, w.endKinds(200, runID), "lies %d", lies)
 	again := 0
 	for key, gens := range w.started {
 		if stageOf(key) == "encode" {
@@ -196,35 +196,35 @@
 	for _, c := range []struct {
 		name   string
 		lies   bool
-		atMost int // second opinions; of the liar: claims that are believed in each claimFor
-	}{{"honest", false, 8}, {"lies", true, lookEach + 8}} { // 8 run at once
-		w := newWorld(t, 12, 4, 8)
-		w.policy(words("1", "100%", "60m", film("tenant:100%", 3, "")))
+		atMost int // second opinions; of the liar: claims that are believed in each claimRetention
+	}{{"honest", false, 8}, {"lies", true, checkInterval + 8}} { // 8 run at once
+		w := newSimulation(t, 12, 4, 8)
+		w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 		seen, opinions := 0, 0
-		w.outcome = func(w *world, g Go) Command {
+		w.outcome = func(w *simulation, g Go) Command {
 			at := worker(1, "s1", "a") // the one worker of the site that has nearly all first runs
 			if !g.First && g.Where != policy.Anywhere {
 				at = worker(2+w.rng.IntN(9), "s2", "b")
 			}
 			if stageOf(g.Key) != "package" || at.Worker != "w1" {
-				if stageOf(g.Key) == "package" && !c.lies && g.Of[0] == 1 && bad(g.Key) { // another sees it too
+				if stageOf(g.Key) == "package" && !c.lies && g.Of[0] == 1 && isBad(g.Key) { // another sees it too
 					opinions++
 					return Command{Cause: policy.BadInput, Input: "encode", Place: at}
 				}
 				return Command{OK: true, Place: at}
 			}
-			if seen++; !c.lies && g.Of[0] == 1 && bad(g.Key) || c.lies && seen%3 == 0 {
+			if seen++; !c.lies && g.Of[0] == 1 && isBad(g.Key) || c.lies && seen%3 == 0 {
 				return Command{Cause: policy.BadInput, Input: "encode", Place: at}
 			}
 			return Command{OK: true, Place: at}
 		}
 		for i := range 240 {
-			w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+			w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 			if i%20 == 19 { // reruns go after first runs, and opinions are reruns
 				w.finish(200_000)
 			}
 		}
-		require.Equal(t, map[Kind]int{Done: 240}, w.ends(240, name), c.name)
+		require.Equal(t, map[Kind]int{Done: 240}, w.endKinds(240, runID), c.name)
 		again := 0
 		for key, gens := range w.started {
 			if stageOf(key) == "encode" {
@@ -236,18 +236,18 @@
 			require.LessOrEqual(t, opinions, c.atMost, "second opinions on %d claims that are true", again)
 			continue
 		}
-		times := int((w.now-startAt)/claimFor) + 1
+		times := int((w.now-startAt)/claimRetention) + 1
 		require.LessOrEqual(t, again, times*c.atMost, "lies that are believed, in %d times 10 min", times)
 		require.Less(t, again, seen/3/2, "of all lies")
 	}
 }
 
 // Guards against a third look at a claim that a second worker has confirmed, as that worker has made many claims itself.
-func TestConfirmedClaimNeedsNoThirdLook(t *testing.T) {
-	w := newWorld(t, 15, 4, 4)
-	w.policy(words("1", "100%", "60m", film("tenant:100%", 3, "")))
+func TestConfirmedClaimIsNotCheckedAgain(t *testing.T) {
+	w := newSimulation(t, 15, 4, 4)
+	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	first := 2 // two claims each are believed: those of the worker that is to confirm, then those of the one that claims
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		switch {
 		case stageOf(g.Key) != "package" || g.Of[0] > 1:
 			return Command{OK: true, Place: worker(9, "s1", "a")}
@@ -260,23 +260,23 @@
 		if i == 2 {
 			first = 1
 		}
-		w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 		w.finish(10_000)
 	}
-	require.Equal(t, map[Kind]int{Done: 5}, w.ends(5, name))
+	require.Equal(t, map[Kind]int{Done: 5}, w.endKinds(5, runID))
 	require.Len(t, w.started["r/r3/package"], 2, "believed")
 	require.Len(t, w.started["r/r4/package"], 3, "looked into once: %v", w.run("r4").Story)
 }
 
 // bad is one in four.
-func bad(key string) bool { return sha256.Sum256([]byte(key))[0]%4 == 0 }
+func isBad(key string) bool { return sha256.Sum256([]byte(key))[0]%4 == 0 }
 
 // Of a site that spoils all that it makes reruns of others' stages are told, so that they are not sent there.
-func TestSitesThatOftenFailAreTold(t *testing.T) {
-	w := newWorld(t, 13, 4, 40)
-	w.policy(words("1", "100%", "60m", film("tenant:100%", 3, "")))
+func TestFrequentlyFailingSitesAreAvoided(t *testing.T) {
+	w := newSimulation(t, 13, 4, 40)
+	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	told, late := 0, 0
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		at := worker(w.rng.IntN(20), fmt.Sprint("s", w.rng.IntN(4)), "a")
 		if stageOf(g.Key) == "encode" && !g.First {
 			if slices.Contains(g.Doubt, policy.Place{Zone: "a", Site: "s0"}) {
@@ -288,31 +288,31 @@
 			require.NotContains(t, g.Doubt, policy.Place{Zone: "a", Site: "s1"})
 		}
 		if stageOf(g.Key) == "package" {
-			if o := w.ms[GroupOfRun(strings.Split(g.Key, "/")[1], 4)].s.Outputs[g.Inputs[0]]; o.At.Site == "s0" {
+			if o := w.machines[GroupOfRun(strings.Split(g.Key, "/")[1], 4)].state.Outputs[g.Inputs[0]]; o.At.Site == "s0" {
 				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(w.rng.IntN(90), "s2", "b")}
 			}
 		}
 		return Command{OK: true, Place: at}
 	}
 	for i := range 200 {
-		w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
 	w.finish(200_000)
-	require.Equal(t, map[Kind]int{Done: 200}, w.ends(200, name))
+	require.Equal(t, map[Kind]int{Done: 200}, w.endKinds(200, runID))
 	require.Greater(t, told, 5*late, "%d reruns knew, %d did not", told, late)
-	for _, m := range w.ms { // and it is forgotten
-		w.now += 2 * claimFor
+	for _, m := range w.machines { // and it is forgotten
+		w.now += 2 * claimRetention
 		m.Apply(0, w.now, Command{Op: OpTick}.Bytes())
-		require.Empty(t, m.s.Often)
+		require.Empty(t, m.state.SiteFailures)
 	}
 }
 
 // Guards against reruns being kept from the site that makes most, as it is named most, and sent to one that spoils the little it makes.
-func TestSitesAreToldOutOfWhatTheyMake(t *testing.T) {
-	w := newWorld(t, 16, 4, 40)
-	w.policy(words("1", "100%", "60m", film("tenant:100%", 3, "")))
+func TestSitesAreRatedByFailureShare(t *testing.T) {
+	w := newSimulation(t, 16, 4, 40)
+	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	made, kept, sent := 0, 0, 0
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		switch id := strings.Split(g.Key, "/")[1]; stageOf(g.Key) {
 		case "encode":
 			site := "s0"
@@ -327,30 +327,30 @@
 			}
 			return Command{OK: true, Place: worker(w.rng.IntN(20), site, "a")}
 		case "package":
-			o := w.ms[GroupOfRun(id, 4)].s.Outputs[g.Inputs[0]]
-			if o.At.Site == "s1" || o.At.Site == "s0" && bad(g.Key) {
+			o := w.machines[GroupOfRun(id, 4)].state.Outputs[g.Inputs[0]]
+			if o.At.Site == "s1" || o.At.Site == "s0" && isBad(g.Key) {
 				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(w.rng.IntN(90), "s2", "b")}
 			}
 		}
 		return Command{OK: true, Place: worker(w.rng.IntN(90), "s2", "b")}
 	}
 	for i := range 300 {
-		w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 		if i%20 == 19 {
 			w.finish(200_000)
 		}
 	}
-	require.Equal(t, map[Kind]int{Done: 300}, w.ends(300, name))
+	require.Equal(t, map[Kind]int{Done: 300}, w.endKinds(300, runID))
 	require.Equal(t, []int{0, 0}, []int{kept, sent}, "reruns kept from the one, sent to the other")
 }
 
 // Guards against a second opinion on a stage's input being had at a site that spoils what that stage makes, so that it is made again.
-func TestSecondOpinionsAreKeptFromSitesThatSpoil(t *testing.T) {
-	w := newWorld(t, 17, 4, 40)
-	w.policy(words("1", "100%", "60m", film("tenant:100%", 3, "")))
+func TestSecondOpinionsAvoidFailingSites(t *testing.T) {
+	w := newSimulation(t, 17, 4, 40)
+	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	bad := policy.Place{Zone: "a", Site: "s0"}
 	kept, sent := 0, 0
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		id := strings.Split(g.Key, "/")[1]
 		switch stageOf(g.Key) {
 		case "encode":
@@ -369,14 +369,14 @@
 			}
 			return Command{OK: true, Place: worker(w.rng.IntN(20), site, "a")}
 		case "package":
-			if w.ms[GroupOfRun(id, 4)].s.Outputs[g.Inputs[0]].At.Site == "s0" {
+			if w.machines[GroupOfRun(id, 4)].state.Outputs[g.Inputs[0]].At.Site == "s0" {
 				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(w.rng.IntN(90), "s2", "b")}
 			}
 		}
 		return Command{OK: true, Place: worker(w.rng.IntN(90), "s2", "b")}
 	}
 	for i := range 200 {
-		w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 		if i%20 == 19 {
 			w.finish(200_000)
 		}
@@ -384,20 +384,20 @@
 			kept, sent = 0, 0
 		}
 	}
-	require.Equal(t, map[Kind]int{Done: 200}, w.ends(200, name))
+	require.Equal(t, map[Kind]int{Done: 200}, w.endKinds(200, runID))
 	require.Greater(t, kept, 20)
 	require.Zero(t, sent, "of %d", kept+sent)
 }
 
 // A site comes back with its outputs lost: reruns for it go by a trial first and then by what it takes.
 func TestLostOutputsArePaced(t *testing.T) {
-	w := newWorld(t, 6, 4, 1000)
-	w.policy(words("1", "100%", "60m", film("tenant:100%", 3, "")))
-	for g := range w.ms {
+	w := newSimulation(t, 6, 4, 1000)
+	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
+	for g := range w.machines {
 		w.apply(uint32(g), Command{Op: OpRoom, Rooms: map[string]int{"a.s1": 6}})
 	}
 	running, most := map[string]bool{}, 0
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		if stageOf(g.Key) == "package" && g.Of[0] == 1 {
 			return Command{Cause: policy.OutputLost, Input: "encode"}
 		}
@@ -411,78 +411,78 @@
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	for i := range 300 {
-		w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
 	w.finish(200_000)
-	require.Equal(t, map[Kind]int{Done: 300}, w.ends(300, name))
+	require.Equal(t, map[Kind]int{Done: 300}, w.endKinds(300, runID))
 	require.LessOrEqual(t, most, 6)
 	require.Equal(t, 600, w.reruns, "each encode and its package once more, nothing else")
 }
 
 // Where an upstream stays spoilt, three trials say so, and all that wait for a verdict have their answer.
 func TestTrialsThatFail(t *testing.T) {
-	w := newWorld(t, 7, 4, 1000)
-	w.policy(words("1", "100%", "60m", film("tenant:100%", 1, "")))
-	w.outcome = func(w *world, g Go) Command {
+	w := newSimulation(t, 7, 4, 1000)
+	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 1, "")))
+	w.outcome = func(w *simulation, g Go) Command {
 		if stageOf(g.Key) == "package" {
 			return Command{Cause: policy.BadInput, Input: "encode"}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	for i := range 100 {
-		w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
 	w.finish(200_000)
-	require.Equal(t, map[Kind]int{Dead: 100}, w.ends(100, name))
-	require.LessOrEqual(t, w.reruns, 2*badInRow)
+	require.Equal(t, map[Kind]int{Dead: 100}, w.endKinds(100, runID))
+	require.LessOrEqual(t, w.reruns, 2*maxFailedTrials)
 }
 
 // A new version halves the budget while runs are under way: those go by their own version to their end.
 func TestVersionHalvesTheBudget(t *testing.T) {
-	w := newWorld(t, 8, 4, 1000)
-	w.policy(words("1", "50%", "30s", film("tenant:50%", 2, "")))
-	w.outcome = func(w *world, g Go) Command {
+	w := newSimulation(t, 8, 4, 1000)
+	w.policy(policyFile("1", "50%", "30s", filmPipeline("tenant:50%", 2, "")))
+	w.outcome = func(w *simulation, g Go) Command {
 		if stageOf(g.Key) == "package" && g.Of[0] == 1 && w.rng.IntN(3) == 0 {
 			return Command{Cause: policy.BadInput, Input: "encode"}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	for i := range 40 {
-		w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
 	for range 300 {
 		w.step()
 	}
-	w.policy(words("2", "25%", "30s", film("tenant:25%", 2, "")))
+	w.policy(policyFile("2", "25%", "30s", filmPipeline("tenant:25%", 2, "")))
 	for i := 40; i < 80; i++ {
-		w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
 	w.finish(100_000)
-	require.Zero(t, w.ends(80, name)[""])
+	require.Zero(t, w.endKinds(80, runID)[""])
 	require.Equal(t, "1", w.run("r0").Policy)
 	require.Equal(t, "2", w.run("r79").Policy)
-	for g := range w.ms {
-		r := w.apply(uint32(g), Command{Op: OpPolicy, Text: words("2", "26%", "30s", film("tenant:25%", 2, "")), Site: &site})
+	for g := range w.machines {
+		r := w.apply(uint32(g), Command{Op: OpPolicy, Text: policyFile("2", "26%", "30s", filmPipeline("tenant:25%", 2, "")), Site: &site})
 		require.False(t, r.OK, "a version is one text")
 	}
 }
 
 // Whatever fails, whoever dies, whatever is told twice: each run has one answer, bounds and budgets hold, and what must
 // not run twice does not (world.check and world.begin look at each step).
-func TestFaultsByChance(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { chance(t, Faults{}) })
+func TestRandomFaults(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { randomFaults(t, Faults{}) })
 }
 
-func chance(t *rapid.T, faulty Faults) {
-	w := newWorld(t, rapid.Uint64().Draw(t, "seed"), uint32(rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "groups")), rapid.IntRange(2, 40).Draw(t, "running"))
-	for _, m := range w.ms {
-		m.faulty = faulty
+func randomFaults(t *rapid.T, faulty Faults) {
+	w := newSimulation(t, rapid.Uint64().Draw(t, "seed"), uint32(rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "groups")), rapid.IntRange(2, 40).Draw(t, "running"))
+	for _, m := range w.machines {
+		m.faults = faulty
 	}
-	w.double = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "double")
+	w.duplicate = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "double")
 	again := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind in [\"never_ran\", \"refused\"]'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
-	w.policy(words("1", rapid.SampledFrom([]string{"5%", "100%"}).Draw(t, "fleet"), rapid.SampledFrom([]string{"20s", "10m"}).Draw(t, "spare"), film("tenant:20%", 2, again), two))
+	w.policy(policyFile("1", rapid.SampledFrom([]string{"5%", "100%"}).Draw(t, "fleet"), rapid.SampledFrom([]string{"20s", "10m"}).Draw(t, "spare"), filmPipeline("tenant:20%", 2, again), twoResults))
 	faults := rapid.IntRange(0, 40).Draw(t, "faults")
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		at := worker(w.rng.IntN(6), fmt.Sprint("s", w.rng.IntN(3)), []string{"a", "b"}[w.rng.IntN(2)])
 		if w.rng.IntN(100) >= faults {
 			return Command{OK: true, Place: at}
@@ -497,25 +497,25 @@
 	assets := rapid.IntRange(1, n).Draw(t, "assets")
 	for i := range n {
 		if i%5 == 4 {
-			w.submit(name(i), "two", "u", nil)
+			w.submit(runID(i), "two", "u", nil)
 		} else {
-			w.submit(name(i), "film", fmt.Sprint("t", i%2), map[string]string{"asset": fmt.Sprint("a", i%assets)})
+			w.submit(runID(i), "film", fmt.Sprint("t", i%2), map[string]string{"asset": fmt.Sprint("a", i%assets)})
 		}
 	}
 	crash := rapid.IntRange(0, 30).Draw(t, "crash") // in a thousand steps
 	for range 60_000 {
-		if !w.open() || !w.step() {
+		if !w.unfinished() || !w.step() {
 			break
 		}
 		if w.rng.IntN(1000) < crash {
-			w.crash(uint32(w.rng.IntN(len(w.ms))))
+			w.crash(uint32(w.rng.IntN(len(w.machines))))
 		}
 	}
 	w.finish(0)
 	for i := range n {
-		if _, told := w.answers[name(i)]; !told {
-			e, _ := w.ms[GroupOfRun(name(i), uint32(len(w.ms)))].Explain(name(i))
-			require.Fail(t, "ended_not_once", "%s after %v, %d events left: %+v", name(i), w.now-startAt, len(w.mail), e)
+		if _, told := w.answers[runID(i)]; !told {
+			e, _ := w.machines[GroupOfRun(runID(i), uint32(len(w.machines)))].Explain(runID(i))
+			require.Fail(t, "ended_not_once", "%s after %v, %d events left: %+v", runID(i), w.now-startAt, len(w.events), e)
 		}
 	}
 }
@@ -523,7 +523,7 @@
 // Each rule that is switched off is noticed.
 func TestMutantsAreCaught(t *testing.T) {
 	caught := func(f func(require.TestingT)) (yes bool) {
-		failed := &failer{}
+		failed := &recordingT{}
 		defer func() {
 			if r := recover(); r != nil && r != any(failed) {
 				panic(r)
@@ -534,36 +534,36 @@
 		return failed.failed
 	}
 	shared := func(t require.TestingT, faulty Faults) {
-		w := newWorld(t, 1, 4, 1000)
-		for _, m := range w.ms {
-			m.faulty = faulty
+		w := newSimulation(t, 1, 4, 1000)
+		for _, m := range w.machines {
+			m.faults = faulty
 		}
-		w.policy(words("1", "100%", "1h", film("fleet", 2, "")))
+		w.policy(policyFile("1", "100%", "1h", filmPipeline("fleet", 2, "")))
 		begun := false // the verdict may be out
-		w.outcome = func(w *world, g Go) Command {
+		w.outcome = func(w *simulation, g Go) Command {
 			if stageOf(g.Key) == "encode" && g.Of[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "ingest"}
 			}
 			begun = begun || stageOf(g.Key) == "encode"
 			return Command{OK: true, Place: worker(1, "s1", "a")}
 		}
-		w.takes = func(w *world, g Go) time.Duration {
+		w.duration = func(w *simulation, g Go) time.Duration {
 			if stageOf(g.Key) == "ingest" && !g.First {
 				return time.Minute
 			}
 			return time.Second
 		}
 		for i := range 20 {
-			w.submit(name(i), "film", "t", map[string]string{"asset": "x"})
+			w.submit(runID(i), "film", "t", map[string]string{"asset": "x"})
 		}
 		for range 4000 {
-			if !w.open() || !w.step() {
+			if !w.unfinished() || !w.step() {
 				break
 			}
 			most := 0
-			for _, m := range w.ms {
-				for _, p := range m.s.Prints {
-					most = max(most, len(p.Trying))
+			for _, m := range w.machines {
+				for _, p := range m.state.Fingerprints {
+					most = max(most, len(p.Trials))
 				}
 			}
 			if !begun {
@@ -573,20 +573,20 @@
 		require.LessOrEqual(t, len(w.started["s/film/ingest/x"]), 2, "generation not compared: one bad output is made anew once")
 	}
 	grants := func(t require.TestingT, faulty Faults) {
-		w := newWorld(t, 1, 4, 1000)
-		w.double = 1
-		for _, m := range w.ms {
-			m.faulty = faulty
+		w := newSimulation(t, 1, 4, 1000)
+		w.duplicate = 1
+		for _, m := range w.machines {
+			m.faults = faulty
 		}
-		w.policy(words("1", "1%", "1m", film("fleet", 2, "")))
-		w.outcome = func(w *world, g Go) Command {
+		w.policy(policyFile("1", "1%", "1m", filmPipeline("fleet", 2, "")))
+		w.outcome = func(w *simulation, g Go) Command {
 			if stageOf(g.Key) == "package" && g.Of[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "encode"}
 			}
 			return Command{OK: true}
 		}
 		for i := range 20 {
-			w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+			w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 		}
 		w.finish(5000)
 	}
@@ -599,11 +599,11 @@
 		{"trial skipped", Faults{NoTrial: true}, shared},
 		{"budget granted twice", Faults{GrantTwice: true}, grants},
 		{"unsafe rerun", Faults{Unsafe: true}, func(t require.TestingT, f Faults) {
-			w := newWorld(t, 4, 3, 100)
-			for _, m := range w.ms {
-				m.faulty = f
+			w := newSimulation(t, 4, 3, 100)
+			for _, m := range w.machines {
+				m.faults = f
 			}
-			unsafe(w)
+			rerunUnsafe(w)
 		}},
 	} {
 		require.False(t, caught(func(t require.TestingT) { c.story(t, Faults{}) }), "%s: the rule as it is", c.name)
@@ -612,13 +612,13 @@
 	}
 }
 
-type failer struct{ failed bool }
+type recordingT struct{ failed bool }
 
-func (f *failer) Errorf(string, ...any) { f.failed = true }
-func (f *failer) FailNow()              { panic(f) }
+func (f *recordingT) Errorf(string, ...any) { f.failed = true }
+func (f *recordingT) FailNow()              { panic(f) }
 
 // times is what differs by the moment alone.
-var times = regexp.MustCompile(`"(at|made|began|since|idle|not|until|ran)":\d+,?|"story":\[[^\]]*\],?`)
+var timestamps = regexp.MustCompile(`"(at|made|began|since|idle|not|until|ran)":\d+,?|"story":\[[^\]]*\],?`)
 
 // All ways in which letters, ends and time can fall for two runs of two groups on one spoilt output of a third: the
 // output is made anew once, and both are done.
@@ -635,14 +635,14 @@
 	a, b := find(1), find(2)
 	asset := ""
 	for i := 0; asset == ""; i++ {
-		if m := New(Config{Groups: groups}); m.group(fmt.Sprint("s/film/ingest/x", i)) == 3 {
+		if m := New(Config{Groups: groups}); m.groupOf(fmt.Sprint("s/film/ingest/x", i)) == 3 {
 			asset = fmt.Sprint("x", i)
 		}
 	}
-	w := newWorld(t, 1, groups, 100)
-	w.policy(words("1", "100%", "1h", film("fleet", 2, "")))
+	w := newSimulation(t, 1, groups, 100)
+	w.policy(policyFile("1", "100%", "1h", filmPipeline("fleet", 2, "")))
 	key := "s/film/ingest/" + asset
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		if stageOf(g.Key) == "encode" && g.Of[0] == 1 {
 			return Command{Cause: policy.BadInput, Input: "ingest"}
 		}
@@ -650,7 +650,7 @@
 	}
 	w.submit(a, "film", "t", map[string]string{"asset": asset})
 	w.submit(b, "film", "t", map[string]string{"asset": asset})
-	for w.run(a).Stages[1].Next == nil || w.run(b).Stages[1].Next == nil { // until both call it spoilt
+	for w.run(a).Stages[1].Pending == nil || w.run(b).Stages[1].Pending == nil { // until both call it spoilt
 		require.True(t, w.step())
 	}
 	type node struct {
@@ -661,7 +661,7 @@
 		where   []uint32
 	}
 	begin := node{now: w.now}
-	for _, m := range w.ms {
+	for _, m := range w.machines {
 		begin.ms = append(begin.ms, clone(m))
 	}
 	seen := map[[32]byte]bool{}
@@ -682,9 +682,9 @@
 	visit = func(n node, d int) {
 		h := sha256.New()
 		for _, m := range n.ms {
-			text, err := json.Marshal(m.s)
+			text, err := json.Marshal(m.state)
 			require.NoError(t, err)
-			h.Write(times.ReplaceAll(text, nil)) // when it was tells nothing of what follows
+			h.Write(timestamps.ReplaceAll(text, nil)) // when it was tells nothing of what follows
 		}
 		for _, g := range n.running {
 			fmt.Fprint(h, g.Key, g.Gen, ";")
@@ -700,8 +700,8 @@
 			cut++
 			return
 		}
-		if o := n.ms[3].s.Outputs[key]; o != nil {
-			require.LessOrEqual(t, o.Last, int64(2), "one rerun")
+		if o := n.ms[3].state.Outputs[key]; o != nil {
+			require.LessOrEqual(t, o.LastGen, int64(2), "one rerun")
 		}
 		moved := false
 		go1 := func(c node) {
@@ -743,8 +743,8 @@
 			go1(c)
 		}
 		for g := range groups { // time, only while the wait of a rule is what comes next
-			if m := n.ms[g]; len(m.due) > 0 && m.due[0].kind == "wait" {
-				at := m.Next()
+			if m := n.ms[g]; len(m.timers) > 0 && m.timers[0].kind == "wait" {
+				at := m.NextTimer()
 				c := copyOf(n, g)
 				c.now = max(c.now, at)
 				apply(&c, g, Command{Op: OpTick})
@@ -758,7 +758,7 @@
 				require.EqualValues(t, 2, r.Stages[1].Of[0], "encode is made of the new output")
 				require.True(t, r.valid(1))
 			}
-			require.EqualValues(t, 2, n.ms[3].s.Outputs[key].Last)
+			require.EqualValues(t, 2, n.ms[3].state.Outputs[key].LastGen)
 		}
 	}
 	visit(begin, 0)
@@ -772,7 +772,7 @@
 	f.Add([]byte(`{"v":1,"op":"letters","letters":[{"seq":1,"kind":"grant","to":"x"}]}`))
 	f.Fuzz(func(t *testing.T, cmd []byte) {
 		m := New(Config{Groups: 1})
-		m.Apply(1, startAt, Command{Op: OpPolicy, Text: words("1", "5%", "10m", film("fleet", 2, "")), Site: &site}.Bytes())
+		m.Apply(1, startAt, Command{Op: OpPolicy, Text: policyFile("1", "5%", "10m", filmPipeline("fleet", 2, "")), Site: &site}.Bytes())
 		m.Apply(2, startAt, Command{Op: OpSubmit, ID: "r", Pipeline: "film", Params: map[string]string{"asset": "x"}}.Bytes())
 		r, err := ReadResult(m.Apply(3, startAt, cmd))
 		require.NoError(t, err)
@@ -784,14 +784,14 @@
 
 // Both inputs are spoilt, and the package names one at a time: that the other is bad says nothing of the first one's
 // rerun, so that nobody who waits for its verdict is told no.
-func TestAnotherInputIsNoVerdict(t *testing.T) {
-	w := newWorld(t, 9, 4, 1000)
+func TestOtherBadInputIsNoTrialVerdict(t *testing.T) {
+	w := newSimulation(t, 9, 4, 1000)
 	stage := func(name, needs string) string {
 		return fmt.Sprintf("[[pipeline.stage]]\nname=%q\nclass=\"light\"\nwork=\"5s\"\nneeds=[%s]\n", name, needs)
 	}
-	w.policy(words("1", "100%", "60m", "[[pipeline]]\nname=\"pair\"\nresult=[\"package\"]\nwithin=\"1h\"\n"+stage("high", "")+stage("low", "")+stage("package", `"high","low"`)+
+	w.policy(policyFile("1", "100%", "60m", "[[pipeline]]\nname=\"pair\"\nresult=[\"package\"]\nwithin=\"1h\"\n"+stage("high", "")+stage("low", "")+stage("package", `"high","low"`)+
 		"[[pipeline.rerun]]\non=\"package\"\nwhen='cause.kind == \"bad_input\"'\nrerun=\"cause.input\"\nmost=3\nbudget=\"fleet\"\n"))
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		if stageOf(g.Key) == "package" {
 			for i, name := range []string{"high", "low"} {
 				if g.Of[i] == 1 {
@@ -802,20 +802,20 @@
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	for i := range 20 {
-		w.submit(name(i), "pair", "t", nil)
+		w.submit(runID(i), "pair", "t", nil)
 	}
 	w.finish(50_000)
-	require.Equal(t, map[Kind]int{Done: 20}, w.ends(20, name))
+	require.Equal(t, map[Kind]int{Done: 20}, w.endKinds(20, runID))
 	require.Equal(t, 20*4, w.reruns)
 }
 
 // Guards against a second opinion that clears an input counting as a good verdict on reruns of what its place spoils, so
 // that two of these go before any has its verdict.
-func TestSecondOpinionIsNoVerdictOnAPlace(t *testing.T) {
-	w := newWorld(t, 14, 4, 1000)
-	w.policy(words("1", "100%", "60m", film("tenant:100%", 3, "")))
+func TestSecondOpinionIsNoTrialVerdict(t *testing.T) {
+	w := newSimulation(t, 14, 4, 1000)
+	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	first, verdict, out, most, opinions := map[string]string{"r0": "s2", "r1": "s2"}, false, map[string]bool{}, 0, 0
-	w.outcome = func(w *world, g Go) Command {
+	w.outcome = func(w *simulation, g Go) Command {
 		id := strings.Split(g.Key, "/")[1]
 		encode := strings.Replace(g.Key, "package", "encode", 1)
 		switch stage := stageOf(g.Key); {
@@ -840,10 +840,10 @@
 		if i == 2 || i == 3 {
 			w.finish(10_000)
 		}
-		w.submit(name(i), "film", "t", map[string]string{"asset": name(i)})
+		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
 	w.finish(10_000)
-	require.Equal(t, map[Kind]int{Done: 9}, w.ends(9, name))
+	require.Equal(t, map[Kind]int{Done: 9}, w.endKinds(9, runID))
 	require.Len(t, w.started["r/r2/encode"], 1)
 	require.Equal(t, 1, opinions)
 	require.Equal(t, 1, most, "reruns out at once before the first verdict")
@@ -851,9 +851,9 @@
 
 // A stage of which nothing is heard is late after its own time, not its pipeline's, and runs again.
 func TestStageIsLate(t *testing.T) {
-	w := newWorld(t, 10, 3, 100)
-	w.policy(words("1", "100%", "60m", strings.Replace(film("fleet", 1, ""), "class=\"encode\"\nwork=\"10s\"", "class=\"encode\"\nwork=\"10s\"\nwithin=\"30s\"", 1)))
-	w.takes = func(w *world, g Go) time.Duration {
+	w := newSimulation(t, 10, 3, 100)
+	w.policy(policyFile("1", "100%", "60m", strings.Replace(filmPipeline("fleet", 1, ""), "class=\"encode\"\nwork=\"10s\"", "class=\"encode\"\nwork=\"10s\"\nwithin=\"30s\"", 1)))
+	w.duration = func(w *simulation, g Go) time.Duration {
 		if stageOf(g.Key) == "encode" && g.Gen == 1 {
 			return time.Hour
 		}
@@ -869,7 +869,7 @@
 
 // Guards against giving up a stage that must not run twice, as late, before its promised job has its end: that comes with
 // the end of the job's time, or a second and what the record takes after it. Of which nothing is heard a minute later, is late.
-func TestWhatMustNotRunTwiceHasItsJobsEnd(t *testing.T) {
+func TestOnceStageWaitsForJobEnd(t *testing.T) {
 	again := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind == \"never_ran\"'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
 	for _, c := range []struct {
 		name  string
@@ -884,16 +884,16 @@
 		{"nothing is heard of it", time.Hour, Command{OK: true}, Person, policy.Late},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, 11, 3, 100)
-			w.policy(words("1", "100%", "60m", strings.Replace(film("fleet", 1, again), "work=\"1s\"", "work=\"1s\"\nwithin=\"30s\"", 1)))
+			w := newSimulation(t, 11, 3, 100)
+			w.policy(policyFile("1", "100%", "60m", strings.Replace(filmPipeline("fleet", 1, again), "work=\"1s\"", "work=\"1s\"\nwithin=\"30s\"", 1)))
 			first := func(g Go) bool { return stageOf(g.Key) == "publish" && g.Gen == 1 }
-			w.takes = func(w *world, g Go) time.Duration {
+			w.duration = func(w *simulation, g Go) time.Duration {
 				if first(g) {
 					return c.takes
 				}
 				return time.Second
 			}
-			w.outcome = func(w *world, g Go) Command {
+			w.outcome = func(w *simulation, g Go) Command {
 				if first(g) {
 					return c.ends
 				}
--- a/internal/rerun/world_test.go
+++ b/internal/rerun/world_test.go
@@ -16,12 +16,12 @@
 var site = policy.Site{Classes: map[string]policy.Class{"light": {}, "encode": {}, "publish": {Once: true}}, Zones: []string{"a", "b"}}
 
 // words makes a policy's text.
-func words(version, fleet, spare string, more ...string) string {
+func policyFile(version, fleet, spare string, more ...string) string {
 	return fmt.Sprintf("version=%q\n[budget]\nfleet=%q\nspare=%q\n", version, fleet, spare) + strings.Join(more, "\n")
 }
 
 // film is ingest (shared by asset) > encode > package > publish.
-func film(budget string, most int, more string) string {
+func filmPipeline(budget string, most int, more string) string {
 	return fmt.Sprintf(`[[pipeline]]
 name="film"
 result=["publish"]
@@ -87,25 +87,25 @@
 }
 
 // world is groups in virtual time, with dispatchers that lead them, letters between them and workers, all faulty.
-type world struct {
+type simulation struct {
 	t       require.TestingT
 	rng     *rand.Rand
 	now     time.Duration
-	ms      []*Machine
-	mail    []event
+	machines      []*Machine
+	events    []event
 	seq     int
 	dead    map[string]bool           // dispatchers
-	life    []int                     // of each group's leader
+	leaderTerm    []int                     // of each group's leader
 	started map[string]map[int64]int  // key, generation: how often
 	begun   map[string]map[string]int // run, stage: turns that started because of it
-	surely  map[string]bool           // key@gen that surely did not run
+	neverRan  map[string]bool           // key@gen that surely did not run
 	reruns  int
 	checks  int
 	answers map[string]Answer
 	// outcome of a stage's run
-	outcome func(w *world, g Go) Command
-	takes   func(w *world, g Go) time.Duration
-	double  float64
+	outcome func(w *simulation, g Go) Command
+	duration   func(w *simulation, g Go) time.Duration
+	duplicate  float64
 }
 
 type event struct {
@@ -116,86 +116,86 @@
 
 const startAt = 1_700_000_000 * time.Second
 
-func newWorld(t require.TestingT, seed uint64, groups uint32, running int) *world {
-	w := &world{
-		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: startAt, dead: map[string]bool{}, life: make([]int, groups), started: map[string]map[int64]int{},
-		answers: map[string]Answer{}, begun: map[string]map[string]int{}, surely: map[string]bool{},
-		outcome: func(*world, Go) Command { return Command{OK: true} },
-		takes:   func(w *world, g Go) time.Duration { return g.Work/2 + time.Duration(w.rng.Int64N(int64(g.Work/2))) },
+func newSimulation(t require.TestingT, seed uint64, groups uint32, running int) *simulation {
+	w := &simulation{
+		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: startAt, dead: map[string]bool{}, leaderTerm: make([]int, groups), started: map[string]map[int64]int{},
+		answers: map[string]Answer{}, begun: map[string]map[string]int{}, neverRan: map[string]bool{},
+		outcome: func(*simulation, Go) Command { return Command{OK: true} },
+		duration:   func(w *simulation, g Go) time.Duration { return g.Work/2 + time.Duration(w.rng.Int64N(int64(g.Work/2))) },
 	}
 	for g := range groups {
-		w.ms = append(w.ms, New(Config{Group: g, Groups: groups, Running: running}))
+		w.machines = append(w.machines, New(Config{Group: g, Groups: groups, Running: running}))
 	}
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.seq++
-	w.mail = append(w.mail, event{w.now + d, w.seq, do})
+	w.events = append(w.events, event{w.now + d, w.seq, do})
 }
 
-func (w *world) apply(group uint32, c Command) Result {
-	r, err := ReadResult(w.ms[group].Apply(0, w.now, c.Bytes()))
+func (w *simulation) apply(group uint32, c Command) Result {
+	r, err := ReadResult(w.machines[group].Apply(0, w.now, c.Bytes()))
 	require.NoError(w.t, err)
 	return r
 }
 
-func (w *world) policy(text string) {
-	for g := range w.ms {
+func (w *simulation) policy(text string) {
+	for g := range w.machines {
 		r := w.apply(uint32(g), Command{Op: OpPolicy, Text: text, Site: &site})
 		require.True(w.t, r.OK, r.Why)
 	}
 }
 
-func (w *world) submit(id, pipeline, tenant string, params map[string]string) {
-	r := w.apply(GroupOfRun(id, uint32(len(w.ms))), Command{Op: OpSubmit, ID: id, Pipeline: pipeline, Tenant: tenant, Params: params})
+func (w *simulation) submit(id, pipeline, tenant string, params map[string]string) {
+	r := w.apply(GroupOfRun(id, uint32(len(w.machines))), Command{Op: OpSubmit, ID: id, Pipeline: pipeline, Tenant: tenant, Params: params})
 	require.True(w.t, r.OK, r.Why)
 }
 
-func (w *world) run(id string) *Run { return w.ms[GroupOfRun(id, uint32(len(w.ms)))].Run(id) }
+func (w *simulation) run(id string) *Run { return w.machines[GroupOfRun(id, uint32(len(w.machines)))].Run(id) }
 
-func (w *world) leader(g uint32) string { return fmt.Sprintf("d%d.%d", g, w.life[g]) }
+func (w *simulation) leader(g uint32) string { return fmt.Sprintf("d%d.%d", g, w.leaderTerm[g]) }
 
 // crash has a group's leader die. Another takes over: what the dead one had run, nobody knows of.
-func (w *world) crash(g uint32) {
+func (w *simulation) crash(g uint32) {
 	old := w.leader(g)
 	w.dead[old] = true
-	w.life[g]++
+	w.leaderTerm[g]++
 	w.apply(g, Command{Op: OpTakeOver, By: old})
-	text, err := w.ms[g].Snapshot()
+	text, err := w.machines[g].Snapshot()
 	require.NoError(w.t, err)
-	next := New(w.ms[g].c)
-	next.faulty = w.ms[g].faulty
+	next := New(w.machines[g].config)
+	next.faults = w.machines[g].faults
 	require.NoError(w.t, next.Restore(text))
 	again, err := next.Snapshot()
 	require.NoError(w.t, err)
 	require.JSONEq(w.t, string(text), string(again))
-	w.ms[g] = next
+	w.machines[g] = next
 }
 
 // step has each group's leader do what is to be done, then goes to the next event or moment; false: nothing is left.
-func (w *world) step() bool {
+func (w *simulation) step() bool {
 	for moved := true; moved; {
 		moved = false
-		for g := range w.ms {
+		for g := range w.machines {
 			moved = w.act(uint32(g)) || moved
 		}
 	}
 	next := time.Duration(0)
-	for _, m := range w.ms {
-		if at := m.Next(); at > 0 && (next == 0 || at < next) && w.open() {
+	for _, m := range w.machines {
+		if at := m.NextTimer(); at > 0 && (next == 0 || at < next) && w.unfinished() {
 			next = at
 		}
 	}
-	slices.SortFunc(w.mail, func(a, b event) int {
+	slices.SortFunc(w.events, func(a, b event) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
 		return a.seq - b.seq
 	})
-	if len(w.mail) > 0 && (next == 0 || w.mail[0].at <= next) {
-		e := w.mail[0]
-		w.mail = w.mail[1:]
+	if len(w.events) > 0 && (next == 0 || w.events[0].at <= next) {
+		e := w.events[0]
+		w.events = w.events[1:]
 		w.now = max(w.now, e.at)
 		e.do()
 		w.check()
@@ -205,8 +205,8 @@
 		return false
 	}
 	w.now = max(w.now, next)
-	for g, m := range w.ms {
-		if at := m.Next(); at > 0 && at <= w.now {
+	for g, m := range w.machines {
+		if at := m.NextTimer(); at > 0 && at <= w.now {
 			w.apply(uint32(g), Command{Op: OpTick})
 		}
 	}
@@ -214,8 +214,8 @@
 	return true
 }
 
-func (w *world) open() bool {
-	for _, m := range w.ms {
+func (w *simulation) unfinished() bool {
+	for _, m := range w.machines {
 		if _, open := m.Size(); open > 0 {
 			return true
 		}
@@ -223,14 +223,14 @@
 	return false
 }
 
-func (w *world) act(g uint32) (moved bool) {
-	for _, a := range w.ms[g].Actions() {
+func (w *simulation) act(g uint32) (moved bool) {
+	for _, a := range w.machines[g].Actions() {
 		switch a := a.(type) {
 		case Go:
-			moved = w.begin(g, a) || moved
+			moved = w.startExecution(g, a) || moved
 		case Deliver:
 			top := a.Letters[len(a.Letters)-1].Seq
-			if w.rng.Float64() < w.double { // told twice: the first word of it was thought lost
+			if w.rng.Float64() < w.duplicate { // told twice: the first word of it was thought lost
 				w.apply(a.To, Command{Op: OpLetters, Group: g, Letters: a.Letters})
 			}
 			moved = true
@@ -244,7 +244,7 @@
 	return moved
 }
 
-func (w *world) begin(g uint32, a Go) bool {
+func (w *simulation) startExecution(g uint32, a Go) bool {
 	by := w.leader(g)
 	if !w.apply(g, Command{Op: OpStart, Key: a.Key, Gen: a.Gen, By: by}).OK {
 		return false
@@ -254,7 +254,7 @@
 	}
 	if a.Once {
 		for gen := range w.started[a.Key] {
-			require.True(w.t, w.surely[fmt.Sprint(a.Key, "@", gen)], "doubled_unsafe: %s generation %d after %d", a.Key, a.Gen, gen)
+			require.True(w.t, w.neverRan[fmt.Sprint(a.Key, "@", gen)], "doubled_unsafe: %s generation %d after %d", a.Key, a.Gen, gen)
 		}
 	}
 	w.started[a.Key][a.Gen]++
@@ -269,14 +269,14 @@
 	c := w.outcome(w, a)
 	c.Op, c.Key, c.Gen = OpEnd, a.Key, a.Gen
 	if !c.OK && !c.Cause.Ran() {
-		w.surely[fmt.Sprint(a.Key, "@", a.Gen)] = true
+		w.neverRan[fmt.Sprint(a.Key, "@", a.Gen)] = true
 	}
-	w.after(w.takes(w, a), func() {
+	w.after(w.duration(w, a), func() {
 		if w.dead[by] {
 			return // whoever waits for it is gone
 		}
 		w.apply(g, c)
-		if w.rng.Float64() < w.double { // and it is told twice
+		if w.rng.Float64() < w.duplicate { // and it is told twice
 			require.False(w.t, w.apply(g, c).OK, "a stage is answered once")
 		}
 	})
@@ -284,12 +284,12 @@
 }
 
 // check is what holds at all times.
-func (w *world) check() {
-	if w.checks++; w.open() && len(w.begun) > 100 && w.checks%100 > 0 { // many runs: now and then
+func (w *simulation) check() {
+	if w.checks++; w.unfinished() && len(w.begun) > 100 && w.checks%100 > 0 { // many runs: now and then
 		return
 	}
-	for _, m := range w.ms {
-		for id, r := range m.s.Runs {
+	for _, m := range w.machines {
+		for id, r := range m.state.Runs {
 			if r.Answer != nil {
 				if before, told := w.answers[id]; told {
 					require.Equal(w.t, before, *r.Answer, "ended_not_once")
@@ -299,22 +299,22 @@
 		}
 	}
 	spent, has, given := map[string]int64{}, map[string]int64{}, map[string]int64{}
-	for _, m := range w.ms {
-		for name, a := range m.s.Accounts {
+	for _, m := range w.machines {
+		for name, a := range m.state.Accounts {
 			require.GreaterOrEqual(w.t, a.Balance, int64(0))
 			spent[name] += a.Spent
 			has[name] += a.Balance
 			given[name] += a.Accrued
 		}
-		for key, p := range m.s.Pools {
+		for key, p := range m.state.Pools {
 			name := strings.TrimPrefix(key, "b/")
 			require.GreaterOrEqual(w.t, p.Balance, int64(0))
 			has[name] += p.Balance
 			given[name] += p.Spare
 		}
-		for _, p := range m.s.Prints {
-			if !m.faulty.NoTrial {
-				require.LessOrEqual(w.t, len(p.Trying), max(usualRoom, 32), "flood")
+		for _, p := range m.state.Fingerprints {
+			if !m.faults.NoTrial {
+				require.LessOrEqual(w.t, len(p.Trials), max(defaultCapacity, 32), "flood")
 			}
 		}
 	}
@@ -324,17 +324,17 @@
 	}
 	for id, stages := range w.begun {
 		if r := w.run(id); r != nil {
-			for i, s := range r.p.Stages {
-				require.LessOrEqual(w.t, stages[s.Name], r.p.Bound.Runs[i], "bound_passed: %s of %s", s.Name, id)
+			for i, s := range r.pipeline.Stages {
+				require.LessOrEqual(w.t, stages[s.Name], r.pipeline.Bound.Runs[i], "bound_passed: %s of %s", s.Name, id)
 			}
 		}
 	}
 }
 
 // finish steps until all runs have answers, or so many steps were made.
-func (w *world) finish(steps int) {
+func (w *simulation) finish(steps int) {
 	for range steps {
-		if !w.open() || !w.step() {
+		if !w.unfinished() || !w.step() {
 			break
 		}
 	}
@@ -342,7 +342,7 @@
 	w.check()
 }
 
-func (w *world) ends(n int, id func(int) string) map[Kind]int {
+func (w *simulation) endKinds(n int, id func(int) string) map[Kind]int {
 	kinds := map[Kind]int{}
 	for i := range n {
 		kinds[w.answers[id(i)].Kind]++
@@ -352,24 +352,24 @@
 
 // clone is a machine of its own with the same state.
 func clone(m *Machine) *Machine {
-	text, _ := json.Marshal(m.s)
-	n := New(m.c)
-	n.faulty, n.loaded = m.faulty, m.loaded
-	json.Unmarshal(text, &n.s)
-	for id, r := range n.s.Runs {
-		r.p = m.s.Runs[id].p
+	text, _ := json.Marshal(m.state)
+	n := New(m.config)
+	n.faults, n.policies = m.faults, m.policies
+	json.Unmarshal(text, &n.state)
+	for id, r := range n.state.Runs {
+		r.pipeline = m.state.Runs[id].pipeline
 	}
-	for key, o := range n.s.Outputs {
-		if o.Wants == nil {
-			o.Wants = map[string]*Want{}
+	for key, o := range n.state.Outputs {
+		if o.Requests == nil {
+			o.Requests = map[string]*Want{}
 		}
 		if o.Users == nil {
 			o.Users = map[string]int64{}
 		}
 		if o.Turn != nil {
-			n.turns[key] = o
+			n.executions[key] = o
 		}
 	}
-	n.due, n.open = slices.Clone(m.due), m.open
+	n.timers, n.unfinished = slices.Clone(m.timers), m.unfinished
 	return n
 }
