--- a/internal/rerun/budgets.go
+++ b/internal/rerun/budgets.go
@@ -21,14 +21,14 @@
 
 // chargeBudgets has a turn go on once its budgets allow it: a first run adds to them, a rerun takes from all or none.
 func (m *Machine) chargeBudgets(o *Output) {
-	t := o.Turn
+	t := o.Execution
 	if t.First {
 		for _, s := range t.Accrue {
 			if o.Accrued { // by a turn that never started
 				break
 			}
 			a := m.budgetAccount(s.Account, t.Spare)
-			n := int64(s.Of * float64(t.Work.Microseconds()))
+			n := int64(s.Fraction * float64(t.Work.Microseconds()))
 			a.Balance += n
 			a.Accrued += n
 		}
@@ -68,11 +68,11 @@
 // such is the outputs whose turns are such, in the order in which those came up.
 func (m *Machine) executionsWhere(such func(*Turn) bool) (all []*Output) {
 	for _, o := range m.executions {
-		if such(o.Turn) {
+		if such(o.Execution) {
 			all = append(all, o)
 		}
 	}
-	slices.SortFunc(all, func(a, b *Output) int { return cmp.Compare(a.Turn.Order, b.Turn.Order) })
+	slices.SortFunc(all, func(a, b *Output) int { return cmp.Compare(a.Execution.Order, b.Execution.Order) })
 	return all
 }
 
@@ -104,7 +104,7 @@
 func (m *Machine) returnBudgets() {
 	waits := map[string]bool{}
 	for _, o := range m.executionsWhere(func(t *Turn) bool { return t.Phase == AwaitingBudget }) {
-		for _, name := range o.Turn.Charge {
+		for _, name := range o.Execution.Charge {
 			waits[name] = true
 		}
 	}
--- a/internal/rerun/claims.go
+++ b/internal/rerun/claims.go
@@ -22,7 +22,7 @@
 			m.send(Message{Kind: "no", To: "r/" + l.From, Stage: l.Stage})
 			return
 		}
-		p = &Fingerprint{Room: 1}
+		p = &Fingerprint{MaxTrials: 1}
 		m.state.Fingerprints[l.To] = p
 	}
 	p.ForgetAt = m.state.At + claimRetention
@@ -47,7 +47,7 @@
 	case l.Text == "none":
 	case l.OK:
 		p.FailedTrials, p.NotBefore = 0, 0
-		p.Room = min(2*p.Room, max(1, cmp.Or(m.state.Room[l.To[strings.LastIndexByte(l.To, '/')+1:]], defaultCapacity)))
+		p.MaxTrials = min(2*p.MaxTrials, max(1, cmp.Or(m.state.Capacities[l.To[strings.LastIndexByte(l.To, '/')+1:]], defaultCapacity)))
 		p.Waiting = slices.DeleteFunc(p.Waiting, func(w Message) bool { // it is the output that they wait for
 			if w.Key == l.Key {
 				m.send(Message{Kind: "go", To: "r/" + w.From, Stage: w.Stage, SuspectSites: m.suspectSites(l.To)})
@@ -55,7 +55,7 @@
 			return w.Key == l.Key
 		})
 	default:
-		p.Room = 1
+		p.MaxTrials = 1
 		p.FailedTrials++
 		p.NotBefore = m.state.At + time.Second<<min(p.FailedTrials, 6)
 		if p.FailedTrials >= maxFailedTrials {
@@ -74,7 +74,7 @@
 	if p.FailedTrials >= maxFailedTrials && m.state.At >= p.NotBefore {
 		p.FailedTrials = 0
 	}
-	for len(p.Waiting) > 0 && (len(p.Trials) < p.Room && m.state.At >= p.NotBefore || m.faults.NoTrial) {
+	for len(p.Waiting) > 0 && (len(p.Trials) < p.MaxTrials && m.state.At >= p.NotBefore || m.faults.NoTrial) {
 		w := p.Waiting[0]
 		p.Waiting = p.Waiting[1:]
 		p.Trials = append(p.Trials, fmt.Sprintf("%s/%d", w.From, w.Stage))
@@ -111,7 +111,7 @@
 		return
 	}
 	for k, n := range r.pipeline.Stages[i].Needs {
-		if at := r.Stages[n].At; at.Site != "" && k < len(of) && of[k] == r.Stages[n].UsedGen {
+		if at := r.Stages[n].Place; at.Site != "" && k < len(of) && of[k] == r.Stages[n].UsedGen {
 			m.send(Message{Kind: "fine", To: fingerprint(r.Pipeline, r.pipeline.Stages[n].Name, policy.BadInput, at)})
 		}
 	}
@@ -218,16 +218,16 @@
 		if l.OK { // another worker says so too: its claims are worth something
 			c.OpenClaims, c.Refuted, c.Trust = nil, 0, min(2*c.Trust, maxTrust)
 		} else if c.Refuted, c.Trust, c.Accepted = c.Refuted+1, 0, nil; c.Refuted >= maxRefuted {
-			c.Until = m.state.At + claimRetention
+			c.DistrustedUntil = m.state.At + claimRetention
 		}
 		return
 	}
-	answer := Message{Kind: "believed", To: "r/" + l.From, Stage: l.Stage, OK: true, At: l.At}
+	answer := Message{Kind: "believed", To: "r/" + l.From, Stage: l.Stage, OK: true, Place: l.Place}
 	if !l.OK {
 		c.Claims++
 	}
 	switch {
-	case m.state.At < c.Until:
+	case m.state.At < c.DistrustedUntil:
 		answer.OK, answer.Text = false, "its worker's claims were refuted"
 	case l.OK: // it confirms another's
 	case slices.ContainsFunc(c.OpenClaims, same):
--- a/internal/rerun/command.go
+++ b/internal/rerun/command.go
@@ -47,9 +47,9 @@
 	Cause    policy.Cause      `json:"cause,omitempty"`
 	Input    string            `json:"input,omitempty"`
 	Place    *policy.Place     `json:"place,omitempty"`
-	RunTime      time.Duration     `json:"ran,omitempty"`
+	RunTime  time.Duration     `json:"ran,omitempty"`
 	Group    uint32            `json:"group,omitempty"`
-	Letters  []Message          `json:"letters,omitempty"`
+	Letters  []Message         `json:"letters,omitempty"`
 	Seq      uint64            `json:"seq,omitempty"`
 	Rooms    map[string]int    `json:"rooms,omitempty"` // by zone.site
 }
@@ -104,7 +104,7 @@
 	case OpStart:
 		return m.start(c)
 	case OpTurn:
-		if o := m.state.Outputs[c.Key]; o == nil || o.Turn == nil || o.Turn.Gen != c.Gen || o.Turn.Phase != Started {
+		if o := m.state.Outputs[c.Key]; o == nil || o.Execution == nil || o.Execution.Gen != c.Gen || o.Execution.Phase != Started {
 			return refuse("no such turn runs")
 		}
 		return Result{OK: true}
@@ -130,8 +130,8 @@
 		return Result{OK: true}
 	case OpRoom:
 		for place, room := range c.Rooms {
-			if len(m.state.Room) < maxTracked && len(place) <= maxParamBytes {
-				m.state.Room[place] = max(1, room)
+			if len(m.state.Capacities) < maxTracked && len(place) <= maxParamBytes {
+				m.state.Capacities[place] = max(1, room)
 			}
 		}
 		return Result{OK: true}
@@ -218,14 +218,14 @@
 	}
 	r := &Run{
 		ID: c.ID, Pipeline: c.Pipeline, Policy: pol.Version, Tenant: c.Tenant, Params: c.Params,
-		Began: m.state.At, Until: m.state.At + p.Within, RuleUses: make([]int, len(p.Rules)), pipeline: p,
+		Began: m.state.At, Deadline: m.state.At + p.Within, RuleUses: make([]int, len(p.Rules)), pipeline: p,
 	}
 	for range p.Stages {
 		r.Stages = append(r.Stages, &Stage{})
 	}
 	m.state.Runs[c.ID] = r
 	m.unfinished++
-	m.setTimer(r.Until, "run", r.ID)
+	m.setTimer(r.Deadline, "run", r.ID)
 	m.advance(r)
 	return Result{OK: true}
 }
--- a/internal/rerun/explain.go
+++ b/internal/rerun/explain.go
@@ -16,7 +16,7 @@
 	Tenant   string            `json:"tenant,omitempty"`
 	Began    time.Duration     `json:"began"`
 	Answer   *Answer           `json:"answer,omitempty"`
-	WaitsFor    []string          `json:"waits_for,omitempty"`
+	WaitsFor []string          `json:"waits_for,omitempty"`
 	Reruns   int               `json:"reruns"`
 	Work     time.Duration     `json:"rerun_work"`
 	Story    []Line            `json:"story"`
@@ -29,7 +29,7 @@
 		name := r.pipeline.Stages[i].Name
 		switch n := s.Pending; {
 		case n != nil && n.Phase == BackingOff:
-			all = append(all, fmt.Sprintf("%s: %v until %s is run again", name, max(0, n.At-m.state.At).Round(time.Millisecond), r.pipeline.Stages[n.Target].Name))
+			all = append(all, fmt.Sprintf("%s: %v until %s is run again", name, max(0, n.ResumeAt-m.state.At).Round(time.Millisecond), r.pipeline.Stages[n.Target].Name))
 		case n != nil && n.Phase == AwaitingTrial:
 			all = append(all, fmt.Sprintf("%s: the verdict of a rerun that went first, of %s", name, strings.TrimPrefix(n.Fingerprint, "f/")))
 		case n != nil && n.Phase == CheckingInput:
@@ -40,14 +40,14 @@
 			all = append(all, fmt.Sprintf("%s: whether its worker is believed", name))
 		case s.Requested:
 			text := "its output"
-			if o := m.state.Outputs[r.Key(i)]; o != nil && o.Turn != nil {
-				switch o.Turn.Phase {
+			if o := m.state.Outputs[r.OutputKey(i)]; o != nil && o.Execution != nil {
+				switch o.Execution.Phase {
 				case AwaitingBudget:
-					text = "a budget: " + strings.Join(o.Turn.Charge, ", ")
+					text = "a budget: " + strings.Join(o.Execution.Charge, ", ")
 				case Queued:
 					text = "its turn"
 				case Started:
-					text = fmt.Sprintf("generation %d, which %s has had run for %v", o.Turn.Gen, o.Turn.By, (m.state.At - o.Turn.Began).Round(time.Millisecond))
+					text = fmt.Sprintf("generation %d, which %s has had run for %v", o.Execution.Gen, o.Execution.By, (m.state.At - o.Execution.Began).Round(time.Millisecond))
 				}
 			}
 			all = append(all, name+": "+text)
@@ -68,7 +68,7 @@
 	}
 	e = Explained{
 		Run: id, Pipeline: r.Pipeline, Policy: r.Policy, Tenant: r.Tenant, Began: r.Began, Answer: r.Answer, Reruns: r.Reruns, Work: r.Work,
-		Story: slices.Clone(r.Story), Stages: map[string]string{},
+		Story: slices.Clone(r.History), Stages: map[string]string{},
 	}
 	if r.Answer == nil {
 		_, e.WaitsFor = m.waitingFor(r)
@@ -80,8 +80,8 @@
 		} else if s.UsedGen > 0 {
 			text = fmt.Sprintf("generation %d, stale", s.UsedGen)
 		}
-		if s.At.Worker != "" {
-			text += " at " + s.At.Worker
+		if s.Place.Worker != "" {
+			text += " at " + s.Place.Worker
 		}
 		e.Stages[r.pipeline.Stages[i].Name] = text
 	}
--- a/internal/rerun/hard_test.go
+++ b/internal/rerun/hard_test.go
@@ -99,8 +99,8 @@
 			}
 			return Command{OK: true}
 		})
-		require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
-		require.Equal(t, map[string]int{"source": 2, "left": 2, "right": 2, "join": 1, "publish": 1}, w.generations(), "%v", r.Story)
+		require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
+		require.Equal(t, map[string]int{"source": 2, "left": 2, "right": 2, "join": 1, "publish": 1}, w.generations(), "%v", r.History)
 	}
 }
 
@@ -113,12 +113,12 @@
 			}
 			return Command{OK: true}
 		})
-		require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
+		require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
 		want := map[string]int{"source": 1, "left": 2, "right": 1, "join": 1, "publish": 1}
 		if !lies { // the second worker says so too
 			want["source"], want["left"], want["right"] = 2, 3, 2
 		}
-		require.Equal(t, want, w.generations(), "%v", r.Story)
+		require.Equal(t, want, w.generations(), "%v", r.History)
 	}
 }
 
@@ -139,7 +139,7 @@
 			w.submit(runID(i), "film", "t", map[string]string{"asset": "one"})
 			w.finish(2000)
 		}
-		story := w.run("r1").Story
+		story := w.run("r1").History
 		require.Equal(t, map[Kind]int{Done: 2}, w.endKinds(2, runID), "%v", story)
 		require.Len(t, w.started["s/film/ingest/one"], map[bool]int{true: 1, false: 2}[lies], "%v", story)
 		require.Len(t, w.started["r/r1/encode"], map[bool]int{true: 2, false: 3}[lies], "%v", story)
@@ -167,7 +167,7 @@
 	}
 	w.finish(2000)
 	require.Equal(t, map[Kind]int{Done: 2}, w.endKinds(2, runID))
-	require.Len(t, w.started["s/film/ingest/one"], 1, "%v", w.run("r1").Story)
+	require.Len(t, w.started["s/film/ingest/one"], 1, "%v", w.run("r1").History)
 }
 
 // What is being made again loses its own input meanwhile, or is lost as soon as it is there.
@@ -181,8 +181,8 @@
 		}
 		return Command{OK: true}
 	})
-	require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
-	require.Equal(t, map[string]int{"source": 2, "left": 3, "right": 2, "join": 2, "publish": 1}, w.generations(), "%v", r.Story)
+	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
+	require.Equal(t, map[string]int{"source": 2, "left": 3, "right": 2, "join": 2, "publish": 1}, w.generations(), "%v", r.History)
 
 	w, r = runDiamond(t, func(g Go) Command {
 		if stageOf(g.Key) == "join" && g.Of[0] < 3 {
@@ -190,8 +190,8 @@
 		}
 		return Command{OK: true}
 	})
-	require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
-	require.Equal(t, map[string]int{"source": 1, "left": 3, "right": 1, "join": 3, "publish": 1}, w.generations(), "%v", r.Story)
+	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
+	require.Equal(t, map[string]int{"source": 1, "left": 3, "right": 1, "join": 3, "publish": 1}, w.generations(), "%v", r.History)
 
 	w, r = runDiamond(t, func(g Go) Command { // again and again: a final answer, and no more than the rule's
 		if stageOf(g.Key) == "join" {
--- a/internal/rerun/letters.go
+++ b/internal/rerun/letters.go
@@ -16,8 +16,8 @@
 		m.localMessages = append(m.localMessages, l)
 		return
 	}
-	m.state.Seq[to]++
-	l.Seq = m.state.Seq[to]
+	m.state.LastSent[to]++
+	l.Seq = m.state.LastSent[to]
 	m.state.Outbox[to] = append(m.state.Outbox[to], l)
 }
 
@@ -69,25 +69,25 @@
 		if !l.OK {
 			r.Reruns++
 			r.Work += r.pipeline.Stages[l.Stage].Work
-			m.addHistory(r, s.Rule-1, "%s runs again as generation %d, %v of work", r.pipeline.Stages[l.Stage].Name, l.Gen, r.pipeline.Stages[l.Stage].Work)
+			m.addHistory(r, s.RuleNumber-1, "%s runs again as generation %d, %v of work", r.pipeline.Stages[l.Stage].Name, l.Gen, r.pipeline.Stages[l.Stage].Work)
 		}
 	case "made":
-		if !s.Requested || l.Gen <= s.StaleUpTo || !coversInputs(l.Of, s.Of) {
+		if !s.Requested || l.Gen <= s.StaleUpTo || !coversInputs(l.InputGens, s.InputGens) {
 			return
 		}
-		s.Requested, s.UsedGen, s.At, s.MadeAt, s.Result = false, l.Gen, l.At, l.MadeAt, l.Text
+		s.Requested, s.UsedGen, s.Place, s.MadeAt, s.Result = false, l.Gen, l.Place, l.MadeAt, l.Text
 		s.Runs++
-		m.reportVerdict(r, s, true, s.Doubt != nil) // that a claim is not true tells nothing of reruns
-		if s.Doubt != nil {
-			m.send(Message{Kind: "opinion", To: "c/" + s.Doubt.Worker, Key: s.Doubt.Key, Gen: s.Doubt.Gen, OK: false})
-			s.Doubt = nil
+		m.reportVerdict(r, s, true, s.CheckedClaim != nil) // that a claim is not true tells nothing of reruns
+		if s.CheckedClaim != nil {
+			m.send(Message{Kind: "opinion", To: "c/" + s.CheckedClaim.Worker, Key: s.CheckedClaim.Key, Gen: s.CheckedClaim.Gen, OK: false})
+			s.CheckedClaim = nil
 		}
-		s.ByRule, s.Rule = false, 0
-		m.reportAccepted(r, l.Stage, l.Of)
+		s.ByRule, s.RuleNumber = false, 0
+		m.reportAccepted(r, l.Stage, l.InputGens)
 		m.advance(r)
 	case "newer": // by somebody else's rerun, whose policy may count stages otherwise
 		for i := range r.Stages {
-			if r.Key(i) == l.Key {
+			if r.OutputKey(i) == l.Key {
 				l.Stage = i
 				m.adoptNewer(r, l)
 			}
@@ -160,7 +160,7 @@
 		}
 	}
 	r.OthersReruns++
-	s.UsedGen, s.At, s.MadeAt = l.Gen, l.At, l.MadeAt
+	s.UsedGen, s.Place, s.MadeAt = l.Gen, l.Place, l.MadeAt
 	m.addHistory(r, -1, "another run had %s made anew: generation %d is used", r.pipeline.Stages[l.Stage].Name, l.Gen)
 	m.markStale(r, r.pipeline.Stages[l.Stage].Downstream, 0)
 	m.advance(r)
@@ -174,11 +174,11 @@
 			m.addHistory(r, rule-1, "generation %d of %s is stale", s.UsedGen, r.pipeline.Stages[i].Name)
 		}
 		if s.Requested { // what has not started yet does not
-			m.send(Message{Kind: "leave", To: r.Key(i), From: r.ID})
+			m.send(Message{Kind: "leave", To: r.OutputKey(i), From: r.ID})
 		}
 		s.StaleUpTo, s.Requested = max(s.StaleUpTo, s.UsedGen), false
 		if s.UsedGen > 0 || rule > 0 {
-			s.Rule = rule
+			s.RuleNumber = rule
 		}
 	}
 }
@@ -186,7 +186,7 @@
 // facts is what a rule's condition may ask for.
 func (m *Machine) facts(r *Run, l *Message) policy.Facts {
 	f := policy.Facts{
-		Kind: l.Cause, Ran: l.RunTime, At: l.At, Tenant: r.Tenant, Runs: r.Stages[l.Stage].Runs, Reruns: int64(r.Reruns), RunAge: m.state.At - r.Began, Left: max(0, r.Until-m.state.At),
+		Kind: l.Cause, Ran: l.RunTime, At: l.Place, Tenant: r.Tenant, Runs: r.Stages[l.Stage].Runs, Reruns: int64(r.Reruns), RunAge: m.state.At - r.Began, Left: max(0, r.Deadline-m.state.At),
 	}
 	if i := r.pipeline.Stage(l.Input); i >= 0 && l.Cause.NamesInput() {
 		f.Input, f.Generation, f.Age = l.Input, r.Stages[i].UsedGen, max(0, m.state.At-r.Stages[i].MadeAt)
@@ -200,8 +200,8 @@
 	s.StaleUpTo = max(s.StaleUpTo, l.Gen)
 	input := r.pipeline.Stage(l.Input)
 	// That another input is bad, or that a second opinion is the same, tells nothing of what was tried.
-	blamed := s.Trial == nil || s.Doubt == nil && (!l.Cause.NamesInput() || !slices.Contains(stage.Needs, input) || strings.HasSuffix(s.Trial.Key, "/"+stage.Name) || r.Key(input) == s.Trial.Key)
-	if !blamed || l.Cause != policy.BadInput || l.At.Worker == "" { // else once it is known whether its worker is believed
+	blamed := s.Trial == nil || s.CheckedClaim == nil && (!l.Cause.NamesInput() || !slices.Contains(stage.Needs, input) || strings.HasSuffix(s.Trial.Key, "/"+stage.Name) || r.OutputKey(input) == s.Trial.Key)
+	if !blamed || l.Cause != policy.BadInput || l.Place.Worker == "" { // else once it is known whether its worker is believed
 		m.reportVerdict(r, s, false, !blamed)
 	}
 	if l.Cause.NamesInput() && !slices.Contains(stage.Needs, input) { // what is no input of it cannot be its cause
@@ -211,8 +211,8 @@
 	if l.Input != "" {
 		text += " " + l.Input
 	}
-	if l.At.Worker != "" {
-		text += " at " + l.At.Worker
+	if l.Place.Worker != "" {
+		text += " at " + l.Place.Worker
 	}
 	m.addHistory(r, -1, "%s", text)
 	if stage.Once {
@@ -223,9 +223,9 @@
 		s.MayHaveRun = false // that is certain
 	}
 	confirms := false
-	if d := s.Doubt; d != nil { // a second opinion
-		s.Doubt = nil
-		if confirms = l.Cause == policy.BadInput && r.Key(input) == d.Key && r.Stages[input].UsedGen == d.Gen; confirms {
+	if d := s.CheckedClaim; d != nil { // a second opinion
+		s.CheckedClaim = nil
+		if confirms = l.Cause == policy.BadInput && r.OutputKey(input) == d.Key && r.Stages[input].UsedGen == d.Gen; confirms {
 			m.send(Message{Kind: "opinion", To: "c/" + d.Worker, Key: d.Key, Gen: d.Gen, OK: true})
 		}
 	}
@@ -247,7 +247,7 @@
 // use has a rule be used. confirms: the failure is a second opinion that says what the first one does.
 func (m *Machine) applyRule(r *Run, k, input int, l *Message, confirms bool) {
 	s, rule, stage := r.Stages[l.Stage], r.pipeline.Rules[k], r.pipeline.Stages[l.Stage]
-	n := &PendingRerun{Rule: k, Target: rule.Target, BadGen: l.Gen, Cause: l.Cause, Failed: l.At}
+	n := &PendingRerun{Rule: k, Target: rule.Target, BadGen: l.Gen, Cause: l.Cause, FailedPlace: l.Place}
 	switch rule.Target {
 	case policy.Self:
 		n.Target = l.Stage
@@ -255,14 +255,14 @@
 		n.Target = input
 	}
 	if n.Target != l.Stage {
-		n.BadGen, n.Failed = r.Stages[n.Target].UsedGen, r.Stages[n.Target].At
+		n.BadGen, n.FailedPlace = r.Stages[n.Target].UsedGen, r.Stages[n.Target].Place
 	}
-	n.Fingerprint = fingerprint(r.Pipeline, r.pipeline.Stages[n.Target].Name, l.Cause, n.Failed)
+	n.Fingerprint = fingerprint(r.Pipeline, r.pipeline.Stages[n.Target].Name, l.Cause, n.FailedPlace)
 	if r.RuleUses[k] >= rule.MaxUses {
 		m.giveUp(r, l.Stage, n, fmt.Sprintf("%s, and the rule of line %d was used %d times", l.Cause, rule.Line, rule.MaxUses))
 		return
 	}
-	if n.Target != l.Stage && !rule.Keep && !m.faults.Unsafe {
+	if n.Target != l.Stage && !rule.KeepOld && !m.faults.Unsafe {
 		for _, a := range r.pipeline.Affected(rule, n.Target) {
 			if r.pipeline.Stages[a].Once && r.Stages[a].MayHaveRun {
 				m.finish(r, Answer{Kind: Person, Stage: r.pipeline.Stages[a].Name, Cause: l.Cause,
@@ -273,9 +273,9 @@
 	}
 	r.RuleUses[k]++
 	s.Pending = n
-	if l.Cause == policy.BadInput && l.At.Worker != "" {
-		n.Phase, n.Claim, n.By, n.Confirmed = CheckingClaim, &Claim{l.At.Worker, r.Key(input), r.Stages[input].UsedGen}, l.At, confirms
-		m.send(Message{Kind: "claim", To: "c/" + l.At.Worker, From: r.ID, Stage: l.Stage, Key: n.Claim.Key, Gen: n.Claim.Gen, At: l.At, Text: stage.Name, OK: confirms})
+	if l.Cause == policy.BadInput && l.Place.Worker != "" {
+		n.Phase, n.Claim, n.Claimant, n.Confirmed = CheckingClaim, &Claim{l.Place.Worker, r.OutputKey(input), r.Stages[input].UsedGen}, l.Place, confirms
+		m.send(Message{Kind: "claim", To: "c/" + l.Place.Worker, From: r.ID, Stage: l.Stage, Key: n.Claim.Key, Gen: n.Claim.Gen, Place: l.Place, Text: stage.Name, OK: confirms})
 		return
 	}
 	m.startBackoff(r, l.Stage)
@@ -287,7 +287,7 @@
 func (m *Machine) requestSecondOpinion(r *Run, i int, why string) {
 	s := r.Stages[i]
 	n := s.Pending
-	n.Second, n.Target, n.BadGen, n.Failed = true, i, s.StaleUpTo, n.By
+	n.SecondOpinion, n.Target, n.BadGen, n.FailedPlace = true, i, s.StaleUpTo, n.Claimant
 	m.addHistory(r, n.Rule, "%s: %s; another worker is asked first", why, r.pipeline.Stages[i].Name)
 }
 
@@ -302,7 +302,7 @@
 		m.requestSites(r, i)
 	case r.disputable(i) && isShared(n.Claim.Key):
 		n.Phase = CheckingInput
-		m.send(Message{Kind: "challenge", To: n.Claim.Key, From: r.ID, Stage: i, Gen: n.Claim.Gen, Worker: n.By.Worker})
+		m.send(Message{Kind: "challenge", To: n.Claim.Key, From: r.ID, Stage: i, Gen: n.Claim.Gen, Worker: n.Claimant.Worker})
 	default:
 		m.startRerun(r, i)
 	}
@@ -312,7 +312,7 @@
 // that. The last use of its rule has not: a second opinion is one.
 func (r *Run) disputable(i int) bool {
 	n := r.Stages[i].Pending
-	return n.Claim != nil && !n.Second && !n.Confirmed && n.By.Worker != "" && r.RuleUses[n.Rule] < r.pipeline.Rules[n.Rule].MaxUses
+	return n.Claim != nil && !n.SecondOpinion && !n.Confirmed && n.Claimant.Worker != "" && r.RuleUses[n.Rule] < r.pipeline.Rules[n.Rule].MaxUses
 }
 
 // disputed tells whether a stage's claim that an input is bad has another stage of the run against it, which another worker
@@ -324,11 +324,11 @@
 	n := r.Stages[i].Pending
 	for k, stage := range r.pipeline.Stages {
 		other := r.Stages[k]
-		if k == i || !r.valid(k) || other.At.Worker == n.By.Worker {
+		if k == i || !r.valid(k) || other.Place.Worker == n.Claimant.Worker {
 			continue
 		}
 		for j, input := range stage.Needs {
-			if r.Key(input) == n.Claim.Key && j < len(other.Of) && other.Of[j] == n.Claim.Gen {
+			if r.OutputKey(input) == n.Claim.Key && j < len(other.InputGens) && other.InputGens[j] == n.Claim.Gen {
 				return true
 			}
 		}
--- a/internal/rerun/outputs.go
+++ b/internal/rerun/outputs.go
@@ -13,7 +13,7 @@
 func (m *Machine) handleOutput(l *Message) {
 	o := m.state.Outputs[l.To]
 	if o == nil {
-		if l.Kind == "leave" || l.Want == nil {
+		if l.Kind == "leave" || l.Request == nil {
 			return
 		}
 		o = &Output{Key: l.To, Requests: map[string]*Want{}, Users: map[string]int64{}}
@@ -22,26 +22,26 @@
 	if l.Kind == "leave" {
 		delete(o.Requests, l.From)
 		delete(o.Users, l.From)
-		if t := o.Turn; t != nil && t.Phase != Started && len(o.Requests) == 0 {
+		if t := o.Execution; t != nil && t.Phase != Started && len(o.Requests) == 0 {
 			m.cancelExecution(o)
 		}
 		m.releaseIdle(o)
 		return
 	}
 	if len(o.Requests) >= maxRequests {
-		m.send(Message{Kind: "fell", To: "r/" + l.From, Stage: l.Want.Stage, Gen: o.LastGen, Cause: policy.Refused, Text: "too many wait for this output"})
+		m.send(Message{Kind: "fell", To: "r/" + l.From, Stage: l.Request.Stage, Gen: o.LastGen, Cause: policy.Refused, Text: "too many wait for this output"})
 		return
 	}
-	if m.faults.AnyGeneration && l.Want.AboveGen > 0 {
-		l.Want.AboveGen = o.LastGen
+	if m.faults.AnyGeneration && l.Request.AboveGen > 0 {
+		l.Request.AboveGen = o.LastGen
 	}
-	o.Requests[l.From] = l.Want
+	o.Requests[l.From] = l.Request
 	m.serveRequests(o)
 }
 
 // drop takes back a turn that nobody waits for any more and that has not started; what it has paid is given back.
 func (m *Machine) cancelExecution(o *Output) {
-	t := o.Turn
+	t := o.Execution
 	if t.Phase == Queued && !t.First {
 		for _, name := range t.Charge {
 			a := m.state.Accounts[name]
@@ -54,7 +54,7 @@
 }
 
 func (m *Machine) setExecution(o *Output, t *Turn) {
-	if o.Turn = t; t == nil {
+	if o.Execution = t; t == nil {
 		delete(m.executions, o.Key)
 	} else {
 		m.executions[o.Key] = o
@@ -63,7 +63,7 @@
 
 // idle forgets an output that nobody uses: a run's own with the run, a shared one after a while.
 func (m *Machine) releaseIdle(o *Output) {
-	if len(o.Requests) == 0 && len(o.Users) == 0 && o.Turn == nil {
+	if len(o.Requests) == 0 && len(o.Users) == 0 && o.Execution == nil {
 		if rest, own := strings.CutPrefix(o.Key, "r/"); own {
 			id, _, _ := strings.Cut(rest, "/")
 			if r := m.state.Runs[id]; r == nil || r.Answer != nil {
@@ -81,15 +81,15 @@
 func (m *Machine) serveRequests(o *Output) {
 	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
 		w := o.Requests[id]
-		if o.Gen > w.AboveGen && coversInputs(o.Of, w.Of) {
+		if o.Gen > w.AboveGen && coversInputs(o.InputGens, w.Of) {
 			delete(o.Requests, id)
 			o.Users[id] = o.Gen
-			m.send(Message{Kind: "made", To: "r/" + id, Stage: w.Stage, Gen: o.Gen, Of: o.Of, At: o.At, MadeAt: o.MadeAt, Text: o.Result})
+			m.send(Message{Kind: "made", To: "r/" + id, Stage: w.Stage, Gen: o.Gen, InputGens: o.InputGens, Place: o.Place, MadeAt: o.MadeAt, Text: o.Result})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
 		w := o.Requests[id]
-		if t := o.Turn; t != nil {
+		if t := o.Execution; t != nil {
 			if t.Phase != Started && !coversInputs(t.Of, w.Of) && coversInputs(w.Of, t.Of) { // not begun: it takes the newer inputs
 				t.Of = w.Of
 			}
@@ -99,8 +99,8 @@
 			o.LastGen = w.AboveGen
 		}
 		o.LastGen++
-		m.state.Order++
-		m.setExecution(o, &Turn{Want: *w, Gen: o.LastGen, First: o.LastGen == 1, Phase: AwaitingBudget, Order: m.state.Order})
+		m.state.LastOrder++
+		m.setExecution(o, &Turn{Want: *w, Gen: o.LastGen, First: o.LastGen == 1, Phase: AwaitingBudget, Order: m.state.LastOrder})
 		m.chargeBudgets(o)
 	}
 }
@@ -109,18 +109,18 @@
 func (m *Machine) start(c *Command) Result {
 	o := m.state.Outputs[c.Key]
 	switch {
-	case o == nil || o.Turn == nil || o.Turn.Gen != c.Gen:
+	case o == nil || o.Execution == nil || o.Execution.Gen != c.Gen:
 		return refuse("no such turn")
-	case o.Turn.Phase == Started && o.Turn.By == c.By:
+	case o.Execution.Phase == Started && o.Execution.By == c.By:
 		return Result{OK: true}
-	case o.Turn.Phase != Queued:
+	case o.Execution.Phase != Queued:
 		return refuse("not to be started")
 	case m.state.Running >= m.config.Running:
 		return refuse("as many run as may")
-	case !o.Turn.First && m.firstRunQueued():
+	case !o.Execution.First && m.firstRunQueued():
 		return refuse("first runs go first")
 	}
-	t := o.Turn
+	t := o.Execution
 	t.Phase, t.By, t.Began = Started, c.By, m.state.At
 	m.state.Running++
 	if m.StagesStarted++; !t.First {
@@ -146,7 +146,7 @@
 
 func (m *Machine) firstRunQueued() bool {
 	for _, o := range m.executions {
-		if o.Turn.Phase == Queued && o.Turn.First {
+		if o.Execution.Phase == Queued && o.Execution.First {
 			return true
 		}
 	}
@@ -156,7 +156,7 @@
 // end takes how a turn ended. Only the first word of it counts.
 func (m *Machine) end(c *Command) Result {
 	o := m.state.Outputs[c.Key]
-	if o == nil || o.Turn == nil || o.Turn.Gen != c.Gen || o.Turn.Phase != Started {
+	if o == nil || o.Execution == nil || o.Execution.Gen != c.Gen || o.Execution.Phase != Started {
 		return refuse("no such turn runs")
 	}
 	if !c.OK && !c.Cause.Known() {
@@ -165,21 +165,21 @@
 	if len(c.Text) > 4*maxParamBytes {
 		c.Text = c.Text[:4*maxParamBytes]
 	}
-	t, at := o.Turn, policy.Place{}
+	t, at := o.Execution, policy.Place{}
 	if c.Place != nil {
 		at = *c.Place
 	}
 	m.setExecution(o, nil)
 	m.state.Running--
 	if c.OK {
-		o.Gen, o.Of, o.At, o.MadeAt, o.Result, o.Approvals = t.Gen, t.Of, at, m.state.At, c.Text, nil
+		o.Gen, o.InputGens, o.Place, o.MadeAt, o.Result, o.Approvals = t.Gen, t.Of, at, m.state.At, c.Text, nil
 		if len(t.Of) > 0 && at.Worker != "" {
 			m.send(Message{Kind: "content", To: "c/" + at.Worker, Text: t.Name})
 			m.sendApprovals(t, at.Worker)
 		}
 		for _, id := range slices.Sorted(maps.Keys(o.Users)) {
 			if o.Requests[id] == nil {
-				m.send(Message{Kind: "newer", To: "r/" + id, Key: o.Key, Gen: o.Gen, Of: o.Of, At: o.At, MadeAt: o.MadeAt})
+				m.send(Message{Kind: "newer", To: "r/" + id, Key: o.Key, Gen: o.Gen, InputGens: o.InputGens, Place: o.Place, MadeAt: o.MadeAt})
 			}
 		}
 	} else {
@@ -189,7 +189,7 @@
 				continue
 			}
 			delete(o.Requests, id)
-			m.send(Message{Kind: "fell", To: "r/" + id, Stage: w.Stage, Gen: t.Gen, Cause: c.Cause, Input: c.Input, At: at, RunTime: m.state.At - t.Began, Text: c.Text})
+			m.send(Message{Kind: "fell", To: "r/" + id, Stage: w.Stage, Gen: t.Gen, Cause: c.Cause, Input: c.Input, Place: at, RunTime: m.state.At - t.Began, Text: c.Text})
 		}
 	}
 	m.serveRequests(o)
--- a/internal/rerun/plant/plant.go
+++ b/internal/rerun/plant/plant.go
@@ -44,13 +44,13 @@
 	Work    func(Run) time.Duration
 	Decide  func(Run) pipelines.Outcome
 
-	mu    sync.Mutex
-	runs  []*Run
-	down  map[string]bool
+	mu      sync.Mutex
+	runs    []*Run
+	down    map[string]bool
 	servers []*server
-	client http.Client
-	done  chan struct{}
-	wg    sync.WaitGroup
+	client  http.Client
+	done    chan struct{}
+	wg      sync.WaitGroup
 }
 
 // New returns a plant.
@@ -103,9 +103,9 @@
 // place is where a server listens, over its lives.
 type server struct {
 	worker, addr string
-	handler    http.Handler
-	listener   net.Listener
-	httpServer     *http.Server
+	handler      http.Handler
+	listener     net.Listener
+	httpServer   *http.Server
 }
 
 // open has the server listen. The address is kept by the rig, so that nobody else has it while the server is dead.
--- a/internal/rerun/plant/plant_test.go
+++ b/internal/rerun/plant/plant_test.go
@@ -38,7 +38,7 @@
 }
 
 const (
-	daemons  = 3
+	daemons   = 3
 	waitLimit = time.Minute // with what must come; no story waits it out
 )
 
@@ -50,8 +50,8 @@
 	*plant.Cluster
 	net     *link.Net
 	clients []pipelinev1.PipelinesClient
-	heldRun      chan plant.Run // that is held
-	release    chan struct{}
+	heldRun chan plant.Run // that is held
+	release chan struct{}
 }
 
 func openCluster(t *testing.T, step string) *testCluster {
--- a/internal/rerun/policy/condition.go
+++ b/internal/rerun/policy/condition.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	maxCost   = 500       // of a condition, in CEL's units: one comparison is about one
+	maxCost        = 500       // of a condition, in CEL's units: one comparison is about one
 	maxStringBytes = 128       // bytes of anything that a condition asks for
-	maxPoints = 20_000    // at which a condition is tried when it is loaded
-	otherString  = "\x00any" // a string that no condition names
+	maxPoints      = 20_000    // at which a condition is tried when it is loaded
+	otherString    = "\x00any" // a string that no condition names
 )
 
 // Facts is what a condition may ask for. All of it stands in the replicated state, so that all replicas judge alike.
@@ -41,7 +41,7 @@
 type variable struct {
 	name string
 	kind *cel.Type
-	get   func(*Facts) any
+	get  func(*Facts) any
 }
 
 var variables = []variable{
@@ -63,16 +63,16 @@
 
 // Condition is a rule's when, checked and ready.
 type Condition struct {
-	Text    string
-	Cost    uint64 // at most
-	program cel.Program
-	variables    []string // variables
-	exact   bool     // it compares variables with constants and nothing else, so that some points tell all of it
-	strings []string
+	Text      string
+	Cost      uint64 // at most
+	program   cel.Program
+	variables []string // variables
+	exact     bool     // it compares variables with constants and nothing else, so that some points tell all of it
+	strings   []string
 	// compared is the strings that each variable is compared with.
-	compared map[string][]string
-	ints     []int64
-	durations    []time.Duration
+	compared  map[string][]string
+	ints      []int64
+	durations []time.Duration
 }
 
 // environment is the same for all conditions. Regular expressions are left out: their cost is not worth it.
--- a/internal/rerun/policy/policy.go
+++ b/internal/rerun/policy/policy.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	maxPipelines = 64
-	maxStages    = 64 // of one pipeline
-	maxRules     = 64
-	maxUses     = 16 // that one rule may rerun in one run of a pipeline
-	maxOthers    = 8
+	maxPipelines      = 64
+	maxStages         = 64 // of one pipeline
+	maxRules          = 64
+	maxUses           = 16 // that one rule may rerun in one run of a pipeline
+	maxOthers         = 8
 	maxNameBytes      = 64               // bytes
-	maxRuns      = 4096             // of all stages in one run of a pipeline
-	maxConditionBytes      = 1024             // bytes of a condition
+	maxRuns           = 4096             // of all stages in one run of a pipeline
+	maxConditionBytes = 1024             // bytes of a condition
 	maxFileBytes      = 1 << 20          // bytes of a file
-	maxAge       = 8760 * time.Hour // of anything that a condition asks for
+	maxAge            = 8760 * time.Hour // of anything that a condition asks for
 )
 
 // Site is what a policy is checked against: the classes that stages name, and how many zones there are.
@@ -58,14 +58,14 @@
 
 // Stage is one step.
 type Stage struct {
-	Name, Class, Shared string
-	Work                time.Duration // that one run takes at most, of one slot
-	Within              time.Duration // of one run, with all its waiting at workers: then it is late
-	Once                bool          // must not run twice
-	Result              bool          // it is what the pipeline is for
-	Needs               []int         // indices of stages
-	Line                int
-	Upstream, Downstream        []int // all that it needs, and all that need it, by whatever way
+	Name, Class, Shared  string
+	Work                 time.Duration // that one run takes at most, of one slot
+	Within               time.Duration // of one run, with all its waiting at workers: then it is late
+	Once                 bool          // must not run twice
+	Result               bool          // it is what the pipeline is for
+	Needs                []int         // indices of stages
+	Line                 int
+	Upstream, Downstream []int // all that it needs, and all that need it, by whatever way
 }
 
 // Self and Input are targets of a rule that are not stages by name.
@@ -76,27 +76,27 @@
 
 // Rule is what is done when a stage fails.
 type Rule struct {
-	Line     int
-	On       int
-	When     *Condition
-	Target   int // a stage above On, or Self, or Input: the input that the cause names
-	Where    Where
-	MinWait, To time.Duration // of the wait before it; it doubles each time
-	MaxUses     int
-	Tenant   float64 // share of its tenant's first runs' work; 0: only the fleet's counts
-	Keep     bool    // what used the old output and has ended well keeps it
-	Person   bool    // once this rule is used up, a person is asked; else the pipeline is dead
+	Line             int
+	On               int
+	When             *Condition
+	Target           int // a stage above On, or Self, or Input: the input that the cause names
+	Where            Where
+	MinWait, MaxWait time.Duration // of the wait before it; it doubles each time
+	MaxUses          int
+	Tenant           float64 // share of its tenant's first runs' work; 0: only the fleet's counts
+	KeepOld          bool    // what used the old output and has ended well keeps it
+	NeedsPerson      bool    // once this rule is used up, a person is asked; else the pipeline is dead
 }
 
 // Bound is what one run of a pipeline can cost at most.
 type Bound struct {
-	Runs []int // of each stage
-	Total  int
-	Work time.Duration
+	Runs  []int // of each stage
+	Total int
+	Work  time.Duration
 }
 
 type fileConfig struct {
-	Version   string         `toml:"version"`
+	Version   string           `toml:"version"`
 	Budget    budgetConfig     `toml:"budget"`
 	Pipelines []pipelineConfig `toml:"pipeline"`
 }
@@ -112,8 +112,8 @@
 	Within siteconf.Duration `toml:"within"`
 	Work   siteconf.Duration `toml:"most_work"`
 	Others int               `toml:"others"`
-	Stages []stageConfig       `toml:"stage"`
-	Rules  []ruleConfig        `toml:"rerun"`
+	Stages []stageConfig     `toml:"stage"`
+	Rules  []ruleConfig      `toml:"rerun"`
 }
 
 type stageConfig struct {
@@ -138,7 +138,7 @@
 }
 
 var (
-	keywords = strings.Fields("version budget fleet spare pipeline name result within most_work others stage class work needs shared rerun on when where after most stale else")
+	keywords  = strings.Fields("version budget fleet spare pipeline name result within most_work others stage class work needs shared rerun on when where after most stale else")
 	unitHints = map[string]string{
 		"fleet": `write "%s%%"`, "spare": `write "%[1]sm" or "%[1]ss"`, "within": `write "%[1]sm" or "%[1]sh"`, "most_work": `write "%[1]sm" or "%[1]sh"`,
 		"work": `write "%[1]ss" or "%[1]sm"`, "after": `write "%[1]ss" or "%[1]ss..30s"`, "budget": `write "tenant:%s%%"`,
@@ -191,13 +191,13 @@
 
 // loader reads one pipeline.
 type loader struct {
-	doc           *siteconf.Strict
-	prefix            string
+	doc                   *siteconf.Strict
+	prefix                string
 	firstStage, firstRule int // of the file's, that come before this one's
-	config          pipelineConfig
-	site          Site
-	order         []int // of the stages in the file, each after its needs
-	p             *Pipeline
+	config                pipelineConfig
+	site                  Site
+	order                 []int // of the stages in the file, each after its needs
+	p                     *Pipeline
 }
 
 func (l *loader) errorAt(key, format string, args ...any) error {
@@ -389,7 +389,7 @@
 func (l *loader) loadRules() error {
 	for i, t := range l.config.Rules {
 		at := func(key string) string { return l.ruleAt(i) + "." + key }
-		r := &Rule{Line: l.doc.Line(l.ruleAt(i)), On: l.p.Stage(t.On), Where: Where(t.Where), MaxUses: t.Most, Keep: t.Stale == "keep", Person: t.Else == "person"}
+		r := &Rule{Line: l.doc.Line(l.ruleAt(i)), On: l.p.Stage(t.On), Where: Where(t.Where), MaxUses: t.Most, KeepOld: t.Stale == "keep", NeedsPerson: t.Else == "person"}
 		var wheres []string
 		for _, w := range WhereValues {
 			wheres = append(wheres, string(w))
@@ -416,11 +416,11 @@
 			r.Where = Anywhere
 		}
 		var err error
-		if r.MinWait, r.To, err = parseWait(t.After); err != nil {
+		if r.MinWait, r.MaxWait, err = parseWait(t.After); err != nil {
 			return l.doc.At(at("after"), "%v", err)
 		}
-		if r.To > l.p.Within {
-			return l.doc.At(at("after"), "%v is longer than the pipeline's within, %v: it would never come to that", r.To, l.p.Within)
+		if r.MaxWait > l.p.Within {
+			return l.doc.At(at("after"), "%v is longer than the pipeline's within, %v: it would never come to that", r.MaxWait, l.p.Within)
 		}
 		if r.Tenant, err = parseBudget(t.Budget); err != nil {
 			return l.doc.At(at("budget"), "%v", err)
@@ -535,7 +535,7 @@
 func (p *Pipeline) Affected(r *Rule, target int) (all []int) {
 	for i, s := range p.Stages {
 		below := i == target || slices.Contains(s.Upstream, target)
-		if below && (!r.Keep || i == target || i == r.On || slices.Contains(p.Stages[r.On].Upstream, i)) {
+		if below && (!r.KeepOld || i == target || i == r.On || slices.Contains(p.Stages[r.On].Upstream, i)) {
 			all = append(all, i)
 		}
 	}
--- a/internal/rerun/rerun_test.go
+++ b/internal/rerun/rerun_test.go
@@ -72,7 +72,7 @@
 	w.submit("r0", "film", "t", map[string]string{"asset": "x"})
 	w.finish(1000)
 	r := w.run("r0")
-	require.Equal(t, Done, r.Answer.Kind, "%+v", r.Story)
+	require.Equal(t, Done, r.Answer.Kind, "%+v", r.History)
 	require.Len(t, w.started["s/film/ingest/x"], 2)
 	require.Len(t, w.started["r/r0/encode"], 3)
 	require.Len(t, w.started["r/r0/package"], 2)
@@ -265,7 +265,7 @@
 	}
 	require.Equal(t, map[Kind]int{Done: 5}, w.endKinds(5, runID))
 	require.Len(t, w.started["r/r3/package"], 2, "believed")
-	require.Len(t, w.started["r/r4/package"], 3, "looked into once: %v", w.run("r4").Story)
+	require.Len(t, w.started["r/r4/package"], 3, "looked into once: %v", w.run("r4").History)
 }
 
 // bad is one in four.
@@ -288,7 +288,7 @@
 			require.NotContains(t, g.Doubt, policy.Place{Zone: "a", Site: "s1"})
 		}
 		if stageOf(g.Key) == "package" {
-			if o := w.machines[GroupOfRun(strings.Split(g.Key, "/")[1], 4)].state.Outputs[g.Inputs[0]]; o.At.Site == "s0" {
+			if o := w.machines[GroupOfRun(strings.Split(g.Key, "/")[1], 4)].state.Outputs[g.Inputs[0]]; o.Place.Site == "s0" {
 				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(w.rng.IntN(90), "s2", "b")}
 			}
 		}
@@ -328,7 +328,7 @@
 			return Command{OK: true, Place: worker(w.rng.IntN(20), site, "a")}
 		case "package":
 			o := w.machines[GroupOfRun(id, 4)].state.Outputs[g.Inputs[0]]
-			if o.At.Site == "s1" || o.At.Site == "s0" && isBad(g.Key) {
+			if o.Place.Site == "s1" || o.Place.Site == "s0" && isBad(g.Key) {
 				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(w.rng.IntN(90), "s2", "b")}
 			}
 		}
@@ -358,7 +358,7 @@
 				return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(99, "s3", "b")}
 			}
 			site := "s1"
-			switch second := w.run(id).Stages[1].Doubt != nil; {
+			switch second := w.run(id).Stages[1].CheckedClaim != nil; {
 			case second && slices.Contains(g.Doubt, bad):
 				kept++
 			case second:
@@ -369,7 +369,7 @@
 			}
 			return Command{OK: true, Place: worker(w.rng.IntN(20), site, "a")}
 		case "package":
-			if w.machines[GroupOfRun(id, 4)].state.Outputs[g.Inputs[0]].At.Site == "s0" {
+			if w.machines[GroupOfRun(id, 4)].state.Outputs[g.Inputs[0]].Place.Site == "s0" {
 				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(w.rng.IntN(90), "s2", "b")}
 			}
 		}
@@ -755,7 +755,7 @@
 			ends++
 			for _, id := range []string{a, b} {
 				r := n.ms[GroupOfRun(id, groups)].Run(id)
-				require.EqualValues(t, 2, r.Stages[1].Of[0], "encode is made of the new output")
+				require.EqualValues(t, 2, r.Stages[1].InputGens[0], "encode is made of the new output")
 				require.True(t, r.valid(1))
 			}
 			require.EqualValues(t, 2, n.ms[3].state.Outputs[key].LastGen)
@@ -862,7 +862,7 @@
 	w.submit("r0", "film", "t", map[string]string{"asset": "x"})
 	w.finish(1000)
 	r := w.run("r0")
-	require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
+	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
 	require.Less(t, r.Answer.At-r.Began, time.Minute)
 	require.Len(t, w.started["r/r0/encode"], 2)
 }
--- a/internal/rerun/schedule.go
+++ b/internal/rerun/schedule.go
@@ -52,7 +52,7 @@
 		d := heap.Pop(&m.timers).(timer)
 		switch d.kind {
 		case "run":
-			if r := m.state.Runs[d.key]; r != nil && r.Answer == nil && r.Until <= m.state.At {
+			if r := m.state.Runs[d.key]; r != nil && r.Answer == nil && r.Deadline <= m.state.At {
 				stage, waits := m.waitingFor(r)
 				m.finish(r, Answer{Kind: LateEnd, Stage: stage, Cause: policy.Late, Reason: "its time was over: " + cmp.Or(strings.Join(waits, "; "), "it waited for nothing")})
 				for i, s := range r.Stages {
@@ -70,16 +70,16 @@
 			i := 0
 			fmt.Sscan(number, &i)
 			if r := m.state.Runs[id]; r != nil && r.Answer == nil && i < len(r.Stages) {
-				if n := r.Stages[i].Pending; n != nil && n.Phase == BackingOff && n.At <= m.state.At {
+				if n := r.Stages[i].Pending; n != nil && n.Phase == BackingOff && n.ResumeAt <= m.state.At {
 					m.requestTrial(r, i)
 				}
 			}
 		case "turn":
-			if o := m.state.Outputs[d.key]; o != nil && o.Turn != nil && o.Turn.Phase == Started && o.Turn.lateAt() <= m.state.At {
-				m.end(&Command{Key: d.key, Gen: o.Turn.Gen, Cause: policy.Late})
+			if o := m.state.Outputs[d.key]; o != nil && o.Execution != nil && o.Execution.Phase == Started && o.Execution.lateAt() <= m.state.At {
+				m.end(&Command{Key: d.key, Gen: o.Execution.Gen, Cause: policy.Late})
 			}
 		case "idle":
-			if o := m.state.Outputs[d.key]; o != nil && o.ForgetAt <= m.state.At && len(o.Requests) == 0 && len(o.Users) == 0 && o.Turn == nil {
+			if o := m.state.Outputs[d.key]; o != nil && o.ForgetAt <= m.state.At && len(o.Requests) == 0 && len(o.Users) == 0 && o.Execution == nil {
 				delete(m.state.Outputs, d.key)
 			}
 		case "print":
@@ -99,10 +99,10 @@
 				m.setTimer(last+claimRetention, "often", d.key)
 			}
 		case "claimant":
-			if c := m.state.Claimants[d.key]; c != nil && c.Until <= m.state.At {
+			if c := m.state.Claimants[d.key]; c != nil && c.DistrustedUntil <= m.state.At {
 				delete(m.state.Claimants, d.key)
 			} else if c != nil {
-				m.setTimer(c.Until, "claimant", d.key)
+				m.setTimer(c.DistrustedUntil, "claimant", d.key)
 			}
 		}
 		m.deliverLocal()
@@ -138,8 +138,8 @@
 	room := m.config.Running - m.state.Running
 	for _, first := range []bool{true, false} {
 		for _, o := range queued {
-			if o.Turn.First == first && room > 0 {
-				all = append(all, Go{o.Key, *o.Turn})
+			if o.Execution.First == first && room > 0 {
+				all = append(all, Go{o.Key, *o.Execution})
 				room--
 			}
 		}
@@ -158,7 +158,7 @@
 // Running is the turns that a dispatcher, or any (""), has started and that have no end.
 func (m *Machine) Running(by string) (all []Go) {
 	for _, o := range m.executionsWhere(func(t *Turn) bool { return t.Phase == Started && (by == "" || t.By == by) }) {
-		all = append(all, Go{o.Key, *o.Turn})
+		all = append(all, Go{o.Key, *o.Execution})
 	}
 	return all
 }
@@ -166,7 +166,7 @@
 // Executing tells whether a turn is under way still.
 func (m *Machine) Executing(key string, gen int64) bool {
 	o := m.state.Outputs[key]
-	return o != nil && o.Turn != nil && o.Turn.Gen == gen
+	return o != nil && o.Execution != nil && o.Execution.Gen == gen
 }
 
 // Run is a run, to be read only; nil: there is none.
--- a/internal/rerun/snapshot.go
+++ b/internal/rerun/snapshot.go
@@ -40,13 +40,13 @@
 		if r.Answer == nil {
 			next.unfinished++
 		}
-		next.setTimer(r.Until, "run", id)
+		next.setTimer(r.Deadline, "run", id)
 		if r.Answer != nil {
 			next.setTimer(r.Answer.At+endedRetention, "ended", id)
 		}
 		for i, s := range r.Stages {
 			if s.Pending != nil && s.Pending.Phase == BackingOff {
-				next.setTimer(s.Pending.At, "wait", trialID(r, i))
+				next.setTimer(s.Pending.ResumeAt, "wait", trialID(r, i))
 			}
 		}
 	}
@@ -57,11 +57,11 @@
 		if o.Users == nil {
 			o.Users = map[string]int64{}
 		}
-		if o.Turn != nil {
+		if o.Execution != nil {
 			next.executions[key] = o
 		}
-		if o.Turn != nil && o.Turn.Phase == Started {
-			next.setTimer(o.Turn.lateAt(), "turn", key)
+		if o.Execution != nil && o.Execution.Phase == Started {
+			next.setTimer(o.Execution.lateAt(), "turn", key)
 		}
 		if o.ForgetAt > 0 {
 			next.setTimer(o.ForgetAt, "idle", key)
@@ -75,7 +75,7 @@
 		next.setTimer(p.NotBefore, "print", key)
 	}
 	for key, c := range next.state.Claimants {
-		next.setTimer(max(c.Since+claimRetention, c.Until), "claimant", key)
+		next.setTimer(max(c.Since+claimRetention, c.DistrustedUntil), "claimant", key)
 	}
 	*m = *next
 	return nil
--- a/internal/rerun/world_test.go
+++ b/internal/rerun/world_test.go
@@ -88,24 +88,24 @@
 
 // world is groups in virtual time, with dispatchers that lead them, letters between them and workers, all faulty.
 type simulation struct {
-	t       require.TestingT
-	rng     *rand.Rand
-	now     time.Duration
-	machines      []*Machine
-	events    []event
-	seq     int
-	dead    map[string]bool           // dispatchers
-	leaderTerm    []int                     // of each group's leader
-	started map[string]map[int64]int  // key, generation: how often
-	begun   map[string]map[string]int // run, stage: turns that started because of it
-	neverRan  map[string]bool           // key@gen that surely did not run
-	reruns  int
-	checks  int
-	answers map[string]Answer
+	t          require.TestingT
+	rng        *rand.Rand
+	now        time.Duration
+	machines   []*Machine
+	events     []event
+	seq        int
+	dead       map[string]bool           // dispatchers
+	leaderTerm []int                     // of each group's leader
+	started    map[string]map[int64]int  // key, generation: how often
+	begun      map[string]map[string]int // run, stage: turns that started because of it
+	neverRan   map[string]bool           // key@gen that surely did not run
+	reruns     int
+	checks     int
+	answers    map[string]Answer
 	// outcome of a stage's run
-	outcome func(w *simulation, g Go) Command
-	duration   func(w *simulation, g Go) time.Duration
-	duplicate  float64
+	outcome   func(w *simulation, g Go) Command
+	duration  func(w *simulation, g Go) time.Duration
+	duplicate float64
 }
 
 type event struct {
@@ -121,7 +121,9 @@
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: startAt, dead: map[string]bool{}, leaderTerm: make([]int, groups), started: map[string]map[int64]int{},
 		answers: map[string]Answer{}, begun: map[string]map[string]int{}, neverRan: map[string]bool{},
 		outcome: func(*simulation, Go) Command { return Command{OK: true} },
-		duration:   func(w *simulation, g Go) time.Duration { return g.Work/2 + time.Duration(w.rng.Int64N(int64(g.Work/2))) },
+		duration: func(w *simulation, g Go) time.Duration {
+			return g.Work/2 + time.Duration(w.rng.Int64N(int64(g.Work/2)))
+		},
 	}
 	for g := range groups {
 		w.machines = append(w.machines, New(Config{Group: g, Groups: groups, Running: running}))
@@ -152,7 +154,9 @@
 	require.True(w.t, r.OK, r.Why)
 }
 
-func (w *simulation) run(id string) *Run { return w.machines[GroupOfRun(id, uint32(len(w.machines)))].Run(id) }
+func (w *simulation) run(id string) *Run {
+	return w.machines[GroupOfRun(id, uint32(len(w.machines)))].Run(id)
+}
 
 func (w *simulation) leader(g uint32) string { return fmt.Sprintf("d%d.%d", g, w.leaderTerm[g]) }
 
@@ -366,7 +370,7 @@
 		if o.Users == nil {
 			o.Users = map[string]int64{}
 		}
-		if o.Turn != nil {
+		if o.Execution != nil {
 			n.executions[key] = o
 		}
 	}
