--- a/internal/rerun/budgets.go
+++ b/internal/rerun/budgets.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// account is a group's part of a budget.
+// budgetAccount returns the group's account of a budget, created if needed.
 func (m *Machine) budgetAccount(name string, spare time.Duration) *Account {
 	a := m.state.Accounts[name]
 	if a == nil {
@@ -19,12 +19,12 @@
 	return a
 }
 
-// chargeBudgets has a turn go on once its budgets allow it: a first run adds to them, a rerun takes from all or none.
+// chargeBudgets queues an execution once its budgets allow: a first run adds to them, a rerun is charged to all or none.
 func (m *Machine) chargeBudgets(o *Output) {
 	t := o.Execution
 	if t.First {
 		for _, s := range t.Accrue {
-			if o.Accrued { // by a turn that never started
+			if o.Accrued { // by an execution that never started
 				break
 			}
 			a := m.budgetAccount(s.Account, t.Spare)
@@ -58,14 +58,14 @@
 	t.Phase = Queued
 }
 
-// pay looks at all turns that wait for their budgets, the oldest first.
+// chargeWaiting retries all executions that wait for their budgets, oldest first.
 func (m *Machine) chargeWaiting() {
 	for _, o := range m.executionsWhere(func(t *Turn) bool { return t.Phase == AwaitingBudget }) {
 		m.chargeBudgets(o)
 	}
 }
 
-// such is the outputs whose turns are such, in the order in which those came up.
+// executionsWhere returns the outputs whose executions satisfy a predicate, in the order in which the executions began.
 func (m *Machine) executionsWhere(such func(*Turn) bool) (all []*Output) {
 	for _, o := range m.executions {
 		if such(o.Execution) {
@@ -76,8 +76,8 @@
 	return all
 }
 
-// pool has the root's part of a budget take a letter. Groups are granted whole amounts, in their order: what is granted
-// and what is here are never more than was given to it.
+// handlePool applies a message to the root's part of a budget. Groups are granted whole amounts in the order of their
+// requests: amounts granted plus the balance never exceed what the pool received.
 func (m *Machine) handlePool(l *Message) {
 	p := m.state.Pools[l.To]
 	if p == nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// returnBudgets has a group give the root what it has over of budgets that none of its turns waits for.
+// returnBudgets returns the balances of budgets that no execution waits for to the root.
 func (m *Machine) returnBudgets() {
 	waits := map[string]bool{}
 	for _, o := range m.executionsWhere(func(t *Turn) bool { return t.Phase == AwaitingBudget }) {
--- a/internal/rerun/claims.go
+++ b/internal/rerun/claims.go
@@ -10,8 +10,9 @@
 	"caperrelay/internal/rerun/policy"
 )
 
-// print has a fingerprint take a letter. Of failures with one fingerprint one rerun goes first and the others wait for
-// its verdict; after a good one twice as many go at once each time, up to the room of the place.
+// handleFingerprint applies a message to a fingerprint. Of failures with one fingerprint one is rerun first, as a trial,
+// and the others wait for its verdict; each good verdict doubles the number of concurrent reruns, up to the capacity of
+// the place.
 func (m *Machine) handleFingerprint(l *Message) {
 	p := m.state.Fingerprints[l.To]
 	if p == nil {
@@ -38,7 +39,7 @@
 		return
 	}
 	i := slices.Index(p.Trials, l.From)
-	if i < 0 { // it may still wait
+	if i < 0 { // it may still be waiting
 		p.Waiting = slices.DeleteFunc(p.Waiting, func(w Message) bool { return fmt.Sprintf("%s/%d", w.From, w.Stage) == l.From })
 		return
 	}
@@ -48,7 +49,7 @@
 	case l.OK:
 		p.FailedTrials, p.NotBefore = 0, 0
 		p.MaxTrials = min(2*p.MaxTrials, max(1, cmp.Or(m.state.Capacities[l.To[strings.LastIndexByte(l.To, '/')+1:]], defaultCapacity)))
-		p.Waiting = slices.DeleteFunc(p.Waiting, func(w Message) bool { // it is the output that they wait for
+		p.Waiting = slices.DeleteFunc(p.Waiting, func(w Message) bool { // runs that wait for the same output need no trial
 			if w.Key == l.Key {
 				m.send(Message{Kind: "go", To: "r/" + w.From, Stage: w.Stage, SuspectSites: m.suspectSites(l.To)})
 			}
@@ -69,7 +70,7 @@
 	m.admitTrials(l.To, p)
 }
 
-// admitTrials lets go first who may.
+// admitTrials admits waiting reruns as far as the limits allow.
 func (m *Machine) admitTrials(key string, p *Fingerprint) {
 	if p.FailedTrials >= maxFailedTrials && m.state.At >= p.NotBefore {
 		p.FailedTrials = 0
@@ -82,7 +83,7 @@
 	}
 }
 
-// say counts what a fingerprint says of its place.
+// countSiteFailure counts a failure for the site of its fingerprint.
 func (m *Machine) countSiteFailure(print string) {
 	f := withoutPlace(print)
 	zone, site, ok := strings.Cut(print[len(f)+1:], ".")
@@ -104,8 +105,8 @@
 	m.state.SiteFailures[f][i].LastFailure = m.state.At
 }
 
-// praise tells the sites where a stage's inputs were made that it was content with them, where a rule has bad ones made anew.
-// of is the generations of its inputs.
+// reportAccepted reports to the sites that made a stage's inputs that the stage accepted them, if a rule reruns bad
+// inputs. of holds the generations of the inputs.
 func (m *Machine) reportAccepted(r *Run, i int, of []int64) {
 	if !slices.ContainsFunc(r.pipeline.Rules, func(rule *policy.Rule) bool { return rule.On == i && rule.Target == policy.Input }) {
 		return
@@ -117,7 +118,7 @@
 	}
 }
 
-// fine counts for a site that a stage was content with what was made there. Of a site that was not called bad nothing is kept.
+// countAccepted counts an accepted output for its site. Sites without failures are not tracked.
 func (m *Machine) countAccepted(l *Message) {
 	for i, o := range m.state.SiteFailures[withoutPlace(l.To)] {
 		if strings.HasSuffix(l.To, "/"+o.Site.Zone+"."+o.Site.Site) {
@@ -126,8 +127,8 @@
 	}
 }
 
-// often is the sites of which a fingerprint's stage and cause are said far more often than of others, of late: out of what was
-// made there, or where nobody tells of that, by count.
+// suspectSites returns the sites that recently failed far more often than others for a fingerprint's stage and cause: as
+// a share of what was made there, or by count where accepted outputs are not reported.
 func (m *Machine) suspectSites(print string) (sites []policy.Place) {
 	var named []SiteFailures
 	rated := false
@@ -155,7 +156,7 @@
 	return sites
 }
 
-// approve tells the shared inputs of a turn that its worker was content with them.
+// sendApprovals notifies the shared inputs of an execution that its worker accepted them.
 func (m *Machine) sendApprovals(t *Turn, worker string) {
 	for i, key := range t.Inputs {
 		if isShared(key) && i < len(t.Of) {
@@ -164,7 +165,7 @@
 	}
 }
 
-// approved has a shared output keep who was content with it.
+// handleApproval records who accepted a shared output.
 func (m *Machine) handleApproval(l *Message) {
 	o := m.state.Outputs[l.To]
 	if o == nil || o.Gen != l.Gen || len(o.Approvals) >= maxApprovals {
@@ -175,8 +176,8 @@
 	}
 }
 
-// challenge has a shared output tell whether another run's stage, at another worker than the one that claims that it is bad, was
-// content with it. What the run itself knows of that it looks at by itself.
+// handleChallenge replies whether another run's stage, at another worker than the one that claims the output to be bad,
+// accepted a shared output. The run itself checks its own stages.
 func (m *Machine) handleChallenge(l *Message) {
 	o := m.state.Outputs[l.To]
 	content := o != nil && o.Gen == l.Gen && slices.ContainsFunc(o.Approvals, func(a Approval) bool {
@@ -185,11 +186,11 @@
 	m.send(Message{Kind: "challenged", To: "r/" + l.From, Stage: l.Stage, OK: content})
 }
 
-// claimant has what is known of a worker's claims take a letter. The first ones are believed. While those are neither
-// confirmed nor refuted, a further one is looked into by another worker first, unless it was content with its inputs
-// as often at that stage: if that says so too, more are believed from then on; who was refuted is not believed for
-// a while. One in eight is looked into all the same, else who lies now and then would never be found out. A claim that
-// confirms another worker's needs no third look, unless its own worker was refuted.
+// handleClaim applies a message to the record of a worker's claims. The first claims are believed. While those are
+// neither confirmed nor refuted, another worker checks each further one first, unless the worker has accepted its inputs
+// as often at that stage. A confirmed claim raises the trust; a worker with refuted claims is not believed for a while.
+// One claim in eight is checked anyway, as otherwise a worker with occasional false claims would never be detected. A
+// claim that confirms another worker's is not checked a third time, unless its own worker was refuted.
 func (m *Machine) handleClaim(l *Message) {
 	c := m.state.Claimants[l.To]
 	if c == nil {
@@ -215,7 +216,7 @@
 	same := func(x Claim) bool { return x.Key == l.Key && x.Gen == l.Gen }
 	if l.Kind == "opinion" {
 		c.OpenClaims = slices.DeleteFunc(c.OpenClaims, same)
-		if l.OK { // another worker says so too: its claims are worth something
+		if l.OK { // confirmed by another worker, which raises the trust
 			c.OpenClaims, c.Refuted, c.Trust = nil, 0, min(2*c.Trust, maxTrust)
 		} else if c.Refuted, c.Trust, c.Accepted = c.Refuted+1, 0, nil; c.Refuted >= maxRefuted {
 			c.DistrustedUntil = m.state.At + claimRetention
@@ -229,7 +230,7 @@
 	switch {
 	case m.state.At < c.DistrustedUntil:
 		answer.OK, answer.Text = false, "its worker's claims were refuted"
-	case l.OK: // it confirms another's
+	case l.OK: // confirms another worker's claim
 	case slices.ContainsFunc(c.OpenClaims, same):
 	case int64(len(c.OpenClaims)) < int64(c.Trust)+c.Accepted[l.Text]/acceptedPerClaim && c.Claims%checkInterval > 0:
 		c.OpenClaims = append(c.OpenClaims, Claim{Key: l.Key, Gen: l.Gen})
--- a/internal/rerun/command.go
+++ b/internal/rerun/command.go
@@ -11,26 +11,26 @@
 	"caperrelay/internal/rerun/policy"
 )
 
-// Op is what a command does.
+// Op is the operation of a command.
 type Op string
 
-// The commands.
+// Operations of commands.
 const (
-	OpPolicy   Op = "policy" // counts for runs that begin from now on
+	OpPolicy   Op = "policy" // sets the policy for runs that begin from now on
 	OpSubmit   Op = "submit"
-	OpStart    Op = "start" // a dispatcher is about to have a turn run: nobody else may
-	OpTurn     Op = "turn"  // changes nothing: whether a turn has been started and has no end
-	OpEnd      Op = "end"   // of a turn
+	OpStart    Op = "start" // a dispatcher is about to start an execution, exclusively
+	OpTurn     Op = "turn"  // read only: whether an execution has started and not ended
+	OpEnd      Op = "end"   // of an execution
 	OpLetters  Op = "letters"
-	OpSent     Op = "sent" // letters are confirmed
+	OpSent     Op = "sent" // messages are confirmed
 	OpCallOff  Op = "call_off"
-	OpRoom     Op = "room"      // reruns that places take at once
+	OpRoom     Op = "room"      // concurrent reruns that places can take
 	OpTick     Op = "tick"      // time has passed
-	OpLook     Op = "look"      // changes nothing: a read in the order of all else
-	OpTakeOver Op = "take_over" // runs of a dispatcher that is gone: nobody knows what became of them
+	OpLook     Op = "look"      // linearizable read of a run
+	OpTakeOver Op = "take_over" // ends the executions of a dispatcher that is gone, with unknown outcome
 )
 
-// Command is what is committed.
+// Command is a command of the replicated log.
 type Command struct {
 	V        int               `json:"v"`
 	Op       Op                `json:"op"`
@@ -54,30 +54,30 @@
 	Rooms    map[string]int    `json:"rooms,omitempty"` // by zone.site
 }
 
-// Bytes is the command as it is proposed.
+// Bytes encodes the command for a proposal.
 func (c Command) Bytes() []byte {
 	c.V = Version
-	text, _ := json.Marshal(c) // plain data: it cannot fail
+	text, _ := json.Marshal(c) // cannot fail: plain data
 	return text
 }
 
-// Result is what a command came to.
+// Result is the result of a command.
 type Result struct {
 	OK     bool    `json:"ok"`
 	Why    string  `json:"why,omitempty"`
-	Seq    uint64  `json:"seq,omitempty"` // letters that are taken in up to
+	Seq    uint64  `json:"seq,omitempty"` // last message applied
 	Answer *Answer `json:"answer,omitempty"`
-	// Explained is the whole story, of a look.
+	// Explained is set by OpLook.
 	Explained *Explained `json:"explained,omitempty"`
 }
 
-// ReadResult reads what Apply gave.
+// ReadResult decodes the result returned by Apply.
 func ReadResult(text []byte) (r Result, err error) {
 	err = json.Unmarshal(text, &r)
 	return r, err
 }
 
-// Apply steps the machine by a committed command. at is Unix time, and never less than before.
+// Apply applies a committed command. at is Unix time and never decreases.
 func (m *Machine) Apply(_ uint64, at time.Duration, cmd []byte) []byte {
 	m.state.At = max(m.state.At, at)
 	var c Command
@@ -186,7 +186,7 @@
 }
 
 func (m *Machine) submit(c *Command) Result {
-	if r := m.state.Runs[c.ID]; r != nil { // asked again: whoever asked did not hear
+	if r := m.state.Runs[c.ID]; r != nil { // a repeated request: the client may have missed the reply
 		if r.Pipeline != c.Pipeline || r.Tenant != c.Tenant || !maps.Equal(r.Params, c.Params) {
 			return refuse("run %q is another", c.ID)
 		}
--- a/internal/rerun/explain.go
+++ b/internal/rerun/explain.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Explained is one run for people.
+// Explained is the description of a run for operators.
 type Explained struct {
 	Run      string            `json:"run"`
 	Pipeline string            `json:"pipeline"`
@@ -23,7 +23,7 @@
 	Stages   map[string]string `json:"stages"`
 }
 
-// waits is what a run waits for, and the stage that it is at.
+// waitingFor returns what a run waits for, and the first waiting stage.
 func (m *Machine) waitingFor(r *Run) (stage string, all []string) {
 	for i, s := range r.Stages {
 		name := r.pipeline.Stages[i].Name
@@ -59,8 +59,8 @@
 	return stage, all
 }
 
-// Explain tells of one run: each rerun, by which line of which version, what it made stale, what it cost, what it
-// waits for; false: there is none.
+// Explain describes a run: each rerun, the policy version and line that caused it, what it made stale, its cost, and
+// what the run waits for; false if there is no such run.
 func (m *Machine) Explain(id string) (e Explained, ok bool) {
 	r := m.state.Runs[id]
 	if r == nil {
--- a/internal/rerun/letters.go
+++ b/internal/rerun/messages.go
@@ -21,7 +21,7 @@
 	m.state.Outbox[to] = append(m.state.Outbox[to], l)
 }
 
-// read has an object take a letter.
+// handle dispatches a message to its object.
 func (m *Machine) handle(l *Message) {
 	switch l.Kind {
 	case "want", "leave":
@@ -55,14 +55,14 @@
 	}
 }
 
-// told has a run take a letter.
+// handleRun applies a message to a run.
 func (m *Machine) handleRun(r *Run, l *Message) {
 	if l.Stage < 0 || l.Stage >= len(r.Stages) {
 		return
 	}
 	s := r.Stages[l.Stage]
 	switch l.Kind {
-	case "begun": // its turn may start from now on, and began because of this run
+	case "begun": // the execution may start from now on; this run caused it
 		if r.pipeline.Stages[l.Stage].Once {
 			s.MayHaveRun = true
 		}
@@ -77,7 +77,7 @@
 		}
 		s.Requested, s.UsedGen, s.Place, s.MadeAt, s.Result = false, l.Gen, l.Place, l.MadeAt, l.Text
 		s.Runs++
-		m.reportVerdict(r, s, true, s.CheckedClaim != nil) // that a claim is not true tells nothing of reruns
+		m.reportVerdict(r, s, true, s.CheckedClaim != nil) // a refuted claim says nothing about the trial
 		if s.CheckedClaim != nil {
 			m.send(Message{Kind: "opinion", To: "c/" + s.CheckedClaim.Worker, Key: s.CheckedClaim.Key, Gen: s.CheckedClaim.Gen, OK: false})
 			s.CheckedClaim = nil
@@ -85,7 +85,7 @@
 		s.ByRule, s.RuleNumber = false, 0
 		m.reportAccepted(r, l.Stage, l.InputGens)
 		m.advance(r)
-	case "newer": // by somebody else's rerun, whose policy may count stages otherwise
+	case "newer": // by another run's rerun, whose policy may number the stages differently
 		for i := range r.Stages {
 			if r.OutputKey(i) == l.Key {
 				l.Stage = i
@@ -134,7 +134,7 @@
 	}
 }
 
-// covers tells whether an output is made of inputs of at least these generations.
+// coversInputs reports whether an output is made of inputs of at least these generations.
 func coversInputs(of, wanted []int64) bool {
 	if len(of) != len(wanted) {
 		return false
@@ -147,8 +147,8 @@
 	return true
 }
 
-// others takes that an output which a run uses was made anew for another run. Its stages go stale by that so often as
-// the pipeline says, and never one that must not run twice; past it the old output is kept.
+// adoptNewer switches a run to a newer generation of an output, made for another run. This makes its stages stale only
+// as many times as the pipeline allows, and never one that must not run twice; otherwise the old output is kept.
 func (m *Machine) adoptNewer(r *Run, l *Message) {
 	s := r.Stages[l.Stage]
 	if l.Gen <= s.UsedGen || s.UsedGen == 0 || s.Requested || s.Pending != nil || r.OthersReruns >= r.pipeline.Others {
@@ -166,14 +166,14 @@
 	m.advance(r)
 }
 
-// stale has stages be made anew.
+// markStale marks the outputs of stages as stale.
 func (m *Machine) markStale(r *Run, stages []int, rule int) {
 	for _, i := range stages {
 		s := r.Stages[i]
 		if s.UsedGen > s.StaleUpTo {
 			m.addHistory(r, rule-1, "generation %d of %s is stale", s.UsedGen, r.pipeline.Stages[i].Name)
 		}
-		if s.Requested { // what has not started yet does not
+		if s.Requested { // withdraw the request, so that an execution not yet started is cancelled
 			m.send(Message{Kind: "leave", To: r.OutputKey(i), From: r.ID})
 		}
 		s.StaleUpTo, s.Requested = max(s.StaleUpTo, s.UsedGen), false
@@ -183,7 +183,7 @@
 	}
 }
 
-// facts is what a rule's condition may ask for.
+// facts returns the variables of a rule's condition.
 func (m *Machine) facts(r *Run, l *Message) policy.Facts {
 	f := policy.Facts{
 		Kind: l.Cause, Ran: l.RunTime, At: l.Place, Tenant: r.Tenant, Runs: r.Stages[l.Stage].Runs, Reruns: int64(r.Reruns), RunAge: m.state.At - r.Began, Left: max(0, r.Deadline-m.state.At),
@@ -194,17 +194,17 @@
 	return f
 }
 
-// failed has a run decide on what is done since a run of a stage came to nothing.
+// handleFailure decides what a run does after a stage run failed.
 func (m *Machine) handleFailure(r *Run, l *Message) {
 	i, s, stage := l.Stage, r.Stages[l.Stage], r.pipeline.Stages[l.Stage]
 	s.StaleUpTo = max(s.StaleUpTo, l.Gen)
 	input := r.pipeline.Stage(l.Input)
-	// That another input is bad, or that a second opinion is the same, tells nothing of what was tried.
+	// Another bad input, or a second opinion that agrees, says nothing about the trial.
 	blamed := s.Trial == nil || s.CheckedClaim == nil && (!l.Cause.NamesInput() || !slices.Contains(stage.Needs, input) || strings.HasSuffix(s.Trial.Key, "/"+stage.Name) || r.OutputKey(input) == s.Trial.Key)
-	if !blamed || l.Cause != policy.BadInput || l.Place.Worker == "" { // else once it is known whether its worker is believed
+	if !blamed || l.Cause != policy.BadInput || l.Place.Worker == "" { // otherwise the verdict follows once it is known whether the claim is believed
 		m.reportVerdict(r, s, false, !blamed)
 	}
-	if l.Cause.NamesInput() && !slices.Contains(stage.Needs, input) { // what is no input of it cannot be its cause
+	if l.Cause.NamesInput() && !slices.Contains(stage.Needs, input) { // a stage that is not an input cannot be the cause
 		l.Cause, l.Input, l.Text = policy.RanFailed, "", "it names an input that it does not have"
 	}
 	text := fmt.Sprintf("%s: %s", stage.Name, l.Cause)
@@ -220,10 +220,10 @@
 			m.finish(r, Answer{Kind: Person, Stage: stage.Name, Cause: l.Cause, Reason: fmt.Sprintf("%s; it must not run twice", cmp.Or(l.Text, text))})
 			return
 		}
-		s.MayHaveRun = false // that is certain
+		s.MayHaveRun = false // it certainly did not run
 	}
 	confirms := false
-	if d := s.CheckedClaim; d != nil { // a second opinion
+	if d := s.CheckedClaim; d != nil { // this run of the stage was a second opinion
 		s.CheckedClaim = nil
 		if confirms = l.Cause == policy.BadInput && r.OutputKey(input) == d.Key && r.Stages[input].UsedGen == d.Gen; confirms {
 			m.send(Message{Kind: "opinion", To: "c/" + d.Worker, Key: d.Key, Gen: d.Gen, OK: true})
@@ -244,7 +244,7 @@
 	m.finish(r, Answer{Kind: Dead, Stage: stage.Name, Cause: l.Cause, Reason: text + ", and no rule is about that"})
 }
 
-// use has a rule be used. confirms: the failure is a second opinion that says what the first one does.
+// applyRule applies a rule to a failure. confirms: the failure is a second opinion that confirms the first.
 func (m *Machine) applyRule(r *Run, k, input int, l *Message, confirms bool) {
 	s, rule, stage := r.Stages[l.Stage], r.pipeline.Rules[k], r.pipeline.Stages[l.Stage]
 	n := &PendingRerun{Rule: k, Target: rule.Target, BadGen: l.Gen, Cause: l.Cause, FailedPlace: l.Place}
@@ -283,7 +283,7 @@
 
 const acceptedElsewhere = "another worker was content with its input"
 
-// requestSecondOpinion has the stage itself run at another worker first, for a second opinion on a claim.
+// requestSecondOpinion reruns the stage itself at another worker first, to check its claim.
 func (m *Machine) requestSecondOpinion(r *Run, i int, why string) {
 	s := r.Stages[i]
 	n := s.Pending
@@ -291,7 +291,8 @@
 	m.addHistory(r, n.Rule, "%s: %s; another worker is asked first", why, r.pipeline.Stages[i].Name)
 }
 
-// decide goes on with a stage's rerun that may go now. A claim that an input is bad has waited: what others found meanwhile counts.
+// proceed continues with an admitted rerun. A claim of a bad input has waited: what others have found in the meantime is
+// taken into account.
 func (m *Machine) proceed(r *Run, i int) {
 	n := r.Stages[i].Pending
 	if r.disputed(i) {
@@ -308,15 +309,15 @@
 	}
 }
 
-// disputable tells whether a stage's claim that an input is bad would have a second worker look first, if another was content with
-// that. The last use of its rule has not: a second opinion is one.
+// disputable reports whether a stage's claim of a bad input would be checked by a second worker if another worker
+// accepted that input. The last use of a rule is not disputable: the second opinion counts as a use.
 func (r *Run) disputable(i int) bool {
 	n := r.Stages[i].Pending
 	return n.Claim != nil && !n.SecondOpinion && !n.Confirmed && n.Claimant.Worker != "" && r.RuleUses[n.Rule] < r.pipeline.Rules[n.Rule].MaxUses
 }
 
-// disputed tells whether a stage's claim that an input is bad has another stage of the run against it, which another worker
-// has made of the same generation and was content.
+// disputed reports whether a stage's claim of a bad input is contradicted by another stage of the run, which used the
+// same generation at another worker and accepted it.
 func (r *Run) disputed(i int) bool {
 	if !r.disputable(i) {
 		return false
--- a/internal/rerun/model.go
+++ b/internal/rerun/model.go
@@ -9,31 +9,31 @@
 // Kind is how a run of a pipeline ended.
 type Kind string
 
-// The ends.
+// How a run ends.
 const (
 	Done      Kind = "done"
 	Dead      Kind = "dead"
-	Person    Kind = "needs_person" // what must not run twice may have run, or the policy says so
+	Person    Kind = "needs_person" // a stage that must not run twice may have run, or the policy demands a person
 	LateEnd   Kind = "late"
 	CalledOff Kind = "called_off"
 )
 
-// Answer is a run's one final answer.
+// Answer is the one final answer of a run.
 type Answer struct {
 	Kind   Kind          `json:"kind"`
-	Stage  string        `json:"stage,omitempty"` // because of which, unless it is done
+	Stage  string        `json:"stage,omitempty"` // that caused the end, unless the run is done
 	Cause  policy.Cause  `json:"cause,omitempty"`
-	Reason string        `json:"reason,omitempty"` // what is known
+	Reason string        `json:"reason,omitempty"` // for people
 	At     time.Duration `json:"at"`               // Unix time
-	Work   time.Duration `json:"work"`             // that reruns it asked for took
+	Work   time.Duration `json:"work"`             // total of the reruns that this run requested
 	Reruns int           `json:"reruns"`
-	Result string        `json:"result,omitempty"` // that the last of its result stages gave
+	Result string        `json:"result,omitempty"` // of the last of its result stages
 }
 
-// Line is one of a run's story.
+// Line is a line of a run's history.
 type Line struct {
 	At   time.Duration `json:"at"`
-	Rule int           `json:"rule,omitempty"` // line of the policy's file; 0: none
+	Rule int           `json:"rule,omitempty"` // line in the policy file; 0: none
 	Text string        `json:"text"`
 }
 
@@ -41,127 +41,127 @@
 type Run struct {
 	ID           string            `json:"id"`
 	Pipeline     string            `json:"pipeline"`
-	Policy       string            `json:"policy"` // version, from its beginning to its end
+	Policy       string            `json:"policy"` // version, fixed when the run begins
 	Tenant       string            `json:"tenant,omitempty"`
 	Params       map[string]string `json:"params,omitempty"`
 	Began        time.Duration     `json:"began"`
 	Deadline     time.Duration     `json:"until"`
 	Stages       []*Stage          `json:"stages"`
-	RuleUses     []int             `json:"uses,omitempty"` // of each rule
+	RuleUses     []int             `json:"uses,omitempty"` // by rule
 	OthersReruns int               `json:"others,omitempty"`
 	Reruns       int               `json:"reruns,omitempty"`
-	Work         time.Duration     `json:"work,omitempty"` // of reruns that it began
+	Work         time.Duration     `json:"work,omitempty"` // of reruns that this run started
 	Answer       *Answer           `json:"answer,omitempty"`
 	History      []Line            `json:"story,omitempty"`
 
 	pipeline *policy.Pipeline
 }
 
-// Stage is one of a run's. Generations count from 1; 0 is none.
+// Stage is the state of a stage within a run. Generations count from 1; 0 is none.
 type Stage struct {
 	UsedGen      int64          `json:"have,omitempty"` // generation of its output that the run uses
-	StaleUpTo    int64          `json:"over,omitempty"` // generations up to this one do not count
-	InputGens    []int64        `json:"of,omitempty"`   // generations of its inputs, by its needs, that are asked for
+	StaleUpTo    int64          `json:"over,omitempty"` // generations up to this one are stale
+	InputGens    []int64        `json:"of,omitempty"`   // generations of its inputs, in the order of its needs, of the requested output
 	Requested    bool           `json:"wants,omitempty"`
-	ByRule       bool           `json:"own,omitempty"` // it has been asked for anew, by a rule of this run
-	MayHaveRun   bool           `json:"ran,omitempty"` // of one that must not run twice: it may have
+	ByRule       bool           `json:"own,omitempty"` // requested again by a rule of this run
+	MayHaveRun   bool           `json:"ran,omitempty"` // a stage that must not run twice may have run
 	Runs         int64          `json:"runs,omitempty"`
 	Place        policy.Place   `json:"at"`
 	MadeAt       time.Duration  `json:"made,omitempty"`
 	Result       string         `json:"result,omitempty"`
-	RuleNumber   int            `json:"rule,omitempty"`  // one above the rule by which it is asked for anew
-	FailedPlaces []policy.Place `json:"bad,omitempty"`   // where generations of it came to nothing, the last ones
-	SuspectSites []policy.Place `json:"sites,omitempty"` // of which that is said often
-	Pending      *PendingRerun  `json:"next,omitempty"`  // since it failed
+	RuleNumber   int            `json:"rule,omitempty"`  // index plus one of the rule that requested the rerun
+	FailedPlaces []policy.Place `json:"bad,omitempty"`   // where the latest generations failed
+	SuspectSites []policy.Place `json:"sites,omitempty"` // that often make bad outputs of this stage
+	Pending      *PendingRerun  `json:"next,omitempty"`  // rerun being prepared after a failure
 	Trial        *TrialRef      `json:"tried,omitempty"`
-	CheckedClaim *Claim         `json:"doubt,omitempty"` // it runs for a second opinion on this
+	CheckedClaim *Claim         `json:"doubt,omitempty"` // claim on which this run of the stage is a second opinion
 }
 
-// NextTimer is what is to be done since a stage failed.
+// PendingRerun is a rerun being prepared after a stage failed.
 type PendingRerun struct {
 	Rule          int            `json:"rule"`
 	Target        int            `json:"target"`
-	BadGen        int64          `json:"bad"` // generation of the target's output that came to nothing
+	BadGen        int64          `json:"bad"` // failed generation of the target's output
 	Cause         policy.Cause   `json:"cause"`
-	FailedPlace   policy.Place   `json:"failed"` // whom the rerun must not be at
+	FailedPlace   policy.Place   `json:"failed"` // that the rerun avoids
 	Fingerprint   string         `json:"print"`
 	Phase         RerunPhase     `json:"phase"`
 	ResumeAt      time.Duration  `json:"at,omitempty"`
 	Claim         *Claim         `json:"claim,omitempty"`
-	Claimant      policy.Place   `json:"by"`               // who claims
-	Confirmed     bool           `json:"sure,omitempty"`   // two workers claim it
-	SecondOpinion bool           `json:"second,omitempty"` // the stage itself runs elsewhere first: is its claim true?
-	SuspectSites  []policy.Place `json:"sites,omitempty"`  // that the fingerprint told are bad
+	Claimant      policy.Place   `json:"by"`               // place of the worker that claims a bad input
+	Confirmed     bool           `json:"sure,omitempty"`   // claimed by two workers
+	SecondOpinion bool           `json:"second,omitempty"` // rerun the stage itself at another worker first, to check its claim
+	SuspectSites  []policy.Place `json:"sites,omitempty"`  // reported by the fingerprint
 }
 
-// RerunPhase is how far a rerun is on its way to be asked for.
+// RerunPhase is the phase of a rerun being prepared.
 type RerunPhase string
 
-// The phases of a rerun, in their order.
+// Phases of a rerun, in order.
 const (
-	CheckingClaim RerunPhase = "claim"     // whether the worker that calls an input bad is believed
-	BackingOff    RerunPhase = "wait"      // its rule's time
-	AwaitingTrial RerunPhase = "trial"     // the verdicts of reruns that went first
-	CheckingInput RerunPhase = "challenge" // whether other runs were content with the input
-	AwaitingSites RerunPhase = "sites"     // which sites spoil what the stage makes
+	CheckingClaim RerunPhase = "claim"     // waits to learn whether the worker's claim of a bad input is believed
+	BackingOff    RerunPhase = "wait"      // waits for its rule's backoff
+	AwaitingTrial RerunPhase = "trial"     // waits for the verdicts of earlier trials
+	CheckingInput RerunPhase = "challenge" // waits to learn whether other runs accepted the input
+	AwaitingSites RerunPhase = "sites"     // waits for the sites that make bad outputs of the stage
 )
 
-// tracked tells whether a fingerprint knows of the rerun, as one that waits there or that it has let go.
+// tracked reports whether the rerun is known to a fingerprint, as waiting there or as admitted.
 func (p RerunPhase) tracked() bool {
 	return p == AwaitingTrial || p == CheckingInput || p == AwaitingSites
 }
 
-// TrialRef is a trial, or a place in its wake, whose verdict this stage's next end is.
+// TrialRef is an admitted rerun whose verdict is the next outcome of this stage.
 type TrialRef struct {
 	Fingerprint string `json:"print"`
 	Key         string `json:"key"`
 }
 
-// Claim is that a worker calls an output bad.
+// Claim is a worker's claim that an output is bad.
 type Claim struct {
 	Worker string `json:"worker"`
 	Key    string `json:"key"`
 	Gen    int64  `json:"gen"`
 }
 
-// Output is what a stage makes, of one run or of all that share it.
+// Output is the output of a stage, of one run or of all that share it.
 type Output struct {
 	Key       string           `json:"key"`
-	LastGen   int64            `json:"last"`           // generation that was begun last
-	Gen       int64            `json:"gen,omitempty"`  // that was made last
-	InputGens []int64          `json:"of,omitempty"`   // made of these
-	Place     policy.Place     `json:"at"`             // where
-	MadeAt    time.Duration    `json:"made,omitempty"` // when
+	LastGen   int64            `json:"last"`          // last generation begun
+	Gen       int64            `json:"gen,omitempty"` // last generation made
+	InputGens []int64          `json:"of,omitempty"`  // generations of the inputs that it was made of
+	Place     policy.Place     `json:"at"`
+	MadeAt    time.Duration    `json:"made,omitempty"`
 	Result    string           `json:"result,omitempty"`
 	Execution *Turn            `json:"turn,omitempty"`
 	Requests  map[string]*Want `json:"wants,omitempty"` // by run
-	Users     map[string]int64 `json:"users,omitempty"` // run and the generation that it was told
+	Users     map[string]int64 `json:"users,omitempty"` // by run: the generation that was reported to it
 	ForgetAt  time.Duration    `json:"idle,omitempty"`
-	// Accrued: its first run has added to the budgets.
+	// Accrued: the first run has been added to the budgets.
 	Accrued bool `json:"accrued,omitempty"`
-	// Approved: who was content with it as an input, where it is shared. No two are of one run or one worker.
+	// Approvals: who accepted a shared output as an input. No two have the same run or the same worker.
 	Approvals []Approval `json:"approved,omitempty"`
 }
 
-// Approval is that a run's stage was content with an output, which its worker had as an input.
+// Approval records that a run's stage, at a worker, accepted an output as its input.
 type Approval struct {
 	Run    string `json:"run"`
 	Worker string `json:"worker"`
 }
 
-// Account is what a group may spend of a budget: in microseconds of work.
+// Account is a group's part of a budget, in microseconds of work.
 type Account struct {
 	Balance   int64 `json:"balance"`
-	Accrued   int64 `json:"accrued"` // by first runs, ever
-	Spent     int64 `json:"spent"`   // by reruns, ever
+	Accrued   int64 `json:"accrued"` // total by first runs
+	Spent     int64 `json:"spent"`   // total by reruns
 	Requested int64 `json:"asked,omitempty"`
-	Spare     int64 `json:"spare,omitempty"` // as the policies say that each account has from the start
+	Spare     int64 `json:"spare,omitempty"` // initial balance, by the policies
 }
 
-// Pool is what the root has of a budget, for groups that ask.
+// Pool is the root group's part of a budget, from which groups request amounts.
 type Pool struct {
 	Balance  int64         `json:"balance"`
-	Spare    int64         `json:"spare"` // that it was given at its start
+	Spare    int64         `json:"spare"` // initial balance
 	Requests []poolRequest `json:"asking,omitempty"`
 }
 
@@ -170,7 +170,7 @@
 	Amount int64  `json:"amount"`
 }
 
-// Want is that a run needs an output: a generation over one, of inputs of at least these generations.
+// Want is a run's request for an output: a generation above a given one, made of inputs of at least these generations.
 type Want struct {
 	Run      string            `json:"run"`
 	Stage    int               `json:"stage"`
@@ -181,28 +181,28 @@
 	Params   map[string]string `json:"params,omitempty"`
 	AboveGen int64             `json:"over,omitempty"`
 	Of       []int64           `json:"of,omitempty"`
-	Inputs   []string          `json:"inputs,omitempty"` // keys
+	Inputs   []string          `json:"inputs,omitempty"` // output keys
 	Work     time.Duration     `json:"work"`
-	Within   time.Duration     `json:"within"` // of one run
+	Within   time.Duration     `json:"within"` // of one stage run
 	Until    time.Duration     `json:"until"`
 	Where    policy.Where      `json:"where,omitempty"`
 	Failed   policy.Place      `json:"failed"`
-	Avoid    []policy.Place    `json:"avoid,omitempty"`  // where earlier generations came to nothing, likewise
-	Doubt    []policy.Place    `json:"doubt,omitempty"`  // sites of which the same is said often: others are taken if there are
+	Avoid    []policy.Place    `json:"avoid,omitempty"`  // where earlier generations failed, to be avoided likewise
+	Doubt    []policy.Place    `json:"doubt,omitempty"`  // sites that often fail; others are preferred if there are any
 	Accrue   []Share           `json:"accrue,omitempty"` // accounts that a first run adds to
-	Charge   []string          `json:"charge,omitempty"` // accounts that a rerun takes from
+	Charge   []string          `json:"charge,omitempty"` // accounts that a rerun is charged to
 	Spare    time.Duration     `json:"spare,omitempty"`
 }
 
-// Share is an account and the share of first runs' work that it gets.
+// Share is an account and its share of the work of first runs.
 type Share struct {
 	Account  string  `json:"account"`
 	Fraction float64 `json:"of"`
 }
 
-// Turn is the making of a generation.
+// Turn is an execution of a stage, which makes one generation of its output.
 type Turn struct {
-	Want                 // of who began it
+	Want                 // the request that started it
 	Gen   int64          `json:"gen"`
 	First bool           `json:"first,omitempty"`
 	Phase ExecutionPhase `json:"phase"`
@@ -211,47 +211,47 @@
 	Began time.Duration  `json:"began,omitempty"`
 }
 
-// ExecutionPhase is how far a turn is.
+// ExecutionPhase is the phase of an execution.
 type ExecutionPhase string
 
-// The phases.
+// Phases of an execution.
 const (
-	AwaitingBudget ExecutionPhase = "pay"   // its budget is asked for
-	Queued         ExecutionPhase = "queue" // it may start
+	AwaitingBudget ExecutionPhase = "pay"   // waits for its budgets
+	Queued         ExecutionPhase = "queue" // may start
 	Started        ExecutionPhase = "run"
 )
 
-// Fingerprint is a fingerprint: stage, cause and place of failures that may be one.
+// Fingerprint is the stage, cause and place shared by failures that may have a common reason.
 type Fingerprint struct {
-	Trials       []string      `json:"trying,omitempty"` // runs whose verdicts are out
+	Trials       []string      `json:"trying,omitempty"` // stages of runs whose verdicts are outstanding
 	Waiting      []Message     `json:"waiting,omitempty"`
-	MaxTrials    int           `json:"room"` // at once; doubled by a good verdict
+	MaxTrials    int           `json:"room"` // concurrent trials; doubled by a good verdict
 	FailedTrials int           `json:"bad,omitempty"`
-	NotBefore    time.Duration `json:"not,omitempty"` // before which no further trial begins
+	NotBefore    time.Duration `json:"not,omitempty"` // no further trial starts before this
 	ForgetAt     time.Duration `json:"idle,omitempty"`
 }
 
-// SiteFailures is how often one thing was said of a site, of late.
+// SiteFailures counts the recent failures of one stage and cause at a site.
 type SiteFailures struct {
-	Site        policy.Place  `json:"site"` // zone and site alone
+	Site        policy.Place  `json:"site"` // zone and site only
 	Failures    int           `json:"n"`
-	Accepted    int           `json:"fine,omitempty"` // outputs of it since that a stage was content with
+	Accepted    int           `json:"fine,omitempty"` // outputs made there that were accepted since
 	LastFailure time.Duration `json:"last"`
 }
 
-// Claimant is a worker that called outputs bad.
+// Claimant is the record of a worker that has claimed outputs to be bad.
 type Claimant struct {
 	OpenClaims      []Claim          `json:"open,omitempty"` // neither confirmed nor refuted
-	Trust           int              `json:"trust"`          // how many may be open and are believed
+	Trust           int              `json:"trust"`          // number of open claims that are believed
 	Since           time.Duration    `json:"since"`
 	Refuted         int              `json:"refuted,omitempty"`
 	Claims          int              `json:"claims,omitempty"`
-	Accepted        map[string]int64 `json:"content,omitempty"` // by stage: its runs that were content with their inputs
-	DistrustedUntil time.Duration    `json:"until,omitempty"`   // it is not believed
+	Accepted        map[string]int64 `json:"content,omitempty"` // by stage: runs in which the worker accepted its inputs
+	DistrustedUntil time.Duration    `json:"until,omitempty"`
 }
 
-// Message is what one object tells another, in this group or another one. Between groups letters are numbered and taken
-// in once, in their order.
+// Message is a message between objects, in this group or between groups. Messages between groups are numbered and
+// applied once, in order.
 type Message struct {
 	Seq          uint64         `json:"seq,omitempty"`
 	Kind         string         `json:"kind"`
@@ -276,5 +276,5 @@
 	SuspectSites []policy.Place `json:"sites,omitempty"`
 }
 
-// Faults switches a rule off, for the tests that must notice.
+// Faults disables safety rules, for tests that must detect it.
 type Faults struct{ AnyGeneration, GrantTwice, NoTrial, Unsafe bool }
--- a/internal/rerun/outputs.go
+++ b/internal/rerun/outputs.go
@@ -9,7 +9,7 @@
 	"caperrelay/internal/rerun/policy"
 )
 
-// output has an output take a letter.
+// handleOutput applies a message to an output.
 func (m *Machine) handleOutput(l *Message) {
 	o := m.state.Outputs[l.To]
 	if o == nil {
@@ -39,7 +39,7 @@
 	m.serveRequests(o)
 }
 
-// drop takes back a turn that nobody waits for any more and that has not started; what it has paid is given back.
+// cancelExecution cancels an execution that has not started and that no run waits for, and refunds its budgets.
 func (m *Machine) cancelExecution(o *Output) {
 	t := o.Execution
 	if t.Phase == Queued && !t.First {
@@ -61,7 +61,8 @@
 	}
 }
 
-// idle forgets an output that nobody uses: a run's own with the run, a shared one after a while.
+// releaseIdle deletes an output without users: that of a single run together with the run, a shared one after
+// outputRetention.
 func (m *Machine) releaseIdle(o *Output) {
 	if len(o.Requests) == 0 && len(o.Users) == 0 && o.Execution == nil {
 		if rest, own := strings.CutPrefix(o.Key, "r/"); own {
@@ -76,8 +77,8 @@
 	}
 }
 
-// serve answers the wants that can be, and begins a turn for the others. One turn serves all that have the same output
-// fail: whoever wants a generation over one that is made, or is being made, gets that.
+// serveRequests answers the requests that it can, and begins an execution for the others. One execution serves all runs
+// for which the same generation failed: any later generation, made or being made, satisfies them.
 func (m *Machine) serveRequests(o *Output) {
 	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
 		w := o.Requests[id]
@@ -90,12 +91,12 @@
 	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
 		w := o.Requests[id]
 		if t := o.Execution; t != nil {
-			if t.Phase != Started && !coversInputs(t.Of, w.Of) && coversInputs(w.Of, t.Of) { // not begun: it takes the newer inputs
+			if t.Phase != Started && !coversInputs(t.Of, w.Of) && coversInputs(w.Of, t.Of) { // not started: switch to the newer inputs
 				t.Of = w.Of
 			}
 			continue
 		}
-		if w.AboveGen > o.LastGen { // lost with a group's state: generations go on above it
+		if w.AboveGen > o.LastGen { // generations lost with the group's state: continue above them
 			o.LastGen = w.AboveGen
 		}
 		o.LastGen++
@@ -105,7 +106,7 @@
 	}
 }
 
-// start takes that a dispatcher is about to have a turn run.
+// start records that a dispatcher is about to start an execution.
 func (m *Machine) start(c *Command) Result {
 	o := m.state.Outputs[c.Key]
 	switch {
@@ -132,8 +133,8 @@
 	return Result{OK: true}
 }
 
-// over is when a turn that has started is late: it is waited for no longer. What must not run twice has its job's end waited
-// for: that tells whether it ran, and comes once the job's time is over.
+// lateAt returns when a started execution counts as late. For a stage that must not run twice, the end of its job is
+// awaited: that shows whether it ran, and arrives only after the job's deadline.
 func (t *Turn) lateAt() time.Duration {
 	switch {
 	case t.Within > 0 && t.Once:
@@ -153,7 +154,7 @@
 	return false
 }
 
-// end takes how a turn ended. Only the first word of it counts.
+// end records the end of an execution. Only the first report counts.
 func (m *Machine) end(c *Command) Result {
 	o := m.state.Outputs[c.Key]
 	if o == nil || o.Execution == nil || o.Execution.Gen != c.Gen || o.Execution.Phase != Started {
@@ -185,7 +186,7 @@
 	} else {
 		for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
 			w := o.Requests[id]
-			if w.AboveGen >= t.Gen || !coversInputs(t.Of, w.Of) && !w.Once { // it wants what was not tried yet
+			if w.AboveGen >= t.Gen || !coversInputs(t.Of, w.Of) && !w.Once { // it requests an attempt that was not made yet
 				continue
 			}
 			delete(o.Requests, id)
--- a/internal/rerun/plant/plant.go
+++ b/internal/rerun/plant/cluster.go
@@ -1,5 +1,5 @@
-// Package plant is stand-in workers of pipelines' stages on loopback: they read what a job's body says of its inputs,
-// know which outputs are spoilt, and say so in their results. Tests and measurements stand on it.
+// Package plant simulates the workers of pipeline stages on loopback: they read the inputs in a job's body, know which
+// outputs are bad, and report that in their results. It is used by tests and measurements.
 package plant
 
 import (
@@ -22,23 +22,24 @@
 	"caperrelay/internal/rig"
 )
 
-// Worker is one, and where it stands.
+// Worker is a simulated worker and its place.
 type Worker struct {
 	ID, Zone, Kind string
 	Cell           int
 }
 
-// Run is one run of a stage at a worker, by its own word.
+// Run is one run of a stage, as recorded by its worker.
 type Run struct {
 	Worker Worker
 	pipelines.Told
 	Class        string
-	Daemon       int       // which sent it
-	Began, Ended time.Time // Ended zero: it was killed or called off
+	Daemon       int       // that sent it
+	Began, Ended time.Time // Ended is zero if it was killed or cancelled
 	Outcome      pipelines.Outcome
 }
 
-// Cluster is all workers. Decide is asked when a run's work is done, and Work when it begins.
+// Cluster is a set of simulated workers. Work gives the duration of a run when it begins, Decide its outcome when its
+// work is done.
 type Cluster struct {
 	Workers []Worker
 	Work    func(Run) time.Duration
@@ -53,7 +54,7 @@
 	wg      sync.WaitGroup
 }
 
-// New returns a plant.
+// New returns a cluster.
 func New(workers []Worker) *Cluster {
 	return &Cluster{
 		Workers: workers, down: map[string]bool{}, done: make(chan struct{}), client: http.Client{Timeout: 2 * time.Second},
@@ -62,7 +63,7 @@
 	}
 }
 
-// Close ends it.
+// Close stops all servers and waits for pending callbacks.
 func (p *Cluster) Close() {
 	close(p.done)
 	for _, d := range p.servers {
@@ -72,7 +73,7 @@
 	p.wg.Wait()
 }
 
-// Runs is all runs so far.
+// Runs returns all runs so far.
 func (p *Cluster) Runs() (all []Run) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +83,7 @@
 	return all
 }
 
-// Down has a worker's process be dead, with all it runs, or alive again: a dead one takes no connections.
+// Down stops a worker's process, with all its runs, or starts it again. A stopped one accepts no connections.
 func (p *Cluster) Down(worker string, down bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// place is where a server listens, over its lives.
+// server is an HTTP server that can be stopped and restarted at the same address.
 type server struct {
 	worker, addr string
 	handler      http.Handler
@@ -108,7 +109,7 @@
 	httpServer   *http.Server
 }
 
-// open has the server listen. The address is kept by the rig, so that nobody else has it while the server is dead.
+// open starts the server. The rig keeps the address reserved, so that nothing else takes it while the server is down.
 func (d *server) open() (err error) {
 	if d.listener, err = sock.Listen(d.addr); err != nil {
 		return err
@@ -118,10 +119,10 @@
 	return nil
 }
 
-// close ends the server and its connections.
+// close stops the server and closes its connections.
 func (d *server) close() {
 	d.httpServer.Close()
-	d.listener.Close() // which the server may not have taken yet
+	d.listener.Close() // in case the server has not taken it yet
 }
 
 func (p *Cluster) listen(r *rig.Rig, worker string, h http.Handler) (string, error) {
@@ -139,8 +140,8 @@
 
 var discovery = regexp.MustCompile(`(?m)^discovery = .*$`)
 
-// Join has a rig's daemons, not started yet, find these workers instead of the rig's encoders, and take runs of the
-// pipelines of a policy's file.
+// Join configures a rig's daemons, which must not have started yet, to discover these workers instead of the rig's
+// encoders, and to serve the pipelines of a policy file.
 func (p *Cluster) Join(r *rig.Rig, policy string) error {
 	for n := range r.Daemons {
 		d := r.Daemon(n)
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// list is the name table, and a watch on it, in which nothing changes.
+// listHandler serves a constant instance list, and a watch on it.
 func (p *Cluster) listHandler(text []byte) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path != "/catalog/members" {
@@ -215,7 +216,7 @@
 	})
 }
 
-// door is where a daemon finds a worker.
+// workerHandler serves a worker to one daemon.
 func (p *Cluster) workerHandler(worker Worker, daemon int, r *rig.Rig) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		id := q.Header.Get("X-Correlation-Id")
@@ -250,7 +251,7 @@
 	p.mu.Lock()
 	down := p.down[run.Worker.ID]
 	p.mu.Unlock()
-	if down { // its machine's agent sees the process die
+	if down { // the agent on the worker's machine notices that the process is gone
 		p.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "lost"}, 40)
 		return
 	}
@@ -261,9 +262,10 @@
 	p.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "done", "result": o}, 40)
 }
 
-// call tells a daemon, the job's own first and then any that answers.
+// sendCallback posts a callback to a daemon: first to the one that sent the job, then to random ones until one accepts
+// it.
 func (p *Cluster) sendCallback(r *rig.Rig, daemon int, news map[string]any, tries int) {
-	body, _ := json.Marshal(news) // plain data: it cannot fail
+	body, _ := json.Marshal(news) // cannot fail: plain data
 	for n := range tries {
 		at := daemon
 		if n > 0 {
@@ -285,7 +287,7 @@
 	}
 }
 
-// Stage is a run's stage and generation, for messages.
+// String describes a run for test output.
 func (r Run) String() string {
 	return fmt.Sprintf("%s %s@%d at %s %s", r.Told.Run, r.Told.Stage, r.Generation, r.Worker.ID, strings.TrimSpace(string(r.Outcome.Outcome)+" "+r.Outcome.Input))
 }
--- a/internal/rerun/plant/lecture.go
+++ b/internal/rerun/plant/policy.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Lecture is a policy of one pipeline, as stories play it: encode, package, publish, which must not run twice. A rendition
-// that packaging calls spoilt is made anew at another site; encode runs again by itself. Lectures share the renditions of
-// the parameter named; none: each has its own.
+// Lecture returns a policy with one pipeline for tests: encode, package, and publish, which must not run twice. An
+// output of encode that package reports as bad is made again at another site; failures of encode are rerun. Lectures
+// share the outputs of encode by the named parameter; if it is empty, each has its own.
 func Lecture(version, shared string) string {
 	if shared != "" {
 		shared = fmt.Sprintf("shared = %q\n", shared)
--- a/internal/rerun/policy/causes.go
+++ b/internal/rerun/policy/causes.go
@@ -1,43 +1,42 @@
-// Package policy is the language in which operators say what is run again when a stage of a pipeline fails: TOML, with
-// conditions in CEL that are typed, have a bounded cost and know no clock. It is loaded strictly, and what a run of a
-// pipeline may cost at most is reckoned from it. docs/reruns.md is the users' page, docs/reruns-design.md weighs the
-// choices.
+// Package policy is the language in which operators define what is rerun when a stage of a pipeline fails: TOML, with
+// conditions in CEL that are typed, have a bounded cost and no access to a clock. Loading is strict, and computes the
+// maximum cost of a pipeline run. docs/reruns.md is the user documentation, docs/reruns-design.md explains the design.
 package policy
 
 import "slices"
 
-// Cause is why a run of a stage came to nothing. The set is closed.
+// Cause is why a stage run failed. The set is closed.
 type Cause string
 
-// The causes.
+// Causes of failures.
 const (
-	NeverRan   Cause = "never_ran"    // it is certain that it did not begin
-	MayHaveRun Cause = "may_have_run" // nobody knows
-	RanFailed  Cause = "failed"       // it ran, and says that it failed
-	BadInput   Cause = "bad_input"    // it says that one of its inputs is spoilt, and which
-	OutputLost Cause = "output_lost"  // one of its inputs is no more where it was made; it says which
-	Late       Cause = "late"         // its time was over
-	Refused    Cause = "refused"      // no worker would take it as it stands: none ran it
-	CalledOff  Cause = "called_off"   // people, or whoever wanted it, took it back
+	NeverRan   Cause = "never_ran"    // it certainly did not start
+	MayHaveRun Cause = "may_have_run" // unknown whether it ran
+	RanFailed  Cause = "failed"       // it ran and reported a failure
+	BadInput   Cause = "bad_input"    // it reported one of its inputs as bad
+	OutputLost Cause = "output_lost"  // it reported one of its inputs as missing where it was made
+	Late       Cause = "late"         // its deadline passed
+	Refused    Cause = "refused"      // no worker accepted it: it did not run
+	CalledOff  Cause = "called_off"   // cancelled by an operator or the client
 )
 
-// Causes is all of them.
+// Causes lists all causes.
 var Causes = []Cause{NeverRan, MayHaveRun, RanFailed, BadInput, OutputLost, Late, Refused, CalledOff}
 
-// NamesInput tells whether the cause names an input.
+// NamesInput reports whether the cause names an input.
 func (c Cause) NamesInput() bool { return c == BadInput || c == OutputLost }
 
-// Ran tells whether the stage may have had an effect: anything but proof to the contrary counts as that.
+// Ran reports whether the stage may have had an effect, which is assumed unless there is proof to the contrary.
 func (c Cause) Ran() bool { return c != NeverRan && c != Refused }
 
-// Known tells whether it is one of the set.
+// Known reports whether the cause is one of Causes.
 func (c Cause) Known() bool { return slices.Contains(Causes, c) }
 
-// Where narrows the workers of a rerun: not the failed run's worker, kind, site (cell of the name table) or zone.
-// It takes away from what the stage's class allows, and never adds.
+// Where restricts the workers of a rerun: not the failed run's worker, kind, site (cell of the instance list) or zone.
+// It excludes workers that the stage's class allows, and never adds any.
 type Where string
 
-// The narrowings. Each takes away what those before it do.
+// Restrictions of a rerun's workers. All but Anywhere exclude the failed run's worker.
 const (
 	Anywhere    Where = "any"
 	OtherWorker Where = "other-worker"
@@ -46,10 +45,10 @@
 	OtherZone   Where = "other-zone"
 )
 
-// WhereValues is all of them.
+// WhereValues lists all restrictions.
 var WhereValues = []Where{Anywhere, OtherWorker, OtherKind, OtherSite, OtherZone}
 
-// Place is where a run was.
+// Place is where a stage run was executed.
 type Place struct {
 	Worker string `json:"w,omitempty"`
 	Kind   string `json:"k,omitempty"`
@@ -57,8 +56,8 @@
 	Zone   string `json:"z,omitempty"`
 }
 
-// Allows tells whether a worker at a place may have a rerun of what failed at another. What is not known of the failed
-// run excludes nobody.
+// Allows reports whether a worker at a place may rerun what failed at another. Unknown attributes of the failed run
+// exclude no worker.
 func (w Where) Allows(failed, at Place) bool {
 	same := func(a, b string) bool { return a != "" && a == b }
 	switch w {
--- a/internal/rerun/policy/condition.go
+++ b/internal/rerun/policy/condition.go
@@ -16,25 +16,26 @@
 )
 
 const (
-	maxCost        = 500       // of a condition, in CEL's units: one comparison is about one
-	maxStringBytes = 128       // bytes of anything that a condition asks for
-	maxPoints      = 20_000    // at which a condition is tried when it is loaded
-	otherString    = "\x00any" // a string that no condition names
+	maxCost        = 500       // of a condition, in CEL's units: a comparison costs about one
+	maxStringBytes = 128       // of any string variable
+	maxPoints      = 20_000    // at which a condition is evaluated when it is loaded
+	otherString    = "\x00any" // a string that differs from all constants of the conditions
 )
 
-// Facts is what a condition may ask for. All of it stands in the replicated state, so that all replicas judge alike.
+// Facts are the variables of a condition. All of them are part of the replicated state, so that all replicas decide the
+// same.
 type Facts struct {
 	Kind       Cause
-	Input      string        // the stage whose output is bad or lost; empty: the cause names none
+	Input      string        // stage whose output is bad or lost; empty if the cause names none
 	Generation int64         // of that output
 	Age        time.Duration // of that output
-	Ran        time.Duration // how long the run that failed took
-	At         Place         // where that was
+	Ran        time.Duration // duration of the failed run
+	At         Place         // place of the failed run
 	Tenant     string
-	Runs       int64         // of the stage so far, this one included
+	Runs       int64         // of the stage so far, including this one
 	Reruns     int64         // of all stages of the run so far
 	RunAge     time.Duration // of the pipeline's run
-	Left       time.Duration // until it must have ended
+	Left       time.Duration // until the run's deadline
 }
 
 // variable is a name that conditions may use.
@@ -61,21 +62,21 @@
 	{"stage.runs", cel.IntType, func(f *Facts) any { return f.Runs }},
 }
 
-// Condition is a rule's when, checked and ready.
+// Condition is the compiled when of a rule.
 type Condition struct {
 	Text      string
-	Cost      uint64 // at most
+	Cost      uint64 // upper bound
 	program   cel.Program
-	variables []string // variables
-	exact     bool     // it compares variables with constants and nothing else, so that some points tell all of it
+	variables []string
+	exact     bool // it only compares variables with constants, so that samplePoints can be exhaustive
 	strings   []string
-	// compared is the strings that each variable is compared with.
+	// compared holds the strings that each variable is compared with.
 	compared  map[string][]string
 	ints      []int64
 	durations []time.Duration
 }
 
-// environment is the same for all conditions. Regular expressions are left out: their cost is not worth it.
+// environment is the CEL environment of all conditions. Macros are left out, to keep the cost bounded.
 var environment = func() *cel.Env {
 	options := []cel.EnvOption{
 		cel.ParserExpressionSizeLimit(maxConditionBytes), cel.ParserRecursionLimit(32), cel.ClearMacros(),
@@ -86,12 +87,12 @@
 	}
 	env, err := cel.NewEnv(options...)
 	if err != nil {
-		panic(err) // of constants: any test finds it
+		panic(err) // only constants: any test finds it
 	}
 	return env
 }()
 
-// sizes tells the reckoner of costs how long things are.
+// sizes gives the CEL cost estimator the maximum size of values.
 type sizes struct{}
 
 func (sizes) EstimateSize(node checker.AstNode) *checker.SizeEstimate {
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// compile reads a condition. Its error says what is wrong and what to write.
+// compile compiles a condition. Its error says what is wrong and how to fix it.
 func compile(text string) (*Condition, error) {
 	if len(text) > maxConditionBytes {
 		return nil, fmt.Errorf("%d bytes: at most %d; write several rules", len(text), maxConditionBytes)
@@ -147,7 +148,7 @@
 	return c, nil
 }
 
-// longest is the whole dotted name in a text that begins with a word.
+// dottedName returns the whole dotted name in a text that begins with a word.
 func dottedName(text, word string) string {
 	at := strings.Index(text, word)
 	if at < 0 {
@@ -160,7 +161,7 @@
 	return text[at:end]
 }
 
-// look walks a condition for its variables and constants, and tells whether those tell all of it.
+// collect gathers the variables and constants of a condition, and reports whether they determine it completely.
 func (c *Condition) collect(e ast.NavigableExpr) bool {
 	switch e.Kind() {
 	case ast.LiteralKind:
@@ -205,7 +206,7 @@
 	return false
 }
 
-// constant takes a constant, and tells whether it is one.
+// constant gathers a constant, and reports whether the expression is one.
 func (c *Condition) constant(e ast.NavigableExpr) bool {
 	switch e.Kind() {
 	case ast.LiteralKind:
@@ -236,7 +237,7 @@
 	return false
 }
 
-// Holds tells whether the condition holds. What cannot be reckoned does not, and says why.
+// Holds reports whether the condition holds. A condition that cannot be evaluated does not hold and returns an error.
 func (c *Condition) Holds(f Facts) (bool, error) {
 	values := make(map[string]any, len(c.variables))
 	for _, v := range variables {
@@ -252,7 +253,7 @@
 	return holds, nil
 }
 
-// condition reads a rule's when and finds what it can never mean.
+// loadCondition compiles a rule's when and rejects conditions that can never hold or contradict the rule.
 func (l *loader) loadCondition(r *Rule, text string, at func(string) string) (err error) {
 	if r.When, err = compile(text); err != nil {
 		return l.doc.At(at("when"), "%v", err)
@@ -312,8 +313,8 @@
 	return all
 }
 
-// points has conditions tried at all that can differ for them: each cause with each input that it can name, and below,
-// at and above each constant. It tells whether that was all there is.
+// samplePoints evaluates conditions at all points where they can differ: each cause with each input that it can name,
+// and values below, at and above each constant. It reports whether the points were exhaustive.
 func (l *loader) samplePoints(on int, cs []*Condition, try func(Facts) bool) (whole bool) {
 	whole = true
 	var uses, texts []string
@@ -359,7 +360,7 @@
 					next = append(next, g)
 				}
 			}
-			if f.Input == "" && strings.HasPrefix(name, "cause.input.") { // nothing to differ by
+			if f.Input == "" && strings.HasPrefix(name, "cause.input.") { // the variable does not apply
 				next = append(next, f)
 			}
 		}
@@ -397,7 +398,7 @@
 	return slices.Compact(all)
 }
 
-// contradictions finds two rules that hold for one failure: which counts would be an accident of their order.
+// checkContradictions rejects pairs of rules that hold for the same failure, where their order alone would decide.
 func (l *loader) checkContradictions() error {
 	for i, b := range l.p.Rules {
 		for j, a := range l.p.Rules[:i] {
@@ -429,7 +430,7 @@
 	return nil
 }
 
-// same tells whether two rules differ in their conditions alone.
+// sameButCondition reports whether two rules differ only in their conditions.
 func (l *loader) sameButCondition(i, j int) bool {
 	a, b := l.config.Rules[i], l.config.Rules[j]
 	a.When = b.When
--- a/internal/rerun/policy/policy.go
+++ b/internal/rerun/policy/policy.go
@@ -16,79 +16,79 @@
 	maxPipelines      = 64
 	maxStages         = 64 // of one pipeline
 	maxRules          = 64
-	maxUses           = 16 // that one rule may rerun in one run of a pipeline
+	maxUses           = 16 // uses of one rule in one run of a pipeline
 	maxOthers         = 8
 	maxNameBytes      = 64               // bytes
 	maxRuns           = 4096             // of all stages in one run of a pipeline
 	maxConditionBytes = 1024             // bytes of a condition
 	maxFileBytes      = 1 << 20          // bytes of a file
-	maxAge            = 8760 * time.Hour // of anything that a condition asks for
+	maxAge            = 8760 * time.Hour // of any duration in a condition
 )
 
-// Site is what a policy is checked against: the classes that stages name, and how many zones there are.
+// Site is the settings that a policy is checked against: the classes that stages refer to, the zones and the tenants.
 type Site struct {
 	Classes map[string]Class `json:"Classes"`
 	Zones   []string         `json:"Zones"`
 	Tenants []string         `json:"Tenants"`
 }
 
-// Class is one of the module's. By it goes who may run a stage.
+// Class is a class of the settings. It determines the workers of a stage.
 type Class struct {
 	Once bool   `json:"Once"` // must not run twice
 	Kind string `json:"Kind"` // of worker; empty: any
 }
 
-// Policy is a file that was loaded whole. It does not change.
+// Policy is a loaded policy file. It is immutable.
 type Policy struct {
 	Version   string
-	Fleet     float64       // share of the first runs' work that reruns may take, over all
-	Spare     time.Duration // of work that each account has from the start
+	Fleet     float64       // share of the first runs' work that all reruns together may take
+	Spare     time.Duration // work that each account starts with
 	Pipelines map[string]*Pipeline
 }
 
-// Pipeline is stages and what is rerun when they fail.
+// Pipeline is the stages of a pipeline and its rerun rules.
 type Pipeline struct {
 	Name   string
 	Within time.Duration // of a run
-	Others int           // times that reruns asked for by other pipelines may make stages of a run stale
-	Stages []*Stage      // each after all that it needs
+	Others int           // times that reruns of other pipeline runs may make stages of a run stale
+	Stages []*Stage      // in topological order
 	Rules  []*Rule
 	Bound  Bound
 }
 
-// Stage is one step.
+// Stage is one stage of a pipeline.
 type Stage struct {
 	Name, Class, Shared  string
-	Work                 time.Duration // that one run takes at most, of one slot
-	Within               time.Duration // of one run, with all its waiting at workers: then it is late
+	Work                 time.Duration // maximum work of one run, on one slot
+	Within               time.Duration // time limit of one run, including waiting at workers
 	Once                 bool          // must not run twice
-	Result               bool          // it is what the pipeline is for
+	Result               bool          // named in the pipeline's result
 	Needs                []int         // indices of stages
 	Line                 int
-	Upstream, Downstream []int // all that it needs, and all that need it, by whatever way
+	Upstream, Downstream []int // transitive
 }
 
-// Self and Input are targets of a rule that are not stages by name.
+// Self and Input are targets of a rule other than a named stage.
 const (
 	Self  = -1
 	Input = -2
 )
 
-// Rule is what is done when a stage fails.
+// Rule defines a rerun when a stage fails.
 type Rule struct {
 	Line             int
 	On               int
 	When             *Condition
-	Target           int // a stage above On, or Self, or Input: the input that the cause names
+	Target           int // index of a stage upstream of On, or Self, or Input: the input named by the cause
 	Where            Where
-	MinWait, MaxWait time.Duration // of the wait before it; it doubles each time
+	MinWait, MaxWait time.Duration // backoff, doubled each time
 	MaxUses          int
-	Tenant           float64 // share of its tenant's first runs' work; 0: only the fleet's counts
-	KeepOld          bool    // what used the old output and has ended well keeps it
-	NeedsPerson      bool    // once this rule is used up, a person is asked; else the pipeline is dead
+	Tenant           float64 // share of its tenant's first runs' work; 0: only the fleet's budget applies
+	KeepOld          bool    // stages that succeeded with the old output keep it
+	NeedsPerson      bool    // once the rule is exhausted, the run needs a person; otherwise it is dead
 }
 
-// Bound is what one run of a pipeline can cost at most.
+// Bound is the maximum cost of one run of a pipeline.
 type Bound struct {
 	Runs  []int // of each stage
 	Total int
@@ -145,7 +145,7 @@
 	}
 )
 
-// Load reads a file.
+// Load loads a policy file.
 func Load(path string, site Site) (*Policy, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return Parse(path, text, site)
 }
 
-// Parse reads a file's text. Its error is a *siteconf.Error, with line, key and mend, for the first fault.
+// Parse parses the text of a policy file. Its error for the first fault is a *siteconf.Error with line, key and fix.
 func Parse(path string, text []byte, site Site) (*Policy, error) {
 	if len(text) > maxFileBytes {
 		return nil, &siteconf.Error{File: path, Text: fmt.Sprintf("%d bytes: at most %d", len(text), maxFileBytes)}
@@ -189,14 +189,14 @@
 	return p, nil
 }
 
-// loader reads one pipeline.
+// loader loads one pipeline.
 type loader struct {
 	doc                   *siteconf.Strict
 	prefix                string
-	firstStage, firstRule int // of the file's, that come before this one's
+	firstStage, firstRule int // index in the file of this pipeline's first stage and rule
 	config                pipelineConfig
 	site                  Site
-	order                 []int // of the stages in the file, each after its needs
+	order                 []int // topological order of the stages in the file
 	p                     *Pipeline
 }
 
@@ -230,7 +230,7 @@
 	return l.p, nil
 }
 
-// index is a stage of the file by its name; -1: there is none.
+// stageIndex returns the index in the file of a named stage; -1 if there is none.
 func (l *loader) stageIndex(name string) int {
 	return slices.IndexFunc(l.config.Stages, func(s stageConfig) bool { return s.Name == name })
 }
@@ -280,7 +280,7 @@
 	return nil
 }
 
-// sort puts each stage after what it needs, and finds cycles.
+// sortStages sorts the stages topologically, and rejects cycles.
 func (l *loader) sortStages() error {
 	state := make([]int, len(l.config.Stages)) // 1: being visited, 2: done
 	var path []string
@@ -338,12 +338,12 @@
 	return nil
 }
 
-// Stage is the index of a stage by its name; -1: there is none.
+// Stage returns the index of a named stage; -1 if there is none.
 func (p *Pipeline) Stage(name string) int {
 	return slices.IndexFunc(p.Stages, func(s *Stage) bool { return s.Name == name })
 }
 
-// results finds stages that nothing which is wanted needs.
+// checkResults rejects stages that no result depends on.
 func (l *loader) checkResults() error {
 	if len(l.config.Result) == 0 {
 		return l.errorAt("result", `missing: write result = ["publish"], the stages that the pipeline is for`)
@@ -367,7 +367,7 @@
 	return nil
 }
 
-// shared finds shared stages that depend on what is not.
+// checkShared rejects shared stages that depend on stages that are not shared.
 func (l *loader) checkShared() error {
 	for i, t := range l.config.Stages {
 		if t.Shared == "" {
@@ -461,7 +461,7 @@
 	return " or one of " + strings.Join(names, ", ")
 }
 
-// targets is all stages that a rule may rerun first.
+// targets returns all stages that a rule may rerun first.
 func (p *Pipeline) targets(r *Rule) []int {
 	switch r.Target {
 	case Self:
@@ -472,7 +472,7 @@
 	return []int{r.Target}
 }
 
-// possible finds narrowings that leave nobody, by what the module allows.
+// possible rejects restrictions that leave no worker, given the settings.
 func (l *loader) possible(r *Rule, at func(string) string) error {
 	for _, i := range l.p.targets(r) {
 		class := l.site.Classes[l.p.Stages[i].Class]
@@ -486,7 +486,7 @@
 	return nil
 }
 
-// spread reads "2s..30s", or "2s", or nothing: one second to thirty.
+// parseWait parses "2s..30s", or "2s", or nothing: one second to thirty.
 func parseWait(text string) (from, to time.Duration, err error) {
 	if text == "" {
 		return time.Second, 30 * time.Second, nil
@@ -511,7 +511,7 @@
 	return from, to, nil
 }
 
-// budget reads "tenant:3%" or "fleet".
+// parseBudget parses "tenant:3%" or "fleet".
 func parseBudget(text string) (float64, error) {
 	switch share, tenant := strings.CutPrefix(text, "tenant:"); {
 	case text == "fleet":
@@ -530,8 +530,8 @@
 	return 0, fmt.Errorf(`%s: write "tenant:3%%" (of its tenant's first runs) or "fleet"`, strconv.Quote(text))
 }
 
-// Affected is what may run anew by one use of a rule whose target is a stage: the target, what uses it by whatever way
-// (or, where old outputs are kept, only what lies between), and the stage that failed.
+// Affected returns the stages that may run again by one use of a rule with a given target: the target and everything
+// downstream of it; where old outputs are kept, only the target, the failed stage, and what lies between.
 func (p *Pipeline) Affected(r *Rule, target int) (all []int) {
 	for i, s := range p.Stages {
 		below := i == target || slices.Contains(s.Upstream, target)
@@ -542,8 +542,8 @@
 	return all
 }
 
-// bound reckons the most that one run can cost: each stage once, and once more for each use of a rule that can reach
-// it, and for each rerun by others of what it uses.
+// computeBound computes the maximum cost of one run: each stage once, once more for each use of a rule that can reach
+// it, and once more for each rerun by other runs of what it uses.
 func (l *loader) computeBound() error {
 	p := l.p
 	b := Bound{Runs: make([]int, len(p.Stages))}
@@ -578,7 +578,7 @@
 	return nil
 }
 
-// String is the bound in words, for operators.
+// String describes the bound for operators.
 func (p *Pipeline) String() string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "pipeline %s: at most %d runs, %v of work, within %v:", p.Name, p.Bound.Total, p.Bound.Work, p.Within)
--- a/internal/rerun/rerun.go
+++ b/internal/rerun/rerun.go
@@ -1,6 +1,7 @@
-// Package rerun decides, in replicated state, what runs of pipelines do: which stage is to run, which output of which
-// generation it uses, what is run again when one fails, when, at whose cost and after whose trial. It has no I/O and no
-// clock: committed commands, each with its time, are all that changes it. docs/reruns-design.md weighs the choices.
+// Package rerun is the replicated state machine of pipeline runs. It decides which stage runs, which generation of which
+// output it uses, and what is rerun after a failure: when, charged to which budget, and after which trial rerun. It has
+// no I/O and no clock: only committed commands, each with its time, change it. docs/reruns-design.md explains the
+// design.
 package rerun
 
 import (
@@ -15,43 +16,43 @@
 	"caperrelay/internal/rerun/policy"
 )
 
-// Version of commands, letters and snapshots.
+// Version is the format version of commands, messages and snapshots.
 const Version = 1
 
 const (
-	maxRuns          = 1 << 13 // of pipelines that a group holds, those that have ended included
+	maxRuns          = 1 << 13 // pipeline runs per group, ended ones included
 	maxOutputs       = 1 << 16
-	maxPolicies      = 16 // versions that are kept
+	maxPolicies      = 16 // versions kept
 	maxParams        = 144
 	maxParamBytes    = 512 // bytes
-	maxHistoryLines  = 96  // of one run's story
+	maxHistoryLines  = 96  // in the history of one run
 	maxRequests      = 1 << 13
 	maxLogLines      = 1 << 10
-	maxWaitingTrials = 1 << 13 // that wait for one verdict
-	maxTracked       = 1 << 15 // fingerprints, claimants
-	maxFailedPlaces  = 8       // that are kept of where a stage came to nothing
-	maxSites         = 64      // of which one thing is said
-	maxApprovals     = 3       // of a shared output: one besides those of the run and of the worker that claim that it is bad
-	minSiteFailures  = 2       // times that it is said of a site, until others are taken if there are any
+	maxWaitingTrials = 1 << 13 // waiting for one verdict
+	maxTracked       = 1 << 15 // fingerprints or claimants
+	maxFailedPlaces  = 8       // kept per stage
+	maxSites         = 64      // counted per stage and cause
+	maxApprovals     = 3       // of a shared output: one besides those of the run and of the worker that claim it is bad
+	minSiteFailures  = 2       // before other sites are preferred
 	endedRetention   = time.Hour
-	outputRetention  = 24 * time.Hour // without anybody who uses it
-	lateGrace        = time.Minute    // past its time, a run of a stage of which nothing was heard counts as late
-	maxFailedTrials  = 3              // trials, until all that wait for a fingerprint are told no
+	outputRetention  = 24 * time.Hour // of an output that no run uses
+	lateGrace        = time.Minute    // after its deadline, a stage run without a report counts as late
+	maxFailedTrials  = 3              // failed trials in a row, after which all reruns waiting on the fingerprint are denied
 	trialCooldown    = 5 * time.Minute
-	claimRetention   = 10 * time.Minute // a claim that an input is bad is remembered
-	initialTrust     = 2                // claims of a worker that are believed though nobody else has looked; doubled once one has
-	acceptedPerClaim = 1                // runs of it that were content with their inputs, for one claim more
-	checkInterval    = 8                // the claim of a worker that another looks into whatever its trust
+	claimRetention   = 10 * time.Minute // how long a claim that an input is bad is remembered
+	initialTrust     = 2                // claims of a worker believed without a check by another worker; doubled after a confirmed one
+	acceptedPerClaim = 1                // runs in which the worker accepted its inputs, per additional claim believed
+	checkInterval    = 8                // every so many claims, another worker checks one whatever the trust
 	maxTrust         = 64
-	maxRefuted       = 2                // claims of a worker, until it is not believed
-	defaultCapacity  = 8                // reruns at once for one fingerprint, where nobody told its place's room
-	minReturn        = 10 * time.Second // of work that a group does not need, that it gives back
+	maxRefuted       = 2                // refuted claims, after which a worker is not believed
+	defaultCapacity  = 8                // concurrent reruns per fingerprint where the capacity of the place is unknown
+	minReturn        = 10 * time.Second // of unneeded work budget that a group returns to the root
 )
 
-// Config is what a group's machine is told of itself. It must be the same at all replicas.
+// Config configures the machine of one group. It must be the same at all replicas.
 type Config struct {
 	Group, Groups uint32
-	Running       int // stages that run at once for this group's outputs; 0: 256
+	Running       int // maximum of stages running at once for this group's outputs; 0: 256
 }
 
 type storedPolicy struct {
@@ -59,12 +60,12 @@
 	Site policy.Site `json:"site"`
 }
 
-// state is all that is replicated.
+// state is the whole replicated state.
 type state struct {
 	V              int                       `json:"v"`
 	At             time.Duration             `json:"at"`
 	CurrentVersion string                    `json:"current,omitempty"`
-	Versions       []string                  `json:"versions,omitempty"` // the oldest first
+	Versions       []string                  `json:"versions,omitempty"` // oldest first
 	Policies       map[string]storedPolicy   `json:"policies"`
 	Runs           map[string]*Run           `json:"runs"`
 	Outputs        map[string]*Output        `json:"outputs"`
@@ -74,25 +75,25 @@
 	Pools          map[string]*Pool          `json:"pools"`
 	Capacities     map[string]int            `json:"room"`
 	SiteFailures   map[string][]SiteFailures `json:"often"` // by fingerprint without its place
-	Outbox         map[uint32][]Message      `json:"out"`   // that other groups have not confirmed
+	Outbox         map[uint32][]Message      `json:"out"`   // not confirmed yet by the other group
 	LastSent       map[uint32]uint64         `json:"seq"`
 	LastReceived   map[uint32]uint64         `json:"in"`
 	LastOrder      uint64                    `json:"order"`
 	Running        int                       `json:"running"`
 }
 
-// Machine is one group's pipelines, outputs, fingerprints and accounts. It is not safe for more than one goroutine.
+// Machine holds the pipeline runs, outputs, fingerprints and accounts of one group. It is not safe for concurrent use.
 type Machine struct {
 	config        Config
 	state         state
 	policies      map[string]*policy.Policy
 	localMessages []Message
 	timers        timerHeap
-	executions    map[string]*Output // that have one
+	executions    map[string]*Output // outputs with an execution
 	logLines      []Told
 	unfinished    int  // runs without an answer
-	budgetsGrew   bool // a budget is, since turns that wait for it were looked at last
-	// Counted since the start, for operators; not replicated.
+	budgetsGrew   bool // a budget has grown since executions waiting for it were last checked
+	// Counted since the process started, for operators; not replicated.
 	StagesStarted, Reruns int64
 
 	faults Faults
@@ -115,7 +116,7 @@
 	m.policies, m.timers, m.executions, m.unfinished = map[string]*policy.Policy{}, nil, map[string]*Output{}, 0
 }
 
-// settle has objects read each other's letters until there are none.
+// deliverLocal delivers messages between objects of this group until there are none.
 func (m *Machine) deliverLocal() {
 	for len(m.localMessages) > 0 || m.budgetsGrew {
 		if len(m.localMessages) == 0 {
@@ -129,7 +130,8 @@
 	}
 }
 
-// group is where an object is. What is one run's own is where the run is, and budgets' pools are at the root.
+// groupOf returns the group that holds an object. What belongs to one run is in the run's group; budget pools are in the
+// root group.
 func (m *Machine) groupOf(key string) uint32 {
 	if strings.HasPrefix(key, "b/") {
 		return replica.Root
@@ -138,27 +140,27 @@
 		id, _, _ := strings.Cut(rest, "/")
 		key = "r/" + id
 	}
-	if strings.HasPrefix(key, "f/") { // those of one stage and cause are together, whatever the place
+	if strings.HasPrefix(key, "f/") { // fingerprints of one stage and cause share a group, whatever the place
 		key = withoutPlace(key)
 	}
 	return replica.GroupOf(key, m.config.Groups)
 }
 
-// fingerprint is the key of what failures of one stage, cause and place have in common.
+// fingerprint returns the key shared by failures of one stage with one cause at one place.
 func fingerprint(pipeline, stage string, cause policy.Cause, at policy.Place) string {
 	return fmt.Sprintf("f/%s/%s/%s/%s.%s", pipeline, stage, cause, at.Zone, at.Site)
 }
 
-// family is a fingerprint without its place.
+// withoutPlace returns a fingerprint's key without its place.
 func withoutPlace(print string) string { return print[:max(0, strings.LastIndexByte(print, '/'))] }
 
-// shared tells whether the key of an output is of one that several runs use.
+// isShared reports whether an output's key is that of an output used by several runs.
 func isShared(key string) bool { return strings.HasPrefix(key, "s/") }
 
-// GroupOfRun is the group of a run of a pipeline.
+// GroupOfRun returns the group of a pipeline run.
 func GroupOfRun(id string, groups uint32) uint32 { return replica.GroupOf("r/"+id, groups) }
 
-// Roomy tells whether places are known to take about as many reruns at once: within a quarter.
+// Roomy reports whether the known rerun capacities of places are within a quarter of the given ones.
 func (m *Machine) Roomy(rooms map[string]int) bool {
 	for place, room := range rooms {
 		if old := m.state.Capacities[place]; 4*max(room-old, old-room) > old && len(m.state.Capacities) < maxTracked {
@@ -168,10 +170,10 @@
 	return true
 }
 
-// Knows tells whether a version of the policy was told.
+// Knows reports whether a version of the policy is loaded.
 func (m *Machine) Knows(version string) bool { return m.policies[version] != nil }
 
-// OutputKey is the key of a stage's output.
+// OutputKey returns the key of a stage's output.
 func (r *Run) OutputKey(i int) string {
 	s := r.pipeline.Stages[i]
 	if s.Shared != "" {
@@ -185,7 +187,7 @@
 	if rule >= 0 {
 		l.Rule = r.pipeline.Rules[rule].Line
 	}
-	if len(r.History) == maxHistoryLines { // the beginning tells more than the middle
+	if len(r.History) == maxHistoryLines { // keep the beginning, which is more informative than the middle
 		r.History = slices.Delete(r.History, maxHistoryLines/2, maxHistoryLines/2+1)
 	}
 	r.History = append(r.History, l)
@@ -194,23 +196,23 @@
 	}
 }
 
-// Told is a line of a run's story as it came up.
+// Told is a history line of a run, to be logged.
 type Told struct {
 	Run, Policy string
 	Line
 }
 
-// Lines takes what has come up here since the last call, for the log.
+// Lines returns and clears the history lines added since the last call, for the log.
 func (m *Machine) Lines() []Told {
 	all := m.logLines
 	m.logLines = nil
 	return all
 }
 
-// valid tells whether the run has what a stage makes.
+// valid reports whether the run has a current output of a stage.
 func (r *Run) valid(i int) bool { s := r.Stages[i]; return s.UsedGen > s.StaleUpTo && s.Pending == nil }
 
-// advance asks for each output that can be asked for now, and ends the run once it has all that it is for.
+// advance requests every output whose inputs are valid, and ends the run once all outputs are made.
 func (m *Machine) advance(r *Run) {
 	if r.Answer != nil {
 		return
@@ -252,7 +254,7 @@
 	}
 }
 
-// account says which budgets a run of a stage adds to, and which it takes from if it is a rerun.
+// setBudgets sets the accounts that a first run of a stage accrues to, and those that a rerun is charged to.
 func (m *Machine) setBudgets(r *Run, s *Stage, w *Want) {
 	fleet := m.policies[r.Policy].Fleet
 	w.Accrue, w.Charge = []Share{{"fleet", fleet}}, []string{"fleet"}
@@ -269,7 +271,7 @@
 		if s.ByRule {
 			w.Where, w.Avoid, w.Doubt = rule.Where, slices.Clone(s.FailedPlaces), slices.Clone(s.SuspectSites)
 		}
-		if s.CheckedClaim != nil && w.Where == policy.Anywhere { // a second opinion is another's
+		if s.CheckedClaim != nil && w.Where == policy.Anywhere { // a second opinion needs another worker
 			w.Where = policy.OtherWorker
 		}
 	}
@@ -279,7 +281,7 @@
 	return fmt.Sprintf("tenant:%s:%g%%", tenant, share*100)
 }
 
-// finish gives a run its one answer, and lets go of all that it holds or waits for.
+// finish sets a run's final answer, and releases everything it holds or waits for.
 func (m *Machine) finish(r *Run, a Answer) {
 	if r.Answer != nil {
 		return
@@ -301,7 +303,7 @@
 
 func trialID(r *Run, stage int) string { return fmt.Sprintf("%s/%d", r.ID, stage) }
 
-// verdict tells what became of a trial.
+// reportVerdict reports the outcome of a trial to its fingerprint.
 func (m *Machine) reportVerdict(r *Run, s *Stage, good, none bool) {
 	if s.Trial == nil {
 		return
@@ -314,7 +316,7 @@
 	s.Trial = nil
 }
 
-// wait has a rerun wait its rule's time, spread by the run's name.
+// startBackoff delays a rerun by its rule's backoff, with jitter derived from the run's ID.
 func (m *Machine) startBackoff(r *Run, i int) {
 	n := r.Stages[i].Pending
 	rule := r.pipeline.Rules[n.Rule]
@@ -332,7 +334,7 @@
 	return x ^ x>>33
 }
 
-// try has a rerun ask whether it may go first, or in a good verdict's wake.
+// requestTrial asks the fingerprint whether a rerun may go, as a trial or after a successful one.
 func (m *Machine) requestTrial(r *Run, i int) {
 	n := r.Stages[i].Pending
 	if r.disputed(i) {
@@ -342,17 +344,17 @@
 	m.send(Message{Kind: "try", To: n.Fingerprint, From: r.ID, Stage: i, Key: r.OutputKey(n.Target)})
 }
 
-// requestSites has a stage that runs again by itself, or for a second opinion on an input, first be told of the sites that spoil what
-// it makes: where it came to nothing tells nothing of those.
+// requestSites queries the sites that make bad outputs of this stage, before it is rerun itself or runs for a second
+// opinion on an input. The place of its failure says nothing about those sites.
 func (m *Machine) requestSites(r *Run, i int) {
 	n := r.Stages[i].Pending
 	if n.Phase = AwaitingSites; n.SecondOpinion {
-		n.SuspectSites = nil // they spoil its input, which is not made anew
+		n.SuspectSites = nil // they make its input bad, and the input is not rerun
 	}
 	m.send(Message{Kind: "where", To: fingerprint(r.Pipeline, r.pipeline.Stages[i].Name, policy.BadInput, policy.Place{}), From: r.ID, Stage: i})
 }
 
-// mergeSites is all of both, once.
+// mergeSites returns the union of both lists.
 func mergeSites(all, more []policy.Place) []policy.Place {
 	for _, site := range more {
 		if !slices.Contains(all, site) {
@@ -362,7 +364,7 @@
 	return all
 }
 
-// rerun has the target of a rule, and what used its old output, be made anew.
+// startRerun reruns the target of a rule and whatever used its old output.
 func (m *Machine) startRerun(r *Run, i int) {
 	s := r.Stages[i]
 	n, rule := s.Pending, r.pipeline.Rules[s.Pending.Rule]
@@ -370,7 +372,7 @@
 	s.Trial = &TrialRef{n.Fingerprint, r.OutputKey(n.Target)}
 	s.RuleNumber = n.Rule + 1
 	t := r.Stages[n.Target]
-	if n.Target != i && (t.StaleUpTo >= n.BadGen || t.UsedGen > n.BadGen) { // another stage's failure had it made anew already
+	if n.Target != i && (t.StaleUpTo >= n.BadGen || t.UsedGen > n.BadGen) { // already rerun because of another stage's failure
 		m.advance(r)
 		return
 	}
@@ -387,13 +389,13 @@
 	if i := slices.Index(t.FailedPlaces, n.FailedPlace); i < 0 && n.FailedPlace.Worker != "" {
 		t.FailedPlaces = append(t.FailedPlaces[max(0, len(t.FailedPlaces)+1-maxFailedPlaces):], n.FailedPlace)
 	}
-	if n.Target == i && !n.SecondOpinion { // what it made before, if anything, is stale with all below it
+	if n.Target == i && !n.SecondOpinion { // the stage's previous output, if any, is stale, as is everything downstream
 		m.markStale(r, slices.DeleteFunc(r.pipeline.Affected(rule, i), func(a int) bool { return a == i }), n.Rule+1)
 	}
 	m.advance(r)
 }
 
-// give gives a rule up.
+// giveUp ends the run because a rule is exhausted.
 func (m *Machine) giveUp(r *Run, i int, n *PendingRerun, why string) {
 	kind := Dead
 	if r.pipeline.Rules[n.Rule].NeedsPerson {
--- a/internal/rerun/schedule.go
+++ b/internal/rerun/schedule.go
@@ -12,7 +12,7 @@
 	"caperrelay/internal/rerun/policy"
 )
 
-// dues is what time brings about, by time.
+// timerHeap is a heap of timers, ordered by time.
 type timerHeap []timer
 
 type timer struct {
@@ -33,12 +33,12 @@
 }
 
 func (m *Machine) setTimer(at time.Duration, kind, key string) {
-	if at > 0 { // 0 is never
+	if at > 0 { // 0: never
 		heap.Push(&m.timers, timer{at, kind, key})
 	}
 }
 
-// NextTimer is when time brings something about; 0: never.
+// NextTimer returns when the next timer fires; 0: never.
 func (m *Machine) NextTimer() time.Duration {
 	if len(m.timers) == 0 {
 		return 0
@@ -46,7 +46,7 @@
 	return m.timers[0].at
 }
 
-// time does what is due by now.
+// fireTimers fires all timers that are due.
 func (m *Machine) fireTimers() {
 	for len(m.timers) > 0 && m.timers[0].at <= m.state.At {
 		d := heap.Pop(&m.timers).(timer)
@@ -56,7 +56,7 @@
 				stage, waits := m.waitingFor(r)
 				m.finish(r, Answer{Kind: LateEnd, Stage: stage, Cause: policy.Late, Reason: "its time was over: " + cmp.Or(strings.Join(waits, "; "), "it waited for nothing")})
 				for i, s := range r.Stages {
-					if r.pipeline.Stages[i].Once && s.MayHaveRun && s.UsedGen <= s.StaleUpTo { // nobody knows
+					if r.pipeline.Stages[i].Once && s.MayHaveRun && s.UsedGen <= s.StaleUpTo { // it may have run
 						r.Answer.Kind, r.Answer.Stage = Person, r.pipeline.Stages[i].Name
 					}
 				}
@@ -109,22 +109,23 @@
 	}
 }
 
-// Action is something to be done by whoever leads the group.
+// Action is something that the group's leader has to do.
 type Action interface{ action() }
 
-// The actions.
+// Actions of a group's leader.
 type (
-	// Go has a turn run, once OpStart is committed: a stage's generation, by the class's workers, narrowed.
+	// Go runs an execution once OpStart is committed: a generation of a stage, by the workers of its class, less those
+	// excluded by the rule.
 	Go struct {
 		Key string
 		Turn
 	}
-	// Deliver has letters be proposed to another group, and OpSent here once they are taken in.
+	// Deliver proposes messages to another group, and OpSent to this group once they are applied.
 	Deliver struct {
 		To      uint32
 		Letters []Message
 	}
-	// WaitUntil has OpTick be proposed at a time.
+	// WaitUntil proposes OpTick at the given time.
 	WaitUntil struct{ At time.Duration }
 )
 
@@ -132,7 +133,7 @@
 func (Deliver) action()   {}
 func (WaitUntil) action() {}
 
-// Actions is what is to be done now: first runs before reruns, as many as may run at once.
+// Actions returns what is to be done now: first runs before reruns, up to the maximum that may run at once.
 func (m *Machine) Actions() (all []Action) {
 	queued := m.executionsWhere(func(t *Turn) bool { return t.Phase == Queued })
 	room := m.config.Running - m.state.Running
@@ -155,7 +156,7 @@
 	return all
 }
 
-// Running is the turns that a dispatcher, or any (""), has started and that have no end.
+// Running returns the executions that a dispatcher, or any (""), has started and that have not ended.
 func (m *Machine) Running(by string) (all []Go) {
 	for _, o := range m.executionsWhere(func(t *Turn) bool { return t.Phase == Started && (by == "" || t.By == by) }) {
 		all = append(all, Go{o.Key, *o.Execution})
@@ -163,17 +164,17 @@
 	return all
 }
 
-// Executing tells whether a turn is under way still.
+// Executing reports whether an execution has not ended.
 func (m *Machine) Executing(key string, gen int64) bool {
 	o := m.state.Outputs[key]
 	return o != nil && o.Execution != nil && o.Execution.Gen == gen
 }
 
-// Run is a run, to be read only; nil: there is none.
+// Run returns a run, to be read only; nil if there is none.
 func (m *Machine) Run(id string) *Run { return m.state.Runs[id] }
 
-// CurrentVersion is the version of the policy that counts for runs that begin now.
+// CurrentVersion returns the policy version for runs that begin now.
 func (m *Machine) CurrentVersion() string { return m.state.CurrentVersion }
 
-// Size is how many runs there are, and how many have no answer.
+// Size returns the number of runs, and of those without an answer.
 func (m *Machine) Size() (runs, open int) { return len(m.state.Runs), m.unfinished }
--- a/internal/rerun/snapshot.go
+++ b/internal/rerun/snapshot.go
@@ -7,10 +7,10 @@
 	"caperrelay/internal/rerun/policy"
 )
 
-// Snapshot is the state as a text.
+// Snapshot encodes the state.
 func (m *Machine) Snapshot() ([]byte, error) { return json.Marshal(m.state) }
 
-// Restore takes the state of a snapshot.
+// Restore replaces the state by that of a snapshot.
 func (m *Machine) Restore(text []byte) error {
 	next := New(m.config)
 	next.faults = m.faults
