--- a/internal/rerun/diamond_test.go
+++ b/internal/rerun/diamond_test.go
@@ -11,7 +11,7 @@
 	"caperrelay/internal/rerun/policy"
 )
 
-// diamond is source > left, right > join > publish, and what is said of them.
+// diamondPipeline is source > left, right > join > publish, with rules for bad and lost inputs.
 const diamondPipeline = `[[pipeline]]
 name="diamond"
 result=["publish"]
@@ -68,7 +68,7 @@
 
 func runDiamond(t *testing.T, outcome func(g Go) Command) (*simulation, *Run) {
 	w := newSimulation(t, 21, 4, 100)
-	w.duplicate = 0.5 // each end and many letters are told twice: the first word of it counts
+	w.duplicate = 0.5 // ends and many messages arrive twice: only the first counts
 	w.policy(policyFile("7", "100%", "10m", diamondPipeline))
 	w.outcome = func(_ *simulation, g Go) Command {
 		c := outcome(g)
@@ -90,7 +90,8 @@
 	return all
 }
 
-// Both branches fail by one input, at once or one after the other: it is made anew once, and each stage below it once.
+// Both branches fail because of one input, at once or one after the other: it is made again once, as is each stage
+// downstream.
 func TestDiamond(t *testing.T) {
 	for _, one := range []bool{false, true} {
 		w, r := runDiamond(t, func(g Go) Command {
@@ -104,7 +105,8 @@
 	}
 }
 
-// Guards against one worker's word having an input made anew, and all below it, though another stage's worker was content with it.
+// Guards against rerunning an input and everything downstream on the claim of a single worker, although another stage's
+// worker accepted it.
 func TestClaimOnInputAcceptedByAnotherStageIsChecked(t *testing.T) {
 	for _, lies := range []bool{true, false} {
 		w, r := runDiamond(t, func(g Go) Command {
@@ -115,15 +117,15 @@
 		})
 		require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
 		want := map[string]int{"source": 1, "left": 2, "right": 1, "join": 1, "publish": 1}
-		if !lies { // the second worker says so too
+		if !lies { // the second worker confirms
 			want["source"], want["left"], want["right"] = 2, 3, 2
 		}
 		require.Equal(t, want, w.generations(), "%v", r.History)
 	}
 }
 
-// Guards against one worker's word having a shared input made anew, and all below it in several runs, though the worker of
-// another run was content with it.
+// Guards against rerunning a shared input, and everything downstream in several runs, on the claim of a single worker,
+// although the worker of another run accepted it.
 func TestClaimOnSharedInputAcceptedByAnotherRunIsChecked(t *testing.T) {
 	for _, lies := range []bool{true, false} {
 		w := newSimulation(t, 22, 4, 100)
@@ -146,13 +148,13 @@
 	}
 }
 
-// Guards against a shared input being made anew on a claim that another run's worker spoke against while the claim was looked at.
+// Guards against rerunning a shared input on a claim that another run's worker contradicted while the claim was pending.
 func TestAcceptanceAfterAClaimCounts(t *testing.T) {
 	w := newSimulation(t, 23, 4, 100)
 	w.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
 	w.duration = func(_ *simulation, g Go) time.Duration {
 		if g.Key == "r/r0/encode" {
-			return g.Work/2 + 400*time.Millisecond // the claim's rerun waits half a second at least
+			return g.Work/2 + 400*time.Millisecond // the claimed rerun's backoff is at least half a second
 		}
 		return g.Work / 2
 	}
@@ -170,13 +172,13 @@
 	require.Len(t, w.started["s/film/ingest/one"], 1, "%v", w.run("r1").History)
 }
 
-// What is being made again loses its own input meanwhile, or is lost as soon as it is there.
+// The output being made again loses its own input in the meantime, or is lost as soon as it exists.
 func TestOutputLostDuringRerun(t *testing.T) {
 	w, r := runDiamond(t, func(g Go) Command {
 		switch s := stageOf(g.Key); {
 		case s == "join" && g.Of[0] == 1:
 			return Command{Cause: policy.BadInput, Input: "left"}
-		case s == "left" && g.Gen == 2: // under way, its input is gone
+		case s == "left" && g.Gen == 2: // its input is lost during the rerun
 			return Command{Cause: policy.OutputLost, Input: "source"}
 		}
 		return Command{OK: true}
@@ -193,7 +195,7 @@
 	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
 	require.Equal(t, map[string]int{"source": 1, "left": 3, "right": 1, "join": 3, "publish": 1}, w.generations(), "%v", r.History)
 
-	w, r = runDiamond(t, func(g Go) Command { // again and again: a final answer, and no more than the rule's
+	w, r = runDiamond(t, func(g Go) Command { // lost every time: there is a final answer, within the rule's limit
 		if stageOf(g.Key) == "join" {
 			return Command{Cause: policy.OutputLost, Input: "left"}
 		}
@@ -204,8 +206,8 @@
 	require.LessOrEqual(t, w.generations()["left"], 3)
 }
 
-// explain tells of each rerun by which line of which version it was, what it made stale, what it cost, and what is waited
-// for meanwhile.
+// Explain reports for each rerun the policy version and line, what became stale and the cost, and what the run waits
+// for.
 func TestExplain(t *testing.T) {
 	w := newSimulation(t, 22, 4, 100)
 	text := policyFile("7", "100%", "10m", diamondPipeline)
--- a/internal/rerun/model.go
+++ b/internal/rerun/model.go
@@ -155,7 +155,7 @@
 	Accrued   int64 `json:"accrued"` // total by first runs
 	Spent     int64 `json:"spent"`   // total by reruns
 	Requested int64 `json:"asked,omitempty"`
-	Spare     int64 `json:"spare,omitempty"` // initial balance, by the policies
+	Spare     int64 `json:"spare,omitempty"` // initial balance of the budget's pool, by the policies
 }
 
 // Pool is the root group's part of a budget, from which groups request amounts.
--- a/internal/rerun/plant/address_test.go
+++ b/internal/rerun/plant/address_test.go
@@ -10,7 +10,7 @@
 	"caperrelay/internal/rig"
 )
 
-// Guards against another taking a dead worker's address, so that it cannot come back.
+// Guards against another process taking a stopped worker's address, so that the worker cannot come back.
 func TestAddressOfADeadWorkerIsKept(t *testing.T) {
 	r, err := rig.New(rig.Options{Encoders: 1, Slots: 1, Daemons: 1, Promises: true, Dir: t.TempDir(), Classes: []load.Class{{Name: "preview"}}})
 	require.NoError(t, err)
--- a/internal/rerun/plant/cluster_test.go
+++ b/internal/rerun/plant/cluster_test.go
@@ -25,7 +25,7 @@
 	pipelinev1 "caperrelay/proto/winglb/pipeline/v1"
 )
 
-// The test's own program stands in for winglb-full in the rig's children.
+// The test binary serves as winglb-full in the rig's child processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("WINGLB_RIG_ROLE") != "daemon" {
 		os.Exit(m.Run())
@@ -39,18 +39,18 @@
 
 const (
 	daemons   = 3
-	waitLimit = time.Minute // with what must come; no story waits it out
+	waitLimit = time.Minute // limit for expected events; no test waits for all of it
 )
 
-// shop is daemons, workers, and one lecture whose first rendition is spoilt. Its run at a step is held there until it is
-// let go.
+// testCluster is daemons, workers, and one lecture whose first output of encode is bad. One stage run is held at the
+// worker until it is released.
 type testCluster struct {
 	*testing.T
 	*rig.Rig
 	*plant.Cluster
 	net     *link.Net
 	clients []pipelinev1.PipelinesClient
-	heldRun chan plant.Run // that is held
+	heldRun chan plant.Run // the run that is held
 	release chan struct{}
 }
 
@@ -114,7 +114,7 @@
 	return s
 }
 
-// until asks one daemon after the other: the one that is asked may be lost.
+// until retries a call at one daemon after the other, as some may be down.
 func (s *testCluster) until(call func(context.Context, pipelinev1.PipelinesClient) error) {
 	s.Helper()
 	var err error
@@ -129,7 +129,7 @@
 	s.Fatalf("%v: %v", err, s.Runs())
 }
 
-// held waits for the run at the step, and tells who acts for the lecture.
+// held waits for the run of the configured step, and returns it with the daemon that leads the lecture's group.
 func (s *testCluster) held() (run plant.Run, acting int) {
 	s.Helper()
 	select {
@@ -147,11 +147,11 @@
 	return run, acting
 }
 
-// ends waits for the lecture's answer, and checks that nothing ran that was not to.
+// ends waits for the lecture's answer, and checks that no stage ran more often than allowed.
 func (s *testCluster) ends() *pipelinev1.Answer {
 	s.Helper()
 	var answer *pipelinev1.Answer
-	for range 2 { // and it is the same answer, whoever is asked
+	for range 2 { // every daemon gives the same answer
 		s.until(func(ctx context.Context, c pipelinev1.PipelinesClient) error {
 			a, err := c.Await(ctx, &pipelinev1.AwaitRequest{Id: "lec", WaitMs: 1000})
 			if err != nil || a.Answer == nil {
@@ -181,11 +181,12 @@
 	return answer
 }
 
-// The machine that acts for a lecture is lost, with its disk, at each step; or that whose dispatcher has sent the run.
+// Kills the machine that leads the lecture's group, with its disk, at each step, or the one whose dispatcher sent the
+// run.
 func TestActingMachineIsLostAtEachStep(t *testing.T) {
 	for _, c := range []struct {
 		step string
-		sent bool // the one that has sent the run
+		sent bool // kill the one that sent the run
 	}{{"encode@1", false}, {"package@1", false}, {"encode@2", false}, {"encode@2", true}, {"publish@1", false}, {"publish@1", true}} {
 		t.Run(fmt.Sprint(c.step, map[bool]string{true: " its sender"}[c.sent]), func(t *testing.T) {
 			s := openCluster(t, c.step)
@@ -203,8 +204,8 @@
 	}
 }
 
-// The dispatcher that acts for a lecture is cut off from the record while the rendition is made anew, and comes back once
-// the others have gone on: nothing is done twice, and what it was told meanwhile is not lost.
+// Cuts the leading dispatcher off from its group during a step, and reconnects it once the others have gone on: nothing
+// runs twice, and reports that arrived in the meantime are not lost.
 func TestActingDispatcherIsCutOffFromItsGroup(t *testing.T) {
 	for _, step := range []string{"encode@2", "publish@1"} {
 		t.Run(step, func(t *testing.T) {
@@ -219,7 +220,7 @@
 				}
 			}
 			cut(true)
-			s.until(func(context.Context, pipelinev1.PipelinesClient) error { // another acts
+			s.until(func(context.Context, pipelinev1.PipelinesClient) error { // until another one leads
 				if s.Daemon(acting).Figure("pipelines.groups_acted_for") > 0 {
 					return fmt.Errorf("n%d still acts", acting)
 				}
--- a/internal/rerun/policy/policy_test.go
+++ b/internal/rerun/policy/policy_test.go
@@ -76,12 +76,12 @@
 	require.Equal(t, "pipeline lecture: at most 16 runs, 13m10s of work, within 2h0m0s: ingest 1 encode 4 captions 3 package 4 publish 4", b.String(), "the input of package may be either, and all below encode runs again")
 }
 
-// Each fault of a file is one line with file, line, key and mend.
+// Each error of a policy file is one line with file, line, key and fix.
 func TestErrorsNameLineKeyAndFix(t *testing.T) {
 	const rule, when = `on = "package"`, `when = 'cause.kind == "bad_input" && cause.input.age < duration("2h")'`
 	for _, c := range []struct {
 		from, to string
-		line     string // where it is told, as it then stands
+		line     string // where the error is reported, after the change
 		want     []string
 	}{
 		{`version = "7"`, ``, ``, []string{"version", `write version = "1"`}},
@@ -155,7 +155,7 @@
 	require.ErrorContains(t, err, "there is one zone")
 }
 
-// A narrowing takes workers away and never adds any.
+// A restriction excludes workers and never adds any.
 func TestWhereOnlyExcludesWorkers(t *testing.T) {
 	failed := Place{"w1", "m2", "c1", "a"}
 	allowed := func(w Where) (n []bool) {
@@ -171,7 +171,7 @@
 	require.Equal(t, []bool{false, false, false, false, true}, allowed(OtherZone))
 }
 
-// drawn is a pipeline by chance, as text.
+// drawPipeline returns the text of a random pipeline.
 func drawPipeline(t *rapid.T) string {
 	n := rapid.IntRange(1, 7).Draw(t, "stages")
 	var s strings.Builder
@@ -207,8 +207,7 @@
 	return s.String()
 }
 
-// However rules are used, as often as they may be, no stage runs more often than is reckoned; and where each is used up
-// with the worst of its targets, some stage reaches its bound.
+// Whatever the sequence of rule uses, no stage runs more often than its bound.
 func TestBoundHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawPipeline(t)
@@ -266,7 +265,7 @@
 	})
 }
 
-// A condition costs no more than was reckoned, and what it cannot reckon does not hold.
+// A condition costs no more than its limit, and one that cannot be evaluated does not hold.
 func TestConditionsAreBounded(t *testing.T) {
 	c, err := compile(`cause.worker.contains(run.tenant) || cause.zone + cause.site == "ab" && 10 / stage.runs > 3`)
 	require.NoError(t, err)
@@ -284,7 +283,7 @@
 	require.Error(t, err, "macros are left out")
 }
 
-// The users' page's examples are good.
+// The examples of the user documentation are valid.
 func TestExamplesOfThePage(t *testing.T) {
 	text, err := os.ReadFile("../../../docs/reruns.md")
 	require.NoError(t, err)
@@ -300,7 +299,7 @@
 	}
 }
 
-// No text makes it panic.
+// No text causes a panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(lecture))
 	f.Add([]byte("[[pipeline.stage]]\nname=1"))
--- a/internal/rerun/rerun_test.go
+++ b/internal/rerun/rerun_test.go
@@ -28,8 +28,8 @@
 
 func runID(i int) string { return fmt.Sprint("r", i) }
 
-// A thousand runs use one spoilt output. It is made anew once, one trial goes first, and what each had not begun yet
-// runs as if nothing had been.
+// A thousand runs use one bad output. It is made again once, after one trial, and stages that had not begun yet run as
+// usual.
 func TestThousandRunsOnOneBadOutput(t *testing.T) {
 	w := newSimulation(t, 1, 5, 1000)
 	w.policy(policyFile("1", "100%", "10m", filmPipeline("tenant:100%", 2, "")))
@@ -50,7 +50,8 @@
 	require.Contains(t, fmt.Sprint(e.Story), "encode: bad_input ingest")
 }
 
-// Three deep: package calls encode bad, encode anew calls ingest bad; all below each runs anew, once, elsewhere.
+// Reruns across three stages: package reports encode as bad, and the rerun of encode reports ingest as bad. Everything
+// downstream of each runs once more, elsewhere.
 func TestRerunsPropagateUpstream(t *testing.T) {
 	w := newSimulation(t, 2, 4, 100)
 	w.policy(policyFile("1", "5%", "10m", filmPipeline("fleet", 2, "")))
@@ -81,7 +82,8 @@
 	require.Equal(t, 4, r.Answer.Reruns)
 }
 
-// A publish that may have run stops its pipeline: a person is asked, with what is known. One that surely did not, runs.
+// A publish that may have run stops its pipeline, which then needs a person, with the known reason. One that certainly
+// did not run is rerun.
 func TestOnceStageIsNotRunTwice(t *testing.T) {
 	again := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind == \"never_ran\"'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
 	for _, cause := range []policy.Cause{policy.MayHaveRun, policy.RanFailed, policy.BadInput, policy.Late, policy.CalledOff, policy.NeverRan} {
@@ -108,7 +110,8 @@
 	}
 }
 
-// What has published must not publish again because another stage calls what both used spoilt.
+// twoResults is a pipeline in which publish must not run twice although notify, the other user of package, reports it as
+// bad.
 const twoResults = `[[pipeline]]
 name="two"
 result=["publish","notify"]
@@ -159,7 +162,8 @@
 	require.Len(t, w.started["r/r0/package"], 1)
 }
 
-// A worker calls every input bad. Its first claim is believed; then others are asked, and it is not believed any more.
+// A worker reports every input as bad. Its first claims are believed; then other workers are asked, and it is no longer
+// believed.
 func TestWorkerWithFalseClaimsIsDistrusted(t *testing.T) {
 	w := newSimulation(t, 5, 4, 4)
 	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
@@ -190,24 +194,24 @@
 	require.LessOrEqual(t, again, 2, "lies make next to nothing run again upstream")
 }
 
-// A worker that is content with most of its inputs is believed when it calls some bad, and so costs no second opinions;
-// who calls one in three bad whatever it is is found out all the same.
+// A worker that accepts most of its inputs is believed when it reports some as bad, which costs no second opinions; one
+// that reports every third input regardless is still detected.
 func TestHonestWorkerIsBelieved(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		lies   bool
-		atMost int // second opinions; of the liar: claims that are believed in each claimRetention
-	}{{"honest", false, 8}, {"lies", true, checkInterval + 8}} { // 8 run at once
+		atMost int // second opinions; with false claims: claims that are believed per claimRetention
+	}{{"honest", false, 8}, {"lies", true, checkInterval + 8}} { // the 8 that run at once
 		w := newSimulation(t, 12, 4, 8)
 		w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 		seen, opinions := 0, 0
 		w.outcome = func(w *simulation, g Go) Command {
-			at := worker(1, "s1", "a") // the one worker of the site that has nearly all first runs
+			at := worker(1, "s1", "a") // the only worker of the site with nearly all first runs
 			if !g.First && g.Where != policy.Anywhere {
 				at = worker(2+w.rng.IntN(9), "s2", "b")
 			}
 			if stageOf(g.Key) != "package" || at.Worker != "w1" {
-				if stageOf(g.Key) == "package" && !c.lies && g.Of[0] == 1 && isBad(g.Key) { // another sees it too
+				if stageOf(g.Key) == "package" && !c.lies && g.Of[0] == 1 && isBad(g.Key) { // a second worker confirms
 					opinions++
 					return Command{Cause: policy.BadInput, Input: "encode", Place: at}
 				}
@@ -220,7 +224,7 @@
 		}
 		for i := range 240 {
 			w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
-			if i%20 == 19 { // reruns go after first runs, and opinions are reruns
+			if i%20 == 19 { // second opinions are reruns, which run after first runs
 				w.finish(200_000)
 			}
 		}
@@ -242,11 +246,12 @@
 	}
 }
 
-// Guards against a third look at a claim that a second worker has confirmed, as that worker has made many claims itself.
+// Guards against a third check of a claim that a second worker has confirmed, because that worker has made many claims
+// itself.
 func TestConfirmedClaimIsNotCheckedAgain(t *testing.T) {
 	w := newSimulation(t, 15, 4, 4)
 	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
-	first := 2 // two claims each are believed: those of the worker that is to confirm, then those of the one that claims
+	first := 2 // two claims per worker are believed: those of the confirming worker, then those of the claiming one
 	w.outcome = func(w *simulation, g Go) Command {
 		switch {
 		case stageOf(g.Key) != "package" || g.Of[0] > 1:
@@ -268,10 +273,10 @@
 	require.Len(t, w.started["r/r4/package"], 3, "looked into once: %v", w.run("r4").History)
 }
 
-// bad is one in four.
+// isBad selects one key in four.
 func isBad(key string) bool { return sha256.Sum256([]byte(key))[0]%4 == 0 }
 
-// Of a site that spoils all that it makes reruns of others' stages are told, so that they are not sent there.
+// Reruns are told of a site whose outputs are all bad, and avoid it.
 func TestFrequentlyFailingSitesAreAvoided(t *testing.T) {
 	w := newSimulation(t, 13, 4, 40)
 	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
@@ -300,14 +305,15 @@
 	w.finish(200_000)
 	require.Equal(t, map[Kind]int{Done: 200}, w.endKinds(200, runID))
 	require.Greater(t, told, 5*late, "%d reruns knew, %d did not", told, late)
-	for _, m := range w.machines { // and it is forgotten
+	for _, m := range w.machines { // and the counts expire
 		w.now += 2 * claimRetention
 		m.Apply(0, w.now, Command{Op: OpTick}.Bytes())
 		require.Empty(t, m.state.SiteFailures)
 	}
 }
 
-// Guards against reruns being kept from the site that makes most, as it is named most, and sent to one that spoils the little it makes.
+// Guards against reruns that avoid the site with most outputs, as it has most failures, and go to one whose few outputs
+// are all bad.
 func TestSitesAreRatedByFailureShare(t *testing.T) {
 	w := newSimulation(t, 16, 4, 40)
 	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
@@ -344,7 +350,8 @@
 	require.Equal(t, []int{0, 0}, []int{kept, sent}, "reruns kept from the one, sent to the other")
 }
 
-// Guards against a second opinion on a stage's input being had at a site that spoils what that stage makes, so that it is made again.
+// Guards against a second opinion on a stage's input at a site where that stage's own outputs are bad, so that it has to
+// run again.
 func TestSecondOpinionsAvoidFailingSites(t *testing.T) {
 	w := newSimulation(t, 17, 4, 40)
 	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
@@ -354,7 +361,7 @@
 		id := strings.Split(g.Key, "/")[1]
 		switch stageOf(g.Key) {
 		case "encode":
-			if g.First && w.rng.IntN(3) == 0 { // a lie
+			if g.First && w.rng.IntN(3) == 0 { // a false claim
 				return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(99, "s3", "b")}
 			}
 			site := "s1"
@@ -380,7 +387,7 @@
 		if i%20 == 19 {
 			w.finish(200_000)
 		}
-		if i == 39 { // by then it has been called bad often
+		if i == 39 { // the site has failed often by now
 			kept, sent = 0, 0
 		}
 	}
@@ -389,7 +396,7 @@
 	require.Zero(t, sent, "of %d", kept+sent)
 }
 
-// A site comes back with its outputs lost: reruns for it go by a trial first and then by what it takes.
+// A site comes back with its outputs lost: reruns for it start with a trial and then stay within its capacity.
 func TestLostOutputsArePaced(t *testing.T) {
 	w := newSimulation(t, 6, 4, 1000)
 	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
@@ -419,7 +426,7 @@
 	require.Equal(t, 600, w.reruns, "each encode and its package once more, nothing else")
 }
 
-// Where an upstream stays spoilt, three trials say so, and all that wait for a verdict have their answer.
+// Where an upstream stage stays bad, three trials show it, and all runs that wait for a verdict get their answer.
 func TestTrialsThatFail(t *testing.T) {
 	w := newSimulation(t, 7, 4, 1000)
 	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 1, "")))
@@ -437,7 +444,7 @@
 	require.LessOrEqual(t, w.reruns, 2*maxFailedTrials)
 }
 
-// A new version halves the budget while runs are under way: those go by their own version to their end.
+// A new policy version halves the budget during runs: those keep their own version to the end.
 func TestVersionHalvesTheBudget(t *testing.T) {
 	w := newSimulation(t, 8, 4, 1000)
 	w.policy(policyFile("1", "50%", "30s", filmPipeline("tenant:50%", 2, "")))
@@ -467,8 +474,8 @@
 	}
 }
 
-// Whatever fails, whoever dies, whatever is told twice: each run has one answer, bounds and budgets hold, and what must
-// not run twice does not (world.check and world.begin look at each step).
+// With random faults, crashes and duplicated messages, each run has one answer, bounds and budgets hold, and no stage
+// that must not run twice does (simulation.check and simulation.startExecution check at each step).
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { randomFaults(t, Faults{}) })
 }
@@ -502,7 +509,7 @@
 			w.submit(runID(i), "film", fmt.Sprint("t", i%2), map[string]string{"asset": fmt.Sprint("a", i%assets)})
 		}
 	}
-	crash := rapid.IntRange(0, 30).Draw(t, "crash") // in a thousand steps
+	crash := rapid.IntRange(0, 30).Draw(t, "crash") // per thousand steps
 	for range 60_000 {
 		if !w.unfinished() || !w.step() {
 			break
@@ -520,7 +527,7 @@
 	}
 }
 
-// Each rule that is switched off is noticed.
+// Disabling any of the safety rules is detected.
 func TestMutantsAreCaught(t *testing.T) {
 	caught := func(f func(require.TestingT)) (yes bool) {
 		failed := &recordingT{}
@@ -539,7 +546,7 @@
 			m.faults = faulty
 		}
 		w.policy(policyFile("1", "100%", "1h", filmPipeline("fleet", 2, "")))
-		begun := false // the verdict may be out
+		begun := false // a verdict may exist from here on
 		w.outcome = func(w *simulation, g Go) Command {
 			if stageOf(g.Key) == "encode" && g.Of[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "ingest"}
@@ -617,11 +624,11 @@
 func (f *recordingT) Errorf(string, ...any) { f.failed = true }
 func (f *recordingT) FailNow()              { panic(f) }
 
-// times is what differs by the moment alone.
+// timestamps matches fields that depend on time alone.
 var timestamps = regexp.MustCompile(`"(at|made|began|since|idle|not|until|ran)":\d+,?|"story":\[[^\]]*\],?`)
 
-// All ways in which letters, ends and time can fall for two runs of two groups on one spoilt output of a third: the
-// output is made anew once, and both are done.
+// Explores all interleavings of messages, ends and timers for two runs, of two groups, that use one bad output of a
+// third group: the output is made again once, and both runs are done.
 func TestAllInterleavingsOfOneSharedRerun(t *testing.T) {
 	const depth, mostLost = 40, 1
 	groups := uint32(4)
@@ -650,14 +657,14 @@
 	}
 	w.submit(a, "film", "t", map[string]string{"asset": asset})
 	w.submit(b, "film", "t", map[string]string{"asset": asset})
-	for w.run(a).Stages[1].Pending == nil || w.run(b).Stages[1].Pending == nil { // until both call it spoilt
+	for w.run(a).Stages[1].Pending == nil || w.run(b).Stages[1].Pending == nil { // until both report it as bad
 		require.True(t, w.step())
 	}
 	type node struct {
 		ms      []*Machine
 		now     time.Duration
-		running []Go // in the workers' hands
-		lost    int  // confirmations
+		running []Go // at the workers
+		lost    int  // lost confirmations
 		where   []uint32
 	}
 	begin := node{now: w.now}
@@ -684,7 +691,7 @@
 		for _, m := range n.ms {
 			text, err := json.Marshal(m.state)
 			require.NoError(t, err)
-			h.Write(timestamps.ReplaceAll(text, nil)) // when it was tells nothing of what follows
+			h.Write(timestamps.ReplaceAll(text, nil)) // time does not affect what follows
 		}
 		for _, g := range n.running {
 			fmt.Fprint(h, g.Key, g.Gen, ";")
@@ -714,18 +721,18 @@
 				switch act := act.(type) {
 				case Go:
 					if stageOf(act.Key) == "package" || stageOf(act.Key) == "publish" {
-						continue // past the rerun: the runs are done there
+						continue // beyond the rerun that is tested
 					}
 					c := copyOf(n, g)
 					require.True(t, apply(&c, g, Command{Op: OpStart, Key: act.Key, Gen: act.Gen, By: "d"}).OK)
 					c.running, c.where = append(c.running, act), append(c.where, g)
 					go1(c)
 				case Deliver:
-					c := copyOf(n, g, act.To) // taken in and confirmed,
+					c := copyOf(n, g, act.To) // applied and confirmed,
 					r := apply(&c, act.To, Command{Op: OpLetters, Group: g, Letters: act.Letters[:1]})
 					apply(&c, g, Command{Op: OpSent, Group: act.To, Seq: r.Seq})
 					go1(c)
-					if n.lost < mostLost { // or taken in, and not heard of
+					if n.lost < mostLost { // or applied, and the confirmation is lost
 						c = copyOf(n, act.To)
 						c.lost++
 						apply(&c, act.To, Command{Op: OpLetters, Group: g, Letters: act.Letters[:1]})
@@ -742,7 +749,7 @@
 			require.False(t, apply(&c, n.where[i], end).OK, "told twice")
 			go1(c)
 		}
-		for g := range groups { // time, only while the wait of a rule is what comes next
+		for g := range groups { // advance the time, only while a rule's backoff is next
 			if m := n.ms[g]; len(m.timers) > 0 && m.timers[0].kind == "wait" {
 				at := m.NextTimer()
 				c := copyOf(n, g)
@@ -766,7 +773,7 @@
 	fmt.Printf("rerun interleavings: %d states, %d transitions, depth %d, %d ends, %d cut\n", len(seen), transitions, deepest, ends, cut)
 }
 
-// No command makes it panic, and what it refuses says why.
+// No command causes a panic, and each refusal has a reason.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{"v":1,"op":"letters","letters":[{"seq":1,"kind":"want","to":"x"},{"seq":2,"kind":"made","to":"r/r","stage":9}]}`))
 	f.Add([]byte(`{"v":1,"op":"letters","letters":[{"seq":1,"kind":"grant","to":"x"}]}`))
@@ -782,8 +789,8 @@
 	})
 }
 
-// Both inputs are spoilt, and the package names one at a time: that the other is bad says nothing of the first one's
-// rerun, so that nobody who waits for its verdict is told no.
+// Both inputs are bad, and package reports one at a time: that the other one is bad is no verdict on the first one's
+// rerun, so that no run waiting for that verdict is denied.
 func TestOtherBadInputIsNoTrialVerdict(t *testing.T) {
 	w := newSimulation(t, 9, 4, 1000)
 	stage := func(name, needs string) string {
@@ -809,8 +816,8 @@
 	require.Equal(t, 20*4, w.reruns)
 }
 
-// Guards against a second opinion that clears an input counting as a good verdict on reruns of what its place spoils, so
-// that two of these go before any has its verdict.
+// Guards against a second opinion that clears an input counting as a good verdict on reruns for its place, so that two
+// of these run before there is a real verdict.
 func TestSecondOpinionIsNoTrialVerdict(t *testing.T) {
 	w := newSimulation(t, 14, 4, 1000)
 	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
@@ -824,7 +831,7 @@
 		case stage == "encode" && id > "r2" && !verdict:
 			out[g.Key] = true
 			most = max(most, len(out))
-		case stage == "package" && id <= "r2" && g.Gen == 1: // the third lie has another look first
+		case stage == "package" && id <= "r2" && g.Gen == 1: // the third false claim is checked first
 			return Command{Cause: policy.BadInput, Input: "encode", Place: worker(3, "s3", "b")}
 		case stage == "package" && id > "r2" && g.Of[0] == 1:
 			return Command{Cause: policy.BadInput, Input: "encode", Place: worker(10+w.rng.IntN(90), "s3", "b")}
@@ -849,7 +856,7 @@
 	require.Equal(t, 1, most, "reruns out at once before the first verdict")
 }
 
-// A stage of which nothing is heard is late after its own time, not its pipeline's, and runs again.
+// A stage without any report is late after its own time limit, not its pipeline's, and runs again.
 func TestStageIsLate(t *testing.T) {
 	w := newSimulation(t, 10, 3, 100)
 	w.policy(policyFile("1", "100%", "60m", strings.Replace(filmPipeline("fleet", 1, ""), "class=\"encode\"\nwork=\"10s\"", "class=\"encode\"\nwork=\"10s\"\nwithin=\"30s\"", 1)))
@@ -867,8 +874,9 @@
 	require.Len(t, w.started["r/r0/encode"], 2)
 }
 
-// Guards against giving up a stage that must not run twice, as late, before its promised job has its end: that comes with
-// the end of the job's time, or a second and what the record takes after it. Of which nothing is heard a minute later, is late.
+// Guards against ending a stage that must not run twice, as late, before the end of its promised job, which comes with
+// the job's deadline or a second later plus the time of the replicated log. It is late if nothing was reported a minute
+// after that.
 func TestOnceStageWaitsForJobEnd(t *testing.T) {
 	again := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind == \"never_ran\"'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
 	for _, c := range []struct {
--- a/internal/rerun/simulation_test.go
+++ b/internal/rerun/simulation_test.go
@@ -15,12 +15,12 @@
 
 var site = policy.Site{Classes: map[string]policy.Class{"light": {}, "encode": {}, "publish": {Once: true}}, Zones: []string{"a", "b"}}
 
-// words makes a policy's text.
+// policyFile returns the text of a policy file.
 func policyFile(version, fleet, spare string, more ...string) string {
 	return fmt.Sprintf("version=%q\n[budget]\nfleet=%q\nspare=%q\n", version, fleet, spare) + strings.Join(more, "\n")
 }
 
-// film is ingest (shared by asset) > encode > package > publish.
+// filmPipeline is ingest (shared by asset) > encode > package > publish.
 func filmPipeline(budget string, most int, more string) string {
 	return fmt.Sprintf(`[[pipeline]]
 name="film"
@@ -86,7 +86,7 @@
 `, most, budget, most, budget, most, budget, most, budget, most, budget, more)
 }
 
-// world is groups in virtual time, with dispatchers that lead them, letters between them and workers, all faulty.
+// simulation runs groups in virtual time, with faulty leaders, messages between groups, and workers.
 type simulation struct {
 	t          require.TestingT
 	rng        *rand.Rand
@@ -95,14 +95,14 @@
 	events     []event
 	seq        int
 	dead       map[string]bool           // dispatchers
-	leaderTerm []int                     // of each group's leader
-	started    map[string]map[int64]int  // key, generation: how often
-	begun      map[string]map[string]int // run, stage: turns that started because of it
-	neverRan   map[string]bool           // key@gen that surely did not run
+	leaderTerm []int                     // by group; it names the leader
+	started    map[string]map[int64]int  // by output key and generation
+	begun      map[string]map[string]int // by run and stage: executions started because of the run
+	neverRan   map[string]bool           // by key@gen: certainly not run
 	reruns     int
 	checks     int
 	answers    map[string]Answer
-	// outcome of a stage's run
+	// outcome returns the result of an execution.
 	outcome   func(w *simulation, g Go) Command
 	duration  func(w *simulation, g Go) time.Duration
 	duplicate float64
@@ -160,7 +160,7 @@
 
 func (w *simulation) leader(g uint32) string { return fmt.Sprintf("d%d.%d", g, w.leaderTerm[g]) }
 
-// crash has a group's leader die. Another takes over: what the dead one had run, nobody knows of.
+// crash replaces the leader of a group. The outcome of the old leader's executions is unknown.
 func (w *simulation) crash(g uint32) {
 	old := w.leader(g)
 	w.dead[old] = true
@@ -177,7 +177,7 @@
 	w.machines[g] = next
 }
 
-// step has each group's leader do what is to be done, then goes to the next event or moment; false: nothing is left.
+// step performs the actions of each group's leader, then advances to the next event or timer; false if nothing is left.
 func (w *simulation) step() bool {
 	for moved := true; moved; {
 		moved = false
@@ -234,7 +234,7 @@
 			moved = w.startExecution(g, a) || moved
 		case Deliver:
 			top := a.Letters[len(a.Letters)-1].Seq
-			if w.rng.Float64() < w.duplicate { // told twice: the first word of it was thought lost
+			if w.rng.Float64() < w.duplicate { // duplicate delivery, as if the first confirmation had been lost
 				w.apply(a.To, Command{Op: OpLetters, Group: g, Letters: a.Letters})
 			}
 			moved = true
@@ -277,19 +277,19 @@
 	}
 	w.after(w.duration(w, a), func() {
 		if w.dead[by] {
-			return // whoever waits for it is gone
+			return // its dispatcher is gone
 		}
 		w.apply(g, c)
-		if w.rng.Float64() < w.duplicate { // and it is told twice
+		if w.rng.Float64() < w.duplicate { // duplicate report
 			require.False(w.t, w.apply(g, c).OK, "a stage is answered once")
 		}
 	})
 	return true
 }
 
-// check is what holds at all times.
+// check verifies the invariants.
 func (w *simulation) check() {
-	if w.checks++; w.unfinished() && len(w.begun) > 100 && w.checks%100 > 0 { // many runs: now and then
+	if w.checks++; w.unfinished() && len(w.begun) > 100 && w.checks%100 > 0 { // with many runs, only every hundredth time
 		return
 	}
 	for _, m := range w.machines {
@@ -335,7 +335,7 @@
 	}
 }
 
-// finish steps until all runs have answers, or so many steps were made.
+// finish steps until all runs have answers, or the number of steps is reached.
 func (w *simulation) finish(steps int) {
 	for range steps {
 		if !w.unfinished() || !w.step() {
@@ -354,7 +354,7 @@
 	return kinds
 }
 
-// clone is a machine of its own with the same state.
+// clone returns an independent machine with the same state.
 func clone(m *Machine) *Machine {
 	text, _ := json.Marshal(m.state)
 	n := New(m.config)
