--- a/internal/rerun/budgets.go
+++ b/internal/rerun/budgets.go
@@ -21,24 +21,24 @@
 
 // chargeBudgets queues an execution once its budgets allow: a first run adds to them, a rerun is charged to all or none.
 func (m *Machine) chargeBudgets(o *Output) {
-	t := o.Execution
-	if t.First {
-		for _, s := range t.Accrue {
+	e := o.Execution
+	if e.First {
+		for _, s := range e.Accrue {
 			if o.Accrued { // by an execution that never started
 				break
 			}
-			a := m.budgetAccount(s.Account, t.Spare)
-			n := int64(s.Fraction * float64(t.Work.Microseconds()))
+			a := m.budgetAccount(s.Account, e.Spare)
+			n := int64(s.Fraction * float64(e.Work.Microseconds()))
 			a.Balance += n
 			a.Accrued += n
 		}
-		t.Phase, o.Accrued, m.budgetsGrew = Queued, true, true
+		e.Phase, o.Accrued, m.budgetsGrew = Queued, true, true
 		return
 	}
-	need := t.Work.Microseconds()
+	need := e.Work.Microseconds()
 	short := false
-	for _, name := range t.Charge {
-		a := m.budgetAccount(name, t.Spare)
+	for _, name := range e.Charge {
+		a := m.budgetAccount(name, e.Spare)
 		if a.Balance < need {
 			short = true
 			if more := need - a.Balance; a.Requested == 0 {
@@ -50,25 +50,25 @@
 	if short {
 		return
 	}
-	for _, name := range t.Charge {
+	for _, name := range e.Charge {
 		a := m.state.Accounts[name]
 		a.Balance -= need
 		a.Spent += need
 	}
-	t.Phase = Queued
+	e.Phase = Queued
 }
 
 // chargeWaiting retries all executions that wait for their budgets, oldest first.
 func (m *Machine) chargeWaiting() {
-	for _, o := range m.executionsWhere(func(t *Turn) bool { return t.Phase == AwaitingBudget }) {
+	for _, o := range m.executionsWhere(func(e *Turn) bool { return e.Phase == AwaitingBudget }) {
 		m.chargeBudgets(o)
 	}
 }
 
 // executionsWhere returns the outputs whose executions satisfy a predicate, in the order in which the executions began.
-func (m *Machine) executionsWhere(such func(*Turn) bool) (all []*Output) {
+func (m *Machine) executionsWhere(match func(*Turn) bool) (all []*Output) {
 	for _, o := range m.executions {
-		if such(o.Execution) {
+		if match(o.Execution) {
 			all = append(all, o)
 		}
 	}
@@ -78,32 +78,32 @@
 
 // handlePool applies a message to the root's part of a budget. Groups are granted whole amounts in the order of their
 // requests: amounts granted plus the balance never exceed what the pool received.
-func (m *Machine) handlePool(l *Message) {
-	p := m.state.Pools[l.To]
+func (m *Machine) handlePool(msg *Message) {
+	p := m.state.Pools[msg.To]
 	if p == nil {
 		if len(m.state.Pools) >= maxTracked {
 			return
 		}
-		p = &Pool{Balance: l.Spare, Spare: l.Spare}
-		m.state.Pools[l.To] = p
+		p = &Pool{Balance: msg.Spare, Spare: msg.Spare}
+		m.state.Pools[msg.To] = p
 	}
-	if l.Kind == "give" {
-		p.Balance += l.Amount
+	if msg.Kind == "give" {
+		p.Balance += msg.Amount
 	} else {
-		p.Requests = append(p.Requests, poolRequest{l.Group, l.Amount})
+		p.Requests = append(p.Requests, poolRequest{msg.Group, msg.Amount})
 	}
 	for len(p.Requests) > 0 && p.Balance >= p.Requests[0].Amount {
 		a := p.Requests[0]
 		p.Requests = p.Requests[1:]
 		p.Balance -= a.Amount
-		m.sendTo(a.Group, Message{Kind: "grant", To: strings.TrimPrefix(l.To, "b/"), Amount: a.Amount})
+		m.sendTo(a.Group, Message{Kind: "grant", To: strings.TrimPrefix(msg.To, "b/"), Amount: a.Amount})
 	}
 }
 
 // returnBudgets returns the balances of budgets that no execution waits for to the root.
 func (m *Machine) returnBudgets() {
 	waits := map[string]bool{}
-	for _, o := range m.executionsWhere(func(t *Turn) bool { return t.Phase == AwaitingBudget }) {
+	for _, o := range m.executionsWhere(func(e *Turn) bool { return e.Phase == AwaitingBudget }) {
 		for _, name := range o.Execution.Charge {
 			waits[name] = true
 		}
--- a/internal/rerun/command.go
+++ b/internal/rerun/command.go
@@ -111,15 +111,15 @@
 	case OpEnd:
 		return m.end(c)
 	case OpLetters:
-		for _, l := range c.Letters {
-			if l.Seq == m.state.LastReceived[c.Group]+1 || m.faults.GrantTwice && l.Kind == "grant" {
-				m.state.LastReceived[c.Group] = max(l.Seq, m.state.LastReceived[c.Group])
-				m.localMessages = append(m.localMessages, l)
+		for _, msg := range c.Letters {
+			if msg.Seq == m.state.LastReceived[c.Group]+1 || m.faults.GrantTwice && msg.Kind == "grant" {
+				m.state.LastReceived[c.Group] = max(msg.Seq, m.state.LastReceived[c.Group])
+				m.localMessages = append(m.localMessages, msg)
 			}
 		}
 		return Result{OK: true, Seq: m.state.LastReceived[c.Group]}
 	case OpSent:
-		m.state.Outbox[c.Group] = slices.DeleteFunc(m.state.Outbox[c.Group], func(l Message) bool { return l.Seq <= c.Seq })
+		m.state.Outbox[c.Group] = slices.DeleteFunc(m.state.Outbox[c.Group], func(msg Message) bool { return msg.Seq <= c.Seq })
 		return Result{OK: true}
 	case OpCallOff:
 		if r := m.state.Runs[c.ID]; r != nil && r.Answer == nil {
--- a/internal/rerun/diamond_test.go
+++ b/internal/rerun/diamond_test.go
@@ -67,24 +67,24 @@
 `
 
 func runDiamond(t *testing.T, outcome func(g Go) Command) (*simulation, *Run) {
-	w := newSimulation(t, 21, 4, 100)
-	w.duplicate = 0.5 // ends and many messages arrive twice: only the first counts
-	w.policy(policyFile("7", "100%", "10m", diamondPipeline))
-	w.outcome = func(_ *simulation, g Go) Command {
+	sim := newSimulation(t, 21, 4, 100)
+	sim.duplicate = 0.5 // ends and many messages arrive twice: only the first counts
+	sim.policy(policyFile("7", "100%", "10m", diamondPipeline))
+	sim.outcome = func(_ *simulation, g Go) Command {
 		c := outcome(g)
 		if c.Place == nil {
 			c.Place = worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")
 		}
 		return c
 	}
-	w.submit("r0", "diamond", "t", nil)
-	w.finish(2000)
-	return w, w.run("r0")
+	sim.submit("r0", "diamond", "t", nil)
+	sim.finish(2000)
+	return sim, sim.run("r0")
 }
 
-func (w *simulation) generations() map[string]int {
+func (sim *simulation) generations() map[string]int {
 	all := map[string]int{}
-	for key, gens := range w.started {
+	for key, gens := range sim.started {
 		all[stageOf(key)] = len(gens)
 	}
 	return all
@@ -94,14 +94,14 @@
 // downstream.
 func TestDiamond(t *testing.T) {
 	for _, one := range []bool{false, true} {
-		w, r := runDiamond(t, func(g Go) Command {
+		sim, r := runDiamond(t, func(g Go) Command {
 			if s := stageOf(g.Key); (s == "left" || s == "right" && !one) && g.Of[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "source"}
 			}
 			return Command{OK: true}
 		})
 		require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
-		require.Equal(t, map[string]int{"source": 2, "left": 2, "right": 2, "join": 1, "publish": 1}, w.generations(), "%v", r.History)
+		require.Equal(t, map[string]int{"source": 2, "left": 2, "right": 2, "join": 1, "publish": 1}, sim.generations(), "%v", r.History)
 	}
 }
 
@@ -109,7 +109,7 @@
 // worker accepted it.
 func TestClaimOnInputAcceptedByAnotherStageIsChecked(t *testing.T) {
 	for _, lies := range []bool{true, false} {
-		w, r := runDiamond(t, func(g Go) Command {
+		sim, r := runDiamond(t, func(g Go) Command {
 			if stageOf(g.Key) == "left" && g.Of[0] == 1 && (g.Gen == 1 || !lies) {
 				return Command{Cause: policy.BadInput, Input: "source", Place: worker(7+int(g.Gen), "s3", "b")}
 			}
@@ -120,7 +120,7 @@
 		if !lies { // the second worker confirms
 			want["source"], want["left"], want["right"] = 2, 3, 2
 		}
-		require.Equal(t, want, w.generations(), "%v", r.History)
+		require.Equal(t, want, sim.generations(), "%v", r.History)
 	}
 }
 
@@ -128,53 +128,53 @@
 // although the worker of another run accepted it.
 func TestClaimOnSharedInputAcceptedByAnotherRunIsChecked(t *testing.T) {
 	for _, lies := range []bool{true, false} {
-		w := newSimulation(t, 22, 4, 100)
-		w.duplicate = 0.5
-		w.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
-		w.outcome = func(_ *simulation, g Go) Command {
+		sim := newSimulation(t, 22, 4, 100)
+		sim.duplicate = 0.5
+		sim.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
+		sim.outcome = func(_ *simulation, g Go) Command {
 			if strings.HasPrefix(g.Key, "r/r1/encode") && g.Of[0] == 1 && (g.Gen == 1 || !lies) {
 				return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(7+int(g.Gen), "s3", "b")}
 			}
 			return Command{OK: true, Place: worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")}
 		}
 		for i := range 2 {
-			w.submit(runID(i), "film", "t", map[string]string{"asset": "one"})
-			w.finish(2000)
+			sim.submit(runID(i), "film", "t", map[string]string{"asset": "one"})
+			sim.finish(2000)
 		}
-		story := w.run("r1").History
-		require.Equal(t, map[Kind]int{Done: 2}, w.endKinds(2, runID), "%v", story)
-		require.Len(t, w.started["s/film/ingest/one"], map[bool]int{true: 1, false: 2}[lies], "%v", story)
-		require.Len(t, w.started["r/r1/encode"], map[bool]int{true: 2, false: 3}[lies], "%v", story)
+		story := sim.run("r1").History
+		require.Equal(t, map[Kind]int{Done: 2}, sim.endKinds(2, runID), "%v", story)
+		require.Len(t, sim.started["s/film/ingest/one"], map[bool]int{true: 1, false: 2}[lies], "%v", story)
+		require.Len(t, sim.started["r/r1/encode"], map[bool]int{true: 2, false: 3}[lies], "%v", story)
 	}
 }
 
 // Guards against rerunning a shared input on a claim that another run's worker contradicted while the claim was pending.
 func TestAcceptanceAfterAClaimCounts(t *testing.T) {
-	w := newSimulation(t, 23, 4, 100)
-	w.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
-	w.duration = func(_ *simulation, g Go) time.Duration {
+	sim := newSimulation(t, 23, 4, 100)
+	sim.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
+	sim.duration = func(_ *simulation, g Go) time.Duration {
 		if g.Key == "r/r0/encode" {
 			return g.Work/2 + 400*time.Millisecond // the claimed rerun's backoff is at least half a second
 		}
 		return g.Work / 2
 	}
-	w.outcome = func(_ *simulation, g Go) Command {
+	sim.outcome = func(_ *simulation, g Go) Command {
 		if g.Key == "r/r1/encode" && g.Gen == 1 {
 			return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(8, "s3", "b")}
 		}
 		return Command{OK: true, Place: worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")}
 	}
 	for i := range 2 {
-		w.submit(runID(i), "film", "t", map[string]string{"asset": "one"})
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": "one"})
 	}
-	w.finish(2000)
-	require.Equal(t, map[Kind]int{Done: 2}, w.endKinds(2, runID))
-	require.Len(t, w.started["s/film/ingest/one"], 1, "%v", w.run("r1").History)
+	sim.finish(2000)
+	require.Equal(t, map[Kind]int{Done: 2}, sim.endKinds(2, runID))
+	require.Len(t, sim.started["s/film/ingest/one"], 1, "%v", sim.run("r1").History)
 }
 
 // The output being made again loses its own input in the meantime, or is lost as soon as it exists.
 func TestOutputLostDuringRerun(t *testing.T) {
-	w, r := runDiamond(t, func(g Go) Command {
+	sim, r := runDiamond(t, func(g Go) Command {
 		switch s := stageOf(g.Key); {
 		case s == "join" && g.Of[0] == 1:
 			return Command{Cause: policy.BadInput, Input: "left"}
@@ -184,18 +184,18 @@
 		return Command{OK: true}
 	})
 	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
-	require.Equal(t, map[string]int{"source": 2, "left": 3, "right": 2, "join": 2, "publish": 1}, w.generations(), "%v", r.History)
+	require.Equal(t, map[string]int{"source": 2, "left": 3, "right": 2, "join": 2, "publish": 1}, sim.generations(), "%v", r.History)
 
-	w, r = runDiamond(t, func(g Go) Command {
+	sim, r = runDiamond(t, func(g Go) Command {
 		if stageOf(g.Key) == "join" && g.Of[0] < 3 {
 			return Command{Cause: policy.OutputLost, Input: "left"}
 		}
 		return Command{OK: true}
 	})
 	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
-	require.Equal(t, map[string]int{"source": 1, "left": 3, "right": 1, "join": 3, "publish": 1}, w.generations(), "%v", r.History)
+	require.Equal(t, map[string]int{"source": 1, "left": 3, "right": 1, "join": 3, "publish": 1}, sim.generations(), "%v", r.History)
 
-	w, r = runDiamond(t, func(g Go) Command { // lost every time: there is a final answer, within the rule's limit
+	sim, r = runDiamond(t, func(g Go) Command { // lost every time: there is a final answer, within the rule's limit
 		if stageOf(g.Key) == "join" {
 			return Command{Cause: policy.OutputLost, Input: "left"}
 		}
@@ -203,24 +203,24 @@
 	})
 	require.Equal(t, Dead, r.Answer.Kind)
 	require.Equal(t, "join", r.Answer.Stage)
-	require.LessOrEqual(t, w.generations()["left"], 3)
+	require.LessOrEqual(t, sim.generations()["left"], 3)
 }
 
 // Explain reports for each rerun the policy version and line, what became stale and the cost, and what the run waits
 // for.
 func TestExplain(t *testing.T) {
-	w := newSimulation(t, 22, 4, 100)
+	sim := newSimulation(t, 22, 4, 100)
 	text := policyFile("7", "100%", "10m", diamondPipeline)
-	w.policy(text)
-	w.outcome = func(_ *simulation, g Go) Command {
+	sim.policy(text)
+	sim.outcome = func(_ *simulation, g Go) Command {
 		if stageOf(g.Key) == "join" && g.Of[0] == 1 {
 			return Command{Cause: policy.BadInput, Input: "left", Place: worker(5, "s5", "a")}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
-	w.submit("r0", "diamond", "t", nil)
+	sim.submit("r0", "diamond", "t", nil)
 	explain := func() Explained {
-		r := w.apply(GroupOfRun("r0", 4), Command{Op: OpLook, ID: "r0"})
+		r := sim.apply(GroupOfRun("r0", 4), Command{Op: OpLook, ID: "r0"})
 		require.True(t, r.OK)
 		return *r.Explained
 	}
@@ -231,7 +231,7 @@
 				waited[what] = waited[what] || strings.Contains(line, what)
 			}
 		}
-		require.True(t, w.step())
+		require.True(t, sim.step())
 	}
 	require.True(t, waited["until left is run again"])
 	require.True(t, waited["which d"], "whom it runs by")
--- a/internal/rerun/messages.go
+++ b/internal/rerun/messages.go
@@ -9,73 +9,73 @@
 	"caperrelay/internal/rerun/policy"
 )
 
-func (m *Machine) send(l Message) { m.sendTo(m.groupOf(l.To), l) }
+func (m *Machine) send(msg Message) { m.sendTo(m.groupOf(msg.To), msg) }
 
-func (m *Machine) sendTo(to uint32, l Message) {
+func (m *Machine) sendTo(to uint32, msg Message) {
 	if to == m.config.Group {
-		m.localMessages = append(m.localMessages, l)
+		m.localMessages = append(m.localMessages, msg)
 		return
 	}
 	m.state.LastSent[to]++
-	l.Seq = m.state.LastSent[to]
-	m.state.Outbox[to] = append(m.state.Outbox[to], l)
+	msg.Seq = m.state.LastSent[to]
+	m.state.Outbox[to] = append(m.state.Outbox[to], msg)
 }
 
 // handle dispatches a message to its object.
-func (m *Machine) handle(l *Message) {
-	switch l.Kind {
+func (m *Machine) handle(msg *Message) {
+	switch msg.Kind {
 	case "want", "leave":
-		m.handleOutput(l)
+		m.handleOutput(msg)
 	case "approve":
-		m.handleApproval(l)
+		m.handleApproval(msg)
 	case "challenge":
-		m.handleChallenge(l)
+		m.handleChallenge(msg)
 	case "try", "verdict":
-		m.handleFingerprint(l)
+		m.handleFingerprint(msg)
 	case "fine":
-		m.countAccepted(l)
+		m.countAccepted(msg)
 	case "where":
-		m.send(Message{Kind: "sites", To: "r/" + l.From, Stage: l.Stage, SuspectSites: m.suspectSites(l.To)})
+		m.send(Message{Kind: "sites", To: "r/" + msg.From, Stage: msg.Stage, SuspectSites: m.suspectSites(msg.To)})
 	case "claim", "opinion", "content":
-		m.handleClaim(l)
+		m.handleClaim(msg)
 	case "ask", "give":
-		m.handlePool(l)
+		m.handlePool(msg)
 	case "grant":
-		a := m.state.Accounts[l.To]
+		a := m.state.Accounts[msg.To]
 		if a == nil {
 			return
 		}
-		a.Balance += l.Amount
-		a.Requested = max(0, a.Requested-l.Amount)
+		a.Balance += msg.Amount
+		a.Requested = max(0, a.Requested-msg.Amount)
 		m.budgetsGrew = true
 	default:
-		if r := m.state.Runs[strings.TrimPrefix(l.To, "r/")]; r != nil && r.Answer == nil {
-			m.handleRun(r, l)
+		if r := m.state.Runs[strings.TrimPrefix(msg.To, "r/")]; r != nil && r.Answer == nil {
+			m.handleRun(r, msg)
 		}
 	}
 }
 
 // handleRun applies a message to a run.
-func (m *Machine) handleRun(r *Run, l *Message) {
-	if l.Stage < 0 || l.Stage >= len(r.Stages) {
+func (m *Machine) handleRun(r *Run, msg *Message) {
+	if msg.Stage < 0 || msg.Stage >= len(r.Stages) {
 		return
 	}
-	s := r.Stages[l.Stage]
-	switch l.Kind {
+	s := r.Stages[msg.Stage]
+	switch msg.Kind {
 	case "begun": // the execution may start from now on; this run caused it
-		if r.pipeline.Stages[l.Stage].Once {
+		if r.pipeline.Stages[msg.Stage].Once {
 			s.MayHaveRun = true
 		}
-		if !l.OK {
+		if !msg.OK {
 			r.Reruns++
-			r.Work += r.pipeline.Stages[l.Stage].Work
-			m.addHistory(r, s.RuleNumber-1, "%s runs again as generation %d, %v of work", r.pipeline.Stages[l.Stage].Name, l.Gen, r.pipeline.Stages[l.Stage].Work)
+			r.Work += r.pipeline.Stages[msg.Stage].Work
+			m.addHistory(r, s.RuleNumber-1, "%s runs again as generation %d, %v of work", r.pipeline.Stages[msg.Stage].Name, msg.Gen, r.pipeline.Stages[msg.Stage].Work)
 		}
 	case "made":
-		if !s.Requested || l.Gen <= s.StaleUpTo || !coversInputs(l.InputGens, s.InputGens) {
+		if !s.Requested || msg.Gen <= s.StaleUpTo || !coversInputs(msg.InputGens, s.InputGens) {
 			return
 		}
-		s.Requested, s.UsedGen, s.Place, s.MadeAt, s.Result = false, l.Gen, l.Place, l.MadeAt, l.Text
+		s.Requested, s.UsedGen, s.Place, s.MadeAt, s.Result = false, msg.Gen, msg.Place, msg.MadeAt, msg.Text
 		s.Runs++
 		m.reportVerdict(r, s, true, s.CheckedClaim != nil) // a refuted claim says nothing about the trial
 		if s.CheckedClaim != nil {
@@ -83,64 +83,64 @@
 			s.CheckedClaim = nil
 		}
 		s.ByRule, s.RuleNumber = false, 0
-		m.reportAccepted(r, l.Stage, l.InputGens)
+		m.reportAccepted(r, msg.Stage, msg.InputGens)
 		m.advance(r)
 	case "newer": // by another run's rerun, whose policy may number the stages differently
 		for i := range r.Stages {
-			if r.OutputKey(i) == l.Key {
-				l.Stage = i
-				m.adoptNewer(r, l)
+			if r.OutputKey(i) == msg.Key {
+				msg.Stage = i
+				m.adoptNewer(r, msg)
 			}
 		}
 	case "fell":
-		if !s.Requested || l.Gen <= s.StaleUpTo {
+		if !s.Requested || msg.Gen <= s.StaleUpTo {
 			return
 		}
 		s.Requested = false
 		s.Runs++
-		m.handleFailure(r, l)
+		m.handleFailure(r, msg)
 	case "go":
 		if n := s.Pending; n != nil && n.Phase == AwaitingTrial {
-			n.SuspectSites = l.SuspectSites
-			m.proceed(r, l.Stage)
+			n.SuspectSites = msg.SuspectSites
+			m.proceed(r, msg.Stage)
 		}
 	case "challenged":
 		if n := s.Pending; n != nil && n.Phase == CheckingInput {
-			if l.OK {
-				m.requestSecondOpinion(r, l.Stage, acceptedElsewhere)
-				m.requestSites(r, l.Stage)
+			if msg.OK {
+				m.requestSecondOpinion(r, msg.Stage, acceptedElsewhere)
+				m.requestSites(r, msg.Stage)
 				return
 			}
-			m.startRerun(r, l.Stage)
+			m.startRerun(r, msg.Stage)
 		}
 	case "sites":
 		if n := s.Pending; n != nil && n.Phase == AwaitingSites {
-			n.SuspectSites = mergeSites(n.SuspectSites, l.SuspectSites)
-			m.startRerun(r, l.Stage)
+			n.SuspectSites = mergeSites(n.SuspectSites, msg.SuspectSites)
+			m.startRerun(r, msg.Stage)
 		}
 	case "no":
 		if n := s.Pending; n != nil && n.Phase == AwaitingTrial {
 			n.Phase = ""
-			m.giveUp(r, l.Stage, n, "reruns for this stage, cause and place were tried and came to nothing")
+			m.giveUp(r, msg.Stage, n, "reruns for this stage, cause and place were tried and came to nothing")
 		}
 	case "believed":
 		if n := s.Pending; n != nil && n.Phase == CheckingClaim {
-			m.reportVerdict(r, s, false, !l.OK)
-			if !l.OK {
-				m.requestSecondOpinion(r, l.Stage, l.Text)
+			m.reportVerdict(r, s, false, !msg.OK)
+			if !msg.OK {
+				m.requestSecondOpinion(r, msg.Stage, msg.Text)
 			}
-			m.startBackoff(r, l.Stage)
+			m.startBackoff(r, msg.Stage)
 		}
 	}
 }
 
 // coversInputs reports whether an output is made of inputs of at least these generations.
-func coversInputs(of, wanted []int64) bool {
-	if len(of) != len(wanted) {
+func coversInputs(gens, wanted []int64) bool {
+	if len(gens) != len(wanted) {
 		return false
 	}
-	for i := range of {
-		if of[i] < wanted[i] {
+	for i := range gens {
+		if gens[i] < wanted[i] {
 			return false
 		}
 	}
@@ -149,20 +149,20 @@
 
 // adoptNewer switches a run to a newer generation of an output, made for another run. This makes its stages stale only
 // as many times as the pipeline allows, and never one that must not run twice; otherwise the old output is kept.
-func (m *Machine) adoptNewer(r *Run, l *Message) {
-	s := r.Stages[l.Stage]
-	if l.Gen <= s.UsedGen || s.UsedGen == 0 || s.Requested || s.Pending != nil || r.OthersReruns >= r.pipeline.Others {
+func (m *Machine) adoptNewer(r *Run, msg *Message) {
+	s := r.Stages[msg.Stage]
+	if msg.Gen <= s.UsedGen || s.UsedGen == 0 || s.Requested || s.Pending != nil || r.OthersReruns >= r.pipeline.Others {
 		return
 	}
-	for _, b := range r.pipeline.Stages[l.Stage].Downstream {
+	for _, b := range r.pipeline.Stages[msg.Stage].Downstream {
 		if r.pipeline.Stages[b].Once && r.Stages[b].MayHaveRun {
 			return
 		}
 	}
 	r.OthersReruns++
-	s.UsedGen, s.Place, s.MadeAt = l.Gen, l.Place, l.MadeAt
-	m.addHistory(r, -1, "another run had %s made anew: generation %d is used", r.pipeline.Stages[l.Stage].Name, l.Gen)
-	m.markStale(r, r.pipeline.Stages[l.Stage].Downstream, 0)
+	s.UsedGen, s.Place, s.MadeAt = msg.Gen, msg.Place, msg.MadeAt
+	m.addHistory(r, -1, "another run had %s made anew: generation %d is used", r.pipeline.Stages[msg.Stage].Name, msg.Gen)
+	m.markStale(r, r.pipeline.Stages[msg.Stage].Downstream, 0)
 	m.advance(r)
 }
 
@@ -184,40 +184,40 @@
 }
 
 // facts returns the variables of a rule's condition.
-func (m *Machine) facts(r *Run, l *Message) policy.Facts {
+func (m *Machine) facts(r *Run, msg *Message) policy.Facts {
 	f := policy.Facts{
-		Kind: l.Cause, Ran: l.RunTime, At: l.Place, Tenant: r.Tenant, Runs: r.Stages[l.Stage].Runs, Reruns: int64(r.Reruns), RunAge: m.state.At - r.Began, Left: max(0, r.Deadline-m.state.At),
+		Kind: msg.Cause, Ran: msg.RunTime, At: msg.Place, Tenant: r.Tenant, Runs: r.Stages[msg.Stage].Runs, Reruns: int64(r.Reruns), RunAge: m.state.At - r.Began, Left: max(0, r.Deadline-m.state.At),
 	}
-	if i := r.pipeline.Stage(l.Input); i >= 0 && l.Cause.NamesInput() {
-		f.Input, f.Generation, f.Age = l.Input, r.Stages[i].UsedGen, max(0, m.state.At-r.Stages[i].MadeAt)
+	if i := r.pipeline.Stage(msg.Input); i >= 0 && msg.Cause.NamesInput() {
+		f.Input, f.Generation, f.Age = msg.Input, r.Stages[i].UsedGen, max(0, m.state.At-r.Stages[i].MadeAt)
 	}
 	return f
 }
 
 // handleFailure decides what a run does after a stage run failed.
-func (m *Machine) handleFailure(r *Run, l *Message) {
-	i, s, stage := l.Stage, r.Stages[l.Stage], r.pipeline.Stages[l.Stage]
-	s.StaleUpTo = max(s.StaleUpTo, l.Gen)
-	input := r.pipeline.Stage(l.Input)
+func (m *Machine) handleFailure(r *Run, msg *Message) {
+	i, s, stage := msg.Stage, r.Stages[msg.Stage], r.pipeline.Stages[msg.Stage]
+	s.StaleUpTo = max(s.StaleUpTo, msg.Gen)
+	input := r.pipeline.Stage(msg.Input)
 	// Another bad input, or a second opinion that agrees, says nothing about the trial.
-	blamed := s.Trial == nil || s.CheckedClaim == nil && (!l.Cause.NamesInput() || !slices.Contains(stage.Needs, input) || strings.HasSuffix(s.Trial.Key, "/"+stage.Name) || r.OutputKey(input) == s.Trial.Key)
-	if !blamed || l.Cause != policy.BadInput || l.Place.Worker == "" { // otherwise the verdict follows once it is known whether the claim is believed
+	blamed := s.Trial == nil || s.CheckedClaim == nil && (!msg.Cause.NamesInput() || !slices.Contains(stage.Needs, input) || strings.HasSuffix(s.Trial.Key, "/"+stage.Name) || r.OutputKey(input) == s.Trial.Key)
+	if !blamed || msg.Cause != policy.BadInput || msg.Place.Worker == "" { // otherwise the verdict follows once it is known whether the claim is believed
 		m.reportVerdict(r, s, false, !blamed)
 	}
-	if l.Cause.NamesInput() && !slices.Contains(stage.Needs, input) { // a stage that is not an input cannot be the cause
-		l.Cause, l.Input, l.Text = policy.RanFailed, "", "it names an input that it does not have"
+	if msg.Cause.NamesInput() && !slices.Contains(stage.Needs, input) { // a stage that is not an input cannot be the cause
+		msg.Cause, msg.Input, msg.Text = policy.RanFailed, "", "it names an input that it does not have"
 	}
-	text := fmt.Sprintf("%s: %s", stage.Name, l.Cause)
-	if l.Input != "" {
-		text += " " + l.Input
+	text := fmt.Sprintf("%s: %s", stage.Name, msg.Cause)
+	if msg.Input != "" {
+		text += " " + msg.Input
 	}
-	if l.Place.Worker != "" {
-		text += " at " + l.Place.Worker
+	if msg.Place.Worker != "" {
+		text += " at " + msg.Place.Worker
 	}
 	m.addHistory(r, -1, "%s", text)
 	if stage.Once {
-		if l.Cause.Ran() && !m.faults.Unsafe {
-			m.finish(r, Answer{Kind: Person, Stage: stage.Name, Cause: l.Cause, Reason: fmt.Sprintf("%s; it must not run twice", cmp.Or(l.Text, text))})
+		if msg.Cause.Ran() && !m.faults.Unsafe {
+			m.finish(r, Answer{Kind: Person, Stage: stage.Name, Cause: msg.Cause, Reason: fmt.Sprintf("%s; it must not run twice", cmp.Or(msg.Text, text))})
 			return
 		}
 		s.MayHaveRun = false // it certainly did not run
@@ -225,11 +225,11 @@
 	confirms := false
 	if d := s.CheckedClaim; d != nil { // this run of the stage was a second opinion
 		s.CheckedClaim = nil
-		if confirms = l.Cause == policy.BadInput && r.OutputKey(input) == d.Key && r.Stages[input].UsedGen == d.Gen; confirms {
+		if confirms = msg.Cause == policy.BadInput && r.OutputKey(input) == d.Key && r.Stages[input].UsedGen == d.Gen; confirms {
 			m.send(Message{Kind: "opinion", To: "c/" + d.Worker, Key: d.Key, Gen: d.Gen, OK: true})
 		}
 	}
-	f := m.facts(r, l)
+	f := m.facts(r, msg)
 	for k, rule := range r.pipeline.Rules {
 		if rule.On != i {
 			continue
@@ -237,48 +237,48 @@
 		if holds, err := rule.When.Holds(f); err != nil {
 			m.addHistory(r, k, "the condition could not be reckoned: %v", err)
 		} else if holds {
-			m.applyRule(r, k, input, l, confirms)
+			m.applyRule(r, k, input, msg, confirms)
 			return
 		}
 	}
-	m.finish(r, Answer{Kind: Dead, Stage: stage.Name, Cause: l.Cause, Reason: text + ", and no rule is about that"})
+	m.finish(r, Answer{Kind: Dead, Stage: stage.Name, Cause: msg.Cause, Reason: text + ", and no rule is about that"})
 }
 
 // applyRule applies a rule to a failure. confirms: the failure is a second opinion that confirms the first.
-func (m *Machine) applyRule(r *Run, k, input int, l *Message, confirms bool) {
-	s, rule, stage := r.Stages[l.Stage], r.pipeline.Rules[k], r.pipeline.Stages[l.Stage]
-	n := &PendingRerun{Rule: k, Target: rule.Target, BadGen: l.Gen, Cause: l.Cause, FailedPlace: l.Place}
+func (m *Machine) applyRule(r *Run, k, input int, msg *Message, confirms bool) {
+	s, rule, stage := r.Stages[msg.Stage], r.pipeline.Rules[k], r.pipeline.Stages[msg.Stage]
+	n := &PendingRerun{Rule: k, Target: rule.Target, BadGen: msg.Gen, Cause: msg.Cause, FailedPlace: msg.Place}
 	switch rule.Target {
 	case policy.Self:
-		n.Target = l.Stage
+		n.Target = msg.Stage
 	case policy.Input:
 		n.Target = input
 	}
-	if n.Target != l.Stage {
+	if n.Target != msg.Stage {
 		n.BadGen, n.FailedPlace = r.Stages[n.Target].UsedGen, r.Stages[n.Target].Place
 	}
-	n.Fingerprint = fingerprint(r.Pipeline, r.pipeline.Stages[n.Target].Name, l.Cause, n.FailedPlace)
+	n.Fingerprint = fingerprint(r.Pipeline, r.pipeline.Stages[n.Target].Name, msg.Cause, n.FailedPlace)
 	if r.RuleUses[k] >= rule.MaxUses {
-		m.giveUp(r, l.Stage, n, fmt.Sprintf("%s, and the rule of line %d was used %d times", l.Cause, rule.Line, rule.MaxUses))
+		m.giveUp(r, msg.Stage, n, fmt.Sprintf("%s, and the rule of line %d was used %d times", msg.Cause, rule.Line, rule.MaxUses))
 		return
 	}
-	if n.Target != l.Stage && !rule.KeepOld && !m.faults.Unsafe {
+	if n.Target != msg.Stage && !rule.KeepOld && !m.faults.Unsafe {
 		for _, a := range r.pipeline.Affected(rule, n.Target) {
 			if r.pipeline.Stages[a].Once && r.Stages[a].MayHaveRun {
-				m.finish(r, Answer{Kind: Person, Stage: r.pipeline.Stages[a].Name, Cause: l.Cause,
-					Reason: fmt.Sprintf("%s says that %s is spoilt, and %s, which must not run twice, has used it", r.pipeline.Stages[l.Stage].Name, r.pipeline.Stages[n.Target].Name, r.pipeline.Stages[a].Name)})
+				m.finish(r, Answer{Kind: Person, Stage: r.pipeline.Stages[a].Name, Cause: msg.Cause,
+					Reason: fmt.Sprintf("%s says that %s is spoilt, and %s, which must not run twice, has used it", r.pipeline.Stages[msg.Stage].Name, r.pipeline.Stages[n.Target].Name, r.pipeline.Stages[a].Name)})
 				return
 			}
 		}
 	}
 	r.RuleUses[k]++
 	s.Pending = n
-	if l.Cause == policy.BadInput && l.Place.Worker != "" {
-		n.Phase, n.Claim, n.Claimant, n.Confirmed = CheckingClaim, &Claim{l.Place.Worker, r.OutputKey(input), r.Stages[input].UsedGen}, l.Place, confirms
-		m.send(Message{Kind: "claim", To: "c/" + l.Place.Worker, From: r.ID, Stage: l.Stage, Key: n.Claim.Key, Gen: n.Claim.Gen, Place: l.Place, Text: stage.Name, OK: confirms})
+	if msg.Cause == policy.BadInput && msg.Place.Worker != "" {
+		n.Phase, n.Claim, n.Claimant, n.Confirmed = CheckingClaim, &Claim{msg.Place.Worker, r.OutputKey(input), r.Stages[input].UsedGen}, msg.Place, confirms
+		m.send(Message{Kind: "claim", To: "c/" + msg.Place.Worker, From: r.ID, Stage: msg.Stage, Key: n.Claim.Key, Gen: n.Claim.Gen, Place: msg.Place, Text: stage.Name, OK: confirms})
 		return
 	}
-	m.startBackoff(r, l.Stage)
+	m.startBackoff(r, msg.Stage)
 }
 
 const acceptedElsewhere = "another worker was content with its input"
--- a/internal/rerun/outputs.go
+++ b/internal/rerun/outputs.go
@@ -10,51 +10,51 @@
 )
 
 // handleOutput applies a message to an output.
-func (m *Machine) handleOutput(l *Message) {
-	o := m.state.Outputs[l.To]
+func (m *Machine) handleOutput(msg *Message) {
+	o := m.state.Outputs[msg.To]
 	if o == nil {
-		if l.Kind == "leave" || l.Request == nil {
+		if msg.Kind == "leave" || msg.Request == nil {
 			return
 		}
-		o = &Output{Key: l.To, Requests: map[string]*Want{}, Users: map[string]int64{}}
-		m.state.Outputs[l.To] = o
+		o = &Output{Key: msg.To, Requests: map[string]*Want{}, Users: map[string]int64{}}
+		m.state.Outputs[msg.To] = o
 	}
-	if l.Kind == "leave" {
-		delete(o.Requests, l.From)
-		delete(o.Users, l.From)
-		if t := o.Execution; t != nil && t.Phase != Started && len(o.Requests) == 0 {
+	if msg.Kind == "leave" {
+		delete(o.Requests, msg.From)
+		delete(o.Users, msg.From)
+		if e := o.Execution; e != nil && e.Phase != Started && len(o.Requests) == 0 {
 			m.cancelExecution(o)
 		}
 		m.releaseIdle(o)
 		return
 	}
 	if len(o.Requests) >= maxRequests {
-		m.send(Message{Kind: "fell", To: "r/" + l.From, Stage: l.Request.Stage, Gen: o.LastGen, Cause: policy.Refused, Text: "too many wait for this output"})
+		m.send(Message{Kind: "fell", To: "r/" + msg.From, Stage: msg.Request.Stage, Gen: o.LastGen, Cause: policy.Refused, Text: "too many wait for this output"})
 		return
 	}
-	if m.faults.AnyGeneration && l.Request.AboveGen > 0 {
-		l.Request.AboveGen = o.LastGen
+	if m.faults.AnyGeneration && msg.Request.AboveGen > 0 {
+		msg.Request.AboveGen = o.LastGen
 	}
-	o.Requests[l.From] = l.Request
+	o.Requests[msg.From] = msg.Request
 	m.serveRequests(o)
 }
 
 // cancelExecution cancels an execution that has not started and that no run waits for, and refunds its budgets.
 func (m *Machine) cancelExecution(o *Output) {
-	t := o.Execution
-	if t.Phase == Queued && !t.First {
-		for _, name := range t.Charge {
+	e := o.Execution
+	if e.Phase == Queued && !e.First {
+		for _, name := range e.Charge {
 			a := m.state.Accounts[name]
-			a.Balance += t.Work.Microseconds()
-			a.Spent -= t.Work.Microseconds()
+			a.Balance += e.Work.Microseconds()
+			a.Spent -= e.Work.Microseconds()
 		}
 	}
-	o.LastGen = t.Gen - 1
+	o.LastGen = e.Gen - 1
 	m.setExecution(o, nil)
 }
 
-func (m *Machine) setExecution(o *Output, t *Turn) {
-	if o.Execution = t; t == nil {
+func (m *Machine) setExecution(o *Output, e *Turn) {
+	if o.Execution = e; e == nil {
 		delete(m.executions, o.Key)
 	} else {
 		m.executions[o.Key] = o
@@ -81,27 +81,27 @@
 // for which the same generation failed: any later generation, made or being made, satisfies them.
 func (m *Machine) serveRequests(o *Output) {
 	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
-		w := o.Requests[id]
-		if o.Gen > w.AboveGen && coversInputs(o.InputGens, w.Of) {
+		req := o.Requests[id]
+		if o.Gen > req.AboveGen && coversInputs(o.InputGens, req.Of) {
 			delete(o.Requests, id)
 			o.Users[id] = o.Gen
-			m.send(Message{Kind: "made", To: "r/" + id, Stage: w.Stage, Gen: o.Gen, InputGens: o.InputGens, Place: o.Place, MadeAt: o.MadeAt, Text: o.Result})
+			m.send(Message{Kind: "made", To: "r/" + id, Stage: req.Stage, Gen: o.Gen, InputGens: o.InputGens, Place: o.Place, MadeAt: o.MadeAt, Text: o.Result})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
-		w := o.Requests[id]
-		if t := o.Execution; t != nil {
-			if t.Phase != Started && !coversInputs(t.Of, w.Of) && coversInputs(w.Of, t.Of) { // not started: switch to the newer inputs
-				t.Of = w.Of
+		req := o.Requests[id]
+		if e := o.Execution; e != nil {
+			if e.Phase != Started && !coversInputs(e.Of, req.Of) && coversInputs(req.Of, e.Of) { // not started: switch to the newer inputs
+				e.Of = req.Of
 			}
 			continue
 		}
-		if w.AboveGen > o.LastGen { // generations lost with the group's state: continue above them
-			o.LastGen = w.AboveGen
+		if req.AboveGen > o.LastGen { // generations lost with the group's state: continue above them
+			o.LastGen = req.AboveGen
 		}
 		o.LastGen++
 		m.state.LastOrder++
-		m.setExecution(o, &Turn{Want: *w, Gen: o.LastGen, First: o.LastGen == 1, Phase: AwaitingBudget, Order: m.state.LastOrder})
+		m.setExecution(o, &Turn{Want: *req, Gen: o.LastGen, First: o.LastGen == 1, Phase: AwaitingBudget, Order: m.state.LastOrder})
 		m.chargeBudgets(o)
 	}
 }
@@ -121,28 +121,28 @@
 	case !o.Execution.First && m.firstRunQueued():
 		return refuse("first runs go first")
 	}
-	t := o.Execution
-	t.Phase, t.By, t.Began = Started, c.By, m.state.At
+	e := o.Execution
+	e.Phase, e.By, e.Began = Started, c.By, m.state.At
 	m.state.Running++
-	if m.StagesStarted++; !t.First {
+	if m.StagesStarted++; !e.First {
 		m.Reruns++
 	}
-	m.setTimer(t.lateAt(), "turn", o.Key)
-	m.send(Message{Kind: "begun", To: "r/" + t.Run, Stage: t.Stage, Gen: t.Gen, OK: t.First})
+	m.setTimer(e.lateAt(), "turn", o.Key)
+	m.send(Message{Kind: "begun", To: "r/" + e.Run, Stage: e.Stage, Gen: e.Gen, OK: e.First})
 	m.returnBudgets()
 	return Result{OK: true}
 }
 
 // lateAt returns when a started execution counts as late. For a stage that must not run twice, the end of its job is
 // awaited: that shows whether it ran, and arrives only after the job's deadline.
-func (t *Turn) lateAt() time.Duration {
+func (e *Turn) lateAt() time.Duration {
 	switch {
-	case t.Within > 0 && t.Once:
-		return min(t.Began+t.Within, t.Until) + lateGrace
-	case t.Within > 0:
-		return min(t.Began+t.Within, t.Until+lateGrace)
+	case e.Within > 0 && e.Once:
+		return min(e.Began+e.Within, e.Until) + lateGrace
+	case e.Within > 0:
+		return min(e.Began+e.Within, e.Until+lateGrace)
 	}
-	return t.Until + lateGrace
+	return e.Until + lateGrace
 }
 
 func (m *Machine) firstRunQueued() bool {
@@ -166,17 +166,17 @@
 	if len(c.Text) > 4*maxParamBytes {
 		c.Text = c.Text[:4*maxParamBytes]
 	}
-	t, at := o.Execution, policy.Place{}
+	e, at := o.Execution, policy.Place{}
 	if c.Place != nil {
 		at = *c.Place
 	}
 	m.setExecution(o, nil)
 	m.state.Running--
 	if c.OK {
-		o.Gen, o.InputGens, o.Place, o.MadeAt, o.Result, o.Approvals = t.Gen, t.Of, at, m.state.At, c.Text, nil
-		if len(t.Of) > 0 && at.Worker != "" {
-			m.send(Message{Kind: "content", To: "c/" + at.Worker, Text: t.Name})
-			m.sendApprovals(t, at.Worker)
+		o.Gen, o.InputGens, o.Place, o.MadeAt, o.Result, o.Approvals = e.Gen, e.Of, at, m.state.At, c.Text, nil
+		if len(e.Of) > 0 && at.Worker != "" {
+			m.send(Message{Kind: "content", To: "c/" + at.Worker, Text: e.Name})
+			m.sendApprovals(e, at.Worker)
 		}
 		for _, id := range slices.Sorted(maps.Keys(o.Users)) {
 			if o.Requests[id] == nil {
@@ -185,12 +185,12 @@
 		}
 	} else {
 		for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
-			w := o.Requests[id]
-			if w.AboveGen >= t.Gen || !coversInputs(t.Of, w.Of) && !w.Once { // it requests an attempt that was not made yet
+			req := o.Requests[id]
+			if req.AboveGen >= e.Gen || !coversInputs(e.Of, req.Of) && !req.Once { // it requests an attempt that was not made yet
 				continue
 			}
 			delete(o.Requests, id)
-			m.send(Message{Kind: "fell", To: "r/" + id, Stage: w.Stage, Gen: t.Gen, Cause: c.Cause, Input: c.Input, Place: at, RunTime: m.state.At - t.Began, Text: c.Text})
+			m.send(Message{Kind: "fell", To: "r/" + id, Stage: req.Stage, Gen: e.Gen, Cause: c.Cause, Input: c.Input, Place: at, RunTime: m.state.At - e.Began, Text: c.Text})
 		}
 	}
 	m.serveRequests(o)
--- a/internal/rerun/plant/cluster.go
+++ b/internal/rerun/plant/cluster.go
@@ -64,37 +64,37 @@
 }
 
 // Close stops all servers and waits for pending callbacks.
-func (p *Cluster) Close() {
-	close(p.done)
-	for _, d := range p.servers {
-		d.close()
+func (c *Cluster) Close() {
+	close(c.done)
+	for _, s := range c.servers {
+		s.close()
 	}
-	p.client.CloseIdleConnections()
-	p.wg.Wait()
+	c.client.CloseIdleConnections()
+	c.wg.Wait()
 }
 
 // Runs returns all runs so far.
-func (p *Cluster) Runs() (all []Run) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, r := range p.runs {
+func (c *Cluster) Runs() (all []Run) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range c.runs {
 		all = append(all, *r)
 	}
 	return all
 }
 
 // Down stops a worker's process, with all its runs, or starts it again. A stopped one accepts no connections.
-func (p *Cluster) Down(worker string, down bool) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.down[worker] = down
-	for _, d := range p.servers {
-		if d.worker != worker {
+func (c *Cluster) Down(worker string, down bool) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.down[worker] = down
+	for _, s := range c.servers {
+		if s.worker != worker {
 			continue
 		}
 		if down {
-			d.close()
-		} else if err := d.open(); err != nil {
+			s.close()
+		} else if err := s.open(); err != nil {
 			return err
 		}
 	}
@@ -110,39 +110,39 @@
 }
 
 // open starts the server. The rig keeps the address reserved, so that nothing else takes it while the server is down.
-func (d *server) open() (err error) {
-	if d.listener, err = sock.Listen(d.addr); err != nil {
+func (s *server) open() (err error) {
+	if s.listener, err = sock.Listen(s.addr); err != nil {
 		return err
 	}
-	d.httpServer = &http.Server{Handler: d.handler, ReadHeaderTimeout: 5 * time.Second}
-	go d.httpServer.Serve(d.listener)
+	s.httpServer = &http.Server{Handler: s.handler, ReadHeaderTimeout: 5 * time.Second}
+	go s.httpServer.Serve(s.listener)
 	return nil
 }
 
 // close stops the server and closes its connections.
-func (d *server) close() {
-	d.httpServer.Close()
-	d.listener.Close() // in case the server has not taken it yet
+func (s *server) close() {
+	s.httpServer.Close()
+	s.listener.Close() // in case the server has not taken it yet
 }
 
-func (p *Cluster) listen(r *rig.Rig, worker string, h http.Handler) (string, error) {
-	at, err := r.Reserve()
+func (c *Cluster) listen(r *rig.Rig, worker string, h http.Handler) (string, error) {
+	addr, err := r.Reserve()
 	if err != nil {
 		return "", err
 	}
-	d := &server{worker: worker, addr: at, handler: h}
-	if err := d.open(); err != nil {
+	s := &server{worker: worker, addr: addr, handler: h}
+	if err := s.open(); err != nil {
 		return "", err
 	}
-	p.servers = append(p.servers, d)
-	return at, nil
+	c.servers = append(c.servers, s)
+	return addr, nil
 }
 
 var discovery = regexp.MustCompile(`(?m)^discovery = .*$`)
 
 // Join configures a rig's daemons, which must not have started yet, to discover these workers instead of the rig's
 // encoders, and to serve the pipelines of a policy file.
-func (p *Cluster) Join(r *rig.Rig, policy string) error {
+func (c *Cluster) Join(r *rig.Rig, policy string) error {
 	for n := range r.Daemons {
 		d := r.Daemon(n)
 		type member struct {
@@ -155,18 +155,18 @@
 			Size    float64 `json:"size"`
 		}
 		var members []member
-		for _, w := range p.Workers {
-			at, err := p.listen(r, w.ID, p.workerHandler(w, n, r))
+		for _, w := range c.Workers {
+			addr, err := c.listen(r, w.ID, c.workerHandler(w, n, r))
 			if err != nil {
 				return err
 			}
-			members = append(members, member{w.ID, at, w.Zone, w.Kind, w.Cell, "in_service", 1})
+			members = append(members, member{w.ID, addr, w.Zone, w.Kind, w.Cell, "in_service", 1})
 		}
 		text, err := json.Marshal(map[string]any{"revision": 1, "complete": true, "members": members})
 		if err != nil {
 			return err
 		}
-		at, err := p.listen(r, "", p.listHandler(text))
+		addr, err := c.listen(r, "", c.listHandler(text))
 		if err != nil {
 			return err
 		}
@@ -177,7 +177,7 @@
 		if !discovery.Match(file) {
 			return errors.New("plant: the daemon's file names no discovery")
 		}
-		file = discovery.ReplaceAll(file, fmt.Appendf(nil, "discovery = %q", at))
+		file = discovery.ReplaceAll(file, fmt.Appendf(nil, "discovery = %q", addr))
 		file = fmt.Appendf(file, "\n[pipelines]\nfile = %q\n", policy)
 		if err := os.WriteFile(d.File(), file, 0o600); err != nil {
 			return err
@@ -187,14 +187,14 @@
 }
 
 // listHandler serves a constant instance list, and a watch on it.
-func (p *Cluster) listHandler(text []byte) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if q.URL.Path != "/catalog/members" {
-			http.NotFound(w, q)
+func (c *Cluster) listHandler(text []byte) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		if req.URL.Path != "/catalog/members" {
+			http.NotFound(w, req)
 			return
 		}
 		w.Write(text)
-		if q.URL.Query().Get("stream") != "1" {
+		if req.URL.Query().Get("stream") != "1" {
 			return
 		}
 		w.Write([]byte("\n"))
@@ -203,9 +203,9 @@
 		for {
 			w.(http.Flusher).Flush()
 			select {
-			case <-q.Context().Done():
+			case <-req.Context().Done():
 				return
-			case <-p.done:
+			case <-c.done:
 				return
 			case <-tick.C:
 				if _, err := w.Write([]byte("\n")); err != nil {
@@ -217,15 +217,15 @@
 }
 
 // workerHandler serves a worker to one daemon.
-func (p *Cluster) workerHandler(worker Worker, daemon int, r *rig.Rig) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		id := q.Header.Get("X-Correlation-Id")
-		if q.Method != "POST" || id == "" {
+func (c *Cluster) workerHandler(worker Worker, daemon int, r *rig.Rig) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		id := req.Header.Get("X-Correlation-Id")
+		if req.Method != "POST" || id == "" {
 			w.WriteHeader(http.StatusOK)
 			return
 		}
-		run := &Run{Worker: worker, Class: q.Header.Get("X-Service-Class"), Daemon: daemon, Began: time.Now()}
-		body, err := io.ReadAll(io.LimitReader(q.Body, 1<<20))
+		run := &Run{Worker: worker, Class: req.Header.Get("X-Service-Class"), Daemon: daemon, Began: time.Now()}
+		body, err := io.ReadAll(io.LimitReader(req.Body, 1<<20))
 		if err == nil {
 			err = json.Unmarshal(body, &run.Told)
 		}
@@ -233,55 +233,55 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		p.mu.Lock()
-		p.runs = append(p.runs, run)
-		p.mu.Unlock()
+		c.mu.Lock()
+		c.runs = append(c.runs, run)
+		c.mu.Unlock()
 		w.WriteHeader(http.StatusAccepted)
-		p.wg.Go(func() { p.runJob(run, id, daemon, r) })
+		c.wg.Go(func() { c.runJob(run, id, daemon, r) })
 	})
 }
 
-func (p *Cluster) runJob(run *Run, id string, daemon int, r *rig.Rig) {
-	p.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "started"}, 1)
+func (c *Cluster) runJob(run *Run, id string, daemon int, r *rig.Rig) {
+	c.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "started"}, 1)
 	select {
-	case <-p.done:
+	case <-c.done:
 		return
-	case <-time.After(p.Work(*run)):
+	case <-time.After(c.Work(*run)):
 	}
-	p.mu.Lock()
-	down := p.down[run.Worker.ID]
-	p.mu.Unlock()
+	c.mu.Lock()
+	down := c.down[run.Worker.ID]
+	c.mu.Unlock()
 	if down { // the agent on the worker's machine notices that the process is gone
-		p.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "lost"}, 40)
+		c.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "lost"}, 40)
 		return
 	}
-	o := p.Decide(*run)
-	p.mu.Lock()
+	o := c.Decide(*run)
+	c.mu.Lock()
 	run.Ended, run.Outcome = time.Now(), o
-	p.mu.Unlock()
-	p.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "done", "result": o}, 40)
+	c.mu.Unlock()
+	c.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "done", "result": o}, 40)
 }
 
 // sendCallback posts a callback to a daemon: first to the one that sent the job, then to random ones until one accepts
 // it.
-func (p *Cluster) sendCallback(r *rig.Rig, daemon int, news map[string]any, tries int) {
-	body, _ := json.Marshal(news) // cannot fail: plain data
+func (c *Cluster) sendCallback(r *rig.Rig, daemon int, callback map[string]any, tries int) {
+	body, _ := json.Marshal(callback) // cannot fail: plain data
 	for n := range tries {
-		at := daemon
+		to := daemon
 		if n > 0 {
-			at = rand.IntN(r.Daemons)
+			to = rand.IntN(r.Daemons)
 			select {
-			case <-p.done:
+			case <-c.done:
 				return
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
-		a, err := p.client.Post("http://"+r.Daemon(at).Listen+"/_jobs/news", "application/json", bytes.NewReader(body))
+		resp, err := c.client.Post("http://"+r.Daemon(to).Listen+"/_jobs/news", "application/json", bytes.NewReader(body))
 		if err != nil {
 			continue
 		}
-		io.Copy(io.Discard, a.Body)
-		if a.Body.Close(); a.StatusCode/100 == 2 {
+		io.Copy(io.Discard, resp.Body)
+		if resp.Body.Close(); resp.StatusCode/100 == 2 {
 			return
 		}
 	}
--- a/internal/rerun/policy/condition.go
+++ b/internal/rerun/policy/condition.go
@@ -111,7 +111,7 @@
 	checked, issues := environment.Compile(text)
 	if issues != nil && issues.Err() != nil {
 		e := issues.Errors()[0]
-		mend := ""
+		hint := ""
 		if _, rest, ok := strings.Cut(e.Message, "undeclared reference to '"); ok {
 			wrong, _, _ := strings.Cut(rest, "'")
 			if whole := dottedName(text, wrong); whole != "" {
@@ -121,11 +121,11 @@
 			for _, v := range variables {
 				names = append(names, v.name)
 			}
-			mend = siteconf.Nearest(wrong, names, "; the names are "+strings.Join(names, ", "))
+			hint = siteconf.Nearest(wrong, names, "; the names are "+strings.Join(names, ", "))
 		} else {
-			mend = `; write such as cause.kind == "failed" && cause.ran < duration("10s")`
+			hint = `; write such as cause.kind == "failed" && cause.ran < duration("10s")`
 		}
-		return nil, fmt.Errorf("column %d: %s%s", e.Location.Column()+1, strings.ReplaceAll(e.Message, "\n", " "), mend)
+		return nil, fmt.Errorf("column %d: %s%s", e.Location.Column()+1, strings.ReplaceAll(e.Message, "\n", " "), hint)
 	}
 	if checked.OutputType() != cel.BoolType {
 		return nil, fmt.Errorf(`it is no yes or no but %s: write such as cause.kind == "failed"`, checked.OutputType())
@@ -345,7 +345,7 @@
 		all[i].Runs, all[i].Left = 1, l.p.Within
 	}
 	most := int64(maxRuns)
-	spread := func(name string, n int, set func(*Facts, int) bool) {
+	vary := func(name string, n int, set func(*Facts, int) bool) {
 		if !used(name) || !whole {
 			return
 		}
@@ -366,24 +366,24 @@
 		}
 		all = next
 	}
-	between := func(t, most time.Duration) bool { return t >= 0 && t <= most }
-	spread("cause.input.generation", len(ints), func(f *Facts, i int) bool {
+	inRange := func(t, most time.Duration) bool { return t >= 0 && t <= most }
+	vary("cause.input.generation", len(ints), func(f *Facts, i int) bool {
 		f.Generation = ints[i]
 		return f.Input != "" && ints[i] >= 1 && ints[i] <= most
 	})
-	spread("cause.input.age", len(times), func(f *Facts, i int) bool { f.Age = times[i]; return f.Input != "" && between(times[i], maxAge) })
-	spread("cause.ran", len(times), func(f *Facts, i int) bool { f.Ran = times[i]; return between(times[i], l.p.Within) })
-	spread("run.age", len(times), func(f *Facts, i int) bool { f.RunAge = times[i]; return between(times[i], l.p.Within) })
-	spread("run.left", len(times), func(f *Facts, i int) bool { f.Left = times[i]; return between(times[i], l.p.Within) })
+	vary("cause.input.age", len(times), func(f *Facts, i int) bool { f.Age = times[i]; return f.Input != "" && inRange(times[i], maxAge) })
+	vary("cause.ran", len(times), func(f *Facts, i int) bool { f.Ran = times[i]; return inRange(times[i], l.p.Within) })
+	vary("run.age", len(times), func(f *Facts, i int) bool { f.RunAge = times[i]; return inRange(times[i], l.p.Within) })
+	vary("run.left", len(times), func(f *Facts, i int) bool { f.Left = times[i]; return inRange(times[i], l.p.Within) })
 	ranges := append([]int64{0}, ints...)
-	spread("run.reruns", len(ranges), func(f *Facts, i int) bool { f.Reruns = ranges[i]; return ranges[i] >= 0 && ranges[i] <= most })
-	spread("stage.runs", len(ints), func(f *Facts, i int) bool { f.Runs = ints[i]; return ints[i] >= 1 && ints[i] <= most })
-	for name, of := range map[string]func(*Facts) *string{
+	vary("run.reruns", len(ranges), func(f *Facts, i int) bool { f.Reruns = ranges[i]; return ranges[i] >= 0 && ranges[i] <= most })
+	vary("stage.runs", len(ints), func(f *Facts, i int) bool { f.Runs = ints[i]; return ints[i] >= 1 && ints[i] <= most })
+	for name, field := range map[string]func(*Facts) *string{
 		"cause.worker": func(f *Facts) *string { return &f.At.Worker }, "cause.worker_kind": func(f *Facts) *string { return &f.At.Kind },
 		"cause.site": func(f *Facts) *string { return &f.At.Site }, "cause.zone": func(f *Facts) *string { return &f.At.Zone },
 		"run.tenant": func(f *Facts) *string { return &f.Tenant },
 	} {
-		spread(name, len(texts), func(f *Facts, i int) bool { *of(f) = texts[i]; return true })
+		vary(name, len(texts), func(f *Facts, i int) bool { *field(f) = texts[i]; return true })
 	}
 	for _, f := range all {
 		if !try(f) {
--- a/internal/rerun/rerun.go
+++ b/internal/rerun/rerun.go
@@ -152,7 +152,7 @@
 }
 
 // withoutPlace returns a fingerprint's key without its place.
-func withoutPlace(print string) string { return print[:max(0, strings.LastIndexByte(print, '/'))] }
+func withoutPlace(key string) string { return key[:max(0, strings.LastIndexByte(key, '/'))] }
 
 // isShared reports whether an output's key is that of an output used by several runs.
 func isShared(key string) bool { return strings.HasPrefix(key, "s/") }
@@ -228,11 +228,11 @@
 		}
 		all = false
 		ready := s.Pending == nil && !s.Requested
-		var of []int64
+		var gens []int64
 		var inputs []string
 		for _, n := range stage.Needs {
 			ready = ready && r.valid(n)
-			of, inputs = append(of, r.Stages[n].UsedGen), append(inputs, r.OutputKey(n))
+			gens, inputs = append(gens, r.Stages[n].UsedGen), append(inputs, r.OutputKey(n))
 		}
 		if !ready {
 			continue
@@ -241,13 +241,13 @@
 			m.finish(r, Answer{Kind: Person, Stage: stage.Name, Reason: fmt.Sprintf("%s must not run twice and has been run with inputs that no longer count", stage.Name)})
 			return
 		}
-		s.Requested, s.InputGens = true, of
-		w := &Want{
+		s.Requested, s.InputGens = true, gens
+		req := &Want{
 			Run: r.ID, Stage: i, Name: stage.Name, Class: stage.Class, Once: stage.Once, Tenant: r.Tenant, Params: r.Params,
-			AboveGen: s.StaleUpTo, Of: of, Inputs: inputs, Work: stage.Work, Within: stage.Within, Until: r.Deadline, Failed: s.Place, Spare: m.policies[r.Policy].Spare,
+			AboveGen: s.StaleUpTo, Of: gens, Inputs: inputs, Work: stage.Work, Within: stage.Within, Until: r.Deadline, Failed: s.Place, Spare: m.policies[r.Policy].Spare,
 		}
-		m.setBudgets(r, s, w)
-		m.send(Message{Kind: "want", To: r.OutputKey(i), From: r.ID, Request: w})
+		m.setBudgets(r, s, req)
+		m.send(Message{Kind: "want", To: r.OutputKey(i), From: r.ID, Request: req})
 	}
 	if all {
 		m.finish(r, Answer{Kind: Done, Result: result})
@@ -255,24 +255,24 @@
 }
 
 // setBudgets sets the accounts that a first run of a stage accrues to, and those that a rerun is charged to.
-func (m *Machine) setBudgets(r *Run, s *Stage, w *Want) {
+func (m *Machine) setBudgets(r *Run, s *Stage, req *Want) {
 	fleet := m.policies[r.Policy].Fleet
-	w.Accrue, w.Charge = []Share{{"fleet", fleet}}, []string{"fleet"}
+	req.Accrue, req.Charge = []Share{{"fleet", fleet}}, []string{"fleet"}
 	for _, rule := range r.pipeline.Rules {
-		if a := tenantAccount(r.Tenant, rule.Tenant); rule.Tenant > 0 && !slices.ContainsFunc(w.Accrue, func(s Share) bool { return s.Account == a }) {
-			w.Accrue = append(w.Accrue, Share{a, rule.Tenant})
+		if a := tenantAccount(r.Tenant, rule.Tenant); rule.Tenant > 0 && !slices.ContainsFunc(req.Accrue, func(s Share) bool { return s.Account == a }) {
+			req.Accrue = append(req.Accrue, Share{a, rule.Tenant})
 		}
 	}
 	if s.RuleNumber > 0 {
 		rule := r.pipeline.Rules[s.RuleNumber-1]
 		if rule.Tenant > 0 {
-			w.Charge = append(w.Charge, tenantAccount(r.Tenant, rule.Tenant))
+			req.Charge = append(req.Charge, tenantAccount(r.Tenant, rule.Tenant))
 		}
 		if s.ByRule {
-			w.Where, w.Avoid, w.Doubt = rule.Where, slices.Clone(s.FailedPlaces), slices.Clone(s.SuspectSites)
+			req.Where, req.Avoid, req.Doubt = rule.Where, slices.Clone(s.FailedPlaces), slices.Clone(s.SuspectSites)
 		}
-		if s.CheckedClaim != nil && w.Where == policy.Anywhere { // a second opinion needs another worker
-			w.Where = policy.OtherWorker
+		if s.CheckedClaim != nil && req.Where == policy.Anywhere { // a second opinion needs another worker
+			req.Where = policy.OtherWorker
 		}
 	}
 }
@@ -371,8 +371,8 @@
 	s.Pending = nil
 	s.Trial = &TrialRef{n.Fingerprint, r.OutputKey(n.Target)}
 	s.RuleNumber = n.Rule + 1
-	t := r.Stages[n.Target]
-	if n.Target != i && (t.StaleUpTo >= n.BadGen || t.UsedGen > n.BadGen) { // already rerun because of another stage's failure
+	target := r.Stages[n.Target]
+	if n.Target != i && (target.StaleUpTo >= n.BadGen || target.UsedGen > n.BadGen) { // already rerun because of another stage's failure
 		m.advance(r)
 		return
 	}
@@ -381,13 +381,13 @@
 	} else if n.Target != i {
 		m.markStale(r, slices.DeleteFunc(r.pipeline.Affected(rule, n.Target), func(a int) bool { return a == n.Target }), n.Rule+1)
 	}
-	if t.UsedGen > t.StaleUpTo && t.UsedGen <= n.BadGen {
-		m.addHistory(r, n.Rule, "generation %d of %s is stale", t.UsedGen, r.pipeline.Stages[n.Target].Name)
+	if target.UsedGen > target.StaleUpTo && target.UsedGen <= n.BadGen {
+		m.addHistory(r, n.Rule, "generation %d of %s is stale", target.UsedGen, r.pipeline.Stages[n.Target].Name)
 	}
-	t.StaleUpTo, t.Requested, t.ByRule, t.RuleNumber, t.Place = max(t.StaleUpTo, n.BadGen), false, true, n.Rule+1, n.FailedPlace
-	t.SuspectSites = n.SuspectSites
-	if i := slices.Index(t.FailedPlaces, n.FailedPlace); i < 0 && n.FailedPlace.Worker != "" {
-		t.FailedPlaces = append(t.FailedPlaces[max(0, len(t.FailedPlaces)+1-maxFailedPlaces):], n.FailedPlace)
+	target.StaleUpTo, target.Requested, target.ByRule, target.RuleNumber, target.Place = max(target.StaleUpTo, n.BadGen), false, true, n.Rule+1, n.FailedPlace
+	target.SuspectSites = n.SuspectSites
+	if i := slices.Index(target.FailedPlaces, n.FailedPlace); i < 0 && n.FailedPlace.Worker != "" {
+		target.FailedPlaces = append(target.FailedPlaces[max(0, len(target.FailedPlaces)+1-maxFailedPlaces):], n.FailedPlace)
 	}
 	if n.Target == i && !n.SecondOpinion { // the stage's previous output, if any, is stale, as is everything downstream
 		m.markStale(r, slices.DeleteFunc(r.pipeline.Affected(rule, i), func(a int) bool { return a == i }), n.Rule+1)
--- a/internal/rerun/rerun_test.go
+++ b/internal/rerun/rerun_test.go
@@ -31,21 +31,21 @@
 // A thousand runs use one bad output. It is made again once, after one trial, and stages that had not begun yet run as
 // usual.
 func TestThousandRunsOnOneBadOutput(t *testing.T) {
-	w := newSimulation(t, 1, 5, 1000)
-	w.policy(policyFile("1", "100%", "10m", filmPipeline("tenant:100%", 2, "")))
-	w.outcome = func(w *simulation, g Go) Command {
+	sim := newSimulation(t, 1, 5, 1000)
+	sim.policy(policyFile("1", "100%", "10m", filmPipeline("tenant:100%", 2, "")))
+	sim.outcome = func(sim *simulation, g Go) Command {
 		if stageOf(g.Key) == "encode" && g.Of[0] == 1 {
-			return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(w.rng.IntN(50), "s2", "b")}
+			return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(sim.rng.IntN(50), "s2", "b")}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	for i := range 1000 {
-		w.submit(runID(i), "film", fmt.Sprint("t", i%3), map[string]string{"asset": "jingle"})
+		sim.submit(runID(i), "film", fmt.Sprint("t", i%3), map[string]string{"asset": "jingle"})
 	}
-	w.finish(200_000)
-	require.Equal(t, map[Kind]int{Done: 1000}, w.endKinds(1000, runID))
-	require.Equal(t, map[int64]int{1: 1, 2: 1}, w.started["s/film/ingest/jingle"])
-	e, _ := w.machines[GroupOfRun("r0", 5)].Explain("r0")
+	sim.finish(200_000)
+	require.Equal(t, map[Kind]int{Done: 1000}, sim.endKinds(1000, runID))
+	require.Equal(t, map[int64]int{1: 1, 2: 1}, sim.started["s/film/ingest/jingle"])
+	e, _ := sim.machines[GroupOfRun("r0", 5)].Explain("r0")
 	require.NotEmpty(t, e.Story)
 	require.Contains(t, fmt.Sprint(e.Story), "encode: bad_input ingest")
 }
@@ -53,10 +53,10 @@
 // Reruns across three stages: package reports encode as bad, and the rerun of encode reports ingest as bad. Everything
 // downstream of each runs once more, elsewhere.
 func TestRerunsPropagateUpstream(t *testing.T) {
-	w := newSimulation(t, 2, 4, 100)
-	w.policy(policyFile("1", "5%", "10m", filmPipeline("fleet", 2, "")))
+	sim := newSimulation(t, 2, 4, 100)
+	sim.policy(policyFile("1", "5%", "10m", filmPipeline("fleet", 2, "")))
 	var narrowed []policy.Where
-	w.outcome = func(w *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Go) Command {
 		if !g.First {
 			narrowed = append(narrowed, g.Where)
 		}
@@ -70,14 +70,14 @@
 			return Command{OK: true, Place: at}
 		}
 	}
-	w.submit("r0", "film", "t", map[string]string{"asset": "x"})
-	w.finish(1000)
-	r := w.run("r0")
+	sim.submit("r0", "film", "t", map[string]string{"asset": "x"})
+	sim.finish(1000)
+	r := sim.run("r0")
 	require.Equal(t, Done, r.Answer.Kind, "%+v", r.History)
-	require.Len(t, w.started["s/film/ingest/x"], 2)
-	require.Len(t, w.started["r/r0/encode"], 3)
-	require.Len(t, w.started["r/r0/package"], 2)
-	require.Len(t, w.started["r/r0/publish"], 1)
+	require.Len(t, sim.started["s/film/ingest/x"], 2)
+	require.Len(t, sim.started["r/r0/encode"], 3)
+	require.Len(t, sim.started["r/r0/package"], 2)
+	require.Len(t, sim.started["r/r0/publish"], 1)
 	require.Equal(t, []policy.Where{policy.OtherSite, policy.OtherSite, policy.OtherSite, ""}, narrowed, "what rules aim at is narrowed, what is below goes as its class says")
 	require.Equal(t, 4, r.Answer.Reruns)
 }
@@ -85,28 +85,28 @@
 // A publish that may have run stops its pipeline, which then needs a person, with the known reason. One that certainly
 // did not run is rerun.
 func TestOnceStageIsNotRunTwice(t *testing.T) {
-	again := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind == \"never_ran\"'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
+	publishRule := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind == \"never_ran\"'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
 	for _, cause := range []policy.Cause{policy.MayHaveRun, policy.RanFailed, policy.BadInput, policy.Late, policy.CalledOff, policy.NeverRan} {
-		w := newSimulation(t, 3, 3, 100)
-		w.policy(policyFile("1", "5%", "10m", filmPipeline("fleet", 2, again)))
-		w.outcome = func(w *simulation, g Go) Command {
+		sim := newSimulation(t, 3, 3, 100)
+		sim.policy(policyFile("1", "5%", "10m", filmPipeline("fleet", 2, publishRule)))
+		sim.outcome = func(sim *simulation, g Go) Command {
 			if stageOf(g.Key) == "publish" && g.Gen == 1 {
 				return Command{Cause: cause, Input: "package", Place: worker(4, "s", "a")}
 			}
 			return Command{OK: true}
 		}
-		w.submit("r0", "film", "t", map[string]string{"asset": "x"})
-		w.finish(1000)
-		a := w.run("r0").Answer
+		sim.submit("r0", "film", "t", map[string]string{"asset": "x"})
+		sim.finish(1000)
+		a := sim.run("r0").Answer
 		if cause == policy.NeverRan {
 			require.Equal(t, Done, a.Kind)
-			require.Len(t, w.started["r/r0/publish"], 2)
+			require.Len(t, sim.started["r/r0/publish"], 2)
 			continue
 		}
 		require.Equal(t, Person, a.Kind, cause)
 		require.Contains(t, a.Reason, "must not run twice")
 		require.Equal(t, "publish", a.Stage)
-		require.Len(t, w.started["r/r0/publish"], 1)
+		require.Len(t, sim.started["r/r0/publish"], 1)
 	}
 }
 
@@ -138,38 +138,38 @@
 budget="fleet"
 `
 
-func rerunUnsafe(w *simulation) {
-	w.policy(policyFile("1", "5%", "10m", twoResults))
-	w.duration = func(w *simulation, g Go) time.Duration {
+func rerunUnsafe(sim *simulation) {
+	sim.policy(policyFile("1", "5%", "10m", twoResults))
+	sim.duration = func(sim *simulation, g Go) time.Duration {
 		return map[string]time.Duration{"package": time.Second, "publish": time.Second, "notify": 3 * time.Second}[stageOf(g.Key)]
 	}
-	w.outcome = func(w *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Go) Command {
 		if stageOf(g.Key) == "notify" {
 			return Command{Cause: policy.BadInput, Input: "package"}
 		}
 		return Command{OK: true}
 	}
-	w.submit("r0", "two", "t", nil)
-	w.finish(1000)
+	sim.submit("r0", "two", "t", nil)
+	sim.finish(1000)
 }
 
 func TestRerunUpstreamOfOnceStageNeedsPerson(t *testing.T) {
-	w := newSimulation(t, 4, 3, 100)
-	rerunUnsafe(w)
-	a := w.run("r0").Answer
+	sim := newSimulation(t, 4, 3, 100)
+	rerunUnsafe(sim)
+	a := sim.run("r0").Answer
 	require.Equal(t, Person, a.Kind)
 	require.Contains(t, a.Reason, "notify says that package is spoilt, and publish, which must not run twice, has used it")
-	require.Len(t, w.started["r/r0/package"], 1)
+	require.Len(t, sim.started["r/r0/package"], 1)
 }
 
 // A worker reports every input as bad. Its first claims are believed; then other workers are asked, and it is no longer
 // believed.
 func TestWorkerWithFalseClaimsIsDistrusted(t *testing.T) {
-	w := newSimulation(t, 5, 4, 4)
-	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
+	sim := newSimulation(t, 5, 4, 4)
+	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	lies := 0
-	w.outcome = func(w *simulation, g Go) Command {
-		at := worker(w.rng.IntN(10), "s1", "a")
+	sim.outcome = func(sim *simulation, g Go) Command {
+		at := worker(sim.rng.IntN(10), "s1", "a")
 		if g.Where != "" && g.Where != policy.Anywhere && at.Worker == g.Failed.Worker {
 			at = worker(50, "s2", "b")
 		}
@@ -180,18 +180,18 @@
 		return Command{OK: true, Place: at}
 	}
 	for i := range 200 {
-		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
-	w.finish(100_000)
-	require.Equal(t, map[Kind]int{Done: 200}, w.endKinds(200, runID), "lies %d", lies)
-	again := 0
-	for key, gens := range w.started {
+	sim.finish(100_000)
+	require.Equal(t, map[Kind]int{Done: 200}, sim.endKinds(200, runID), "lies %d", lies)
+	reruns := 0
+	for key, gens := range sim.started {
 		if stageOf(key) == "encode" {
-			again += len(gens) - 1
+			reruns += len(gens) - 1
 		}
 	}
 	require.Greater(t, lies, 5)
-	require.LessOrEqual(t, again, 2, "lies make next to nothing run again upstream")
+	require.LessOrEqual(t, reruns, 2, "lies make next to nothing run again upstream")
 }
 
 // A worker that accepts most of its inputs is believed when it reports some as bad, which costs no second opinions; one
@@ -202,13 +202,13 @@
 		lies   bool
 		atMost int // second opinions; with false claims: claims that are believed per claimRetention
 	}{{"honest", false, 8}, {"lies", true, checkInterval + 8}} { // the 8 that run at once
-		w := newSimulation(t, 12, 4, 8)
-		w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
+		sim := newSimulation(t, 12, 4, 8)
+		sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 		seen, opinions := 0, 0
-		w.outcome = func(w *simulation, g Go) Command {
+		sim.outcome = func(sim *simulation, g Go) Command {
 			at := worker(1, "s1", "a") // the only worker of the site with nearly all first runs
 			if !g.First && g.Where != policy.Anywhere {
-				at = worker(2+w.rng.IntN(9), "s2", "b")
+				at = worker(2+sim.rng.IntN(9), "s2", "b")
 			}
 			if stageOf(g.Key) != "package" || at.Worker != "w1" {
 				if stageOf(g.Key) == "package" && !c.lies && g.Of[0] == 1 && isBad(g.Key) { // a second worker confirms
@@ -223,36 +223,36 @@
 			return Command{OK: true, Place: at}
 		}
 		for i := range 240 {
-			w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+			sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 			if i%20 == 19 { // second opinions are reruns, which run after first runs
-				w.finish(200_000)
+				sim.finish(200_000)
 			}
 		}
-		require.Equal(t, map[Kind]int{Done: 240}, w.endKinds(240, runID), c.name)
-		again := 0
-		for key, gens := range w.started {
+		require.Equal(t, map[Kind]int{Done: 240}, sim.endKinds(240, runID), c.name)
+		reruns := 0
+		for key, gens := range sim.started {
 			if stageOf(key) == "encode" {
-				again += len(gens) - 1
+				reruns += len(gens) - 1
 			}
 		}
 		if !c.lies {
-			require.Greater(t, again, 40)
-			require.LessOrEqual(t, opinions, c.atMost, "second opinions on %d claims that are true", again)
+			require.Greater(t, reruns, 40)
+			require.LessOrEqual(t, opinions, c.atMost, "second opinions on %d claims that are true", reruns)
 			continue
 		}
-		times := int((w.now-startAt)/claimRetention) + 1
-		require.LessOrEqual(t, again, times*c.atMost, "lies that are believed, in %d times 10 min", times)
-		require.Less(t, again, seen/3/2, "of all lies")
+		times := int((sim.now-startAt)/claimRetention) + 1
+		require.LessOrEqual(t, reruns, times*c.atMost, "lies that are believed, in %d times 10 min", times)
+		require.Less(t, reruns, seen/3/2, "of all lies")
 	}
 }
 
 // Guards against a third check of a claim that a second worker has confirmed, because that worker has made many claims
 // itself.
 func TestConfirmedClaimIsNotCheckedAgain(t *testing.T) {
-	w := newSimulation(t, 15, 4, 4)
-	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
+	sim := newSimulation(t, 15, 4, 4)
+	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	first := 2 // two claims per worker are believed: those of the confirming worker, then those of the claiming one
-	w.outcome = func(w *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Go) Command {
 		switch {
 		case stageOf(g.Key) != "package" || g.Of[0] > 1:
 			return Command{OK: true, Place: worker(9, "s1", "a")}
@@ -265,12 +265,12 @@
 		if i == 2 {
 			first = 1
 		}
-		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
-		w.finish(10_000)
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+		sim.finish(10_000)
 	}
-	require.Equal(t, map[Kind]int{Done: 5}, w.endKinds(5, runID))
-	require.Len(t, w.started["r/r3/package"], 2, "believed")
-	require.Len(t, w.started["r/r4/package"], 3, "looked into once: %v", w.run("r4").History)
+	require.Equal(t, map[Kind]int{Done: 5}, sim.endKinds(5, runID))
+	require.Len(t, sim.started["r/r3/package"], 2, "believed")
+	require.Len(t, sim.started["r/r4/package"], 3, "looked into once: %v", sim.run("r4").History)
 }
 
 // isBad selects one key in four.
@@ -278,36 +278,36 @@
 
 // Reruns are told of a site whose outputs are all bad, and avoid it.
 func TestFrequentlyFailingSitesAreAvoided(t *testing.T) {
-	w := newSimulation(t, 13, 4, 40)
-	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
-	told, late := 0, 0
-	w.outcome = func(w *simulation, g Go) Command {
-		at := worker(w.rng.IntN(20), fmt.Sprint("s", w.rng.IntN(4)), "a")
+	sim := newSimulation(t, 13, 4, 40)
+	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
+	informed, uninformed := 0, 0
+	sim.outcome = func(sim *simulation, g Go) Command {
+		at := worker(sim.rng.IntN(20), fmt.Sprint("s", sim.rng.IntN(4)), "a")
 		if stageOf(g.Key) == "encode" && !g.First {
 			if slices.Contains(g.Doubt, policy.Place{Zone: "a", Site: "s0"}) {
-				told++
+				informed++
 				at.Site = "s1"
 			} else {
-				late++
+				uninformed++
 			}
 			require.NotContains(t, g.Doubt, policy.Place{Zone: "a", Site: "s1"})
 		}
 		if stageOf(g.Key) == "package" {
-			if o := w.machines[GroupOfRun(strings.Split(g.Key, "/")[1], 4)].state.Outputs[g.Inputs[0]]; o.Place.Site == "s0" {
-				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(w.rng.IntN(90), "s2", "b")}
+			if o := sim.machines[GroupOfRun(strings.Split(g.Key, "/")[1], 4)].state.Outputs[g.Inputs[0]]; o.Place.Site == "s0" {
+				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(sim.rng.IntN(90), "s2", "b")}
 			}
 		}
 		return Command{OK: true, Place: at}
 	}
 	for i := range 200 {
-		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
-	}
-	w.finish(200_000)
-	require.Equal(t, map[Kind]int{Done: 200}, w.endKinds(200, runID))
-	require.Greater(t, told, 5*late, "%d reruns knew, %d did not", told, late)
-	for _, m := range w.machines { // and the counts expire
-		w.now += 2 * claimRetention
-		m.Apply(0, w.now, Command{Op: OpTick}.Bytes())
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+	}
+	sim.finish(200_000)
+	require.Equal(t, map[Kind]int{Done: 200}, sim.endKinds(200, runID))
+	require.Greater(t, informed, 5*uninformed, "%d reruns knew, %d did not", informed, uninformed)
+	for _, m := range sim.machines { // and the counts expire
+		sim.now += 2 * claimRetention
+		m.Apply(0, sim.now, Command{Op: OpTick}.Bytes())
 		require.Empty(t, m.state.SiteFailures)
 	}
 }
@@ -315,10 +315,10 @@
 // Guards against reruns that avoid the site with most outputs, as it has most failures, and go to one whose few outputs
 // are all bad.
 func TestSitesAreRatedByFailureShare(t *testing.T) {
-	w := newSimulation(t, 16, 4, 40)
-	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
+	sim := newSimulation(t, 16, 4, 40)
+	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	made, kept, sent := 0, 0, 0
-	w.outcome = func(w *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Go) Command {
 		switch id := strings.Split(g.Key, "/")[1]; stageOf(g.Key) {
 		case "encode":
 			site := "s0"
@@ -331,80 +331,80 @@
 					sent += map[bool]int{true: 1}[!slices.Contains(g.Doubt, policy.Place{Zone: "a", Site: "s1"})]
 				}
 			}
-			return Command{OK: true, Place: worker(w.rng.IntN(20), site, "a")}
+			return Command{OK: true, Place: worker(sim.rng.IntN(20), site, "a")}
 		case "package":
-			o := w.machines[GroupOfRun(id, 4)].state.Outputs[g.Inputs[0]]
+			o := sim.machines[GroupOfRun(id, 4)].state.Outputs[g.Inputs[0]]
 			if o.Place.Site == "s1" || o.Place.Site == "s0" && isBad(g.Key) {
-				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(w.rng.IntN(90), "s2", "b")}
+				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(sim.rng.IntN(90), "s2", "b")}
 			}
 		}
-		return Command{OK: true, Place: worker(w.rng.IntN(90), "s2", "b")}
+		return Command{OK: true, Place: worker(sim.rng.IntN(90), "s2", "b")}
 	}
 	for i := range 300 {
-		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 		if i%20 == 19 {
-			w.finish(200_000)
+			sim.finish(200_000)
 		}
 	}
-	require.Equal(t, map[Kind]int{Done: 300}, w.endKinds(300, runID))
+	require.Equal(t, map[Kind]int{Done: 300}, sim.endKinds(300, runID))
 	require.Equal(t, []int{0, 0}, []int{kept, sent}, "reruns kept from the one, sent to the other")
 }
 
 // Guards against a second opinion on a stage's input at a site where that stage's own outputs are bad, so that it has to
 // run again.
 func TestSecondOpinionsAvoidFailingSites(t *testing.T) {
-	w := newSimulation(t, 17, 4, 40)
-	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
+	sim := newSimulation(t, 17, 4, 40)
+	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	bad := policy.Place{Zone: "a", Site: "s0"}
 	kept, sent := 0, 0
-	w.outcome = func(w *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Go) Command {
 		id := strings.Split(g.Key, "/")[1]
 		switch stageOf(g.Key) {
 		case "encode":
-			if g.First && w.rng.IntN(3) == 0 { // a false claim
+			if g.First && sim.rng.IntN(3) == 0 { // a false claim
 				return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(99, "s3", "b")}
 			}
 			site := "s1"
-			switch second := w.run(id).Stages[1].CheckedClaim != nil; {
+			switch second := sim.run(id).Stages[1].CheckedClaim != nil; {
 			case second && slices.Contains(g.Doubt, bad):
 				kept++
 			case second:
 				sent++
 				site = "s0"
 			case g.First:
-				site = []string{"s0", "s1", "s2"}[w.rng.IntN(3)]
+				site = []string{"s0", "s1", "s2"}[sim.rng.IntN(3)]
 			}
-			return Command{OK: true, Place: worker(w.rng.IntN(20), site, "a")}
+			return Command{OK: true, Place: worker(sim.rng.IntN(20), site, "a")}
 		case "package":
-			if w.machines[GroupOfRun(id, 4)].state.Outputs[g.Inputs[0]].Place.Site == "s0" {
-				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(w.rng.IntN(90), "s2", "b")}
+			if sim.machines[GroupOfRun(id, 4)].state.Outputs[g.Inputs[0]].Place.Site == "s0" {
+				return Command{Cause: policy.BadInput, Input: "encode", Place: worker(sim.rng.IntN(90), "s2", "b")}
 			}
 		}
-		return Command{OK: true, Place: worker(w.rng.IntN(90), "s2", "b")}
+		return Command{OK: true, Place: worker(sim.rng.IntN(90), "s2", "b")}
 	}
 	for i := range 200 {
-		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 		if i%20 == 19 {
-			w.finish(200_000)
+			sim.finish(200_000)
 		}
 		if i == 39 { // the site has failed often by now
 			kept, sent = 0, 0
 		}
 	}
-	require.Equal(t, map[Kind]int{Done: 200}, w.endKinds(200, runID))
+	require.Equal(t, map[Kind]int{Done: 200}, sim.endKinds(200, runID))
 	require.Greater(t, kept, 20)
 	require.Zero(t, sent, "of %d", kept+sent)
 }
 
 // A site comes back with its outputs lost: reruns for it start with a trial and then stay within its capacity.
 func TestLostOutputsArePaced(t *testing.T) {
-	w := newSimulation(t, 6, 4, 1000)
-	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
-	for g := range w.machines {
-		w.apply(uint32(g), Command{Op: OpRoom, Rooms: map[string]int{"a.s1": 6}})
+	sim := newSimulation(t, 6, 4, 1000)
+	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
+	for g := range sim.machines {
+		sim.apply(uint32(g), Command{Op: OpRoom, Rooms: map[string]int{"a.s1": 6}})
 	}
 	running, most := map[string]bool{}, 0
-	w.outcome = func(w *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Go) Command {
 		if stageOf(g.Key) == "package" && g.Of[0] == 1 {
 			return Command{Cause: policy.OutputLost, Input: "encode"}
 		}
@@ -418,58 +418,58 @@
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	for i := range 300 {
-		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
-	w.finish(200_000)
-	require.Equal(t, map[Kind]int{Done: 300}, w.endKinds(300, runID))
+	sim.finish(200_000)
+	require.Equal(t, map[Kind]int{Done: 300}, sim.endKinds(300, runID))
 	require.LessOrEqual(t, most, 6)
-	require.Equal(t, 600, w.reruns, "each encode and its package once more, nothing else")
+	require.Equal(t, 600, sim.reruns, "each encode and its package once more, nothing else")
 }
 
 // Where an upstream stage stays bad, three trials show it, and all runs that wait for a verdict get their answer.
 func TestTrialsThatFail(t *testing.T) {
-	w := newSimulation(t, 7, 4, 1000)
-	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 1, "")))
-	w.outcome = func(w *simulation, g Go) Command {
+	sim := newSimulation(t, 7, 4, 1000)
+	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 1, "")))
+	sim.outcome = func(sim *simulation, g Go) Command {
 		if stageOf(g.Key) == "package" {
 			return Command{Cause: policy.BadInput, Input: "encode"}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	for i := range 100 {
-		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
-	w.finish(200_000)
-	require.Equal(t, map[Kind]int{Dead: 100}, w.endKinds(100, runID))
-	require.LessOrEqual(t, w.reruns, 2*maxFailedTrials)
+	sim.finish(200_000)
+	require.Equal(t, map[Kind]int{Dead: 100}, sim.endKinds(100, runID))
+	require.LessOrEqual(t, sim.reruns, 2*maxFailedTrials)
 }
 
 // A new policy version halves the budget during runs: those keep their own version to the end.
 func TestVersionHalvesTheBudget(t *testing.T) {
-	w := newSimulation(t, 8, 4, 1000)
-	w.policy(policyFile("1", "50%", "30s", filmPipeline("tenant:50%", 2, "")))
-	w.outcome = func(w *simulation, g Go) Command {
-		if stageOf(g.Key) == "package" && g.Of[0] == 1 && w.rng.IntN(3) == 0 {
+	sim := newSimulation(t, 8, 4, 1000)
+	sim.policy(policyFile("1", "50%", "30s", filmPipeline("tenant:50%", 2, "")))
+	sim.outcome = func(sim *simulation, g Go) Command {
+		if stageOf(g.Key) == "package" && g.Of[0] == 1 && sim.rng.IntN(3) == 0 {
 			return Command{Cause: policy.BadInput, Input: "encode"}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	for i := range 40 {
-		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
 	for range 300 {
-		w.step()
+		sim.step()
 	}
-	w.policy(policyFile("2", "25%", "30s", filmPipeline("tenant:25%", 2, "")))
+	sim.policy(policyFile("2", "25%", "30s", filmPipeline("tenant:25%", 2, "")))
 	for i := 40; i < 80; i++ {
-		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
-	}
-	w.finish(100_000)
-	require.Zero(t, w.endKinds(80, runID)[""])
-	require.Equal(t, "1", w.run("r0").Policy)
-	require.Equal(t, "2", w.run("r79").Policy)
-	for g := range w.machines {
-		r := w.apply(uint32(g), Command{Op: OpPolicy, Text: policyFile("2", "26%", "30s", filmPipeline("tenant:25%", 2, "")), Site: &site})
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+	}
+	sim.finish(100_000)
+	require.Zero(t, sim.endKinds(80, runID)[""])
+	require.Equal(t, "1", sim.run("r0").Policy)
+	require.Equal(t, "2", sim.run("r79").Policy)
+	for g := range sim.machines {
+		r := sim.apply(uint32(g), Command{Op: OpPolicy, Text: policyFile("2", "26%", "30s", filmPipeline("tenant:25%", 2, "")), Site: &site})
 		require.False(t, r.OK, "a version is one text")
 	}
 }
@@ -481,22 +481,22 @@
 }
 
 func randomFaults(t *rapid.T, faulty Faults) {
-	w := newSimulation(t, rapid.Uint64().Draw(t, "seed"), uint32(rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "groups")), rapid.IntRange(2, 40).Draw(t, "running"))
-	for _, m := range w.machines {
+	sim := newSimulation(t, rapid.Uint64().Draw(t, "seed"), uint32(rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "groups")), rapid.IntRange(2, 40).Draw(t, "running"))
+	for _, m := range sim.machines {
 		m.faults = faulty
 	}
-	w.duplicate = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "double")
-	again := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind in [\"never_ran\", \"refused\"]'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
-	w.policy(policyFile("1", rapid.SampledFrom([]string{"5%", "100%"}).Draw(t, "fleet"), rapid.SampledFrom([]string{"20s", "10m"}).Draw(t, "spare"), filmPipeline("tenant:20%", 2, again), twoResults))
+	sim.duplicate = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "double")
+	publishRule := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind in [\"never_ran\", \"refused\"]'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
+	sim.policy(policyFile("1", rapid.SampledFrom([]string{"5%", "100%"}).Draw(t, "fleet"), rapid.SampledFrom([]string{"20s", "10m"}).Draw(t, "spare"), filmPipeline("tenant:20%", 2, publishRule), twoResults))
 	faults := rapid.IntRange(0, 40).Draw(t, "faults")
-	w.outcome = func(w *simulation, g Go) Command {
-		at := worker(w.rng.IntN(6), fmt.Sprint("s", w.rng.IntN(3)), []string{"a", "b"}[w.rng.IntN(2)])
-		if w.rng.IntN(100) >= faults {
+	sim.outcome = func(sim *simulation, g Go) Command {
+		at := worker(sim.rng.IntN(6), fmt.Sprint("s", sim.rng.IntN(3)), []string{"a", "b"}[sim.rng.IntN(2)])
+		if sim.rng.IntN(100) >= faults {
 			return Command{OK: true, Place: at}
 		}
-		c := Command{Cause: policy.Causes[w.rng.IntN(len(policy.Causes))], Place: at}
+		c := Command{Cause: policy.Causes[sim.rng.IntN(len(policy.Causes))], Place: at}
 		if len(g.Inputs) > 0 {
-			c.Input = stageOf(g.Inputs[w.rng.IntN(len(g.Inputs))])
+			c.Input = stageOf(g.Inputs[sim.rng.IntN(len(g.Inputs))])
 		}
 		return c
 	}
@@ -504,25 +504,25 @@
 	assets := rapid.IntRange(1, n).Draw(t, "assets")
 	for i := range n {
 		if i%5 == 4 {
-			w.submit(runID(i), "two", "u", nil)
+			sim.submit(runID(i), "two", "u", nil)
 		} else {
-			w.submit(runID(i), "film", fmt.Sprint("t", i%2), map[string]string{"asset": fmt.Sprint("a", i%assets)})
+			sim.submit(runID(i), "film", fmt.Sprint("t", i%2), map[string]string{"asset": fmt.Sprint("a", i%assets)})
 		}
 	}
 	crash := rapid.IntRange(0, 30).Draw(t, "crash") // per thousand steps
 	for range 60_000 {
-		if !w.unfinished() || !w.step() {
+		if !sim.unfinished() || !sim.step() {
 			break
 		}
-		if w.rng.IntN(1000) < crash {
-			w.crash(uint32(w.rng.IntN(len(w.machines))))
+		if sim.rng.IntN(1000) < crash {
+			sim.crash(uint32(sim.rng.IntN(len(sim.machines))))
 		}
 	}
-	w.finish(0)
+	sim.finish(0)
 	for i := range n {
-		if _, told := w.answers[runID(i)]; !told {
-			e, _ := w.machines[GroupOfRun(runID(i), uint32(len(w.machines)))].Explain(runID(i))
-			require.Fail(t, "ended_not_once", "%s after %v, %d events left: %+v", runID(i), w.now-startAt, len(w.events), e)
+		if _, told := sim.answers[runID(i)]; !told {
+			e, _ := sim.machines[GroupOfRun(runID(i), uint32(len(sim.machines)))].Explain(runID(i))
+			require.Fail(t, "ended_not_once", "%s after %v, %d events left: %+v", runID(i), sim.now-startAt, len(sim.events), e)
 		}
 	}
 }
@@ -541,34 +541,34 @@
 		return failed.failed
 	}
 	shared := func(t require.TestingT, faulty Faults) {
-		w := newSimulation(t, 1, 4, 1000)
-		for _, m := range w.machines {
+		sim := newSimulation(t, 1, 4, 1000)
+		for _, m := range sim.machines {
 			m.faults = faulty
 		}
-		w.policy(policyFile("1", "100%", "1h", filmPipeline("fleet", 2, "")))
+		sim.policy(policyFile("1", "100%", "1h", filmPipeline("fleet", 2, "")))
 		begun := false // a verdict may exist from here on
-		w.outcome = func(w *simulation, g Go) Command {
+		sim.outcome = func(sim *simulation, g Go) Command {
 			if stageOf(g.Key) == "encode" && g.Of[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "ingest"}
 			}
 			begun = begun || stageOf(g.Key) == "encode"
 			return Command{OK: true, Place: worker(1, "s1", "a")}
 		}
-		w.duration = func(w *simulation, g Go) time.Duration {
+		sim.duration = func(sim *simulation, g Go) time.Duration {
 			if stageOf(g.Key) == "ingest" && !g.First {
 				return time.Minute
 			}
 			return time.Second
 		}
 		for i := range 20 {
-			w.submit(runID(i), "film", "t", map[string]string{"asset": "x"})
+			sim.submit(runID(i), "film", "t", map[string]string{"asset": "x"})
 		}
 		for range 4000 {
-			if !w.unfinished() || !w.step() {
+			if !sim.unfinished() || !sim.step() {
 				break
 			}
 			most := 0
-			for _, m := range w.machines {
+			for _, m := range sim.machines {
 				for _, p := range m.state.Fingerprints {
 					most = max(most, len(p.Trials))
 				}
@@ -577,44 +577,44 @@
 				require.LessOrEqual(t, most, 1, "trial skipped")
 			}
 		}
-		require.LessOrEqual(t, len(w.started["s/film/ingest/x"]), 2, "generation not compared: one bad output is made anew once")
+		require.LessOrEqual(t, len(sim.started["s/film/ingest/x"]), 2, "generation not compared: one bad output is made anew once")
 	}
 	grants := func(t require.TestingT, faulty Faults) {
-		w := newSimulation(t, 1, 4, 1000)
-		w.duplicate = 1
-		for _, m := range w.machines {
+		sim := newSimulation(t, 1, 4, 1000)
+		sim.duplicate = 1
+		for _, m := range sim.machines {
 			m.faults = faulty
 		}
-		w.policy(policyFile("1", "1%", "1m", filmPipeline("fleet", 2, "")))
-		w.outcome = func(w *simulation, g Go) Command {
+		sim.policy(policyFile("1", "1%", "1m", filmPipeline("fleet", 2, "")))
+		sim.outcome = func(sim *simulation, g Go) Command {
 			if stageOf(g.Key) == "package" && g.Of[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "encode"}
 			}
 			return Command{OK: true}
 		}
 		for i := range 20 {
-			w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+			sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 		}
-		w.finish(5000)
+		sim.finish(5000)
 	}
 	for _, c := range []struct {
-		name   string
-		faulty Faults
-		story  func(require.TestingT, Faults)
+		name     string
+		faulty   Faults
+		scenario func(require.TestingT, Faults)
 	}{
 		{"generation not compared", Faults{AnyGeneration: true, NoTrial: true}, shared},
 		{"trial skipped", Faults{NoTrial: true}, shared},
 		{"budget granted twice", Faults{GrantTwice: true}, grants},
 		{"unsafe rerun", Faults{Unsafe: true}, func(t require.TestingT, f Faults) {
-			w := newSimulation(t, 4, 3, 100)
-			for _, m := range w.machines {
+			sim := newSimulation(t, 4, 3, 100)
+			for _, m := range sim.machines {
 				m.faults = f
 			}
-			rerunUnsafe(w)
+			rerunUnsafe(sim)
 		}},
 	} {
-		require.False(t, caught(func(t require.TestingT) { c.story(t, Faults{}) }), "%s: the rule as it is", c.name)
-		require.True(t, caught(func(t require.TestingT) { c.story(t, c.faulty) }), "%s: nobody noticed", c.name)
+		require.False(t, caught(func(t require.TestingT) { c.scenario(t, Faults{}) }), "%s: the rule as it is", c.name)
+		require.True(t, caught(func(t require.TestingT) { c.scenario(t, c.faulty) }), "%s: nobody noticed", c.name)
 		fmt.Println("rerun mutant caught:", c.name)
 	}
 }
@@ -646,19 +646,19 @@
 			asset = fmt.Sprint("x", i)
 		}
 	}
-	w := newSimulation(t, 1, groups, 100)
-	w.policy(policyFile("1", "100%", "1h", filmPipeline("fleet", 2, "")))
+	sim := newSimulation(t, 1, groups, 100)
+	sim.policy(policyFile("1", "100%", "1h", filmPipeline("fleet", 2, "")))
 	key := "s/film/ingest/" + asset
-	w.outcome = func(w *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Go) Command {
 		if stageOf(g.Key) == "encode" && g.Of[0] == 1 {
 			return Command{Cause: policy.BadInput, Input: "ingest"}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
-	w.submit(a, "film", "t", map[string]string{"asset": asset})
-	w.submit(b, "film", "t", map[string]string{"asset": asset})
-	for w.run(a).Stages[1].Pending == nil || w.run(b).Stages[1].Pending == nil { // until both report it as bad
-		require.True(t, w.step())
+	sim.submit(a, "film", "t", map[string]string{"asset": asset})
+	sim.submit(b, "film", "t", map[string]string{"asset": asset})
+	for sim.run(a).Stages[1].Pending == nil || sim.run(b).Stages[1].Pending == nil { // until both report it as bad
+		require.True(t, sim.step())
 	}
 	type node struct {
 		ms      []*Machine
@@ -667,8 +667,8 @@
 		lost    int  // lost confirmations
 		where   []uint32
 	}
-	begin := node{now: w.now}
-	for _, m := range w.machines {
+	begin := node{now: sim.now}
+	for _, m := range sim.machines {
 		begin.ms = append(begin.ms, clone(m))
 	}
 	seen := map[[32]byte]bool{}
@@ -711,7 +711,7 @@
 			require.LessOrEqual(t, o.LastGen, int64(2), "one rerun")
 		}
 		moved := false
-		go1 := func(c node) {
+		explore := func(c node) {
 			moved = true
 			transitions++
 			visit(c, d+1)
@@ -726,17 +726,17 @@
 					c := copyOf(n, g)
 					require.True(t, apply(&c, g, Command{Op: OpStart, Key: act.Key, Gen: act.Gen, By: "d"}).OK)
 					c.running, c.where = append(c.running, act), append(c.where, g)
-					go1(c)
+					explore(c)
 				case Deliver:
 					c := copyOf(n, g, act.To) // applied and confirmed,
 					r := apply(&c, act.To, Command{Op: OpLetters, Group: g, Letters: act.Letters[:1]})
 					apply(&c, g, Command{Op: OpSent, Group: act.To, Seq: r.Seq})
-					go1(c)
+					explore(c)
 					if n.lost < mostLost { // or applied, and the confirmation is lost
 						c = copyOf(n, act.To)
 						c.lost++
 						apply(&c, act.To, Command{Op: OpLetters, Group: g, Letters: act.Letters[:1]})
-						go1(c)
+						explore(c)
 					}
 				}
 			}
@@ -747,7 +747,7 @@
 			end := Command{Op: OpEnd, Key: run.Key, Gen: run.Gen, OK: true, Place: worker(1, "s1", "a")}
 			require.True(t, apply(&c, n.where[i], end).OK)
 			require.False(t, apply(&c, n.where[i], end).OK, "told twice")
-			go1(c)
+			explore(c)
 		}
 		for g := range groups { // advance the time, only while a rule's backoff is next
 			if m := n.ms[g]; len(m.timers) > 0 && m.timers[0].kind == "wait" {
@@ -755,7 +755,7 @@
 				c := copyOf(n, g)
 				c.now = max(c.now, at)
 				apply(&c, g, Command{Op: OpTick})
-				go1(c)
+				explore(c)
 			}
 		}
 		if !moved {
@@ -792,13 +792,13 @@
 // Both inputs are bad, and package reports one at a time: that the other one is bad is no verdict on the first one's
 // rerun, so that no run waiting for that verdict is denied.
 func TestOtherBadInputIsNoTrialVerdict(t *testing.T) {
-	w := newSimulation(t, 9, 4, 1000)
+	sim := newSimulation(t, 9, 4, 1000)
 	stage := func(name, needs string) string {
 		return fmt.Sprintf("[[pipeline.stage]]\nname=%q\nclass=\"light\"\nwork=\"5s\"\nneeds=[%s]\n", name, needs)
 	}
-	w.policy(policyFile("1", "100%", "60m", "[[pipeline]]\nname=\"pair\"\nresult=[\"package\"]\nwithin=\"1h\"\n"+stage("high", "")+stage("low", "")+stage("package", `"high","low"`)+
+	sim.policy(policyFile("1", "100%", "60m", "[[pipeline]]\nname=\"pair\"\nresult=[\"package\"]\nwithin=\"1h\"\n"+stage("high", "")+stage("low", "")+stage("package", `"high","low"`)+
 		"[[pipeline.rerun]]\non=\"package\"\nwhen='cause.kind == \"bad_input\"'\nrerun=\"cause.input\"\nmost=3\nbudget=\"fleet\"\n"))
-	w.outcome = func(w *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Go) Command {
 		if stageOf(g.Key) == "package" {
 			for i, name := range []string{"high", "low"} {
 				if g.Of[i] == 1 {
@@ -809,20 +809,20 @@
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	for i := range 20 {
-		w.submit(runID(i), "pair", "t", nil)
+		sim.submit(runID(i), "pair", "t", nil)
 	}
-	w.finish(50_000)
-	require.Equal(t, map[Kind]int{Done: 20}, w.endKinds(20, runID))
-	require.Equal(t, 20*4, w.reruns)
+	sim.finish(50_000)
+	require.Equal(t, map[Kind]int{Done: 20}, sim.endKinds(20, runID))
+	require.Equal(t, 20*4, sim.reruns)
 }
 
 // Guards against a second opinion that clears an input counting as a good verdict on reruns for its place, so that two
 // of these run before there is a real verdict.
 func TestSecondOpinionIsNoTrialVerdict(t *testing.T) {
-	w := newSimulation(t, 14, 4, 1000)
-	w.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
+	sim := newSimulation(t, 14, 4, 1000)
+	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	first, verdict, out, most, opinions := map[string]string{"r0": "s2", "r1": "s2"}, false, map[string]bool{}, 0, 0
-	w.outcome = func(w *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Go) Command {
 		id := strings.Split(g.Key, "/")[1]
 		encode := strings.Replace(g.Key, "package", "encode", 1)
 		switch stage := stageOf(g.Key); {
@@ -834,7 +834,7 @@
 		case stage == "package" && id <= "r2" && g.Gen == 1: // the third false claim is checked first
 			return Command{Cause: policy.BadInput, Input: "encode", Place: worker(3, "s3", "b")}
 		case stage == "package" && id > "r2" && g.Of[0] == 1:
-			return Command{Cause: policy.BadInput, Input: "encode", Place: worker(10+w.rng.IntN(90), "s3", "b")}
+			return Command{Cause: policy.BadInput, Input: "encode", Place: worker(10+sim.rng.IntN(90), "s3", "b")}
 		case stage == "package" && id > "r2":
 			verdict = true
 			delete(out, encode)
@@ -845,40 +845,40 @@
 	}
 	for i := range 9 {
 		if i == 2 || i == 3 {
-			w.finish(10_000)
+			sim.finish(10_000)
 		}
-		w.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
-	w.finish(10_000)
-	require.Equal(t, map[Kind]int{Done: 9}, w.endKinds(9, runID))
-	require.Len(t, w.started["r/r2/encode"], 1)
+	sim.finish(10_000)
+	require.Equal(t, map[Kind]int{Done: 9}, sim.endKinds(9, runID))
+	require.Len(t, sim.started["r/r2/encode"], 1)
 	require.Equal(t, 1, opinions)
 	require.Equal(t, 1, most, "reruns out at once before the first verdict")
 }
 
 // A stage without any report is late after its own time limit, not its pipeline's, and runs again.
 func TestStageIsLate(t *testing.T) {
-	w := newSimulation(t, 10, 3, 100)
-	w.policy(policyFile("1", "100%", "60m", strings.Replace(filmPipeline("fleet", 1, ""), "class=\"encode\"\nwork=\"10s\"", "class=\"encode\"\nwork=\"10s\"\nwithin=\"30s\"", 1)))
-	w.duration = func(w *simulation, g Go) time.Duration {
+	sim := newSimulation(t, 10, 3, 100)
+	sim.policy(policyFile("1", "100%", "60m", strings.Replace(filmPipeline("fleet", 1, ""), "class=\"encode\"\nwork=\"10s\"", "class=\"encode\"\nwork=\"10s\"\nwithin=\"30s\"", 1)))
+	sim.duration = func(sim *simulation, g Go) time.Duration {
 		if stageOf(g.Key) == "encode" && g.Gen == 1 {
 			return time.Hour
 		}
 		return time.Second
 	}
-	w.submit("r0", "film", "t", map[string]string{"asset": "x"})
-	w.finish(1000)
-	r := w.run("r0")
+	sim.submit("r0", "film", "t", map[string]string{"asset": "x"})
+	sim.finish(1000)
+	r := sim.run("r0")
 	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
 	require.Less(t, r.Answer.At-r.Began, time.Minute)
-	require.Len(t, w.started["r/r0/encode"], 2)
+	require.Len(t, sim.started["r/r0/encode"], 2)
 }
 
 // Guards against ending a stage that must not run twice, as late, before the end of its promised job, which comes with
 // the job's deadline or a second later plus the time of the replicated log. It is late if nothing was reported a minute
 // after that.
 func TestOnceStageWaitsForJobEnd(t *testing.T) {
-	again := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind == \"never_ran\"'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
+	publishRule := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind == \"never_ran\"'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
 	for _, c := range []struct {
 		name  string
 		takes time.Duration
@@ -892,27 +892,27 @@
 		{"nothing is heard of it", time.Hour, Command{OK: true}, Person, policy.Late},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newSimulation(t, 11, 3, 100)
-			w.policy(policyFile("1", "100%", "60m", strings.Replace(filmPipeline("fleet", 1, again), "work=\"1s\"", "work=\"1s\"\nwithin=\"30s\"", 1)))
+			sim := newSimulation(t, 11, 3, 100)
+			sim.policy(policyFile("1", "100%", "60m", strings.Replace(filmPipeline("fleet", 1, publishRule), "work=\"1s\"", "work=\"1s\"\nwithin=\"30s\"", 1)))
 			first := func(g Go) bool { return stageOf(g.Key) == "publish" && g.Gen == 1 }
-			w.duration = func(w *simulation, g Go) time.Duration {
+			sim.duration = func(sim *simulation, g Go) time.Duration {
 				if first(g) {
 					return c.takes
 				}
 				return time.Second
 			}
-			w.outcome = func(w *simulation, g Go) Command {
+			sim.outcome = func(sim *simulation, g Go) Command {
 				if first(g) {
 					return c.ends
 				}
 				return Command{OK: true}
 			}
-			w.submit("r0", "film", "t", map[string]string{"asset": "x"})
-			w.finish(1000)
-			a := w.run("r0").Answer
+			sim.submit("r0", "film", "t", map[string]string{"asset": "x"})
+			sim.finish(1000)
+			a := sim.run("r0").Answer
 			require.Equal(t, c.want, a.Kind, "%+v", a)
 			require.Equal(t, c.cause, a.Cause)
-			require.Less(t, a.At-w.run("r0").Began, 2*time.Minute)
+			require.Less(t, a.At-sim.run("r0").Began, 2*time.Minute)
 		})
 	}
 }
--- a/internal/rerun/schedule.go
+++ b/internal/rerun/schedule.go
@@ -135,7 +135,7 @@
 
 // Actions returns what is to be done now: first runs before reruns, up to the maximum that may run at once.
 func (m *Machine) Actions() (all []Action) {
-	queued := m.executionsWhere(func(t *Turn) bool { return t.Phase == Queued })
+	queued := m.executionsWhere(func(e *Turn) bool { return e.Phase == Queued })
 	room := m.config.Running - m.state.Running
 	for _, first := range []bool{true, false} {
 		for _, o := range queued {
@@ -158,7 +158,7 @@
 
 // Running returns the executions that a dispatcher, or any (""), has started and that have not ended.
 func (m *Machine) Running(by string) (all []Go) {
-	for _, o := range m.executionsWhere(func(t *Turn) bool { return t.Phase == Started && (by == "" || t.By == by) }) {
+	for _, o := range m.executionsWhere(func(e *Turn) bool { return e.Phase == Started && (by == "" || e.By == by) }) {
 		all = append(all, Go{o.Key, *o.Execution})
 	}
 	return all
--- a/internal/rerun/simulation_test.go
+++ b/internal/rerun/simulation_test.go
@@ -103,8 +103,8 @@
 	checks     int
 	answers    map[string]Answer
 	// outcome returns the result of an execution.
-	outcome   func(w *simulation, g Go) Command
-	duration  func(w *simulation, g Go) time.Duration
+	outcome   func(sim *simulation, g Go) Command
+	duration  func(sim *simulation, g Go) time.Duration
 	duplicate float64
 }
 
@@ -117,109 +117,109 @@
 const startAt = 1_700_000_000 * time.Second
 
 func newSimulation(t require.TestingT, seed uint64, groups uint32, running int) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: startAt, dead: map[string]bool{}, leaderTerm: make([]int, groups), started: map[string]map[int64]int{},
 		answers: map[string]Answer{}, begun: map[string]map[string]int{}, neverRan: map[string]bool{},
 		outcome: func(*simulation, Go) Command { return Command{OK: true} },
-		duration: func(w *simulation, g Go) time.Duration {
-			return g.Work/2 + time.Duration(w.rng.Int64N(int64(g.Work/2)))
+		duration: func(sim *simulation, g Go) time.Duration {
+			return g.Work/2 + time.Duration(sim.rng.Int64N(int64(g.Work/2)))
 		},
 	}
 	for g := range groups {
-		w.machines = append(w.machines, New(Config{Group: g, Groups: groups, Running: running}))
+		sim.machines = append(sim.machines, New(Config{Group: g, Groups: groups, Running: running}))
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) after(d time.Duration, do func()) {
-	w.seq++
-	w.events = append(w.events, event{w.now + d, w.seq, do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.seq++
+	sim.events = append(sim.events, event{sim.now + d, sim.seq, do})
 }
 
-func (w *simulation) apply(group uint32, c Command) Result {
-	r, err := ReadResult(w.machines[group].Apply(0, w.now, c.Bytes()))
-	require.NoError(w.t, err)
+func (sim *simulation) apply(group uint32, c Command) Result {
+	r, err := ReadResult(sim.machines[group].Apply(0, sim.now, c.Bytes()))
+	require.NoError(sim.t, err)
 	return r
 }
 
-func (w *simulation) policy(text string) {
-	for g := range w.machines {
-		r := w.apply(uint32(g), Command{Op: OpPolicy, Text: text, Site: &site})
-		require.True(w.t, r.OK, r.Why)
+func (sim *simulation) policy(text string) {
+	for g := range sim.machines {
+		r := sim.apply(uint32(g), Command{Op: OpPolicy, Text: text, Site: &site})
+		require.True(sim.t, r.OK, r.Why)
 	}
 }
 
-func (w *simulation) submit(id, pipeline, tenant string, params map[string]string) {
-	r := w.apply(GroupOfRun(id, uint32(len(w.machines))), Command{Op: OpSubmit, ID: id, Pipeline: pipeline, Tenant: tenant, Params: params})
-	require.True(w.t, r.OK, r.Why)
+func (sim *simulation) submit(id, pipeline, tenant string, params map[string]string) {
+	r := sim.apply(GroupOfRun(id, uint32(len(sim.machines))), Command{Op: OpSubmit, ID: id, Pipeline: pipeline, Tenant: tenant, Params: params})
+	require.True(sim.t, r.OK, r.Why)
 }
 
-func (w *simulation) run(id string) *Run {
-	return w.machines[GroupOfRun(id, uint32(len(w.machines)))].Run(id)
+func (sim *simulation) run(id string) *Run {
+	return sim.machines[GroupOfRun(id, uint32(len(sim.machines)))].Run(id)
 }
 
-func (w *simulation) leader(g uint32) string { return fmt.Sprintf("d%d.%d", g, w.leaderTerm[g]) }
+func (sim *simulation) leader(g uint32) string { return fmt.Sprintf("d%d.%d", g, sim.leaderTerm[g]) }
 
 // crash replaces the leader of a group. The outcome of the old leader's executions is unknown.
-func (w *simulation) crash(g uint32) {
-	old := w.leader(g)
-	w.dead[old] = true
-	w.leaderTerm[g]++
-	w.apply(g, Command{Op: OpTakeOver, By: old})
-	text, err := w.machines[g].Snapshot()
-	require.NoError(w.t, err)
-	next := New(w.machines[g].config)
-	next.faults = w.machines[g].faults
-	require.NoError(w.t, next.Restore(text))
+func (sim *simulation) crash(g uint32) {
+	old := sim.leader(g)
+	sim.dead[old] = true
+	sim.leaderTerm[g]++
+	sim.apply(g, Command{Op: OpTakeOver, By: old})
+	text, err := sim.machines[g].Snapshot()
+	require.NoError(sim.t, err)
+	next := New(sim.machines[g].config)
+	next.faults = sim.machines[g].faults
+	require.NoError(sim.t, next.Restore(text))
 	again, err := next.Snapshot()
-	require.NoError(w.t, err)
-	require.JSONEq(w.t, string(text), string(again))
-	w.machines[g] = next
+	require.NoError(sim.t, err)
+	require.JSONEq(sim.t, string(text), string(again))
+	sim.machines[g] = next
 }
 
 // step performs the actions of each group's leader, then advances to the next event or timer; false if nothing is left.
-func (w *simulation) step() bool {
+func (sim *simulation) step() bool {
 	for moved := true; moved; {
 		moved = false
-		for g := range w.machines {
-			moved = w.act(uint32(g)) || moved
+		for g := range sim.machines {
+			moved = sim.act(uint32(g)) || moved
 		}
 	}
 	next := time.Duration(0)
-	for _, m := range w.machines {
-		if at := m.NextTimer(); at > 0 && (next == 0 || at < next) && w.unfinished() {
+	for _, m := range sim.machines {
+		if at := m.NextTimer(); at > 0 && (next == 0 || at < next) && sim.unfinished() {
 			next = at
 		}
 	}
-	slices.SortFunc(w.events, func(a, b event) int {
+	slices.SortFunc(sim.events, func(a, b event) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
 		return a.seq - b.seq
 	})
-	if len(w.events) > 0 && (next == 0 || w.events[0].at <= next) {
-		e := w.events[0]
-		w.events = w.events[1:]
-		w.now = max(w.now, e.at)
+	if len(sim.events) > 0 && (next == 0 || sim.events[0].at <= next) {
+		e := sim.events[0]
+		sim.events = sim.events[1:]
+		sim.now = max(sim.now, e.at)
 		e.do()
-		w.check()
+		sim.check()
 		return true
 	}
 	if next == 0 {
 		return false
 	}
-	w.now = max(w.now, next)
-	for g, m := range w.machines {
-		if at := m.NextTimer(); at > 0 && at <= w.now {
-			w.apply(uint32(g), Command{Op: OpTick})
+	sim.now = max(sim.now, next)
+	for g, m := range sim.machines {
+		if at := m.NextTimer(); at > 0 && at <= sim.now {
+			sim.apply(uint32(g), Command{Op: OpTick})
 		}
 	}
-	w.check()
+	sim.check()
 	return true
 }
 
-func (w *simulation) unfinished() bool {
-	for _, m := range w.machines {
+func (sim *simulation) unfinished() bool {
+	for _, m := range sim.machines {
 		if _, open := m.Size(); open > 0 {
 			return true
 		}
@@ -227,129 +227,129 @@
 	return false
 }
 
-func (w *simulation) act(g uint32) (moved bool) {
-	for _, a := range w.machines[g].Actions() {
+func (sim *simulation) act(g uint32) (moved bool) {
+	for _, a := range sim.machines[g].Actions() {
 		switch a := a.(type) {
 		case Go:
-			moved = w.startExecution(g, a) || moved
+			moved = sim.startExecution(g, a) || moved
 		case Deliver:
 			top := a.Letters[len(a.Letters)-1].Seq
-			if w.rng.Float64() < w.duplicate { // duplicate delivery, as if the first confirmation had been lost
-				w.apply(a.To, Command{Op: OpLetters, Group: g, Letters: a.Letters})
+			if sim.rng.Float64() < sim.duplicate { // duplicate delivery, as if the first confirmation had been lost
+				sim.apply(a.To, Command{Op: OpLetters, Group: g, Letters: a.Letters})
 			}
 			moved = true
-			r := w.apply(a.To, Command{Op: OpLetters, Group: g, Letters: a.Letters})
-			require.LessOrEqual(w.t, r.Seq, top)
+			r := sim.apply(a.To, Command{Op: OpLetters, Group: g, Letters: a.Letters})
+			require.LessOrEqual(sim.t, r.Seq, top)
 			if r.Seq > 0 {
-				w.apply(g, Command{Op: OpSent, Group: a.To, Seq: r.Seq})
+				sim.apply(g, Command{Op: OpSent, Group: a.To, Seq: r.Seq})
 			}
 		}
 	}
 	return moved
 }
 
-func (w *simulation) startExecution(g uint32, a Go) bool {
-	by := w.leader(g)
-	if !w.apply(g, Command{Op: OpStart, Key: a.Key, Gen: a.Gen, By: by}).OK {
+func (sim *simulation) startExecution(g uint32, a Go) bool {
+	by := sim.leader(g)
+	if !sim.apply(g, Command{Op: OpStart, Key: a.Key, Gen: a.Gen, By: by}).OK {
 		return false
 	}
-	if w.started[a.Key] == nil {
-		w.started[a.Key] = map[int64]int{}
+	if sim.started[a.Key] == nil {
+		sim.started[a.Key] = map[int64]int{}
 	}
 	if a.Once {
-		for gen := range w.started[a.Key] {
-			require.True(w.t, w.neverRan[fmt.Sprint(a.Key, "@", gen)], "doubled_unsafe: %s generation %d after %d", a.Key, a.Gen, gen)
+		for gen := range sim.started[a.Key] {
+			require.True(sim.t, sim.neverRan[fmt.Sprint(a.Key, "@", gen)], "doubled_unsafe: %s generation %d after %d", a.Key, a.Gen, gen)
 		}
 	}
-	w.started[a.Key][a.Gen]++
-	require.Equal(w.t, 1, w.started[a.Key][a.Gen], "one generation is made once")
+	sim.started[a.Key][a.Gen]++
+	require.Equal(sim.t, 1, sim.started[a.Key][a.Gen], "one generation is made once")
 	if !a.First {
-		w.reruns++
+		sim.reruns++
 	}
-	if w.begun[a.Run] == nil {
-		w.begun[a.Run] = map[string]int{}
+	if sim.begun[a.Run] == nil {
+		sim.begun[a.Run] = map[string]int{}
 	}
-	w.begun[a.Run][a.Name]++
-	c := w.outcome(w, a)
+	sim.begun[a.Run][a.Name]++
+	c := sim.outcome(sim, a)
 	c.Op, c.Key, c.Gen = OpEnd, a.Key, a.Gen
 	if !c.OK && !c.Cause.Ran() {
-		w.neverRan[fmt.Sprint(a.Key, "@", a.Gen)] = true
+		sim.neverRan[fmt.Sprint(a.Key, "@", a.Gen)] = true
 	}
-	w.after(w.duration(w, a), func() {
-		if w.dead[by] {
+	sim.after(sim.duration(sim, a), func() {
+		if sim.dead[by] {
 			return // its dispatcher is gone
 		}
-		w.apply(g, c)
-		if w.rng.Float64() < w.duplicate { // duplicate report
-			require.False(w.t, w.apply(g, c).OK, "a stage is answered once")
+		sim.apply(g, c)
+		if sim.rng.Float64() < sim.duplicate { // duplicate report
+			require.False(sim.t, sim.apply(g, c).OK, "a stage is answered once")
 		}
 	})
 	return true
 }
 
 // check verifies the invariants.
-func (w *simulation) check() {
-	if w.checks++; w.unfinished() && len(w.begun) > 100 && w.checks%100 > 0 { // with many runs, only every hundredth time
+func (sim *simulation) check() {
+	if sim.checks++; sim.unfinished() && len(sim.begun) > 100 && sim.checks%100 > 0 { // with many runs, only every hundredth time
 		return
 	}
-	for _, m := range w.machines {
+	for _, m := range sim.machines {
 		for id, r := range m.state.Runs {
 			if r.Answer != nil {
-				if before, told := w.answers[id]; told {
-					require.Equal(w.t, before, *r.Answer, "ended_not_once")
+				if before, told := sim.answers[id]; told {
+					require.Equal(sim.t, before, *r.Answer, "ended_not_once")
 				}
-				w.answers[id] = *r.Answer
+				sim.answers[id] = *r.Answer
 			}
 		}
 	}
 	spent, has, given := map[string]int64{}, map[string]int64{}, map[string]int64{}
-	for _, m := range w.machines {
+	for _, m := range sim.machines {
 		for name, a := range m.state.Accounts {
-			require.GreaterOrEqual(w.t, a.Balance, int64(0))
+			require.GreaterOrEqual(sim.t, a.Balance, int64(0))
 			spent[name] += a.Spent
 			has[name] += a.Balance
 			given[name] += a.Accrued
 		}
 		for key, p := range m.state.Pools {
 			name := strings.TrimPrefix(key, "b/")
-			require.GreaterOrEqual(w.t, p.Balance, int64(0))
+			require.GreaterOrEqual(sim.t, p.Balance, int64(0))
 			has[name] += p.Balance
 			given[name] += p.Spare
 		}
 		for _, p := range m.state.Fingerprints {
 			if !m.faults.NoTrial {
-				require.LessOrEqual(w.t, len(p.Trials), max(defaultCapacity, 32), "flood")
+				require.LessOrEqual(sim.t, len(p.Trials), max(defaultCapacity, 32), "flood")
 			}
 		}
 	}
 	for name := range spent {
-		require.LessOrEqual(w.t, spent[name], given[name], "budget_passed: %s", name)
-		require.LessOrEqual(w.t, spent[name]+has[name], given[name], "%s is there twice", name)
+		require.LessOrEqual(sim.t, spent[name], given[name], "budget_passed: %s", name)
+		require.LessOrEqual(sim.t, spent[name]+has[name], given[name], "%s is there twice", name)
 	}
-	for id, stages := range w.begun {
-		if r := w.run(id); r != nil {
+	for id, stages := range sim.begun {
+		if r := sim.run(id); r != nil {
 			for i, s := range r.pipeline.Stages {
-				require.LessOrEqual(w.t, stages[s.Name], r.pipeline.Bound.Runs[i], "bound_passed: %s of %s", s.Name, id)
+				require.LessOrEqual(sim.t, stages[s.Name], r.pipeline.Bound.Runs[i], "bound_passed: %s of %s", s.Name, id)
 			}
 		}
 	}
 }
 
 // finish steps until all runs have answers, or the number of steps is reached.
-func (w *simulation) finish(steps int) {
+func (sim *simulation) finish(steps int) {
 	for range steps {
-		if !w.unfinished() || !w.step() {
+		if !sim.unfinished() || !sim.step() {
 			break
 		}
 	}
-	w.checks = 99
-	w.check()
+	sim.checks = 99
+	sim.check()
 }
 
-func (w *simulation) endKinds(n int, id func(int) string) map[Kind]int {
+func (sim *simulation) endKinds(n int, id func(int) string) map[Kind]int {
 	kinds := map[Kind]int{}
 	for i := range n {
-		kinds[w.answers[id(i)].Kind]++
+		kinds[sim.answers[id(i)].Kind]++
 	}
 	return kinds
 }
