--- a/internal/rerun/claims.go
+++ b/internal/rerun/claims.go
@@ -180,10 +180,10 @@
 // accepted a shared output. The run itself checks its own stages.
 func (m *Machine) handleChallenge(msg *Message) {
 	o := m.state.Outputs[msg.To]
-	content := o != nil && o.Gen == msg.Gen && slices.ContainsFunc(o.Approvals, func(a Approval) bool {
+	accepted := o != nil && o.Gen == msg.Gen && slices.ContainsFunc(o.Approvals, func(a Approval) bool {
 		return a.Run != msg.From && a.Worker != msg.Worker
 	})
-	m.send(Message{Kind: "challenged", To: "r/" + msg.From, Stage: msg.Stage, OK: content})
+	m.send(Message{Kind: "challenged", To: "r/" + msg.From, Stage: msg.Stage, OK: accepted})
 }
 
 // handleClaim applies a message to the record of a worker's claims. The first claims are believed. While those are
--- a/internal/rerun/diamond_test.go
+++ b/internal/rerun/diamond_test.go
@@ -108,16 +108,16 @@
 // Guards against rerunning an input and everything downstream on the claim of a single worker, although another stage's
 // worker accepted it.
 func TestClaimOnInputAcceptedByAnotherStageIsChecked(t *testing.T) {
-	for _, lies := range []bool{true, false} {
+	for _, falseClaim := range []bool{true, false} {
 		sim, r := runDiamond(t, func(g Go) Command {
-			if stageOf(g.Key) == "left" && g.Of[0] == 1 && (g.Gen == 1 || !lies) {
+			if stageOf(g.Key) == "left" && g.Of[0] == 1 && (g.Gen == 1 || !falseClaim) {
 				return Command{Cause: policy.BadInput, Input: "source", Place: worker(7+int(g.Gen), "s3", "b")}
 			}
 			return Command{OK: true}
 		})
 		require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
 		want := map[string]int{"source": 1, "left": 2, "right": 1, "join": 1, "publish": 1}
-		if !lies { // the second worker confirms
+		if !falseClaim { // the second worker confirms
 			want["source"], want["left"], want["right"] = 2, 3, 2
 		}
 		require.Equal(t, want, sim.generations(), "%v", r.History)
@@ -127,12 +127,12 @@
 // Guards against rerunning a shared input, and everything downstream in several runs, on the claim of a single worker,
 // although the worker of another run accepted it.
 func TestClaimOnSharedInputAcceptedByAnotherRunIsChecked(t *testing.T) {
-	for _, lies := range []bool{true, false} {
+	for _, falseClaim := range []bool{true, false} {
 		sim := newSimulation(t, 22, 4, 100)
 		sim.duplicate = 0.5
 		sim.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
 		sim.outcome = func(_ *simulation, g Go) Command {
-			if strings.HasPrefix(g.Key, "r/r1/encode") && g.Of[0] == 1 && (g.Gen == 1 || !lies) {
+			if strings.HasPrefix(g.Key, "r/r1/encode") && g.Of[0] == 1 && (g.Gen == 1 || !falseClaim) {
 				return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(7+int(g.Gen), "s3", "b")}
 			}
 			return Command{OK: true, Place: worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")}
@@ -141,10 +141,10 @@
 			sim.submit(runID(i), "film", "t", map[string]string{"asset": "one"})
 			sim.finish(2000)
 		}
-		story := sim.run("r1").History
-		require.Equal(t, map[Kind]int{Done: 2}, sim.endKinds(2, runID), "%v", story)
-		require.Len(t, sim.started["s/film/ingest/one"], map[bool]int{true: 1, false: 2}[lies], "%v", story)
-		require.Len(t, sim.started["r/r1/encode"], map[bool]int{true: 2, false: 3}[lies], "%v", story)
+		history := sim.run("r1").History
+		require.Equal(t, map[Kind]int{Done: 2}, sim.endKinds(2, runID), "%v", history)
+		require.Len(t, sim.started["s/film/ingest/one"], map[bool]int{true: 1, false: 2}[falseClaim], "%v", history)
+		require.Len(t, sim.started["r/r1/encode"], map[bool]int{true: 2, false: 3}[falseClaim], "%v", history)
 	}
 }
 
@@ -234,7 +234,7 @@
 		require.True(t, sim.step())
 	}
 	require.True(t, waited["until left is run again"])
-	require.True(t, waited["which d"], "whom it runs by")
+	require.True(t, waited["which d"], "names the dispatcher")
 	e := explain()
 	require.Equal(t, "7", e.Policy)
 	require.Equal(t, 2, e.Reruns, "left, join, and nothing else: %v", e.Story)
--- a/internal/rerun/plant/cluster_test.go
+++ b/internal/rerun/plant/cluster_test.go
@@ -172,7 +172,7 @@
 		}
 	}
 	require.LessOrEqual(s, published, 1, "%v", s.Runs())
-	require.LessOrEqual(s, gens["encode"], int64(3), "at most one more than the spoilt one asks for: %v", s.Runs())
+	require.LessOrEqual(s, gens["encode"], int64(3), "at most one more than the bad one requires: %v", s.Runs())
 	if answer.Kind == "done" {
 		require.Equal(s, 1, published, "%v", s.Runs())
 		return answer
--- a/internal/rerun/policy/condition.go
+++ b/internal/rerun/policy/condition.go
@@ -123,16 +123,16 @@
 			}
 			hint = siteconf.Nearest(wrong, names, "; the names are "+strings.Join(names, ", "))
 		} else {
-			hint = `; write such as cause.kind == "failed" && cause.ran < duration("10s")`
+			hint = `; write for example cause.kind == "failed" && cause.ran < duration("10s")`
 		}
 		return nil, fmt.Errorf("column %d: %s%s", e.Location.Column()+1, strings.ReplaceAll(e.Message, "\n", " "), hint)
 	}
 	if checked.OutputType() != cel.BoolType {
-		return nil, fmt.Errorf(`it is no yes or no but %s: write such as cause.kind == "failed"`, checked.OutputType())
+		return nil, fmt.Errorf(`the condition must be a bool, not %s: write for example cause.kind == "failed"`, checked.OutputType())
 	}
 	cost, err := environment.EstimateCost(checked, sizes{})
 	if err != nil {
-		return nil, fmt.Errorf("its cost cannot be told: %w; write it more simply", err)
+		return nil, fmt.Errorf("its cost cannot be estimated: %w; write it more simply", err)
 	}
 	if cost.Max > maxCost {
 		return nil, fmt.Errorf("it may cost %d, over %d: write it more simply, or as several rules", cost.Max, maxCost)
@@ -282,14 +282,14 @@
 	})
 	if len(holds) == 0 {
 		if whole {
-			return l.doc.At(at("when"), "it can never hold for a failure of %q: the causes are %s, and only bad_input and output_lost name an input, one of its needs (%s); mend it or remove the rule", on.Name, strings.Join(causeNames(), ", "), strings.Join(needs, ", "))
+			return l.doc.At(at("when"), "it can never hold for a failure of %q: the causes are %s, and only bad_input and output_lost name an input, one of its needs (%s); correct it or remove the rule", on.Name, strings.Join(causeNames(), ", "), strings.Join(needs, ", "))
 		}
-		return l.doc.At(at("when"), "nothing was found for which it holds: compare each name with a constant, as in cause.kind == \"failed\"")
+		return l.doc.At(at("when"), "no failure was found for which it holds: compare each name with a constant, as in cause.kind == \"failed\"")
 	}
 	if r.Target == Input {
 		for _, f := range holds {
 			if f.Input == "" {
-				return l.doc.At(at("rerun"), `it holds also for %q, which names no input: add cause.kind in ["bad_input", "output_lost"] to when`, f.Kind)
+				return l.doc.At(at("rerun"), `it also holds for %q, which names no input: add cause.kind in ["bad_input", "output_lost"] to when`, f.Kind)
 			}
 		}
 		if !slices.Contains(r.When.variables, "cause.kind") && !whole {
@@ -299,7 +299,7 @@
 	if on.Once {
 		for _, f := range holds {
 			if f.Kind.Ran() {
-				return l.doc.At(at("when"), `%q must not run twice, and after %q it may have run: add cause.kind in ["never_ran", "refused"]; everything else goes to a person`, on.Name, f.Kind)
+				return l.doc.At(at("when"), `%q must not run twice, and after %q it may have run: add cause.kind in ["never_ran", "refused"]; for all other causes a person decides`, on.Name, f.Kind)
 			}
 		}
 	}
--- a/internal/rerun/policy/policy.go
+++ b/internal/rerun/policy/policy.go
@@ -182,7 +182,7 @@
 			return nil, err
 		}
 		if p.Pipelines[one.Name] != nil {
-			return nil, doc.At(l.prefix+".name", "%q is there twice: give one of them another name", one.Name)
+			return nil, doc.At(l.prefix+".name", "%q is defined twice: give one of them another name", one.Name)
 		}
 		p.Pipelines[one.Name] = one
 	}
@@ -217,7 +217,7 @@
 	case len(t.Rules) > maxRules:
 		return nil, l.errorAt("rerun", "%d: at most %d", len(t.Rules), maxRules)
 	case t.Within <= 0:
-		return nil, l.errorAt("within", `missing: write within = "2h", after which a run ends whatever it waits for`)
+		return nil, l.errorAt("within", `missing: write within = "2h", after which a run ends in any case`)
 	case t.Others < 0 || t.Others > maxOthers:
 		return nil, l.errorAt("others", "%d: from 0 to %d times that other pipelines' reruns may make this one's stages stale", t.Others, maxOthers)
 	}
@@ -255,9 +255,9 @@
 		case s.Name == "" || len(s.Name) > maxNameBytes || strings.ContainsAny(s.Name, " /@"):
 			return l.doc.At(at+".name", `%q: write a name of up to %d bytes without spaces, "/" and "@"`, s.Name, maxNameBytes)
 		case s.Name == "self" || s.Name == "cause.input":
-			return l.doc.At(at+".name", "%q means something else in rules: give it another name", s.Name)
+			return l.doc.At(at+".name", "%q has a special meaning in rules: give it another name", s.Name)
 		case l.stageIndex(s.Name) != i:
-			return l.doc.At(at+".name", "%q is there twice: give one of them another name", s.Name)
+			return l.doc.At(at+".name", "%q is defined twice: give one of them another name", s.Name)
 		case s.Class == "":
 			return l.doc.At(at+".class", "missing: write the class of commands by which its workers are chosen, one of %s", strings.Join(classes, ", "))
 		case !known:
@@ -361,7 +361,7 @@
 	}
 	for i := range l.config.Stages {
 		if name := l.config.Stages[i].Name; !wanted[l.p.Stage(name)] {
-			return l.doc.At(l.stageAt(i), "nobody reaches %q: nothing in result needs it; have a stage need it, name it in result, or remove it", name)
+			return l.doc.At(l.stageAt(i), "%q is never used: no stage in result needs it; make a stage need it, name it in result, or remove it", name)
 		}
 	}
 	return nil
@@ -375,7 +375,7 @@
 		}
 		s := l.p.Stages[l.p.Stage(t.Name)]
 		if s.Once {
-			return l.doc.At(l.stageAt(i)+".shared", "%q must not run twice, so nobody else can have its output made anew: remove shared", t.Name)
+			return l.doc.At(l.stageAt(i)+".shared", "%q must not run twice, so other runs cannot have its output made again: remove shared", t.Name)
 		}
 		for _, n := range s.Needs {
 			if l.p.Stages[n].Shared != t.Shared {
@@ -396,7 +396,7 @@
 		}
 		switch {
 		case t.On == "":
-			return l.doc.At(at("on"), "missing: write the stage whose failure it is about, one of %s", strings.Join(l.stageNames(), ", "))
+			return l.doc.At(at("on"), "missing: write the stage whose failure it applies to, one of %s", strings.Join(l.stageNames(), ", "))
 		case r.On < 0:
 			return l.doc.At(at("on"), "%q is no stage%s", t.On, siteconf.Nearest(t.On, l.stageNames(), ": write one of "+strings.Join(l.stageNames(), ", ")))
 		case t.When == "":
@@ -420,7 +420,7 @@
 			return l.doc.At(at("after"), "%v", err)
 		}
 		if r.MaxWait > l.p.Within {
-			return l.doc.At(at("after"), "%v is longer than the pipeline's within, %v: it would never come to that", r.MaxWait, l.p.Within)
+			return l.doc.At(at("after"), "%v is longer than the pipeline's within, %v: such a wait would exceed the run", r.MaxWait, l.p.Within)
 		}
 		if r.Tenant, err = parseBudget(t.Budget); err != nil {
 			return l.doc.At(at("budget"), "%v", err)
@@ -440,7 +440,7 @@
 				for _, n := range l.p.Stages[r.On].Upstream {
 					above = append(above, l.p.Stages[n].Name)
 				}
-				return l.doc.At(at("rerun"), `%q is not above %q, so it mends nothing: write "self", "cause.input"%s`, t.Rerun, t.On, list(above))
+				return l.doc.At(at("rerun"), `%q is not above %q, so rerunning it does not help: write "self", "cause.input"%s`, t.Rerun, t.On, list(above))
 			}
 		}
 		if err := l.possible(r, at); err != nil {
@@ -477,7 +477,7 @@
 	for _, i := range l.p.targets(r) {
 		class := l.site.Classes[l.p.Stages[i].Class]
 		if r.Where == OtherKind && class.Kind != "" {
-			return l.doc.At(at("where"), `class %q allows only kind %q, so no other kind can have it: write "other-worker" or "other-site"`, l.p.Stages[i].Class, class.Kind)
+			return l.doc.At(at("where"), `class %q allows only kind %q, so no worker of another kind can run it: write "other-worker" or "other-site"`, l.p.Stages[i].Class, class.Kind)
 		}
 		if r.Where == OtherZone && len(l.site.Zones) < 2 {
 			return l.doc.At(at("where"), `there is one zone: write "other-worker" or "other-site"`)
@@ -521,7 +521,7 @@
 		if err := p.UnmarshalText([]byte(share)); err != nil {
 			return 0, err
 		} else if p == 0 {
-			return 0, fmt.Errorf(`0%%: no rerun could ever be; write "tenant:3%%" or remove the rule`)
+			return 0, fmt.Errorf(`0%%: no rerun could ever run; write "tenant:3%%" or remove the rule`)
 		}
 		return float64(p), nil
 	case text == "":
--- a/internal/rerun/rerun_test.go
+++ b/internal/rerun/rerun_test.go
@@ -78,7 +78,7 @@
 	require.Len(t, sim.started["r/r0/encode"], 3)
 	require.Len(t, sim.started["r/r0/package"], 2)
 	require.Len(t, sim.started["r/r0/publish"], 1)
-	require.Equal(t, []policy.Where{policy.OtherSite, policy.OtherSite, policy.OtherSite, ""}, narrowed, "what rules aim at is narrowed, what is below goes as its class says")
+	require.Equal(t, []policy.Where{policy.OtherSite, policy.OtherSite, policy.OtherSite, ""}, narrowed, "only targets of rules are restricted; stages downstream use all workers of their class")
 	require.Equal(t, 4, r.Answer.Reruns)
 }
 
@@ -167,14 +167,14 @@
 func TestWorkerWithFalseClaimsIsDistrusted(t *testing.T) {
 	sim := newSimulation(t, 5, 4, 4)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
-	lies := 0
+	falseClaims := 0
 	sim.outcome = func(sim *simulation, g Go) Command {
 		at := worker(sim.rng.IntN(10), "s1", "a")
 		if g.Where != "" && g.Where != policy.Anywhere && at.Worker == g.Failed.Worker {
 			at = worker(50, "s2", "b")
 		}
 		if stageOf(g.Key) == "package" && at.Worker == "w3" {
-			lies++
+			falseClaims++
 			return Command{Cause: policy.BadInput, Input: "encode", Place: at}
 		}
 		return Command{OK: true, Place: at}
@@ -183,25 +183,25 @@
 		sim.submit(runID(i), "film", "t", map[string]string{"asset": runID(i)})
 	}
 	sim.finish(100_000)
-	require.Equal(t, map[Kind]int{Done: 200}, sim.endKinds(200, runID), "lies %d", lies)
+	require.Equal(t, map[Kind]int{Done: 200}, sim.endKinds(200, runID), "false claims: %d", falseClaims)
 	reruns := 0
 	for key, gens := range sim.started {
 		if stageOf(key) == "encode" {
 			reruns += len(gens) - 1
 		}
 	}
-	require.Greater(t, lies, 5)
-	require.LessOrEqual(t, reruns, 2, "lies make next to nothing run again upstream")
+	require.Greater(t, falseClaims, 5)
+	require.LessOrEqual(t, reruns, 2, "false claims cause almost no upstream reruns")
 }
 
 // A worker that accepts most of its inputs is believed when it reports some as bad, which costs no second opinions; one
 // that reports every third input regardless is still detected.
 func TestHonestWorkerIsBelieved(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		lies   bool
-		atMost int // second opinions; with false claims: claims that are believed per claimRetention
-	}{{"honest", false, 8}, {"lies", true, checkInterval + 8}} { // the 8 that run at once
+		name        string
+		falseClaims bool
+		atMost      int // second opinions; with false claims: claims that are believed per claimRetention
+	}{{"honest", false, 8}, {"false claims", true, checkInterval + 8}} { // the 8 that run at once
 		sim := newSimulation(t, 12, 4, 8)
 		sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 		seen, opinions := 0, 0
@@ -211,13 +211,13 @@
 				at = worker(2+sim.rng.IntN(9), "s2", "b")
 			}
 			if stageOf(g.Key) != "package" || at.Worker != "w1" {
-				if stageOf(g.Key) == "package" && !c.lies && g.Of[0] == 1 && isBad(g.Key) { // a second worker confirms
+				if stageOf(g.Key) == "package" && !c.falseClaims && g.Of[0] == 1 && isBad(g.Key) { // a second worker confirms
 					opinions++
 					return Command{Cause: policy.BadInput, Input: "encode", Place: at}
 				}
 				return Command{OK: true, Place: at}
 			}
-			if seen++; !c.lies && g.Of[0] == 1 && isBad(g.Key) || c.lies && seen%3 == 0 {
+			if seen++; !c.falseClaims && g.Of[0] == 1 && isBad(g.Key) || c.falseClaims && seen%3 == 0 {
 				return Command{Cause: policy.BadInput, Input: "encode", Place: at}
 			}
 			return Command{OK: true, Place: at}
@@ -235,14 +235,14 @@
 				reruns += len(gens) - 1
 			}
 		}
-		if !c.lies {
+		if !c.falseClaims {
 			require.Greater(t, reruns, 40)
-			require.LessOrEqual(t, opinions, c.atMost, "second opinions on %d claims that are true", reruns)
+			require.LessOrEqual(t, opinions, c.atMost, "second opinions on %d true claims", reruns)
 			continue
 		}
 		times := int((sim.now-startAt)/claimRetention) + 1
-		require.LessOrEqual(t, reruns, times*c.atMost, "lies that are believed, in %d times 10 min", times)
-		require.Less(t, reruns, seen/3/2, "of all lies")
+		require.LessOrEqual(t, reruns, times*c.atMost, "false claims believed, in %d times 10 min", times)
+		require.Less(t, reruns, seen/3/2, "of all false claims")
 	}
 }
 
@@ -270,13 +270,13 @@
 	}
 	require.Equal(t, map[Kind]int{Done: 5}, sim.endKinds(5, runID))
 	require.Len(t, sim.started["r/r3/package"], 2, "believed")
-	require.Len(t, sim.started["r/r4/package"], 3, "looked into once: %v", sim.run("r4").History)
+	require.Len(t, sim.started["r/r4/package"], 3, "checked once: %v", sim.run("r4").History)
 }
 
 // isBad selects one key in four.
 func isBad(key string) bool { return sha256.Sum256([]byte(key))[0]%4 == 0 }
 
-// Reruns are told of a site whose outputs are all bad, and avoid it.
+// Reruns receive the sites whose outputs are all bad, and avoid them.
 func TestFrequentlyFailingSitesAreAvoided(t *testing.T) {
 	sim := newSimulation(t, 13, 4, 40)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
@@ -304,7 +304,7 @@
 	}
 	sim.finish(200_000)
 	require.Equal(t, map[Kind]int{Done: 200}, sim.endKinds(200, runID))
-	require.Greater(t, informed, 5*uninformed, "%d reruns knew, %d did not", informed, uninformed)
+	require.Greater(t, informed, 5*uninformed, "%d reruns informed, %d not", informed, uninformed)
 	for _, m := range sim.machines { // and the counts expire
 		sim.now += 2 * claimRetention
 		m.Apply(0, sim.now, Command{Op: OpTick}.Bytes())
@@ -347,7 +347,7 @@
 		}
 	}
 	require.Equal(t, map[Kind]int{Done: 300}, sim.endKinds(300, runID))
-	require.Equal(t, []int{0, 0}, []int{kept, sent}, "reruns kept from the one, sent to the other")
+	require.Equal(t, []int{0, 0}, []int{kept, sent}, "reruns that avoid s0, reruns sent to s1")
 }
 
 // Guards against a second opinion on a stage's input at a site where that stage's own outputs are bad, so that it has to
@@ -423,7 +423,7 @@
 	sim.finish(200_000)
 	require.Equal(t, map[Kind]int{Done: 300}, sim.endKinds(300, runID))
 	require.LessOrEqual(t, most, 6)
-	require.Equal(t, 600, sim.reruns, "each encode and its package once more, nothing else")
+	require.Equal(t, 600, sim.reruns, "one more run of each encode and its package, nothing else")
 }
 
 // Where an upstream stage stays bad, three trials show it, and all runs that wait for a verdict get their answer.
@@ -470,7 +470,7 @@
 	require.Equal(t, "2", sim.run("r79").Policy)
 	for g := range sim.machines {
 		r := sim.apply(uint32(g), Command{Op: OpPolicy, Text: policyFile("2", "26%", "30s", filmPipeline("tenant:25%", 2, "")), Site: &site})
-		require.False(t, r.OK, "a version is one text")
+		require.False(t, r.OK, "a version has one text")
 	}
 }
 
@@ -520,7 +520,7 @@
 	}
 	sim.finish(0)
 	for i := range n {
-		if _, told := sim.answers[runID(i)]; !told {
+		if _, known := sim.answers[runID(i)]; !known {
 			e, _ := sim.machines[GroupOfRun(runID(i), uint32(len(sim.machines)))].Explain(runID(i))
 			require.Fail(t, "ended_not_once", "%s after %v, %d events left: %+v", runID(i), sim.now-startAt, len(sim.events), e)
 		}
@@ -577,7 +577,7 @@
 				require.LessOrEqual(t, most, 1, "trial skipped")
 			}
 		}
-		require.LessOrEqual(t, len(sim.started["s/film/ingest/x"]), 2, "generation not compared: one bad output is made anew once")
+		require.LessOrEqual(t, len(sim.started["s/film/ingest/x"]), 2, "generation not compared: one bad output is made again once")
 	}
 	grants := func(t require.TestingT, faulty Faults) {
 		sim := newSimulation(t, 1, 4, 1000)
@@ -613,8 +613,8 @@
 			rerunUnsafe(sim)
 		}},
 	} {
-		require.False(t, caught(func(t require.TestingT) { c.scenario(t, Faults{}) }), "%s: the rule as it is", c.name)
-		require.True(t, caught(func(t require.TestingT) { c.scenario(t, c.faulty) }), "%s: nobody noticed", c.name)
+		require.False(t, caught(func(t require.TestingT) { c.scenario(t, Faults{}) }), "%s: with the rule enabled", c.name)
+		require.True(t, caught(func(t require.TestingT) { c.scenario(t, c.faulty) }), "%s: not detected", c.name)
 		fmt.Println("rerun mutant caught:", c.name)
 	}
 }
@@ -746,7 +746,7 @@
 			c.running, c.where = slices.Delete(slices.Clone(n.running), i, i+1), slices.Delete(slices.Clone(n.where), i, i+1)
 			end := Command{Op: OpEnd, Key: run.Key, Gen: run.Gen, OK: true, Place: worker(1, "s1", "a")}
 			require.True(t, apply(&c, n.where[i], end).OK)
-			require.False(t, apply(&c, n.where[i], end).OK, "told twice")
+			require.False(t, apply(&c, n.where[i], end).OK, "duplicate report")
 			explore(c)
 		}
 		for g := range groups { // advance the time, only while a rule's backoff is next
@@ -853,7 +853,7 @@
 	require.Equal(t, map[Kind]int{Done: 9}, sim.endKinds(9, runID))
 	require.Len(t, sim.started["r/r2/encode"], 1)
 	require.Equal(t, 1, opinions)
-	require.Equal(t, 1, most, "reruns out at once before the first verdict")
+	require.Equal(t, 1, most, "concurrent reruns before the first verdict")
 }
 
 // A stage without any report is late after its own time limit, not its pipeline's, and runs again.
@@ -889,7 +889,7 @@
 		{"done as its time ends", 30*time.Second + 100*time.Millisecond, Command{OK: true, Text: "published"}, Done, ""},
 		{"never sent in its time", 30*time.Second + 200*time.Millisecond, Command{Cause: policy.NeverRan, Text: "its time was over before it could be done"}, Done, ""},
 		{"may have run", 31*time.Second + 500*time.Millisecond, Command{Cause: policy.MayHaveRun, Text: "may have run"}, Person, policy.MayHaveRun},
-		{"nothing is heard of it", time.Hour, Command{OK: true}, Person, policy.Late},
+		{"no report", time.Hour, Command{OK: true}, Person, policy.Late},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sim := newSimulation(t, 11, 3, 100)
--- a/internal/rerun/schedule.go
+++ b/internal/rerun/schedule.go
@@ -136,18 +136,18 @@
 // Actions returns what is to be done now: first runs before reruns, up to the maximum that may run at once.
 func (m *Machine) Actions() (all []Action) {
 	queued := m.executionsWhere(func(e *Turn) bool { return e.Phase == Queued })
-	room := m.config.Running - m.state.Running
+	capacity := m.config.Running - m.state.Running
 	for _, first := range []bool{true, false} {
 		for _, o := range queued {
-			if o.Execution.First == first && room > 0 {
+			if o.Execution.First == first && capacity > 0 {
 				all = append(all, Go{o.Key, *o.Execution})
-				room--
+				capacity--
 			}
 		}
 	}
 	for _, to := range slices.Sorted(maps.Keys(m.state.Outbox)) {
-		if letters := m.state.Outbox[to]; len(letters) > 0 {
-			all = append(all, Deliver{to, slices.Clone(letters[:min(len(letters), 128)])})
+		if messages := m.state.Outbox[to]; len(messages) > 0 {
+			all = append(all, Deliver{to, slices.Clone(messages[:min(len(messages), 128)])})
 		}
 	}
 	if at := m.NextTimer(); at > 0 {
--- a/internal/rerun/simulation_test.go
+++ b/internal/rerun/simulation_test.go
@@ -262,7 +262,7 @@
 		}
 	}
 	sim.started[a.Key][a.Gen]++
-	require.Equal(sim.t, 1, sim.started[a.Key][a.Gen], "one generation is made once")
+	require.Equal(sim.t, 1, sim.started[a.Key][a.Gen], "a generation is started once")
 	if !a.First {
 		sim.reruns++
 	}
@@ -295,7 +295,7 @@
 	for _, m := range sim.machines {
 		for id, r := range m.state.Runs {
 			if r.Answer != nil {
-				if before, told := sim.answers[id]; told {
+				if before, known := sim.answers[id]; known {
 					require.Equal(sim.t, before, *r.Answer, "ended_not_once")
 				}
 				sim.answers[id] = *r.Answer
@@ -324,7 +324,7 @@
 	}
 	for name := range spent {
 		require.LessOrEqual(sim.t, spent[name], given[name], "budget_passed: %s", name)
-		require.LessOrEqual(sim.t, spent[name]+has[name], given[name], "%s is there twice", name)
+		require.LessOrEqual(sim.t, spent[name]+has[name], given[name], "%s was granted twice", name)
 	}
 	for id, stages := range sim.begun {
 		if r := sim.run(id); r != nil {
--- a/internal/rerun/snapshot.go
+++ b/internal/rerun/snapshot.go
@@ -18,12 +18,12 @@
 		return fmt.Errorf("reruns: %w", err)
 	}
 	if next.state.V != Version {
-		return fmt.Errorf("reruns: a snapshot of version %d, not %d", next.state.V, Version)
+		return fmt.Errorf("reruns: snapshot has version %d, want %d", next.state.V, Version)
 	}
 	for version, t := range next.state.Policies {
 		p, err := policy.Parse("policy", []byte(t.Text), t.Site)
 		if err != nil {
-			return fmt.Errorf("reruns: version %s: %w", version, err)
+			return fmt.Errorf("reruns: policy version %s: %w", version, err)
 		}
 		next.policies[version] = p
 	}
@@ -31,7 +31,7 @@
 		pol := next.policies[r.Policy]
 		if pol == nil || pol.Pipelines[r.Pipeline] == nil || len(pol.Pipelines[r.Pipeline].Stages) != len(r.Stages) {
 			if r.Answer == nil {
-				return fmt.Errorf("reruns: run %s is of version %s, which is not there", id, r.Policy)
+				return fmt.Errorf("reruns: run %s has policy version %s, which is missing", id, r.Policy)
 			}
 			delete(next.state.Runs, id)
 			continue
