--- a/internal/rerun/claims.go
+++ b/internal/rerun/claims.go
@@ -130,11 +130,11 @@
 // suspectSites returns the sites that recently failed far more often than others for a fingerprint's stage and cause: as
 // a share of what was made there, or by count where accepted outputs are not reported.
 func (m *Machine) suspectSites(key string) (sites []policy.Place) {
-	var named []SiteFailures
+	var failing []SiteFailures
 	rated := false
 	for _, o := range m.state.SiteFailures[withoutPlace(key)] {
 		if o.LastFailure+claimRetention > m.state.At && o.Failures >= minSiteFailures {
-			named = append(named, o)
+			failing = append(failing, o)
 		}
 		rated = rated || o.Accepted > 0
 	}
@@ -145,10 +145,10 @@
 		return o.Failures
 	}
 	most := 0
-	for _, o := range named {
+	for _, o := range failing {
 		most = max(most, weight(o))
 	}
-	for _, o := range named {
+	for _, o := range failing {
 		if 2*weight(o) > most {
 			sites = append(sites, o.Site)
 		}
@@ -232,7 +232,7 @@
 		answer.OK, answer.Text = false, "its worker's claims were refuted"
 	case msg.OK: // confirms another worker's claim
 	case slices.ContainsFunc(c.OpenClaims, same):
-	case int64(len(c.OpenClaims)) < int64(c.Trust)+c.Accepted[msg.Text]/acceptedPerClaim && c.Claims%checkInterval > 0:
+	case int64(len(c.OpenClaims)) < int64(c.Trust)+c.Accepted[msg.Text]/acceptedPerClaim && c.Claims%crossCheckInterval > 0:
 		c.OpenClaims = append(c.OpenClaims, Claim{Key: msg.Key, Gen: msg.Gen})
 	default:
 		answer.OK, answer.Text = false, "its worker calls many inputs bad"
--- a/internal/rerun/command.go
+++ b/internal/rerun/command.go
@@ -30,7 +30,7 @@
 	OpTakeOver Op = "take_over" // ends the executions of a dispatcher that is gone, with unknown outcome
 )
 
-// Command is a command of the replicated log.
+// Command is an entry of the replicated log.
 type Command struct {
 	V        int               `json:"v"`
 	Op       Op                `json:"op"`
--- a/internal/rerun/plant/cluster_test.go
+++ b/internal/rerun/plant/cluster_test.go
@@ -107,15 +107,15 @@
 		t.Cleanup(func() { conn.Close() })
 		s.clients = append(s.clients, pipelinev1.NewPipelinesClient(conn))
 	}
-	s.until(func(ctx context.Context, c pipelinev1.PipelinesClient) error {
+	s.retryUntil(func(ctx context.Context, c pipelinev1.PipelinesClient) error {
 		_, err := c.Submit(ctx, &pipelinev1.SubmitRequest{Id: "lec", Pipeline: "lecture", Tenant: "ups"})
 		return err
 	})
 	return s
 }
 
-// until retries a call at one daemon after the other, as some may be down.
-func (s *testCluster) until(call func(context.Context, pipelinev1.PipelinesClient) error) {
+// retryUntil retries a call at one daemon after the other, as some may be down.
+func (s *testCluster) retryUntil(call func(context.Context, pipelinev1.PipelinesClient) error) {
 	s.Helper()
 	var err error
 	for n, began := 0, time.Now(); time.Since(began) < waitLimit; n++ {
@@ -129,8 +129,8 @@
 	s.Fatalf("%v: %v", err, s.Runs())
 }
 
-// held waits for the run of the configured step, and returns it with the daemon that leads the lecture's group.
-func (s *testCluster) held() (run plant.Run, acting int) {
+// awaitHeldRun waits for the run of the configured step, and returns it with the daemon that leads the lecture's group.
+func (s *testCluster) awaitHeldRun() (run plant.Run, leader int) {
 	s.Helper()
 	select {
 	case run = <-s.heldRun:
@@ -140,19 +140,19 @@
 	most := int64(0)
 	for n := range daemons {
 		if f := s.Daemon(n).Figure("pipelines.stages_started"); f > most {
-			acting, most = n, f
+			leader, most = n, f
 		}
 	}
 	require.Positive(s, most)
-	return run, acting
+	return run, leader
 }
 
-// ends waits for the lecture's answer, and checks that no stage ran more often than allowed.
-func (s *testCluster) ends() *pipelinev1.Answer {
+// awaitAnswer waits for the lecture's answer, and checks that no stage ran more often than allowed.
+func (s *testCluster) awaitAnswer() *pipelinev1.Answer {
 	s.Helper()
 	var answer *pipelinev1.Answer
 	for range 2 { // every daemon gives the same answer
-		s.until(func(ctx context.Context, c pipelinev1.PipelinesClient) error {
+		s.retryUntil(func(ctx context.Context, c pipelinev1.PipelinesClient) error {
 			a, err := c.Await(ctx, &pipelinev1.AwaitRequest{Id: "lec", WaitMs: 1000})
 			if err != nil || a.Answer == nil {
 				return fmt.Errorf("no answer yet: %w", err)
@@ -183,21 +183,21 @@
 
 // Kills the machine that leads the lecture's group, with its disk, at each step, or the one whose dispatcher sent the
 // run.
-func TestActingMachineIsLostAtEachStep(t *testing.T) {
+func TestLeaderMachineLostAtEachStep(t *testing.T) {
 	for _, c := range []struct {
 		step string
 		sent bool // kill the one that sent the run
 	}{{"encode@1", false}, {"package@1", false}, {"encode@2", false}, {"encode@2", true}, {"publish@1", false}, {"publish@1", true}} {
 		t.Run(fmt.Sprint(c.step, map[bool]string{true: " its sender"}[c.sent]), func(t *testing.T) {
 			s := openCluster(t, c.step)
-			run, lost := s.held()
+			run, lost := s.awaitHeldRun()
 			if c.sent {
 				lost = run.Daemon
 			}
 			s.Daemon(lost).Kill()
 			require.NoError(t, s.Daemon(lost).Forget())
 			close(s.release)
-			if a := s.ends(); !strings.HasPrefix(c.step, "publish") {
+			if a := s.awaitAnswer(); !strings.HasPrefix(c.step, "publish") {
 				require.Equal(t, "done", a.Kind, "%v\n%v", a, s.Runs())
 			}
 		})
@@ -206,28 +206,28 @@
 
 // Cuts the leading dispatcher off from its group during a step, and reconnects it once the others have gone on: nothing
 // runs twice, and reports that arrived in the meantime are not lost.
-func TestActingDispatcherIsCutOffFromItsGroup(t *testing.T) {
+func TestLeaderCutOffFromItsGroup(t *testing.T) {
 	for _, step := range []string{"encode@2", "publish@1"} {
 		t.Run(step, func(t *testing.T) {
 			s := openCluster(t, step)
-			_, acting := s.held()
+			_, leader := s.awaitHeldRun()
 			cut := func(yes bool) {
 				for n := range daemons {
-					if n != acting {
-						s.net.Set(link.Way{From: fmt.Sprint("n", acting), To: fmt.Sprint("n", n)}, link.Weather{Cut: yes})
-						s.net.Set(link.Way{From: fmt.Sprint("n", n), To: fmt.Sprint("n", acting)}, link.Weather{Cut: yes})
+					if n != leader {
+						s.net.Set(link.Way{From: fmt.Sprint("n", leader), To: fmt.Sprint("n", n)}, link.Weather{Cut: yes})
+						s.net.Set(link.Way{From: fmt.Sprint("n", n), To: fmt.Sprint("n", leader)}, link.Weather{Cut: yes})
 					}
 				}
 			}
 			cut(true)
-			s.until(func(context.Context, pipelinev1.PipelinesClient) error { // until another one leads
-				if s.Daemon(acting).Figure("pipelines.groups_acted_for") > 0 {
-					return fmt.Errorf("n%d still acts", acting)
+			s.retryUntil(func(context.Context, pipelinev1.PipelinesClient) error { // until another one leads
+				if s.Daemon(leader).Figure("pipelines.groups_acted_for") > 0 {
+					return fmt.Errorf("n%d still acts", leader)
 				}
 				return nil
 			})
 			close(s.release)
-			s.until(func(context.Context, pipelinev1.PipelinesClient) error {
+			s.retryUntil(func(context.Context, pipelinev1.PipelinesClient) error {
 				for _, run := range s.Runs() {
 					if fmt.Sprint(run.Stage, "@", run.Generation) == step && !run.Ended.IsZero() {
 						return nil
@@ -236,7 +236,7 @@
 				return fmt.Errorf("%s runs", step)
 			})
 			cut(false)
-			require.Equal(t, "done", s.ends().Kind, "%v", s.Runs())
+			require.Equal(t, "done", s.awaitAnswer().Kind, "%v", s.Runs())
 		})
 	}
 }
--- a/internal/rerun/policy/condition.go
+++ b/internal/rerun/policy/condition.go
@@ -258,10 +258,10 @@
 	if r.When, err = compile(text); err != nil {
 		return l.doc.At(at("when"), "%v", err)
 	}
-	on := l.p.Stages[r.On]
+	on := l.pipeline.Stages[r.On]
 	var needs []string
 	for _, n := range on.Needs {
-		needs = append(needs, l.p.Stages[n].Name)
+		needs = append(needs, l.pipeline.Stages[n].Name)
 	}
 	for _, k := range r.When.compared["cause.kind"] {
 		if !Cause(k).Known() {
@@ -274,14 +274,14 @@
 		}
 	}
 	var holds []Facts
-	whole := l.samplePoints(r.On, []*Condition{r.When}, func(f Facts) bool {
-		if yes, _ := r.When.Holds(f); yes {
+	exhaustive := l.samplePoints(r.On, []*Condition{r.When}, func(f Facts) bool {
+		if ok, _ := r.When.Holds(f); ok {
 			holds = append(holds, f)
 		}
 		return true
 	})
 	if len(holds) == 0 {
-		if whole {
+		if exhaustive {
 			return l.doc.At(at("when"), "it can never hold for a failure of %q: the causes are %s, and only bad_input and output_lost name an input, one of its needs (%s); correct it or remove the rule", on.Name, strings.Join(causeNames(), ", "), strings.Join(needs, ", "))
 		}
 		return l.doc.At(at("when"), "no failure was found for which it holds: compare each name with a constant, as in cause.kind == \"failed\"")
@@ -292,7 +292,7 @@
 				return l.doc.At(at("rerun"), `it also holds for %q, which names no input: add cause.kind in ["bad_input", "output_lost"] to when`, f.Kind)
 			}
 		}
-		if !slices.Contains(r.When.variables, "cause.kind") && !whole {
+		if !slices.Contains(r.When.variables, "cause.kind") && !exhaustive {
 			return l.doc.At(at("rerun"), `it might hold for a cause that names no input: add cause.kind in ["bad_input", "output_lost"] to when`)
 		}
 	}
@@ -315,12 +315,12 @@
 
 // samplePoints evaluates conditions at all points where they can differ: each cause with each input that it can name,
 // and values below, at and above each constant. It reports whether the points were exhaustive.
-func (l *loader) samplePoints(on int, cs []*Condition, try func(Facts) bool) (whole bool) {
-	whole = true
+func (l *loader) samplePoints(on int, conditions []*Condition, visit func(Facts) bool) (exhaustive bool) {
+	exhaustive = true
 	var uses, texts []string
 	ints, times := []int64{1}, []time.Duration{0}
-	for _, c := range cs {
-		whole = whole && c.exact
+	for _, c := range conditions {
+		exhaustive = exhaustive && c.exact
 		uses, texts = append(uses, c.variables...), append(texts, c.strings...)
 		for _, n := range c.ints {
 			ints = append(ints, n-1, n, n+1)
@@ -331,30 +331,30 @@
 	}
 	ints, times, texts = unique(ints), unique(times), unique(append(texts, otherString))
 	used := func(name string) bool { return slices.Contains(uses, name) }
-	all := []Facts{}
+	points := []Facts{}
 	for _, k := range Causes {
 		if !k.NamesInput() {
-			all = append(all, Facts{Kind: k})
+			points = append(points, Facts{Kind: k})
 			continue
 		}
-		for _, n := range l.p.Stages[on].Needs {
-			all = append(all, Facts{Kind: k, Input: l.p.Stages[n].Name, Generation: 1})
+		for _, n := range l.pipeline.Stages[on].Needs {
+			points = append(points, Facts{Kind: k, Input: l.pipeline.Stages[n].Name, Generation: 1})
 		}
 	}
-	for i := range all {
-		all[i].Runs, all[i].Left = 1, l.p.Within
+	for i := range points {
+		points[i].Runs, points[i].Left = 1, l.pipeline.Within
 	}
-	most := int64(maxRuns)
+	limit := int64(maxRuns)
 	vary := func(name string, n int, set func(*Facts, int) bool) {
-		if !used(name) || !whole {
+		if !used(name) || !exhaustive {
 			return
 		}
-		if len(all)*n > maxPoints {
-			whole = false
+		if len(points)*n > maxPoints {
+			exhaustive = false
 			return
 		}
 		var next []Facts
-		for _, f := range all {
+		for _, f := range points {
 			for i := range n {
 				if g := f; set(&g, i) {
 					next = append(next, g)
@@ -364,20 +364,20 @@
 				next = append(next, f)
 			}
 		}
-		all = next
+		points = next
 	}
-	inRange := func(t, most time.Duration) bool { return t >= 0 && t <= most }
+	inRange := func(t, limit time.Duration) bool { return t >= 0 && t <= limit }
 	vary("cause.input.generation", len(ints), func(f *Facts, i int) bool {
 		f.Generation = ints[i]
-		return f.Input != "" && ints[i] >= 1 && ints[i] <= most
+		return f.Input != "" && ints[i] >= 1 && ints[i] <= limit
 	})
 	vary("cause.input.age", len(times), func(f *Facts, i int) bool { f.Age = times[i]; return f.Input != "" && inRange(times[i], maxAge) })
-	vary("cause.ran", len(times), func(f *Facts, i int) bool { f.Ran = times[i]; return inRange(times[i], l.p.Within) })
-	vary("run.age", len(times), func(f *Facts, i int) bool { f.RunAge = times[i]; return inRange(times[i], l.p.Within) })
-	vary("run.left", len(times), func(f *Facts, i int) bool { f.Left = times[i]; return inRange(times[i], l.p.Within) })
+	vary("cause.ran", len(times), func(f *Facts, i int) bool { f.Ran = times[i]; return inRange(times[i], l.pipeline.Within) })
+	vary("run.age", len(times), func(f *Facts, i int) bool { f.RunAge = times[i]; return inRange(times[i], l.pipeline.Within) })
+	vary("run.left", len(times), func(f *Facts, i int) bool { f.Left = times[i]; return inRange(times[i], l.pipeline.Within) })
 	ranges := append([]int64{0}, ints...)
-	vary("run.reruns", len(ranges), func(f *Facts, i int) bool { f.Reruns = ranges[i]; return ranges[i] >= 0 && ranges[i] <= most })
-	vary("stage.runs", len(ints), func(f *Facts, i int) bool { f.Runs = ints[i]; return ints[i] >= 1 && ints[i] <= most })
+	vary("run.reruns", len(ranges), func(f *Facts, i int) bool { f.Reruns = ranges[i]; return ranges[i] >= 0 && ranges[i] <= limit })
+	vary("stage.runs", len(ints), func(f *Facts, i int) bool { f.Runs = ints[i]; return ints[i] >= 1 && ints[i] <= limit })
 	for name, field := range map[string]func(*Facts) *string{
 		"cause.worker": func(f *Facts) *string { return &f.At.Worker }, "cause.worker_kind": func(f *Facts) *string { return &f.At.Kind },
 		"cause.site": func(f *Facts) *string { return &f.At.Site }, "cause.zone": func(f *Facts) *string { return &f.At.Zone },
@@ -385,12 +385,12 @@
 	} {
 		vary(name, len(texts), func(f *Facts, i int) bool { *field(f) = texts[i]; return true })
 	}
-	for _, f := range all {
-		if !try(f) {
+	for _, f := range points {
+		if !visit(f) {
 			break
 		}
 	}
-	return whole
+	return exhaustive
 }
 
 func unique[T cmp.Ordered](all []T) []T {
@@ -400,8 +400,8 @@
 
 // checkContradictions rejects pairs of rules that hold for the same failure, where their order alone would decide.
 func (l *loader) checkContradictions() error {
-	for i, b := range l.p.Rules {
-		for j, a := range l.p.Rules[:i] {
+	for i, b := range l.pipeline.Rules {
+		for j, a := range l.pipeline.Rules[:i] {
 			if a.On != b.On {
 				continue
 			}
--- a/internal/rerun/policy/policy.go
+++ b/internal/rerun/policy/policy.go
@@ -197,7 +197,7 @@
 	config                pipelineConfig
 	site                  Site
 	order                 []int // topological order of the stages in the file
-	p                     *Pipeline
+	pipeline              *Pipeline
 }
 
 func (l *loader) errorAt(key, format string, args ...any) error {
@@ -221,13 +221,13 @@
 	case t.Others < 0 || t.Others > maxOthers:
 		return nil, l.errorAt("others", "%d: from 0 to %d times that other pipelines' reruns may make this one's stages stale", t.Others, maxOthers)
 	}
-	l.p = &Pipeline{Name: t.Name, Within: time.Duration(t.Within), Others: t.Others}
+	l.pipeline = &Pipeline{Name: t.Name, Within: time.Duration(t.Within), Others: t.Others}
 	for _, step := range []func() error{l.loadStages, l.sortStages, l.checkResults, l.checkShared, l.loadRules, l.checkContradictions, l.computeBound} {
 		if err := step(); err != nil {
 			return nil, err
 		}
 	}
-	return l.p, nil
+	return l.pipeline, nil
 }
 
 // stageIndex returns the index in the file of a named stage; -1 if there is none.
@@ -265,16 +265,16 @@
 		case s.Work <= 0:
 			return l.doc.At(at+".work", `missing: write work = "2m", what one run of it takes at most`)
 		}
-		if s.Within > 0 && (s.Within < s.Work || time.Duration(s.Within) > l.p.Within) {
-			return l.doc.At(at+".within", "%v: write from its work, %v, to the pipeline's within, %v", time.Duration(s.Within), time.Duration(s.Work), l.p.Within)
+		if s.Within > 0 && (s.Within < s.Work || time.Duration(s.Within) > l.pipeline.Within) {
+			return l.doc.At(at+".within", "%v: write from its work, %v, to the pipeline's within, %v", time.Duration(s.Within), time.Duration(s.Work), l.pipeline.Within)
 		}
 		for _, n := range s.Needs {
 			if l.stageIndex(n) < 0 {
 				return l.doc.At(at+".needs", "%q is no stage of %q%s", n, l.config.Name, siteconf.Nearest(n, l.stageNames(), "; remove it"))
 			}
 		}
-		l.p.Stages = append(l.p.Stages, &Stage{
-			Name: s.Name, Class: s.Class, Shared: s.Shared, Work: time.Duration(s.Work), Within: cmp.Or(time.Duration(s.Within), l.p.Within), Once: class.Once, Line: l.doc.Line(at),
+		l.pipeline.Stages = append(l.pipeline.Stages, &Stage{
+			Name: s.Name, Class: s.Class, Shared: s.Shared, Work: time.Duration(s.Work), Within: cmp.Or(time.Duration(s.Within), l.pipeline.Within), Once: class.Once, Line: l.doc.Line(at),
 		})
 	}
 	return nil
@@ -312,27 +312,27 @@
 		}
 	}
 	sorted := make([]*Stage, len(l.order))
-	for place, i := range l.order {
-		sorted[place] = l.p.Stages[i]
+	for to, i := range l.order {
+		sorted[to] = l.pipeline.Stages[i]
 	}
-	l.p.Stages = sorted
-	for place, i := range l.order {
-		s := sorted[place]
+	l.pipeline.Stages = sorted
+	for to, i := range l.order {
+		s := sorted[to]
 		for _, name := range l.config.Stages[i].Needs {
-			n := l.p.Stage(name)
+			n := l.pipeline.Stage(name)
 			if !slices.Contains(s.Needs, n) {
 				s.Needs = append(s.Needs, n)
 			}
-			for _, above := range append([]int{n}, sorted[n].Upstream...) {
-				if !slices.Contains(s.Upstream, above) {
-					s.Upstream = append(s.Upstream, above)
+			for _, upstream := range append([]int{n}, sorted[n].Upstream...) {
+				if !slices.Contains(s.Upstream, upstream) {
+					s.Upstream = append(s.Upstream, upstream)
 				}
 			}
 		}
 		slices.Sort(s.Needs)
 		slices.Sort(s.Upstream)
-		for _, above := range s.Upstream {
-			sorted[above].Downstream = append(sorted[above].Downstream, place)
+		for _, upstream := range s.Upstream {
+			sorted[upstream].Downstream = append(sorted[upstream].Downstream, to)
 		}
 	}
 	return nil
@@ -350,17 +350,17 @@
 	}
 	wanted := map[int]bool{}
 	for _, name := range l.config.Result {
-		i := l.p.Stage(name)
+		i := l.pipeline.Stage(name)
 		if i < 0 {
 			return l.errorAt("result", "%q is no stage%s", name, siteconf.Nearest(name, l.stageNames(), "; remove it"))
 		}
-		l.p.Stages[i].Result, wanted[i] = true, true
-		for _, above := range l.p.Stages[i].Upstream {
-			wanted[above] = true
+		l.pipeline.Stages[i].Result, wanted[i] = true, true
+		for _, upstream := range l.pipeline.Stages[i].Upstream {
+			wanted[upstream] = true
 		}
 	}
 	for i := range l.config.Stages {
-		if name := l.config.Stages[i].Name; !wanted[l.p.Stage(name)] {
+		if name := l.config.Stages[i].Name; !wanted[l.pipeline.Stage(name)] {
 			return l.doc.At(l.stageAt(i), "%q is never used: no stage in result needs it; make a stage need it, name it in result, or remove it", name)
 		}
 	}
@@ -373,13 +373,13 @@
 		if t.Shared == "" {
 			continue
 		}
-		s := l.p.Stages[l.p.Stage(t.Name)]
+		s := l.pipeline.Stages[l.pipeline.Stage(t.Name)]
 		if s.Once {
 			return l.doc.At(l.stageAt(i)+".shared", "%q must not run twice, so other runs cannot have its output made again: remove shared", t.Name)
 		}
 		for _, n := range s.Needs {
-			if l.p.Stages[n].Shared != t.Shared {
-				return l.doc.At(l.stageAt(i)+".shared", "it needs %q, which is not shared by %q: its output would not be the same for all; share that too", l.p.Stages[n].Name, t.Shared)
+			if l.pipeline.Stages[n].Shared != t.Shared {
+				return l.doc.At(l.stageAt(i)+".shared", "it needs %q, which is not shared by %q: its output would not be the same for all; share that too", l.pipeline.Stages[n].Name, t.Shared)
 			}
 		}
 	}
@@ -389,7 +389,7 @@
 func (l *loader) loadRules() error {
 	for i, t := range l.config.Rules {
 		at := func(key string) string { return l.ruleAt(i) + "." + key }
-		r := &Rule{Line: l.doc.Line(l.ruleAt(i)), On: l.p.Stage(t.On), Where: Where(t.Where), MaxUses: t.Most, KeepOld: t.Stale == "keep", NeedsPerson: t.Else == "person"}
+		r := &Rule{Line: l.doc.Line(l.ruleAt(i)), On: l.pipeline.Stage(t.On), Where: Where(t.Where), MaxUses: t.Most, KeepOld: t.Stale == "keep", NeedsPerson: t.Else == "person"}
 		var wheres []string
 		for _, w := range WhereValues {
 			wheres = append(wheres, string(w))
@@ -419,8 +419,8 @@
 		if r.MinWait, r.MaxWait, err = parseWait(t.After); err != nil {
 			return l.doc.At(at("after"), "%v", err)
 		}
-		if r.MaxWait > l.p.Within {
-			return l.doc.At(at("after"), "%v is longer than the pipeline's within, %v: such a wait would exceed the run", r.MaxWait, l.p.Within)
+		if r.MaxWait > l.pipeline.Within {
+			return l.doc.At(at("after"), "%v is longer than the pipeline's within, %v: such a wait would exceed the run", r.MaxWait, l.pipeline.Within)
 		}
 		if r.Tenant, err = parseBudget(t.Budget); err != nil {
 			return l.doc.At(at("budget"), "%v", err)
@@ -431,25 +431,25 @@
 		case "self", t.On:
 			r.Target = Self
 		case "cause.input":
-			if r.Target = Input; len(l.p.Stages[r.On].Needs) == 0 {
+			if r.Target = Input; len(l.pipeline.Stages[r.On].Needs) == 0 {
 				return l.doc.At(at("rerun"), `%q has no input: write rerun = "self"`, t.On)
 			}
 		default:
-			if r.Target = l.p.Stage(t.Rerun); !slices.Contains(l.p.Stages[r.On].Upstream, r.Target) {
-				var above []string
-				for _, n := range l.p.Stages[r.On].Upstream {
-					above = append(above, l.p.Stages[n].Name)
+			if r.Target = l.pipeline.Stage(t.Rerun); !slices.Contains(l.pipeline.Stages[r.On].Upstream, r.Target) {
+				var upstream []string
+				for _, n := range l.pipeline.Stages[r.On].Upstream {
+					upstream = append(upstream, l.pipeline.Stages[n].Name)
 				}
-				return l.doc.At(at("rerun"), `%q is not above %q, so rerunning it does not help: write "self", "cause.input"%s`, t.Rerun, t.On, list(above))
+				return l.doc.At(at("rerun"), `%q is not above %q, so rerunning it does not help: write "self", "cause.input"%s`, t.Rerun, t.On, list(upstream))
 			}
 		}
-		if err := l.possible(r, at); err != nil {
+		if err := l.checkWhere(r, at); err != nil {
 			return err
 		}
 		if err := l.loadCondition(r, t.When, at); err != nil {
 			return err
 		}
-		l.p.Rules = append(l.p.Rules, r)
+		l.pipeline.Rules = append(l.pipeline.Rules, r)
 	}
 	return nil
 }
@@ -472,12 +472,12 @@
 	return []int{r.Target}
 }
 
-// possible rejects restrictions that leave no worker, given the settings.
-func (l *loader) possible(r *Rule, at func(string) string) error {
-	for _, i := range l.p.targets(r) {
-		class := l.site.Classes[l.p.Stages[i].Class]
+// checkWhere rejects restrictions that leave no worker, given the settings.
+func (l *loader) checkWhere(r *Rule, at func(string) string) error {
+	for _, i := range l.pipeline.targets(r) {
+		class := l.site.Classes[l.pipeline.Stages[i].Class]
 		if r.Where == OtherKind && class.Kind != "" {
-			return l.doc.At(at("where"), `class %q allows only kind %q, so no worker of another kind can run it: write "other-worker" or "other-site"`, l.p.Stages[i].Class, class.Kind)
+			return l.doc.At(at("where"), `class %q allows only kind %q, so no worker of another kind can run it: write "other-worker" or "other-site"`, l.pipeline.Stages[i].Class, class.Kind)
 		}
 		if r.Where == OtherZone && len(l.site.Zones) < 2 {
 			return l.doc.At(at("where"), `there is one zone: write "other-worker" or "other-site"`)
@@ -534,8 +534,8 @@
 // downstream of it; where old outputs are kept, only the target, the failed stage, and what lies between.
 func (p *Pipeline) Affected(r *Rule, target int) (all []int) {
 	for i, s := range p.Stages {
-		below := i == target || slices.Contains(s.Upstream, target)
-		if below && (!r.KeepOld || i == target || i == r.On || slices.Contains(p.Stages[r.On].Upstream, i)) {
+		downstream := i == target || slices.Contains(s.Upstream, target)
+		if downstream && (!r.KeepOld || i == target || i == r.On || slices.Contains(p.Stages[r.On].Upstream, i)) {
 			all = append(all, i)
 		}
 	}
@@ -545,19 +545,19 @@
 // computeBound computes the maximum cost of one run: each stage once, once more for each use of a rule that can reach
 // it, and once more for each rerun by other runs of what it uses.
 func (l *loader) computeBound() error {
-	p := l.p
+	p := l.pipeline
 	b := Bound{Runs: make([]int, len(p.Stages))}
 	for i := range p.Stages {
 		b.Runs[i] = 1
 	}
 	for _, r := range p.Rules {
-		reached := map[int]bool{}
+		reachable := map[int]bool{}
 		for _, t := range p.targets(r) {
 			for _, i := range p.Affected(r, t) {
-				reached[i] = true
+				reachable[i] = true
 			}
 		}
-		for i := range reached {
+		for i := range reachable {
 			b.Runs[i] += r.MaxUses
 		}
 	}
--- a/internal/rerun/policy/policy_test.go
+++ b/internal/rerun/policy/policy_test.go
@@ -284,7 +284,7 @@
 }
 
 // The examples of the user documentation are valid.
-func TestExamplesOfThePage(t *testing.T) {
+func TestDocumentedExamples(t *testing.T) {
 	text, err := os.ReadFile("../../../docs/reruns.md")
 	require.NoError(t, err)
 	parts := strings.Split(string(text), "```toml\n")[1:]
--- a/internal/rerun/rerun.go
+++ b/internal/rerun/rerun.go
@@ -20,33 +20,33 @@
 const Version = 1
 
 const (
-	maxRuns          = 1 << 13 // pipeline runs per group, ended ones included
-	maxOutputs       = 1 << 16
-	maxPolicies      = 16 // versions kept
-	maxParams        = 144
-	maxParamBytes    = 512 // bytes
-	maxHistoryLines  = 96  // in the history of one run
-	maxRequests      = 1 << 13
-	maxLogLines      = 1 << 10
-	maxWaitingTrials = 1 << 13 // waiting for one verdict
-	maxTracked       = 1 << 15 // fingerprints or claimants
-	maxFailedPlaces  = 8       // kept per stage
-	maxSites         = 64      // counted per stage and cause
-	maxApprovals     = 3       // of a shared output: one besides those of the run and of the worker that claim it is bad
-	minSiteFailures  = 2       // before other sites are preferred
-	endedRetention   = time.Hour
-	outputRetention  = 24 * time.Hour // of an output that no run uses
-	lateGrace        = time.Minute    // after its deadline, a stage run without a report counts as late
-	maxFailedTrials  = 3              // failed trials in a row, after which all reruns waiting on the fingerprint are denied
-	trialCooldown    = 5 * time.Minute
-	claimRetention   = 10 * time.Minute // how long a claim that an input is bad is remembered
-	initialTrust     = 2                // claims of a worker believed without a check by another worker; doubled after a confirmed one
-	acceptedPerClaim = 1                // runs in which the worker accepted its inputs, per additional claim believed
-	checkInterval    = 8                // every so many claims, another worker checks one whatever the trust
-	maxTrust         = 64
-	maxRefuted       = 2                // refuted claims, after which a worker is not believed
-	defaultCapacity  = 8                // concurrent reruns per fingerprint where the capacity of the place is unknown
-	minReturn        = 10 * time.Second // of unneeded work budget that a group returns to the root
+	maxRuns            = 1 << 13 // pipeline runs per group, ended ones included
+	maxOutputs         = 1 << 16
+	maxPolicies        = 16 // versions kept
+	maxParams          = 144
+	maxParamBytes      = 512 // bytes
+	maxHistoryLines    = 96  // in the history of one run
+	maxRequests        = 1 << 13
+	maxLogLines        = 1 << 10
+	maxWaitingTrials   = 1 << 13 // waiting for one verdict
+	maxTracked         = 1 << 15 // fingerprints or claimants
+	maxFailedPlaces    = 8       // kept per stage
+	maxSites           = 64      // counted per stage and cause
+	maxApprovals       = 3       // of a shared output: one besides those of the run and of the worker that claim it is bad
+	minSiteFailures    = 2       // before other sites are preferred
+	endedRetention     = time.Hour
+	outputRetention    = 24 * time.Hour // of an output that no run uses
+	lateGrace          = time.Minute    // after its deadline, a stage run without a report counts as late
+	maxFailedTrials    = 3              // failed trials in a row, after which all reruns waiting on the fingerprint are denied
+	trialCooldown      = 5 * time.Minute
+	claimRetention     = 10 * time.Minute // how long a claim that an input is bad is remembered
+	initialTrust       = 2                // claims of a worker believed without a check by another worker; doubled after a confirmed one
+	acceptedPerClaim   = 1                // runs in which the worker accepted its inputs, per additional claim believed
+	crossCheckInterval = 8                // every so many claims, another worker checks one whatever the trust
+	maxTrust           = 64
+	maxRefuted         = 2                // refuted claims, after which a worker is not believed
+	defaultCapacity    = 8                // concurrent reruns per fingerprint where the capacity of the place is unknown
+	minReturn          = 10 * time.Second // of unneeded work budget that a group returns to the root
 )
 
 // Config configures the machine of one group. It must be the same at all replicas.
--- a/internal/rerun/rerun_test.go
+++ b/internal/rerun/rerun_test.go
@@ -201,7 +201,7 @@
 		name        string
 		falseClaims bool
 		atMost      int // second opinions; with false claims: claims that are believed per claimRetention
-	}{{"honest", false, 8}, {"false claims", true, checkInterval + 8}} { // the 8 that run at once
+	}{{"honest", false, 8}, {"false claims", true, crossCheckInterval + 8}} { // the 8 that run at once
 		sim := newSimulation(t, 12, 4, 8)
 		sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 		seen, opinions := 0, 0
--- a/internal/rerun/simulation_test.go
+++ b/internal/rerun/simulation_test.go
@@ -97,7 +97,7 @@
 	dead       map[string]bool           // dispatchers
 	leaderTerm []int                     // by group; it names the leader
 	started    map[string]map[int64]int  // by output key and generation
-	begun      map[string]map[string]int // by run and stage: executions started because of the run
+	startedBy  map[string]map[string]int // by run and stage: executions started because of the run
 	neverRan   map[string]bool           // by key@gen: certainly not run
 	reruns     int
 	checks     int
@@ -119,7 +119,7 @@
 func newSimulation(t require.TestingT, seed uint64, groups uint32, running int) *simulation {
 	sim := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: startAt, dead: map[string]bool{}, leaderTerm: make([]int, groups), started: map[string]map[int64]int{},
-		answers: map[string]Answer{}, begun: map[string]map[string]int{}, neverRan: map[string]bool{},
+		answers: map[string]Answer{}, startedBy: map[string]map[string]int{}, neverRan: map[string]bool{},
 		outcome: func(*simulation, Go) Command { return Command{OK: true} },
 		duration: func(sim *simulation, g Go) time.Duration {
 			return g.Work/2 + time.Duration(sim.rng.Int64N(int64(g.Work/2)))
@@ -182,7 +182,7 @@
 	for moved := true; moved; {
 		moved = false
 		for g := range sim.machines {
-			moved = sim.act(uint32(g)) || moved
+			moved = sim.performActions(uint32(g)) || moved
 		}
 	}
 	next := time.Duration(0)
@@ -227,7 +227,7 @@
 	return false
 }
 
-func (sim *simulation) act(g uint32) (moved bool) {
+func (sim *simulation) performActions(g uint32) (moved bool) {
 	for _, a := range sim.machines[g].Actions() {
 		switch a := a.(type) {
 		case Go:
@@ -266,10 +266,10 @@
 	if !a.First {
 		sim.reruns++
 	}
-	if sim.begun[a.Run] == nil {
-		sim.begun[a.Run] = map[string]int{}
+	if sim.startedBy[a.Run] == nil {
+		sim.startedBy[a.Run] = map[string]int{}
 	}
-	sim.begun[a.Run][a.Name]++
+	sim.startedBy[a.Run][a.Name]++
 	c := sim.outcome(sim, a)
 	c.Op, c.Key, c.Gen = OpEnd, a.Key, a.Gen
 	if !c.OK && !c.Cause.Ran() {
@@ -289,7 +289,7 @@
 
 // check verifies the invariants.
 func (sim *simulation) check() {
-	if sim.checks++; sim.unfinished() && len(sim.begun) > 100 && sim.checks%100 > 0 { // with many runs, only every hundredth time
+	if sim.checks++; sim.unfinished() && len(sim.startedBy) > 100 && sim.checks%100 > 0 { // with many runs, only every hundredth time
 		return
 	}
 	for _, m := range sim.machines {
@@ -326,7 +326,7 @@
 		require.LessOrEqual(sim.t, spent[name], given[name], "budget_passed: %s", name)
 		require.LessOrEqual(sim.t, spent[name]+has[name], given[name], "%s was granted twice", name)
 	}
-	for id, stages := range sim.begun {
+	for id, stages := range sim.startedBy {
 		if r := sim.run(id); r != nil {
 			for i, s := range r.pipeline.Stages {
 				require.LessOrEqual(sim.t, stages[s.Name], r.pipeline.Bound.Runs[i], "bound_passed: %s of %s", s.Name, id)
