--- a/internal/rerun/hard_test.go
+++ b/internal/rerun/diamond_test.go
@@ -11,8 +11,8 @@
 	"caperrelay/internal/rerun/policy"
 )
 
-// diamond is source > left, right > join > publish, and what is said of them.
-const diamond = `[[pipeline]]
+// diamondPipeline is source > left, right > join > publish, with rules for bad and lost inputs.
+const diamondPipeline = `[[pipeline]]
 name="diamond"
 result=["publish"]
 within="1h"
@@ -66,134 +66,136 @@
 budget="fleet"
 `
 
-func inDiamond(t *testing.T, outcome func(g Go) Command) (*world, *Run) {
-	w := newWorld(t, 21, 4, 100)
-	w.double = 0.5 // each end and many letters are told twice: the first word of it counts
-	w.policy(words("7", "100%", "10m", diamond))
-	w.outcome = func(_ *world, g Go) Command {
+func runDiamond(t *testing.T, outcome func(g Go) Command) (*simulation, *Run) {
+	sim := newSimulation(t, 21, 4, 100)
+	sim.duplicate = 0.5 // ends and many messages arrive twice: only the first counts
+	sim.policy(policyFile("7", "100%", "10m", diamondPipeline))
+	sim.outcome = func(_ *simulation, g Go) Command {
 		c := outcome(g)
 		if c.Place == nil {
 			c.Place = worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")
 		}
 		return c
 	}
-	w.submit("r0", "diamond", "t", nil)
-	w.finish(2000)
-	return w, w.run("r0")
+	sim.submit("r0", "diamond", "t", nil)
+	sim.finish(2000)
+	return sim, sim.run("r0")
 }
 
-func (w *world) gens() map[string]int {
+func (sim *simulation) generations() map[string]int {
 	all := map[string]int{}
-	for key, gens := range w.started {
+	for key, gens := range sim.started {
 		all[stageOf(key)] = len(gens)
 	}
 	return all
 }
 
-// Both branches fail by one input, at once or one after the other: it is made anew once, and each stage below it once.
+// Both branches fail because of one input, at once or one after the other: it is made again once, as is each stage
+// downstream.
 func TestDiamond(t *testing.T) {
 	for _, one := range []bool{false, true} {
-		w, r := inDiamond(t, func(g Go) Command {
+		sim, r := runDiamond(t, func(g Go) Command {
 			if s := stageOf(g.Key); (s == "left" || s == "right" && !one) && g.Of[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "source"}
 			}
 			return Command{OK: true}
 		})
-		require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
-		require.Equal(t, map[string]int{"source": 2, "left": 2, "right": 2, "join": 1, "publish": 1}, w.gens(), "%v", r.Story)
+		require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
+		require.Equal(t, map[string]int{"source": 2, "left": 2, "right": 2, "join": 1, "publish": 1}, sim.generations(), "%v", r.History)
 	}
 }
 
-// Guards against one worker's word having an input made anew, and all below it, though another stage's worker was content with it.
-func TestStageContentWithAnInputHasAClaimLookedInto(t *testing.T) {
-	for _, lies := range []bool{true, false} {
-		w, r := inDiamond(t, func(g Go) Command {
-			if stageOf(g.Key) == "left" && g.Of[0] == 1 && (g.Gen == 1 || !lies) {
+// Guards against rerunning an input and everything downstream on the claim of a single worker, although another stage's
+// worker accepted it.
+func TestClaimOnInputAcceptedByAnotherStageIsChecked(t *testing.T) {
+	for _, falseClaim := range []bool{true, false} {
+		sim, r := runDiamond(t, func(g Go) Command {
+			if stageOf(g.Key) == "left" && g.Of[0] == 1 && (g.Gen == 1 || !falseClaim) {
 				return Command{Cause: policy.BadInput, Input: "source", Place: worker(7+int(g.Gen), "s3", "b")}
 			}
 			return Command{OK: true}
 		})
-		require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
+		require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
 		want := map[string]int{"source": 1, "left": 2, "right": 1, "join": 1, "publish": 1}
-		if !lies { // the second worker says so too
+		if !falseClaim { // the second worker confirms
 			want["source"], want["left"], want["right"] = 2, 3, 2
 		}
-		require.Equal(t, want, w.gens(), "%v", r.Story)
+		require.Equal(t, want, sim.generations(), "%v", r.History)
 	}
 }
 
-// Guards against one worker's word having a shared input made anew, and all below it in several runs, though the worker of
-// another run was content with it.
-func TestSharedInputThatAnotherRunWasContentWithHasAClaimLookedInto(t *testing.T) {
-	for _, lies := range []bool{true, false} {
-		w := newWorld(t, 22, 4, 100)
-		w.double = 0.5
-		w.policy(words("1", "100%", "60m", film("fleet", 3, "")))
-		w.outcome = func(_ *world, g Go) Command {
-			if strings.HasPrefix(g.Key, "r/r1/encode") && g.Of[0] == 1 && (g.Gen == 1 || !lies) {
+// Guards against rerunning a shared input, and everything downstream in several runs, on the claim of a single worker,
+// although the worker of another run accepted it.
+func TestClaimOnSharedInputAcceptedByAnotherRunIsChecked(t *testing.T) {
+	for _, falseClaim := range []bool{true, false} {
+		sim := newSimulation(t, 22, 4, 100)
+		sim.duplicate = 0.5
+		sim.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
+		sim.outcome = func(_ *simulation, g Go) Command {
+			if strings.HasPrefix(g.Key, "r/r1/encode") && g.Of[0] == 1 && (g.Gen == 1 || !falseClaim) {
 				return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(7+int(g.Gen), "s3", "b")}
 			}
 			return Command{OK: true, Place: worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")}
 		}
 		for i := range 2 {
-			w.submit(name(i), "film", "t", map[string]string{"asset": "one"})
-			w.finish(2000)
+			sim.submit(runID(i), "film", "t", map[string]string{"asset": "one"})
+			sim.finish(2000)
 		}
-		story := w.run("r1").Story
-		require.Equal(t, map[Kind]int{Done: 2}, w.ends(2, name), "%v", story)
-		require.Len(t, w.started["s/film/ingest/one"], map[bool]int{true: 1, false: 2}[lies], "%v", story)
-		require.Len(t, w.started["r/r1/encode"], map[bool]int{true: 2, false: 3}[lies], "%v", story)
+		history := sim.run("r1").History
+		require.Equal(t, map[Kind]int{Done: 2}, sim.endKinds(2, runID), "%v", history)
+		require.Len(t, sim.started["s/film/ingest/one"], map[bool]int{true: 1, false: 2}[falseClaim], "%v", history)
+		require.Len(t, sim.started["r/r1/encode"], map[bool]int{true: 2, false: 3}[falseClaim], "%v", history)
 	}
 }
 
-// Guards against a shared input being made anew on a claim that another run's worker spoke against while the claim was looked at.
-func TestContentThatComesAfterAClaimCounts(t *testing.T) {
-	w := newWorld(t, 23, 4, 100)
-	w.policy(words("1", "100%", "60m", film("fleet", 3, "")))
-	w.takes = func(_ *world, g Go) time.Duration {
+// Guards against rerunning a shared input on a claim that another run's worker contradicted while the claim was pending.
+func TestAcceptanceAfterAClaimCounts(t *testing.T) {
+	sim := newSimulation(t, 23, 4, 100)
+	sim.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
+	sim.duration = func(_ *simulation, g Go) time.Duration {
 		if g.Key == "r/r0/encode" {
-			return g.Work/2 + 400*time.Millisecond // the claim's rerun waits half a second at least
+			return g.Work/2 + 400*time.Millisecond // the claimed rerun's backoff is at least half a second
 		}
 		return g.Work / 2
 	}
-	w.outcome = func(_ *world, g Go) Command {
+	sim.outcome = func(_ *simulation, g Go) Command {
 		if g.Key == "r/r1/encode" && g.Gen == 1 {
 			return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(8, "s3", "b")}
 		}
 		return Command{OK: true, Place: worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")}
 	}
 	for i := range 2 {
-		w.submit(name(i), "film", "t", map[string]string{"asset": "one"})
+		sim.submit(runID(i), "film", "t", map[string]string{"asset": "one"})
 	}
-	w.finish(2000)
-	require.Equal(t, map[Kind]int{Done: 2}, w.ends(2, name))
-	require.Len(t, w.started["s/film/ingest/one"], 1, "%v", w.run("r1").Story)
+	sim.finish(2000)
+	require.Equal(t, map[Kind]int{Done: 2}, sim.endKinds(2, runID))
+	require.Len(t, sim.started["s/film/ingest/one"], 1, "%v", sim.run("r1").History)
 }
 
-// What is being made again loses its own input meanwhile, or is lost as soon as it is there.
-func TestLostWhileItIsMadeAgain(t *testing.T) {
-	w, r := inDiamond(t, func(g Go) Command {
+// The output being made again loses its own input in the meantime, or is lost as soon as it exists.
+func TestOutputLostDuringRerun(t *testing.T) {
+	sim, r := runDiamond(t, func(g Go) Command {
 		switch s := stageOf(g.Key); {
 		case s == "join" && g.Of[0] == 1:
 			return Command{Cause: policy.BadInput, Input: "left"}
-		case s == "left" && g.Gen == 2: // under way, its input is gone
+		case s == "left" && g.Gen == 2: // its input is lost during the rerun
 			return Command{Cause: policy.OutputLost, Input: "source"}
 		}
 		return Command{OK: true}
 	})
-	require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
-	require.Equal(t, map[string]int{"source": 2, "left": 3, "right": 2, "join": 2, "publish": 1}, w.gens(), "%v", r.Story)
+	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
+	require.Equal(t, map[string]int{"source": 2, "left": 3, "right": 2, "join": 2, "publish": 1}, sim.generations(), "%v", r.History)
 
-	w, r = inDiamond(t, func(g Go) Command {
+	sim, r = runDiamond(t, func(g Go) Command {
 		if stageOf(g.Key) == "join" && g.Of[0] < 3 {
 			return Command{Cause: policy.OutputLost, Input: "left"}
 		}
 		return Command{OK: true}
 	})
-	require.Equal(t, Done, r.Answer.Kind, "%v", r.Story)
-	require.Equal(t, map[string]int{"source": 1, "left": 3, "right": 1, "join": 3, "publish": 1}, w.gens(), "%v", r.Story)
+	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
+	require.Equal(t, map[string]int{"source": 1, "left": 3, "right": 1, "join": 3, "publish": 1}, sim.generations(), "%v", r.History)
 
-	w, r = inDiamond(t, func(g Go) Command { // again and again: a final answer, and no more than the rule's
+	sim, r = runDiamond(t, func(g Go) Command { // lost every time: there is a final answer, within the rule's limit
 		if stageOf(g.Key) == "join" {
 			return Command{Cause: policy.OutputLost, Input: "left"}
 		}
@@ -201,38 +203,38 @@
 	})
 	require.Equal(t, Dead, r.Answer.Kind)
 	require.Equal(t, "join", r.Answer.Stage)
-	require.LessOrEqual(t, w.gens()["left"], 3)
+	require.LessOrEqual(t, sim.generations()["left"], 3)
 }
 
-// explain tells of each rerun by which line of which version it was, what it made stale, what it cost, and what is waited
-// for meanwhile.
+// Explain reports for each rerun the policy version and line, what became stale and the cost, and what the run waits
+// for.
 func TestExplain(t *testing.T) {
-	w := newWorld(t, 22, 4, 100)
-	text := words("7", "100%", "10m", diamond)
-	w.policy(text)
-	w.outcome = func(_ *world, g Go) Command {
+	sim := newSimulation(t, 22, 4, 100)
+	text := policyFile("7", "100%", "10m", diamondPipeline)
+	sim.policy(text)
+	sim.outcome = func(_ *simulation, g Go) Command {
 		if stageOf(g.Key) == "join" && g.Of[0] == 1 {
 			return Command{Cause: policy.BadInput, Input: "left", Place: worker(5, "s5", "a")}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
-	w.submit("r0", "diamond", "t", nil)
+	sim.submit("r0", "diamond", "t", nil)
 	explain := func() Explained {
-		r := w.apply(GroupOfRun("r0", 4), Command{Op: OpLook, ID: "r0"})
+		r := sim.apply(GroupOfRun("r0", 4), Command{Op: OpLook, ID: "r0"})
 		require.True(t, r.OK)
 		return *r.Explained
 	}
 	waited := map[string]bool{}
 	for explain().Answer == nil {
-		for _, line := range explain().Waits {
+		for _, line := range explain().WaitsFor {
 			for _, what := range []string{"until left is run again", "which d", "whether its worker is believed", "verdict of a rerun that went first"} {
 				waited[what] = waited[what] || strings.Contains(line, what)
 			}
 		}
-		require.True(t, w.step())
+		require.True(t, sim.step())
 	}
 	require.True(t, waited["until left is run again"])
-	require.True(t, waited["which d"], "whom it runs by")
+	require.True(t, waited["which d"], "names the dispatcher")
 	e := explain()
 	require.Equal(t, "7", e.Policy)
 	require.Equal(t, 2, e.Reruns, "left, join, and nothing else: %v", e.Story)
--- a/internal/rerun/outputs.go
+++ b/internal/rerun/outputs.go
@@ -9,192 +9,193 @@
 	"caperrelay/internal/rerun/policy"
 )
 
-// output has an output take a letter.
-func (m *Machine) output(l *Letter) {
-	o := m.s.Outputs[l.To]
+// handleOutput applies a message to an output.
+func (m *Machine) handleOutput(msg *Message) {
+	o := m.state.Outputs[msg.To]
 	if o == nil {
-		if l.Kind == "leave" || l.Want == nil {
+		if msg.Kind == "leave" || msg.Request == nil {
 			return
 		}
-		o = &Output{Key: l.To, Wants: map[string]*Want{}, Users: map[string]int64{}}
-		m.s.Outputs[l.To] = o
-	}
-	if l.Kind == "leave" {
-		delete(o.Wants, l.From)
-		delete(o.Users, l.From)
-		if t := o.Turn; t != nil && t.Phase != Started && len(o.Wants) == 0 {
-			m.drop(o)
+		o = &Output{Key: msg.To, Requests: map[string]*Want{}, Users: map[string]int64{}}
+		m.state.Outputs[msg.To] = o
+	}
+	if msg.Kind == "leave" {
+		delete(o.Requests, msg.From)
+		delete(o.Users, msg.From)
+		if e := o.Execution; e != nil && e.Phase != Started && len(o.Requests) == 0 {
+			m.cancelExecution(o)
 		}
-		m.idle(o)
+		m.releaseIdle(o)
 		return
 	}
-	if len(o.Wants) >= mostWants {
-		m.send(Letter{Kind: "fell", To: "r/" + l.From, Stage: l.Want.Stage, Gen: o.Last, Cause: policy.Refused, Text: "too many wait for this output"})
+	if len(o.Requests) >= maxRequests {
+		m.send(Message{Kind: "fell", To: "r/" + msg.From, Stage: msg.Request.Stage, Gen: o.LastGen, Cause: policy.Refused, Text: "too many wait for this output"})
 		return
 	}
-	if m.faulty.AnyGeneration && l.Want.Over > 0 {
-		l.Want.Over = o.Last
+	if m.faults.AnyGeneration && msg.Request.AboveGen > 0 {
+		msg.Request.AboveGen = o.LastGen
 	}
-	o.Wants[l.From] = l.Want
-	m.serve(o)
+	o.Requests[msg.From] = msg.Request
+	m.serveRequests(o)
 }
 
-// drop takes back a turn that nobody waits for any more and that has not started; what it has paid is given back.
-func (m *Machine) drop(o *Output) {
-	t := o.Turn
-	if t.Phase == Queued && !t.First {
-		for _, name := range t.Charge {
-			a := m.s.Accounts[name]
-			a.Balance += t.Work.Microseconds()
-			a.Spent -= t.Work.Microseconds()
+// cancelExecution cancels an execution that has not started and that no run waits for, and refunds its budgets.
+func (m *Machine) cancelExecution(o *Output) {
+	e := o.Execution
+	if e.Phase == Queued && !e.First {
+		for _, name := range e.Charge {
+			a := m.state.Accounts[name]
+			a.Balance += e.Work.Microseconds()
+			a.Spent -= e.Work.Microseconds()
 		}
 	}
-	o.Last = t.Gen - 1
-	m.turn(o, nil)
+	o.LastGen = e.Gen - 1
+	m.setExecution(o, nil)
 }
 
-func (m *Machine) turn(o *Output, t *Turn) {
-	if o.Turn = t; t == nil {
-		delete(m.turns, o.Key)
+func (m *Machine) setExecution(o *Output, e *Turn) {
+	if o.Execution = e; e == nil {
+		delete(m.executions, o.Key)
 	} else {
-		m.turns[o.Key] = o
+		m.executions[o.Key] = o
 	}
 }
 
-// idle forgets an output that nobody uses: a run's own with the run, a shared one after a while.
-func (m *Machine) idle(o *Output) {
-	if len(o.Wants) == 0 && len(o.Users) == 0 && o.Turn == nil {
+// releaseIdle deletes an output without users: that of a single run together with the run, a shared one after
+// outputRetention.
+func (m *Machine) releaseIdle(o *Output) {
+	if len(o.Requests) == 0 && len(o.Users) == 0 && o.Execution == nil {
 		if rest, own := strings.CutPrefix(o.Key, "r/"); own {
 			id, _, _ := strings.Cut(rest, "/")
-			if r := m.s.Runs[id]; r == nil || r.Answer != nil {
-				delete(m.s.Outputs, o.Key)
+			if r := m.state.Runs[id]; r == nil || r.Answer != nil {
+				delete(m.state.Outputs, o.Key)
 			}
 			return
 		}
-		o.Idle = m.s.At + keepOutput
-		m.wake(o.Idle, "idle", o.Key)
+		o.ForgetAt = m.state.At + outputRetention
+		m.setTimer(o.ForgetAt, "idle", o.Key)
 	}
 }
 
-// serve answers the wants that can be, and begins a turn for the others. One turn serves all that have the same output
-// fail: whoever wants a generation over one that is made, or is being made, gets that.
-func (m *Machine) serve(o *Output) {
-	for _, id := range slices.Sorted(maps.Keys(o.Wants)) {
-		w := o.Wants[id]
-		if o.Gen > w.Over && covers(o.Of, w.Of) {
-			delete(o.Wants, id)
+// serveRequests answers the requests that it can, and begins an execution for the others. One execution serves all runs
+// for which the same generation failed: any later generation, made or being made, satisfies them.
+func (m *Machine) serveRequests(o *Output) {
+	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
+		req := o.Requests[id]
+		if o.Gen > req.AboveGen && coversInputs(o.InputGens, req.Of) {
+			delete(o.Requests, id)
 			o.Users[id] = o.Gen
-			m.send(Letter{Kind: "made", To: "r/" + id, Stage: w.Stage, Gen: o.Gen, Of: o.Of, At: o.At, Made: o.Made, Text: o.Result})
+			m.send(Message{Kind: "made", To: "r/" + id, Stage: req.Stage, Gen: o.Gen, InputGens: o.InputGens, Place: o.Place, MadeAt: o.MadeAt, Text: o.Result})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(o.Wants)) {
-		w := o.Wants[id]
-		if t := o.Turn; t != nil {
-			if t.Phase != Started && !covers(t.Of, w.Of) && covers(w.Of, t.Of) { // not begun: it takes the newer inputs
-				t.Of = w.Of
+	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
+		req := o.Requests[id]
+		if e := o.Execution; e != nil {
+			if e.Phase != Started && !coversInputs(e.Of, req.Of) && coversInputs(req.Of, e.Of) { // not started: switch to the newer inputs
+				e.Of = req.Of
 			}
 			continue
 		}
-		if w.Over > o.Last { // lost with a group's state: generations go on above it
-			o.Last = w.Over
+		if req.AboveGen > o.LastGen { // generations lost with the group's state: continue above them
+			o.LastGen = req.AboveGen
 		}
-		o.Last++
-		m.s.Order++
-		m.turn(o, &Turn{Want: *w, Gen: o.Last, First: o.Last == 1, Phase: Paying, Order: m.s.Order})
-		m.payTurn(o)
+		o.LastGen++
+		m.state.LastOrder++
+		m.setExecution(o, &Turn{Want: *req, Gen: o.LastGen, First: o.LastGen == 1, Phase: AwaitingBudget, Order: m.state.LastOrder})
+		m.chargeBudgets(o)
 	}
 }
 
-// start takes that a dispatcher is about to have a turn run.
+// start records that a dispatcher is about to start an execution.
 func (m *Machine) start(c *Command) Result {
-	o := m.s.Outputs[c.Key]
+	o := m.state.Outputs[c.Key]
 	switch {
-	case o == nil || o.Turn == nil || o.Turn.Gen != c.Gen:
-		return no("no such turn")
-	case o.Turn.Phase == Started && o.Turn.By == c.By:
+	case o == nil || o.Execution == nil || o.Execution.Gen != c.Gen:
+		return refuse("no such turn")
+	case o.Execution.Phase == Started && o.Execution.By == c.By:
 		return Result{OK: true}
-	case o.Turn.Phase != Queued:
-		return no("not to be started")
-	case m.s.Running >= m.c.Running:
-		return no("as many run as may")
-	case !o.Turn.First && m.queuedFirst():
-		return no("first runs go first")
-	}
-	t := o.Turn
-	t.Phase, t.By, t.Began = Started, c.By, m.s.At
-	m.s.Running++
-	if m.Begun++; !t.First {
+	case o.Execution.Phase != Queued:
+		return refuse("not to be started")
+	case m.state.Running >= m.config.Running:
+		return refuse("as many run as may")
+	case !o.Execution.First && m.firstRunQueued():
+		return refuse("first runs go first")
+	}
+	e := o.Execution
+	e.Phase, e.By, e.Began = Started, c.By, m.state.At
+	m.state.Running++
+	if m.StagesStarted++; !e.First {
 		m.Reruns++
 	}
-	m.wake(t.over(), "turn", o.Key)
-	m.send(Letter{Kind: "begun", To: "r/" + t.Run, Stage: t.Stage, Gen: t.Gen, OK: t.First})
-	m.giveBack()
+	m.setTimer(e.lateAt(), "turn", o.Key)
+	m.send(Message{Kind: "begun", To: "r/" + e.Run, Stage: e.Stage, Gen: e.Gen, OK: e.First})
+	m.returnBudgets()
 	return Result{OK: true}
 }
 
-// over is when a turn that has started is late: it is waited for no longer. What must not run twice has its job's end waited
-// for: that tells whether it ran, and comes once the job's time is over.
-func (t *Turn) over() time.Duration {
+// lateAt returns when a started execution counts as late. For a stage that must not run twice, the end of its job is
+// awaited: that shows whether it ran, and arrives only after the job's deadline.
+func (e *Turn) lateAt() time.Duration {
 	switch {
-	case t.Within > 0 && t.Once:
-		return min(t.Began+t.Within, t.Until) + overdue
-	case t.Within > 0:
-		return min(t.Began+t.Within, t.Until+overdue)
+	case e.Within > 0 && e.Once:
+		return min(e.Began+e.Within, e.Until) + lateGrace
+	case e.Within > 0:
+		return min(e.Began+e.Within, e.Until+lateGrace)
 	}
-	return t.Until + overdue
+	return e.Until + lateGrace
 }
 
-func (m *Machine) queuedFirst() bool {
-	for _, o := range m.turns {
-		if o.Turn.Phase == Queued && o.Turn.First {
+func (m *Machine) firstRunQueued() bool {
+	for _, o := range m.executions {
+		if o.Execution.Phase == Queued && o.Execution.First {
 			return true
 		}
 	}
 	return false
 }
 
-// end takes how a turn ended. Only the first word of it counts.
+// end records the end of an execution. Only the first report counts.
 func (m *Machine) end(c *Command) Result {
-	o := m.s.Outputs[c.Key]
-	if o == nil || o.Turn == nil || o.Turn.Gen != c.Gen || o.Turn.Phase != Started {
-		return no("no such turn runs")
+	o := m.state.Outputs[c.Key]
+	if o == nil || o.Execution == nil || o.Execution.Gen != c.Gen || o.Execution.Phase != Started {
+		return refuse("no such turn runs")
 	}
 	if !c.OK && !c.Cause.Known() {
-		return no("%q is no cause", c.Cause)
+		return refuse("%q is no cause", c.Cause)
 	}
-	if len(c.Text) > 4*mostParam {
-		c.Text = c.Text[:4*mostParam]
+	if len(c.Text) > 4*maxParamBytes {
+		c.Text = c.Text[:4*maxParamBytes]
 	}
-	t, at := o.Turn, policy.Place{}
+	e, at := o.Execution, policy.Place{}
 	if c.Place != nil {
 		at = *c.Place
 	}
-	m.turn(o, nil)
-	m.s.Running--
+	m.setExecution(o, nil)
+	m.state.Running--
 	if c.OK {
-		o.Gen, o.Of, o.At, o.Made, o.Result, o.Approved = t.Gen, t.Of, at, m.s.At, c.Text, nil
-		if len(t.Of) > 0 && at.Worker != "" {
-			m.send(Letter{Kind: "content", To: "c/" + at.Worker, Text: t.Name})
-			m.approve(t, at.Worker)
+		o.Gen, o.InputGens, o.Place, o.MadeAt, o.Result, o.Approvals = e.Gen, e.Of, at, m.state.At, c.Text, nil
+		if len(e.Of) > 0 && at.Worker != "" {
+			m.send(Message{Kind: "content", To: "c/" + at.Worker, Text: e.Name})
+			m.sendApprovals(e, at.Worker)
 		}
 		for _, id := range slices.Sorted(maps.Keys(o.Users)) {
-			if o.Wants[id] == nil {
-				m.send(Letter{Kind: "newer", To: "r/" + id, Key: o.Key, Gen: o.Gen, Of: o.Of, At: o.At, Made: o.Made})
+			if o.Requests[id] == nil {
+				m.send(Message{Kind: "newer", To: "r/" + id, Key: o.Key, Gen: o.Gen, InputGens: o.InputGens, Place: o.Place, MadeAt: o.MadeAt})
 			}
 		}
 	} else {
-		for _, id := range slices.Sorted(maps.Keys(o.Wants)) {
-			w := o.Wants[id]
-			if w.Over >= t.Gen || !covers(t.Of, w.Of) && !w.Once { // it wants what was not tried yet
+		for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
+			req := o.Requests[id]
+			if req.AboveGen >= e.Gen || !coversInputs(e.Of, req.Of) && !req.Once { // it requests an attempt that was not made yet
 				continue
 			}
-			delete(o.Wants, id)
-			m.send(Letter{Kind: "fell", To: "r/" + id, Stage: w.Stage, Gen: t.Gen, Cause: c.Cause, Input: c.Input, At: at, Ran: m.s.At - t.Began, Text: c.Text})
+			delete(o.Requests, id)
+			m.send(Message{Kind: "fell", To: "r/" + id, Stage: req.Stage, Gen: e.Gen, Cause: c.Cause, Input: c.Input, Place: at, RunTime: m.state.At - e.Began, Text: c.Text})
 		}
 	}
-	m.serve(o)
-	m.idle(o)
-	m.settle()
-	m.giveBack()
+	m.serveRequests(o)
+	m.releaseIdle(o)
+	m.deliverLocal()
+	m.returnBudgets()
 	return Result{OK: true}
 }
--- a/internal/rerun/plant/plant_test.go
+++ b/internal/rerun/plant/cluster_test.go
@@ -25,7 +25,7 @@
 	pipelinev1 "caperrelay/proto/winglb/pipeline/v1"
 )
 
-// The test's own program stands in for winglb-full in the rig's children.
+// The test binary serves as winglb-full in the rig's child processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("WINGLB_RIG_ROLE") != "daemon" {
 		os.Exit(m.Run())
@@ -38,24 +38,24 @@
 }
 
 const (
-	daemons  = 3
-	patience = time.Minute // with what must come; no story waits it out
+	daemons   = 3
+	waitLimit = time.Minute // limit for expected events; no test waits for all of it
 )
 
-// shop is daemons, workers, and one lecture whose first rendition is spoilt. Its run at a step is held there until it is
-// let go.
-type shop struct {
+// testCluster is daemons, workers, and one lecture whose first output of encode is bad. One stage run is held at the
+// worker until it is released.
+type testCluster struct {
 	*testing.T
 	*rig.Rig
-	*plant.Plant
+	*plant.Cluster
 	net     *link.Net
 	clients []pipelinev1.PipelinesClient
-	at      chan plant.Run // that is held
-	goOn    chan struct{}
+	heldRun chan plant.Run // the run that is held
+	release chan struct{}
 }
 
-func open(t *testing.T, step string) *shop {
-	s := &shop{T: t, net: link.New(1), at: make(chan plant.Run, 1), goOn: make(chan struct{})}
+func openCluster(t *testing.T, step string) *testCluster {
+	s := &testCluster{T: t, net: link.New(1), heldRun: make(chan plant.Run, 1), release: make(chan struct{})}
 	t.Cleanup(s.net.Close)
 	dir := t.TempDir()
 	var err error
@@ -74,15 +74,15 @@
 	for i := range 4 {
 		workers = append(workers, plant.Worker{ID: fmt.Sprint("s-", i+1), Zone: []string{"a", "b"}[i%2], Kind: "m2", Cell: i / 2})
 	}
-	s.Plant = plant.New(workers)
-	t.Cleanup(s.Plant.Close)
+	s.Cluster = plant.New(workers)
+	t.Cleanup(s.Cluster.Close)
 	var once sync.Once
 	s.Work = func(run plant.Run) time.Duration {
 		if fmt.Sprint(run.Stage, "@", run.Generation) == step {
 			once.Do(func() {
-				s.at <- run
+				s.heldRun <- run
 				select {
-				case <-s.goOn:
+				case <-s.release:
 				case <-t.Context().Done():
 				}
 			})
@@ -98,7 +98,7 @@
 	file := filepath.Join(dir, "reruns.toml")
 	require.NoError(t, os.WriteFile(file, []byte(plant.Lecture("3", "")), 0o600))
 	require.NoError(t, s.Join(s.Rig, file))
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
 	defer cancel()
 	require.NoError(t, s.StartAll(ctx))
 	for n := range daemons {
@@ -107,18 +107,18 @@
 		t.Cleanup(func() { conn.Close() })
 		s.clients = append(s.clients, pipelinev1.NewPipelinesClient(conn))
 	}
-	s.until(func(ctx context.Context, c pipelinev1.PipelinesClient) error {
+	s.retryUntil(func(ctx context.Context, c pipelinev1.PipelinesClient) error {
 		_, err := c.Submit(ctx, &pipelinev1.SubmitRequest{Id: "lec", Pipeline: "lecture", Tenant: "ups"})
 		return err
 	})
 	return s
 }
 
-// until asks one daemon after the other: the one that is asked may be lost.
-func (s *shop) until(call func(context.Context, pipelinev1.PipelinesClient) error) {
+// retryUntil retries a call at one daemon after the other, as some may be down.
+func (s *testCluster) retryUntil(call func(context.Context, pipelinev1.PipelinesClient) error) {
 	s.Helper()
 	var err error
-	for n, began := 0, time.Now(); time.Since(began) < patience; n++ {
+	for n, began := 0, time.Now(); time.Since(began) < waitLimit; n++ {
 		ctx, cancel := context.WithTimeout(s.Context(), 2*time.Second)
 		err = call(ctx, s.clients[n%daemons])
 		if cancel(); err == nil {
@@ -129,30 +129,30 @@
 	s.Fatalf("%v: %v", err, s.Runs())
 }
 
-// held waits for the run at the step, and tells who acts for the lecture.
-func (s *shop) held() (run plant.Run, acting int) {
+// awaitHeldRun waits for the run of the configured step, and returns it with the daemon that leads the lecture's group.
+func (s *testCluster) awaitHeldRun() (run plant.Run, leader int) {
 	s.Helper()
 	select {
-	case run = <-s.at:
-	case <-time.After(patience):
+	case run = <-s.heldRun:
+	case <-time.After(waitLimit):
 		s.Fatalf("the step was not reached: %v", s.Runs())
 	}
 	most := int64(0)
 	for n := range daemons {
 		if f := s.Daemon(n).Figure("pipelines.stages_started"); f > most {
-			acting, most = n, f
+			leader, most = n, f
 		}
 	}
 	require.Positive(s, most)
-	return run, acting
+	return run, leader
 }
 
-// ends waits for the lecture's answer, and checks that nothing ran that was not to.
-func (s *shop) ends() *pipelinev1.Answer {
+// awaitAnswer waits for the lecture's answer, and checks that no stage ran more often than allowed.
+func (s *testCluster) awaitAnswer() *pipelinev1.Answer {
 	s.Helper()
 	var answer *pipelinev1.Answer
-	for range 2 { // and it is the same answer, whoever is asked
-		s.until(func(ctx context.Context, c pipelinev1.PipelinesClient) error {
+	for range 2 { // every daemon gives the same answer
+		s.retryUntil(func(ctx context.Context, c pipelinev1.PipelinesClient) error {
 			a, err := c.Await(ctx, &pipelinev1.AwaitRequest{Id: "lec", WaitMs: 1000})
 			if err != nil || a.Answer == nil {
 				return fmt.Errorf("no answer yet: %w", err)
@@ -172,7 +172,7 @@
 		}
 	}
 	require.LessOrEqual(s, published, 1, "%v", s.Runs())
-	require.LessOrEqual(s, gens["encode"], int64(3), "at most one more than the spoilt one asks for: %v", s.Runs())
+	require.LessOrEqual(s, gens["encode"], int64(3), "at most one more than the bad one requires: %v", s.Runs())
 	if answer.Kind == "done" {
 		require.Equal(s, 1, published, "%v", s.Runs())
 		return answer
@@ -181,52 +181,53 @@
 	return answer
 }
 
-// The machine that acts for a lecture is lost, with its disk, at each step; or that whose dispatcher has sent the run.
-func TestActingMachineIsLostAtEachStep(t *testing.T) {
+// Kills the machine that leads the lecture's group, with its disk, at each step, or the one whose dispatcher sent the
+// run.
+func TestLeaderMachineLostAtEachStep(t *testing.T) {
 	for _, c := range []struct {
 		step string
-		sent bool // the one that has sent the run
+		sent bool // kill the one that sent the run
 	}{{"encode@1", false}, {"package@1", false}, {"encode@2", false}, {"encode@2", true}, {"publish@1", false}, {"publish@1", true}} {
 		t.Run(fmt.Sprint(c.step, map[bool]string{true: " its sender"}[c.sent]), func(t *testing.T) {
-			s := open(t, c.step)
-			run, lost := s.held()
+			s := openCluster(t, c.step)
+			run, lost := s.awaitHeldRun()
 			if c.sent {
 				lost = run.Daemon
 			}
 			s.Daemon(lost).Kill()
 			require.NoError(t, s.Daemon(lost).Forget())
-			close(s.goOn)
-			if a := s.ends(); !strings.HasPrefix(c.step, "publish") {
+			close(s.release)
+			if a := s.awaitAnswer(); !strings.HasPrefix(c.step, "publish") {
 				require.Equal(t, "done", a.Kind, "%v\n%v", a, s.Runs())
 			}
 		})
 	}
 }
 
-// The dispatcher that acts for a lecture is cut off from the record while the rendition is made anew, and comes back once
-// the others have gone on: nothing is done twice, and what it was told meanwhile is not lost.
-func TestActingDispatcherIsCutOffFromItsGroup(t *testing.T) {
+// Cuts the leading dispatcher off from its group during a step, and reconnects it once the others have gone on: nothing
+// runs twice, and reports that arrived in the meantime are not lost.
+func TestLeaderCutOffFromItsGroup(t *testing.T) {
 	for _, step := range []string{"encode@2", "publish@1"} {
 		t.Run(step, func(t *testing.T) {
-			s := open(t, step)
-			_, acting := s.held()
+			s := openCluster(t, step)
+			_, leader := s.awaitHeldRun()
 			cut := func(yes bool) {
 				for n := range daemons {
-					if n != acting {
-						s.net.Set(link.Way{From: fmt.Sprint("n", acting), To: fmt.Sprint("n", n)}, link.Weather{Cut: yes})
-						s.net.Set(link.Way{From: fmt.Sprint("n", n), To: fmt.Sprint("n", acting)}, link.Weather{Cut: yes})
+					if n != leader {
+						s.net.Set(link.Way{From: fmt.Sprint("n", leader), To: fmt.Sprint("n", n)}, link.Weather{Cut: yes})
+						s.net.Set(link.Way{From: fmt.Sprint("n", n), To: fmt.Sprint("n", leader)}, link.Weather{Cut: yes})
 					}
 				}
 			}
 			cut(true)
-			s.until(func(context.Context, pipelinev1.PipelinesClient) error { // another acts
-				if s.Daemon(acting).Figure("pipelines.groups_acted_for") > 0 {
-					return fmt.Errorf("n%d still acts", acting)
+			s.retryUntil(func(context.Context, pipelinev1.PipelinesClient) error { // until another one leads
+				if s.Daemon(leader).Figure("pipelines.groups_acted_for") > 0 {
+					return fmt.Errorf("n%d still acts", leader)
 				}
 				return nil
 			})
-			close(s.goOn)
-			s.until(func(context.Context, pipelinev1.PipelinesClient) error {
+			close(s.release)
+			s.retryUntil(func(context.Context, pipelinev1.PipelinesClient) error {
 				for _, run := range s.Runs() {
 					if fmt.Sprint(run.Stage, "@", run.Generation) == step && !run.Ended.IsZero() {
 						return nil
@@ -235,7 +236,7 @@
 				return fmt.Errorf("%s runs", step)
 			})
 			cut(false)
-			require.Equal(t, "done", s.ends().Kind, "%v", s.Runs())
+			require.Equal(t, "done", s.awaitAnswer().Kind, "%v", s.Runs())
 		})
 	}
 }
--- a/internal/rerun/policy/condition.go
+++ b/internal/rerun/policy/condition.go
@@ -16,32 +16,33 @@
 )
 
 const (
-	mostCost   = 500       // of a condition, in CEL's units: one comparison is about one
-	mostString = 128       // bytes of anything that a condition asks for
-	mostPoints = 20_000    // at which a condition is tried when it is loaded
-	someOther  = "\x00any" // a string that no condition names
+	maxCost        = 500       // of a condition, in CEL's units: a comparison costs about one
+	maxStringBytes = 128       // of any string variable
+	maxPoints      = 20_000    // at which a condition is evaluated when it is loaded
+	otherString    = "\x00any" // a string that differs from all constants of the conditions
 )
 
-// Facts is what a condition may ask for. All of it stands in the replicated state, so that all replicas judge alike.
+// Facts are the variables of a condition. All of them are part of the replicated state, so that all replicas decide the
+// same.
 type Facts struct {
 	Kind       Cause
-	Input      string        // the stage whose output is bad or lost; empty: the cause names none
+	Input      string        // stage whose output is bad or lost; empty if the cause names none
 	Generation int64         // of that output
 	Age        time.Duration // of that output
-	Ran        time.Duration // how long the run that failed took
-	At         Place         // where that was
+	Ran        time.Duration // duration of the failed run
+	At         Place         // place of the failed run
 	Tenant     string
-	Runs       int64         // of the stage so far, this one included
+	Runs       int64         // of the stage so far, including this one
 	Reruns     int64         // of all stages of the run so far
 	RunAge     time.Duration // of the pipeline's run
-	Left       time.Duration // until it must have ended
+	Left       time.Duration // until the run's deadline
 }
 
 // variable is a name that conditions may use.
 type variable struct {
 	name string
 	kind *cel.Type
-	of   func(*Facts) any
+	get  func(*Facts) any
 }
 
 var variables = []variable{
@@ -61,24 +62,24 @@
 	{"stage.runs", cel.IntType, func(f *Facts) any { return f.Runs }},
 }
 
-// Condition is a rule's when, checked and ready.
+// Condition is the compiled when of a rule.
 type Condition struct {
-	Text    string
-	Cost    uint64 // at most
-	program cel.Program
-	uses    []string // variables
-	exact   bool     // it compares variables with constants and nothing else, so that some points tell all of it
-	strings []string
-	// compared is the strings that each variable is compared with.
-	compared map[string][]string
-	ints     []int64
-	times    []time.Duration
+	Text      string
+	Cost      uint64 // upper bound
+	program   cel.Program
+	variables []string
+	exact     bool // it only compares variables with constants, so that samplePoints can be exhaustive
+	strings   []string
+	// compared holds the strings that each variable is compared with.
+	compared  map[string][]string
+	ints      []int64
+	durations []time.Duration
 }
 
-// environment is the same for all conditions. Regular expressions are left out: their cost is not worth it.
+// environment is the CEL environment of all conditions. Macros are left out, to keep the cost bounded.
 var environment = func() *cel.Env {
 	options := []cel.EnvOption{
-		cel.ParserExpressionSizeLimit(mostWhen), cel.ParserRecursionLimit(32), cel.ClearMacros(),
+		cel.ParserExpressionSizeLimit(maxConditionBytes), cel.ParserRecursionLimit(32), cel.ClearMacros(),
 		cel.ASTValidators(cel.ValidateDurationLiterals()),
 	}
 	for _, v := range variables {
@@ -86,69 +87,69 @@
 	}
 	env, err := cel.NewEnv(options...)
 	if err != nil {
-		panic(err) // of constants: any test finds it
+		panic(err) // only constants: any test finds it
 	}
 	return env
 }()
 
-// sizes tells the reckoner of costs how long things are.
+// sizes gives the CEL cost estimator the maximum size of values.
 type sizes struct{}
 
 func (sizes) EstimateSize(node checker.AstNode) *checker.SizeEstimate {
-	return &checker.SizeEstimate{Max: mostString}
+	return &checker.SizeEstimate{Max: maxStringBytes}
 }
 
 func (sizes) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
 	return nil
 }
 
-// compile reads a condition. Its error says what is wrong and what to write.
+// compile compiles a condition. Its error says what is wrong and how to fix it.
 func compile(text string) (*Condition, error) {
-	if len(text) > mostWhen {
-		return nil, fmt.Errorf("%d bytes: at most %d; write several rules", len(text), mostWhen)
+	if len(text) > maxConditionBytes {
+		return nil, fmt.Errorf("%d bytes: at most %d; write several rules", len(text), maxConditionBytes)
 	}
 	checked, issues := environment.Compile(text)
 	if issues != nil && issues.Err() != nil {
 		e := issues.Errors()[0]
-		mend := ""
+		hint := ""
 		if _, rest, ok := strings.Cut(e.Message, "undeclared reference to '"); ok {
 			wrong, _, _ := strings.Cut(rest, "'")
-			if whole := longest(text, wrong); whole != "" {
+			if whole := dottedName(text, wrong); whole != "" {
 				wrong = whole
 			}
 			var names []string
 			for _, v := range variables {
 				names = append(names, v.name)
 			}
-			mend = siteconf.Nearest(wrong, names, "; the names are "+strings.Join(names, ", "))
+			hint = siteconf.Nearest(wrong, names, "; the names are "+strings.Join(names, ", "))
 		} else {
-			mend = `; write such as cause.kind == "failed" && cause.ran < duration("10s")`
+			hint = `; write for example cause.kind == "failed" && cause.ran < duration("10s")`
 		}
-		return nil, fmt.Errorf("column %d: %s%s", e.Location.Column()+1, strings.ReplaceAll(e.Message, "\n", " "), mend)
+		return nil, fmt.Errorf("column %d: %s%s", e.Location.Column()+1, strings.ReplaceAll(e.Message, "\n", " "), hint)
 	}
 	if checked.OutputType() != cel.BoolType {
-		return nil, fmt.Errorf(`it is no yes or no but %s: write such as cause.kind == "failed"`, checked.OutputType())
+		return nil, fmt.Errorf(`the condition must be a bool, not %s: write for example cause.kind == "failed"`, checked.OutputType())
 	}
 	cost, err := environment.EstimateCost(checked, sizes{})
 	if err != nil {
-		return nil, fmt.Errorf("its cost cannot be told: %w; write it more simply", err)
+		return nil, fmt.Errorf("its cost cannot be estimated: %w; write it more simply", err)
 	}
-	if cost.Max > mostCost {
-		return nil, fmt.Errorf("it may cost %d, over %d: write it more simply, or as several rules", cost.Max, mostCost)
+	if cost.Max > maxCost {
+		return nil, fmt.Errorf("it may cost %d, over %d: write it more simply, or as several rules", cost.Max, maxCost)
 	}
-	program, err := environment.Program(checked, cel.CostLimit(mostCost), cel.EvalOptions(cel.OptOptimize))
+	program, err := environment.Program(checked, cel.CostLimit(maxCost), cel.EvalOptions(cel.OptOptimize))
 	if err != nil {
 		return nil, fmt.Errorf("%w; write it more simply", err)
 	}
 	c := &Condition{Text: text, Cost: cost.Max, program: program, compared: map[string][]string{}}
-	c.exact = c.look(ast.NavigateAST(checked.NativeRep()))
-	slices.Sort(c.uses)
-	c.uses = slices.Compact(c.uses)
+	c.exact = c.collect(ast.NavigateAST(checked.NativeRep()))
+	slices.Sort(c.variables)
+	c.variables = slices.Compact(c.variables)
 	return c, nil
 }
 
-// longest is the whole dotted name in a text that begins with a word.
-func longest(text, word string) string {
+// dottedName returns the whole dotted name in a text that begins with a word.
+func dottedName(text, word string) string {
 	at := strings.Index(text, word)
 	if at < 0 {
 		return ""
@@ -160,14 +161,14 @@
 	return text[at:end]
 }
 
-// look walks a condition for its variables and constants, and tells whether those tell all of it.
-func (c *Condition) look(e ast.NavigableExpr) bool {
+// collect gathers the variables and constants of a condition, and reports whether they determine it completely.
+func (c *Condition) collect(e ast.NavigableExpr) bool {
 	switch e.Kind() {
 	case ast.LiteralKind:
 		c.constant(e)
 		return e.Type().String() == "bool"
 	case ast.IdentKind:
-		c.uses = append(c.uses, e.AsIdent())
+		c.variables = append(c.variables, e.AsIdent())
 		return e.Type().String() == "bool"
 	case ast.CallKind:
 		name, args := e.AsCall().FunctionName(), e.Children()
@@ -175,7 +176,7 @@
 		switch name {
 		case operators.LogicalAnd, operators.LogicalOr, operators.LogicalNot:
 			for _, a := range args {
-				all = c.look(a) && all
+				all = c.collect(a) && all
 			}
 			return all
 		case operators.Equals, operators.NotEquals, operators.Less, operators.LessEquals, operators.Greater, operators.GreaterEquals, operators.In:
@@ -184,12 +185,12 @@
 				switch {
 				case a.Kind() == ast.IdentKind:
 					variable = a.AsIdent()
-					c.uses = append(c.uses, variable)
+					c.variables = append(c.variables, variable)
 					named++
 				case c.constant(a):
 					constants++
 				default:
-					c.look(a)
+					c.collect(a)
 				}
 			}
 			if named == 1 && constants == 1 {
@@ -200,12 +201,12 @@
 		}
 	}
 	for _, a := range e.Children() {
-		c.look(a)
+		c.collect(a)
 	}
 	return false
 }
 
-// constant takes a constant, and tells whether it is one.
+// constant gathers a constant, and reports whether the expression is one.
 func (c *Condition) constant(e ast.NavigableExpr) bool {
 	switch e.Kind() {
 	case ast.LiteralKind:
@@ -229,19 +230,19 @@
 		if args := e.Children(); e.AsCall().FunctionName() == "duration" && len(args) == 1 && args[0].Kind() == ast.LiteralKind {
 			text, _ := args[0].AsLiteral().Value().(string)
 			d, err := time.ParseDuration(text)
-			c.times = append(c.times, d)
+			c.durations = append(c.durations, d)
 			return err == nil
 		}
 	}
 	return false
 }
 
-// Holds tells whether the condition holds. What cannot be reckoned does not, and says why.
+// Holds reports whether the condition holds. A condition that cannot be evaluated does not hold and returns an error.
 func (c *Condition) Holds(f Facts) (bool, error) {
-	values := make(map[string]any, len(c.uses))
+	values := make(map[string]any, len(c.variables))
 	for _, v := range variables {
-		if slices.Contains(c.uses, v.name) {
-			values[v.name] = v.of(&f)
+		if slices.Contains(c.variables, v.name) {
+			values[v.name] = v.get(&f)
 		}
 	}
 	out, _, err := c.program.Eval(values)
@@ -252,19 +253,19 @@
 	return holds, nil
 }
 
-// condition reads a rule's when and finds what it can never mean.
-func (l *loader) condition(r *Rule, text string, at func(string) string) (err error) {
+// loadCondition compiles a rule's when and rejects conditions that can never hold or contradict the rule.
+func (l *loader) loadCondition(r *Rule, text string, at func(string) string) (err error) {
 	if r.When, err = compile(text); err != nil {
 		return l.doc.At(at("when"), "%v", err)
 	}
-	on := l.p.Stages[r.On]
+	on := l.pipeline.Stages[r.On]
 	var needs []string
 	for _, n := range on.Needs {
-		needs = append(needs, l.p.Stages[n].Name)
+		needs = append(needs, l.pipeline.Stages[n].Name)
 	}
 	for _, k := range r.When.compared["cause.kind"] {
 		if !Cause(k).Known() {
-			return l.doc.At(at("when"), "%q is no cause%s", k, siteconf.Nearest(k, kinds(), "; the causes are "+strings.Join(kinds(), ", ")))
+			return l.doc.At(at("when"), "%q is no cause%s", k, siteconf.Nearest(k, causeNames(), "; the causes are "+strings.Join(causeNames(), ", ")))
 		}
 	}
 	for _, s := range r.When.compared["cause.input.stage"] {
@@ -273,123 +274,123 @@
 		}
 	}
 	var holds []Facts
-	whole := l.points(r.On, []*Condition{r.When}, func(f Facts) bool {
-		if yes, _ := r.When.Holds(f); yes {
+	exhaustive := l.samplePoints(r.On, []*Condition{r.When}, func(f Facts) bool {
+		if ok, _ := r.When.Holds(f); ok {
 			holds = append(holds, f)
 		}
 		return true
 	})
 	if len(holds) == 0 {
-		if whole {
-			return l.doc.At(at("when"), "it can never hold for a failure of %q: the causes are %s, and only bad_input and output_lost name an input, one of its needs (%s); mend it or remove the rule", on.Name, strings.Join(kinds(), ", "), strings.Join(needs, ", "))
+		if exhaustive {
+			return l.doc.At(at("when"), "it can never hold for a failure of %q: the causes are %s, and only bad_input and output_lost name an input, one of its needs (%s); correct it or remove the rule", on.Name, strings.Join(causeNames(), ", "), strings.Join(needs, ", "))
 		}
-		return l.doc.At(at("when"), "nothing was found for which it holds: compare each name with a constant, as in cause.kind == \"failed\"")
+		return l.doc.At(at("when"), "no failure was found for which it holds: compare each name with a constant, as in cause.kind == \"failed\"")
 	}
 	if r.Target == Input {
 		for _, f := range holds {
 			if f.Input == "" {
-				return l.doc.At(at("rerun"), `it holds also for %q, which names no input: add cause.kind in ["bad_input", "output_lost"] to when`, f.Kind)
+				return l.doc.At(at("rerun"), `it also holds for %q, which names no input: add cause.kind in ["bad_input", "output_lost"] to when`, f.Kind)
 			}
 		}
-		if !slices.Contains(r.When.uses, "cause.kind") && !whole {
+		if !slices.Contains(r.When.variables, "cause.kind") && !exhaustive {
 			return l.doc.At(at("rerun"), `it might hold for a cause that names no input: add cause.kind in ["bad_input", "output_lost"] to when`)
 		}
 	}
 	if on.Once {
 		for _, f := range holds {
 			if f.Kind.Ran() {
-				return l.doc.At(at("when"), `%q must not run twice, and after %q it may have run: add cause.kind in ["never_ran", "refused"]; everything else goes to a person`, on.Name, f.Kind)
+				return l.doc.At(at("when"), `%q must not run twice, and after %q it may have run: add cause.kind in ["never_ran", "refused"]; for all other causes a person decides`, on.Name, f.Kind)
 			}
 		}
 	}
 	return nil
 }
 
-func kinds() (all []string) {
+func causeNames() (all []string) {
 	for _, k := range Causes {
 		all = append(all, string(k))
 	}
 	return all
 }
 
-// points has conditions tried at all that can differ for them: each cause with each input that it can name, and below,
-// at and above each constant. It tells whether that was all there is.
-func (l *loader) points(on int, cs []*Condition, try func(Facts) bool) (whole bool) {
-	whole = true
+// samplePoints evaluates conditions at all points where they can differ: each cause with each input that it can name,
+// and values below, at and above each constant. It reports whether the points were exhaustive.
+func (l *loader) samplePoints(on int, conditions []*Condition, visit func(Facts) bool) (exhaustive bool) {
+	exhaustive = true
 	var uses, texts []string
 	ints, times := []int64{1}, []time.Duration{0}
-	for _, c := range cs {
-		whole = whole && c.exact
-		uses, texts = append(uses, c.uses...), append(texts, c.strings...)
+	for _, c := range conditions {
+		exhaustive = exhaustive && c.exact
+		uses, texts = append(uses, c.variables...), append(texts, c.strings...)
 		for _, n := range c.ints {
 			ints = append(ints, n-1, n, n+1)
 		}
-		for _, t := range c.times {
+		for _, t := range c.durations {
 			times = append(times, t-1, t, t+1)
 		}
 	}
-	ints, times, texts = unique(ints), unique(times), unique(append(texts, someOther))
+	ints, times, texts = unique(ints), unique(times), unique(append(texts, otherString))
 	used := func(name string) bool { return slices.Contains(uses, name) }
-	all := []Facts{}
+	points := []Facts{}
 	for _, k := range Causes {
 		if !k.NamesInput() {
-			all = append(all, Facts{Kind: k})
+			points = append(points, Facts{Kind: k})
 			continue
 		}
-		for _, n := range l.p.Stages[on].Needs {
-			all = append(all, Facts{Kind: k, Input: l.p.Stages[n].Name, Generation: 1})
+		for _, n := range l.pipeline.Stages[on].Needs {
+			points = append(points, Facts{Kind: k, Input: l.pipeline.Stages[n].Name, Generation: 1})
 		}
 	}
-	for i := range all {
-		all[i].Runs, all[i].Left = 1, l.p.Within
+	for i := range points {
+		points[i].Runs, points[i].Left = 1, l.pipeline.Within
 	}
-	most := int64(mostRuns)
-	spread := func(name string, n int, set func(*Facts, int) bool) {
-		if !used(name) || !whole {
+	limit := int64(maxRuns)
+	vary := func(name string, n int, set func(*Facts, int) bool) {
+		if !used(name) || !exhaustive {
 			return
 		}
-		if len(all)*n > mostPoints {
-			whole = false
+		if len(points)*n > maxPoints {
+			exhaustive = false
 			return
 		}
 		var next []Facts
-		for _, f := range all {
+		for _, f := range points {
 			for i := range n {
 				if g := f; set(&g, i) {
 					next = append(next, g)
 				}
 			}
-			if f.Input == "" && strings.HasPrefix(name, "cause.input.") { // nothing to differ by
+			if f.Input == "" && strings.HasPrefix(name, "cause.input.") { // the variable does not apply
 				next = append(next, f)
 			}
 		}
-		all = next
+		points = next
 	}
-	between := func(t, most time.Duration) bool { return t >= 0 && t <= most }
-	spread("cause.input.generation", len(ints), func(f *Facts, i int) bool {
+	inRange := func(t, limit time.Duration) bool { return t >= 0 && t <= limit }
+	vary("cause.input.generation", len(ints), func(f *Facts, i int) bool {
 		f.Generation = ints[i]
-		return f.Input != "" && ints[i] >= 1 && ints[i] <= most
+		return f.Input != "" && ints[i] >= 1 && ints[i] <= limit
 	})
-	spread("cause.input.age", len(times), func(f *Facts, i int) bool { f.Age = times[i]; return f.Input != "" && between(times[i], mostAge) })
-	spread("cause.ran", len(times), func(f *Facts, i int) bool { f.Ran = times[i]; return between(times[i], l.p.Within) })
-	spread("run.age", len(times), func(f *Facts, i int) bool { f.RunAge = times[i]; return between(times[i], l.p.Within) })
-	spread("run.left", len(times), func(f *Facts, i int) bool { f.Left = times[i]; return between(times[i], l.p.Within) })
+	vary("cause.input.age", len(times), func(f *Facts, i int) bool { f.Age = times[i]; return f.Input != "" && inRange(times[i], maxAge) })
+	vary("cause.ran", len(times), func(f *Facts, i int) bool { f.Ran = times[i]; return inRange(times[i], l.pipeline.Within) })
+	vary("run.age", len(times), func(f *Facts, i int) bool { f.RunAge = times[i]; return inRange(times[i], l.pipeline.Within) })
+	vary("run.left", len(times), func(f *Facts, i int) bool { f.Left = times[i]; return inRange(times[i], l.pipeline.Within) })
 	ranges := append([]int64{0}, ints...)
-	spread("run.reruns", len(ranges), func(f *Facts, i int) bool { f.Reruns = ranges[i]; return ranges[i] >= 0 && ranges[i] <= most })
-	spread("stage.runs", len(ints), func(f *Facts, i int) bool { f.Runs = ints[i]; return ints[i] >= 1 && ints[i] <= most })
-	for name, of := range map[string]func(*Facts) *string{
+	vary("run.reruns", len(ranges), func(f *Facts, i int) bool { f.Reruns = ranges[i]; return ranges[i] >= 0 && ranges[i] <= limit })
+	vary("stage.runs", len(ints), func(f *Facts, i int) bool { f.Runs = ints[i]; return ints[i] >= 1 && ints[i] <= limit })
+	for name, field := range map[string]func(*Facts) *string{
 		"cause.worker": func(f *Facts) *string { return &f.At.Worker }, "cause.worker_kind": func(f *Facts) *string { return &f.At.Kind },
 		"cause.site": func(f *Facts) *string { return &f.At.Site }, "cause.zone": func(f *Facts) *string { return &f.At.Zone },
 		"run.tenant": func(f *Facts) *string { return &f.Tenant },
 	} {
-		spread(name, len(texts), func(f *Facts, i int) bool { *of(f) = texts[i]; return true })
+		vary(name, len(texts), func(f *Facts, i int) bool { *field(f) = texts[i]; return true })
 	}
-	for _, f := range all {
-		if !try(f) {
+	for _, f := range points {
+		if !visit(f) {
 			break
 		}
 	}
-	return whole
+	return exhaustive
 }
 
 func unique[T cmp.Ordered](all []T) []T {
@@ -397,15 +398,15 @@
 	return slices.Compact(all)
 }
 
-// contradictions finds two rules that hold for one failure: which counts would be an accident of their order.
-func (l *loader) contradictions() error {
-	for i, b := range l.p.Rules {
-		for j, a := range l.p.Rules[:i] {
+// checkContradictions rejects pairs of rules that hold for the same failure, where their order alone would decide.
+func (l *loader) checkContradictions() error {
+	for i, b := range l.pipeline.Rules {
+		for j, a := range l.pipeline.Rules[:i] {
 			if a.On != b.On {
 				continue
 			}
 			var both *Facts
-			l.points(a.On, []*Condition{a.When, b.When}, func(f Facts) bool {
+			l.samplePoints(a.On, []*Condition{a.When, b.When}, func(f Facts) bool {
 				first, _ := a.When.Holds(f)
 				second, _ := b.When.Holds(f)
 				if first && second {
@@ -420,7 +421,7 @@
 			if both.Input != "" {
 				example += fmt.Sprintf(" with cause.input.stage == %q", both.Input)
 			}
-			if l.same(i, j) {
+			if l.sameButCondition(i, j) {
 				return l.doc.At(l.ruleAt(i)+".when", "the rule of line %d says the same for %s: remove one of them", a.Line, example)
 			}
 			return l.doc.At(l.ruleAt(i)+".when", "it contradicts the rule of line %d: both hold for %s; narrow one of them", a.Line, example)
@@ -429,9 +430,9 @@
 	return nil
 }
 
-// same tells whether two rules differ in their conditions alone.
-func (l *loader) same(i, j int) bool {
-	a, b := l.text.Rules[i], l.text.Rules[j]
+// sameButCondition reports whether two rules differ only in their conditions.
+func (l *loader) sameButCondition(i, j int) bool {
+	a, b := l.config.Rules[i], l.config.Rules[j]
 	a.When = b.When
 	return a == b
 }
--- a/internal/rerun/policy/policy_test.go
+++ b/internal/rerun/policy/policy_test.go
@@ -69,19 +69,19 @@
 budget = "fleet"
 `
 
-func TestBoundIsReckoned(t *testing.T) {
+func TestBoundIsComputed(t *testing.T) {
 	p, err := Parse("reruns.toml", []byte(lecture), site)
 	require.NoError(t, err)
 	b := p.Pipelines["lecture"]
 	require.Equal(t, "pipeline lecture: at most 16 runs, 13m10s of work, within 2h0m0s: ingest 1 encode 4 captions 3 package 4 publish 4", b.String(), "the input of package may be either, and all below encode runs again")
 }
 
-// Each fault of a file is one line with file, line, key and mend.
-func TestFaultsNameLineKeyAndMend(t *testing.T) {
+// Each error of a policy file is one line with file, line, key and fix.
+func TestErrorsNameLineKeyAndFix(t *testing.T) {
 	const rule, when = `on = "package"`, `when = 'cause.kind == "bad_input" && cause.input.age < duration("2h")'`
 	for _, c := range []struct {
 		from, to string
-		line     string // where it is told, as it then stands
+		line     string // where the error is reported, after the change
 		want     []string
 	}{
 		{`version = "7"`, ``, ``, []string{"version", `write version = "1"`}},
@@ -91,7 +91,7 @@
 		{`within = "2h"`, `wihtin = "2h"`, `wihtin = "2h"`, []string{"pipeline.wihtin", `write "within"`}},
 		{`within = "2h"`, `within = "2h"` + "\nmost_work = \"5m\"", `most_work = "5m"`, []string{"most_work", "13m10s"}},
 		{`result = ["publish"]`, `result = ["pubish"]`, `result = ["pubish"]`, []string{"result", `write "publish"`}},
-		{`result = ["publish"]`, `result = ["package"]`, `[[pipeline.stage]]`, []string{"pipeline.stage[4]", `nobody reaches "publish"`}},
+		{`result = ["publish"]`, `result = ["package"]`, `[[pipeline.stage]]`, []string{"pipeline.stage[4]", `"publish" is never used`}},
 		{`class = "encode"`, `class = "encde"`, `class = "encde"`, []string{"pipeline.stage[1].class", `write "encode"`}},
 		{`work = "2m"`, `work = 120`, `work = 120`, []string{"work", `"120s"`}},
 		{`work = "2m"`, `work = "2m"` + "\nwithin = \"1m\"", `within = "1m"`, []string{"stage[1].within", "from its work, 2m0s"}},
@@ -103,8 +103,8 @@
 		{`work = "2m"`, `work = "2m"` + "\nshared = \"asset\"", `shared = "asset"`, []string{"stage[1].shared", `needs "ingest"`}},
 		{rule, `on = "pakage"`, `on = "pakage"`, []string{"pipeline.rerun[0].on", `write "package"`}},
 		{when, `when = 'cause.knd == "bad_input"'`, `when =`, []string{"rerun[0].when", "column", `write "cause.kind"`}},
-		{when, `when = 'cause.kind == 3'`, `when =`, []string{"when", "no matching overload", "write such as"}},
-		{when, `when = 'cause.kind'`, `when =`, []string{"when", "no yes or no"}},
+		{when, `when = 'cause.kind == 3'`, `when =`, []string{"when", "no matching overload", "write for example"}},
+		{when, `when = 'cause.kind'`, `when =`, []string{"when", "must be a bool, not string"}},
 		{when, `when = 'cause.kind == "bad_inptu"'`, `when =`, []string{"when", "no cause", `write "bad_input"`}},
 		{when, `when = 'cause.input.age < duration("2 hours") && cause.kind == "bad_input"'`, `when =`, []string{"when", "duration"}},
 		{when, `when = 'cause.kind == "late" && cause.input.age > duration("1h")'`, `when =`, []string{"when", "can never hold", "remove the rule"}},
@@ -123,7 +123,7 @@
 		{"most = 2\n", "", `[[pipeline.rerun]]`, []string{"rerun[0].most", "no bound", "most = 2"}},
 		{"most = 2\n", "most = 200\n", `most = 200`, []string{"most", "16"}},
 		{`budget = "tenant:3%"`, `budget = "3%"`, `budget =`, []string{"budget", `"tenant:3%"`}},
-		{`budget = "tenant:3%"`, `budget = "tenant:0%"`, `budget =`, []string{"budget", "no rerun could ever be"}},
+		{`budget = "tenant:3%"`, `budget = "tenant:0%"`, `budget =`, []string{"budget", "no rerun could ever run"}},
 		{`stale = "rerun"`, `stale = "reuse"`, `stale =`, []string{"stale", `"keep"`}},
 		{`else = "dead"`, `else = "die"`, `else =`, []string{"else", `"person"`}},
 		{`rerun = "self"`, `rerun = "cause.input"`, `rerun = "cause.input"`, []string{"rerun[1].rerun", "names no input"}},
@@ -155,8 +155,8 @@
 	require.ErrorContains(t, err, "there is one zone")
 }
 
-// A narrowing takes workers away and never adds any.
-func TestNarrowingsOnlyTakeAway(t *testing.T) {
+// A restriction excludes workers and never adds any.
+func TestWhereOnlyExcludesWorkers(t *testing.T) {
 	failed := Place{"w1", "m2", "c1", "a"}
 	allowed := func(w Where) (n []bool) {
 		for _, at := range []Place{failed, {"w2", "m2", "c1", "a"}, {"w3", "m3", "c1", "a"}, {"w4", "m2", "c2", "a"}, {"w5", "m2", "c1", "b"}} {
@@ -171,8 +171,8 @@
 	require.Equal(t, []bool{false, false, false, false, true}, allowed(OtherZone))
 }
 
-// drawn is a pipeline by chance, as text.
-func drawn(t *rapid.T) string {
+// drawPipeline returns the text of a random pipeline.
+func drawPipeline(t *rapid.T) string {
 	n := rapid.IntRange(1, 7).Draw(t, "stages")
 	var s strings.Builder
 	fmt.Fprintf(&s, "version=\"1\"\n[budget]\nfleet=\"5%%\"\n[[pipeline]]\nname=\"p\"\nwithin=\"1h\"\nresult=[")
@@ -207,11 +207,10 @@
 	return s.String()
 }
 
-// However rules are used, as often as they may be, no stage runs more often than is reckoned; and where each is used up
-// with the worst of its targets, some stage reaches its bound.
+// Whatever the sequence of rule uses, no stage runs more often than its bound.
 func TestBoundHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := drawn(t)
+		text := drawPipeline(t)
 		pol, err := Parse("p.toml", []byte(text), site)
 		if err != nil && (strings.Contains(err.Error(), "contradicts") || strings.Contains(err.Error(), "says the same")) {
 			t.Skip("two rules for one failure")
@@ -243,7 +242,7 @@
 			}
 			k := rapid.IntRange(0, len(p.Rules)-1).Draw(t, "rule")
 			r := p.Rules[k]
-			if uses[k] == r.Most {
+			if uses[k] == r.MaxUses {
 				continue
 			}
 			uses[k]++
@@ -261,17 +260,17 @@
 			require.LessOrEqual(t, n, p.Bound.Runs[i], "%s\n%s", p, text)
 			all += n
 		}
-		require.LessOrEqual(t, all, p.Bound.All)
-		require.Equal(t, time.Duration(p.Bound.All)*time.Second, p.Bound.Work)
+		require.LessOrEqual(t, all, p.Bound.Total)
+		require.Equal(t, time.Duration(p.Bound.Total)*time.Second, p.Bound.Work)
 	})
 }
 
-// A condition costs no more than was reckoned, and what it cannot reckon does not hold.
+// A condition costs no more than its limit, and one that cannot be evaluated does not hold.
 func TestConditionsAreBounded(t *testing.T) {
 	c, err := compile(`cause.worker.contains(run.tenant) || cause.zone + cause.site == "ab" && 10 / stage.runs > 3`)
 	require.NoError(t, err)
 	require.False(t, c.exact)
-	long := strings.Repeat("x", mostString)
+	long := strings.Repeat("x", maxStringBytes)
 	holds, err := c.Holds(Facts{At: Place{Worker: long, Zone: long, Site: long}, Tenant: long[1:] + "y", Runs: 1})
 	require.NoError(t, err)
 	require.False(t, holds)
@@ -284,8 +283,8 @@
 	require.Error(t, err, "macros are left out")
 }
 
-// The users' page's examples are good.
-func TestExamplesOfThePage(t *testing.T) {
+// The examples of the user documentation are valid.
+func TestDocumentedExamples(t *testing.T) {
 	text, err := os.ReadFile("../../../docs/reruns.md")
 	require.NoError(t, err)
 	parts := strings.Split(string(text), "```toml\n")[1:]
@@ -300,7 +299,7 @@
 	}
 }
 
-// No text makes it panic.
+// No text causes a panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(lecture))
 	f.Add([]byte("[[pipeline.stage]]\nname=1"))
