--- a/internal/demo/promised.go
+++ b/internal/demo/promised.go
@@ -62,7 +62,7 @@
 	w := plant.New(workers)
 	defer w.Close()
 	anew := make(chan plant.Run, 16)
-	w.Work = func(run plant.Run) time.Duration {
+	w.WorkTime = func(run plant.Run) time.Duration {
 		if run.Stage == "encode" && run.Generation > 1 {
 			select {
 			case anew <- run:
@@ -72,14 +72,14 @@
 		}
 		return 100 * time.Millisecond
 	}
-	w.Decide = func(run plant.Run) pipelines.Outcome {
+	w.OutcomeOf = func(run plant.Run) pipelines.Outcome {
 		if run.Stage == "package" && run.Inputs[0].Generation == 1 {
 			return pipelines.Outcome{Outcome: policy.BadInput, Input: "encode", Text: "frame 1204 cannot be read"}
 		}
 		return pipelines.Outcome{}
 	}
 	file := filepath.Join(dir, "reruns.toml")
-	if err := errors.Join(os.WriteFile(file, []byte(plant.Lecture("demo", "")), 0o600), w.Join(r, file)); err != nil {
+	if err := errors.Join(os.WriteFile(file, []byte(plant.LecturePolicy("demo", "")), 0o600), w.Attach(r, file)); err != nil {
 		return p, err
 	}
 	if err := r.StartAll(ctx); err != nil {
@@ -156,7 +156,7 @@
 		if err == nil {
 			err = json.Unmarshal([]byte(e.Text), &x)
 		}
-		for _, l := range x.Story {
+		for _, l := range x.History {
 			if l.Rule > 0 {
 				l.Text += fmt.Sprintf(" (line %d of version %s)", l.Rule, x.Policy)
 			}
--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -126,11 +126,11 @@
 func (s *Server) propose(ctx context.Context, g uint32, c rerun.Command) (rerun.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeFor)
 	defer cancel()
-	text, err := s.host.Propose(ctx, g, replica.Reruns, c.Bytes())
+	text, err := s.host.Propose(ctx, g, replica.Reruns, c.Encode())
 	if err != nil {
 		return rerun.Result{}, err
 	}
-	return rerun.ReadResult(text)
+	return rerun.DecodeResult(text)
 }
 
 // Run acts for groups while this dispatcher has their leases, until the context ends.
@@ -150,7 +150,7 @@
 				s.act(ctx, g)
 				acting++
 			} else {
-				s.host.View(g, replica.Reruns, func(m replica.Machine) { m.(*rerun.Machine).Lines() })
+				s.host.View(g, replica.Reruns, func(m replica.Machine) { m.(*rerun.Machine).TakeLogLines() })
 			}
 		}
 		s.acting.Store(acting)
@@ -164,8 +164,8 @@
 // act does what a group wants done.
 func (s *Server) act(ctx context.Context, g uint32) {
 	var actions []rerun.Action
-	var running []rerun.Go
-	var lines []rerun.Told
+	var running []rerun.Execute
+	var lines []rerun.LogLine
 	knows, roomy := false, false
 	s.mu.Lock()
 	rooms := s.rooms // replaced, never changed
@@ -173,7 +173,7 @@
 	now := time.Duration(time.Now().UnixNano())
 	if !s.host.View(g, replica.Reruns, func(m replica.Machine) {
 		r := m.(*rerun.Machine)
-		actions, running, lines, knows, roomy = r.Actions(), r.Running(""), r.Lines(), r.Knows(s.o.Version), r.Roomy(rooms)
+		actions, running, lines, knows, roomy = r.Actions(), r.Running(""), r.TakeLogLines(), r.HasPolicy(s.o.Version), r.CapacitiesCurrent(rooms)
 	}) {
 		return
 	}
@@ -190,19 +190,19 @@
 		})
 	}
 	if !roomy {
-		s.once(fmt.Sprint("rooms/", g), func() { s.propose(ctx, g, rerun.Command{Op: rerun.OpRoom, Rooms: rooms}) })
+		s.once(fmt.Sprint("rooms/", g), func() { s.propose(ctx, g, rerun.Command{Op: rerun.OpCapacities, Capacities: rooms}) })
 	}
 	for _, t := range running {
 		s.once(turnName(t), func() { s.turn(ctx, g, t) })
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case rerun.Go:
+		case rerun.Execute:
 			if s.full() {
 				continue
 			}
 			s.once(turnName(a), func() {
-				r, err := s.propose(ctx, g, rerun.Command{Op: rerun.OpStart, Key: a.Key, Gen: a.Gen, By: s.o.Name})
+				r, err := s.propose(ctx, g, rerun.Command{Op: rerun.OpStart, Key: a.Key, Gen: a.Gen, Dispatcher: s.o.Name})
 				if err == nil && r.OK {
 					if s.Started.Add(1); !a.First {
 						s.Reruns.Add(1)
@@ -212,8 +212,8 @@
 			})
 		case rerun.Deliver:
 			s.once(fmt.Sprintf("letters/%d/%d", g, a.To), func() {
-				if r, err := s.propose(ctx, a.To, rerun.Command{Op: rerun.OpLetters, Group: g, Letters: a.Letters}); err == nil && r.Seq > 0 {
-					s.propose(ctx, g, rerun.Command{Op: rerun.OpSent, Group: a.To, Seq: r.Seq})
+				if r, err := s.propose(ctx, a.To, rerun.Command{Op: rerun.OpMessages, Group: g, Messages: a.Messages}); err == nil && r.Seq > 0 {
+					s.propose(ctx, g, rerun.Command{Op: rerun.OpConfirmed, Group: a.To, Seq: r.Seq})
 				}
 			})
 		case rerun.WaitUntil:
@@ -224,7 +224,7 @@
 	}
 }
 
-func turnName(t rerun.Go) string { return fmt.Sprintf("turn/%s@%d", t.Key, t.Gen) }
+func turnName(t rerun.Execute) string { return fmt.Sprintf("turn/%s@%d", t.Key, t.Gen) }
 
 // full tells whether no new stage is to be started here. What has been, and all else, goes on: the groups bound it.
 func (s *Server) full() bool {
@@ -292,8 +292,8 @@
 }
 
 // left is the time that a turn has yet, whoever takes it up.
-func left(t rerun.Go) time.Duration {
-	left := time.Until(time.Unix(0, int64(t.Until)))
+func left(t rerun.Execute) time.Duration {
+	left := time.Until(time.Unix(0, int64(t.Deadline)))
 	if t.Within > 0 {
 		left = min(left, t.Within, time.Until(time.Unix(0, int64(t.Began+t.Within))))
 	}
@@ -301,11 +301,11 @@
 }
 
 // turn has a generation made, or takes up the making of it, and tells the group how that ended.
-func (s *Server) turn(ctx context.Context, g uint32, t rerun.Go) {
+func (s *Server) turn(ctx context.Context, g uint32, t rerun.Execute) {
 	id := jobID(t.Key, t.Gen)
 	told := Told{Run: t.Run, Stage: t.Name, Output: t.Key, Generation: t.Gen, Params: map[string]string{}}
 	for i, key := range t.Inputs {
-		told.Inputs = append(told.Inputs, Input{stageOf(key), key, t.Of[i]})
+		told.Inputs = append(told.Inputs, Input{stageOf(key), key, t.InputGens[i]})
 	}
 	target := ""
 	for k, v := range t.Params {
@@ -343,7 +343,7 @@
 		if err != nil {
 			continue
 		}
-		r, err := s.propose(ctx, g, rerun.Command{Op: rerun.OpTurn, Key: t.Key, Gen: t.Gen})
+		r, err := s.propose(ctx, g, rerun.Command{Op: rerun.OpCheckExecution, Key: t.Key, Gen: t.Gen})
 		if err != nil {
 			continue
 		}
@@ -445,14 +445,14 @@
 }
 
 // narrows tells whether a turn may not go to all workers of its class.
-func narrows(t rerun.Go) bool {
-	return !t.First && t.Where != "" && t.Where != policy.Anywhere && t.Failed.Worker != ""
+func narrows(t rerun.Execute) bool {
+	return !t.First && t.Where != "" && t.Where != policy.Anywhere && t.FailedPlace.Worker != ""
 }
 
 // narrow is the workers that a rerun may go to; false: it is as the class says. It takes away from those that the
 // class allows, ready ones of its kind: those of the place where it failed last always, and where it failed before or
 // sites that often do as long as others are left.
-func (s *Server) narrow(t rerun.Go) (order []string, narrowed bool) {
+func (s *Server) narrow(t rerun.Execute) (order []string, narrowed bool) {
 	if !narrows(t) {
 		return nil, false
 	}
@@ -462,12 +462,12 @@
 	best := -1
 	for id, m := range s.members.Instances() {
 		at, rank := placeOf(id, m), 0
-		if m.State != decide.Ready || kind != "" && kind != m.Kind || !t.Where.Allows(t.Failed, at) {
+		if m.State != decide.Ready || kind != "" && kind != m.Kind || !t.Where.Allows(t.FailedPlace, at) {
 			continue
 		}
-		if !slices.ContainsFunc(t.Avoid, func(p policy.Place) bool { return !t.Where.Allows(p, at) }) {
+		if !slices.ContainsFunc(t.FailedPlaces, func(p policy.Place) bool { return !t.Where.Allows(p, at) }) {
 			rank = 1
-			if !slices.ContainsFunc(t.Doubt, func(p policy.Place) bool { return p.Zone == at.Zone && p.Site == at.Site }) {
+			if !slices.ContainsFunc(t.SuspectSites, func(p policy.Place) bool { return p.Zone == at.Zone && p.Site == at.Site }) {
 				rank = 2
 			}
 		}
@@ -553,7 +553,7 @@
 			open = r != nil && r.Answer == nil
 		})
 		if !here || !open || !time.Now().Before(until) {
-			r, err := s.ask(ctx, q.Id, rerun.Command{Op: rerun.OpLook, ID: q.Id})
+			r, err := s.ask(ctx, q.Id, rerun.Command{Op: rerun.OpRead, ID: q.Id})
 			switch {
 			case err != nil:
 				return nil, err
@@ -581,7 +581,7 @@
 
 // Explain tells of a run.
 func (s *Server) Explain(ctx context.Context, q *pipelinev1.ExplainRequest) (*pipelinev1.ExplainResponse, error) {
-	r, err := s.ask(ctx, q.Id, rerun.Command{Op: rerun.OpLook, ID: q.Id})
+	r, err := s.ask(ctx, q.Id, rerun.Command{Op: rerun.OpRead, ID: q.Id})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/net/pipelines/pipelines_test.go
+++ b/internal/net/pipelines/pipelines_test.go
@@ -117,29 +117,29 @@
 	for _, c := range []struct {
 		name string
 		// late plays the one that is late; run has the other one do it all.
-		late func(j *jobs, late *Server, turn rerun.Go, run func())
+		late func(j *jobs, late *Server, turn rerun.Execute, run func())
 		ran  int64
 		ends string
 	}{
-		{"it looked before the end and promises after it", func(_ *jobs, late *Server, turn rerun.Go, run func()) {
+		{"it looked before the end and promises after it", func(_ *jobs, late *Server, turn rerun.Execute, run func()) {
 			run()
 			late.turn(t.Context(), 0, turn)
 		}, 1, "done"},
-		{"its promise is under way all that time", func(j *jobs, late *Server, turn rerun.Go, run func()) {
+		{"its promise is under way all that time", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
 			j.before = run
 			late.turn(t.Context(), 0, turn)
 		}, 1, "done"},
-		{"both promise, and one is slow to wait", func(j *jobs, late *Server, turn rerun.Go, run func()) {
+		{"both promise, and one is slow to wait", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
 			j.before = func() { go run() }
 			late.turn(t.Context(), 0, turn)
 		}, 1, "done"},
-		{"no worker is left as one knows them: said only if nobody has promised it", func(j *jobs, late *Server, turn rerun.Go, run func()) {
-			turn.First, turn.Where, turn.Failed = false, policy.OtherSite, policy.Place{Worker: "s-9", Site: "1"}
+		{"no worker is left as one knows them: said only if nobody has promised it", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
+			turn.First, turn.Where, turn.FailedPlace = false, policy.OtherSite, policy.Place{Worker: "s-9", Site: "1"}
 			j.before = run
 			late.turn(t.Context(), 0, turn)
 		}, 1, "done"},
-		{"no worker is left, and it cannot be promised any more then", func(j *jobs, late *Server, turn rerun.Go, run func()) {
-			turn.First, turn.Where, turn.Failed = false, policy.OtherSite, policy.Place{Worker: "s-9", Site: "1"}
+		{"no worker is left, and it cannot be promised any more then", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
+			turn.First, turn.Where, turn.FailedPlace = false, policy.OtherSite, policy.Place{Worker: "s-9", Site: "1"}
 			late.turn(t.Context(), 0, turn)
 			run()
 		}, 0, "dead"},
@@ -155,17 +155,17 @@
 			b.Use(j)
 			b.Listed(dispatch.InstanceUpdate{Complete: true, Instances: []dispatch.Instance{{ID: "s-9", Cell: 1, State: decide.Ready}}})
 			for _, command := range []rerun.Command{
-				{Op: rerun.OpPolicy, Text: oneStage, Site: &o.Site}, {Op: rerun.OpSubmit, ID: "lec", Pipeline: "one"}, {Op: rerun.OpStart, Key: "r/lec/publish", Gen: 1, By: "d1"},
+				{Op: rerun.OpPolicy, Text: oneStage, Site: &o.Site}, {Op: rerun.OpSubmit, ID: "lec", Pipeline: "one"}, {Op: rerun.OpStart, Key: "r/lec/publish", Gen: 1, Dispatcher: "d1"},
 			} {
 				r, err := a.propose(t.Context(), 0, command)
 				require.NoError(t, err)
 				require.True(t, r.OK, r.Why)
 			}
-			var turn rerun.Go
+			var turn rerun.Execute
 			host.View(0, replica.Reruns, func(m replica.Machine) { turn = m.(*rerun.Machine).Running("")[0] })
 			c.late(j, b, turn, func() { a.turn(t.Context(), 0, turn) })
 			require.Equal(t, c.ran, j.ran.Load(), "it ran")
-			answer, err := a.propose(t.Context(), 0, rerun.Command{Op: rerun.OpLook, ID: "lec"})
+			answer, err := a.propose(t.Context(), 0, rerun.Command{Op: rerun.OpRead, ID: "lec"})
 			require.NoError(t, err)
 			text, _ := json.Marshal(answer)
 			require.NotNil(t, answer.Answer, "%s", text)
@@ -175,7 +175,7 @@
 }
 
 // begun is a host on which a run's only stage, which must not run twice, was started so long ago, and a server that takes it up.
-func begun(t *testing.T, ago time.Duration) (*jobs, *Server, rerun.Go) {
+func begun(t *testing.T, ago time.Duration) (*jobs, *Server, rerun.Execute) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux {
 		return replica.Mux{replica.Promises: promise.New(), replica.Reruns: rerun.New(rerun.Config{Groups: 1})}
 	})
@@ -185,15 +185,15 @@
 	s.Use(j)
 	for _, c := range []rerun.Command{
 		{Op: rerun.OpPolicy, Text: strings.Replace(oneStage, `work = "1s"`, "work = \"1s\"\nwithin = \"30s\"", 1), Site: &o.Site},
-		{Op: rerun.OpSubmit, ID: "lec", Pipeline: "one"}, {Op: rerun.OpStart, Key: "r/lec/publish", Gen: 1, By: "gone"},
+		{Op: rerun.OpSubmit, ID: "lec", Pipeline: "one"}, {Op: rerun.OpStart, Key: "r/lec/publish", Gen: 1, Dispatcher: "gone"},
 	} {
-		text, err := host.ProposeAt(time.Duration(time.Now().Add(-ago).UnixNano()), 0, replica.Reruns, c.Bytes())
+		text, err := host.ProposeAt(time.Duration(time.Now().Add(-ago).UnixNano()), 0, replica.Reruns, c.Encode())
 		require.NoError(t, err)
-		r, err := rerun.ReadResult(text)
+		r, err := rerun.DecodeResult(text)
 		require.NoError(t, err)
 		require.True(t, r.OK, r.Why)
 	}
-	var turn rerun.Go
+	var turn rerun.Execute
 	host.View(0, replica.Reruns, func(m replica.Machine) { turn = m.(*rerun.Machine).Running("")[0] })
 	return j, s, turn
 }
@@ -214,7 +214,7 @@
 	j.down = func() bool { return len(j.asked) == 1 } // until its time is over
 	s.turn(t.Context(), 0, turn)
 	require.Zero(t, j.ran.Load())
-	r, err := s.propose(t.Context(), 0, rerun.Command{Op: rerun.OpLook, ID: "lec"})
+	r, err := s.propose(t.Context(), 0, rerun.Command{Op: rerun.OpRead, ID: "lec"})
 	require.NoError(t, err)
 	require.NotNil(t, r.Answer)
 	require.Equal(t, policy.NeverRan, r.Answer.Cause, "%+v", r.Answer)
@@ -249,7 +249,7 @@
 	at := func(id string, cell int) policy.Place {
 		return policy.Place{Worker: id, Kind: "m2", Zone: "a", Site: strconv.Itoa(cell)}
 	}
-	turn := rerun.Go{Turn: rerun.Turn{Want: rerun.Want{Class: "light", Where: policy.OtherSite, Failed: at("w1", 1)}}}
+	turn := rerun.Execute{Execution: rerun.Execution{OutputRequest: rerun.OutputRequest{Class: "light", Where: policy.OtherSite, FailedPlace: at("w1", 1)}}}
 	select {
 	case <-s.known:
 		t.Fatal("nothing was told yet")
@@ -271,7 +271,7 @@
 		{[]policy.Place{at("w2", 2), at("w4", 4), at("w5", 5)}, []policy.Place{{Zone: "a", Site: "3"}}, []string{"w3"}},
 		{[]policy.Place{at("w2", 2), at("w3", 3), at("w4", 4), at("w5", 5)}, nil, []string{"w2", "w3", "w4", "w5"}},
 	} {
-		turn.Avoid, turn.Doubt = c.avoid, c.doubt
+		turn.FailedPlaces, turn.SuspectSites = c.avoid, c.doubt
 		order, narrowed := s.narrow(turn)
 		require.True(t, narrowed)
 		require.ElementsMatch(t, c.want, order)
--- a/internal/prove/rerun.go
+++ b/internal/prove/rerun.go
@@ -124,10 +124,10 @@
 	p := plant.New(workers)
 	defer p.Close()
 	s := &spoiler{bad: map[string]bool{}, made: map[string]plant.Worker{}}
-	p.Decide = s.decide
+	p.OutcomeOf = s.decide
 	text := rerunPolicy(plain)
 	file := filepath.Join(dir, "reruns.toml")
-	if err := errors.Join(os.WriteFile(file, []byte(text), 0o600), p.Join(r, file)); err != nil {
+	if err := errors.Join(os.WriteFile(file, []byte(text), 0o600), p.Attach(r, file)); err != nil {
 		return f, err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
@@ -194,9 +194,9 @@
 		at time.Duration
 		do func() error
 	}{
-		{2 * time.Second, func() error { return p.Down("s-3", true) }},
+		{2 * time.Second, func() error { return p.SetDown("s-3", true) }},
 		{3 * time.Second, func() error { return rerunKill(r) }},
-		{5 * time.Second, func() error { return p.Down("s-3", false) }},
+		{5 * time.Second, func() error { return p.SetDown("s-3", false) }},
 		{7 * time.Second, func() error { return rerunKill(r) }},
 	} {
 		time.Sleep(time.Until(began.Add(fault.at)))
@@ -229,7 +229,7 @@
 		switch rerun.Kind(answers[id].Kind) {
 		case rerun.Done:
 			f.finished++
-		case rerun.Person:
+		case rerun.NeedsPerson:
 			f.person++
 		default:
 			f.dead++
@@ -425,7 +425,7 @@
 	for id, e := range explained {
 		work += e.Work
 		for stage := range e.Stages { // a first run that came to nothing before it reached a worker is one too
-			met := slices.ContainsFunc(e.Story, func(l rerun.Line) bool { return strings.HasPrefix(l.Text, stage+": ") })
+			met := slices.ContainsFunc(e.History, func(l rerun.HistoryLine) bool { return strings.HasPrefix(l.Text, stage+": ") })
 			if own := "r/" + id + "/" + stage; stage != "ingest" && met && !generations[at(own, 1)] {
 				first++
 			}
--- a/internal/prove/rerun_persons.go
+++ b/internal/prove/rerun_persons.go
@@ -45,7 +45,7 @@
 func (k *personKinds) count(progress io.Writer, runs []plant.Run, answers map[string]*pipelinev1.Answer, explained map[string]rerun.Explained) {
 	for _, id := range slices.Sorted(maps.Keys(answers)) {
 		a := answers[id]
-		if rerun.Kind(a.Kind) != rerun.Person {
+		if rerun.Kind(a.Kind) != rerun.NeedsPerson {
 			continue
 		}
 		var its []plant.Run
--- a/internal/prove/rerun_persons_test.go
+++ b/internal/prove/rerun_persons_test.go
@@ -26,7 +26,7 @@
 // Guards against a job that never reached a worker, or whose end was told, passing as one that may have run.
 func TestPersonsAreSortedByWhatWorkersKnow(t *testing.T) {
 	person := func(cause policy.Cause) *pipelinev1.Answer {
-		return &pipelinev1.Answer{Kind: string(rerun.Person), Stage: "publish", Cause: string(cause), Reason: "publish: late"}
+		return &pipelinev1.Answer{Kind: string(rerun.NeedsPerson), Stage: "publish", Cause: string(cause), Reason: "publish: late"}
 	}
 	answers := map[string]*pipelinev1.Answer{
 		"run0": person(policy.Late), "run1": person(policy.MayHaveRun), "run2": person(policy.Late), "run3": person(policy.BadInput),
--- a/internal/rerun/budgets.go
+++ b/internal/rerun/budgets.go
@@ -60,13 +60,13 @@
 
 // chargeWaiting retries all executions that wait for their budgets, oldest first.
 func (m *Machine) chargeWaiting() {
-	for _, o := range m.executionsWhere(func(e *Turn) bool { return e.Phase == AwaitingBudget }) {
+	for _, o := range m.executionsWhere(func(e *Execution) bool { return e.Phase == AwaitingBudget }) {
 		m.chargeBudgets(o)
 	}
 }
 
 // executionsWhere returns the outputs whose executions satisfy a predicate, in the order in which the executions began.
-func (m *Machine) executionsWhere(match func(*Turn) bool) (all []*Output) {
+func (m *Machine) executionsWhere(match func(*Execution) bool) (all []*Output) {
 	for _, o := range m.executions {
 		if match(o.Execution) {
 			all = append(all, o)
@@ -103,7 +103,7 @@
 // returnBudgets returns the balances of budgets that no execution waits for to the root.
 func (m *Machine) returnBudgets() {
 	waits := map[string]bool{}
-	for _, o := range m.executionsWhere(func(e *Turn) bool { return e.Phase == AwaitingBudget }) {
+	for _, o := range m.executionsWhere(func(e *Execution) bool { return e.Phase == AwaitingBudget }) {
 		for _, name := range o.Execution.Charge {
 			waits[name] = true
 		}
--- a/internal/rerun/claims.go
+++ b/internal/rerun/claims.go
@@ -157,10 +157,10 @@
 }
 
 // sendApprovals notifies the shared inputs of an execution that its worker accepted them.
-func (m *Machine) sendApprovals(e *Turn, worker string) {
+func (m *Machine) sendApprovals(e *Execution, worker string) {
 	for i, key := range e.Inputs {
-		if isShared(key) && i < len(e.Of) {
-			m.send(Message{Kind: "approve", To: key, From: e.Run, Gen: e.Of[i], Worker: worker})
+		if isShared(key) && i < len(e.InputGens) {
+			m.send(Message{Kind: "approve", To: key, From: e.Run, Gen: e.InputGens[i], Worker: worker})
 		}
 	}
 }
--- a/internal/rerun/command.go
+++ b/internal/rerun/command.go
@@ -16,46 +16,46 @@
 
 // Operations of commands.
 const (
-	OpPolicy   Op = "policy" // sets the policy for runs that begin from now on
-	OpSubmit   Op = "submit"
-	OpStart    Op = "start" // a dispatcher is about to start an execution, exclusively
-	OpTurn     Op = "turn"  // read only: whether an execution has started and not ended
-	OpEnd      Op = "end"   // of an execution
-	OpLetters  Op = "letters"
-	OpSent     Op = "sent" // messages are confirmed
-	OpCallOff  Op = "call_off"
-	OpRoom     Op = "room"      // concurrent reruns that places can take
-	OpTick     Op = "tick"      // time has passed
-	OpLook     Op = "look"      // linearizable read of a run
-	OpTakeOver Op = "take_over" // ends the executions of a dispatcher that is gone, with unknown outcome
+	OpPolicy         Op = "policy" // sets the policy for runs that begin from now on
+	OpSubmit         Op = "submit"
+	OpStart          Op = "start" // a dispatcher is about to start an execution, exclusively
+	OpCheckExecution Op = "turn"  // read only: whether an execution has started and not ended
+	OpEnd            Op = "end"   // of an execution
+	OpMessages       Op = "letters"
+	OpConfirmed      Op = "sent" // messages are confirmed
+	OpCallOff        Op = "call_off"
+	OpCapacities     Op = "room"      // concurrent reruns that places can take
+	OpTick           Op = "tick"      // time has passed
+	OpRead           Op = "look"      // linearizable read of a run
+	OpTakeOver       Op = "take_over" // ends the executions of a dispatcher that is gone, with unknown outcome
 )
 
 // Command is an entry of the replicated log.
 type Command struct {
-	V        int               `json:"v"`
-	Op       Op                `json:"op"`
-	ID       string            `json:"id,omitempty"`
-	Pipeline string            `json:"pipeline,omitempty"`
-	Tenant   string            `json:"tenant,omitempty"`
-	Params   map[string]string `json:"params,omitempty"`
-	Text     string            `json:"text,omitempty"`
-	Site     *policy.Site      `json:"site,omitempty"`
-	Key      string            `json:"key,omitempty"`
-	Gen      int64             `json:"gen,omitempty"`
-	By       string            `json:"by,omitempty"`
-	OK       bool              `json:"ok,omitempty"`
-	Cause    policy.Cause      `json:"cause,omitempty"`
-	Input    string            `json:"input,omitempty"`
-	Place    *policy.Place     `json:"place,omitempty"`
-	RunTime  time.Duration     `json:"ran,omitempty"`
-	Group    uint32            `json:"group,omitempty"`
-	Letters  []Message         `json:"letters,omitempty"`
-	Seq      uint64            `json:"seq,omitempty"`
-	Rooms    map[string]int    `json:"rooms,omitempty"` // by zone.site
+	V          int               `json:"v"`
+	Op         Op                `json:"op"`
+	ID         string            `json:"id,omitempty"`
+	Pipeline   string            `json:"pipeline,omitempty"`
+	Tenant     string            `json:"tenant,omitempty"`
+	Params     map[string]string `json:"params,omitempty"`
+	Text       string            `json:"text,omitempty"`
+	Site       *policy.Site      `json:"site,omitempty"`
+	Key        string            `json:"key,omitempty"`
+	Gen        int64             `json:"gen,omitempty"`
+	Dispatcher string            `json:"by,omitempty"`
+	OK         bool              `json:"ok,omitempty"`
+	Cause      policy.Cause      `json:"cause,omitempty"`
+	Input      string            `json:"input,omitempty"`
+	Place      *policy.Place     `json:"place,omitempty"`
+	RunTime    time.Duration     `json:"ran,omitempty"`
+	Group      uint32            `json:"group,omitempty"`
+	Messages   []Message         `json:"letters,omitempty"`
+	Seq        uint64            `json:"seq,omitempty"`
+	Capacities map[string]int    `json:"rooms,omitempty"` // by zone.site
 }
 
-// Bytes encodes the command for a proposal.
-func (c Command) Bytes() []byte {
+// Encode encodes the command for a proposal.
+func (c Command) Encode() []byte {
 	c.V = Version
 	text, _ := json.Marshal(c) // cannot fail: plain data
 	return text
@@ -67,12 +67,12 @@
 	Why    string  `json:"why,omitempty"`
 	Seq    uint64  `json:"seq,omitempty"` // last message applied
 	Answer *Answer `json:"answer,omitempty"`
-	// Explained is set by OpLook.
+	// Explained is set by OpRead.
 	Explained *Explained `json:"explained,omitempty"`
 }
 
-// ReadResult decodes the result returned by Apply.
-func ReadResult(text []byte) (r Result, err error) {
+// DecodeResult decodes the result returned by Apply.
+func DecodeResult(text []byte) (r Result, err error) {
 	err = json.Unmarshal(text, &r)
 	return r, err
 }
@@ -103,22 +103,22 @@
 		return m.submit(c)
 	case OpStart:
 		return m.start(c)
-	case OpTurn:
+	case OpCheckExecution:
 		if o := m.state.Outputs[c.Key]; o == nil || o.Execution == nil || o.Execution.Gen != c.Gen || o.Execution.Phase != Started {
 			return refuse("no such turn runs")
 		}
 		return Result{OK: true}
 	case OpEnd:
 		return m.end(c)
-	case OpLetters:
-		for _, msg := range c.Letters {
+	case OpMessages:
+		for _, msg := range c.Messages {
 			if msg.Seq == m.state.LastReceived[c.Group]+1 || m.faults.GrantTwice && msg.Kind == "grant" {
 				m.state.LastReceived[c.Group] = max(msg.Seq, m.state.LastReceived[c.Group])
 				m.localMessages = append(m.localMessages, msg)
 			}
 		}
 		return Result{OK: true, Seq: m.state.LastReceived[c.Group]}
-	case OpSent:
+	case OpConfirmed:
 		m.state.Outbox[c.Group] = slices.DeleteFunc(m.state.Outbox[c.Group], func(msg Message) bool { return msg.Seq <= c.Seq })
 		return Result{OK: true}
 	case OpCallOff:
@@ -128,8 +128,8 @@
 			return refuse("no run %q", c.ID)
 		}
 		return Result{OK: true}
-	case OpRoom:
-		for place, room := range c.Rooms {
+	case OpCapacities:
+		for place, room := range c.Capacities {
 			if len(m.state.Capacities) < maxTracked && len(place) <= maxParamBytes {
 				m.state.Capacities[place] = max(1, room)
 			}
@@ -137,14 +137,14 @@
 		return Result{OK: true}
 	case OpTick:
 		return Result{OK: true}
-	case OpLook:
+	case OpRead:
 		e, ok := m.Explain(c.ID)
 		if !ok {
 			return refuse("no run %q", c.ID)
 		}
 		return Result{OK: true, Answer: e.Answer, Explained: &e}
 	case OpTakeOver:
-		for _, t := range m.Running(c.By) {
+		for _, t := range m.Running(c.Dispatcher) {
 			m.end(&Command{Key: t.Key, Gen: t.Gen, Cause: policy.MayHaveRun})
 		}
 		return Result{OK: true}
--- a/internal/rerun/diamond_test.go
+++ b/internal/rerun/diamond_test.go
@@ -66,11 +66,11 @@
 budget="fleet"
 `
 
-func runDiamond(t *testing.T, outcome func(g Go) Command) (*simulation, *Run) {
+func runDiamond(t *testing.T, outcome func(g Execute) Command) (*simulation, *Run) {
 	sim := newSimulation(t, 21, 4, 100)
 	sim.duplicate = 0.5 // ends and many messages arrive twice: only the first counts
 	sim.policy(policyFile("7", "100%", "10m", diamondPipeline))
-	sim.outcome = func(_ *simulation, g Go) Command {
+	sim.outcome = func(_ *simulation, g Execute) Command {
 		c := outcome(g)
 		if c.Place == nil {
 			c.Place = worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")
@@ -94,8 +94,8 @@
 // downstream.
 func TestDiamond(t *testing.T) {
 	for _, one := range []bool{false, true} {
-		sim, r := runDiamond(t, func(g Go) Command {
-			if s := stageOf(g.Key); (s == "left" || s == "right" && !one) && g.Of[0] == 1 {
+		sim, r := runDiamond(t, func(g Execute) Command {
+			if s := stageOf(g.Key); (s == "left" || s == "right" && !one) && g.InputGens[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "source"}
 			}
 			return Command{OK: true}
@@ -109,8 +109,8 @@
 // worker accepted it.
 func TestClaimOnInputAcceptedByAnotherStageIsChecked(t *testing.T) {
 	for _, falseClaim := range []bool{true, false} {
-		sim, r := runDiamond(t, func(g Go) Command {
-			if stageOf(g.Key) == "left" && g.Of[0] == 1 && (g.Gen == 1 || !falseClaim) {
+		sim, r := runDiamond(t, func(g Execute) Command {
+			if stageOf(g.Key) == "left" && g.InputGens[0] == 1 && (g.Gen == 1 || !falseClaim) {
 				return Command{Cause: policy.BadInput, Input: "source", Place: worker(7+int(g.Gen), "s3", "b")}
 			}
 			return Command{OK: true}
@@ -131,8 +131,8 @@
 		sim := newSimulation(t, 22, 4, 100)
 		sim.duplicate = 0.5
 		sim.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
-		sim.outcome = func(_ *simulation, g Go) Command {
-			if strings.HasPrefix(g.Key, "r/r1/encode") && g.Of[0] == 1 && (g.Gen == 1 || !falseClaim) {
+		sim.outcome = func(_ *simulation, g Execute) Command {
+			if strings.HasPrefix(g.Key, "r/r1/encode") && g.InputGens[0] == 1 && (g.Gen == 1 || !falseClaim) {
 				return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(7+int(g.Gen), "s3", "b")}
 			}
 			return Command{OK: true, Place: worker(int(g.Gen), fmt.Sprint("s", g.Gen), "a")}
@@ -152,13 +152,13 @@
 func TestAcceptanceAfterAClaimCounts(t *testing.T) {
 	sim := newSimulation(t, 23, 4, 100)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("fleet", 3, "")))
-	sim.duration = func(_ *simulation, g Go) time.Duration {
+	sim.duration = func(_ *simulation, g Execute) time.Duration {
 		if g.Key == "r/r0/encode" {
 			return g.Work/2 + 400*time.Millisecond // the claimed rerun's backoff is at least half a second
 		}
 		return g.Work / 2
 	}
-	sim.outcome = func(_ *simulation, g Go) Command {
+	sim.outcome = func(_ *simulation, g Execute) Command {
 		if g.Key == "r/r1/encode" && g.Gen == 1 {
 			return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(8, "s3", "b")}
 		}
@@ -174,9 +174,9 @@
 
 // The output being made again loses its own input in the meantime, or is lost as soon as it exists.
 func TestOutputLostDuringRerun(t *testing.T) {
-	sim, r := runDiamond(t, func(g Go) Command {
+	sim, r := runDiamond(t, func(g Execute) Command {
 		switch s := stageOf(g.Key); {
-		case s == "join" && g.Of[0] == 1:
+		case s == "join" && g.InputGens[0] == 1:
 			return Command{Cause: policy.BadInput, Input: "left"}
 		case s == "left" && g.Gen == 2: // its input is lost during the rerun
 			return Command{Cause: policy.OutputLost, Input: "source"}
@@ -186,8 +186,8 @@
 	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
 	require.Equal(t, map[string]int{"source": 2, "left": 3, "right": 2, "join": 2, "publish": 1}, sim.generations(), "%v", r.History)
 
-	sim, r = runDiamond(t, func(g Go) Command {
-		if stageOf(g.Key) == "join" && g.Of[0] < 3 {
+	sim, r = runDiamond(t, func(g Execute) Command {
+		if stageOf(g.Key) == "join" && g.InputGens[0] < 3 {
 			return Command{Cause: policy.OutputLost, Input: "left"}
 		}
 		return Command{OK: true}
@@ -195,7 +195,7 @@
 	require.Equal(t, Done, r.Answer.Kind, "%v", r.History)
 	require.Equal(t, map[string]int{"source": 1, "left": 3, "right": 1, "join": 3, "publish": 1}, sim.generations(), "%v", r.History)
 
-	sim, r = runDiamond(t, func(g Go) Command { // lost every time: there is a final answer, within the rule's limit
+	sim, r = runDiamond(t, func(g Execute) Command { // lost every time: there is a final answer, within the rule's limit
 		if stageOf(g.Key) == "join" {
 			return Command{Cause: policy.OutputLost, Input: "left"}
 		}
@@ -212,15 +212,15 @@
 	sim := newSimulation(t, 22, 4, 100)
 	text := policyFile("7", "100%", "10m", diamondPipeline)
 	sim.policy(text)
-	sim.outcome = func(_ *simulation, g Go) Command {
-		if stageOf(g.Key) == "join" && g.Of[0] == 1 {
+	sim.outcome = func(_ *simulation, g Execute) Command {
+		if stageOf(g.Key) == "join" && g.InputGens[0] == 1 {
 			return Command{Cause: policy.BadInput, Input: "left", Place: worker(5, "s5", "a")}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
 	}
 	sim.submit("r0", "diamond", "t", nil)
 	explain := func() Explained {
-		r := sim.apply(GroupOfRun("r0", 4), Command{Op: OpLook, ID: "r0"})
+		r := sim.apply(GroupOfRun("r0", 4), Command{Op: OpRead, ID: "r0"})
 		require.True(t, r.OK)
 		return *r.Explained
 	}
@@ -237,11 +237,11 @@
 	require.True(t, waited["which d"], "names the dispatcher")
 	e := explain()
 	require.Equal(t, "7", e.Policy)
-	require.Equal(t, 2, e.Reruns, "left, join, and nothing else: %v", e.Story)
+	require.Equal(t, 2, e.Reruns, "left, join, and nothing else: %v", e.History)
 	require.Equal(t, 15*time.Second, e.Work)
 	line := 1 + strings.Count(text[:strings.LastIndex(text, "[[pipeline.rerun]]")], "\n")
 	var rules []string
-	for _, l := range e.Story {
+	for _, l := range e.History {
 		if l.Rule > 0 {
 			require.Equal(t, line, l.Rule, l.Text)
 			rules = append(rules, l.Text)
--- a/internal/rerun/explain.go
+++ b/internal/rerun/explain.go
@@ -19,7 +19,7 @@
 	WaitsFor []string          `json:"waits_for,omitempty"`
 	Reruns   int               `json:"reruns"`
 	Work     time.Duration     `json:"rerun_work"`
-	Story    []Line            `json:"story"`
+	History  []HistoryLine     `json:"story"`
 	Stages   map[string]string `json:"stages"`
 }
 
@@ -47,7 +47,7 @@
 				case Queued:
 					text = "its turn"
 				case Started:
-					text = fmt.Sprintf("generation %d, which %s has had run for %v", o.Execution.Gen, o.Execution.By, (m.state.At - o.Execution.Began).Round(time.Millisecond))
+					text = fmt.Sprintf("generation %d, which %s has had run for %v", o.Execution.Gen, o.Execution.Dispatcher, (m.state.At - o.Execution.Began).Round(time.Millisecond))
 				}
 			}
 			all = append(all, name+": "+text)
@@ -68,7 +68,7 @@
 	}
 	e = Explained{
 		Run: id, Pipeline: r.Pipeline, Policy: r.Policy, Tenant: r.Tenant, Began: r.Began, Answer: r.Answer, Reruns: r.Reruns, Work: r.Work,
-		Story: slices.Clone(r.History), Stages: map[string]string{},
+		History: slices.Clone(r.History), Stages: map[string]string{},
 	}
 	if r.Answer == nil {
 		_, e.WaitsFor = m.waitingFor(r)
--- a/internal/rerun/messages.go
+++ b/internal/rerun/messages.go
@@ -217,7 +217,7 @@
 	m.addHistory(r, -1, "%s", text)
 	if stage.Once {
 		if msg.Cause.Ran() && !m.faults.Unsafe {
-			m.finish(r, Answer{Kind: Person, Stage: stage.Name, Cause: msg.Cause, Reason: fmt.Sprintf("%s; it must not run twice", cmp.Or(msg.Text, text))})
+			m.finish(r, Answer{Kind: NeedsPerson, Stage: stage.Name, Cause: msg.Cause, Reason: fmt.Sprintf("%s; it must not run twice", cmp.Or(msg.Text, text))})
 			return
 		}
 		s.MayHaveRun = false // it certainly did not run
@@ -265,7 +265,7 @@
 	if n.Target != msg.Stage && !rule.KeepOld && !m.faults.Unsafe {
 		for _, a := range r.pipeline.Affected(rule, n.Target) {
 			if r.pipeline.Stages[a].Once && r.Stages[a].MayHaveRun {
-				m.finish(r, Answer{Kind: Person, Stage: r.pipeline.Stages[a].Name, Cause: msg.Cause,
+				m.finish(r, Answer{Kind: NeedsPerson, Stage: r.pipeline.Stages[a].Name, Cause: msg.Cause,
 					Reason: fmt.Sprintf("%s says that %s is spoilt, and %s, which must not run twice, has used it", r.pipeline.Stages[msg.Stage].Name, r.pipeline.Stages[n.Target].Name, r.pipeline.Stages[a].Name)})
 				return
 			}
--- a/internal/rerun/model.go
+++ b/internal/rerun/model.go
@@ -11,11 +11,11 @@
 
 // How a run ends.
 const (
-	Done      Kind = "done"
-	Dead      Kind = "dead"
-	Person    Kind = "needs_person" // a stage that must not run twice may have run, or the policy demands a person
-	LateEnd   Kind = "late"
-	CalledOff Kind = "called_off"
+	Done        Kind = "done"
+	Dead        Kind = "dead"
+	NeedsPerson Kind = "needs_person" // a stage that must not run twice may have run, or the policy demands a person
+	LateEnd     Kind = "late"
+	CalledOff   Kind = "called_off"
 )
 
 // Answer is the one final answer of a run.
@@ -30,8 +30,8 @@
 	Result string        `json:"result,omitempty"` // of the last of its result stages
 }
 
-// Line is a line of a run's history.
-type Line struct {
+// HistoryLine is a line of a run's history.
+type HistoryLine struct {
 	At   time.Duration `json:"at"`
 	Rule int           `json:"rule,omitempty"` // line in the policy file; 0: none
 	Text string        `json:"text"`
@@ -52,7 +52,7 @@
 	Reruns       int               `json:"reruns,omitempty"`
 	Work         time.Duration     `json:"work,omitempty"` // of reruns that this run started
 	Answer       *Answer           `json:"answer,omitempty"`
-	History      []Line            `json:"story,omitempty"`
+	History      []HistoryLine     `json:"story,omitempty"`
 
 	pipeline *policy.Pipeline
 }
@@ -126,17 +126,17 @@
 
 // Output is the output of a stage, of one run or of all that share it.
 type Output struct {
-	Key       string           `json:"key"`
-	LastGen   int64            `json:"last"`          // last generation begun
-	Gen       int64            `json:"gen,omitempty"` // last generation made
-	InputGens []int64          `json:"of,omitempty"`  // generations of the inputs that it was made of
-	Place     policy.Place     `json:"at"`
-	MadeAt    time.Duration    `json:"made,omitempty"`
-	Result    string           `json:"result,omitempty"`
-	Execution *Turn            `json:"turn,omitempty"`
-	Requests  map[string]*Want `json:"wants,omitempty"` // by run
-	Users     map[string]int64 `json:"users,omitempty"` // by run: the generation that was reported to it
-	ForgetAt  time.Duration    `json:"idle,omitempty"`
+	Key       string                    `json:"key"`
+	LastGen   int64                     `json:"last"`          // last generation begun
+	Gen       int64                     `json:"gen,omitempty"` // last generation made
+	InputGens []int64                   `json:"of,omitempty"`  // generations of the inputs that it was made of
+	Place     policy.Place              `json:"at"`
+	MadeAt    time.Duration             `json:"made,omitempty"`
+	Result    string                    `json:"result,omitempty"`
+	Execution *Execution                `json:"turn,omitempty"`
+	Requests  map[string]*OutputRequest `json:"wants,omitempty"` // by run
+	Users     map[string]int64          `json:"users,omitempty"` // by run: the generation that was reported to it
+	ForgetAt  time.Duration             `json:"idle,omitempty"`
 	// Accrued: the first run has been added to the budgets.
 	Accrued bool `json:"accrued,omitempty"`
 	// Approvals: who accepted a shared output as an input. No two have the same run or the same worker.
@@ -170,28 +170,28 @@
 	Amount int64  `json:"amount"`
 }
 
-// Want is a run's request for an output: a generation above a given one, made of inputs of at least these generations.
-type Want struct {
-	Run      string            `json:"run"`
-	Stage    int               `json:"stage"`
-	Name     string            `json:"name"`
-	Class    string            `json:"class"`
-	Once     bool              `json:"once,omitempty"`
-	Tenant   string            `json:"tenant,omitempty"`
-	Params   map[string]string `json:"params,omitempty"`
-	AboveGen int64             `json:"over,omitempty"`
-	Of       []int64           `json:"of,omitempty"`
-	Inputs   []string          `json:"inputs,omitempty"` // output keys
-	Work     time.Duration     `json:"work"`
-	Within   time.Duration     `json:"within"` // of one stage run
-	Until    time.Duration     `json:"until"`
-	Where    policy.Where      `json:"where,omitempty"`
-	Failed   policy.Place      `json:"failed"`
-	Avoid    []policy.Place    `json:"avoid,omitempty"`  // where earlier generations failed, to be avoided likewise
-	Doubt    []policy.Place    `json:"doubt,omitempty"`  // sites that often fail; others are preferred if there are any
-	Accrue   []Share           `json:"accrue,omitempty"` // accounts that a first run adds to
-	Charge   []string          `json:"charge,omitempty"` // accounts that a rerun is charged to
-	Spare    time.Duration     `json:"spare,omitempty"`
+// OutputRequest is a run's request for an output: a generation above a given one, made of inputs of at least these generations.
+type OutputRequest struct {
+	Run          string            `json:"run"`
+	Stage        int               `json:"stage"`
+	Name         string            `json:"name"`
+	Class        string            `json:"class"`
+	Once         bool              `json:"once,omitempty"`
+	Tenant       string            `json:"tenant,omitempty"`
+	Params       map[string]string `json:"params,omitempty"`
+	AboveGen     int64             `json:"over,omitempty"`
+	InputGens    []int64           `json:"of,omitempty"`
+	Inputs       []string          `json:"inputs,omitempty"` // output keys
+	Work         time.Duration     `json:"work"`
+	Within       time.Duration     `json:"within"` // of one stage run
+	Deadline     time.Duration     `json:"until"`
+	Where        policy.Where      `json:"where,omitempty"`
+	FailedPlace  policy.Place      `json:"failed"`
+	FailedPlaces []policy.Place    `json:"avoid,omitempty"`  // where earlier generations failed, to be avoided likewise
+	SuspectSites []policy.Place    `json:"doubt,omitempty"`  // sites that often fail; others are preferred if there are any
+	Accrue       []Share           `json:"accrue,omitempty"` // accounts that a first run adds to
+	Charge       []string          `json:"charge,omitempty"` // accounts that a rerun is charged to
+	Spare        time.Duration     `json:"spare,omitempty"`
 }
 
 // Share is an account and its share of the work of first runs.
@@ -200,15 +200,15 @@
 	Fraction float64 `json:"of"`
 }
 
-// Turn is an execution of a stage, which makes one generation of its output.
-type Turn struct {
-	Want                 // the request that started it
-	Gen   int64          `json:"gen"`
-	First bool           `json:"first,omitempty"`
-	Phase ExecutionPhase `json:"phase"`
-	Order uint64         `json:"order"`
-	By    string         `json:"by,omitempty"` // dispatcher
-	Began time.Duration  `json:"began,omitempty"`
+// Execution is an execution of a stage, which makes one generation of its output.
+type Execution struct {
+	OutputRequest                // the request that started it
+	Gen           int64          `json:"gen"`
+	First         bool           `json:"first,omitempty"`
+	Phase         ExecutionPhase `json:"phase"`
+	Order         uint64         `json:"order"`
+	Dispatcher    string         `json:"by,omitempty"` // dispatcher
+	Began         time.Duration  `json:"began,omitempty"`
 }
 
 // ExecutionPhase is the phase of an execution.
@@ -271,7 +271,7 @@
 	Amount       int64          `json:"amount,omitempty"`
 	Spare        int64          `json:"spare,omitempty"`
 	Group        uint32         `json:"group,omitempty"`
-	Request      *Want          `json:"want,omitempty"`
+	Request      *OutputRequest `json:"want,omitempty"`
 	Worker       string         `json:"worker,omitempty"`
 	SuspectSites []policy.Place `json:"sites,omitempty"`
 }
--- a/internal/rerun/outputs.go
+++ b/internal/rerun/outputs.go
@@ -16,7 +16,7 @@
 		if msg.Kind == "leave" || msg.Request == nil {
 			return
 		}
-		o = &Output{Key: msg.To, Requests: map[string]*Want{}, Users: map[string]int64{}}
+		o = &Output{Key: msg.To, Requests: map[string]*OutputRequest{}, Users: map[string]int64{}}
 		m.state.Outputs[msg.To] = o
 	}
 	if msg.Kind == "leave" {
@@ -53,7 +53,7 @@
 	m.setExecution(o, nil)
 }
 
-func (m *Machine) setExecution(o *Output, e *Turn) {
+func (m *Machine) setExecution(o *Output, e *Execution) {
 	if o.Execution = e; e == nil {
 		delete(m.executions, o.Key)
 	} else {
@@ -82,7 +82,7 @@
 func (m *Machine) serveRequests(o *Output) {
 	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
 		req := o.Requests[id]
-		if o.Gen > req.AboveGen && coversInputs(o.InputGens, req.Of) {
+		if o.Gen > req.AboveGen && coversInputs(o.InputGens, req.InputGens) {
 			delete(o.Requests, id)
 			o.Users[id] = o.Gen
 			m.send(Message{Kind: "made", To: "r/" + id, Stage: req.Stage, Gen: o.Gen, InputGens: o.InputGens, Place: o.Place, MadeAt: o.MadeAt, Text: o.Result})
@@ -91,8 +91,8 @@
 	for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
 		req := o.Requests[id]
 		if e := o.Execution; e != nil {
-			if e.Phase != Started && !coversInputs(e.Of, req.Of) && coversInputs(req.Of, e.Of) { // not started: switch to the newer inputs
-				e.Of = req.Of
+			if e.Phase != Started && !coversInputs(e.InputGens, req.InputGens) && coversInputs(req.InputGens, e.InputGens) { // not started: switch to the newer inputs
+				e.InputGens = req.InputGens
 			}
 			continue
 		}
@@ -101,7 +101,7 @@
 		}
 		o.LastGen++
 		m.state.LastOrder++
-		m.setExecution(o, &Turn{Want: *req, Gen: o.LastGen, First: o.LastGen == 1, Phase: AwaitingBudget, Order: m.state.LastOrder})
+		m.setExecution(o, &Execution{OutputRequest: *req, Gen: o.LastGen, First: o.LastGen == 1, Phase: AwaitingBudget, Order: m.state.LastOrder})
 		m.chargeBudgets(o)
 	}
 }
@@ -112,7 +112,7 @@
 	switch {
 	case o == nil || o.Execution == nil || o.Execution.Gen != c.Gen:
 		return refuse("no such turn")
-	case o.Execution.Phase == Started && o.Execution.By == c.By:
+	case o.Execution.Phase == Started && o.Execution.Dispatcher == c.Dispatcher:
 		return Result{OK: true}
 	case o.Execution.Phase != Queued:
 		return refuse("not to be started")
@@ -122,7 +122,7 @@
 		return refuse("first runs go first")
 	}
 	e := o.Execution
-	e.Phase, e.By, e.Began = Started, c.By, m.state.At
+	e.Phase, e.Dispatcher, e.Began = Started, c.Dispatcher, m.state.At
 	m.state.Running++
 	if m.StagesStarted++; !e.First {
 		m.Reruns++
@@ -135,14 +135,14 @@
 
 // lateAt returns when a started execution counts as late. For a stage that must not run twice, the end of its job is
 // awaited: that shows whether it ran, and arrives only after the job's deadline.
-func (e *Turn) lateAt() time.Duration {
+func (e *Execution) lateAt() time.Duration {
 	switch {
 	case e.Within > 0 && e.Once:
-		return min(e.Began+e.Within, e.Until) + lateGrace
+		return min(e.Began+e.Within, e.Deadline) + lateGrace
 	case e.Within > 0:
-		return min(e.Began+e.Within, e.Until+lateGrace)
+		return min(e.Began+e.Within, e.Deadline+lateGrace)
 	}
-	return e.Until + lateGrace
+	return e.Deadline + lateGrace
 }
 
 func (m *Machine) firstRunQueued() bool {
@@ -173,8 +173,8 @@
 	m.setExecution(o, nil)
 	m.state.Running--
 	if c.OK {
-		o.Gen, o.InputGens, o.Place, o.MadeAt, o.Result, o.Approvals = e.Gen, e.Of, at, m.state.At, c.Text, nil
-		if len(e.Of) > 0 && at.Worker != "" {
+		o.Gen, o.InputGens, o.Place, o.MadeAt, o.Result, o.Approvals = e.Gen, e.InputGens, at, m.state.At, c.Text, nil
+		if len(e.InputGens) > 0 && at.Worker != "" {
 			m.send(Message{Kind: "content", To: "c/" + at.Worker, Text: e.Name})
 			m.sendApprovals(e, at.Worker)
 		}
@@ -186,7 +186,7 @@
 	} else {
 		for _, id := range slices.Sorted(maps.Keys(o.Requests)) {
 			req := o.Requests[id]
-			if req.AboveGen >= e.Gen || !coversInputs(e.Of, req.Of) && !req.Once { // it requests an attempt that was not made yet
+			if req.AboveGen >= e.Gen || !coversInputs(e.InputGens, req.InputGens) && !req.Once { // it requests an attempt that was not made yet
 				continue
 			}
 			delete(o.Requests, id)
--- a/internal/rerun/plant/address_test.go
+++ b/internal/rerun/plant/address_test.go
@@ -17,8 +17,8 @@
 	t.Cleanup(r.Close)
 	p := New([]Worker{{ID: "s-1", Zone: "a", Kind: "m2"}})
 	t.Cleanup(p.Close)
-	require.NoError(t, p.Join(r, "reruns.toml"))
-	require.NoError(t, p.Down("s-1", true))
+	require.NoError(t, p.Attach(r, "reruns.toml"))
+	require.NoError(t, p.SetDown("s-1", true))
 	for _, d := range p.servers {
 		if d.worker != "s-1" {
 			continue
@@ -31,7 +31,7 @@
 		}
 		require.Error(t, err, "another listens where the worker was")
 	}
-	require.NoError(t, p.Down("s-1", false))
+	require.NoError(t, p.SetDown("s-1", false))
 	for _, d := range p.servers {
 		c, err := net.Dial("tcp", d.addr)
 		require.NoError(t, err)
--- a/internal/rerun/plant/cluster.go
+++ b/internal/rerun/plant/cluster.go
@@ -41,9 +41,9 @@
 // Cluster is a set of simulated workers. Work gives the duration of a run when it begins, Decide its outcome when its
 // work is done.
 type Cluster struct {
-	Workers []Worker
-	Work    func(Run) time.Duration
-	Decide  func(Run) pipelines.Outcome
+	Workers   []Worker
+	WorkTime  func(Run) time.Duration
+	OutcomeOf func(Run) pipelines.Outcome
 
 	mu      sync.Mutex
 	runs    []*Run
@@ -58,8 +58,8 @@
 func New(workers []Worker) *Cluster {
 	return &Cluster{
 		Workers: workers, down: map[string]bool{}, done: make(chan struct{}), client: http.Client{Timeout: 2 * time.Second},
-		Work:   func(Run) time.Duration { return 20 * time.Millisecond },
-		Decide: func(Run) pipelines.Outcome { return pipelines.Outcome{} },
+		WorkTime:  func(Run) time.Duration { return 20 * time.Millisecond },
+		OutcomeOf: func(Run) pipelines.Outcome { return pipelines.Outcome{} },
 	}
 }
 
@@ -83,8 +83,8 @@
 	return all
 }
 
-// Down stops a worker's process, with all its runs, or starts it again. A stopped one accepts no connections.
-func (c *Cluster) Down(worker string, down bool) error {
+// SetDown stops a worker's process, with all its runs, or starts it again. A stopped one accepts no connections.
+func (c *Cluster) SetDown(worker string, down bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down[worker] = down
@@ -140,9 +140,9 @@
 
 var discovery = regexp.MustCompile(`(?m)^discovery = .*$`)
 
-// Join configures a rig's daemons, which must not have started yet, to discover these workers instead of the rig's
+// Attach configures a rig's daemons, which must not have started yet, to discover these workers instead of the rig's
 // encoders, and to serve the pipelines of a policy file.
-func (c *Cluster) Join(r *rig.Rig, policy string) error {
+func (c *Cluster) Attach(r *rig.Rig, policy string) error {
 	for n := range r.Daemons {
 		d := r.Daemon(n)
 		type member struct {
@@ -246,7 +246,7 @@
 	select {
 	case <-c.done:
 		return
-	case <-time.After(c.Work(*run)):
+	case <-time.After(c.WorkTime(*run)):
 	}
 	c.mu.Lock()
 	down := c.down[run.Worker.ID]
@@ -255,7 +255,7 @@
 		c.sendCallback(r, daemon, map[string]any{"id": id, "from": run.Worker.ID, "state": "lost"}, 40)
 		return
 	}
-	o := c.Decide(*run)
+	o := c.OutcomeOf(*run)
 	c.mu.Lock()
 	run.Ended, run.Outcome = time.Now(), o
 	c.mu.Unlock()
--- a/internal/rerun/plant/cluster_test.go
+++ b/internal/rerun/plant/cluster_test.go
@@ -77,7 +77,7 @@
 	s.Cluster = plant.New(workers)
 	t.Cleanup(s.Cluster.Close)
 	var once sync.Once
-	s.Work = func(run plant.Run) time.Duration {
+	s.WorkTime = func(run plant.Run) time.Duration {
 		if fmt.Sprint(run.Stage, "@", run.Generation) == step {
 			once.Do(func() {
 				s.heldRun <- run
@@ -89,15 +89,15 @@
 		}
 		return 20 * time.Millisecond
 	}
-	s.Decide = func(run plant.Run) pipelines.Outcome {
+	s.OutcomeOf = func(run plant.Run) pipelines.Outcome {
 		if run.Stage == "package" && run.Inputs[0].Generation == 1 {
 			return pipelines.Outcome{Outcome: policy.BadInput, Input: "encode"}
 		}
 		return pipelines.Outcome{Text: "ok"}
 	}
 	file := filepath.Join(dir, "reruns.toml")
-	require.NoError(t, os.WriteFile(file, []byte(plant.Lecture("3", "")), 0o600))
-	require.NoError(t, s.Join(s.Rig, file))
+	require.NoError(t, os.WriteFile(file, []byte(plant.LecturePolicy("3", "")), 0o600))
+	require.NoError(t, s.Attach(s.Rig, file))
 	ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
 	defer cancel()
 	require.NoError(t, s.StartAll(ctx))
--- a/internal/rerun/plant/policy.go
+++ b/internal/rerun/plant/policy.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Lecture returns a policy with one pipeline for tests: encode, package, and publish, which must not run twice. An
+// LecturePolicy returns a policy with one pipeline for tests: encode, package, and publish, which must not run twice. An
 // output of encode that package reports as bad is made again at another site; failures of encode are rerun. Lectures
 // share the outputs of encode by the named parameter; if it is empty, each has its own.
-func Lecture(version, shared string) string {
+func LecturePolicy(version, shared string) string {
 	if shared != "" {
 		shared = fmt.Sprintf("shared = %q\n", shared)
 	}
--- a/internal/rerun/rerun.go
+++ b/internal/rerun/rerun.go
@@ -90,7 +90,7 @@
 	localMessages []Message
 	timers        timerHeap
 	executions    map[string]*Output // outputs with an execution
-	logLines      []Told
+	logLines      []LogLine
 	unfinished    int  // runs without an answer
 	budgetsGrew   bool // a budget has grown since executions waiting for it were last checked
 	// Counted since the process started, for operators; not replicated.
@@ -160,8 +160,8 @@
 // GroupOfRun returns the group of a pipeline run.
 func GroupOfRun(id string, groups uint32) uint32 { return replica.GroupOf("r/"+id, groups) }
 
-// Roomy reports whether the known rerun capacities of places are within a quarter of the given ones.
-func (m *Machine) Roomy(rooms map[string]int) bool {
+// CapacitiesCurrent reports whether the known rerun capacities of places are within a quarter of the given ones.
+func (m *Machine) CapacitiesCurrent(rooms map[string]int) bool {
 	for place, room := range rooms {
 		if old := m.state.Capacities[place]; 4*max(room-old, old-room) > old && len(m.state.Capacities) < maxTracked {
 			return false
@@ -170,8 +170,8 @@
 	return true
 }
 
-// Knows reports whether a version of the policy is loaded.
-func (m *Machine) Knows(version string) bool { return m.policies[version] != nil }
+// HasPolicy reports whether a version of the policy is loaded.
+func (m *Machine) HasPolicy(version string) bool { return m.policies[version] != nil }
 
 // OutputKey returns the key of a stage's output.
 func (r *Run) OutputKey(i int) string {
@@ -183,7 +183,7 @@
 }
 
 func (m *Machine) addHistory(r *Run, rule int, format string, args ...any) {
-	l := Line{At: m.state.At, Text: fmt.Sprintf(format, args...)}
+	l := HistoryLine{At: m.state.At, Text: fmt.Sprintf(format, args...)}
 	if rule >= 0 {
 		l.Rule = r.pipeline.Rules[rule].Line
 	}
@@ -192,18 +192,18 @@
 	}
 	r.History = append(r.History, l)
 	if len(m.logLines) < maxLogLines {
-		m.logLines = append(m.logLines, Told{r.ID, r.Policy, l})
+		m.logLines = append(m.logLines, LogLine{r.ID, r.Policy, l})
 	}
 }
 
-// Told is a history line of a run, to be logged.
-type Told struct {
+// LogLine is a history line of a run, to be logged.
+type LogLine struct {
 	Run, Policy string
-	Line
+	HistoryLine
 }
 
-// Lines returns and clears the history lines added since the last call, for the log.
-func (m *Machine) Lines() []Told {
+// TakeLogLines returns and clears the history lines added since the last call, for the log.
+func (m *Machine) TakeLogLines() []LogLine {
 	all := m.logLines
 	m.logLines = nil
 	return all
@@ -238,13 +238,13 @@
 			continue
 		}
 		if stage.Once && s.MayHaveRun && !m.faults.Unsafe {
-			m.finish(r, Answer{Kind: Person, Stage: stage.Name, Reason: fmt.Sprintf("%s must not run twice and has been run with inputs that no longer count", stage.Name)})
+			m.finish(r, Answer{Kind: NeedsPerson, Stage: stage.Name, Reason: fmt.Sprintf("%s must not run twice and has been run with inputs that no longer count", stage.Name)})
 			return
 		}
 		s.Requested, s.InputGens = true, gens
-		req := &Want{
+		req := &OutputRequest{
 			Run: r.ID, Stage: i, Name: stage.Name, Class: stage.Class, Once: stage.Once, Tenant: r.Tenant, Params: r.Params,
-			AboveGen: s.StaleUpTo, Of: gens, Inputs: inputs, Work: stage.Work, Within: stage.Within, Until: r.Deadline, Failed: s.Place, Spare: m.policies[r.Policy].Spare,
+			AboveGen: s.StaleUpTo, InputGens: gens, Inputs: inputs, Work: stage.Work, Within: stage.Within, Deadline: r.Deadline, FailedPlace: s.Place, Spare: m.policies[r.Policy].Spare,
 		}
 		m.setBudgets(r, s, req)
 		m.send(Message{Kind: "want", To: r.OutputKey(i), From: r.ID, Request: req})
@@ -255,7 +255,7 @@
 }
 
 // setBudgets sets the accounts that a first run of a stage accrues to, and those that a rerun is charged to.
-func (m *Machine) setBudgets(r *Run, s *Stage, req *Want) {
+func (m *Machine) setBudgets(r *Run, s *Stage, req *OutputRequest) {
 	fleet := m.policies[r.Policy].Fleet
 	req.Accrue, req.Charge = []Share{{"fleet", fleet}}, []string{"fleet"}
 	for _, rule := range r.pipeline.Rules {
@@ -269,7 +269,7 @@
 			req.Charge = append(req.Charge, tenantAccount(r.Tenant, rule.Tenant))
 		}
 		if s.ByRule {
-			req.Where, req.Avoid, req.Doubt = rule.Where, slices.Clone(s.FailedPlaces), slices.Clone(s.SuspectSites)
+			req.Where, req.FailedPlaces, req.SuspectSites = rule.Where, slices.Clone(s.FailedPlaces), slices.Clone(s.SuspectSites)
 		}
 		if s.CheckedClaim != nil && req.Where == policy.Anywhere { // a second opinion needs another worker
 			req.Where = policy.OtherWorker
@@ -399,7 +399,7 @@
 func (m *Machine) giveUp(r *Run, i int, n *PendingRerun, why string) {
 	kind := Dead
 	if r.pipeline.Rules[n.Rule].NeedsPerson {
-		kind = Person
+		kind = NeedsPerson
 	}
 	m.finish(r, Answer{Kind: kind, Stage: r.pipeline.Stages[i].Name, Cause: n.Cause, Reason: why})
 }
--- a/internal/rerun/rerun_test.go
+++ b/internal/rerun/rerun_test.go
@@ -33,8 +33,8 @@
 func TestThousandRunsOnOneBadOutput(t *testing.T) {
 	sim := newSimulation(t, 1, 5, 1000)
 	sim.policy(policyFile("1", "100%", "10m", filmPipeline("tenant:100%", 2, "")))
-	sim.outcome = func(sim *simulation, g Go) Command {
-		if stageOf(g.Key) == "encode" && g.Of[0] == 1 {
+	sim.outcome = func(sim *simulation, g Execute) Command {
+		if stageOf(g.Key) == "encode" && g.InputGens[0] == 1 {
 			return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(sim.rng.IntN(50), "s2", "b")}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
@@ -46,8 +46,8 @@
 	require.Equal(t, map[Kind]int{Done: 1000}, sim.endKinds(1000, runID))
 	require.Equal(t, map[int64]int{1: 1, 2: 1}, sim.started["s/film/ingest/jingle"])
 	e, _ := sim.machines[GroupOfRun("r0", 5)].Explain("r0")
-	require.NotEmpty(t, e.Story)
-	require.Contains(t, fmt.Sprint(e.Story), "encode: bad_input ingest")
+	require.NotEmpty(t, e.History)
+	require.Contains(t, fmt.Sprint(e.History), "encode: bad_input ingest")
 }
 
 // Reruns across three stages: package reports encode as bad, and the rerun of encode reports ingest as bad. Everything
@@ -56,13 +56,13 @@
 	sim := newSimulation(t, 2, 4, 100)
 	sim.policy(policyFile("1", "5%", "10m", filmPipeline("fleet", 2, "")))
 	var narrowed []policy.Where
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		if !g.First {
 			narrowed = append(narrowed, g.Where)
 		}
 		at := worker(1, "s1", "a")
 		switch s := stageOf(g.Key); {
-		case s == "package" && g.Of[0] == 1:
+		case s == "package" && g.InputGens[0] == 1:
 			return Command{Cause: policy.BadInput, Input: "encode", Place: worker(2, "s1", "a")}
 		case s == "encode" && g.Gen == 2:
 			return Command{Cause: policy.BadInput, Input: "ingest", Place: worker(3, "s1", "a")}
@@ -89,7 +89,7 @@
 	for _, cause := range []policy.Cause{policy.MayHaveRun, policy.RanFailed, policy.BadInput, policy.Late, policy.CalledOff, policy.NeverRan} {
 		sim := newSimulation(t, 3, 3, 100)
 		sim.policy(policyFile("1", "5%", "10m", filmPipeline("fleet", 2, publishRule)))
-		sim.outcome = func(sim *simulation, g Go) Command {
+		sim.outcome = func(sim *simulation, g Execute) Command {
 			if stageOf(g.Key) == "publish" && g.Gen == 1 {
 				return Command{Cause: cause, Input: "package", Place: worker(4, "s", "a")}
 			}
@@ -103,7 +103,7 @@
 			require.Len(t, sim.started["r/r0/publish"], 2)
 			continue
 		}
-		require.Equal(t, Person, a.Kind, cause)
+		require.Equal(t, NeedsPerson, a.Kind, cause)
 		require.Contains(t, a.Reason, "must not run twice")
 		require.Equal(t, "publish", a.Stage)
 		require.Len(t, sim.started["r/r0/publish"], 1)
@@ -140,10 +140,10 @@
 
 func rerunUnsafe(sim *simulation) {
 	sim.policy(policyFile("1", "5%", "10m", twoResults))
-	sim.duration = func(sim *simulation, g Go) time.Duration {
+	sim.duration = func(sim *simulation, g Execute) time.Duration {
 		return map[string]time.Duration{"package": time.Second, "publish": time.Second, "notify": 3 * time.Second}[stageOf(g.Key)]
 	}
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		if stageOf(g.Key) == "notify" {
 			return Command{Cause: policy.BadInput, Input: "package"}
 		}
@@ -157,7 +157,7 @@
 	sim := newSimulation(t, 4, 3, 100)
 	rerunUnsafe(sim)
 	a := sim.run("r0").Answer
-	require.Equal(t, Person, a.Kind)
+	require.Equal(t, NeedsPerson, a.Kind)
 	require.Contains(t, a.Reason, "notify says that package is spoilt, and publish, which must not run twice, has used it")
 	require.Len(t, sim.started["r/r0/package"], 1)
 }
@@ -168,9 +168,9 @@
 	sim := newSimulation(t, 5, 4, 4)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	falseClaims := 0
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		at := worker(sim.rng.IntN(10), "s1", "a")
-		if g.Where != "" && g.Where != policy.Anywhere && at.Worker == g.Failed.Worker {
+		if g.Where != "" && g.Where != policy.Anywhere && at.Worker == g.FailedPlace.Worker {
 			at = worker(50, "s2", "b")
 		}
 		if stageOf(g.Key) == "package" && at.Worker == "w3" {
@@ -205,19 +205,19 @@
 		sim := newSimulation(t, 12, 4, 8)
 		sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 		seen, opinions := 0, 0
-		sim.outcome = func(sim *simulation, g Go) Command {
+		sim.outcome = func(sim *simulation, g Execute) Command {
 			at := worker(1, "s1", "a") // the only worker of the site with nearly all first runs
 			if !g.First && g.Where != policy.Anywhere {
 				at = worker(2+sim.rng.IntN(9), "s2", "b")
 			}
 			if stageOf(g.Key) != "package" || at.Worker != "w1" {
-				if stageOf(g.Key) == "package" && !c.falseClaims && g.Of[0] == 1 && isBad(g.Key) { // a second worker confirms
+				if stageOf(g.Key) == "package" && !c.falseClaims && g.InputGens[0] == 1 && isBad(g.Key) { // a second worker confirms
 					opinions++
 					return Command{Cause: policy.BadInput, Input: "encode", Place: at}
 				}
 				return Command{OK: true, Place: at}
 			}
-			if seen++; !c.falseClaims && g.Of[0] == 1 && isBad(g.Key) || c.falseClaims && seen%3 == 0 {
+			if seen++; !c.falseClaims && g.InputGens[0] == 1 && isBad(g.Key) || c.falseClaims && seen%3 == 0 {
 				return Command{Cause: policy.BadInput, Input: "encode", Place: at}
 			}
 			return Command{OK: true, Place: at}
@@ -252,9 +252,9 @@
 	sim := newSimulation(t, 15, 4, 4)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	first := 2 // two claims per worker are believed: those of the confirming worker, then those of the claiming one
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		switch {
-		case stageOf(g.Key) != "package" || g.Of[0] > 1:
+		case stageOf(g.Key) != "package" || g.InputGens[0] > 1:
 			return Command{OK: true, Place: worker(9, "s1", "a")}
 		case g.First:
 			return Command{Cause: policy.BadInput, Input: "encode", Place: worker(first, "s1", "a")}
@@ -281,16 +281,16 @@
 	sim := newSimulation(t, 13, 4, 40)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	informed, uninformed := 0, 0
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		at := worker(sim.rng.IntN(20), fmt.Sprint("s", sim.rng.IntN(4)), "a")
 		if stageOf(g.Key) == "encode" && !g.First {
-			if slices.Contains(g.Doubt, policy.Place{Zone: "a", Site: "s0"}) {
+			if slices.Contains(g.SuspectSites, policy.Place{Zone: "a", Site: "s0"}) {
 				informed++
 				at.Site = "s1"
 			} else {
 				uninformed++
 			}
-			require.NotContains(t, g.Doubt, policy.Place{Zone: "a", Site: "s1"})
+			require.NotContains(t, g.SuspectSites, policy.Place{Zone: "a", Site: "s1"})
 		}
 		if stageOf(g.Key) == "package" {
 			if o := sim.machines[GroupOfRun(strings.Split(g.Key, "/")[1], 4)].state.Outputs[g.Inputs[0]]; o.Place.Site == "s0" {
@@ -307,7 +307,7 @@
 	require.Greater(t, informed, 5*uninformed, "%d reruns informed, %d not", informed, uninformed)
 	for _, m := range sim.machines { // and the counts expire
 		sim.now += 2 * claimRetention
-		m.Apply(0, sim.now, Command{Op: OpTick}.Bytes())
+		m.Apply(0, sim.now, Command{Op: OpTick}.Encode())
 		require.Empty(t, m.state.SiteFailures)
 	}
 }
@@ -318,7 +318,7 @@
 	sim := newSimulation(t, 16, 4, 40)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	made, kept, sent := 0, 0, 0
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		switch id := strings.Split(g.Key, "/")[1]; stageOf(g.Key) {
 		case "encode":
 			site := "s0"
@@ -327,8 +327,8 @@
 			} else if !g.First {
 				site = "s2"
 				if made > 100 {
-					kept += map[bool]int{true: 1}[slices.Contains(g.Doubt, policy.Place{Zone: "a", Site: "s0"})]
-					sent += map[bool]int{true: 1}[!slices.Contains(g.Doubt, policy.Place{Zone: "a", Site: "s1"})]
+					kept += map[bool]int{true: 1}[slices.Contains(g.SuspectSites, policy.Place{Zone: "a", Site: "s0"})]
+					sent += map[bool]int{true: 1}[!slices.Contains(g.SuspectSites, policy.Place{Zone: "a", Site: "s1"})]
 				}
 			}
 			return Command{OK: true, Place: worker(sim.rng.IntN(20), site, "a")}
@@ -357,7 +357,7 @@
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	bad := policy.Place{Zone: "a", Site: "s0"}
 	kept, sent := 0, 0
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		id := strings.Split(g.Key, "/")[1]
 		switch stageOf(g.Key) {
 		case "encode":
@@ -366,7 +366,7 @@
 			}
 			site := "s1"
 			switch second := sim.run(id).Stages[1].CheckedClaim != nil; {
-			case second && slices.Contains(g.Doubt, bad):
+			case second && slices.Contains(g.SuspectSites, bad):
 				kept++
 			case second:
 				sent++
@@ -401,11 +401,11 @@
 	sim := newSimulation(t, 6, 4, 1000)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	for g := range sim.machines {
-		sim.apply(uint32(g), Command{Op: OpRoom, Rooms: map[string]int{"a.s1": 6}})
+		sim.apply(uint32(g), Command{Op: OpCapacities, Capacities: map[string]int{"a.s1": 6}})
 	}
 	running, most := map[string]bool{}, 0
-	sim.outcome = func(sim *simulation, g Go) Command {
-		if stageOf(g.Key) == "package" && g.Of[0] == 1 {
+	sim.outcome = func(sim *simulation, g Execute) Command {
+		if stageOf(g.Key) == "package" && g.InputGens[0] == 1 {
 			return Command{Cause: policy.OutputLost, Input: "encode"}
 		}
 		if stageOf(g.Key) == "encode" && !g.First {
@@ -430,7 +430,7 @@
 func TestTrialsThatFail(t *testing.T) {
 	sim := newSimulation(t, 7, 4, 1000)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 1, "")))
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		if stageOf(g.Key) == "package" {
 			return Command{Cause: policy.BadInput, Input: "encode"}
 		}
@@ -448,8 +448,8 @@
 func TestVersionHalvesTheBudget(t *testing.T) {
 	sim := newSimulation(t, 8, 4, 1000)
 	sim.policy(policyFile("1", "50%", "30s", filmPipeline("tenant:50%", 2, "")))
-	sim.outcome = func(sim *simulation, g Go) Command {
-		if stageOf(g.Key) == "package" && g.Of[0] == 1 && sim.rng.IntN(3) == 0 {
+	sim.outcome = func(sim *simulation, g Execute) Command {
+		if stageOf(g.Key) == "package" && g.InputGens[0] == 1 && sim.rng.IntN(3) == 0 {
 			return Command{Cause: policy.BadInput, Input: "encode"}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
@@ -489,7 +489,7 @@
 	publishRule := "[[pipeline.rerun]]\non=\"publish\"\nwhen='cause.kind in [\"never_ran\", \"refused\"]'\nrerun=\"self\"\nmost=2\nbudget=\"fleet\"\nelse=\"person\""
 	sim.policy(policyFile("1", rapid.SampledFrom([]string{"5%", "100%"}).Draw(t, "fleet"), rapid.SampledFrom([]string{"20s", "10m"}).Draw(t, "spare"), filmPipeline("tenant:20%", 2, publishRule), twoResults))
 	faults := rapid.IntRange(0, 40).Draw(t, "faults")
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		at := worker(sim.rng.IntN(6), fmt.Sprint("s", sim.rng.IntN(3)), []string{"a", "b"}[sim.rng.IntN(2)])
 		if sim.rng.IntN(100) >= faults {
 			return Command{OK: true, Place: at}
@@ -547,14 +547,14 @@
 		}
 		sim.policy(policyFile("1", "100%", "1h", filmPipeline("fleet", 2, "")))
 		begun := false // a verdict may exist from here on
-		sim.outcome = func(sim *simulation, g Go) Command {
-			if stageOf(g.Key) == "encode" && g.Of[0] == 1 {
+		sim.outcome = func(sim *simulation, g Execute) Command {
+			if stageOf(g.Key) == "encode" && g.InputGens[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "ingest"}
 			}
 			begun = begun || stageOf(g.Key) == "encode"
 			return Command{OK: true, Place: worker(1, "s1", "a")}
 		}
-		sim.duration = func(sim *simulation, g Go) time.Duration {
+		sim.duration = func(sim *simulation, g Execute) time.Duration {
 			if stageOf(g.Key) == "ingest" && !g.First {
 				return time.Minute
 			}
@@ -586,8 +586,8 @@
 			m.faults = faulty
 		}
 		sim.policy(policyFile("1", "1%", "1m", filmPipeline("fleet", 2, "")))
-		sim.outcome = func(sim *simulation, g Go) Command {
-			if stageOf(g.Key) == "package" && g.Of[0] == 1 {
+		sim.outcome = func(sim *simulation, g Execute) Command {
+			if stageOf(g.Key) == "package" && g.InputGens[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "encode"}
 			}
 			return Command{OK: true}
@@ -649,8 +649,8 @@
 	sim := newSimulation(t, 1, groups, 100)
 	sim.policy(policyFile("1", "100%", "1h", filmPipeline("fleet", 2, "")))
 	key := "s/film/ingest/" + asset
-	sim.outcome = func(sim *simulation, g Go) Command {
-		if stageOf(g.Key) == "encode" && g.Of[0] == 1 {
+	sim.outcome = func(sim *simulation, g Execute) Command {
+		if stageOf(g.Key) == "encode" && g.InputGens[0] == 1 {
 			return Command{Cause: policy.BadInput, Input: "ingest"}
 		}
 		return Command{OK: true, Place: worker(1, "s1", "a")}
@@ -663,8 +663,8 @@
 	type node struct {
 		ms      []*Machine
 		now     time.Duration
-		running []Go // at the workers
-		lost    int  // lost confirmations
+		running []Execute // at the workers
+		lost    int       // lost confirmations
 		where   []uint32
 	}
 	begin := node{now: sim.now}
@@ -681,7 +681,7 @@
 		return c
 	}
 	apply := func(n *node, g uint32, c Command) Result {
-		r, err := ReadResult(n.ms[g].Apply(0, n.now, c.Bytes()))
+		r, err := DecodeResult(n.ms[g].Apply(0, n.now, c.Encode()))
 		require.NoError(t, err)
 		return r
 	}
@@ -719,23 +719,23 @@
 		for g := range groups {
 			for _, act := range n.ms[g].Actions() {
 				switch act := act.(type) {
-				case Go:
+				case Execute:
 					if stageOf(act.Key) == "package" || stageOf(act.Key) == "publish" {
 						continue // beyond the rerun that is tested
 					}
 					c := copyOf(n, g)
-					require.True(t, apply(&c, g, Command{Op: OpStart, Key: act.Key, Gen: act.Gen, By: "d"}).OK)
+					require.True(t, apply(&c, g, Command{Op: OpStart, Key: act.Key, Gen: act.Gen, Dispatcher: "d"}).OK)
 					c.running, c.where = append(c.running, act), append(c.where, g)
 					explore(c)
 				case Deliver:
 					c := copyOf(n, g, act.To) // applied and confirmed,
-					r := apply(&c, act.To, Command{Op: OpLetters, Group: g, Letters: act.Letters[:1]})
-					apply(&c, g, Command{Op: OpSent, Group: act.To, Seq: r.Seq})
+					r := apply(&c, act.To, Command{Op: OpMessages, Group: g, Messages: act.Messages[:1]})
+					apply(&c, g, Command{Op: OpConfirmed, Group: act.To, Seq: r.Seq})
 					explore(c)
 					if n.lost < mostLost { // or applied, and the confirmation is lost
 						c = copyOf(n, act.To)
 						c.lost++
-						apply(&c, act.To, Command{Op: OpLetters, Group: g, Letters: act.Letters[:1]})
+						apply(&c, act.To, Command{Op: OpMessages, Group: g, Messages: act.Messages[:1]})
 						explore(c)
 					}
 				}
@@ -779,9 +779,9 @@
 	f.Add([]byte(`{"v":1,"op":"letters","letters":[{"seq":1,"kind":"grant","to":"x"}]}`))
 	f.Fuzz(func(t *testing.T, cmd []byte) {
 		m := New(Config{Groups: 1})
-		m.Apply(1, startAt, Command{Op: OpPolicy, Text: policyFile("1", "5%", "10m", filmPipeline("fleet", 2, "")), Site: &site}.Bytes())
-		m.Apply(2, startAt, Command{Op: OpSubmit, ID: "r", Pipeline: "film", Params: map[string]string{"asset": "x"}}.Bytes())
-		r, err := ReadResult(m.Apply(3, startAt, cmd))
+		m.Apply(1, startAt, Command{Op: OpPolicy, Text: policyFile("1", "5%", "10m", filmPipeline("fleet", 2, "")), Site: &site}.Encode())
+		m.Apply(2, startAt, Command{Op: OpSubmit, ID: "r", Pipeline: "film", Params: map[string]string{"asset": "x"}}.Encode())
+		r, err := DecodeResult(m.Apply(3, startAt, cmd))
 		require.NoError(t, err)
 		require.True(t, r.OK || r.Why != "")
 		_, err = m.Snapshot()
@@ -798,10 +798,10 @@
 	}
 	sim.policy(policyFile("1", "100%", "60m", "[[pipeline]]\nname=\"pair\"\nresult=[\"package\"]\nwithin=\"1h\"\n"+stage("high", "")+stage("low", "")+stage("package", `"high","low"`)+
 		"[[pipeline.rerun]]\non=\"package\"\nwhen='cause.kind == \"bad_input\"'\nrerun=\"cause.input\"\nmost=3\nbudget=\"fleet\"\n"))
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		if stageOf(g.Key) == "package" {
 			for i, name := range []string{"high", "low"} {
-				if g.Of[i] == 1 {
+				if g.InputGens[i] == 1 {
 					return Command{Cause: policy.BadInput, Input: name}
 				}
 			}
@@ -822,7 +822,7 @@
 	sim := newSimulation(t, 14, 4, 1000)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	first, verdict, out, most, opinions := map[string]string{"r0": "s2", "r1": "s2"}, false, map[string]bool{}, 0, 0
-	sim.outcome = func(sim *simulation, g Go) Command {
+	sim.outcome = func(sim *simulation, g Execute) Command {
 		id := strings.Split(g.Key, "/")[1]
 		encode := strings.Replace(g.Key, "package", "encode", 1)
 		switch stage := stageOf(g.Key); {
@@ -833,7 +833,7 @@
 			most = max(most, len(out))
 		case stage == "package" && id <= "r2" && g.Gen == 1: // the third false claim is checked first
 			return Command{Cause: policy.BadInput, Input: "encode", Place: worker(3, "s3", "b")}
-		case stage == "package" && id > "r2" && g.Of[0] == 1:
+		case stage == "package" && id > "r2" && g.InputGens[0] == 1:
 			return Command{Cause: policy.BadInput, Input: "encode", Place: worker(10+sim.rng.IntN(90), "s3", "b")}
 		case stage == "package" && id > "r2":
 			verdict = true
@@ -860,7 +860,7 @@
 func TestStageIsLate(t *testing.T) {
 	sim := newSimulation(t, 10, 3, 100)
 	sim.policy(policyFile("1", "100%", "60m", strings.Replace(filmPipeline("fleet", 1, ""), "class=\"encode\"\nwork=\"10s\"", "class=\"encode\"\nwork=\"10s\"\nwithin=\"30s\"", 1)))
-	sim.duration = func(sim *simulation, g Go) time.Duration {
+	sim.duration = func(sim *simulation, g Execute) time.Duration {
 		if stageOf(g.Key) == "encode" && g.Gen == 1 {
 			return time.Hour
 		}
@@ -888,20 +888,20 @@
 	}{
 		{"done as its time ends", 30*time.Second + 100*time.Millisecond, Command{OK: true, Text: "published"}, Done, ""},
 		{"never sent in its time", 30*time.Second + 200*time.Millisecond, Command{Cause: policy.NeverRan, Text: "its time was over before it could be done"}, Done, ""},
-		{"may have run", 31*time.Second + 500*time.Millisecond, Command{Cause: policy.MayHaveRun, Text: "may have run"}, Person, policy.MayHaveRun},
-		{"no report", time.Hour, Command{OK: true}, Person, policy.Late},
+		{"may have run", 31*time.Second + 500*time.Millisecond, Command{Cause: policy.MayHaveRun, Text: "may have run"}, NeedsPerson, policy.MayHaveRun},
+		{"no report", time.Hour, Command{OK: true}, NeedsPerson, policy.Late},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sim := newSimulation(t, 11, 3, 100)
 			sim.policy(policyFile("1", "100%", "60m", strings.Replace(filmPipeline("fleet", 1, publishRule), "work=\"1s\"", "work=\"1s\"\nwithin=\"30s\"", 1)))
-			first := func(g Go) bool { return stageOf(g.Key) == "publish" && g.Gen == 1 }
-			sim.duration = func(sim *simulation, g Go) time.Duration {
+			first := func(g Execute) bool { return stageOf(g.Key) == "publish" && g.Gen == 1 }
+			sim.duration = func(sim *simulation, g Execute) time.Duration {
 				if first(g) {
 					return c.takes
 				}
 				return time.Second
 			}
-			sim.outcome = func(sim *simulation, g Go) Command {
+			sim.outcome = func(sim *simulation, g Execute) Command {
 				if first(g) {
 					return c.ends
 				}
--- a/internal/rerun/schedule.go
+++ b/internal/rerun/schedule.go
@@ -57,7 +57,7 @@
 				m.finish(r, Answer{Kind: LateEnd, Stage: stage, Cause: policy.Late, Reason: "its time was over: " + cmp.Or(strings.Join(waits, "; "), "it waited for nothing")})
 				for i, s := range r.Stages {
 					if r.pipeline.Stages[i].Once && s.MayHaveRun && s.UsedGen <= s.StaleUpTo { // it may have run
-						r.Answer.Kind, r.Answer.Stage = Person, r.pipeline.Stages[i].Name
+						r.Answer.Kind, r.Answer.Stage = NeedsPerson, r.pipeline.Stages[i].Name
 					}
 				}
 			}
@@ -114,33 +114,33 @@
 
 // Actions of a group's leader.
 type (
-	// Go runs an execution once OpStart is committed: a generation of a stage, by the workers of its class, less those
+	// Execute runs an execution once OpStart is committed: a generation of a stage, by the workers of its class, less those
 	// excluded by the rule.
-	Go struct {
+	Execute struct {
 		Key string
-		Turn
+		Execution
 	}
-	// Deliver proposes messages to another group, and OpSent to this group once they are applied.
+	// Deliver proposes messages to another group, and OpConfirmed to this group once they are applied.
 	Deliver struct {
-		To      uint32
-		Letters []Message
+		To       uint32
+		Messages []Message
 	}
 	// WaitUntil proposes OpTick at the given time.
 	WaitUntil struct{ At time.Duration }
 )
 
-func (Go) action()        {}
+func (Execute) action()   {}
 func (Deliver) action()   {}
 func (WaitUntil) action() {}
 
 // Actions returns what is to be done now: first runs before reruns, up to the maximum that may run at once.
 func (m *Machine) Actions() (all []Action) {
-	queued := m.executionsWhere(func(e *Turn) bool { return e.Phase == Queued })
+	queued := m.executionsWhere(func(e *Execution) bool { return e.Phase == Queued })
 	capacity := m.config.Running - m.state.Running
 	for _, first := range []bool{true, false} {
 		for _, o := range queued {
 			if o.Execution.First == first && capacity > 0 {
-				all = append(all, Go{o.Key, *o.Execution})
+				all = append(all, Execute{o.Key, *o.Execution})
 				capacity--
 			}
 		}
@@ -157,9 +157,9 @@
 }
 
 // Running returns the executions that a dispatcher, or any (""), has started and that have not ended.
-func (m *Machine) Running(by string) (all []Go) {
-	for _, o := range m.executionsWhere(func(e *Turn) bool { return e.Phase == Started && (by == "" || e.By == by) }) {
-		all = append(all, Go{o.Key, *o.Execution})
+func (m *Machine) Running(by string) (all []Execute) {
+	for _, o := range m.executionsWhere(func(e *Execution) bool { return e.Phase == Started && (by == "" || e.Dispatcher == by) }) {
+		all = append(all, Execute{o.Key, *o.Execution})
 	}
 	return all
 }
--- a/internal/rerun/simulation_test.go
+++ b/internal/rerun/simulation_test.go
@@ -103,8 +103,8 @@
 	checks     int
 	answers    map[string]Answer
 	// outcome returns the result of an execution.
-	outcome   func(sim *simulation, g Go) Command
-	duration  func(sim *simulation, g Go) time.Duration
+	outcome   func(sim *simulation, g Execute) Command
+	duration  func(sim *simulation, g Execute) time.Duration
 	duplicate float64
 }
 
@@ -120,8 +120,8 @@
 	sim := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: startAt, dead: map[string]bool{}, leaderTerm: make([]int, groups), started: map[string]map[int64]int{},
 		answers: map[string]Answer{}, startedBy: map[string]map[string]int{}, neverRan: map[string]bool{},
-		outcome: func(*simulation, Go) Command { return Command{OK: true} },
-		duration: func(sim *simulation, g Go) time.Duration {
+		outcome: func(*simulation, Execute) Command { return Command{OK: true} },
+		duration: func(sim *simulation, g Execute) time.Duration {
 			return g.Work/2 + time.Duration(sim.rng.Int64N(int64(g.Work/2)))
 		},
 	}
@@ -137,7 +137,7 @@
 }
 
 func (sim *simulation) apply(group uint32, c Command) Result {
-	r, err := ReadResult(sim.machines[group].Apply(0, sim.now, c.Bytes()))
+	r, err := DecodeResult(sim.machines[group].Apply(0, sim.now, c.Encode()))
 	require.NoError(sim.t, err)
 	return r
 }
@@ -165,7 +165,7 @@
 	old := sim.leader(g)
 	sim.dead[old] = true
 	sim.leaderTerm[g]++
-	sim.apply(g, Command{Op: OpTakeOver, By: old})
+	sim.apply(g, Command{Op: OpTakeOver, Dispatcher: old})
 	text, err := sim.machines[g].Snapshot()
 	require.NoError(sim.t, err)
 	next := New(sim.machines[g].config)
@@ -230,27 +230,27 @@
 func (sim *simulation) performActions(g uint32) (moved bool) {
 	for _, a := range sim.machines[g].Actions() {
 		switch a := a.(type) {
-		case Go:
+		case Execute:
 			moved = sim.startExecution(g, a) || moved
 		case Deliver:
-			top := a.Letters[len(a.Letters)-1].Seq
+			top := a.Messages[len(a.Messages)-1].Seq
 			if sim.rng.Float64() < sim.duplicate { // duplicate delivery, as if the first confirmation had been lost
-				sim.apply(a.To, Command{Op: OpLetters, Group: g, Letters: a.Letters})
+				sim.apply(a.To, Command{Op: OpMessages, Group: g, Messages: a.Messages})
 			}
 			moved = true
-			r := sim.apply(a.To, Command{Op: OpLetters, Group: g, Letters: a.Letters})
+			r := sim.apply(a.To, Command{Op: OpMessages, Group: g, Messages: a.Messages})
 			require.LessOrEqual(sim.t, r.Seq, top)
 			if r.Seq > 0 {
-				sim.apply(g, Command{Op: OpSent, Group: a.To, Seq: r.Seq})
+				sim.apply(g, Command{Op: OpConfirmed, Group: a.To, Seq: r.Seq})
 			}
 		}
 	}
 	return moved
 }
 
-func (sim *simulation) startExecution(g uint32, a Go) bool {
+func (sim *simulation) startExecution(g uint32, a Execute) bool {
 	by := sim.leader(g)
-	if !sim.apply(g, Command{Op: OpStart, Key: a.Key, Gen: a.Gen, By: by}).OK {
+	if !sim.apply(g, Command{Op: OpStart, Key: a.Key, Gen: a.Gen, Dispatcher: by}).OK {
 		return false
 	}
 	if sim.started[a.Key] == nil {
@@ -365,7 +365,7 @@
 	}
 	for key, o := range n.state.Outputs {
 		if o.Requests == nil {
-			o.Requests = map[string]*Want{}
+			o.Requests = map[string]*OutputRequest{}
 		}
 		if o.Users == nil {
 			o.Users = map[string]int64{}
--- a/internal/rerun/snapshot.go
+++ b/internal/rerun/snapshot.go
@@ -52,7 +52,7 @@
 	}
 	for key, o := range next.state.Outputs {
 		if o.Requests == nil {
-			o.Requests = map[string]*Want{}
+			o.Requests = map[string]*OutputRequest{}
 		}
 		if o.Users == nil {
 			o.Users = map[string]int64{}
--- a/internal/rig/pipelines_test.go
+++ b/internal/rig/pipelines_test.go
@@ -46,14 +46,14 @@
 	var mu sync.Mutex
 	bad := plant.Worker{} // where the first rendition was made
 	again := make(chan plant.Worker, 16)
-	p.Work = func(run plant.Run) time.Duration {
+	p.WorkTime = func(run plant.Run) time.Duration {
 		if run.Stage == "encode" && run.Generation > 1 {
 			again <- run.Worker
 			return time.Second
 		}
 		return 20 * time.Millisecond
 	}
-	p.Decide = func(run plant.Run) pipelines.Outcome {
+	p.OutcomeOf = func(run plant.Run) pipelines.Outcome {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
@@ -65,8 +65,8 @@
 		return pipelines.Outcome{Text: "ok"}
 	}
 	file := filepath.Join(dir, "reruns.toml")
-	require.NoError(t, os.WriteFile(file, []byte(plant.Lecture("1", "asset")), 0o600))
-	require.NoError(t, p.Join(r, file))
+	require.NoError(t, os.WriteFile(file, []byte(plant.LecturePolicy("1", "asset")), 0o600))
+	require.NoError(t, p.Attach(r, file))
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	require.NoError(t, r.StartAll(ctx))
