--- a/internal/net/clients/bar.go
+++ b/internal/net/clients/bar.go
@@ -5,14 +5,15 @@
 	"syscall"
 )
 
-// Bar has a listener pass over whoever begins to connect: they are refused once it is closed. Those who had begun before
-// still come in. Closing it at once would reset what nobody has accepted yet, requests included.
+// Bar makes a listener ignore new connection attempts, which are refused once it is closed. Connections whose
+// handshake has begun are still accepted. Closing the listener at once would reset those not accepted yet, with the
+// requests on them.
 func Bar(l *net.TCPListener) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
 	}
-	const flags, syn, ack = 13, 0x02, 0x10         // of a TCP header, which is where filters of a TCP socket begin
+	const flags, syn, ack = 13, 0x02, 0x10         // in the TCP header, where the data of a TCP socket's filter begins
 	stmt, jump := syscall.LsfStmt, syscall.LsfJump //lint:ignore SA1019 what x/net has is not worth a library for five lines
 	program := []syscall.SockFilter{
 		*stmt(syscall.BPF_LD|syscall.BPF_B|syscall.BPF_ABS, flags),
--- a/internal/net/clients/callback.go
+++ b/internal/net/clients/callback.go
@@ -14,14 +14,15 @@
 	"failed": dispatch.Errored, "returned": dispatch.Returned, "lost": dispatch.Lost,
 }
 
-// news takes an instance's call-back; false: the connection is to end, or is another process's.
+// handleCallback processes an instance's callback. It returns false if the connection is to be closed or has been
+// passed to another process.
 func (c *conn) news(q *http1.Request) bool {
 	var in callback
 	if err := in.read(q.Body); err != nil {
 		return c.reply(400, nil, "no call-back\n", q.Close)
 	}
 	state, ok := newsStates[in.State]
-	if !ok { // others may come some day: nothing to do
+	if !ok { // unknown states, perhaps of later encoders, are ignored
 		return c.reply(204, nil, "", q.Close)
 	}
 	n := in.news(state)
@@ -32,8 +33,9 @@
 	return c.reply(204, nil, "", q.Close)
 }
 
-// hand gives the core a call-back; false: a newer process has the connection, and the call-back to read and to answer. This
-// process could die before it had passed on what the instance takes for heard.
+// deliver passes a callback to the core. It returns false if a newer process has the connection and will read and
+// answer the callback: this process could die before it has forwarded a callback that the instance takes for
+// received.
 func (c *conn) hand(q *http1.Request, n dispatch.Callback) bool {
 	s := c.server
 	s.callbacks.RLock()
@@ -45,7 +47,8 @@
 	return true
 }
 
-// passUnread passes the connection as if a call-back on it had not been read; false: nobody takes over any more.
+// passUnread passes the connection to the newer process as if the callback on it had not been read. It returns false
+// if no process takes over any more.
 func (c *conn) passUnread(q *http1.Request) bool {
 	var h http1.Header
 	if q.Close {
@@ -57,10 +60,10 @@
 	return c.pass(Passed{Rest: unread})
 }
 
-// news is what a call-back tells, but for the instance's load report.
+// toDispatch converts a callback, except for its load report.
 func (c *callback) news(state dispatch.JobState) dispatch.Callback {
 	n := dispatch.Callback{ID: c.ID, From: c.From, State: state, Share: c.Share, Result: c.Result}
-	if plain, rest, ok := text(c.Result); ok && len(rest) == 0 { // a text stands for itself, all else as it is
+	if plain, rest, ok := text(c.Result); ok && len(rest) == 0 { // a string result is its text; any other JSON value stays as it is
 		n.Result = plain
 	} else if c.Result != nil {
 		var text *string
@@ -68,14 +71,14 @@
 			n.Result = []byte(*text)
 		}
 	}
-	// Guards against serving what no instance made: it ran, and nothing came of it.
+	// A job that is done without a result has nothing to serve, so its attempt counts as failed.
 	if none := len(c.Result) == 0 || string(c.Result) == "null"; none && state == dispatch.Done {
 		n.State = dispatch.Errored
 	}
 	return n
 }
 
-// callback is the body of an instance's call.
+// callback is the body of an instance's callback request.
 type callback struct {
 	ID     string          `json:"id"`
 	From   string          `json:"from"`
@@ -85,8 +88,9 @@
 	Load   json.RawMessage `json:"load"` // the instance's load report
 }
 
-// read takes a body. Nearly all are one flat object of plain texts and numbers, perhaps with a flat one of loads, of which reading by
-// encoding/json took a twelfth of the CPU that a command costs; whatever looks otherwise goes that way.
+// parse parses a body. Nearly all bodies are one flat object of plain strings and numbers, perhaps with a flat object
+// of loads. Parsing them with encoding/json took a twelfth of the CPU time that a command costs, so only other bodies
+// are parsed with it.
 func (c *callback) read(body []byte) error {
 	if c.quick(body) {
 		return nil
@@ -95,7 +99,7 @@
 	return json.Unmarshal(body, c)
 }
 
-// quick reads what is plain; false: it is not, and c holds nothing of use.
+// parseFast parses a plain body. If it returns false the body is not plain, and the contents of c are meaningless.
 func (c *callback) quick(b []byte) bool {
 	b = bytes.Trim(b, " \t\r\n")
 	if len(b) < 2 || b[0] != '{' || b[len(b)-1] != '}' {
@@ -137,7 +141,7 @@
 			field = 16
 		case "load":
 			field = 32
-		default: // also a name in other letters, which encoding/json takes for one of these
+		default: // also a name in other case, which encoding/json would match
 			return false
 		}
 		if seen&field != 0 {
@@ -161,7 +165,7 @@
 		}
 		if field == 32 {
 			end := bytes.IndexByte(b, '}') + 1
-			if b[0] != '{' || end == 0 || !json.Valid(b[:end]) { // valid as it is cut: it ends there
+			if b[0] != '{' || end == 0 || !json.Valid(b[:end]) { // valid when cut there, so the object ends there
 				return false
 			}
 			c.Load, b = b[:end], b[end:]
@@ -185,7 +189,7 @@
 	}
 }
 
-// text reads a JSON text of plain ASCII without escapes.
+// plainString parses a JSON string of plain ASCII without escapes.
 func text(b []byte) (value, rest []byte, ok bool) {
 	if len(b) < 2 || b[0] != '"' {
 		return nil, nil, false
@@ -201,7 +205,7 @@
 	return nil, nil, false
 }
 
-// number tells whether a text is a plain JSON number: digits, perhaps a point and more digits.
+// isPlainNumber reports whether b is a plain JSON number: digits, optionally followed by a point and more digits.
 func number(b []byte) bool {
 	whole, part, point := bytes.Cut(b, []byte{'.'})
 	digits := func(b []byte) bool {
--- a/internal/net/clients/conn.go
+++ b/internal/net/clients/conn.go
@@ -17,52 +17,52 @@
 	"caperrelay/internal/net/sock"
 )
 
-// past as a deadline wakes whoever reads from a connection.
+// pastDeadline, set as a deadline, interrupts a pending read.
 var past = time.Unix(1, 0)
 
-// state is what a connection is doing.
+// state is the phase that a connection is in.
 type state int
 
 const (
-	waiting   state = iota // for a request's first byte
-	reading                // from that byte to the request's last
-	handling               // a request, to its answer's last byte
-	lingering              // after this side's end, until the other's
+	waiting   state = iota // for the first byte of a request
+	reading                // from that byte to the last of the request
+	handling               // a request, until its answer is written
+	lingering              // this side's half is closed, the peer's is still open
 )
 
-// conn is one connection that was accepted and, through run, its goroutine.
+// conn is an accepted connection; run is its goroutine.
 type conn struct {
 	server *Server
 	nc     net.Conn
 	br     *bufio.Reader
-	out    []byte      // room for answers
-	rest   []byte      // of a connection that was passed here: to be read first
-	first  func() bool // and to be done first; false: it is to end
+	out    []byte      // buffer for answers
+	rest   []byte      // received by the process that passed the connection here; read first
+	first  func() bool // if set, run before reading requests; returns false if the connection is to be closed
 
-	gone    bool // the peer has ended it, or does not take its answer
-	more    int  // requests answered since its end was due
-	dropped int  // bytes that came behind a request and were not kept
-	parts   bool // a request has come, whole or not, and has no answer
+	gone    bool // the peer has closed it, or does not read its answer
+	more    int  // requests answered since it should have been closed
+	dropped int  // bytes received after a request and discarded
+	parts   bool // a request has been received, at least in part, and is not answered yet
 
-	// Under the server's lock.
+	// Guarded by the server's lock.
 	state    state
-	since    time.Time // of the state; before the first answer since it was accepted
+	since    time.Time // when the state began; until the first answer, when it was accepted
 	evicted  bool
-	answered bool // it has asked for something before
-	instance bool // its last request was a call-back
+	answered bool // a request on it has been answered
+	instance bool // its last request was a callback
 	passed   bool // to another process
-	flood    bool // so much has come behind a request that some is dropped: no other is read
+	flood    bool // bytes after a request were dropped, so no further request can be read
 }
 
-// use is how much a connection is needed while others want its place, the least first.
+// retention orders connections by how much they are needed while others wait for a slot, the most expendable first.
 type use int
 
 const (
-	done    use = iota // has its answer and is only kept from being reset
-	mute               // connected and said nothing: whoever has a request sends it at once
-	halting            // began a request and does not end it
-	spare              // a client's, stands between two requests
-	kept               // an encoder's, does so too: word of jobs comes on it, which ends what clients wait for
+	done    use = iota // it is answered, and open only to avoid a reset
+	mute               // it has sent nothing: a client that has a request sends it at once
+	halting            // it has sent a part of a request
+	spare              // a client's connection between two requests
+	kept               // an encoder's connection between two callbacks: those end the waits of clients
 	inUse
 )
 
@@ -83,7 +83,7 @@
 	return inUse
 }
 
-// evict has a connection that can be spared end, by its own goroutine.
+// evict has the connection's goroutine close it.
 func (c *conn) evict() {
 	c.evicted = true
 	c.nc.SetReadDeadline(past)
@@ -101,8 +101,8 @@
 	c.nc.Close()
 }
 
-// serve answers what is asked until the connection is to end. Whatever has come by then has its answer, unless the
-// peer itself has ended the connection.
+// serve answers requests until the connection is to be closed. Every request received by then is answered, unless the
+// peer has closed the connection.
 func (c *conn) serve() {
 	c.buffer(c.rest, http1.MaxLine)
 	if c.first != nil && !c.first() {
@@ -131,20 +131,20 @@
 	}
 }
 
-// buffer has the connection read by way of so much room at least, which holds what has come of it already.
+// setBuffer sets a read buffer of at least the given size that starts with the received bytes.
 func (c *conn) buffer(come []byte, size int) {
 	c.br = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(come), c.nc), max(size, len(come)))
-	c.br.Peek(len(come)) // lest it is passed on without them
+	c.br.Peek(len(come)) // fills the buffer, so that they are passed on with the connection
 }
 
-// next reads the next request.
+// readRequest reads the next request.
 func (c *conn) next() (*http1.Request, error) {
 	if err := c.await(); err != nil {
 		return nil, err
 	}
 	c.parts = true
 	return http1.ReadRequest(c.br, func() error {
-		err := c.nc.SetWriteDeadline(time.Now().Add(writePatience)) // that of the last answer may have passed
+		err := c.nc.SetWriteDeadline(time.Now().Add(writePatience)) // the deadline of the last answer may have passed
 		if err == nil {
 			_, err = c.nc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
@@ -152,8 +152,8 @@
 	})
 }
 
-// tooSlow tells a peer whose request has not come why its connection ends. One that had to
-// make room may try again.
+// replyTimeout tells a peer whose request has not arrived in time why its connection is closed. If it was evicted, it
+// may try again.
 func (c *conn) tooSlow() {
 	c.server.mu.Lock()
 	evicted := c.evicted
@@ -165,14 +165,14 @@
 	c.reply(408, nil, "the request did not come in time\n", true)
 }
 
-// errIdle says that a connection is ended by this side between two requests.
+// errIdle reports that this side closes a connection between two requests.
 var errIdle = errors.New("idle")
 
-// errPassed says that a connection is another process's now.
+// errPassed reports that another process has taken over the connection.
 var errPassed = errors.New("passed on")
 
-// pass hands the connection to the process that takes over, if there is one. What has come
-// unread goes with it, behind p.Rest. The server's lock is held.
+// passOn passes the connection to the process that takes over, if there is one. Bytes received but not read go with
+// it, after p.Rest. The server's lock must be held.
 func (c *conn) pass(p Passed) bool {
 	tcp, ok := c.nc.(*net.TCPConn)
 	if c.server.heir == nil || !ok {
@@ -186,8 +186,8 @@
 	return true
 }
 
-// await waits for a request's first byte. The end of a connection between two requests is io.EOF, or errIdle where it
-// is this side that ends it.
+// awaitRequest waits for the first byte of a request. If the connection ends between two requests it returns io.EOF,
+// or errIdle if this side closes it.
 func (c *conn) await() error {
 	s := c.server
 	s.mu.Lock()
@@ -201,7 +201,7 @@
 		c.since, until = now, now.Add(idlePatience)
 	}
 	err := c.nc.SetReadDeadline(until)
-	if c.evicted || !first && s.crowded && !c.instance { // before it was here, or since its last answer was under way
+	if c.evicted || !first && s.crowded && !c.instance { // evicted before this call, or the server has become crowded since the last answer was written
 		c.evict()
 	}
 	s.mu.Unlock()
@@ -215,7 +215,7 @@
 	if late && c.pass(Passed{}) {
 		return errPassed
 	}
-	// A request may cross the end of the connection: one that has come is taken.
+	// A request may arrive just as the connection is to be closed; it is accepted.
 	if err != nil && (!late || c.nc.SetReadDeadline(time.Time{}) != nil || sock.Look(c.nc) != sock.Data) {
 		switch {
 		case !first && late:
@@ -238,7 +238,7 @@
 	return c.nc.SetReadDeadline(until)
 }
 
-// handle serves one request; false: the connection is to end.
+// handle processes one request. It returns false if the connection is to be closed.
 func (c *conn) handle(q *http1.Request) bool {
 	path, _, _ := strings.Cut(q.Target, "?")
 	c.server.mu.Lock()
@@ -265,7 +265,7 @@
 	return c.command(q, time.Time{})
 }
 
-// reply writes an answer; false: the connection is to end.
+// reply writes an answer. It returns false if the connection is to be closed.
 func (c *conn) reply(status int, h http1.Header, body string, end bool) bool {
 	c.server.mu.Lock()
 	c.answered = true
@@ -284,10 +284,10 @@
 	}
 	text := http1.AppendResponse(c.out[:0], status, h, []byte(body))
 	_, err := c.nc.Write(text)
-	if c.out = text; cap(text) > http1.MaxLine { // kept for the next answer, but for a large one
+	if c.out = text; cap(text) > http1.MaxLine { // reuse the buffer for the next answer unless it is large
 		c.out = nil
 	}
-	if err != nil { // a peer that has gone owes nothing; one that only did not read in time is cut
+	if err != nil { // a peer that has closed the connection is not counted, one that did not read in time is
 		c.gone = true
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			c.server.count(dispatch.Truncated)
@@ -297,14 +297,15 @@
 	return err == nil && !end
 }
 
-// another tells whether the next request has come, at least in part: it gets its answer before the connection ends.
+// hasInput reports whether the next request has arrived, at least in part. It is answered before the connection is
+// closed.
 func (c *conn) another() bool {
 	return c.br.Buffered() > 0 || c.nc.SetReadDeadline(time.Time{}) == nil && sock.Look(c.nc) == sock.Data
 }
 
-// linger ends this side's half and reads on until the peer ends the other, for a moment: closing over bytes unread would
-// reset the connection, and an answer could be lost with it. Where others want the place and nothing has come, it is
-// theirs at once.
+// linger closes this side's half of the connection and reads until the peer closes the other or the timeout expires:
+// closing with unread bytes would reset the connection, and an answer could be lost. If others wait for the slot and
+// nothing has arrived, it returns at once.
 func (c *conn) linger() {
 	s := c.server
 	s.mu.Lock()
@@ -322,7 +323,7 @@
 	if err != nil {
 		return
 	}
-	var rest [512]byte // most say nothing more
+	var rest [512]byte // small, since most peers send nothing more
 	for left := 4 * http1.MaxBody; left > 0; {
 		n, err := c.nc.Read(rest[:])
 		if n > 0 && between {
@@ -336,38 +337,39 @@
 	}
 }
 
-// waiter is the service client of one command.
+// commandClient is the client of one command.
 type waiter struct {
 	cmd     *dispatch.Command
-	end     bool      // the connection is to end with the answer
-	repeats bool      // it may be tried again even when it may have run
-	answer  chan word // holds one
+	end     bool      // the connection is to be closed after the answer
+	repeats bool      // the command may be retried even if it may have run
+	answer  chan word // has room for one
 
 	mu sync.Mutex
-	nc net.Conn // nil: on its way from an older process
+	nc net.Conn // nil: not yet received from an older process
 }
 
-// word is what the loop says: the answer, or that another process will give it.
+// outcome is the loop's message for a client: the answer, or that another process will give it.
 type word struct {
 	dispatch.Answer
 	passed, handed bool
 }
 
-// Answer wakes the connection's goroutine, which watches for the client's leaving.
+// Answer sends the answer to the connection's goroutine and interrupts its watch for a disconnect.
 func (w *waiter) Answer(a dispatch.Answer) { w.say(word{Answer: a}) }
 
-// MayRetry tells whether its command may be tried again even when it may have run.
+// MayRetry reports whether the command may be retried even if it may have run.
 func (w *waiter) MayRetry() bool { return w.repeats }
 
-// Disconnected looks at the connection: the goroutine that watches it may not have come to run since its end.
+// Disconnected checks the connection itself, because the goroutine that watches it may not have run since the
+// disconnect.
 func (w *waiter) Disconnected() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nc != nil && closed(w.nc)
 }
 
-// closed tells whether the other side has closed a connection, or it is broken, as far as no bytes stand before that. Unlike
-// sock.Look it does not wait for a goroutine that reads.
+// peerClosed reports whether the peer has closed the connection, or it is broken, provided that no unread bytes
+// precede that. Unlike sock.Look it does not wait for a goroutine that is reading.
 func closed(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -386,10 +388,11 @@
 	return ended || err != nil
 }
 
-// HandOver wakes it likewise.
+// HandOver tells the connection's goroutine that another process answers the command.
 func (w *waiter) HandOver(handed bool) { w.say(word{passed: true, handed: handed}) }
 
-// say wakes first: set after the goroutine has the word the deadline would cut its next read.
+// send interrupts the read before it sends the message: a deadline set after the goroutine has received the message
+// would interrupt its next read.
 func (w *waiter) say(what word) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -399,7 +402,7 @@
 	w.answer <- what
 }
 
-// join gives the waiter its connection, whose reads end with what is said.
+// setConn sets the client's connection, whose reads are interrupted when a message is sent.
 func (w *waiter) join(nc net.Conn) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -410,8 +413,8 @@
 	return nc.SetReadDeadline(time.Time{})
 }
 
-// command hands a command in and waits for its answer; false: the connection is to end. The
-// deadline is given where another process has read it.
+// handleCommand submits a command and waits for its answer. It returns false if the connection is to be closed.
+// deadline is set if another process has read the request.
 func (c *conn) command(q *http1.Request, deadline time.Time) bool {
 	cmd, repeats, err := c.server.parse(q, time.Now())
 	if err != nil {
@@ -428,7 +431,7 @@
 	if !last.IsZero() && cmd.Deadline.After(last) {
 		cmd.Deadline = last
 	}
-	if err := c.present(); err != nil { // it may have stood in a backlog for long
+	if err := c.present(); err != nil { // the request may have been in a backlog for long
 		return c.leave(err)
 	}
 	w := &waiter{cmd: cmd, end: q.Close, repeats: repeats, answer: make(chan word, 1), nc: c.nc}
@@ -437,8 +440,9 @@
 	return c.wait(w)
 }
 
-// leave ends a connection whose client has gone, or floods it and could go unseen, by what present or watch says. What a
-// flood's request asked for may have run: its answer is none after which the client could simply try again.
+// endGone closes a connection after checkClient or watchClient has failed: the client has disconnected, or it has
+// sent so much that a disconnect could go unnoticed. In the second case the command may have run, so the status must
+// not be one after which the client may simply retry.
 func (c *conn) leave(err error) bool {
 	if errors.Is(err, errFlood) {
 		return c.reply(413, nil, "too much behind the request\n", true)
@@ -447,7 +451,7 @@
 	return false
 }
 
-// wait waits for a command's answer and writes it; false: the connection is to end.
+// awaitAnswer waits for a command's answer and writes it. It returns false if the connection is to be closed.
 func (c *conn) wait(w *waiter) bool {
 	err := w.join(c.nc)
 	if err == nil {
@@ -471,24 +475,25 @@
 	if passed {
 		return false
 	}
-	// The other process has died with it.
+	// The other process has died, and the command with it.
 	return c.relay(dispatch.Answer{Verdict: dispatch.Failed}, true)
 }
 
-// What a client may have behind the request that waits.
+// Bounds of what a client may send after a request that is not answered yet.
 const (
-	mostAhead   = http1.MaxBody // bytes that are kept
-	mostDropped = 1 << 20       // and read beyond that, to see whether it goes
+	mostAhead   = http1.MaxBody // bytes that are buffered
+	mostDropped = 1 << 20       // bytes that are read and discarded beyond that, to notice a disconnect
 )
 
-// errGone says that the client has closed its connection.
+// errGone reports that the client has disconnected.
 var errGone = errors.New("the client has gone")
 
-// errFlood says that a client has sent more behind its request than is read to see whether it goes.
+// errFlood reports that a client has sent more after its request than is read to notice a disconnect.
 var errFlood = errors.New("too much behind a request")
 
-// present looks, without waiting, whether the client is there before its request is handed in: errGone or errFlood if it is
-// not. What it has sent behind the request stands before its end and is read for that.
+// checkClient checks, without waiting, that the client is still connected before its request is submitted. It returns
+// errGone or errFlood otherwise. Bytes sent after the request precede the end of the connection, so they are read
+// first.
 func (c *conn) present() error {
 	if c.nc.SetReadDeadline(time.Time{}) != nil {
 		return errGone
@@ -504,8 +509,9 @@
 	return nil
 }
 
-// watch waits until a read is ended from here, or until the client has gone before, errGone or errFlood. Whatever it has sent
-// behind its request stands before its end and is read for that: one that sends much at once and goes is gone all the same.
+// watchClient waits until a message interrupts the read, which is nil, or the client disconnects, which is errGone or
+// errFlood. Bytes sent after the request precede the end of the connection, so they are read: a client that sends
+// much and disconnects must be noticed, too.
 func (c *conn) watch() error {
 	for {
 		if err := c.readAhead(); errors.Is(err, os.ErrDeadlineExceeded) {
@@ -516,7 +522,8 @@
 	}
 }
 
-// readAhead waits for more behind the request in hand. It keeps that as long as there is room, and drops what comes then.
+// readAhead waits for more bytes after the current request. It buffers them as long as there is room, and discards
+// further ones.
 func (c *conn) readAhead() error {
 	_, err := c.br.Peek(c.br.Buffered() + 1)
 	switch size := c.br.Size(); {
@@ -532,7 +539,8 @@
 	return c.drop()
 }
 
-// drop is the same where there is no room. Nobody is watched for ever through what it sends: it would cost what it likes.
+// discardInput does the same when the buffer is full. The amount is bounded, since a client could otherwise cause any
+// amount of work.
 func (c *conn) drop() error {
 	if c.dropped >= mostDropped {
 		return errFlood
@@ -549,7 +557,7 @@
 	return err
 }
 
-// relay writes a command's final answer.
+// writeAnswer writes a command's final answer.
 func (c *conn) relay(a dispatch.Answer, end bool) bool {
 	switch a.Verdict {
 	case dispatch.Served:
--- a/internal/net/clients/parse.go
+++ b/internal/net/clients/parse.go
@@ -14,7 +14,7 @@
 	"caperrelay/internal/wire"
 )
 
-// The paths of the listener.
+// Paths of the listener.
 const (
 	commandPath  = "/api"
 	newsPath     = "/_jobs/news"
@@ -22,7 +22,7 @@
 	countersPath = "/_counters"
 )
 
-// commandFields are the header fields that a command is read from, or that go on with it.
+// commandFields are the header fields that a command is parsed from, or that are forwarded with it.
 var commandFields = []string{
 	"Host", "X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left", "X-Weight-Hint", "X-Facts", "X-Repeat",
 	"Idempotency-Key",
@@ -33,12 +33,12 @@
 	maxLeft = 24 * time.Hour
 )
 
-// parse reads a command's fields. The time that it leaves becomes a deadline here. The other result tells whether it
-// may be tried again even when it may have run.
+// parse parses a command. The time that it leaves is converted to a deadline. The second result is whether the
+// command may be retried even if it may have run.
 func (s *Server) parse(q *http1.Request, now time.Time) (*dispatch.Command, bool, error) {
 	h := q.Header
 	for _, name := range commandFields {
-		if h.Conflicts(name) { // an instance might read another of them than we do
+		if h.Conflicts(name) { // an instance might use another of them than this program
 			return nil, false, errors.New(name + ": more than one")
 		}
 	}
@@ -46,11 +46,11 @@
 		ID: h.Get("X-Correlation-Id"), Class: h.Get("X-Service-Class"), Tenant: h.Get("X-Account"),
 		Payload: q, Retry: h.Get("X-Repeat") == "1",
 	}
-	// The id goes into lines and targets that are written on.
+	// The ID is written into header lines and request targets.
 	if !http1.Visible(c.ID) || len(c.ID) > maxID || strings.ContainsAny(c.ID, "/?#%") {
 		return nil, false, errors.New("X-Correlation-Id: missing or malformed")
 	}
-	if strings.Contains(q.Target, "#") { // no part of a target that is sent
+	if strings.Contains(q.Target, "#") { // a fragment is never sent in a target
 		return nil, false, errors.New("target: malformed")
 	}
 	class, ok := (*s.classes.Load())[c.Class]
@@ -78,12 +78,12 @@
 			f.Write([]byte(user))
 			key = f.Sum64()
 		}
-		c.Key = max(key, 1) // 0 is none
+		c.Key = max(key, 1) // 0 means no key
 	}
 	return c, dispatch.MayRetry(class), facts(h.Get("X-Facts"), map[string]*float64{"slots": &c.Slots, "memory": &c.Memory})
 }
 
-// span reads a number with its unit, m for milliseconds or u for microseconds.
+// parseDuration parses a number with its unit, m for milliseconds or u for microseconds.
 func span(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
@@ -100,7 +100,7 @@
 	return time.Duration(min(n*float64(unit), float64(maxLeft))), nil
 }
 
-// figure reads a number that is finite and not negative.
+// parseNumber parses a number that is finite and not negative.
 func figure(text string) (float64, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(n >= 0) || math.IsInf(n, 0) {
@@ -109,7 +109,7 @@
 	return n, nil
 }
 
-// facts reads name=value,name=value for the names that are wanted.
+// parseFacts parses name=value,name=value and stores the values of the names in wanted.
 func facts(text string, wanted map[string]*float64) error {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -136,7 +136,7 @@
 	return ""
 }
 
-// seconds writes a Retry-After: decimal, to the millisecond, never shorter than meant.
+// formatSeconds formats a Retry-After: in decimal seconds, rounded up to the millisecond.
 func seconds(d time.Duration) string {
 	ms := (d + time.Millisecond - 1) / time.Millisecond
 	return strconv.FormatFloat(float64(ms)/1000, 'f', -1, 64)
--- a/internal/net/clients/server.go
+++ b/internal/net/clients/server.go
@@ -1,5 +1,5 @@
-// Package clients speaks to whoever connects to the program's listener: service clients
-// with commands, the front that asks whether it is up, and instances with call-backs.
+// Package clients serves the program's HTTP listener: clients that send commands, the front that checks its health,
+// and instances that send callbacks.
 package clients
 
 import (
@@ -23,33 +23,33 @@
 	"caperrelay/internal/wire"
 )
 
-// The patience with a peer on a connection.
+// Timeouts of a connection.
 const (
 	idlePatience   = 2 * time.Minute        // between requests
-	readPatience   = 5 * time.Second        // from a later request's first byte to its last
-	writePatience  = 5 * time.Second        // for an answer
-	lingerPatience = 500 * time.Millisecond // after this side's end, for the other's
+	readPatience   = 5 * time.Second        // from the first byte of a later request to its last
+	writePatience  = 5 * time.Second        // to write an answer
+	lingerPatience = 500 * time.Millisecond // from closing this side's half until the peer closes its own
 	acceptPause    = 5 * time.Millisecond
 
-	mostMore = 16 // requests that come behind one another before a connection ends all the same
+	mostMore = 16 // pipelined requests answered after a connection should have been closed
 )
 
-// How long clients are answered once the process is told to end, by the protocol's page: it is killed no sooner than
-// killed after the longest time that the settings leave a class, longest at most.
+// How long clients are answered after the process has been told to end. By the protocol, it is killed no sooner than
+// killDelay after the longest deadline in the settings, which counts for maxClassDeadline at most.
 const (
 	killed  = 700 * time.Millisecond
 	longest = 3 * time.Second
-	margin  = 200 * time.Millisecond // before that: for the answers' way, on a machine that is short of CPU
+	margin  = 200 * time.Millisecond // before that, for the transfer of the answers on a machine that is short of CPU
 )
 
-// patience is how long a peer that owes us something keeps its place: in any case, and while
-// others want it. Whoever has a request sends it as soon as the connection is up.
+// timeouts bounds how long a peer keeps its slot while the server waits for it: in any case, and while others wait
+// for a slot. A client that has a request sends it as soon as it is connected.
 type patience struct {
-	first    time.Duration // for the whole of the first request
-	mute     time.Duration // while others wait, for its first byte,
+	first    time.Duration // for the complete first request
+	mute     time.Duration // while others wait: for its first byte,
 	halting  time.Duration // for the rest of a request
-	lingerer time.Duration // and for ending its half
-	last     time.Duration // for the rest of a request, or for ending its half, once this process's time is over
+	lingerer time.Duration // and for closing its half of the connection
+	last     time.Duration // after the answer deadline of a shutdown: for the rest of a request, or for closing its half
 }
 
 var usual = patience{
@@ -57,12 +57,13 @@
 	last: 50 * time.Millisecond,
 }
 
-// Core is where commands and call-backs go.
+// Core processes commands and callbacks.
 type Core interface {
 	Submit(*dispatch.Command)
 	ClientGone(*dispatch.Command)
 	HandleCallback(dispatch.Callback)
-	// PersistCallback is called before the answer to a call-back; false: it must have none, so that the instance calls again.
+	// PersistCallback is called before a callback is answered. If it returns false, the callback must not be
+	// answered, so that the instance sends it again.
 	PersistCallback(dispatch.Callback) bool
 }
 
@@ -72,45 +73,45 @@
 	classes  atomic.Pointer[map[string]decide.Class]
 	counters func() string
 	log      *slog.Logger
-	reports  *loadreport.Reader // of instances; nil: none come
+	reports  *loadreport.Reader // of instances' load reports; nil: there are none
 	patience patience
-	slots    chan struct{} // one for each connection; bounds the descriptors used here
+	slots    chan struct{} // one for each connection; bounds the file descriptors used here
 	books    *dispatch.Counters
 
-	// callbacks is held for reading while a call-back is handed to the core, and for writing while the core yields.
+	// callbacks is read-locked while a callback is passed to the core, and write-locked while the core hands over.
 	callbacks sync.RWMutex
 
 	mu       sync.Mutex
 	draining bool
-	by       time.Time // commands are to be answered by then; zero: as their clients say
-	over     bool      // then has come
-	crowded  bool      // somebody waits for a connection: answers to clients close theirs
+	by       time.Time // commands must be answered by then; zero: by their own deadlines
+	over     bool      // that time has passed
+	crowded  bool      // a connection waits for a slot: answers to clients close theirs
 	conns    map[*conn]struct{}
-	heir     Heir               // takes over; nil: nobody
-	lent     int                // slots that connections of an older process still take
-	expected map[string]*waiter // commands of that process whose client has not come yet
+	heir     Heir               // the process that takes over; nil: none
+	lent     int                // slots still used by connections of an older process
+	expected map[string]*waiter // by ID, commands taken over from that process whose client connection has not arrived yet
 }
 
-// Heir is the way to the process that takes over.
+// Heir passes connections to the process that takes over.
 type Heir interface {
-	// Pass hands it a connection.
+	// Pass passes it a connection.
 	Pass(nc *net.TCPConn, p Passed)
-	// Left says that one which was not passed has ended.
+	// Left reports that a connection that was not passed has ended.
 	Left()
 }
 
-// Passed is what goes with a connection that is passed.
+// Passed is the state of a connection that is passed to another process.
 type Passed struct {
-	Answered bool           `json:"Answered,omitempty"` // something was asked on it before
-	Instance bool           `json:"Instance,omitempty"` // by an instance
-	Rest     []byte         `json:"Rest,omitempty"`     // what was read from it and not used
-	Flood    bool           `json:"Flood,omitempty"`    // what came behind that was dropped
+	Answered bool           `json:"Answered,omitempty"` // a request on it has been answered
+	Instance bool           `json:"Instance,omitempty"` // its last request was a callback
+	Rest     []byte         `json:"Rest,omitempty"`     // bytes read from it and not yet processed
+	Flood    bool           `json:"Flood,omitempty"`    // bytes after those were dropped
 	ID       string         `json:"ID,omitempty"`       // the command that its client waits for,
-	Request  *http1.Request `json:"Request,omitempty"`  // as it was read, unless it was handed over before
-	Deadline time.Time      `json:"Deadline,omitzero"`  // of that
+	Request  *http1.Request `json:"Request,omitempty"`  // its request, unless the command was handed over separately
+	Deadline time.Time      `json:"Deadline,omitzero"`  // of that command
 }
 
-// New returns a server for at most so many connections.
+// New returns a server for at most maxConns connections.
 func New(core Core, s decide.Settings, n wire.Names, most int, counters func() string, logger *slog.Logger) *Server {
 	server := &Server{
 		core: core, counters: counters, log: logger, patience: usual, slots: make(chan struct{}, most),
@@ -120,20 +121,20 @@
 	return server
 }
 
-// ReadBy says who reads instances' load reports. It must come before Serve.
+// ReadBy sets the reader of instances' load reports. It must be called before Serve.
 func (s *Server) ReadBy(r *loadreport.Reader) { s.reports = r }
 
-// CountIn says in which books the ends of connections are counted. It must come before Serve.
+// CountIn sets the counters for the ends of connections. It must be called before Serve.
 func (s *Server) CountIn(b *dispatch.Counters) { s.books = b }
 
-// count counts the end of a connection.
+// countEnd counts the end of a connection.
 func (s *Server) count(e dispatch.ConnEnd) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.books.CountConnEnd(e, !s.by.IsZero())
 }
 
-// Retune has commands read by other settings from now on.
+// Retune replaces the settings that commands are parsed with.
 func (s *Server) Retune(settings decide.Settings, n wire.Names) {
 	classes := map[string]decide.Class{}
 	for i, name := range n.Classes {
@@ -158,7 +159,8 @@
 			s.setCrowded(true)
 			s.makeRoom(time.Now())
 		}
-		// Guards against a busy loop, and the program's end, while descriptors run short.
+		// Without the pause, running out of descriptors would cause a busy loop; without the retry, it would end the
+		// program.
 		<-s.slots
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return
@@ -171,9 +173,9 @@
 	}
 }
 
-// room takes a place for one more connection. While all are taken, one that can be spared
-// makes room, else the next to be answered. It looks again and again: who says nothing can
-// be spared after a while, and accepting must never wait for such a peer's patience.
+// acquireSlot takes a slot for one more connection. While all are taken, an expendable connection is evicted, else
+// the next to be answered is closed. It checks repeatedly, because a silent connection becomes expendable only after
+// a while, and accepting must never wait for the full timeout of such a peer.
 func (s *Server) room(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -228,16 +230,16 @@
 	<-s.slots
 }
 
-// HoldCallbacks has each call-back that is read from now on wait until release is called, and returns once the core has
-// those before. A process holds them while it yields: one that its core got after that would be answered, and lost if the
-// process died before it had passed it on.
+// HoldCallbacks holds back each callback that is read from now on until release is called, and returns once the core
+// has received those before. It is called during a handover: a callback that the core received later would be
+// answered, and lost if the process died before forwarding it.
 func (s *Server) HoldCallbacks() (release func()) {
 	s.callbacks.Lock()
 	return s.callbacks.Unlock
 }
 
-// Yield has each connection that stands between two requests go to the process that takes over,
-// now and as their answers are written. Whoever serves the listener must have it end.
+// Yield passes each idle connection to the process that takes over, now and as further answers are written. The
+// caller must end Serve.
 func (s *Server) Yield(to Heir) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,22 +251,21 @@
 	}
 }
 
-// Keep ends that: there is nobody to take over.
+// Keep cancels the handover: no process takes over.
 func (s *Server) Keep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.heir = nil
 }
 
-// Yielded tells whether another process takes over.
+// Yielded reports whether another process takes over.
 func (s *Server) Yielded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.heir != nil
 }
 
-// Expect returns the client of a command that an older process has handed over and whose
-// connection is on its way.
+// Expect returns the client of a command that an older process has handed over and whose connection will follow.
 func (s *Server) Expect(cmd *dispatch.Command, end bool) dispatch.Client {
 	w := &waiter{cmd: cmd, end: end, answer: make(chan word, 1)}
 	s.mu.Lock()
@@ -273,8 +274,7 @@
 	return w
 }
 
-// Adopt serves a connection that an older process has passed. The slot that it took there is its
-// slot here.
+// Adopt serves a connection that an older process has passed. It uses the slot that was lent to that process for it.
 func (s *Server) Adopt(nc net.Conn, p Passed) {
 	s.mu.Lock()
 	w := s.expected[p.ID]
@@ -298,18 +298,18 @@
 		c.state, c.first = handling, func() bool { return c.command(p.Request, p.Deadline) }
 	case w != nil:
 		c.state, c.first = handling, func() bool { return c.wait(w) }
-	case p.ID != "": // what was in hand is lost
+	case p.ID != "": // the command has been lost
 		c.state, c.first = handling, func() bool { return c.relay(dispatch.Answer{Verdict: dispatch.Failed}, true) }
 	}
 	c.parts = c.first != nil
 	s.run(c)
 }
 
-// turnAway ends a connection for which there is no place here, with an answer where one is owed.
+// rejectConn closes a connection for which there is no slot, after answering its request, if any.
 func (s *Server) turnAway(nc net.Conn, p Passed, w *waiter) {
 	c := &conn{server: s, nc: nc, since: time.Now(), answered: p.Answered, br: bufio.NewReader(nc)}
 	verdict := dispatch.Failed
-	if p.Request != nil { // nobody has taken it
+	if p.Request != nil { // it was never submitted
 		verdict = dispatch.Refused
 	}
 	if w != nil {
@@ -322,7 +322,7 @@
 	nc.Close()
 }
 
-// Lend leaves an older process so many slots for the connections that it still holds.
+// Lend lends n slots to an older process for the connections that it still holds.
 func (s *Server) Lend(n int) {
 	for range n {
 		select {
@@ -336,7 +336,7 @@
 	}
 }
 
-// Returned takes a slot back from the older process; false: it has none any more.
+// Returned takes back one slot from the older process. It returns false if none is lent.
 func (s *Server) Returned() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -351,8 +351,8 @@
 	return true
 }
 
-// ReturnAll takes back what is left of the older process's slots: it has gone, and with it the connections that have not come.
-// Nobody waits for the requests of those any more.
+// ReturnAll takes back all lent slots: the older process has ended, and with it the connections that have not been
+// passed. The commands of those have no client any more.
 func (s *Server) ReturnAll() {
 	for s.Returned() {
 	}
@@ -365,23 +365,23 @@
 	}
 }
 
-// Connections is how many connections there are, with those of an older process.
+// Connections returns the number of connections, including those of an older process.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) + s.lent
 }
 
-// Away says whether service clients are sent away: then the front is told no, and each answer
-// closes its connection. The listener goes on.
+// Away sets whether clients are sent away. If so, health checks fail and each answer to a client closes its
+// connection; the listener still accepts.
 func (s *Server) Away(yes bool) {
 	s.mu.Lock()
 	s.draining = yes
 	s.mu.Unlock()
 }
 
-// End says that the process has been told to end: whatever is asked from now on is answered before it may be killed, and
-// is refused unasked after the moment that End returns.
+// End starts the shutdown and returns the time by which all commands are answered, which is before the process may be
+// killed. Commands that arrive later are refused without asking the core.
 func (s *Server) End(told time.Time) time.Time {
 	var most time.Duration
 	for _, c := range *s.classes.Load() {
@@ -395,8 +395,8 @@
 	return s.by
 }
 
-// Finish has that moment come: requests that are on their way are refused, and connections without any are ended. It is
-// called again until none is left.
+// Finish is called once that time has passed: requests still being received are refused, and connections without one
+// are closed. It is called repeatedly until none is left.
 func (s *Server) Finish(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -412,7 +412,8 @@
 	}
 }
 
-// last is by when a command must have its answer, if the process has been told to end, and whether it is too late for that.
+// answerDeadline returns the time by which commands must be answered if the process shuts down, and whether it has
+// passed.
 func (s *Server) last() (by time.Time, over bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -425,8 +426,8 @@
 	return s.draining && s.heir == nil
 }
 
-// CloseIdle ends the connections of service clients that have stood between requests since
-// before a moment. Younger ones may just have been opened for a request that is on its way.
+// CloseIdle closes the clients' connections that have been idle since before the given time. Later ones may have been
+// opened for a request that is on its way.
 func (s *Server) CloseIdle(before time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -437,8 +438,8 @@
 	}
 }
 
-// Quiet tells whether no request is under way and no service client is connected. Instances
-// may be: jobs given up may go on for a while, and what they tell must not delay the end.
+// Quiet reports whether no request is being processed and no client is connected. Idle connections of instances don't
+// count: abandoned jobs may run on for a while, and their callbacks must not delay the end of the process.
 func (s *Server) Quiet() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -450,8 +451,8 @@
 	return true
 }
 
-// makeRoom ends the connection that can best be spared, if there is one and none is about to end already. An encoder's goes
-// only where no other place will be free within a moment.
+// evictOne evicts the most expendable connection, if there is one and none is already about to end. An encoder's
+// connection is evicted only if no other slot will be free shortly.
 func (s *Server) makeRoom(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -1,5 +1,4 @@
-// Package http1 reads and writes HTTP/1.1 messages of bounded size. It knows
-// nothing of what they are for.
+// Package http1 reads and writes HTTP/1.1 messages of bounded size. It is independent of their purpose.
 package http1
 
 import (
@@ -15,15 +14,15 @@
 	"unicode/utf8"
 )
 
-// The bounds of what a peer may send. They guard against unbounded reads.
+// Limits of what a peer may send, so that no read is unbounded.
 const (
-	MaxLine   = 8 << 10 // and the least size of a reader's buffer
+	MaxLine   = 8 << 10 // also the minimum buffer size of a reader
 	MaxFields = 64
 	MaxHead   = 16 << 10
 	MaxBody   = 64 << 10
 )
 
-// Malformed says what is wrong with a message and the status that tells its sender.
+// Malformed is an error in a received message, with the status to answer the sender with.
 type Malformed struct {
 	Status int
 	Text   string
@@ -38,14 +37,15 @@
 // Field is one header line.
 type Field struct{ Name, Value string }
 
-// fieldText is a field between two processes. JSON holds no bytes that are not UTF-8, which a value may.
+// fieldJSON is the JSON form of a field that is sent to another process. JSON strings hold valid UTF-8 only, which a
+// field's value need not be.
 type fieldText struct {
 	Name  string `json:"Name"`
 	Value string `json:"Value"`
-	Raw   []byte `json:"Raw,omitempty"` // the value, where JSON cannot hold it
+	Raw   []byte `json:"Raw,omitempty"` // the value, if it is not valid UTF-8
 }
 
-// MarshalJSON writes a field whole, whatever its bytes.
+// MarshalJSON encodes a field without loss, whatever bytes its value holds.
 func (f Field) MarshalJSON() ([]byte, error) {
 	t := fieldText{Name: f.Name, Value: f.Value}
 	if !utf8.ValidString(f.Value) {
@@ -54,7 +54,7 @@
 	return json.Marshal(t)
 }
 
-// UnmarshalJSON reads it, also as processes wrote it that knew no Raw.
+// UnmarshalJSON decodes a field, also from older processes, which don't send Raw.
 func (f *Field) UnmarshalJSON(text []byte) error {
 	var t fieldText
 	if err := json.Unmarshal(text, &t); err != nil {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Header is a message's header lines as they came.
+// Header is a message's header lines in the order received.
 type Header []Field
 
 // Get returns the value of the first field of that name, or "".
@@ -79,18 +79,18 @@
 	return ""
 }
 
-// Given tells whether there is a field of that name, were it empty.
+// Given reports whether there is a field of that name, even an empty one.
 func (h Header) Given(name string) bool {
 	return slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, name) })
 }
 
-// Conflicts tells whether fields of that name differ.
+// Conflicts reports whether fields of that name have different values.
 func (h Header) Conflicts(name string) bool {
 	first := h.Get(name)
 	return slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, name) && f.Value != first })
 }
 
-// Has tells whether a field holds the token in its comma-separated list.
+// Has reports whether a field of that name contains the token in its comma-separated list.
 func (h Header) Has(name, token string) bool {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -104,7 +104,7 @@
 	return false
 }
 
-// Request is a request whole.
+// Request is a complete request.
 type Request struct {
 	Method string `json:"Method"`
 	Target string `json:"Target"`
@@ -113,7 +113,7 @@
 	Close  bool   `json:"Close"` // the sender wants the connection closed after the answer
 }
 
-// Response is a response whole.
+// Response is a complete response.
 type Response struct {
 	Status int
 	Header Header
@@ -121,8 +121,8 @@
 	Close  bool
 }
 
-// ReadRequest reads one request. A clean end before its first byte is io.EOF. Where the
-// sender waits to be told to go on with the body, onContinue does that.
+// ReadRequest reads one request. It returns io.EOF if the connection ends before the first byte. If the sender
+// expects 100 Continue before it sends the body, onContinue is called to send it.
 func ReadRequest(r *bufio.Reader, onContinue func() error) (*Request, error) {
 	line, err := readLine(r, true)
 	if err != nil {
@@ -159,7 +159,7 @@
 	return q, err
 }
 
-// ReadResponse reads one response to a request of that method, past any 1xx.
+// ReadResponse reads one response to a request of that method, skipping 1xx responses.
 func ReadResponse(r *bufio.Reader, method string) (*Response, error) {
 	p, f, err := readResponseHead(r)
 	if err != nil {
@@ -180,7 +180,7 @@
 	return p, err
 }
 
-// ReadStream reads a response's head and returns its body for reading as it comes.
+// ReadStream reads a response's head and returns a reader of its body.
 func ReadStream(r *bufio.Reader) (*Response, io.Reader, error) {
 	p, f, err := readResponseHead(r)
 	if err != nil {
@@ -196,7 +196,7 @@
 }
 
 func readResponseHead(r *bufio.Reader) (*Response, framing, error) {
-	for range 8 { // guards against interim responses without end
+	for range 8 { // bounds the number of interim responses
 		line, err := readLine(r, true)
 		if err != nil {
 			return nil, framing{}, err
@@ -222,8 +222,8 @@
 	return nil, framing{}, malformed(502, "interim responses without end")
 }
 
-// readLine reads a line without its end. atStart: nothing of the message has come yet,
-// an empty line or two before it is passed over and a clean end is io.EOF.
+// readLine reads a line without its line ending. If atStart is set, no part of the message has been read yet: up to
+// two empty lines are skipped, and an end of the connection is io.EOF.
 func readLine(r *bufio.Reader, atStart bool) (string, error) {
 	for skipped := 0; ; skipped++ {
 		line, err := r.ReadSlice('\n')
@@ -277,7 +277,7 @@
 	return false, malformed(400, "version")
 }
 
-// framing is how a body ends: by chunks, after n bytes, or, n < 0, unsaid.
+// framing is how the end of a body is determined: by chunks, by its length, or, if length is negative, not stated.
 type framing struct {
 	chunked bool
 	n       int64
@@ -300,7 +300,7 @@
 			f.chunked = true
 		}
 	}
-	if f.chunked && f.n >= 0 { // guards against two readers seeing two bodies
+	if f.chunked && f.n >= 0 { // otherwise two readers could see different bodies (request smuggling)
 		return f, malformed(400, "content length beside chunks")
 	}
 	return f, nil
@@ -327,11 +327,11 @@
 	return body, nil
 }
 
-// chunks reads a chunked body up to and with its trailer.
+// chunkedReader reads a chunked body including its trailer.
 type chunks struct {
 	r    *bufio.Reader
-	left int64 // of the chunk at hand
-	any  bool  // a chunk has been begun
+	left int64 // of the current chunk
+	any  bool  // a chunk has been read, at least in part
 	end  bool
 }
 
@@ -394,7 +394,7 @@
 	return s != ""
 }
 
-// Visible tells whether a text can stand in a header line or a target as it is.
+// Visible reports whether s can be written into a header line or target as it is.
 func Visible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 127 {
@@ -404,13 +404,13 @@
 	return s != ""
 }
 
-// AppendRequest writes a request whole. It adds the body's length.
+// AppendRequest appends a complete request to buf. It adds the Content-Length.
 func AppendRequest(buf []byte, method, target string, h Header, body []byte) []byte {
 	buf = append(append(append(append(buf, method...), ' '), target...), " HTTP/1.1\r\n"...)
 	return appendRest(buf, h, body, method == "GET" || method == "DELETE")
 }
 
-// AppendResponse writes a response whole. It adds the body's length.
+// AppendResponse appends a complete response to buf. It adds the Content-Length.
 func AppendResponse(buf []byte, status int, h Header, body []byte) []byte {
 	buf = append(strconv.AppendInt(append(buf, "HTTP/1.1 "...), int64(status), 10), ' ')
 	buf = append(append(buf, reasons[status]...), "\r\n"...)
--- a/internal/net/loadreport/loadreport.go
+++ b/internal/net/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport reads the load reports that instances send along: as an object in call-backs and in the
-// answers to probes, as a header line in answers that end an attempt. What the figures mean is the module's.
+// Package loadreport parses the load reports of instances: a JSON object in callbacks and answers to probes, or a
+// header line in answers that end an attempt. The decision module interprets the values.
 package loadreport
 
 import (
@@ -18,36 +18,35 @@
 	"caperrelay/internal/wire"
 )
 
-// HeaderField is where answers carry a report, behind the name of its form.
+// HeaderField is the header field of a report in an answer. Its value begins with the name of the report's format.
 const HeaderField = "X-Backend-Load"
 
 const lineForm = "TEXT "
 
-// The bounds of a report. One beyond them is no instance's, and a size that it told would count for all instances
-// of a kind.
+// Limits of a report. Instances send none beyond them, and a false size would be applied to all instances of a kind.
 const (
 	maxText   = 1 << 10
 	maxFigure = 1 << 16
 )
 
-// complainEvery is how often rubbish is logged.
+// logInterval is the minimum time between log messages about invalid reports.
 const complainEvery = time.Minute
 
-// Reader reads reports, of each only the fields that the settings name. A nil Reader finds none.
+// Reader parses reports. Of each it reads the fields named in the settings only. A nil Reader returns no reports.
 type Reader struct {
 	fields     atomic.Pointer[map[string]bool]
 	log        *slog.Logger
-	complained atomic.Int64 // when, in nanoseconds of Unix time
+	complained atomic.Int64 // Unix time in nanoseconds
 }
 
-// New returns a reader of the fields that settings name.
+// New returns a reader of the fields that the settings name.
 func New(fields []string, logger *slog.Logger) *Reader {
 	r := &Reader{log: logger}
 	r.Retune(fields)
 	return r
 }
 
-// Retune has other fields read from now on.
+// Retune replaces the fields that are read.
 func (r *Reader) Retune(fields []string) {
 	named := map[string]bool{}
 	for _, f := range fields {
@@ -56,10 +55,10 @@
 	r.fields.Store(&named)
 }
 
-// Any tells whether there are reports at all.
+// Any reports whether any fields are read.
 func (r *Reader) Any() bool { return r != nil && len(*r.fields.Load()) > 0 }
 
-// Object reads a JSON object; nil: it tells nothing that the settings name.
+// Object parses a JSON object. It returns nil if there is no report or it is invalid.
 func (r *Reader) Object(text []byte) *decide.Report {
 	if !r.Any() || len(text) == 0 || string(text) == "null" {
 		return nil
@@ -83,7 +82,7 @@
 	})
 }
 
-// Line reads the header field's value: TEXT name=figure, name=figure.
+// Line parses a header value of the form "TEXT name=number, name=number".
 func (r *Reader) Line(text string) *decide.Report {
 	if !r.Any() || text == "" {
 		return nil
@@ -107,7 +106,7 @@
 	})
 }
 
-// read takes what a parser finds, all or nothing.
+// read returns the report that parse finds, or nil if any of its values is invalid.
 func (r *Reader) read(form string, size int, parse func(named map[string]bool) (map[string]float64, error)) *decide.Report {
 	var found map[string]float64
 	err := errors.New("too long")
--- a/internal/net/sock/sock.go
+++ b/internal/net/sock/sock.go
@@ -1,4 +1,4 @@
-// Package sock looks at sockets in ways that the net package does not offer.
+// Package sock queries sockets in ways that the net package does not offer.
 package sock
 
 import (
@@ -6,18 +6,18 @@
 	"syscall"
 )
 
-// State is what a look at a connection's receiving side shows.
+// State is the state of a connection's receiving side.
 type State int
 
 // The states.
 const (
-	Empty  State = iota // open, and nothing has come
-	Data                // bytes wait to be read
-	Closed              // the other side has closed it, or it is broken
+	Empty  State = iota // open, nothing to read
+	Data                // bytes to read
+	Closed              // closed by the peer, or broken
 )
 
-// Look peeks at a connection without waiting and takes nothing from it. The connection's
-// read deadline must not have passed.
+// Look returns the state of a connection without waiting or consuming anything. The connection's read deadline must
+// not have passed.
 func Look(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
