--- a/internal/net/clients/bar_test.go
+++ b/internal/net/clients/bar_test.go
@@ -11,7 +11,7 @@
 )
 
 // Who connected before the bar is still served; nobody gets in after it.
-func TestBarred(t *testing.T) {
+func TestBar(t *testing.T) {
 	l, err := sock.Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
--- a/internal/net/clients/callback.go
+++ b/internal/net/clients/callback.go
@@ -9,25 +9,25 @@
 	"caperrelay/internal/net/http1"
 )
 
-var newsStates = map[string]dispatch.JobState{
+var callbackStates = map[string]dispatch.JobState{
 	"started": dispatch.Started, "running": dispatch.Running, "done": dispatch.Done,
 	"failed": dispatch.Errored, "returned": dispatch.Returned, "lost": dispatch.Lost,
 }
 
 // handleCallback processes an instance's callback. It returns false if the connection is to be closed or has been
 // passed to another process.
-func (c *conn) news(q *http1.Request) bool {
+func (c *conn) handleCallback(q *http1.Request) bool {
 	var in callback
-	if err := in.read(q.Body); err != nil {
+	if err := in.parse(q.Body); err != nil {
 		return c.reply(400, nil, "no call-back\n", q.Close)
 	}
-	state, ok := newsStates[in.State]
+	state, ok := callbackStates[in.State]
 	if !ok { // unknown states, perhaps of later encoders, are ignored
 		return c.reply(204, nil, "", q.Close)
 	}
-	n := in.news(state)
+	n := in.toDispatch(state)
 	n.Report = c.server.reports.Object(in.Load)
-	if !c.hand(q, n) || !c.server.core.PersistCallback(n) {
+	if !c.deliver(q, n) || !c.server.core.PersistCallback(n) {
 		return false
 	}
 	return c.reply(204, nil, "", q.Close)
@@ -36,7 +36,7 @@
 // deliver passes a callback to the core. It returns false if a newer process has the connection and will read and
 // answer the callback: this process could die before it has forwarded a callback that the instance takes for
 // received.
-func (c *conn) hand(q *http1.Request, n dispatch.Callback) bool {
+func (c *conn) deliver(q *http1.Request, n dispatch.Callback) bool {
 	s := c.server
 	s.callbacks.RLock()
 	defer s.callbacks.RUnlock()
@@ -57,13 +57,13 @@
 	unread := http1.AppendRequest(nil, q.Method, q.Target, h, q.Body)
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.pass(Passed{Rest: unread})
+	return c.passOn(Passed{Rest: unread})
 }
 
 // toDispatch converts a callback, except for its load report.
-func (c *callback) news(state dispatch.JobState) dispatch.Callback {
+func (c *callback) toDispatch(state dispatch.JobState) dispatch.Callback {
 	n := dispatch.Callback{ID: c.ID, From: c.From, State: state, Share: c.Share, Result: c.Result}
-	if plain, rest, ok := text(c.Result); ok && len(rest) == 0 { // a string result is its text; any other JSON value stays as it is
+	if plain, rest, ok := plainString(c.Result); ok && len(rest) == 0 { // a string result is its text; any other JSON value stays as it is
 		n.Result = plain
 	} else if c.Result != nil {
 		var text *string
@@ -91,8 +91,8 @@
 // parse parses a body. Nearly all bodies are one flat object of plain strings and numbers, perhaps with a flat object
 // of loads. Parsing them with encoding/json took a twelfth of the CPU time that a command costs, so only other bodies
 // are parsed with it.
-func (c *callback) read(body []byte) error {
-	if c.quick(body) {
+func (c *callback) parse(body []byte) error {
+	if c.parseFast(body) {
 		return nil
 	}
 	*c = callback{}
@@ -100,7 +100,7 @@
 }
 
 // parseFast parses a plain body. If it returns false the body is not plain, and the contents of c are meaningless.
-func (c *callback) quick(b []byte) bool {
+func (c *callback) parseFast(b []byte) bool {
 	b = bytes.Trim(b, " \t\r\n")
 	if len(b) < 2 || b[0] != '{' || b[len(b)-1] != '}' {
 		return false
@@ -118,7 +118,7 @@
 			}
 			b = bytes.TrimLeft(b[1:], " \t\r\n")
 		}
-		key, rest, ok := text(b)
+		key, rest, ok := plainString(b)
 		if !ok {
 			return false
 		}
@@ -153,7 +153,7 @@
 			if n < 0 {
 				n = len(b)
 			}
-			if !number(b[:n]) {
+			if !isPlainNumber(b[:n]) {
 				return false
 			}
 			share, err := strconv.ParseFloat(string(b[:n]), 64)
@@ -171,7 +171,7 @@
 			c.Load, b = b[:end], b[end:]
 			continue
 		}
-		value, rest, ok := text(b)
+		value, rest, ok := plainString(b)
 		if !ok {
 			return false
 		}
@@ -190,7 +190,7 @@
 }
 
 // plainString parses a JSON string of plain ASCII without escapes.
-func text(b []byte) (value, rest []byte, ok bool) {
+func plainString(b []byte) (value, rest []byte, ok bool) {
 	if len(b) < 2 || b[0] != '"' {
 		return nil, nil, false
 	}
@@ -206,7 +206,7 @@
 }
 
 // isPlainNumber reports whether b is a plain JSON number: digits, optionally followed by a point and more digits.
-func number(b []byte) bool {
+func isPlainNumber(b []byte) bool {
 	whole, part, point := bytes.Cut(b, []byte{'.'})
 	digits := func(b []byte) bool {
 		for _, x := range b {
--- a/internal/net/clients/callback_test.go
+++ b/internal/net/clients/callback_test.go
@@ -12,12 +12,12 @@
 	"caperrelay/internal/dispatch"
 )
 
-const usualCallback = `{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"..."}`
+const typicalCallback = `{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"..."}`
 
 // FuzzCallback: what the quick reader takes it reads as encoding/json does.
 func FuzzCallback(f *testing.F) {
 	for _, s := range []string{
-		usualCallback, `{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"running","share":0.4}`, ` { "id" : "a" , "share" : 1 } `,
+		typicalCallback, `{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"running","share":0.4}`, ` { "id" : "a" , "share" : 1 } `,
 		`{}`, `{"id":"a","id":"b"}`, `{"ID":"a"}`, `{"share":01}`, `{"share":1e3}`, `{"result":null}`, `{"result":{"a":1}}`, `{"id":"\u0041"}`,
 		`{"id":"é"}`, `{"id":"a",}`, `{,"id":"a"}`, `{"id":"a"}x`, `{"share":1}}`, `{"share":.5}`, `{"share":1.}`, `{"id":"a" "from":"b"}`, `{"id"}`, `[]`, `"`, `{"`, `{"id":"a","result":"}"}`,
 	} {
@@ -25,7 +25,7 @@
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var quick, slow callback
-		if !quick.quick(body) {
+		if !quick.parseFast(body) {
 			return
 		}
 		require.NoError(t, json.Unmarshal(body, &slow), "%q", body)
@@ -34,43 +34,43 @@
 }
 
 // The usual one goes the quick way, or nothing is won.
-func TestUsualCallbackIsQuick(t *testing.T) {
+func TestTypicalCallbackIsParsedFast(t *testing.T) {
 	var c callback
-	require.True(t, c.quick([]byte(usualCallback)))
+	require.True(t, c.parseFast([]byte(typicalCallback)))
 	require.Equal(t, callback{ID: "9b1f03aa5c7e2d41", From: "s-0badcafe", State: "done", Result: json.RawMessage(`"..."`)}, c)
-	require.True(t, c.quick([]byte(`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"running","share":0.4}`)))
+	require.True(t, c.parseFast([]byte(`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"running","share":0.4}`)))
 	c = callback{}
-	require.True(t, c.quick([]byte(`{"id":"9b","from":"s-0","load":{"x0":6.04,"cpu":0.1},"state":"failed"}`)))
+	require.True(t, c.parseFast([]byte(`{"id":"9b","from":"s-0","load":{"x0":6.04,"cpu":0.1},"state":"failed"}`)))
 	require.Equal(t, callback{ID: "9b", From: "s-0", State: "failed", Load: json.RawMessage(`{"x0":6.04,"cpu":0.1}`)}, c)
-	require.NoError(t, c.read([]byte(`{"id":"\u0061","result":{"a":1}}`)))
+	require.NoError(t, c.parse([]byte(`{"id":"\u0061","result":{"a":1}}`)))
 	require.Equal(t, callback{ID: "a", Result: json.RawMessage(`{"a":1}`)}, c)
-	require.Error(t, c.read([]byte(`{"id":1}`)))
+	require.Error(t, c.parse([]byte(`{"id":1}`)))
 }
 
 // Guards against an instance that is answered, and so does not call again, though nobody keeps what it has told.
-func TestCallThatIsNotKeptHasNoAnswer(t *testing.T) {
+func TestUnpersistedCallbackIsNotAnswered(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		c, _, dial := serve(t, 2, 0)
-		c.keep = func(dispatch.Callback) bool { return kept }
+		c.persist = func(dispatch.Callback) bool { return kept }
 		nc := dial()
-		fmt.Fprintf(nc, "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(usualCallback), usualCallback)
+		fmt.Fprintf(nc, "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(typicalCallback), typicalCallback)
 		text, err := io.ReadAll(nc)
 		require.NoError(t, err)
 		require.Equal(t, kept, strings.HasPrefix(string(text), "HTTP/1.1 204 "), "%q", text)
-		require.Equal(t, "9b1f03aa5c7e2d41", (<-c.told).ID)
+		require.Equal(t, "9b1f03aa5c7e2d41", (<-c.callbacks).ID)
 	}
 }
 
 func BenchmarkCallback(b *testing.B) {
 	for name, read := range map[string]func([]byte, *callback) error{
-		"quick": func(t []byte, c *callback) error { return c.read(t) },
+		"quick": func(t []byte, c *callback) error { return c.parse(t) },
 		"json":  func(t []byte, c *callback) error { return json.Unmarshal(t, c) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
 				var c callback
-				if err := read([]byte(usualCallback), &c); err != nil {
+				if err := read([]byte(typicalCallback), &c); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/net/clients/crowd_test.go
+++ b/internal/net/clients/crowd_test.go
@@ -16,34 +16,34 @@
 	"caperrelay/internal/dispatch"
 )
 
-// callbackText is a call-back of an encoder.
-func callbackText(id string) string {
+// callbackRequest is a call-back of an encoder.
+func callbackRequest(id string) string {
 	body := fmt.Sprintf(`{"id":%q,"from":"s-1","state":"done","result":"r"}`, id)
 	return fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// tells sends a call-back and fails unless it is taken. The result tells whether the connection is to end.
-func tells(t *testing.T, c *core, nc net.Conn, id string) (ends bool) {
-	p := ask(t, nc, callbackText(id))
+// postCallback sends a call-back and fails unless it is taken. The result tells whether the connection is to end.
+func postCallback(t *testing.T, c *fakeCore, nc net.Conn, id string) (ends bool) {
+	p := roundTrip(t, nc, callbackRequest(id))
 	require.Equal(t, 204, p.Status)
-	require.Equal(t, dispatch.Callback{ID: id, From: "s-1", State: dispatch.Done, Result: []byte("r")}, <-c.told)
+	require.Equal(t, dispatch.Callback{ID: id, From: "s-1", State: dispatch.Done, Result: []byte("r")}, <-c.callbacks)
 	return p.Close
 }
 
 // Idle clients that fill all places make room for one another; an encoder's connection stood longest between two calls and
 // was the first to go. It keeps its place, and call-backs on new connections come in.
-func TestIdleClientsMakeRoomBeforeEncoders(t *testing.T) {
-	c, _, dial := serveWith(t, 8, 0, patience{first: time.Minute, mute: time.Minute, halting: time.Minute, lingerer: usual.lingerer})
+func TestIdleClientsAreEvictedBeforeEncoders(t *testing.T) {
+	c, _, dial := serveWith(t, 8, 0, timeouts{firstRequest: time.Minute, firstByte: time.Minute, remainder: time.Minute, linger: defaultTimeouts.linger})
 	encoder := dial()
-	require.False(t, tells(t, c, encoder, "first"))
+	require.False(t, postCallback(t, c, encoder, "first"))
 	var idle []net.Conn
 	for n := range 50 {
 		client := dial()
-		require.Equal(t, 200, ask(t, client, ready).Status)
+		require.Equal(t, 200, roundTrip(t, client, healthRequest).Status)
 		idle = append(idle, client)
 		if n%10 == 9 {
-			tells(t, c, dial(), fmt.Sprint("new", n))
-			require.False(t, tells(t, c, encoder, fmt.Sprint("kept", n)))
+			postCallback(t, c, dial(), fmt.Sprint("new", n))
+			require.False(t, postCallback(t, c, encoder, fmt.Sprint("kept", n)))
 		}
 	}
 	_, err := idle[0].Read(make([]byte, 1))
@@ -51,27 +51,27 @@
 }
 
 // While somebody waits for a place each answer to a client ends its connection, but none to an encoder does.
-func TestAnswersToEncodersKeepTheirConnections(t *testing.T) {
+func TestEncoderConnectionsStayOpenWhenCrowded(t *testing.T) {
 	c, s, dial := serve(t, 8, 0)
 	encoder, client := dial(), dial()
-	require.False(t, tells(t, c, encoder, "1"))
-	require.Equal(t, 200, ask(t, client, ready).Status)
-	until(t, s, func(c *conn) bool { return c.state == waiting && c.instance })
-	until(t, s, func(c *conn) bool { return c.state == waiting && c.answered && !c.instance })
+	require.False(t, postCallback(t, c, encoder, "1"))
+	require.Equal(t, 200, roundTrip(t, client, healthRequest).Status)
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.instance })
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered && !c.instance })
 	s.setCrowded(true)
-	require.False(t, tells(t, c, encoder, "2"))
-	require.False(t, tells(t, c, encoder, "3"), "nor is it ended before its next call")
-	require.True(t, ask(t, client, ready).Close)
+	require.False(t, postCallback(t, c, encoder, "2"))
+	require.False(t, postCallback(t, c, encoder, "3"), "nor is it ended before its next call")
+	require.True(t, roundTrip(t, client, healthRequest).Close)
 }
 
 // Where nobody else can be spared an encoder's connection makes room, too: whoever comes is told at least no.
-func TestEncodersMakeRoomAtLast(t *testing.T) {
+func TestIdleEncoderIsEvictedLast(t *testing.T) {
 	c, _, dial := serve(t, 2, 0)
 	encoder, held := dial(), dial()
-	tells(t, c, encoder, "1")
-	fmt.Fprint(held, leavingCommand)
-	c.next(t)
-	require.Equal(t, 200, ask(t, dial(), ready).Status)
+	postCallback(t, c, encoder, "1")
+	fmt.Fprint(held, commandRequest)
+	c.nextCommand(t)
+	require.Equal(t, 200, roundTrip(t, dial(), healthRequest).Status)
 	_, err := encoder.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 }
@@ -80,17 +80,17 @@
 type gatedListener struct {
 	net.Listener
 	gate  chan struct{}
-	asked atomic.Int64
+	accepts atomic.Int64
 }
 
 func (g *gatedListener) Accept() (net.Conn, error) {
-	g.asked.Add(1)
+	g.accepts.Add(1)
 	<-g.gate
 	return g.Listener.Accept()
 }
 
-// limit has this process open no descriptor more than it has.
-func limit(t *testing.T) {
+// forbidNewDescriptors has this process open no descriptor more than it has.
+func forbidNewDescriptors(t *testing.T) {
 	f, err := os.Open(os.DevNull)
 	require.NoError(t, err)
 	next := f.Fd()
@@ -98,8 +98,8 @@
 	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: uint64(next), Max: uint64(next)}))
 }
 
-// alone runs a test in a process of its own; true: this is it.
-func alone(t *testing.T) bool {
+// inSubprocess runs a test in a process of its own; true: this is it.
+func inSubprocess(t *testing.T) bool {
 	if os.Getenv("WINGLB_ALONE") == t.Name() {
 		return true
 	}
@@ -113,7 +113,7 @@
 // With no descriptor left the listener neither spins nor waits for ever: an idle client's connection makes room for a
 // call-back, and where nobody can be spared it goes on as soon as there is a descriptor again.
 func TestOutOfDescriptors(t *testing.T) {
-	if !alone(t) {
+	if !inSubprocess(t) {
 		return
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,37 +130,37 @@
 	}
 	idle, encoder, another := dial(), dial(), dial()
 	g.gate <- struct{}{}
-	require.Equal(t, 200, ask(t, idle, ready).Status)
-	until(t, s, func(c *conn) bool { return c.state == waiting && c.answered })
+	require.Equal(t, 200, roundTrip(t, idle, healthRequest).Status)
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered })
 	spare, err := os.Open(os.DevNull)
 	require.NoError(t, err)
-	limit(t)
-	before, since := g.asked.Load(), time.Now()
+	forbidNewDescriptors(t)
+	before, since := g.accepts.Load(), time.Now()
 	close(g.gate)
-	tells(t, c, encoder, "1")
+	postCallback(t, c, encoder, "1")
 	_, err = idle.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	until(t, s, func(c *conn) bool { return c.state == waiting && c.instance })
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.instance })
 	s.mu.Lock()
 	for c := range s.conns {
 		c.state = handling // nobody can be spared
 	}
 	s.mu.Unlock()
-	require.Eventually(t, func() bool { return g.asked.Load() > before+10 }, 20*time.Second, time.Millisecond)
-	tries := g.asked.Load() - before
-	require.GreaterOrEqual(t, time.Since(since), time.Duration(tries-3)*acceptPause, "%d tries", tries)
+	require.Eventually(t, func() bool { return g.accepts.Load() > before+10 }, 20*time.Second, time.Millisecond)
+	tries := g.accepts.Load() - before
+	require.GreaterOrEqual(t, time.Since(since), time.Duration(tries-3)*acceptRetryInterval, "%d tries", tries)
 	require.NoError(t, spare.Close())
-	tells(t, c, another, "2")
+	postCallback(t, c, another, "2")
 }
 
 // A call-back that comes behind many clients who connect and say nothing is heard once those before it have had their moment.
-func TestCallbacksComeInAmongMuteClients(t *testing.T) {
-	c, _, dial := serveWith(t, 32, 0, usual)
+func TestCallbackAmongSilentClients(t *testing.T) {
+	c, _, dial := serveWith(t, 32, 0, defaultTimeouts)
 	for range 200 {
 		dial()
 	}
 	since := time.Now()
-	tells(t, c, dial(), "1")
+	postCallback(t, c, dial(), "1")
 	t.Logf("heard after %v", time.Since(since))
 	require.Less(t, time.Since(since), 5*time.Second)
 }
--- a/internal/net/clients/leaving_test.go
+++ b/internal/net/clients/leaving_test.go
@@ -19,23 +19,23 @@
 	"caperrelay/internal/wire"
 )
 
-const leavingCommand = "POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
+const commandRequest = "POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
 
-// slowFleet holds the loop up in each send until the test lets it go on.
-type slowFleet struct {
+// blockingSender holds the loop up in each send until the test lets it go on.
+type blockingSender struct {
 	sent chan *dispatch.Attempt
-	on   chan struct{}
+	resume   chan struct{}
 }
 
-func (f *slowFleet) Send(a *dispatch.Attempt) { f.sent <- a; <-f.on }
-func (f *slowFleet) Cancel(*dispatch.Attempt) {}
-func (f *slowFleet) Probe(string)             {}
-func (f *slowFleet) CloseIdle(string)         {}
-func (f *slowFleet) Subscribe()               {}
+func (f *blockingSender) Send(a *dispatch.Attempt) { f.sent <- a; <-f.resume }
+func (f *blockingSender) Cancel(*dispatch.Attempt) {}
+func (f *blockingSender) Probe(string)             {}
+func (f *blockingSender) CloseIdle(string)         {}
+func (f *blockingSender) Subscribe()               {}
 
-// behind is a loop that sends to one encoder and stands still from the first send on.
-func behind(t *testing.T) (*dispatch.Loop, *slowFleet) {
-	f := &slowFleet{make(chan *dispatch.Attempt, 9), make(chan struct{})}
+// blockedLoop is a loop that sends to one encoder and stands still from the first send on.
+func blockedLoop(t *testing.T) (*dispatch.Loop, *blockingSender) {
+	f := &blockingSender{make(chan *dispatch.Attempt, 9), make(chan struct{})}
 	l, err := dispatch.New(decide.Settings{
 		DispatcherCount: 1, Granularity: time.Millisecond, Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
 		Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any}},
@@ -44,30 +44,30 @@
 	require.NoError(t, err)
 	l.UpdateInstances(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-1", State: decide.Ready}}}, true)
 	go l.Run(t.Context())
-	t.Cleanup(func() { close(f.on) })
+	t.Cleanup(func() { close(f.resume) })
 	return l, f
 }
 
-// goes has a client leave: it closes its connection, or resets it.
-var goes = map[string]func(net.Conn){
+// disconnects has a client leave: it closes its connection, or resets it.
+var disconnects = map[string]func(net.Conn){
 	"closes": func(c net.Conn) { c.Close() },
 	"resets": func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 }
 
-// backlog is a listener that tells when it is asked for a connection: those that it gave out before are served by then.
-type backlog struct {
+// signalingListener is a listener that tells when it is asked for a connection: those that it gave out before are served by then.
+type signalingListener struct {
 	net.Listener
-	asked chan bool
+	accepting chan bool
 }
 
-func (b *backlog) Accept() (net.Conn, error) {
-	b.asked <- true
+func (b *signalingListener) Accept() (net.Conn, error) {
+	b.accepting <- true
 	return b.Listener.Accept()
 }
 
 // A request that is read out of a backlog, its client long gone, is not handed in, whatever its client has sent behind it.
-func TestGoneBeforeItIsRead(t *testing.T) {
-	for name, leave := range goes {
+func TestDisconnectBeforeRequestIsRead(t *testing.T) {
+	for name, leave := range disconnects {
 		for _, behind := range []int{0, 1, 100, 300} { // requests
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
@@ -75,30 +75,30 @@
 			core, s := newServer(9)
 			nc, err := net.Dial("tcp", l.Addr().String())
 			require.NoError(t, err)
-			_, err = fmt.Fprint(nc, leavingCommand+strings.Repeat(leavingCommand, behind))
+			_, err = fmt.Fprint(nc, commandRequest+strings.Repeat(commandRequest, behind))
 			require.NoError(t, err)
 			leave(nc)
-			b := &backlog{l, make(chan bool, 9)}
+			b := &signalingListener{l, make(chan bool, 9)}
 			go s.Serve(t.Context(), b)
-			<-b.asked
-			<-b.asked
+			<-b.accepting
+			<-b.accepting
 			require.Eventually(t, func() bool { return s.Connections() == 0 }, 20*time.Second, time.Millisecond)
-			require.Empty(t, core.taken, "%s with %d behind", name, behind)
-			require.Zero(t, shown(t, s, "closed_cut")+shown(t, s, "closed_unanswered"))
+			require.Empty(t, core.commands, "%s with %d behind", name, behind)
+			require.Zero(t, counterValue(t, s, "closed_cut")+counterValue(t, s, "closed_unanswered"))
 		}
 	}
 }
 
 // A client that has not gone is served, also where it has sent much behind its request by then.
-func TestAheadOfItsRequestAndStays(t *testing.T) {
+func TestPipelinedRequestsAreServed(t *testing.T) {
 	for _, behind := range []int{0, 1, 100, 300} {
 		core, _, dial := serve(t, 2, 0)
 		nc := dial()
-		_, err := fmt.Fprint(nc, leavingCommand+strings.Repeat(leavingCommand, behind))
+		_, err := fmt.Fprint(nc, commandRequest+strings.Repeat(commandRequest, behind))
 		require.NoError(t, err)
 		br := bufio.NewReader(nc)
 		for range behind + 1 {
-			core.next(t).Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
+			core.nextCommand(t).Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
 			p, err := http1.ReadResponse(br, "POST")
 			require.NoError(t, err)
 			require.Equal(t, []any{503, false}, []any{p.Status, p.Close})
@@ -107,13 +107,13 @@
 }
 
 // A client's leaving stops an attempt that has not begun though the loop stands still.
-func TestLeavingCountsWhileTheLoopStandsStill(t *testing.T) {
-	for name, leave := range goes {
-		l, f := behind(t)
+func TestDisconnectStopsAttemptWhileLoopBlocks(t *testing.T) {
+	for name, leave := range disconnects {
+		l, f := blockedLoop(t)
 		_, s, dial := serve(t, 2, 0)
 		s.core = l
 		c := dial()
-		fmt.Fprint(c, leavingCommand)
+		fmt.Fprint(c, commandRequest)
 		a := <-f.sent
 		require.False(t, a.Expired(time.Now()), name)
 		leave(c)
@@ -121,8 +121,8 @@
 	}
 }
 
-// accepted is a connection as the server has it, and its client's end.
-func accepted(t *testing.T) (here, client net.Conn) {
+// acceptedConn is a connection as the server has it, and its client's end.
+func acceptedConn(t *testing.T) (here, client net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -137,36 +137,36 @@
 }
 
 // The time for a request may end just as it is whole: its client has not gone for that.
-func TestEndOfTheTimeForARequestIsNoLeaving(t *testing.T) {
+func TestReadTimeoutIsNoDisconnect(t *testing.T) {
 	core, s := newServer(1)
-	here, client := accepted(t)
+	here, client := acceptedConn(t)
 	c := &conn{server: s, nc: here, state: handling}
-	c.buffer(nil, http1.MaxLine)
-	require.NoError(t, here.SetReadDeadline(past))
-	q, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(leavingCommand)), nil)
+	c.setBuffer(nil, http1.MaxLine)
+	require.NoError(t, here.SetReadDeadline(pastDeadline))
+	q, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(commandRequest)), nil)
 	require.NoError(t, err)
-	go c.command(q, time.Time{})
-	core.next(t).Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
-	require.Equal(t, 503, ask(t, client, "").Status)
+	go c.handleCommand(q, time.Time{})
+	core.nextCommand(t).Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
+	require.Equal(t, 503, roundTrip(t, client, "").Status)
 }
 
 // A client that floods the connection behind its request could go unseen, and its request was sent on seconds later. Whether
 // it stays or goes, its request is ended once more has come than is read for that: with one answer, and none after it.
 func TestFloodEndsItsRequest(t *testing.T) {
-	flood := strings.Repeat("x", mostAhead+mostDropped+http1.MaxBody)
+	flood := strings.Repeat("x", maxReadAhead+maxDiscarded+http1.MaxBody)
 	for _, stays := range []bool{true, false} {
 		core, s, dial := serve(t, 2, 0)
 		nc := dial()
-		_, err := fmt.Fprint(nc, leavingCommand)
+		_, err := fmt.Fprint(nc, commandRequest)
 		require.NoError(t, err)
-		cmd := core.next(t)
+		cmd := core.nextCommand(t)
 		_, err = fmt.Fprint(nc, flood)
 		require.NoError(t, err)
 		if !stays {
 			nc.Close()
 		}
 		select {
-		case lapsed := <-core.lapsed:
+		case lapsed := <-core.clientsGone:
 			require.Same(t, cmd, lapsed)
 		case <-time.After(20 * time.Second):
 			require.FailNow(t, "nothing ended it")
@@ -182,42 +182,42 @@
 			nc.Close()
 		}
 		require.Eventually(t, func() bool { return s.Connections() == 0 }, 20*time.Second, time.Millisecond)
-		require.Empty(t, core.taken)
-		require.Empty(t, core.lapsed)
-		require.Zero(t, shown(t, s, "closed_cut"))
+		require.Empty(t, core.commands)
+		require.Empty(t, core.clientsGone)
+		require.Zero(t, counterValue(t, s, "closed_cut"))
 	}
 }
 
 // What is kept and read of a flood is bounded, and an answer that is there by its end is the client's all the same.
 func TestFloodIsBounded(t *testing.T) {
 	core, s := newServer(1)
-	here, client := accepted(t)
+	here, client := acceptedConn(t)
 	c := &conn{server: s, nc: here, state: handling}
-	c.buffer(nil, http1.MaxLine)
-	go io.Copy(client, endless{})
-	require.ErrorIs(t, c.watch(), errFlood)
-	require.LessOrEqual(t, c.br.Size(), mostAhead)
-	require.LessOrEqual(t, c.dropped, mostDropped+4<<10)
-	w := &waiter{cmd: &dispatch.Command{ID: "1"}, answer: make(chan word, 1)}
-	w.answer <- word{Answer: dispatch.Answer{Verdict: dispatch.Refused}}
-	go c.wait(w)
+	c.setBuffer(nil, http1.MaxLine)
+	go io.Copy(client, endlessReader{})
+	require.ErrorIs(t, c.watchClient(), errFlood)
+	require.LessOrEqual(t, c.reader.Size(), maxReadAhead)
+	require.LessOrEqual(t, c.discarded, maxDiscarded+4<<10)
+	w := &commandClient{cmd: &dispatch.Command{ID: "1"}, answer: make(chan outcome, 1)}
+	w.answer <- outcome{Answer: dispatch.Answer{Verdict: dispatch.Refused}}
+	go c.awaitAnswer(w)
 	p, err := http1.ReadResponse(bufio.NewReader(client), "POST")
 	require.NoError(t, err)
 	require.Equal(t, 503, p.Status)
-	require.Empty(t, core.lapsed)
+	require.Empty(t, core.clientsGone)
 }
 
-// endless has something to read for ever.
-type endless struct{}
+// endlessReader has something to read for ever.
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
 
 // The look at a client's connection needs neither the goroutine that watches it nor the loop, and waits for neither: on a
 // machine short of CPU both may come to run long after an attempt.
-func TestLookAtAClient(t *testing.T) {
-	for name, leave := range goes {
-		here, client := accepted(t)
-		w := &waiter{cmd: &dispatch.Command{ID: "1"}, answer: make(chan word, 1), nc: here}
+func TestDisconnectedWhileReading(t *testing.T) {
+	for name, leave := range disconnects {
+		here, client := acceptedConn(t)
+		w := &commandClient{cmd: &dispatch.Command{ID: "1"}, answer: make(chan outcome, 1), nc: here}
 		w.cmd.Client = w
 		a := &dispatch.Attempt{Command: w.cmd}
 		reads := make(chan error)
@@ -231,51 +231,51 @@
 		client.Write([]byte("x"))
 		require.NoError(t, <-reads)
 		require.False(t, a.Expired(time.Now()), name)
-		here.SetReadDeadline(past)
+		here.SetReadDeadline(pastDeadline)
 		require.ErrorIs(t, <-reads, os.ErrDeadlineExceeded)
 		require.False(t, a.Expired(time.Now()), "a passed deadline is no end")
 		leave(client)
 		require.Eventually(t, func() bool { return a.Expired(time.Now()) }, 20*time.Second, time.Millisecond, name)
 	}
-	w := &waiter{cmd: &dispatch.Command{ID: "1"}, answer: make(chan word, 1)}
+	w := &commandClient{cmd: &dispatch.Command{ID: "1"}, answer: make(chan outcome, 1)}
 	require.False(t, w.Disconnected(), "it is on its way from an older process")
 }
 
 // A client that left while its connection was on its way between two processes has gone in the newer one: its request, in hand
 // or not yet, is not sent.
-func TestGoneOnTheWayBetweenProcesses(t *testing.T) {
-	for name, leave := range goes {
+func TestDisconnectDuringHandover(t *testing.T) {
+	for name, leave := range disconnects {
 		core, s := newServer(9)
-		here, client := accepted(t)
+		here, client := acceptedConn(t)
 		cmd := &dispatch.Command{ID: "1"}
 		s.Expect(cmd, false)
 		leave(client)
 		s.Adopt(here, Passed{Answered: true, ID: "1"})
 		select {
-		case lapsed := <-core.lapsed:
+		case lapsed := <-core.clientsGone:
 			require.Same(t, cmd, lapsed, name)
 		case <-time.After(20 * time.Second):
 			require.FailNow(t, "nobody saw it go", name)
 		}
-		here, client = accepted(t)
-		q, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(leavingCommand)), nil)
+		here, client = acceptedConn(t)
+		q, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(commandRequest)), nil)
 		require.NoError(t, err)
 		leave(client)
 		s.Adopt(here, Passed{Answered: true, ID: "1", Request: q, Deadline: time.Now().Add(time.Minute)})
 		require.Eventually(t, func() bool { return s.Connections() == 0 }, 20*time.Second, time.Millisecond)
-		require.Empty(t, core.taken, name)
+		require.Empty(t, core.commands, name)
 	}
 }
 
 // An older process that dies takes the connections with it that it has not passed: their requests went on to be sent though
 // nobody could be answered.
-func TestConnectionsLostWithTheOlderProcess(t *testing.T) {
+func TestConnectionsLostWithOlderProcess(t *testing.T) {
 	core, s := newServer(9)
 	cmd := &dispatch.Command{ID: "1"}
 	s.Expect(cmd, false)
 	s.ReturnAll()
-	require.Len(t, core.lapsed, 1)
-	require.Same(t, cmd, <-core.lapsed)
+	require.Len(t, core.clientsGone, 1)
+	require.Same(t, cmd, <-core.clientsGone)
 	s.ReturnAll()
-	require.Empty(t, core.lapsed)
+	require.Empty(t, core.clientsGone)
 }
--- a/internal/net/clients/parse.go
+++ b/internal/net/clients/parse.go
@@ -17,7 +17,7 @@
 // Paths of the listener.
 const (
 	commandPath  = "/api"
-	newsPath     = "/_jobs/news"
+	callbackPath     = "/_jobs/news"
 	readyPath    = "/_health"
 	countersPath = "/_counters"
 )
@@ -30,7 +30,7 @@
 
 const (
 	maxID   = 128
-	maxLeft = 24 * time.Hour
+	maxDuration = 24 * time.Hour
 )
 
 // parse parses a command. The time that it leaves is converted to a deadline. The second result is whether the
@@ -47,7 +47,7 @@
 		Payload: q, Retry: h.Get("X-Repeat") == "1",
 	}
 	// The ID is written into header lines and request targets.
-	if !http1.Visible(c.ID) || len(c.ID) > maxID || strings.ContainsAny(c.ID, "/?#%") {
+	if !http1.IsVisible(c.ID) || len(c.ID) > maxID || strings.ContainsAny(c.ID, "/?#%") {
 		return nil, false, errors.New("X-Correlation-Id: missing or malformed")
 	}
 	if strings.Contains(q.Target, "#") { // a fragment is never sent in a target
@@ -60,14 +60,14 @@
 	left := class.Deadline
 	if h.Given("X-Time-Left") {
 		var err error
-		if left, err = span(h.Get("X-Time-Left")); err != nil {
+		if left, err = parseDuration(h.Get("X-Time-Left")); err != nil {
 			return nil, false, fmt.Errorf("X-Time-Left: %w", err)
 		}
 	}
 	c.Deadline = now.Add(left)
 	if text := h.Get("X-Weight-Hint"); text != "" {
 		var err error
-		if c.Work, err = span(text); err != nil {
+		if c.Work, err = parseDuration(text); err != nil {
 			return nil, false, fmt.Errorf("X-Weight-Hint: %w", err)
 		}
 	}
@@ -80,11 +80,11 @@
 		}
 		c.Key = max(key, 1) // 0 means no key
 	}
-	return c, dispatch.MayRetry(class), facts(h.Get("X-Facts"), map[string]*float64{"slots": &c.Slots, "memory": &c.Memory})
+	return c, dispatch.MayRetry(class), parseFacts(h.Get("X-Facts"), map[string]*float64{"slots": &c.Slots, "memory": &c.Memory})
 }
 
 // parseDuration parses a number with its unit, m for milliseconds or u for microseconds.
-func span(text string) (time.Duration, error) {
+func parseDuration(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
 	if !ok {
@@ -93,15 +93,15 @@
 			return 0, fmt.Errorf("%q has no unit m or u", text)
 		}
 	}
-	n, err := figure(number)
+	n, err := parseNumber(number)
 	if err != nil {
 		return 0, err
 	}
-	return time.Duration(min(n*float64(unit), float64(maxLeft))), nil
+	return time.Duration(min(n*float64(unit), float64(maxDuration))), nil
 }
 
 // parseNumber parses a number that is finite and not negative.
-func figure(text string) (float64, error) {
+func parseNumber(text string) (float64, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(n >= 0) || math.IsInf(n, 0) {
 		return 0, fmt.Errorf("%q is no figure", text)
@@ -110,12 +110,12 @@
 }
 
 // parseFacts parses name=value,name=value and stores the values of the names in wanted.
-func facts(text string, wanted map[string]*float64) error {
+func parseFacts(text string, wanted map[string]*float64) error {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if to := wanted[name]; to != nil {
 			var err error
-			if *to, err = figure(value); err != nil {
+			if *to, err = parseNumber(value); err != nil {
 				return fmt.Errorf("X-Facts: %s: %w", name, err)
 			}
 		}
@@ -137,7 +137,7 @@
 }
 
 // formatSeconds formats a Retry-After: in decimal seconds, rounded up to the millisecond.
-func seconds(d time.Duration) string {
+func formatSeconds(d time.Duration) string {
 	ms := (d + time.Millisecond - 1) / time.Millisecond
 	return strconv.FormatFloat(float64(ms)/1000, 'f', -1, 64)
 }
--- a/internal/net/clients/server.go
+++ b/internal/net/clients/server.go
@@ -25,36 +25,36 @@
 
 // Timeouts of a connection.
 const (
-	idlePatience   = 2 * time.Minute        // between requests
-	readPatience   = 5 * time.Second        // from the first byte of a later request to its last
-	writePatience  = 5 * time.Second        // to write an answer
-	lingerPatience = 500 * time.Millisecond // from closing this side's half until the peer closes its own
-	acceptPause    = 5 * time.Millisecond
+	idleTimeout   = 2 * time.Minute        // between requests
+	readTimeout   = 5 * time.Second        // from the first byte of a later request to its last
+	writeTimeout  = 5 * time.Second        // to write an answer
+	lingerTimeout = 500 * time.Millisecond // from closing this side's half until the peer closes its own
+	acceptRetryInterval    = 5 * time.Millisecond
 
-	mostMore = 16 // pipelined requests answered after a connection should have been closed
+	maxExtraRequests = 16 // pipelined requests answered after a connection should have been closed
 )
 
 // How long clients are answered after the process has been told to end. By the protocol, it is killed no sooner than
 // killDelay after the longest deadline in the settings, which counts for maxClassDeadline at most.
 const (
-	killed  = 700 * time.Millisecond
-	longest = 3 * time.Second
-	margin  = 200 * time.Millisecond // before that, for the transfer of the answers on a machine that is short of CPU
+	killDelay  = 700 * time.Millisecond
+	maxClassDeadline = 3 * time.Second
+	answerMargin  = 200 * time.Millisecond // before that, for the transfer of the answers on a machine that is short of CPU
 )
 
 // timeouts bounds how long a peer keeps its slot while the server waits for it: in any case, and while others wait
 // for a slot. A client that has a request sends it as soon as it is connected.
-type patience struct {
-	first    time.Duration // for the complete first request
-	mute     time.Duration // while others wait: for its first byte,
-	halting  time.Duration // for the rest of a request
-	lingerer time.Duration // and for closing its half of the connection
-	last     time.Duration // after the answer deadline of a shutdown: for the rest of a request, or for closing its half
+type timeouts struct {
+	firstRequest    time.Duration // for the complete first request
+	firstByte     time.Duration // while others wait: for its first byte,
+	remainder  time.Duration // for the rest of a request
+	linger time.Duration // and for closing its half of the connection
+	shutdown     time.Duration // after the answer deadline of a shutdown: for the rest of a request, or for closing its half
 }
 
-var usual = patience{
-	first: 2 * time.Second, mute: 100 * time.Millisecond, halting: 500 * time.Millisecond, lingerer: 50 * time.Millisecond,
-	last: 50 * time.Millisecond,
+var defaultTimeouts = timeouts{
+	firstRequest: 2 * time.Second, firstByte: 100 * time.Millisecond, remainder: 500 * time.Millisecond, linger: 50 * time.Millisecond,
+	shutdown: 50 * time.Millisecond,
 }
 
 // Core processes commands and callbacks.
@@ -74,22 +74,22 @@
 	counters func() string
 	log      *slog.Logger
 	reports  *loadreport.Reader // of instances' load reports; nil: there are none
-	patience patience
+	timeouts timeouts
 	slots    chan struct{} // one for each connection; bounds the file descriptors used here
-	books    *dispatch.Counters
+	connCounters    *dispatch.Counters
 
 	// callbacks is read-locked while a callback is passed to the core, and write-locked while the core hands over.
 	callbacks sync.RWMutex
 
 	mu       sync.Mutex
 	draining bool
-	by       time.Time // commands must be answered by then; zero: by their own deadlines
-	over     bool      // that time has passed
+	answerBy       time.Time // commands must be answered by then; zero: by their own deadlines
+	pastAnswerBy     bool      // that time has passed
 	crowded  bool      // a connection waits for a slot: answers to clients close theirs
 	conns    map[*conn]struct{}
-	heir     Heir               // the process that takes over; nil: none
-	lent     int                // slots still used by connections of an older process
-	expected map[string]*waiter // by ID, commands taken over from that process whose client connection has not arrived yet
+	newer     Heir               // the process that takes over; nil: none
+	lentSlots     int                // slots still used by connections of an older process
+	expected map[string]*commandClient // by ID, commands taken over from that process whose client connection has not arrived yet
 }
 
 // Heir passes connections to the process that takes over.
@@ -114,8 +114,8 @@
 // New returns a server for at most maxConns connections.
 func New(core Core, s decide.Settings, n wire.Names, most int, counters func() string, logger *slog.Logger) *Server {
 	server := &Server{
-		core: core, counters: counters, log: logger, patience: usual, slots: make(chan struct{}, most),
-		conns: map[*conn]struct{}{}, expected: map[string]*waiter{}, books: new(dispatch.Counters),
+		core: core, counters: counters, log: logger, timeouts: defaultTimeouts, slots: make(chan struct{}, most),
+		conns: map[*conn]struct{}{}, expected: map[string]*commandClient{}, connCounters: new(dispatch.Counters),
 	}
 	server.Retune(s, n)
 	return server
@@ -125,13 +125,13 @@
 func (s *Server) ReadBy(r *loadreport.Reader) { s.reports = r }
 
 // CountIn sets the counters for the ends of connections. It must be called before Serve.
-func (s *Server) CountIn(b *dispatch.Counters) { s.books = b }
+func (s *Server) CountIn(b *dispatch.Counters) { s.connCounters = b }
 
 // countEnd counts the end of a connection.
-func (s *Server) count(e dispatch.ConnEnd) {
+func (s *Server) countEnd(e dispatch.ConnEnd) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.books.CountConnEnd(e, !s.by.IsZero())
+	s.connCounters.CountConnEnd(e, !s.answerBy.IsZero())
 }
 
 // Retune replaces the settings that commands are parsed with.
@@ -146,18 +146,18 @@
 // Serve accepts connections until the listener is closed or its deadline has passed.
 func (s *Server) Serve(ctx context.Context, l net.Listener) {
 	var complained time.Time
-	for s.room(ctx) {
+	for s.acquireSlot(ctx) {
 		nc, err := l.Accept()
 		switch {
 		case err == nil:
 			s.setCrowded(false)
-			s.begin(nc)
+			s.startConn(nc)
 			continue
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
 			s.setCrowded(true)
-			s.makeRoom(time.Now())
+			s.evictOne(time.Now())
 		}
 		// Without the pause, running out of descriptors would cause a busy loop; without the retry, it would end the
 		// program.
@@ -169,14 +169,14 @@
 			complained = now
 			s.log.Error("accept", "err", err)
 		}
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryInterval)
 	}
 }
 
 // acquireSlot takes a slot for one more connection. While all are taken, an expendable connection is evicted, else
 // the next to be answered is closed. It checks repeatedly, because a silent connection becomes expendable only after
 // a while, and accepting must never wait for the full timeout of such a peer.
-func (s *Server) room(ctx context.Context) bool {
+func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
 		return true
@@ -184,10 +184,10 @@
 	}
 	s.setCrowded(true)
 	defer s.setCrowded(false)
-	tick := time.NewTicker(acceptPause)
+	tick := time.NewTicker(acceptRetryInterval)
 	defer tick.Stop()
 	for !s.Yielded() {
-		s.makeRoom(time.Now())
+		s.evictOne(time.Now())
 		select {
 		case s.slots <- struct{}{}:
 			return true
@@ -205,26 +205,26 @@
 	s.crowded = yes
 }
 
-func (s *Server) begin(nc net.Conn) { s.run(&conn{server: s, nc: nc, since: time.Now()}) }
+func (s *Server) startConn(nc net.Conn) { s.runConn(&conn{server: s, nc: nc, stateSince: time.Now()}) }
 
-func (s *Server) run(c *conn) {
+func (s *Server) runConn(c *conn) {
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
 	go c.run()
 }
 
-func (s *Server) ended(c *conn) {
+func (s *Server) connEnded(c *conn) {
 	s.mu.Lock()
-	switch ours := !c.passed && !c.gone; {
-	case ours && c.parts:
-		s.books.CountConnEnd(dispatch.Truncated, !s.by.IsZero())
+	switch ours := !c.passed && !c.peerGone; {
+	case ours && c.unanswered:
+		s.connCounters.CountConnEnd(dispatch.Truncated, !s.answerBy.IsZero())
 	case ours && !c.answered:
-		s.books.CountConnEnd(dispatch.Unanswered, !s.by.IsZero())
+		s.connCounters.CountConnEnd(dispatch.Unanswered, !s.answerBy.IsZero())
 	}
 	delete(s.conns, c)
-	if s.heir != nil && !c.passed {
-		s.heir.Left()
+	if s.newer != nil && !c.passed {
+		s.newer.Left()
 	}
 	s.mu.Unlock()
 	<-s.slots
@@ -243,10 +243,10 @@
 func (s *Server) Yield(to Heir) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heir = to
+	s.newer = to
 	for c := range s.conns {
 		if c.state == waiting {
-			c.nc.SetReadDeadline(past)
+			c.nc.SetReadDeadline(pastDeadline)
 		}
 	}
 }
@@ -255,19 +255,19 @@
 func (s *Server) Keep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heir = nil
+	s.newer = nil
 }
 
 // Yielded reports whether another process takes over.
 func (s *Server) Yielded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heir != nil
+	return s.newer != nil
 }
 
 // Expect returns the client of a command that an older process has handed over and whose connection will follow.
 func (s *Server) Expect(cmd *dispatch.Command, end bool) dispatch.Client {
-	w := &waiter{cmd: cmd, end: end, answer: make(chan word, 1)}
+	w := &commandClient{cmd: cmd, closeAfter: end, answer: make(chan outcome, 1)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expected[cmd.ID] = w
@@ -279,35 +279,35 @@
 	s.mu.Lock()
 	w := s.expected[p.ID]
 	delete(s.expected, p.ID)
-	lent := s.lent > 0
+	lent := s.lentSlots > 0
 	if lent {
-		s.lent--
+		s.lentSlots--
 	}
 	s.mu.Unlock()
 	if !lent {
 		select {
 		case s.slots <- struct{}{}:
 		default:
-			go s.turnAway(nc, p, w)
+			go s.rejectConn(nc, p, w)
 			return
 		}
 	}
-	c := &conn{server: s, nc: nc, since: time.Now(), answered: p.Answered, instance: p.Instance, rest: p.Rest, flood: p.Flood}
+	c := &conn{server: s, nc: nc, stateSince: time.Now(), answered: p.Answered, instance: p.Instance, received: p.Rest, flooded: p.Flood}
 	switch {
 	case p.Request != nil:
-		c.state, c.first = handling, func() bool { return c.command(p.Request, p.Deadline) }
+		c.state, c.firstTask = handling, func() bool { return c.handleCommand(p.Request, p.Deadline) }
 	case w != nil:
-		c.state, c.first = handling, func() bool { return c.wait(w) }
+		c.state, c.firstTask = handling, func() bool { return c.awaitAnswer(w) }
 	case p.ID != "": // the command has been lost
-		c.state, c.first = handling, func() bool { return c.relay(dispatch.Answer{Verdict: dispatch.Failed}, true) }
+		c.state, c.firstTask = handling, func() bool { return c.writeAnswer(dispatch.Answer{Verdict: dispatch.Failed}, true) }
 	}
-	c.parts = c.first != nil
-	s.run(c)
+	c.unanswered = c.firstTask != nil
+	s.runConn(c)
 }
 
 // rejectConn closes a connection for which there is no slot, after answering its request, if any.
-func (s *Server) turnAway(nc net.Conn, p Passed, w *waiter) {
-	c := &conn{server: s, nc: nc, since: time.Now(), answered: p.Answered, br: bufio.NewReader(nc)}
+func (s *Server) rejectConn(nc net.Conn, p Passed, w *commandClient) {
+	c := &conn{server: s, nc: nc, stateSince: time.Now(), answered: p.Answered, reader: bufio.NewReader(nc)}
 	verdict := dispatch.Failed
 	if p.Request != nil { // it was never submitted
 		verdict = dispatch.Refused
@@ -316,7 +316,7 @@
 		s.core.ClientGone(w.cmd)
 	}
 	if p.ID != "" || p.Request != nil {
-		c.relay(dispatch.Answer{Verdict: verdict}, true)
+		c.writeAnswer(dispatch.Answer{Verdict: verdict}, true)
 	}
 	c.linger()
 	nc.Close()
@@ -328,7 +328,7 @@
 		select {
 		case s.slots <- struct{}{}:
 			s.mu.Lock()
-			s.lent++
+			s.lentSlots++
 			s.mu.Unlock()
 		default:
 			return
@@ -340,13 +340,13 @@
 func (s *Server) Returned() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lent == 0 {
+	if s.lentSlots == 0 {
 		return false
 	}
-	s.lent--
+	s.lentSlots--
 	<-s.slots
-	if s.heir != nil {
-		s.heir.Left()
+	if s.newer != nil {
+		s.newer.Left()
 	}
 	return true
 }
@@ -369,7 +369,7 @@
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conns) + s.lent
+	return len(s.conns) + s.lentSlots
 }
 
 // Away sets whether clients are sent away. If so, health checks fail and each answer to a client closes its
@@ -389,10 +389,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.by.IsZero() {
-		s.by = told.Add(min(most, longest) + killed - margin)
+	if s.answerBy.IsZero() {
+		s.answerBy = told.Add(min(most, maxClassDeadline) + killDelay - answerMargin)
 	}
-	return s.by
+	return s.answerBy
 }
 
 // Finish is called once that time has passed: requests still being received are refused, and connections without one
@@ -400,13 +400,13 @@
 func (s *Server) Finish(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.heir != nil {
+	if s.newer != nil {
 		return
 	}
-	s.over = true
+	s.pastAnswerBy = true
 	for c := range s.conns {
 		asks := (c.state == waiting || c.state == reading) && !c.instance
-		if told := c.state == lingering && now.Sub(c.since) >= s.patience.last; (asks || told) && !c.evicted {
+		if told := c.state == lingering && now.Sub(c.stateSince) >= s.timeouts.shutdown; (asks || told) && !c.evicted {
 			c.evict()
 		}
 	}
@@ -414,16 +414,16 @@
 
 // answerDeadline returns the time by which commands must be answered if the process shuts down, and whether it has
 // passed.
-func (s *Server) last() (by time.Time, over bool) {
+func (s *Server) answerDeadline() (by time.Time, over bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.by, s.over && s.heir == nil
+	return s.answerBy, s.pastAnswerBy && s.newer == nil
 }
 
 func (s *Server) leaving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.draining && s.heir == nil
+	return s.draining && s.newer == nil
 }
 
 // CloseIdle closes the clients' connections that have been idle since before the given time. Later ones may have been
@@ -432,7 +432,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.state == waiting && c.since.Before(before) && !c.instance {
+		if c.state == waiting && c.stateSince.Before(before) && !c.instance {
 			c.evict()
 		}
 	}
@@ -453,7 +453,7 @@
 
 // evictOne evicts the most expendable connection, if there is one and none is already about to end. An encoder's
 // connection is evicted only if no other slot will be free shortly.
-func (s *Server) makeRoom(now time.Time) {
+func (s *Server) evictOne(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var spared *conn
@@ -463,12 +463,12 @@
 		if c.evicted && (c.state == waiting || c.state == lingering) {
 			return
 		}
-		if u := c.use(now); !c.evicted && u < inUse && (spared == nil || u < spared.use(now) ||
-			u == spared.use(now) && c.since.Before(spared.since)) {
+		if u := c.retention(now); !c.evicted && u < inUse && (spared == nil || u < spared.retention(now) ||
+			u == spared.retention(now) && c.stateSince.Before(spared.stateSince)) {
 			spared = c
 		}
 	}
-	if spared != nil && !(soon && spared.use(now) == kept) {
+	if spared != nil && !(soon && spared.retention(now) == idleEncoder) {
 		spared.evict()
 	}
 }
--- a/internal/net/clients/server_test.go
+++ b/internal/net/clients/server_test.go
@@ -24,23 +24,23 @@
 	"caperrelay/internal/wire"
 )
 
-// core holds each command until the test answers it.
-type core struct {
-	taken  chan *dispatch.Command
-	lapsed chan *dispatch.Command
-	told   chan dispatch.Callback
-	keep   func(dispatch.Callback) bool // nil: all is kept
+// fakeCore holds each command until the test answers it.
+type fakeCore struct {
+	commands  chan *dispatch.Command
+	clientsGone chan *dispatch.Command
+	callbacks   chan dispatch.Callback
+	persist   func(dispatch.Callback) bool // nil: all is kept
 }
 
-func (c *core) Submit(cmd *dispatch.Command)             { c.taken <- cmd }
-func (c *core) ClientGone(cmd *dispatch.Command)         { c.lapsed <- cmd }
-func (c *core) HandleCallback(n dispatch.Callback)       { c.told <- n }
-func (c *core) PersistCallback(n dispatch.Callback) bool { return c.keep == nil || c.keep(n) }
+func (c *fakeCore) Submit(cmd *dispatch.Command)             { c.commands <- cmd }
+func (c *fakeCore) ClientGone(cmd *dispatch.Command)         { c.clientsGone <- cmd }
+func (c *fakeCore) HandleCallback(n dispatch.Callback)       { c.callbacks <- n }
+func (c *fakeCore) PersistCallback(n dispatch.Callback) bool { return c.persist == nil || c.persist(n) }
 
-// next returns the next command taken. Bounded: a fault must fail the test, not hang it.
-func (c *core) next(t *testing.T) *dispatch.Command {
+// nextCommand returns the next command taken. Bounded: a fault must fail the test, not hang it.
+func (c *fakeCore) nextCommand(t *testing.T) *dispatch.Command {
 	select {
-	case cmd := <-c.taken:
+	case cmd := <-c.commands:
 		return cmd
 	case <-time.After(20 * time.Second):
 		require.FailNow(t, "no command was taken")
@@ -48,8 +48,8 @@
 	}
 }
 
-// crowded waits until the server has no room for another connection.
-func crowded(t *testing.T, s *Server) {
+// waitCrowded waits until the server has no room for another connection.
+func waitCrowded(t *testing.T, s *Server) {
 	require.Eventually(t, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -57,8 +57,8 @@
 	}, 20*time.Second, time.Millisecond)
 }
 
-// until waits until some connection is as f says.
-func until(t *testing.T, s *Server, f func(*conn) bool) {
+// waitForConn waits until some connection is as f says.
+func waitForConn(t *testing.T, s *Server, f func(*conn) bool) {
 	require.Eventually(t, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -66,39 +66,39 @@
 	}, 20*time.Second, time.Millisecond)
 }
 
-// short is a listener that fails for want of descriptors at first.
-type short struct {
+// failingListener is a listener that fails for want of descriptors at first.
+type failingListener struct {
 	net.Listener
-	fails atomic.Int32
+	failures atomic.Int32
 }
 
-func (s *short) Accept() (net.Conn, error) {
-	if s.fails.Add(-1) >= 0 {
+func (s *failingListener) Accept() (net.Conn, error) {
+	if s.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return s.Listener.Accept()
 }
 
 // newServer returns a server of so many connections that does not serve yet, and where its commands go.
-func newServer(most int) (*core, *Server) {
-	c := &core{taken: make(chan *dispatch.Command, 9), lapsed: make(chan *dispatch.Command, 9), told: make(chan dispatch.Callback, 9)}
+func newServer(most int) (*fakeCore, *Server) {
+	c := &fakeCore{commands: make(chan *dispatch.Command, 9), clientsGone: make(chan *dispatch.Command, 9), callbacks: make(chan dispatch.Callback, 9)}
 	return c, New(c, decide.Settings{Classes: []decide.Class{{Deadline: time.Minute}}}, wire.Names{Classes: []string{"safe"}},
 		most, func() string { return "" }, slog.New(slog.DiscardHandler))
 }
 
 // serve starts a server of so many connections.
-func serve(t *testing.T, most, fails int) (*core, *Server, func() net.Conn) {
-	return serveWith(t, most, fails, patience{first: time.Minute, mute: time.Minute, halting: time.Minute, lingerer: time.Minute})
+func serve(t *testing.T, most, fails int) (*fakeCore, *Server, func() net.Conn) {
+	return serveWith(t, most, fails, timeouts{firstRequest: time.Minute, firstByte: time.Minute, remainder: time.Minute, linger: time.Minute})
 }
 
 // serveWith is serve with so much patience.
-func serveWith(t *testing.T, most, fails int, p patience) (*core, *Server, func() net.Conn) {
+func serveWith(t *testing.T, most, fails int, p timeouts) (*fakeCore, *Server, func() net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	c, s := newServer(most)
-	s.patience = p
-	wrapped := &short{Listener: l}
-	wrapped.fails.Store(int32(fails))
+	s.timeouts = p
+	wrapped := &failingListener{Listener: l}
+	wrapped.failures.Store(int32(fails))
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.Serve(ctx, wrapped)
 	t.Cleanup(func() { cancel(); l.Close() })
@@ -111,39 +111,39 @@
 	}
 }
 
-func ask(t *testing.T, c net.Conn, text string) *http1.Response {
+func roundTrip(t *testing.T, c net.Conn, text string) *http1.Response {
 	fmt.Fprint(c, text)
 	p, err := http1.ReadResponse(bufio.NewReader(c), "POST")
 	require.NoError(t, err)
 	return p
 }
 
-const ready = "GET /_health HTTP/1.1\r\n\r\n"
+const healthRequest = "GET /_health HTTP/1.1\r\n\r\n"
 
 // Running out of descriptors is no end: it goes on once there are some.
-func TestAcceptSurvivesWantOfDescriptors(t *testing.T) {
+func TestAcceptRetriesWithoutDescriptors(t *testing.T) {
 	_, _, dial := serve(t, 4, 3)
-	require.Equal(t, 200, ask(t, dial(), ready).Status)
+	require.Equal(t, 200, roundTrip(t, dial(), healthRequest).Status)
 }
 
 // At the bound an idle connection makes room. Where none is idle, the next answer closes
 // its connection: kept alive, it would shut out those who wait.
-func TestNewConnectionsGetRoom(t *testing.T) {
+func TestNewConnectionsGetSlots(t *testing.T) {
 	c, s, dial := serve(t, 2, 0)
 	idle := dial()
-	require.Equal(t, 200, ask(t, idle, ready).Status)
+	require.Equal(t, 200, roundTrip(t, idle, healthRequest).Status)
 	command := "POST /api HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
 	first := dial()
 	fmt.Fprintf(first, command, "1")
-	held := c.next(t)
+	held := c.nextCommand(t)
 	second := dial()
 	fmt.Fprintf(second, command, "2")
-	c.next(t)
+	c.nextCommand(t)
 	_, err := idle.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	third := dial()
-	fmt.Fprint(third, ready)
-	crowded(t, s)
+	fmt.Fprint(third, healthRequest)
+	waitCrowded(t, s)
 	held.Client.Answer(dispatch.Answer{Verdict: dispatch.Refused, RetryAfter: 1500500 * time.Microsecond})
 	p, err := http1.ReadResponse(bufio.NewReader(first), "POST")
 	require.NoError(t, err)
@@ -155,35 +155,35 @@
 
 // The connection that takes the last room has asked for nothing yet. It was taken for idle
 // and ended as it came, and its request with it.
-func TestNewcomerKeepsTheLastRoom(t *testing.T) {
+func TestNewConnectionKeepsLastSlot(t *testing.T) {
 	_, s, dial := serve(t, 1, 0)
 	newcomer := dial()
-	crowded(t, s)
-	require.Equal(t, 200, ask(t, newcomer, ready).Status)
+	waitCrowded(t, s)
+	require.Equal(t, 200, roundTrip(t, newcomer, healthRequest).Status)
 }
 
 // Peers that connect and say nothing, or stop in the middle of a request, took all places for
 // ten seconds, and nobody else was heard. They make room for others, and are told.
-func TestMutePeersMakeRoom(t *testing.T) {
-	for start, in := range map[string]state{"": waiting, ready[:9]: reading} {
+func TestSilentPeersAreEvicted(t *testing.T) {
+	for start, in := range map[string]state{"": waiting, healthRequest[:9]: reading} {
 		_, s, dial := serve(t, 1, 0)
 		mute := dial()
 		fmt.Fprint(mute, start)
-		crowded(t, s)
-		until(t, s, func(c *conn) bool { return c.state == in })
-		s.makeRoom(time.Now().Add(time.Hour)) // when its time is up
-		require.Equal(t, 503, ask(t, mute, "").Status)
-		require.Equal(t, 200, ask(t, dial(), ready).Status)
+		waitCrowded(t, s)
+		waitForConn(t, s, func(c *conn) bool { return c.state == in })
+		s.evictOne(time.Now().Add(time.Hour)) // when its time is up
+		require.Equal(t, 503, roundTrip(t, mute, "").Status)
+		require.Equal(t, 200, roundTrip(t, dial(), healthRequest).Status)
 	}
 }
 
 // With room for all they are told too, after a while.
-func TestMutePeersAreTold(t *testing.T) {
-	_, _, dial := serveWith(t, 9, 0, patience{first: time.Millisecond})
+func TestSilentPeersTimeOut(t *testing.T) {
+	_, _, dial := serveWith(t, 9, 0, timeouts{firstRequest: time.Millisecond})
 	mute, halting := dial(), dial()
-	fmt.Fprint(halting, ready[:9])
+	fmt.Fprint(halting, healthRequest[:9])
 	for _, c := range []net.Conn{mute, halting} {
-		p := ask(t, c, "")
+		p := roundTrip(t, c, "")
 		require.Equal(t, []any{408, true}, []any{p.Status, p.Close})
 	}
 }
@@ -194,21 +194,21 @@
 	before := time.Now()
 	fmt.Fprint(dial(), "POST /api HTTP/1.1\r\nx-correlation-id: 9b\r\nX-Service-Class: safe\r\nX-Time-Left: 480000u\r\n"+
 		"Cookie: a=b; user=7f3a\r\nX-Repeat: 1\r\nX-Weight-Hint: 2.5m\r\nX-Facts: slots=2, memory=0.5,other=x\r\n\r\n")
-	cmd := c.next(t)
+	cmd := c.nextCommand(t)
 	require.WithinRange(t, cmd.Deadline, before.Add(480*time.Millisecond), time.Now().Add(480*time.Millisecond))
 	require.NotZero(t, cmd.Key)
 	require.Equal(t, []any{"9b", true, 2500 * time.Microsecond, 2.0, 0.5}, []any{cmd.ID, cmd.Retry, cmd.Work, cmd.Slots, cmd.Memory})
 }
 
 // An instance's load comes with its word, by the quick way too, and rubbish in it takes nothing from that word.
-func TestReportsReachTheModule(t *testing.T) {
+func TestLoadReportsInCallbacks(t *testing.T) {
 	c, s, dial := serve(t, 2, 0)
 	s.ReadBy(loadreport.New([]string{"x0", "avg_ms"}, slog.New(slog.DiscardHandler)))
 	for load, want := range map[string]float64{`{"avg_ms":87.483,"cpu":0.136,"x0":6.04}`: 6.04, `{"x0": 2, "more": {"x0": 9}}`: 2, `{"x0":"}"}`: -1, `7`: -1} {
 		body := `{"from":"s-1","id":"c1","load":` + load + `,"result":"r","state":"done"}`
 		text := fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		require.Equal(t, 204, ask(t, dial(), text).Status)
-		n := <-c.told
+		require.Equal(t, 204, roundTrip(t, dial(), text).Status)
+		n := <-c.callbacks
 		require.Equal(t, "r", string(n.Result))
 		if want < 0 {
 			require.Nil(t, n.Report, load)
@@ -219,7 +219,7 @@
 }
 
 // A result is served as the instance gave it; one that says "done" without any has none to serve.
-func TestResultsAreTheInstancesOwn(t *testing.T) {
+func TestCallbackResults(t *testing.T) {
 	c, _, dial := serve(t, 2, 0)
 	for result, want := range map[string]dispatch.Callback{
 		`,"result":"a\u00e9"`:  {State: dispatch.Done, Result: []byte("aé")},
@@ -230,26 +230,26 @@
 	} {
 		body := `{"id":"c1","from":"s-1","state":"done"` + result + `}`
 		text := fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		require.Equal(t, 204, ask(t, dial(), text).Status)
+		require.Equal(t, 204, roundTrip(t, dial(), text).Status)
 		want.ID, want.From = "c1", "s-1"
-		require.Equal(t, want, <-c.told)
+		require.Equal(t, want, <-c.callbacks)
 	}
 }
 
-// shown is one of the figures that the server keeps.
-func shown(t *testing.T, s *Server, name string) (n int) {
-	_, rest, ok := strings.Cut(s.books.OperatorCounters(), "proxy."+name+"=")
+// counterValue is one of the figures that the server keeps.
+func counterValue(t *testing.T, s *Server, name string) (n int) {
+	_, rest, ok := strings.Cut(s.connCounters.OperatorCounters(), "proxy."+name+"=")
 	require.True(t, ok, name)
 	fmt.Sscan(rest, &n)
 	return n
 }
 
 // Requests that came behind one another had one answer while clients are sent away, and the others were reset with it.
-func TestAllThatCameIsAnswered(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredWhileDraining(t *testing.T) {
 	_, s, dial := serve(t, 2, 0)
 	s.Away(true)
 	c := dial()
-	fmt.Fprint(c, ready+ready+ready)
+	fmt.Fprint(c, healthRequest+healthRequest+healthRequest)
 	br := bufio.NewReader(c)
 	for n := range 3 {
 		p, err := http1.ReadResponse(br, "GET")
@@ -261,7 +261,7 @@
 }
 
 // Bytes that nobody reads any more reset the connection, and the answer with it.
-func TestAnswerSurvivesWhatComesBehindIt(t *testing.T) {
+func TestAnswerSurvivesTrailingBytes(t *testing.T) {
 	_, _, dial := serve(t, 2, 0)
 	c := dial()
 	go fmt.Fprint(c, "GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"+strings.Repeat("more", 1<<15))
@@ -274,22 +274,22 @@
 }
 
 // A request may cross the end of a kept connection: that is counted, since its client has to send it again.
-func TestCrossedEndsAreCounted(t *testing.T) {
+func TestRequestInFlightAtCloseIsCounted(t *testing.T) {
 	_, s, dial := serve(t, 2, 0)
 	c := dial()
-	require.Equal(t, 200, ask(t, c, ready).Status)
-	until(t, s, func(c *conn) bool { return c.state == waiting })
+	require.Equal(t, 200, roundTrip(t, c, healthRequest).Status)
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting })
 	s.CloseIdle(time.Now().Add(time.Hour))
 	_, err := c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	fmt.Fprint(c, ready)
-	require.Eventually(t, func() bool { return shown(t, s, "closed_crossed") == 1 }, 20*time.Second, time.Millisecond)
-	require.Zero(t, shown(t, s, "ending_crossed"))
+	fmt.Fprint(c, healthRequest)
+	require.Eventually(t, func() bool { return counterValue(t, s, "closed_crossed") == 1 }, 20*time.Second, time.Millisecond)
+	require.Zero(t, counterValue(t, s, "ending_crossed"))
 }
 
 // Told to end, the program took commands for as long as their clients would wait, and was killed over them. It has them end
 // in time; from then on a command is refused unasked, and who has sent none, or half of one, is told too.
-func TestNothingOutlastsTheEnd(t *testing.T) {
+func TestShutdownAnswersInTime(t *testing.T) {
 	c, s, dial := serve(t, 9, 0)
 	told := time.Now()
 	by := s.End(told)
@@ -298,24 +298,24 @@
 	command := "POST /api HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
 	held := dial()
 	fmt.Fprintf(held, command, "1")
-	require.Equal(t, by, c.next(t).Deadline)
+	require.Equal(t, by, c.nextCommand(t).Deadline)
 	mute, half, kept := dial(), dial(), dial()
-	fmt.Fprint(half, ready[:9])
-	until(t, s, func(c *conn) bool { return c.state == reading })
-	require.Equal(t, 200, ask(t, kept, ready).Status)
-	until(t, s, func(c *conn) bool { return c.state == waiting && c.answered })
+	fmt.Fprint(half, healthRequest[:9])
+	waitForConn(t, s, func(c *conn) bool { return c.state == reading })
+	require.Equal(t, 200, roundTrip(t, kept, healthRequest).Status)
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered })
 	require.Eventually(t, func() bool { return s.Connections() == 4 }, 20*time.Second, time.Millisecond)
 	s.Finish(time.Now())
 	for _, c := range []net.Conn{mute, half} {
-		p := ask(t, c, "")
+		p := roundTrip(t, c, "")
 		require.Equal(t, []any{503, true}, []any{p.Status, p.Close})
 	}
 	_, err := kept.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	require.Equal(t, 503, ask(t, dial(), fmt.Sprintf(command, "2")).Status)
-	require.Equal(t, 1, shown(t, s, "ending_refused"))
+	require.Equal(t, 503, roundTrip(t, dial(), fmt.Sprintf(command, "2")).Status)
+	require.Equal(t, 1, counterValue(t, s, "ending_refused"))
 	for _, name := range []string{"unanswered", "cut"} {
-		require.Zero(t, shown(t, s, "ending_"+name))
+		require.Zero(t, counterValue(t, s, "ending_"+name))
 	}
 }
 
@@ -330,7 +330,7 @@
 		{0, 502, Passed{Answered: true, ID: "1"}},
 		{1, 502, Passed{Answered: true, ID: "1"}},
 	} {
-		s := New(&core{}, decide.Settings{}, wire.Names{}, one.most, nil, slog.New(slog.DiscardHandler))
+		s := New(&fakeCore{}, decide.Settings{}, wire.Names{}, one.most, nil, slog.New(slog.DiscardHandler))
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
@@ -341,24 +341,24 @@
 		nc, err := l.Accept()
 		require.NoError(t, err)
 		s.Adopt(nc, one.p)
-		require.Equal(t, one.status, ask(t, c, "").Status)
+		require.Equal(t, one.status, roundTrip(t, c, "").Status)
 	}
 }
 
 // Whoever waited to be told to go on, on a connection that had been answered some seconds before, was told 408.
-func TestGoesOnAfterAWhile(t *testing.T) {
+func TestContinueAfterIdleTime(t *testing.T) {
 	c, s, dial := serve(t, 2, 0)
 	kept := dial()
-	require.Equal(t, 200, ask(t, kept, ready).Status)
-	until(t, s, func(c *conn) bool { return c.state == waiting && c.nc.SetWriteDeadline(past) == nil })
+	require.Equal(t, 200, roundTrip(t, kept, healthRequest).Status)
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.nc.SetWriteDeadline(pastDeadline) == nil })
 	fmt.Fprint(kept, "POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: safe\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\nx")
-	c.next(t)
+	c.nextCommand(t)
 }
 
 // A client that had sent more behind its request was not looked at any more: it went, and its command was sent on seconds
 // later. However much it has sent, it is gone once it has closed; one that stays has its answer, and those behind it too
 // unless something of them was dropped.
-func TestClientThatSendsMuchAndGoes(t *testing.T) {
+func TestDisconnectAfterPipelinedRequests(t *testing.T) {
 	command := "POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
 	for _, behind := range []int{0, 1, 100, 300, 3000} { // requests
 		for _, goes := range []bool{true, false} {
@@ -366,20 +366,20 @@
 			nc := dial()
 			_, err := fmt.Fprint(nc, command+strings.Repeat(command, behind))
 			require.NoError(t, err)
-			first := c.next(t)
+			first := c.nextCommand(t)
 			if goes {
 				nc.Close()
 				select {
-				case gone := <-c.lapsed:
+				case gone := <-c.clientsGone:
 					require.Same(t, first, gone)
 				case <-time.After(20 * time.Second):
 					require.FailNow(t, "nobody saw it go", "%d behind", behind)
 				}
-				require.Empty(t, c.taken)
+				require.Empty(t, c.commands)
 				continue
 			}
 			if behind == 3000 {
-				until(t, s, func(c *conn) bool { return c.flood })
+				waitForConn(t, s, func(c *conn) bool { return c.flooded })
 			}
 			first.Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
 			br := bufio.NewReader(nc)
@@ -392,7 +392,7 @@
 				continue
 			}
 			for range behind {
-				c.next(t).Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
+				c.nextCommand(t).Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
 				p, err = http1.ReadResponse(br, "POST")
 				require.NoError(t, err)
 				require.Equal(t, 503, p.Status)
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -39,7 +39,7 @@
 
 // fieldJSON is the JSON form of a field that is sent to another process. JSON strings hold valid UTF-8 only, which a
 // field's value need not be.
-type fieldText struct {
+type fieldJSON struct {
 	Name  string `json:"Name"`
 	Value string `json:"Value"`
 	Raw   []byte `json:"Raw,omitempty"` // the value, if it is not valid UTF-8
@@ -47,7 +47,7 @@
 
 // MarshalJSON encodes a field without loss, whatever bytes its value holds.
 func (f Field) MarshalJSON() ([]byte, error) {
-	t := fieldText{Name: f.Name, Value: f.Value}
+	t := fieldJSON{Name: f.Name, Value: f.Value}
 	if !utf8.ValidString(f.Value) {
 		t.Raw = []byte(f.Value)
 	}
@@ -56,7 +56,7 @@
 
 // UnmarshalJSON decodes a field, also from older processes, which don't send Raw.
 func (f *Field) UnmarshalJSON(text []byte) error {
-	var t fieldText
+	var t fieldJSON
 	if err := json.Unmarshal(text, &t); err != nil {
 		return err
 	}
@@ -130,29 +130,29 @@
 	}
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || !isToken(method) || !Visible(target) {
+	if !ok || !ok2 || !isToken(method) || !IsVisible(target) {
 		return nil, malformed(400, "request line")
 	}
 	q := &Request{Method: method, Target: target}
 	if q.Header, err = readHeader(r); err != nil {
 		return nil, err
 	}
-	if q.Close, err = closes(version, q.Header); err != nil {
+	if q.Close, err = wantsClose(version, q.Header); err != nil {
 		return nil, err
 	}
-	f, err := framingOf(q.Header)
+	f, err := parseFraming(q.Header)
 	if err != nil {
 		return nil, err
 	}
-	if f.n > MaxBody {
-		return nil, malformed(413, "body of %d bytes", f.n)
+	if f.length > MaxBody {
+		return nil, malformed(413, "body of %d bytes", f.length)
 	}
-	if q.Header.Has("Expect", "100-continue") && (f.chunked || f.n > 0) && onContinue != nil {
+	if q.Header.Has("Expect", "100-continue") && (f.chunked || f.length > 0) && onContinue != nil {
 		if err := onContinue(); err != nil {
 			return nil, err
 		}
 	}
-	if !f.chunked && f.n < 0 {
+	if !f.chunked && f.length < 0 {
 		return q, nil
 	}
 	q.Body, err = readBody(r, f)
@@ -168,7 +168,7 @@
 	if method == "HEAD" || p.Status == 204 || p.Status == 304 {
 		return p, nil
 	}
-	if !f.chunked && f.n < 0 { // the body ends with the connection
+	if !f.chunked && f.length < 0 { // the body ends with the connection
 		p.Close = true
 		p.Body, err = io.ReadAll(io.LimitReader(r, MaxBody+1))
 		if err == nil && len(p.Body) > MaxBody {
@@ -188,9 +188,9 @@
 	}
 	switch {
 	case f.chunked:
-		return p, &chunks{r: r}, nil
-	case f.n >= 0:
-		return p, io.LimitReader(r, f.n), nil
+		return p, &chunkedReader{r: r}, nil
+	case f.length >= 0:
+		return p, io.LimitReader(r, f.length), nil
 	}
 	return p, r, nil
 }
@@ -211,11 +211,11 @@
 		if p.Header, err = readHeader(r); err != nil {
 			return nil, framing{}, err
 		}
-		if p.Close, err = closes(version, p.Header); err != nil {
+		if p.Close, err = wantsClose(version, p.Header); err != nil {
 			return nil, framing{}, err
 		}
 		if status >= 200 {
-			f, err := framingOf(p.Header)
+			f, err := parseFraming(p.Header)
 			return p, f, err
 		}
 	}
@@ -265,7 +265,7 @@
 	}
 }
 
-func closes(version string, h Header) (bool, error) {
+func wantsClose(version string, h Header) (bool, error) {
 	switch {
 	case h.Has("Connection", "close"):
 		return true, nil
@@ -280,19 +280,19 @@
 // framing is how the end of a body is determined: by chunks, by its length, or, if length is negative, not stated.
 type framing struct {
 	chunked bool
-	n       int64
+	length       int64
 }
 
-func framingOf(h Header) (framing, error) {
-	f := framing{n: -1}
+func parseFraming(h Header) (framing, error) {
+	f := framing{length: -1}
 	for _, v := range h {
 		switch {
 		case strings.EqualFold(v.Name, "Content-Length"):
 			n, err := strconv.ParseUint(v.Value, 10, 62)
-			if err != nil || f.n >= 0 && f.n != int64(n) {
+			if err != nil || f.length >= 0 && f.length != int64(n) {
 				return f, malformed(400, "content length")
 			}
-			f.n = int64(n)
+			f.length = int64(n)
 		case strings.EqualFold(v.Name, "Transfer-Encoding"):
 			if !strings.EqualFold(v.Value, "chunked") || f.chunked {
 				return f, malformed(400, "transfer encoding")
@@ -300,7 +300,7 @@
 			f.chunked = true
 		}
 	}
-	if f.chunked && f.n >= 0 { // otherwise two readers could see different bodies (request smuggling)
+	if f.chunked && f.length >= 0 { // otherwise two readers could see different bodies (request smuggling)
 		return f, malformed(400, "content length beside chunks")
 	}
 	return f, nil
@@ -308,16 +308,16 @@
 
 func readBody(r *bufio.Reader, f framing) ([]byte, error) {
 	if f.chunked {
-		body, err := io.ReadAll(io.LimitReader(&chunks{r: r}, MaxBody+1))
+		body, err := io.ReadAll(io.LimitReader(&chunkedReader{r: r}, MaxBody+1))
 		if err == nil && len(body) > MaxBody {
 			err = malformed(413, "body over %d bytes", MaxBody)
 		}
 		return body, err
 	}
-	if f.n > MaxBody {
-		return nil, malformed(413, "body of %d bytes", f.n)
+	if f.length > MaxBody {
+		return nil, malformed(413, "body of %d bytes", f.length)
 	}
-	body := make([]byte, f.n)
+	body := make([]byte, f.length)
 	if _, err := io.ReadFull(r, body); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
@@ -328,45 +328,45 @@
 }
 
 // chunkedReader reads a chunked body including its trailer.
-type chunks struct {
+type chunkedReader struct {
 	r    *bufio.Reader
-	left int64 // of the current chunk
-	any  bool  // a chunk has been read, at least in part
-	end  bool
+	remaining int64 // of the current chunk
+	started  bool  // a chunk has been read, at least in part
+	finished  bool
 }
 
-func (c *chunks) Read(p []byte) (int, error) {
-	if c.end {
+func (c *chunkedReader) Read(p []byte) (int, error) {
+	if c.finished {
 		return 0, io.EOF
 	}
 	if len(p) == 0 {
 		return 0, nil
 	}
-	if c.left == 0 {
-		if err := c.next(); err != nil {
+	if c.remaining == 0 {
+		if err := c.nextChunk(); err != nil {
 			return 0, err
 		}
-		if c.end {
+		if c.finished {
 			return 0, io.EOF
 		}
 	}
-	n, err := c.r.Read(p[:min(int64(len(p)), c.left)])
-	c.left -= int64(n)
+	n, err := c.r.Read(p[:min(int64(len(p)), c.remaining)])
+	c.remaining -= int64(n)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-func (c *chunks) next() error {
-	if c.any {
+func (c *chunkedReader) nextChunk() error {
+	if c.started {
 		if line, err := readLine(c.r, false); err != nil {
 			return err
 		} else if line != "" {
 			return malformed(400, "chunk end")
 		}
 	}
-	c.any = true
+	c.started = true
 	line, err := readLine(c.r, false)
 	if err != nil {
 		return err
@@ -376,8 +376,8 @@
 	if err != nil {
 		return malformed(400, "chunk size")
 	}
-	if c.left = int64(n); n == 0 {
-		c.end = true
+	if c.remaining = int64(n); n == 0 {
+		c.finished = true
 		_, err := readHeader(c.r)
 		return err
 	}
@@ -394,8 +394,8 @@
 	return s != ""
 }
 
-// Visible reports whether s can be written into a header line or target as it is.
-func Visible(s string) bool {
+// IsVisible reports whether s can be written into a header line or target as it is.
+func IsVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 127 {
 			return false
@@ -407,17 +407,17 @@
 // AppendRequest appends a complete request to buf. It adds the Content-Length.
 func AppendRequest(buf []byte, method, target string, h Header, body []byte) []byte {
 	buf = append(append(append(append(buf, method...), ' '), target...), " HTTP/1.1\r\n"...)
-	return appendRest(buf, h, body, method == "GET" || method == "DELETE")
+	return appendHeaderAndBody(buf, h, body, method == "GET" || method == "DELETE")
 }
 
 // AppendResponse appends a complete response to buf. It adds the Content-Length.
 func AppendResponse(buf []byte, status int, h Header, body []byte) []byte {
 	buf = append(strconv.AppendInt(append(buf, "HTTP/1.1 "...), int64(status), 10), ' ')
-	buf = append(append(buf, reasons[status]...), "\r\n"...)
-	return appendRest(buf, h, body, status == 204)
+	buf = append(append(buf, reasonPhrases[status]...), "\r\n"...)
+	return appendHeaderAndBody(buf, h, body, status == 204)
 }
 
-func appendRest(buf []byte, h Header, body []byte, bare bool) []byte {
+func appendHeaderAndBody(buf []byte, h Header, body []byte, bare bool) []byte {
 	for _, f := range h {
 		buf = append(append(append(append(buf, f.Name...), ": "...), f.Value...), "\r\n"...)
 	}
@@ -427,7 +427,7 @@
 	return append(append(buf, "\r\n"...), body...)
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 502: "Bad Gateway", 503: "Service Unavailable",
--- a/internal/net/http1/http1_test.go
+++ b/internal/net/http1/http1_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func reader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), MaxLine) }
+func newReader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), MaxLine) }
 
-func TestMalformedRequestsGetTheirStatus(t *testing.T) {
+func TestMalformedRequests(t *testing.T) {
 	for text, status := range map[string]int{
 		"POST /api\r\n\r\n":                                                                           400,
 		"POST /api HTTP/2.0\r\n\r\n":                                                                  400,
@@ -34,28 +34,28 @@
 		"POST /" + strings.Repeat("x", MaxLine) + " HTTP/1.1\r\n\r\n":                                 431,
 		"POST / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n":                      431,
 	} {
-		_, err := ReadRequest(reader(text), nil)
+		_, err := ReadRequest(newReader(text), nil)
 		var m *Malformed
 		require.ErrorAs(t, err, &m, text[:min(len(text), 80)])
 		require.Equal(t, status, m.Status, text[:min(len(text), 80)])
 	}
 }
 
-func TestMessagesCutShortAreNotTaken(t *testing.T) {
+func TestTruncatedMessages(t *testing.T) {
 	whole := "POST /api HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
-	_, err := ReadRequest(reader(""), nil)
+	_, err := ReadRequest(newReader(""), nil)
 	require.ErrorIs(t, err, io.EOF)
 	for n := 1; n < len(whole); n++ {
-		_, err := ReadRequest(reader(whole[:n]), nil)
+		_, err := ReadRequest(newReader(whole[:n]), nil)
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF, whole[:n])
 	}
-	q, err := ReadRequest(reader(whole), nil)
+	q, err := ReadRequest(newReader(whole), nil)
 	require.NoError(t, err)
 	require.Equal(t, "abc", string(q.Body))
 }
 
 func TestBodiesAndConnections(t *testing.T) {
-	r := reader("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\nok" +
+	r := newReader("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\nok" +
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: v\r\n\r\n" +
 		"HTTP/1.1 204 No Content\r\nConnection: keep-alive, Close\r\n\r\n" + "HTTP/1.0 200 OK\r\n\r\nto the end")
 	for _, want := range []struct {
@@ -77,10 +77,10 @@
 	f.Add("POST /api HTTP/1.1\r\nX-Correlation-Id: a\r\nContent-Length: 1\r\n\r\nx")
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		if p, err := ReadResponse(reader(text), "GET"); err == nil {
+		if p, err := ReadResponse(newReader(text), "GET"); err == nil {
 			require.LessOrEqual(t, len(p.Body), MaxBody)
 		}
-		q, err := ReadRequest(reader(text), nil)
+		q, err := ReadRequest(newReader(text), nil)
 		if err != nil {
 			return
 		}
@@ -91,7 +91,7 @@
 				h = append(h, v)
 			}
 		}
-		again, err := ReadRequest(reader(string(AppendRequest(nil, q.Method, q.Target, h, q.Body))), nil)
+		again, err := ReadRequest(newReader(string(AppendRequest(nil, q.Method, q.Target, h, q.Body))), nil)
 		var m *Malformed
 		if errors.As(err, &m) && m.Status == 431 {
 			return // a line just under the bound
@@ -103,7 +103,7 @@
 }
 
 // A header goes to another process byte for byte, and may come from one that knew no Raw.
-func TestHeadersBetweenProcesses(t *testing.T) {
+func TestHeaderJSON(t *testing.T) {
 	for _, value := range []string{"plain", "", "with \"quotes\" \\ and \ttabs", "caf\xe9 \xff\xfe", "caf\u00e9"} {
 		text, err := json.Marshal(Request{Method: "POST", Header: Header{{"K", value}}})
 		require.NoError(t, err)
--- a/internal/net/loadreport/loadreport.go
+++ b/internal/net/loadreport/loadreport.go
@@ -21,22 +21,22 @@
 // HeaderField is the header field of a report in an answer. Its value begins with the name of the report's format.
 const HeaderField = "X-Backend-Load"
 
-const lineForm = "TEXT "
+const linePrefix = "TEXT "
 
 // Limits of a report. Instances send none beyond them, and a false size would be applied to all instances of a kind.
 const (
-	maxText   = 1 << 10
-	maxFigure = 1 << 16
+	maxSize   = 1 << 10
+	maxValue = 1 << 16
 )
 
 // logInterval is the minimum time between log messages about invalid reports.
-const complainEvery = time.Minute
+const logInterval = time.Minute
 
 // Reader parses reports. Of each it reads the fields named in the settings only. A nil Reader returns no reports.
 type Reader struct {
 	fields     atomic.Pointer[map[string]bool]
 	log        *slog.Logger
-	complained atomic.Int64 // Unix time in nanoseconds
+	lastLogged atomic.Int64 // Unix time in nanoseconds
 }
 
 // New returns a reader of the fields that the settings name.
@@ -63,7 +63,7 @@
 	if !r.Any() || len(text) == 0 || string(text) == "null" {
 		return nil
 	}
-	return r.read("object", len(text), func(named map[string]bool) (map[string]float64, error) {
+	return r.checked("object", len(text), func(named map[string]bool) (map[string]float64, error) {
 		var all map[string]json.RawMessage
 		if err := json.Unmarshal(text, &all); err != nil {
 			return nil, err
@@ -87,12 +87,12 @@
 	if !r.Any() || text == "" {
 		return nil
 	}
-	return r.read("line", len(text), func(named map[string]bool) (map[string]float64, error) {
-		if len(text) < len(lineForm) || !strings.EqualFold(text[:len(lineForm)], lineForm) {
+	return r.checked("line", len(text), func(named map[string]bool) (map[string]float64, error) {
+		if len(text) < len(linePrefix) || !strings.EqualFold(text[:len(linePrefix)], linePrefix) {
 			return nil, errors.New("not in the form TEXT")
 		}
 		found := map[string]float64{}
-		for part := range strings.SplitSeq(text[len(lineForm):], ",") {
+		for part := range strings.SplitSeq(text[len(linePrefix):], ",") {
 			name, value, _ := strings.Cut(part, "=")
 			if name = wire.ReportField(strings.TrimSpace(name)); named[name] {
 				n, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
@@ -106,28 +106,28 @@
 	})
 }
 
-// read returns the report that parse finds, or nil if any of its values is invalid.
-func (r *Reader) read(form string, size int, parse func(named map[string]bool) (map[string]float64, error)) *decide.Report {
+// checked returns the report that parse finds, or nil if any of its values is invalid.
+func (r *Reader) checked(form string, size int, parse func(named map[string]bool) (map[string]float64, error)) *decide.Report {
 	var found map[string]float64
 	err := errors.New("too long")
-	if size <= maxText {
+	if size <= maxSize {
 		found, err = parse(*r.fields.Load())
 	}
 	for name, n := range found {
-		if math.IsNaN(n) || n < 0 || n > maxFigure {
+		if math.IsNaN(n) || n < 0 || n > maxValue {
 			err = fmt.Errorf("%s: %v is no load", name, n)
 		}
 	}
 	if err != nil {
-		r.complain(form, err)
+		r.logInvalid(form, err)
 		return nil
 	}
 	return wire.Report(maps.All(found))
 }
 
-func (r *Reader) complain(form string, err error) {
-	now, last := time.Now().UnixNano(), r.complained.Load()
-	if now-last >= int64(complainEvery) && r.complained.CompareAndSwap(last, now) {
+func (r *Reader) logInvalid(form string, err error) {
+	now, last := time.Now().UnixNano(), r.lastLogged.Load()
+	if now-last >= int64(logInterval) && r.lastLogged.CompareAndSwap(last, now) {
 		r.log.Warn("load report ignored, as others may be", "form", form, "err", err)
 	}
 }
--- a/internal/net/loadreport/loadreport_test.go
+++ b/internal/net/loadreport/loadreport_test.go
@@ -47,7 +47,7 @@
 }
 
 // A figure that is null is not told. It was read as 0: an encoder with no room.
-func TestNullIsNoFigure(t *testing.T) {
+func TestNullIsIgnored(t *testing.T) {
 	r := New([]string{"x0", "inflight"}, slog.New(slog.DiscardHandler))
 	require.Equal(t, &decide.Report{Active: 7, Waiting: -1, FreeSlots: -1, FreeMemory: -1}, r.Object([]byte(`{"x0":null,"inflight":7}`)))
 }
@@ -64,7 +64,7 @@
 				continue
 			}
 			for _, n := range []float64{got.Active, got.Waiting, got.FreeSlots, got.FreeMemory} {
-				require.True(t, n == -1 || n >= 0 && n <= maxFigure, n)
+				require.True(t, n == -1 || n >= 0 && n <= maxValue, n)
 			}
 		}
 	})
--- a/internal/net/sock/sock_test.go
+++ b/internal/net/sock/sock_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair is both ends of a connection.
-func pair(t *testing.T) (ours, theirs *net.TCPConn) {
+// connPair is both ends of a connection.
+func connPair(t *testing.T) (ours, theirs *net.TCPConn) {
 	l, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -43,7 +43,7 @@
 		"their reads ended": {func(c *net.TCPConn) { c.CloseRead() }, Empty},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ours, theirs := pair(t)
+			ours, theirs := connPair(t)
 			one.does(theirs)
 			require.Equal(t, one.want, Look(ours))
 			require.Equal(t, one.want, Look(ours))
@@ -58,8 +58,8 @@
 }
 
 // What cannot be looked at counts as closed: nobody is to use it.
-func TestLookAtWhatIsOfNoUse(t *testing.T) {
-	ours, _ := pair(t)
+func TestLookAtUnusableConnections(t *testing.T) {
+	ours, _ := connPair(t)
 	require.NoError(t, ours.SetReadDeadline(time.Unix(1, 0)))
 	require.Equal(t, Closed, Look(ours))
 	require.NoError(t, ours.Close())
