--- a/internal/net/clients/bar.go
+++ b/internal/net/clients/bar.go
@@ -14,7 +14,7 @@
 		return err
 	}
 	const flags, syn, ack = 13, 0x02, 0x10         // in the TCP header, where the data of a TCP socket's filter begins
-	stmt, jump := syscall.LsfStmt, syscall.LsfJump //lint:ignore SA1019 what x/net has is not worth a library for five lines
+	stmt, jump := syscall.LsfStmt, syscall.LsfJump //lint:ignore SA1019 five lines are not worth a dependency on x/net
 	program := []syscall.SockFilter{
 		*stmt(syscall.BPF_LD|syscall.BPF_B|syscall.BPF_ABS, flags),
 		*stmt(syscall.BPF_ALU|syscall.BPF_AND|syscall.BPF_K, syn|ack),
@@ -22,11 +22,11 @@
 		*stmt(syscall.BPF_RET|syscall.BPF_K, 0),
 		*stmt(syscall.BPF_RET|syscall.BPF_K, 0xffff),
 	}
-	var failed error
-	//lint:ignore SA1019 as above
-	err = raw.Control(func(fd uintptr) { failed = syscall.AttachLsf(int(fd), program) })
+	var attachErr error
+	//lint:ignore SA1019 see above
+	err = raw.Control(func(fd uintptr) { attachErr = syscall.AttachLsf(int(fd), program) })
 	if err != nil {
 		return err
 	}
-	return failed
+	return attachErr
 }
--- a/internal/net/clients/callback.go
+++ b/internal/net/clients/callback.go
@@ -25,9 +25,9 @@
 	if !ok { // unknown states, perhaps of later encoders, are ignored
 		return c.reply(204, nil, "", q.Close)
 	}
-	n := in.toDispatch(state)
-	n.Report = c.server.reports.Object(in.Load)
-	if !c.deliver(q, n) || !c.server.core.PersistCallback(n) {
+	cb := in.toDispatch(state)
+	cb.Report = c.server.reports.Object(in.Load)
+	if !c.deliver(q, cb) || !c.server.core.PersistCallback(cb) {
 		return false
 	}
 	return c.reply(204, nil, "", q.Close)
@@ -36,14 +36,14 @@
 // deliver passes a callback to the core. It returns false if a newer process has the connection and will read and
 // answer the callback: this process could die before it has forwarded a callback that the instance takes for
 // received.
-func (c *conn) deliver(q *http1.Request, n dispatch.Callback) bool {
+func (c *conn) deliver(q *http1.Request, cb dispatch.Callback) bool {
 	s := c.server
 	s.callbacks.RLock()
 	defer s.callbacks.RUnlock()
 	if s.Yielded() && c.passUnread(q) {
 		return false
 	}
-	s.core.HandleCallback(n)
+	s.core.HandleCallback(cb)
 	return true
 }
 
@@ -62,20 +62,20 @@
 
 // toDispatch converts a callback, except for its load report.
 func (c *callback) toDispatch(state dispatch.JobState) dispatch.Callback {
-	n := dispatch.Callback{ID: c.ID, From: c.From, State: state, Share: c.Share, Result: c.Result}
+	cb := dispatch.Callback{ID: c.ID, From: c.From, State: state, Share: c.Share, Result: c.Result}
 	if plain, rest, ok := plainString(c.Result); ok && len(rest) == 0 { // a string result is its text; any other JSON value stays as it is
-		n.Result = plain
+		cb.Result = plain
 	} else if c.Result != nil {
 		var text *string
 		if json.Unmarshal(c.Result, &text) == nil && text != nil {
-			n.Result = []byte(*text)
+			cb.Result = []byte(*text)
 		}
 	}
 	// A job that is done without a result has nothing to serve, so its attempt counts as failed.
-	if none := len(c.Result) == 0 || string(c.Result) == "null"; none && state == dispatch.Done {
-		n.State = dispatch.Errored
+	if noResult := len(c.Result) == 0 || string(c.Result) == "null"; noResult && state == dispatch.Done {
+		cb.State = dispatch.Errored
 	}
-	return n
+	return cb
 }
 
 // callback is the body of an instance's callback request.
@@ -207,7 +207,7 @@
 
 // isPlainNumber reports whether b is a plain JSON number: digits, optionally followed by a point and more digits.
 func isPlainNumber(b []byte) bool {
-	whole, part, point := bytes.Cut(b, []byte{'.'})
+	integer, fraction, hasPoint := bytes.Cut(b, []byte{'.'})
 	digits := func(b []byte) bool {
 		for _, x := range b {
 			if x < '0' || x > '9' {
@@ -216,5 +216,5 @@
 		}
 		return len(b) > 0 && len(b) < 18
 	}
-	return digits(whole) && (len(whole) == 1 || whole[0] != '0') && (!point || digits(part))
+	return digits(integer) && (len(integer) == 1 || integer[0] != '0') && (!hasPoint || digits(fraction))
 }
--- a/internal/net/clients/conn.go
+++ b/internal/net/clients/conn.go
@@ -32,25 +32,25 @@
 
 // conn is an accepted connection; run is its goroutine.
 type conn struct {
-	server *Server
-	nc     net.Conn
-	reader     *bufio.Reader
+	server    *Server
+	nc        net.Conn
+	reader    *bufio.Reader
 	outBuf    []byte      // buffer for answers
-	received   []byte      // received by the process that passed the connection here; read first
-	firstTask  func() bool // if set, run before reading requests; returns false if the connection is to be closed
+	received  []byte      // received by the process that passed the connection here; read first
+	firstTask func() bool // if set, run before reading requests; returns false if the connection is to be closed
 
-	peerGone    bool // the peer has closed it, or does not read its answer
-	extraRequests    int  // requests answered since it should have been closed
-	discarded int  // bytes received after a request and discarded
-	unanswered   bool // a request has been received, at least in part, and is not answered yet
+	peerGone      bool // the peer has closed it, or does not read its answer
+	extraRequests int  // requests answered since it should have been closed
+	discarded     int  // bytes received after a request and discarded
+	unanswered    bool // a request has been received, at least in part, and is not answered yet
 
 	// Guarded by the server's lock.
-	state    state
-	stateSince    time.Time // when the state began; until the first answer, when it was accepted
-	evicted  bool
-	answered bool // a request on it has been answered
-	instance bool // its last request was a callback
-	passed   bool // to another process
+	state      state
+	stateSince time.Time // when the state began; until the first answer, when it was accepted
+	evicted    bool
+	answered   bool // a request on it has been answered
+	instance   bool // its last request was a callback
+	passed     bool // to another process
 	flooded    bool // bytes after a request were dropped, so no further request can be read
 }
 
@@ -59,21 +59,21 @@
 
 const (
 	lingered    retention = iota // it is answered, and open only to avoid a reset
-	silent               // it has sent nothing: a client that has a request sends it at once
-	stalled            // it has sent a part of a request
-	idleClient              // a client's connection between two requests
-	idleEncoder               // an encoder's connection between two callbacks: those end the waits of clients
+	silent                       // it has sent nothing: a client that has a request sends it at once
+	stalled                      // it has sent a part of a request
+	idleClient                   // a client's connection between two requests
+	idleEncoder                  // an encoder's connection between two callbacks: those end the waits of clients
 	inUse
 )
 
 func (c *conn) retention(now time.Time) retention {
-	p := c.server.timeouts
+	t := c.server.timeouts
 	switch age := now.Sub(c.stateSince); {
-	case c.state == lingering && age >= p.linger:
+	case c.state == lingering && age >= t.linger:
 		return lingered
-	case c.state == waiting && !c.answered && age >= p.firstByte:
+	case c.state == waiting && !c.answered && age >= t.firstByte:
 		return silent
-	case c.state == reading && age >= p.remainder:
+	case c.state == reading && age >= t.remainder:
 		return stalled
 	case c.state == waiting && c.answered && c.instance:
 		return idleEncoder
@@ -132,9 +132,9 @@
 }
 
 // setBuffer sets a read buffer of at least the given size that starts with the received bytes.
-func (c *conn) setBuffer(come []byte, size int) {
-	c.reader = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(come), c.nc), max(size, len(come)))
-	c.reader.Peek(len(come)) // fills the buffer, so that they are passed on with the connection
+func (c *conn) setBuffer(received []byte, size int) {
+	c.reader = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(received), c.nc), max(size, len(received)))
+	c.reader.Peek(len(received)) // fills the buffer, so that they are passed on with the connection
 }
 
 // readRequest reads the next request.
@@ -169,7 +169,7 @@
 var errIdle = errors.New("idle")
 
 // errPassed reports that another process has taken over the connection.
-var errPassed = errors.New("passed on")
+var errPassed = errors.New("connection passed to another process")
 
 // passOn passes the connection to the process that takes over, if there is one. Bytes received but not read go with
 // it, after p.Rest. The server's lock must be held.
@@ -195,13 +195,13 @@
 		s.mu.Unlock()
 		return errPassed
 	}
-	first, now := !c.answered, time.Now()
-	until := c.stateSince.Add(s.timeouts.firstRequest)
-	if c.state = waiting; !first {
-		c.stateSince, until = now, now.Add(idleTimeout)
+	isFirst, now := !c.answered, time.Now()
+	deadline := c.stateSince.Add(s.timeouts.firstRequest)
+	if c.state = waiting; !isFirst {
+		c.stateSince, deadline = now, now.Add(idleTimeout)
 	}
-	err := c.nc.SetReadDeadline(until)
-	if c.evicted || !first && s.crowded && !c.instance { // evicted before this call, or the server has become crowded since the last answer was written
+	err := c.nc.SetReadDeadline(deadline)
+	if c.evicted || !isFirst && s.crowded && !c.instance { // evicted before this call, or the server has become crowded since the last answer was written
 		c.evict()
 	}
 	s.mu.Unlock()
@@ -209,33 +209,33 @@
 		return err
 	}
 	_, err = c.reader.Peek(1)
-	late := errors.Is(err, os.ErrDeadlineExceeded)
+	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if late && c.passOn(Passed{}) {
+	if timedOut && c.passOn(Passed{}) {
 		return errPassed
 	}
 	// A request may arrive just as the connection is to be closed; it is accepted.
-	if err != nil && (!late || c.nc.SetReadDeadline(time.Time{}) != nil || sock.Look(c.nc) != sock.Data) {
+	if err != nil && (!timedOut || c.nc.SetReadDeadline(time.Time{}) != nil || sock.Look(c.nc) != sock.Data) {
 		switch {
-		case !first && late:
+		case !isFirst && timedOut:
 			return errIdle
-		case !first:
+		case !isFirst:
 			return io.EOF
 		}
 		return err
 	}
 	c.state, now = reading, time.Now()
-	if !first {
-		c.stateSince, until = now, now.Add(readTimeout)
+	if !isFirst {
+		c.stateSince, deadline = now, now.Add(readTimeout)
 	}
-	if late || c.evicted {
-		until = now.Add(s.timeouts.remainder)
+	if timedOut || c.evicted {
+		deadline = now.Add(s.timeouts.remainder)
 	}
 	if s.pastAnswerBy {
-		until = now.Add(s.timeouts.shutdown)
+		deadline = now.Add(s.timeouts.shutdown)
 	}
-	return c.nc.SetReadDeadline(until)
+	return c.nc.SetReadDeadline(deadline)
 }
 
 // handle processes one request. It returns false if the connection is to be closed.
@@ -244,21 +244,21 @@
 	c.server.mu.Lock()
 	c.state, c.instance = handling, path == callbackPath
 	c.server.mu.Unlock()
-	want := "GET"
+	method := "GET"
 	if path == callbackPath || path == commandPath {
-		want = "POST"
+		method = "POST"
 	}
 	switch {
 	case path != callbackPath && path != commandPath && path != readyPath && path != countersPath:
 		return c.reply(404, nil, "no such path\n", q.Close)
-	case q.Method != want:
-		return c.reply(405, http1.Header{{Name: "Allow", Value: want}}, "only "+want+"\n", q.Close)
+	case q.Method != method:
+		return c.reply(405, http1.Header{{Name: "Allow", Value: method}}, "only "+method+"\n", q.Close)
 	case path == readyPath && c.server.leaving():
 		return c.reply(503, nil, "departing\n", q.Close)
 	case path == readyPath:
 		return c.reply(200, nil, "ok\n", q.Close)
 	case path == countersPath:
-		return c.reply(200, nil, c.server.counters(), q.Close)
+		return c.reply(200, nil, c.server.countersText(), q.Close)
 	case path == callbackPath:
 		return c.handleCallback(q)
 	}
@@ -266,25 +266,25 @@
 }
 
 // reply writes an answer. It returns false if the connection is to be closed.
-func (c *conn) reply(status int, h http1.Header, body string, end bool) bool {
+func (c *conn) reply(status int, h http1.Header, body string, closeConn bool) bool {
 	c.server.mu.Lock()
 	c.answered = true
-	end = end || c.flooded
-	due := c.evicted || !c.instance && (c.server.crowded || c.server.draining && c.server.newer == nil)
+	closeConn = closeConn || c.flooded
+	closeDue := c.evicted || !c.instance && (c.server.crowded || c.server.draining && c.server.newer == nil)
 	c.server.mu.Unlock()
-	if due && !end {
-		end = c.extraRequests >= maxExtraRequests || !c.hasInput()
+	if closeDue && !closeConn {
+		closeConn = c.extraRequests >= maxExtraRequests || !c.hasInput()
 		c.extraRequests++
 	}
-	if end {
+	if closeConn {
 		h = append(h, http1.Field{Name: "Connection", Value: "close"})
 	}
 	if c.nc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return false
 	}
-	text := http1.AppendResponse(c.outBuf[:0], status, h, []byte(body))
-	_, err := c.nc.Write(text)
-	if c.outBuf = text; cap(text) > http1.MaxLine { // reuse the buffer for the next answer unless it is large
+	message := http1.AppendResponse(c.outBuf[:0], status, h, []byte(body))
+	_, err := c.nc.Write(message)
+	if c.outBuf = message; cap(message) > http1.MaxLine { // reuse the buffer for the next answer unless it is large
 		c.outBuf = nil
 	}
 	if err != nil { // a peer that has closed the connection is not counted, one that did not read in time is
@@ -294,7 +294,7 @@
 		}
 	}
 	c.unanswered = false
-	return err == nil && !end
+	return err == nil && !closeConn
 }
 
 // hasInput reports whether the next request has arrived, at least in part. It is answered before the connection is
@@ -316,19 +316,19 @@
 		return
 	}
 	s.mu.Lock()
-	between := c.answered && c.state == waiting
+	wasIdle := c.answered && c.state == waiting
 	c.state, c.stateSince, c.evicted = lingering, time.Now(), false
 	err := c.nc.SetReadDeadline(c.stateSince.Add(lingerTimeout))
 	s.mu.Unlock()
 	if err != nil {
 		return
 	}
-	var rest [512]byte // small, since most peers send nothing more
+	var buf [512]byte // small, since most peers send nothing more
 	for left := 4 * http1.MaxBody; left > 0; {
-		n, err := c.nc.Read(rest[:])
-		if n > 0 && between {
+		n, err := c.nc.Read(buf[:])
+		if n > 0 && wasIdle {
 			s.countEnd(dispatch.RequestInFlight)
-			between = false
+			wasIdle = false
 		}
 		if err != nil {
 			return
@@ -339,10 +339,10 @@
 
 // commandClient is the client of one command.
 type commandClient struct {
-	cmd     *dispatch.Command
-	closeAfter     bool      // the connection is to be closed after the answer
-	mayRetry bool      // the command may be retried even if it may have run
-	answer  chan outcome // has room for one
+	cmd        *dispatch.Command
+	closeAfter bool         // the connection is to be closed after the answer
+	mayRetry   bool         // the command may be retried even if it may have run
+	answer     chan outcome // has room for one
 
 	mu sync.Mutex
 	nc net.Conn // nil: not yet received from an older process
@@ -380,26 +380,28 @@
 		return false
 	}
 	ended := false
-	var one [1]byte
+	var buf [1]byte
 	err = raw.Control(func(fd uintptr) {
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		ended = n == 0 && err == nil || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
 	})
 	return ended || err != nil
 }
 
 // HandOver tells the connection's goroutine that another process answers the command.
-func (w *commandClient) HandOver(handed bool) { w.send(outcome{handedOver: true, transferred: handed}) }
+func (w *commandClient) HandOver(transferred bool) {
+	w.send(outcome{handedOver: true, transferred: transferred})
+}
 
 // send interrupts the read before it sends the message: a deadline set after the goroutine has received the message
 // would interrupt its next read.
-func (w *commandClient) send(what outcome) {
+func (w *commandClient) send(o outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.nc != nil {
 		w.nc.SetReadDeadline(pastDeadline)
 	}
-	w.answer <- what
+	w.answer <- o
 }
 
 // setConn sets the client's connection, whose reads are interrupted when a message is sent.
@@ -416,25 +418,25 @@
 // handleCommand submits a command and waits for its answer. It returns false if the connection is to be closed.
 // deadline is set if another process has read the request.
 func (c *conn) handleCommand(q *http1.Request, deadline time.Time) bool {
-	cmd, repeats, err := c.server.parse(q, time.Now())
+	cmd, mayRetry, err := c.server.parse(q, time.Now())
 	if err != nil {
 		return c.reply(400, nil, err.Error()+"\n", q.Close)
 	}
 	if !deadline.IsZero() {
 		cmd.Deadline = deadline
 	}
-	last, over := c.server.answerDeadline()
-	if over {
+	answerBy, pastAnswerBy := c.server.answerDeadline()
+	if pastAnswerBy {
 		c.server.connCounters.CountShutdownRefusal(cmd.Class)
 		return c.writeAnswer(dispatch.Answer{Verdict: dispatch.Refused}, q.Close)
 	}
-	if !last.IsZero() && cmd.Deadline.After(last) {
-		cmd.Deadline = last
+	if !answerBy.IsZero() && cmd.Deadline.After(answerBy) {
+		cmd.Deadline = answerBy
 	}
 	if err := c.checkClient(); err != nil { // the request may have been in a backlog for long
 		return c.endGone(err)
 	}
-	w := &commandClient{cmd: cmd, closeAfter: q.Close, mayRetry: repeats, answer: make(chan outcome, 1), nc: c.nc}
+	w := &commandClient{cmd: cmd, closeAfter: q.Close, mayRetry: mayRetry, answer: make(chan outcome, 1), nc: c.nc}
 	cmd.Client = w
 	c.server.core.Submit(cmd)
 	return c.awaitAnswer(w)
@@ -461,12 +463,12 @@
 		c.server.core.ClientGone(w.cmd)
 		return c.endGone(err)
 	}
-	a := <-w.answer
-	if !a.handedOver {
-		return c.writeAnswer(a.Answer, w.closeAfter)
+	o := <-w.answer
+	if !o.handedOver {
+		return c.writeAnswer(o.Answer, w.closeAfter)
 	}
 	p := Passed{ID: w.cmd.ID}
-	if !a.transferred {
+	if !o.transferred {
 		p.Request, p.Deadline = w.cmd.Payload.(*http1.Request), w.cmd.Deadline
 	}
 	c.server.mu.Lock()
@@ -481,15 +483,15 @@
 
 // Bounds of what a client may send after a request that is not answered yet.
 const (
-	maxReadAhead   = http1.MaxBody // bytes that are buffered
+	maxReadAhead = http1.MaxBody // bytes that are buffered
 	maxDiscarded = 1 << 20       // bytes that are read and discarded beyond that, to notice a disconnect
 )
 
 // errGone reports that the client has disconnected.
-var errGone = errors.New("the client has gone")
+var errGone = errors.New("client has disconnected")
 
 // errFlood reports that a client has sent more after its request than is read to notice a disconnect.
-var errFlood = errors.New("too much behind a request")
+var errFlood = errors.New("too many bytes after a request")
 
 // checkClient checks, without waiting, that the client is still connected before its request is submitted. It returns
 // errGone or errFlood otherwise. Bytes sent after the request precede the end of the connection, so they are read
@@ -532,8 +534,8 @@
 	case !errors.Is(err, bufio.ErrBufferFull):
 		return errGone
 	case size < maxReadAhead:
-		come, _ := c.reader.Peek(c.reader.Buffered())
-		c.setBuffer(bytes.Clone(come), 2*size)
+		received, _ := c.reader.Peek(c.reader.Buffered())
+		c.setBuffer(bytes.Clone(received), 2*size)
 		return nil
 	}
 	return c.discardInput()
@@ -548,8 +550,8 @@
 	c.server.mu.Lock()
 	c.flooded = true
 	c.server.mu.Unlock()
-	var some [4 << 10]byte
-	n, err := c.nc.Read(some[:])
+	var buf [4 << 10]byte
+	n, err := c.nc.Read(buf[:])
 	c.discarded += n
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		return errGone
@@ -558,19 +560,19 @@
 }
 
 // writeAnswer writes a command's final answer.
-func (c *conn) writeAnswer(a dispatch.Answer, end bool) bool {
+func (c *conn) writeAnswer(a dispatch.Answer, closeConn bool) bool {
 	switch a.Verdict {
 	case dispatch.Served:
-		return c.reply(200, nil, string(a.Result), end)
+		return c.reply(200, nil, string(a.Result), closeConn)
 	case dispatch.Refused:
 		var h http1.Header
 		if a.RetryAfter > 0 {
 			h = http1.Header{{Name: "Retry-After", Value: formatSeconds(a.RetryAfter)}}
 		}
-		return c.reply(503, h, "refused: trying again is harmless\n", end)
+		return c.reply(503, h, "refused: trying again is harmless\n", closeConn)
 	}
 	if a.Verdict == dispatch.Unusable {
-		return c.reply(400, nil, "no instance can use the command, or its id is in hand\n", end)
+		return c.reply(400, nil, "no instance can use the command, or its id is in hand\n", closeConn)
 	}
-	return c.reply(502, nil, "failed\n", end)
+	return c.reply(502, nil, "failed\n", closeConn)
 }
--- a/internal/net/clients/crowd_test.go
+++ b/internal/net/clients/crowd_test.go
@@ -79,7 +79,7 @@
 // gated is a listener that counts how often it is asked, and waits for its gate first.
 type gatedListener struct {
 	net.Listener
-	gate  chan struct{}
+	gate    chan struct{}
 	accepts atomic.Int64
 }
 
--- a/internal/net/clients/leaving_test.go
+++ b/internal/net/clients/leaving_test.go
@@ -23,8 +23,8 @@
 
 // blockingSender holds the loop up in each send until the test lets it go on.
 type blockingSender struct {
-	sent chan *dispatch.Attempt
-	resume   chan struct{}
+	sent   chan *dispatch.Attempt
+	resume chan struct{}
 }
 
 func (f *blockingSender) Send(a *dispatch.Attempt) { f.sent <- a; <-f.resume }
--- a/internal/net/clients/parse.go
+++ b/internal/net/clients/parse.go
@@ -17,7 +17,7 @@
 // Paths of the listener.
 const (
 	commandPath  = "/api"
-	callbackPath     = "/_jobs/news"
+	callbackPath = "/_jobs/news"
 	readyPath    = "/_health"
 	countersPath = "/_counters"
 )
@@ -29,7 +29,7 @@
 }
 
 const (
-	maxID   = 128
+	maxID       = 128
 	maxDuration = 24 * time.Hour
 )
 
@@ -57,14 +57,14 @@
 	if !ok {
 		return nil, false, errors.New("X-Service-Class: missing or unknown")
 	}
-	left := class.Deadline
+	remaining := class.Deadline
 	if h.Given("X-Time-Left") {
 		var err error
-		if left, err = parseDuration(h.Get("X-Time-Left")); err != nil {
+		if remaining, err = parseDuration(h.Get("X-Time-Left")); err != nil {
 			return nil, false, fmt.Errorf("X-Time-Left: %w", err)
 		}
 	}
-	c.Deadline = now.Add(left)
+	c.Deadline = now.Add(remaining)
 	if text := h.Get("X-Weight-Hint"); text != "" {
 		var err error
 		if c.Work, err = parseDuration(text); err != nil {
@@ -113,9 +113,9 @@
 func parseFacts(text string, wanted map[string]*float64) error {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		if to := wanted[name]; to != nil {
+		if target := wanted[name]; target != nil {
 			var err error
-			if *to, err = parseNumber(value); err != nil {
+			if *target, err = parseNumber(value); err != nil {
 				return fmt.Errorf("X-Facts: %s: %w", name, err)
 			}
 		}
--- a/internal/net/clients/server.go
+++ b/internal/net/clients/server.go
@@ -25,11 +25,11 @@
 
 // Timeouts of a connection.
 const (
-	idleTimeout   = 2 * time.Minute        // between requests
-	readTimeout   = 5 * time.Second        // from the first byte of a later request to its last
-	writeTimeout  = 5 * time.Second        // to write an answer
-	lingerTimeout = 500 * time.Millisecond // from closing this side's half until the peer closes its own
-	acceptRetryInterval    = 5 * time.Millisecond
+	idleTimeout         = 2 * time.Minute        // between requests
+	readTimeout         = 5 * time.Second        // from the first byte of a later request to its last
+	writeTimeout        = 5 * time.Second        // to write an answer
+	lingerTimeout       = 500 * time.Millisecond // from closing this side's half until the peer closes its own
+	acceptRetryInterval = 5 * time.Millisecond
 
 	maxExtraRequests = 16 // pipelined requests answered after a connection should have been closed
 )
@@ -37,18 +37,18 @@
 // How long clients are answered after the process has been told to end. By the protocol, it is killed no sooner than
 // killDelay after the longest deadline in the settings, which counts for maxClassDeadline at most.
 const (
-	killDelay  = 700 * time.Millisecond
+	killDelay        = 700 * time.Millisecond
 	maxClassDeadline = 3 * time.Second
-	answerMargin  = 200 * time.Millisecond // before that, for the transfer of the answers on a machine that is short of CPU
+	answerMargin     = 200 * time.Millisecond // before that, for the transfer of the answers on a machine that is short of CPU
 )
 
 // timeouts bounds how long a peer keeps its slot while the server waits for it: in any case, and while others wait
 // for a slot. A client that has a request sends it as soon as it is connected.
 type timeouts struct {
-	firstRequest    time.Duration // for the complete first request
-	firstByte     time.Duration // while others wait: for its first byte,
-	remainder  time.Duration // for the rest of a request
-	linger time.Duration // and for closing its half of the connection
+	firstRequest time.Duration // for the complete first request
+	firstByte    time.Duration // while others wait: for its first byte,
+	remainder    time.Duration // for the rest of a request
+	linger       time.Duration // and for closing its half of the connection
 	shutdown     time.Duration // after the answer deadline of a shutdown: for the rest of a request, or for closing its half
 }
 
@@ -69,27 +69,27 @@
 
 // Server serves the listener.
 type Server struct {
-	core     Core
-	classes  atomic.Pointer[map[string]decide.Class]
-	counters func() string
-	log      *slog.Logger
-	reports  *loadreport.Reader // of instances' load reports; nil: there are none
-	timeouts timeouts
-	slots    chan struct{} // one for each connection; bounds the file descriptors used here
-	connCounters    *dispatch.Counters
+	core         Core
+	classes      atomic.Pointer[map[string]decide.Class]
+	countersText func() string
+	log          *slog.Logger
+	reports      *loadreport.Reader // of instances' load reports; nil: there are none
+	timeouts     timeouts
+	slots        chan struct{} // one for each connection; bounds the file descriptors used here
+	connCounters *dispatch.Counters
 
 	// callbacks is read-locked while a callback is passed to the core, and write-locked while the core hands over.
 	callbacks sync.RWMutex
 
-	mu       sync.Mutex
-	draining bool
-	answerBy       time.Time // commands must be answered by then; zero: by their own deadlines
-	pastAnswerBy     bool      // that time has passed
-	crowded  bool      // a connection waits for a slot: answers to clients close theirs
-	conns    map[*conn]struct{}
-	newer     Heir               // the process that takes over; nil: none
-	lentSlots     int                // slots still used by connections of an older process
-	expected map[string]*commandClient // by ID, commands taken over from that process whose client connection has not arrived yet
+	mu           sync.Mutex
+	draining     bool
+	answerBy     time.Time // commands must be answered by then; zero: by their own deadlines
+	pastAnswerBy bool      // that time has passed
+	crowded      bool      // a connection waits for a slot: answers to clients close theirs
+	conns        map[*conn]struct{}
+	newer        Heir                      // the process that takes over; nil: none
+	lentSlots    int                       // slots still used by connections of an older process
+	expected     map[string]*commandClient // by ID, commands taken over from that process whose client connection has not arrived yet
 }
 
 // Heir passes connections to the process that takes over.
@@ -112,12 +112,12 @@
 }
 
 // New returns a server for at most maxConns connections.
-func New(core Core, s decide.Settings, n wire.Names, most int, counters func() string, logger *slog.Logger) *Server {
+func New(core Core, settings decide.Settings, names wire.Names, maxConns int, counters func() string, logger *slog.Logger) *Server {
 	server := &Server{
-		core: core, counters: counters, log: logger, timeouts: defaultTimeouts, slots: make(chan struct{}, most),
+		core: core, countersText: counters, log: logger, timeouts: defaultTimeouts, slots: make(chan struct{}, maxConns),
 		conns: map[*conn]struct{}{}, expected: map[string]*commandClient{}, connCounters: new(dispatch.Counters),
 	}
-	server.Retune(s, n)
+	server.Retune(settings, names)
 	return server
 }
 
@@ -125,7 +125,7 @@
 func (s *Server) ReadBy(r *loadreport.Reader) { s.reports = r }
 
 // CountIn sets the counters for the ends of connections. It must be called before Serve.
-func (s *Server) CountIn(b *dispatch.Counters) { s.connCounters = b }
+func (s *Server) CountIn(counters *dispatch.Counters) { s.connCounters = counters }
 
 // countEnd counts the end of a connection.
 func (s *Server) countEnd(e dispatch.ConnEnd) {
@@ -135,9 +135,9 @@
 }
 
 // Retune replaces the settings that commands are parsed with.
-func (s *Server) Retune(settings decide.Settings, n wire.Names) {
+func (s *Server) Retune(settings decide.Settings, names wire.Names) {
 	classes := map[string]decide.Class{}
-	for i, name := range n.Classes {
+	for i, name := range names.Classes {
 		classes[name] = settings.Classes[i]
 	}
 	s.classes.Store(&classes)
@@ -145,7 +145,7 @@
 
 // Serve accepts connections until the listener is closed or its deadline has passed.
 func (s *Server) Serve(ctx context.Context, l net.Listener) {
-	var complained time.Time
+	var lastLogged time.Time
 	for s.acquireSlot(ctx) {
 		nc, err := l.Accept()
 		switch {
@@ -165,8 +165,8 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
-		if now := time.Now(); now.Sub(complained) >= time.Second {
-			complained = now
+		if now := time.Now(); now.Sub(lastLogged) >= time.Second {
+			lastLogged = now
 			s.log.Error("accept", "err", err)
 		}
 		time.Sleep(acceptRetryInterval)
@@ -199,10 +199,10 @@
 	return false
 }
 
-func (s *Server) setCrowded(yes bool) {
+func (s *Server) setCrowded(crowded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crowded = yes
+	s.crowded = crowded
 }
 
 func (s *Server) startConn(nc net.Conn) { s.runConn(&conn{server: s, nc: nc, stateSince: time.Now()}) }
@@ -216,10 +216,10 @@
 
 func (s *Server) connEnded(c *conn) {
 	s.mu.Lock()
-	switch ours := !c.passed && !c.peerGone; {
-	case ours && c.unanswered:
+	switch closedHere := !c.passed && !c.peerGone; {
+	case closedHere && c.unanswered:
 		s.connCounters.CountConnEnd(dispatch.Truncated, !s.answerBy.IsZero())
-	case ours && !c.answered:
+	case closedHere && !c.answered:
 		s.connCounters.CountConnEnd(dispatch.Unanswered, !s.answerBy.IsZero())
 	}
 	delete(s.conns, c)
@@ -240,10 +240,10 @@
 
 // Yield passes each idle connection to the process that takes over, now and as further answers are written. The
 // caller must end Serve.
-func (s *Server) Yield(to Heir) {
+func (s *Server) Yield(newer Heir) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.newer = to
+	s.newer = newer
 	for c := range s.conns {
 		if c.state == waiting {
 			c.nc.SetReadDeadline(pastDeadline)
@@ -266,8 +266,8 @@
 }
 
 // Expect returns the client of a command that an older process has handed over and whose connection will follow.
-func (s *Server) Expect(cmd *dispatch.Command, end bool) dispatch.Client {
-	w := &commandClient{cmd: cmd, closeAfter: end, answer: make(chan outcome, 1)}
+func (s *Server) Expect(cmd *dispatch.Command, closeAfter bool) dispatch.Client {
+	w := &commandClient{cmd: cmd, closeAfter: closeAfter, answer: make(chan outcome, 1)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expected[cmd.ID] = w
@@ -374,23 +374,23 @@
 
 // Away sets whether clients are sent away. If so, health checks fail and each answer to a client closes its
 // connection; the listener still accepts.
-func (s *Server) Away(yes bool) {
+func (s *Server) Away(draining bool) {
 	s.mu.Lock()
-	s.draining = yes
+	s.draining = draining
 	s.mu.Unlock()
 }
 
 // End starts the shutdown and returns the time by which all commands are answered, which is before the process may be
 // killed. Commands that arrive later are refused without asking the core.
-func (s *Server) End(told time.Time) time.Time {
-	var most time.Duration
+func (s *Server) End(toldAt time.Time) time.Time {
+	var longest time.Duration
 	for _, c := range *s.classes.Load() {
-		most = max(most, c.Deadline)
+		longest = max(longest, c.Deadline)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.answerBy.IsZero() {
-		s.answerBy = told.Add(min(most, maxClassDeadline) + killDelay - answerMargin)
+		s.answerBy = toldAt.Add(min(longest, maxClassDeadline) + killDelay - answerMargin)
 	}
 	return s.answerBy
 }
@@ -405,8 +405,8 @@
 	}
 	s.pastAnswerBy = true
 	for c := range s.conns {
-		asks := (c.state == waiting || c.state == reading) && !c.instance
-		if told := c.state == lingering && now.Sub(c.stateSince) >= s.timeouts.shutdown; (asks || told) && !c.evicted {
+		awaiting := (c.state == waiting || c.state == reading) && !c.instance
+		if lingerExpired := c.state == lingering && now.Sub(c.stateSince) >= s.timeouts.shutdown; (awaiting || lingerExpired) && !c.evicted {
 			c.evict()
 		}
 	}
@@ -414,7 +414,7 @@
 
 // answerDeadline returns the time by which commands must be answered if the process shuts down, and whether it has
 // passed.
-func (s *Server) answerDeadline() (by time.Time, over bool) {
+func (s *Server) answerDeadline() (deadline time.Time, passed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answerBy, s.pastAnswerBy && s.newer == nil
@@ -456,19 +456,19 @@
 func (s *Server) evictOne(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var spared *conn
-	soon := false
+	var victim *conn
+	slotSoon := false
 	for c := range s.conns {
-		soon = soon || c.state == lingering
+		slotSoon = slotSoon || c.state == lingering
 		if c.evicted && (c.state == waiting || c.state == lingering) {
 			return
 		}
-		if u := c.retention(now); !c.evicted && u < inUse && (spared == nil || u < spared.retention(now) ||
-			u == spared.retention(now) && c.stateSince.Before(spared.stateSince)) {
-			spared = c
+		if r := c.retention(now); !c.evicted && r < inUse && (victim == nil || r < victim.retention(now) ||
+			r == victim.retention(now) && c.stateSince.Before(victim.stateSince)) {
+			victim = c
 		}
 	}
-	if spared != nil && !(soon && spared.retention(now) == idleEncoder) {
-		spared.evict()
+	if victim != nil && !(slotSoon && victim.retention(now) == idleEncoder) {
+		victim.evict()
 	}
 }
--- a/internal/net/clients/server_test.go
+++ b/internal/net/clients/server_test.go
@@ -26,10 +26,10 @@
 
 // fakeCore holds each command until the test answers it.
 type fakeCore struct {
-	commands  chan *dispatch.Command
+	commands    chan *dispatch.Command
 	clientsGone chan *dispatch.Command
 	callbacks   chan dispatch.Callback
-	persist   func(dispatch.Callback) bool // nil: all is kept
+	persist     func(dispatch.Callback) bool // nil: all is kept
 }
 
 func (c *fakeCore) Submit(cmd *dispatch.Command)             { c.commands <- cmd }
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -280,7 +280,7 @@
 // framing is how the end of a body is determined: by chunks, by its length, or, if length is negative, not stated.
 type framing struct {
 	chunked bool
-	length       int64
+	length  int64
 }
 
 func parseFraming(h Header) (framing, error) {
@@ -329,9 +329,9 @@
 
 // chunkedReader reads a chunked body including its trailer.
 type chunkedReader struct {
-	r    *bufio.Reader
+	r         *bufio.Reader
 	remaining int64 // of the current chunk
-	started  bool  // a chunk has been read, at least in part
+	started   bool  // a chunk has been read, at least in part
 	finished  bool
 }
 
@@ -417,11 +417,11 @@
 	return appendHeaderAndBody(buf, h, body, status == 204)
 }
 
-func appendHeaderAndBody(buf []byte, h Header, body []byte, bare bool) []byte {
+func appendHeaderAndBody(buf []byte, h Header, body []byte, noBody bool) []byte {
 	for _, f := range h {
 		buf = append(append(append(append(buf, f.Name...), ": "...), f.Value...), "\r\n"...)
 	}
-	if !bare || len(body) > 0 {
+	if !noBody || len(body) > 0 {
 		buf = append(strconv.AppendInt(append(buf, "Content-Length: "...), int64(len(body)), 10), "\r\n"...)
 	}
 	return append(append(buf, "\r\n"...), body...)
--- a/internal/net/loadreport/loadreport.go
+++ b/internal/net/loadreport/loadreport.go
@@ -25,7 +25,7 @@
 
 // Limits of a report. Instances send none beyond them, and a false size would be applied to all instances of a kind.
 const (
-	maxSize   = 1 << 10
+	maxSize  = 1 << 10
 	maxValue = 1 << 16
 )
 
@@ -48,11 +48,11 @@
 
 // Retune replaces the fields that are read.
 func (r *Reader) Retune(fields []string) {
-	named := map[string]bool{}
+	wanted := map[string]bool{}
 	for _, f := range fields {
-		named[wire.ReportField(f)] = true
+		wanted[wire.ReportField(f)] = true
 	}
-	r.fields.Store(&named)
+	r.fields.Store(&wanted)
 }
 
 // Any reports whether any fields are read.
@@ -63,22 +63,22 @@
 	if !r.Any() || len(text) == 0 || string(text) == "null" {
 		return nil
 	}
-	return r.checked("object", len(text), func(named map[string]bool) (map[string]float64, error) {
-		var all map[string]json.RawMessage
-		if err := json.Unmarshal(text, &all); err != nil {
+	return r.parseChecked("object", len(text), func(wanted map[string]bool) (map[string]float64, error) {
+		var object map[string]json.RawMessage
+		if err := json.Unmarshal(text, &object); err != nil {
 			return nil, err
 		}
-		found := map[string]float64{}
-		for name, value := range all {
-			if name = wire.ReportField(name); named[name] && string(value) != "null" {
-				var n float64
-				if err := json.Unmarshal(value, &n); err != nil {
+		values := map[string]float64{}
+		for name, value := range object {
+			if name = wire.ReportField(name); wanted[name] && string(value) != "null" {
+				var number float64
+				if err := json.Unmarshal(value, &number); err != nil {
 					return nil, fmt.Errorf("%s: %w", name, err)
 				}
-				found[name] = n
+				values[name] = number
 			}
 		}
-		return found, nil
+		return values, nil
 	})
 }
 
@@ -87,47 +87,47 @@
 	if !r.Any() || text == "" {
 		return nil
 	}
-	return r.checked("line", len(text), func(named map[string]bool) (map[string]float64, error) {
+	return r.parseChecked("line", len(text), func(wanted map[string]bool) (map[string]float64, error) {
 		if len(text) < len(linePrefix) || !strings.EqualFold(text[:len(linePrefix)], linePrefix) {
-			return nil, errors.New("not in the form TEXT")
+			return nil, errors.New("not in the TEXT format")
 		}
-		found := map[string]float64{}
+		values := map[string]float64{}
 		for part := range strings.SplitSeq(text[len(linePrefix):], ",") {
 			name, value, _ := strings.Cut(part, "=")
-			if name = wire.ReportField(strings.TrimSpace(name)); named[name] {
-				n, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
+			if name = wire.ReportField(strings.TrimSpace(name)); wanted[name] {
+				number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 				if err != nil {
 					return nil, fmt.Errorf("%s: %w", name, err)
 				}
-				found[name] = n
+				values[name] = number
 			}
 		}
-		return found, nil
+		return values, nil
 	})
 }
 
-// checked returns the report that parse finds, or nil if any of its values is invalid.
-func (r *Reader) checked(form string, size int, parse func(named map[string]bool) (map[string]float64, error)) *decide.Report {
-	var found map[string]float64
-	err := errors.New("too long")
+// parseChecked returns the report that parse finds, or nil if any of its values is invalid.
+func (r *Reader) parseChecked(form string, size int, parse func(wanted map[string]bool) (map[string]float64, error)) *decide.Report {
+	var values map[string]float64
+	err := errors.New("report too long")
 	if size <= maxSize {
-		found, err = parse(*r.fields.Load())
+		values, err = parse(*r.fields.Load())
 	}
-	for name, n := range found {
+	for name, n := range values {
 		if math.IsNaN(n) || n < 0 || n > maxValue {
-			err = fmt.Errorf("%s: %v is no load", name, n)
+			err = fmt.Errorf("%s: %v is out of range", name, n)
 		}
 	}
 	if err != nil {
 		r.logInvalid(form, err)
 		return nil
 	}
-	return wire.Report(maps.All(found))
+	return wire.Report(maps.All(values))
 }
 
 func (r *Reader) logInvalid(form string, err error) {
 	now, last := time.Now().UnixNano(), r.lastLogged.Load()
 	if now-last >= int64(logInterval) && r.lastLogged.CompareAndSwap(last, now) {
-		r.log.Warn("load report ignored, as others may be", "form", form, "err", err)
+		r.log.Warn("invalid load report ignored; further ones within a minute are not logged", "form", form, "err", err)
 	}
 }
--- a/internal/net/sock/listen.go
+++ b/internal/net/sock/listen.go
@@ -13,10 +13,10 @@
 // Listen listens at a TCP address that another process may listen at, too, as the older and the newer process of a
 // handover do.
 func Listen(address string) (net.Listener, error) {
-	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
+	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		err2 := c.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, ReusePort, 1) })
 		return cmp.Or(err, err2)
 	}}
-	shared.SetMultipathTCP(false) // MPTCP sockets don't support socket filters
-	return shared.Listen(context.Background(), "tcp", address)
+	config.SetMultipathTCP(false) // MPTCP sockets don't support socket filters
+	return config.Listen(context.Background(), "tcp", address)
 }
--- a/internal/net/sock/sock.go
+++ b/internal/net/sock/sock.go
@@ -28,9 +28,9 @@
 		return Closed
 	}
 	state := Closed
-	var one [1]byte
+	var buf [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
 			state = Empty
