--- a/internal/net/clients/callback_test.go
+++ b/internal/net/clients/callback_test.go
@@ -14,7 +14,7 @@
 
 const typicalCallback = `{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"..."}`
 
-// FuzzCallback: what the quick reader takes it reads as encoding/json does.
+// FuzzCallback checks that whatever parseFast accepts is parsed as by encoding/json.
 func FuzzCallback(f *testing.F) {
 	for _, s := range []string{
 		typicalCallback, `{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"running","share":0.4}`, ` { "id" : "a" , "share" : 1 } `,
@@ -33,7 +33,7 @@
 	})
 }
 
-// The usual one goes the quick way, or nothing is won.
+// Typical callbacks must be parsed by parseFast, or it saves nothing.
 func TestTypicalCallbackIsParsedFast(t *testing.T) {
 	var c callback
 	require.True(t, c.parseFast([]byte(typicalCallback)))
@@ -47,7 +47,7 @@
 	require.Error(t, c.parse([]byte(`{"id":1}`)))
 }
 
-// Guards against an instance that is answered, and so does not call again, though nobody keeps what it has told.
+// Guards against answering a callback that was not persisted: the instance would not send it again.
 func TestUnpersistedCallbackIsNotAnswered(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		c, _, dial := serve(t, 2, 0)
--- a/internal/net/clients/conn.go
+++ b/internal/net/clients/conn.go
@@ -201,7 +201,7 @@
 		c.stateSince, deadline = now, now.Add(idleTimeout)
 	}
 	err := c.nc.SetReadDeadline(deadline)
-	if c.evicted || !isFirst && s.crowded && !c.instance { // evicted before this call, or the server has become crowded since the last answer was written
+	if c.evicted || !isFirst && s.crowded && !c.instance { // evicted before, or crowded since the last answer
 		c.evict()
 	}
 	s.mu.Unlock()
--- a/internal/net/clients/leaving_test.go
+++ b/internal/net/clients/disconnect_test.go
@@ -21,7 +21,7 @@
 
 const commandRequest = "POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
 
-// blockingSender holds the loop up in each send until the test lets it go on.
+// blockingSender blocks the loop in each send until the test resumes it.
 type blockingSender struct {
 	sent   chan *dispatch.Attempt
 	resume chan struct{}
@@ -33,7 +33,7 @@
 func (f *blockingSender) CloseIdle(string)         {}
 func (f *blockingSender) Subscribe()               {}
 
-// blockedLoop is a loop that sends to one encoder and stands still from the first send on.
+// blockedLoop returns a loop that sends to one encoder and blocks from the first send on.
 func blockedLoop(t *testing.T) (*dispatch.Loop, *blockingSender) {
 	f := &blockingSender{make(chan *dispatch.Attempt, 9), make(chan struct{})}
 	l, err := dispatch.New(decide.Settings{
@@ -48,13 +48,13 @@
 	return l, f
 }
 
-// disconnects has a client leave: it closes its connection, or resets it.
+// disconnects are the ways a client disconnects: it closes its connection, or resets it.
 var disconnects = map[string]func(net.Conn){
 	"closes": func(c net.Conn) { c.Close() },
 	"resets": func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 }
 
-// signalingListener is a listener that tells when it is asked for a connection: those that it gave out before are served by then.
+// signalingListener signals each call of Accept: by then, connections that it returned before are being served.
 type signalingListener struct {
 	net.Listener
 	accepting chan bool
@@ -65,7 +65,8 @@
 	return b.Listener.Accept()
 }
 
-// A request that is read out of a backlog, its client long gone, is not handed in, whatever its client has sent behind it.
+// A request that is read from a backlog after its client has disconnected is not submitted, however much the client
+// has sent after it.
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	for name, leave := range disconnects {
 		for _, behind := range []int{0, 1, 100, 300} { // requests
@@ -89,7 +90,7 @@
 	}
 }
 
-// A client that has not gone is served, also where it has sent much behind its request by then.
+// A client that is still connected is served, even if it has sent many requests after the first one.
 func TestPipelinedRequestsAreServed(t *testing.T) {
 	for _, behind := range []int{0, 1, 100, 300} {
 		core, _, dial := serve(t, 2, 0)
@@ -106,7 +107,7 @@
 	}
 }
 
-// A client's leaving stops an attempt that has not begun though the loop stands still.
+// A client's disconnect stops an attempt that has not begun, although the loop is blocked.
 func TestDisconnectStopsAttemptWhileLoopBlocks(t *testing.T) {
 	for name, leave := range disconnects {
 		l, f := blockedLoop(t)
@@ -121,7 +122,7 @@
 	}
 }
 
-// acceptedConn is a connection as the server has it, and its client's end.
+// acceptedConn returns both ends of a connection.
 func acceptedConn(t *testing.T) (here, client net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -136,7 +137,7 @@
 	return here, client
 }
 
-// The time for a request may end just as it is whole: its client has not gone for that.
+// A read timeout may expire just as the request is complete. That must not be taken for a disconnect.
 func TestReadTimeoutIsNoDisconnect(t *testing.T) {
 	core, s := newServer(1)
 	here, client := acceptedConn(t)
@@ -150,8 +151,9 @@
 	require.Equal(t, 503, roundTrip(t, client, "").Status)
 }
 
-// A client that floods the connection behind its request could go unseen, and its request was sent on seconds later. Whether
-// it stays or goes, its request is ended once more has come than is read for that: with one answer, and none after it.
+// The disconnect of a client that floods the connection after its request could go unnoticed, and its request was
+// sent seconds later. Whether the client stays or not, its request is cancelled once more has arrived than is read:
+// it gets one answer, and no further one.
 func TestFloodEndsItsRequest(t *testing.T) {
 	flood := strings.Repeat("x", maxReadAhead+maxDiscarded+http1.MaxBody)
 	for _, stays := range []bool{true, false} {
@@ -171,7 +173,7 @@
 		case <-time.After(20 * time.Second):
 			require.FailNow(t, "nothing ended it")
 		}
-		cmd.Client.Answer(dispatch.Answer{Verdict: dispatch.Served, Result: []byte("late")}) // the loop had not heard of it
+		cmd.Client.Answer(dispatch.Answer{Verdict: dispatch.Served, Result: []byte("late")}) // the loop has not received the cancellation
 		if stays {
 			br := bufio.NewReader(nc)
 			p, err := http1.ReadResponse(br, "POST")
@@ -188,7 +190,7 @@
 	}
 }
 
-// What is kept and read of a flood is bounded, and an answer that is there by its end is the client's all the same.
+// The bytes buffered and read of a flood are bounded, and an answer that is available by then is still written.
 func TestFloodIsBounded(t *testing.T) {
 	core, s := newServer(1)
 	here, client := acceptedConn(t)
@@ -207,13 +209,13 @@
 	require.Empty(t, core.clientsGone)
 }
 
-// endlessReader has something to read for ever.
+// endlessReader is a reader without end.
 type endlessReader struct{}
 
 func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// The look at a client's connection needs neither the goroutine that watches it nor the loop, and waits for neither: on a
-// machine short of CPU both may come to run long after an attempt.
+// Disconnected depends neither on the goroutine that watches the connection nor on the loop: on a machine short of
+// CPU both may run long after an attempt.
 func TestDisconnectedWhileReading(t *testing.T) {
 	for name, leave := range disconnects {
 		here, client := acceptedConn(t)
@@ -241,8 +243,8 @@
 	require.False(t, w.Disconnected(), "it is on its way from an older process")
 }
 
-// A client that left while its connection was on its way between two processes has gone in the newer one: its request, in hand
-// or not yet, is not sent.
+// The newer process notices that a client has disconnected while its connection was being passed: its command is not
+// sent, whether it was submitted before or not.
 func TestDisconnectDuringHandover(t *testing.T) {
 	for name, leave := range disconnects {
 		core, s := newServer(9)
@@ -267,7 +269,7 @@
 	}
 }
 
-// An older process that dies takes the connections with it that it has not passed: their requests went on to be sent though
+// If the older process dies, the connections that it has not passed are lost. Their commands were still sent, though
 // nobody could be answered.
 func TestConnectionsLostWithOlderProcess(t *testing.T) {
 	core, s := newServer(9)
--- a/internal/net/clients/crowd_test.go
+++ b/internal/net/clients/eviction_test.go
@@ -16,13 +16,14 @@
 	"caperrelay/internal/dispatch"
 )
 
-// callbackRequest is a call-back of an encoder.
+// callbackRequest returns an encoder's callback request.
 func callbackRequest(id string) string {
 	body := fmt.Sprintf(`{"id":%q,"from":"s-1","state":"done","result":"r"}`, id)
 	return fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// postCallback sends a call-back and fails unless it is taken. The result tells whether the connection is to end.
+// postCallback sends a callback, fails the test unless it is accepted, and reports whether the connection is to be
+// closed.
 func postCallback(t *testing.T, c *fakeCore, nc net.Conn, id string) (ends bool) {
 	p := roundTrip(t, nc, callbackRequest(id))
 	require.Equal(t, 204, p.Status)
@@ -30,8 +31,8 @@
 	return p.Close
 }
 
-// Idle clients that fill all places make room for one another; an encoder's connection stood longest between two calls and
-// was the first to go. It keeps its place, and call-backs on new connections come in.
+// When idle clients hold all slots, they are evicted, and an encoder's connection is kept although it has been idle
+// longest: it was once evicted first. Callbacks on new connections are accepted, too.
 func TestIdleClientsAreEvictedBeforeEncoders(t *testing.T) {
 	c, _, dial := serveWith(t, 8, 0, timeouts{firstRequest: time.Minute, firstByte: time.Minute, remainder: time.Minute, linger: defaultTimeouts.linger})
 	encoder := dial()
@@ -50,7 +51,8 @@
 	require.ErrorIs(t, err, io.EOF, "the longest idle client has made room")
 }
 
-// While somebody waits for a place each answer to a client ends its connection, but none to an encoder does.
+// While a connection waits for a slot, each answer to a client closes its connection, and no answer to an encoder
+// does.
 func TestEncoderConnectionsStayOpenWhenCrowded(t *testing.T) {
 	c, s, dial := serve(t, 8, 0)
 	encoder, client := dial(), dial()
@@ -64,7 +66,8 @@
 	require.True(t, roundTrip(t, client, healthRequest).Close)
 }
 
-// Where nobody else can be spared an encoder's connection makes room, too: whoever comes is told at least no.
+// If no other connection is expendable, an encoder's idle connection is evicted, so that a new one gets an answer at
+// least.
 func TestIdleEncoderIsEvictedLast(t *testing.T) {
 	c, _, dial := serve(t, 2, 0)
 	encoder, held := dial(), dial()
@@ -76,7 +79,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// gated is a listener that counts how often it is asked, and waits for its gate first.
+// gatedListener counts the calls of Accept, which wait for the gate first.
 type gatedListener struct {
 	net.Listener
 	gate    chan struct{}
@@ -89,7 +92,7 @@
 	return g.Listener.Accept()
 }
 
-// forbidNewDescriptors has this process open no descriptor more than it has.
+// forbidNewDescriptors keeps this process from opening more file descriptors than it has.
 func forbidNewDescriptors(t *testing.T) {
 	f, err := os.Open(os.DevNull)
 	require.NoError(t, err)
@@ -98,7 +101,7 @@
 	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: uint64(next), Max: uint64(next)}))
 }
 
-// inSubprocess runs a test in a process of its own; true: this is it.
+// inSubprocess runs the test in a process of its own. It returns true in that process.
 func inSubprocess(t *testing.T) bool {
 	if os.Getenv("WINGLB_ALONE") == t.Name() {
 		return true
@@ -110,8 +113,8 @@
 	return false
 }
 
-// With no descriptor left the listener neither spins nor waits for ever: an idle client's connection makes room for a
-// call-back, and where nobody can be spared it goes on as soon as there is a descriptor again.
+// Without free descriptors the listener neither spins nor blocks forever: an idle client's connection is evicted for
+// a callback, and if no connection is expendable the listener goes on as soon as a descriptor is free.
 func TestOutOfDescriptors(t *testing.T) {
 	if !inSubprocess(t) {
 		return
@@ -143,7 +146,7 @@
 	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.instance })
 	s.mu.Lock()
 	for c := range s.conns {
-		c.state = handling // nobody can be spared
+		c.state = handling // no connection is expendable
 	}
 	s.mu.Unlock()
 	require.Eventually(t, func() bool { return g.accepts.Load() > before+10 }, 20*time.Second, time.Millisecond)
@@ -153,7 +156,8 @@
 	postCallback(t, c, another, "2")
 }
 
-// A call-back that comes behind many clients who connect and say nothing is heard once those before it have had their moment.
+// A callback that arrives after many clients that connect and send nothing is processed once those before it are
+// evicted.
 func TestCallbackAmongSilentClients(t *testing.T) {
 	c, _, dial := serveWith(t, 32, 0, defaultTimeouts)
 	for range 200 {
--- a/internal/net/clients/bar_test.go
+++ b/internal/net/clients/rejectnew_test.go
@@ -10,8 +10,8 @@
 	"caperrelay/internal/net/sock"
 )
 
-// Who connected before the bar is still served; nobody gets in after it.
-func TestBar(t *testing.T) {
+// Connections from before the call are still accepted, later ones are not.
+func TestRejectNewConns(t *testing.T) {
 	l, err := sock.Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
--- a/internal/net/clients/server_test.go
+++ b/internal/net/clients/server_test.go
@@ -29,7 +29,7 @@
 	commands    chan *dispatch.Command
 	clientsGone chan *dispatch.Command
 	callbacks   chan dispatch.Callback
-	persist     func(dispatch.Callback) bool // nil: all is kept
+	persist     func(dispatch.Callback) bool // nil: every callback is persisted
 }
 
 func (c *fakeCore) Submit(cmd *dispatch.Command)             { c.commands <- cmd }
@@ -37,7 +37,8 @@
 func (c *fakeCore) HandleCallback(n dispatch.Callback)       { c.callbacks <- n }
 func (c *fakeCore) PersistCallback(n dispatch.Callback) bool { return c.persist == nil || c.persist(n) }
 
-// nextCommand returns the next command taken. Bounded: a fault must fail the test, not hang it.
+// nextCommand returns the next command submitted. The wait is bounded, so that a fault fails the test instead of
+// hanging it.
 func (c *fakeCore) nextCommand(t *testing.T) *dispatch.Command {
 	select {
 	case cmd := <-c.commands:
@@ -48,7 +49,7 @@
 	}
 }
 
-// waitCrowded waits until the server has no room for another connection.
+// waitCrowded waits until the server has no slot for another connection.
 func waitCrowded(t *testing.T, s *Server) {
 	require.Eventually(t, func() bool {
 		s.mu.Lock()
@@ -57,7 +58,7 @@
 	}, 20*time.Second, time.Millisecond)
 }
 
-// waitForConn waits until some connection is as f says.
+// waitForConn waits until f returns true for some connection.
 func waitForConn(t *testing.T, s *Server, f func(*conn) bool) {
 	require.Eventually(t, func() bool {
 		s.mu.Lock()
@@ -66,7 +67,7 @@
 	}, 20*time.Second, time.Millisecond)
 }
 
-// failingListener is a listener that fails for want of descriptors at first.
+// failingListener fails at first, for lack of descriptors.
 type failingListener struct {
 	net.Listener
 	failures atomic.Int32
@@ -79,19 +80,19 @@
 	return s.Listener.Accept()
 }
 
-// newServer returns a server of so many connections that does not serve yet, and where its commands go.
+// newServer returns a server that does not serve yet, and the core that its commands go to.
 func newServer(most int) (*fakeCore, *Server) {
 	c := &fakeCore{commands: make(chan *dispatch.Command, 9), clientsGone: make(chan *dispatch.Command, 9), callbacks: make(chan dispatch.Callback, 9)}
 	return c, New(c, decide.Settings{Classes: []decide.Class{{Deadline: time.Minute}}}, wire.Names{Classes: []string{"safe"}},
 		most, func() string { return "" }, slog.New(slog.DiscardHandler))
 }
 
-// serve starts a server of so many connections.
+// serve starts a server and returns a function that connects to it. The first calls of Accept fail.
 func serve(t *testing.T, most, fails int) (*fakeCore, *Server, func() net.Conn) {
 	return serveWith(t, most, fails, timeouts{firstRequest: time.Minute, firstByte: time.Minute, remainder: time.Minute, linger: time.Minute})
 }
 
-// serveWith is serve with so much patience.
+// serveWith is serve with other timeouts.
 func serveWith(t *testing.T, most, fails int, p timeouts) (*fakeCore, *Server, func() net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -120,14 +121,14 @@
 
 const healthRequest = "GET /_health HTTP/1.1\r\n\r\n"
 
-// Running out of descriptors is no end: it goes on once there are some.
+// The server survives a lack of descriptors, and goes on once there are some.
 func TestAcceptRetriesWithoutDescriptors(t *testing.T) {
 	_, _, dial := serve(t, 4, 3)
 	require.Equal(t, 200, roundTrip(t, dial(), healthRequest).Status)
 }
 
-// At the bound an idle connection makes room. Where none is idle, the next answer closes
-// its connection: kept alive, it would shut out those who wait.
+// At the limit an idle connection is evicted. If none is idle, the next answer closes its connection, since a
+// connection kept alive would shut out those that wait.
 func TestNewConnectionsGetSlots(t *testing.T) {
 	c, s, dial := serve(t, 2, 0)
 	idle := dial()
@@ -153,8 +154,8 @@
 	require.Equal(t, 200, p.Status)
 }
 
-// The connection that takes the last room has asked for nothing yet. It was taken for idle
-// and ended as it came, and its request with it.
+// The connection that takes the last slot has not sent a request yet. It was once taken for idle and closed at once,
+// with the request on it.
 func TestNewConnectionKeepsLastSlot(t *testing.T) {
 	_, s, dial := serve(t, 1, 0)
 	newcomer := dial()
@@ -162,8 +163,8 @@
 	require.Equal(t, 200, roundTrip(t, newcomer, healthRequest).Status)
 }
 
-// Peers that connect and say nothing, or stop in the middle of a request, took all places for
-// ten seconds, and nobody else was heard. They make room for others, and are told.
+// Peers that sent nothing, or stopped in the middle of a request, held all slots for ten seconds and blocked all
+// others. They are evicted with an answer.
 func TestSilentPeersAreEvicted(t *testing.T) {
 	for start, in := range map[string]state{"": waiting, healthRequest[:9]: reading} {
 		_, s, dial := serve(t, 1, 0)
@@ -171,13 +172,13 @@
 		fmt.Fprint(mute, start)
 		waitCrowded(t, s)
 		waitForConn(t, s, func(c *conn) bool { return c.state == in })
-		s.evictOne(time.Now().Add(time.Hour)) // when its time is up
+		s.evictOne(time.Now().Add(time.Hour)) // when its timeout has expired
 		require.Equal(t, 503, roundTrip(t, mute, "").Status)
 		require.Equal(t, 200, roundTrip(t, dial(), healthRequest).Status)
 	}
 }
 
-// With room for all they are told too, after a while.
+// With free slots they are answered, too, once they time out.
 func TestSilentPeersTimeOut(t *testing.T) {
 	_, _, dial := serveWith(t, 9, 0, timeouts{firstRequest: time.Millisecond})
 	mute, halting := dial(), dial()
@@ -188,7 +189,7 @@
 	}
 }
 
-// Whatever the module reads of a command must reach it.
+// All fields that the decision module reads of a command must reach it.
 func TestCommandFields(t *testing.T) {
 	c, _, dial := serve(t, 2, 0)
 	before := time.Now()
@@ -200,7 +201,8 @@
 	require.Equal(t, []any{"9b", true, 2500 * time.Microsecond, 2.0, 0.5}, []any{cmd.ID, cmd.Retry, cmd.Work, cmd.Slots, cmd.Memory})
 }
 
-// An instance's load comes with its word, by the quick way too, and rubbish in it takes nothing from that word.
+// An instance's load report is read from its callbacks, also by parseFast, and an invalid report does not affect the
+// callback.
 func TestLoadReportsInCallbacks(t *testing.T) {
 	c, s, dial := serve(t, 2, 0)
 	s.ReadBy(loadreport.New([]string{"x0", "avg_ms"}, slog.New(slog.DiscardHandler)))
@@ -218,7 +220,7 @@
 	}
 }
 
-// A result is served as the instance gave it; one that says "done" without any has none to serve.
+// A result is served as the instance sent it. A callback with state "done" but without a result counts as a failure.
 func TestCallbackResults(t *testing.T) {
 	c, _, dial := serve(t, 2, 0)
 	for result, want := range map[string]dispatch.Callback{
@@ -236,7 +238,7 @@
 	}
 }
 
-// counterValue is one of the figures that the server keeps.
+// counterValue returns one of the server's counters.
 func counterValue(t *testing.T, s *Server, name string) (n int) {
 	_, rest, ok := strings.Cut(s.connCounters.OperatorCounters(), "proxy."+name+"=")
 	require.True(t, ok, name)
@@ -244,7 +246,7 @@
 	return n
 }
 
-// Requests that came behind one another had one answer while clients are sent away, and the others were reset with it.
+// While clients are sent away, only the first of several pipelined requests was answered, and the others were reset.
 func TestPipelinedRequestsAreAnsweredWhileDraining(t *testing.T) {
 	_, s, dial := serve(t, 2, 0)
 	s.Away(true)
@@ -260,7 +262,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// Bytes that nobody reads any more reset the connection, and the answer with it.
+// Unread bytes at the close of a connection reset it, and the answer is lost.
 func TestAnswerSurvivesTrailingBytes(t *testing.T) {
 	_, _, dial := serve(t, 2, 0)
 	c := dial()
@@ -273,7 +275,8 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// A request may cross the end of a kept connection: that is counted, since its client has to send it again.
+// A request may arrive while its keep-alive connection is being closed. That is counted, since the client has to send
+// it again.
 func TestRequestInFlightAtCloseIsCounted(t *testing.T) {
 	_, s, dial := serve(t, 2, 0)
 	c := dial()
@@ -287,8 +290,9 @@
 	require.Zero(t, counterValue(t, s, "ending_crossed"))
 }
 
-// Told to end, the program took commands for as long as their clients would wait, and was killed over them. It has them end
-// in time; from then on a command is refused unasked, and who has sent none, or half of one, is told too.
+// When told to end, the program waited for commands for as long as their clients would, and was killed with some of
+// them unanswered. They now end in time; later commands are refused without asking the core, and peers that have sent
+// no request or a part of one are answered, too.
 func TestShutdownAnswersInTime(t *testing.T) {
 	c, s, dial := serve(t, 9, 0)
 	told := time.Now()
@@ -319,8 +323,8 @@
 	}
 }
 
-// A connection of the older process for which there is no place, or whose command went with that process, was closed under
-// its client.
+// Connections from the older process were closed without an answer if there was no slot for them or their command was
+// lost with that process.
 func TestPassedConnectionsAreAnswered(t *testing.T) {
 	for _, one := range []struct {
 		most, status int
@@ -345,7 +349,7 @@
 	}
 }
 
-// Whoever waited to be told to go on, on a connection that had been answered some seconds before, was told 408.
+// A client that expected 100 Continue was answered 408 if the connection's last answer was some seconds old.
 func TestContinueAfterIdleTime(t *testing.T) {
 	c, s, dial := serve(t, 2, 0)
 	kept := dial()
@@ -355,9 +359,9 @@
 	c.nextCommand(t)
 }
 
-// A client that had sent more behind its request was not looked at any more: it went, and its command was sent on seconds
-// later. However much it has sent, it is gone once it has closed; one that stays has its answer, and those behind it too
-// unless something of them was dropped.
+// A disconnect after pipelined requests went unnoticed, and the command was sent seconds later. However much a client
+// has sent, its disconnect is noticed. A client that stays gets its answer, and the answers to the pipelined requests
+// unless some of their bytes were dropped.
 func TestDisconnectAfterPipelinedRequests(t *testing.T) {
 	command := "POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
 	for _, behind := range []int{0, 1, 100, 300, 3000} { // requests
--- a/internal/net/http1/http1_test.go
+++ b/internal/net/http1/http1_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// FuzzRead guards against panics and reads without bound, and has what was read come back
-// the same once written.
+// FuzzRead guards against panics and unbounded reads, and checks that a request that is written again is read as
+// before.
 func FuzzRead(f *testing.F) {
 	f.Add("POST /api HTTP/1.1\r\nX-Correlation-Id: a\r\nContent-Length: 1\r\n\r\nx")
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n")
@@ -94,7 +94,7 @@
 		again, err := ReadRequest(newReader(string(AppendRequest(nil, q.Method, q.Target, h, q.Body))), nil)
 		var m *Malformed
 		if errors.As(err, &m) && m.Status == 431 {
-			return // a line just under the bound
+			return // a line just under the limit
 		}
 		require.NoError(t, err)
 		require.Equal(t, q.Target, again.Target)
@@ -102,7 +102,7 @@
 	})
 }
 
-// A header goes to another process byte for byte, and may come from one that knew no Raw.
+// A header is passed to another process without loss, and is accepted from one that doesn't send Raw.
 func TestHeaderJSON(t *testing.T) {
 	for _, value := range []string{"plain", "", "with \"quotes\" \\ and \ttabs", "caf\xe9 \xff\xfe", "caf\u00e9"} {
 		text, err := json.Marshal(Request{Method: "POST", Header: Header{{"K", value}}})
--- a/internal/net/loadreport/loadreport_test.go
+++ b/internal/net/loadreport/loadreport_test.go
@@ -11,8 +11,9 @@
 	"caperrelay/decide"
 )
 
-// Only what the settings name is read, under whichever page's name; rubbish is told once and changes nothing.
-func TestReports(t *testing.T) {
+// Only the fields named in the settings are read, under any of their names. Invalid reports are logged once and
+// change nothing.
+func TestParsedReports(t *testing.T) {
 	var log bytes.Buffer
 	r := New([]string{"x0", "avg_ms", "cpu"}, slog.New(slog.NewTextHandler(&log, nil)))
 	free := func(n float64) *decide.Report {
@@ -46,13 +47,13 @@
 	require.Nil(t, none.Line("TEXT x0=3"))
 }
 
-// A figure that is null is not told. It was read as 0: an encoder with no room.
+// A null value counts as absent. It was read as 0: an encoder without free slots.
 func TestNullIsIgnored(t *testing.T) {
 	r := New([]string{"x0", "inflight"}, slog.New(slog.DiscardHandler))
 	require.Equal(t, &decide.Report{Active: 7, Waiting: -1, FreeSlots: -1, FreeMemory: -1}, r.Object([]byte(`{"x0":null,"inflight":7}`)))
 }
 
-// Whatever an encoder sends is read or refused: no panic, and no figure out of bounds.
+// Any report is either read or rejected, without a panic or a value out of range.
 func FuzzReports(f *testing.F) {
 	for _, seed := range []string{`{"x0":1}`, `{"x0":null}`, `{"x0":[1]}`, "TEXT x0=1", "TEXT =,=", "text x0=0x1p9,queue=1e5", "TEXT ", `{"x0":1e400}`} {
 		f.Add(seed)
--- a/internal/net/sock/sock_test.go
+++ b/internal/net/sock/sock_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// connPair is both ends of a connection.
+// connPair returns both ends of a connection.
 func connPair(t *testing.T) (ours, theirs *net.TCPConn) {
 	l, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
@@ -23,7 +23,7 @@
 	return c.(*net.TCPConn), other.(*net.TCPConn)
 }
 
-// A look tells what lies on a connection, and takes nothing of it: neither bytes nor the end behind them.
+// Look returns the state of a connection and consumes nothing: neither bytes nor the end of the stream.
 func TestLook(t *testing.T) {
 	reset := func(c *net.TCPConn) {
 		c.SetLinger(0)
@@ -57,7 +57,7 @@
 	}
 }
 
-// What cannot be looked at counts as closed: nobody is to use it.
+// Connections that cannot be examined count as closed, so that they are not used.
 func TestLookAtUnusableConnections(t *testing.T) {
 	ours, _ := connPair(t)
 	require.NoError(t, ours.SetReadDeadline(time.Unix(1, 0)))
@@ -70,7 +70,7 @@
 	require.Equal(t, Closed, Look(one))
 }
 
-// Two listeners share an address, and once one of them ends all connections come to the other.
+// Two listeners share an address. Once one of them is closed, all connections go to the other.
 func TestAddressIsShared(t *testing.T) {
 	first, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
