--- a/internal/net/clients/callback_test.go
+++ b/internal/net/clients/callback_test.go
@@ -24,12 +24,12 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		var quick, slow callback
-		if !quick.parseFast(body) {
+		var fast, want callback
+		if !fast.parseFast(body) {
 			return
 		}
-		require.NoError(t, json.Unmarshal(body, &slow), "%q", body)
-		require.Equal(t, slow, quick, "%q", body)
+		require.NoError(t, json.Unmarshal(body, &want), "%q", body)
+		require.Equal(t, want, fast, "%q", body)
 	})
 }
 
@@ -49,14 +49,14 @@
 
 // Guards against answering a callback that was not persisted: the instance would not send it again.
 func TestUnpersistedCallbackIsNotAnswered(t *testing.T) {
-	for _, kept := range []bool{false, true} {
+	for _, persisted := range []bool{false, true} {
 		c, _, dial := serve(t, 2, 0)
-		c.persist = func(dispatch.Callback) bool { return kept }
+		c.persist = func(dispatch.Callback) bool { return persisted }
 		nc := dial()
 		fmt.Fprintf(nc, "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(typicalCallback), typicalCallback)
 		text, err := io.ReadAll(nc)
 		require.NoError(t, err)
-		require.Equal(t, kept, strings.HasPrefix(string(text), "HTTP/1.1 204 "), "%q", text)
+		require.Equal(t, persisted, strings.HasPrefix(string(text), "HTTP/1.1 204 "), "%q", text)
 		require.Equal(t, "9b1f03aa5c7e2d41", (<-c.callbacks).ID)
 	}
 }
--- a/internal/net/clients/disconnect_test.go
+++ b/internal/net/clients/disconnect_test.go
@@ -69,14 +69,14 @@
 // has sent after it.
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	for name, leave := range disconnects {
-		for _, behind := range []int{0, 1, 100, 300} { // requests
+		for _, pipelined := range []int{0, 1, 100, 300} { // requests
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer l.Close()
 			core, s := newServer(9)
 			nc, err := net.Dial("tcp", l.Addr().String())
 			require.NoError(t, err)
-			_, err = fmt.Fprint(nc, commandRequest+strings.Repeat(commandRequest, behind))
+			_, err = fmt.Fprint(nc, commandRequest+strings.Repeat(commandRequest, pipelined))
 			require.NoError(t, err)
 			leave(nc)
 			b := &signalingListener{l, make(chan bool, 9)}
@@ -84,7 +84,7 @@
 			<-b.accepting
 			<-b.accepting
 			require.Eventually(t, func() bool { return s.Connections() == 0 }, 20*time.Second, time.Millisecond)
-			require.Empty(t, core.commands, "%s with %d behind", name, behind)
+			require.Empty(t, core.commands, "%s with %d pipelined requests", name, pipelined)
 			require.Zero(t, counterValue(t, s, "closed_cut")+counterValue(t, s, "closed_unanswered"))
 		}
 	}
@@ -92,13 +92,13 @@
 
 // A client that is still connected is served, even if it has sent many requests after the first one.
 func TestPipelinedRequestsAreServed(t *testing.T) {
-	for _, behind := range []int{0, 1, 100, 300} {
+	for _, pipelined := range []int{0, 1, 100, 300} {
 		core, _, dial := serve(t, 2, 0)
 		nc := dial()
-		_, err := fmt.Fprint(nc, commandRequest+strings.Repeat(commandRequest, behind))
+		_, err := fmt.Fprint(nc, commandRequest+strings.Repeat(commandRequest, pipelined))
 		require.NoError(t, err)
 		br := bufio.NewReader(nc)
-		for range behind + 1 {
+		for range pipelined + 1 {
 			core.nextCommand(t).Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
 			p, err := http1.ReadResponse(br, "POST")
 			require.NoError(t, err)
@@ -123,7 +123,7 @@
 }
 
 // acceptedConn returns both ends of a connection.
-func acceptedConn(t *testing.T) (here, client net.Conn) {
+func acceptedConn(t *testing.T) (serverEnd, client net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -131,19 +131,19 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { client.Close() })
 	client.SetDeadline(time.Now().Add(20 * time.Second))
-	here, err = l.Accept()
+	serverEnd, err = l.Accept()
 	require.NoError(t, err)
-	t.Cleanup(func() { here.Close() })
-	return here, client
+	t.Cleanup(func() { serverEnd.Close() })
+	return serverEnd, client
 }
 
 // A read timeout may expire just as the request is complete. That must not be taken for a disconnect.
 func TestReadTimeoutIsNoDisconnect(t *testing.T) {
 	core, s := newServer(1)
-	here, client := acceptedConn(t)
-	c := &conn{server: s, nc: here, state: handling}
+	serverEnd, client := acceptedConn(t)
+	c := &conn{server: s, nc: serverEnd, state: handling}
 	c.setBuffer(nil, http1.MaxLine)
-	require.NoError(t, here.SetReadDeadline(pastDeadline))
+	require.NoError(t, serverEnd.SetReadDeadline(pastDeadline))
 	q, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(commandRequest)), nil)
 	require.NoError(t, err)
 	go c.handleCommand(q, time.Time{})
@@ -168,10 +168,10 @@
 			nc.Close()
 		}
 		select {
-		case lapsed := <-core.clientsGone:
-			require.Same(t, cmd, lapsed)
+		case gone := <-core.clientsGone:
+			require.Same(t, cmd, gone)
 		case <-time.After(20 * time.Second):
-			require.FailNow(t, "nothing ended it")
+			require.FailNow(t, "the command was not cancelled")
 		}
 		cmd.Client.Answer(dispatch.Answer{Verdict: dispatch.Served, Result: []byte("late")}) // the loop has not received the cancellation
 		if stays {
@@ -193,8 +193,8 @@
 // The bytes buffered and read of a flood are bounded, and an answer that is available by then is still written.
 func TestFloodIsBounded(t *testing.T) {
 	core, s := newServer(1)
-	here, client := acceptedConn(t)
-	c := &conn{server: s, nc: here, state: handling}
+	serverEnd, client := acceptedConn(t)
+	c := &conn{server: s, nc: serverEnd, state: handling}
 	c.setBuffer(nil, http1.MaxLine)
 	go io.Copy(client, endlessReader{})
 	require.ErrorIs(t, c.watchClient(), errFlood)
@@ -218,29 +218,29 @@
 // CPU both may run long after an attempt.
 func TestDisconnectedWhileReading(t *testing.T) {
 	for name, leave := range disconnects {
-		here, client := acceptedConn(t)
-		w := &commandClient{cmd: &dispatch.Command{ID: "1"}, answer: make(chan outcome, 1), nc: here}
+		serverEnd, client := acceptedConn(t)
+		w := &commandClient{cmd: &dispatch.Command{ID: "1"}, answer: make(chan outcome, 1), nc: serverEnd}
 		w.cmd.Client = w
 		a := &dispatch.Attempt{Command: w.cmd}
 		reads := make(chan error)
 		go func() {
-			_, err := here.Read(make([]byte, 1))
+			_, err := serverEnd.Read(make([]byte, 1))
 			reads <- err
-			_, err = here.Read(make([]byte, 1))
+			_, err = serverEnd.Read(make([]byte, 1))
 			reads <- err
 		}()
 		require.False(t, a.Expired(time.Now()), name)
 		client.Write([]byte("x"))
 		require.NoError(t, <-reads)
 		require.False(t, a.Expired(time.Now()), name)
-		here.SetReadDeadline(pastDeadline)
+		serverEnd.SetReadDeadline(pastDeadline)
 		require.ErrorIs(t, <-reads, os.ErrDeadlineExceeded)
-		require.False(t, a.Expired(time.Now()), "a passed deadline is no end")
+		require.False(t, a.Expired(time.Now()), "an expired deadline is no disconnect")
 		leave(client)
 		require.Eventually(t, func() bool { return a.Expired(time.Now()) }, 20*time.Second, time.Millisecond, name)
 	}
 	w := &commandClient{cmd: &dispatch.Command{ID: "1"}, answer: make(chan outcome, 1)}
-	require.False(t, w.Disconnected(), "it is on its way from an older process")
+	require.False(t, w.Disconnected(), "the connection has not been received from an older process yet")
 }
 
 // The newer process notices that a client has disconnected while its connection was being passed: its command is not
@@ -248,22 +248,22 @@
 func TestDisconnectDuringHandover(t *testing.T) {
 	for name, leave := range disconnects {
 		core, s := newServer(9)
-		here, client := acceptedConn(t)
+		serverEnd, client := acceptedConn(t)
 		cmd := &dispatch.Command{ID: "1"}
 		s.Expect(cmd, false)
 		leave(client)
-		s.Adopt(here, Passed{Answered: true, ID: "1"})
+		s.Adopt(serverEnd, Passed{Answered: true, ID: "1"})
 		select {
-		case lapsed := <-core.clientsGone:
-			require.Same(t, cmd, lapsed, name)
+		case gone := <-core.clientsGone:
+			require.Same(t, cmd, gone, name)
 		case <-time.After(20 * time.Second):
-			require.FailNow(t, "nobody saw it go", name)
+			require.FailNow(t, "the disconnect was not noticed", name)
 		}
-		here, client = acceptedConn(t)
+		serverEnd, client = acceptedConn(t)
 		q, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(commandRequest)), nil)
 		require.NoError(t, err)
 		leave(client)
-		s.Adopt(here, Passed{Answered: true, ID: "1", Request: q, Deadline: time.Now().Add(time.Minute)})
+		s.Adopt(serverEnd, Passed{Answered: true, ID: "1", Request: q, Deadline: time.Now().Add(time.Minute)})
 		require.Eventually(t, func() bool { return s.Connections() == 0 }, 20*time.Second, time.Millisecond)
 		require.Empty(t, core.commands, name)
 	}
--- a/internal/net/clients/eviction_test.go
+++ b/internal/net/clients/eviction_test.go
@@ -24,7 +24,7 @@
 
 // postCallback sends a callback, fails the test unless it is accepted, and reports whether the connection is to be
 // closed.
-func postCallback(t *testing.T, c *fakeCore, nc net.Conn, id string) (ends bool) {
+func postCallback(t *testing.T, c *fakeCore, nc net.Conn, id string) (closes bool) {
 	p := roundTrip(t, nc, callbackRequest(id))
 	require.Equal(t, 204, p.Status)
 	require.Equal(t, dispatch.Callback{ID: id, From: "s-1", State: dispatch.Done, Result: []byte("r")}, <-c.callbacks)
@@ -48,7 +48,7 @@
 		}
 	}
 	_, err := idle[0].Read(make([]byte, 1))
-	require.ErrorIs(t, err, io.EOF, "the longest idle client has made room")
+	require.ErrorIs(t, err, io.EOF, "the connection that has been idle longest is evicted")
 }
 
 // While a connection waits for a slot, each answer to a client closes its connection, and no answer to an encoder
@@ -62,7 +62,7 @@
 	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered && !c.instance })
 	s.setCrowded(true)
 	require.False(t, postCallback(t, c, encoder, "2"))
-	require.False(t, postCallback(t, c, encoder, "3"), "nor is it ended before its next call")
+	require.False(t, postCallback(t, c, encoder, "3"), "nor is it closed before its next callback")
 	require.True(t, roundTrip(t, client, healthRequest).Close)
 }
 
@@ -70,9 +70,9 @@
 // least.
 func TestIdleEncoderIsEvictedLast(t *testing.T) {
 	c, _, dial := serve(t, 2, 0)
-	encoder, held := dial(), dial()
+	encoder, busy := dial(), dial()
 	postCallback(t, c, encoder, "1")
-	fmt.Fprint(held, commandRequest)
+	fmt.Fprint(busy, commandRequest)
 	c.nextCommand(t)
 	require.Equal(t, 200, roundTrip(t, dial(), healthRequest).Status)
 	_, err := encoder.Read(make([]byte, 1))
@@ -131,14 +131,14 @@
 		require.NoError(t, nc.SetDeadline(time.Now().Add(20*time.Second)))
 		return nc
 	}
-	idle, encoder, another := dial(), dial(), dial()
+	idle, encoder, later := dial(), dial(), dial()
 	g.gate <- struct{}{}
 	require.Equal(t, 200, roundTrip(t, idle, healthRequest).Status)
 	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered })
-	spare, err := os.Open(os.DevNull)
+	reserved, err := os.Open(os.DevNull)
 	require.NoError(t, err)
 	forbidNewDescriptors(t)
-	before, since := g.accepts.Load(), time.Now()
+	callsBefore, since := g.accepts.Load(), time.Now()
 	close(g.gate)
 	postCallback(t, c, encoder, "1")
 	_, err = idle.Read(make([]byte, 1))
@@ -149,11 +149,11 @@
 		c.state = handling // no connection is expendable
 	}
 	s.mu.Unlock()
-	require.Eventually(t, func() bool { return g.accepts.Load() > before+10 }, 20*time.Second, time.Millisecond)
-	tries := g.accepts.Load() - before
-	require.GreaterOrEqual(t, time.Since(since), time.Duration(tries-3)*acceptRetryInterval, "%d tries", tries)
-	require.NoError(t, spare.Close())
-	postCallback(t, c, another, "2")
+	require.Eventually(t, func() bool { return g.accepts.Load() > callsBefore+10 }, 20*time.Second, time.Millisecond)
+	attempts := g.accepts.Load() - callsBefore
+	require.GreaterOrEqual(t, time.Since(since), time.Duration(attempts-3)*acceptRetryInterval, "%d attempts", attempts)
+	require.NoError(t, reserved.Close())
+	postCallback(t, c, later, "2")
 }
 
 // A callback that arrives after many clients that connect and send nothing is processed once those before it are
@@ -165,6 +165,6 @@
 	}
 	since := time.Now()
 	postCallback(t, c, dial(), "1")
-	t.Logf("heard after %v", time.Since(since))
+	t.Logf("processed after %v", time.Since(since))
 	require.Less(t, time.Since(since), 5*time.Second)
 }
--- a/internal/net/clients/server_test.go
+++ b/internal/net/clients/server_test.go
@@ -44,7 +44,7 @@
 	case cmd := <-c.commands:
 		return cmd
 	case <-time.After(20 * time.Second):
-		require.FailNow(t, "no command was taken")
+		require.FailNow(t, "no command was submitted")
 		return nil
 	}
 }
@@ -81,25 +81,25 @@
 }
 
 // newServer returns a server that does not serve yet, and the core that its commands go to.
-func newServer(most int) (*fakeCore, *Server) {
+func newServer(maxConns int) (*fakeCore, *Server) {
 	c := &fakeCore{commands: make(chan *dispatch.Command, 9), clientsGone: make(chan *dispatch.Command, 9), callbacks: make(chan dispatch.Callback, 9)}
 	return c, New(c, decide.Settings{Classes: []decide.Class{{Deadline: time.Minute}}}, wire.Names{Classes: []string{"safe"}},
-		most, func() string { return "" }, slog.New(slog.DiscardHandler))
+		maxConns, func() string { return "" }, slog.New(slog.DiscardHandler))
 }
 
 // serve starts a server and returns a function that connects to it. The first calls of Accept fail.
-func serve(t *testing.T, most, fails int) (*fakeCore, *Server, func() net.Conn) {
-	return serveWith(t, most, fails, timeouts{firstRequest: time.Minute, firstByte: time.Minute, remainder: time.Minute, linger: time.Minute})
+func serve(t *testing.T, maxConns, failures int) (*fakeCore, *Server, func() net.Conn) {
+	return serveWith(t, maxConns, failures, timeouts{firstRequest: time.Minute, firstByte: time.Minute, remainder: time.Minute, linger: time.Minute})
 }
 
 // serveWith is serve with other timeouts.
-func serveWith(t *testing.T, most, fails int, p timeouts) (*fakeCore, *Server, func() net.Conn) {
+func serveWith(t *testing.T, maxConns, failures int, limits timeouts) (*fakeCore, *Server, func() net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	c, s := newServer(most)
-	s.timeouts = p
+	c, s := newServer(maxConns)
+	s.timeouts = limits
 	wrapped := &failingListener{Listener: l}
-	wrapped.failures.Store(int32(fails))
+	wrapped.failures.Store(int32(failures))
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.Serve(ctx, wrapped)
 	t.Cleanup(func() { cancel(); l.Close() })
@@ -136,7 +136,7 @@
 	command := "POST /api HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
 	first := dial()
 	fmt.Fprintf(first, command, "1")
-	held := c.nextCommand(t)
+	pending := c.nextCommand(t)
 	second := dial()
 	fmt.Fprintf(second, command, "2")
 	c.nextCommand(t)
@@ -145,7 +145,7 @@
 	third := dial()
 	fmt.Fprint(third, healthRequest)
 	waitCrowded(t, s)
-	held.Client.Answer(dispatch.Answer{Verdict: dispatch.Refused, RetryAfter: 1500500 * time.Microsecond})
+	pending.Client.Answer(dispatch.Answer{Verdict: dispatch.Refused, RetryAfter: 1500500 * time.Microsecond})
 	p, err := http1.ReadResponse(bufio.NewReader(first), "POST")
 	require.NoError(t, err)
 	require.Equal(t, []any{503, "1.501", true}, []any{p.Status, p.Header.Get("Retry-After"), p.Close})
@@ -158,22 +158,22 @@
 // with the request on it.
 func TestNewConnectionKeepsLastSlot(t *testing.T) {
 	_, s, dial := serve(t, 1, 0)
-	newcomer := dial()
+	newConn := dial()
 	waitCrowded(t, s)
-	require.Equal(t, 200, roundTrip(t, newcomer, healthRequest).Status)
+	require.Equal(t, 200, roundTrip(t, newConn, healthRequest).Status)
 }
 
 // Peers that sent nothing, or stopped in the middle of a request, held all slots for ten seconds and blocked all
 // others. They are evicted with an answer.
 func TestSilentPeersAreEvicted(t *testing.T) {
-	for start, in := range map[string]state{"": waiting, healthRequest[:9]: reading} {
+	for sent, want := range map[string]state{"": waiting, healthRequest[:9]: reading} {
 		_, s, dial := serve(t, 1, 0)
-		mute := dial()
-		fmt.Fprint(mute, start)
+		silentConn := dial()
+		fmt.Fprint(silentConn, sent)
 		waitCrowded(t, s)
-		waitForConn(t, s, func(c *conn) bool { return c.state == in })
+		waitForConn(t, s, func(c *conn) bool { return c.state == want })
 		s.evictOne(time.Now().Add(time.Hour)) // when its timeout has expired
-		require.Equal(t, 503, roundTrip(t, mute, "").Status)
+		require.Equal(t, 503, roundTrip(t, silentConn, "").Status)
 		require.Equal(t, 200, roundTrip(t, dial(), healthRequest).Status)
 	}
 }
@@ -181,9 +181,9 @@
 // With free slots they are answered, too, once they time out.
 func TestSilentPeersTimeOut(t *testing.T) {
 	_, _, dial := serveWith(t, 9, 0, timeouts{firstRequest: time.Millisecond})
-	mute, halting := dial(), dial()
-	fmt.Fprint(halting, healthRequest[:9])
-	for _, c := range []net.Conn{mute, halting} {
+	silentConn, stalledConn := dial(), dial()
+	fmt.Fprint(stalledConn, healthRequest[:9])
+	for _, c := range []net.Conn{silentConn, stalledConn} {
 		p := roundTrip(t, c, "")
 		require.Equal(t, []any{408, true}, []any{p.Status, p.Close})
 	}
@@ -295,26 +295,26 @@
 // no request or a part of one are answered, too.
 func TestShutdownAnswersInTime(t *testing.T) {
 	c, s, dial := serve(t, 9, 0)
-	told := time.Now()
-	by := s.End(told)
-	require.Equal(t, told.Add(3500*time.Millisecond), by)
-	require.Equal(t, by, s.End(told.Add(time.Second)), "told again")
+	toldAt := time.Now()
+	answerBy := s.End(toldAt)
+	require.Equal(t, toldAt.Add(3500*time.Millisecond), answerBy)
+	require.Equal(t, answerBy, s.End(toldAt.Add(time.Second)), "second call")
 	command := "POST /api HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
-	held := dial()
-	fmt.Fprintf(held, command, "1")
-	require.Equal(t, by, c.nextCommand(t).Deadline)
-	mute, half, kept := dial(), dial(), dial()
-	fmt.Fprint(half, healthRequest[:9])
+	pending := dial()
+	fmt.Fprintf(pending, command, "1")
+	require.Equal(t, answerBy, c.nextCommand(t).Deadline)
+	silentConn, stalledConn, idleConn := dial(), dial(), dial()
+	fmt.Fprint(stalledConn, healthRequest[:9])
 	waitForConn(t, s, func(c *conn) bool { return c.state == reading })
-	require.Equal(t, 200, roundTrip(t, kept, healthRequest).Status)
+	require.Equal(t, 200, roundTrip(t, idleConn, healthRequest).Status)
 	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered })
 	require.Eventually(t, func() bool { return s.Connections() == 4 }, 20*time.Second, time.Millisecond)
 	s.Finish(time.Now())
-	for _, c := range []net.Conn{mute, half} {
+	for _, c := range []net.Conn{silentConn, stalledConn} {
 		p := roundTrip(t, c, "")
 		require.Equal(t, []any{503, true}, []any{p.Status, p.Close})
 	}
-	_, err := kept.Read(make([]byte, 1))
+	_, err := idleConn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	require.Equal(t, 503, roundTrip(t, dial(), fmt.Sprintf(command, "2")).Status)
 	require.Equal(t, 1, counterValue(t, s, "ending_refused"))
@@ -326,15 +326,15 @@
 // Connections from the older process were closed without an answer if there was no slot for them or their command was
 // lost with that process.
 func TestPassedConnectionsAreAnswered(t *testing.T) {
-	for _, one := range []struct {
-		most, status int
-		p            Passed
+	for _, test := range []struct {
+		maxConns, status int
+		p                Passed
 	}{
 		{0, 503, Passed{Answered: true, ID: "1", Request: &http1.Request{Method: "POST", Target: "/api"}}},
 		{0, 502, Passed{Answered: true, ID: "1"}},
 		{1, 502, Passed{Answered: true, ID: "1"}},
 	} {
-		s := New(&fakeCore{}, decide.Settings{}, wire.Names{}, one.most, nil, slog.New(slog.DiscardHandler))
+		s := New(&fakeCore{}, decide.Settings{}, wire.Names{}, test.maxConns, nil, slog.New(slog.DiscardHandler))
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
@@ -344,18 +344,18 @@
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		nc, err := l.Accept()
 		require.NoError(t, err)
-		s.Adopt(nc, one.p)
-		require.Equal(t, one.status, roundTrip(t, c, "").Status)
+		s.Adopt(nc, test.p)
+		require.Equal(t, test.status, roundTrip(t, c, "").Status)
 	}
 }
 
 // A client that expected 100 Continue was answered 408 if the connection's last answer was some seconds old.
 func TestContinueAfterIdleTime(t *testing.T) {
 	c, s, dial := serve(t, 2, 0)
-	kept := dial()
-	require.Equal(t, 200, roundTrip(t, kept, healthRequest).Status)
+	idleConn := dial()
+	require.Equal(t, 200, roundTrip(t, idleConn, healthRequest).Status)
 	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.nc.SetWriteDeadline(pastDeadline) == nil })
-	fmt.Fprint(kept, "POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: safe\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\nx")
+	fmt.Fprint(idleConn, "POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: safe\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\nx")
 	c.nextCommand(t)
 }
 
@@ -364,25 +364,25 @@
 // unless some of their bytes were dropped.
 func TestDisconnectAfterPipelinedRequests(t *testing.T) {
 	command := "POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
-	for _, behind := range []int{0, 1, 100, 300, 3000} { // requests
-		for _, goes := range []bool{true, false} {
+	for _, pipelined := range []int{0, 1, 100, 300, 3000} { // requests
+		for _, disconnect := range []bool{true, false} {
 			c, s, dial := serve(t, 2, 0)
 			nc := dial()
-			_, err := fmt.Fprint(nc, command+strings.Repeat(command, behind))
+			_, err := fmt.Fprint(nc, command+strings.Repeat(command, pipelined))
 			require.NoError(t, err)
 			first := c.nextCommand(t)
-			if goes {
+			if disconnect {
 				nc.Close()
 				select {
 				case gone := <-c.clientsGone:
 					require.Same(t, first, gone)
 				case <-time.After(20 * time.Second):
-					require.FailNow(t, "nobody saw it go", "%d behind", behind)
+					require.FailNow(t, "the disconnect was not noticed", "%d pipelined requests", pipelined)
 				}
 				require.Empty(t, c.commands)
 				continue
 			}
-			if behind == 3000 {
+			if pipelined == 3000 {
 				waitForConn(t, s, func(c *conn) bool { return c.flooded })
 			}
 			first.Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
@@ -390,12 +390,12 @@
 			p, err := http1.ReadResponse(br, "POST")
 			require.NoError(t, err)
 			require.Equal(t, 503, p.Status)
-			if require.Equal(t, behind == 3000, p.Close); p.Close {
+			if require.Equal(t, pipelined == 3000, p.Close); p.Close {
 				_, err = br.ReadByte()
 				require.ErrorIs(t, err, io.EOF)
 				continue
 			}
-			for range behind {
+			for range pipelined {
 				c.nextCommand(t).Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
 				p, err = http1.ReadResponse(br, "POST")
 				require.NoError(t, err)
--- a/internal/net/loadreport/loadreport_test.go
+++ b/internal/net/loadreport/loadreport_test.go
@@ -16,19 +16,19 @@
 func TestParsedReports(t *testing.T) {
 	var log bytes.Buffer
 	r := New([]string{"x0", "avg_ms", "cpu"}, slog.New(slog.NewTextHandler(&log, nil)))
-	free := func(n float64) *decide.Report {
+	freeSlots := func(n float64) *decide.Report {
 		return &decide.Report{Active: -1, Waiting: -1, FreeSlots: n, FreeMemory: -1}
 	}
 	for text, want := range map[string]*decide.Report{
-		`{"avg_ms":87.5,"cpu":0.136,"x0":6.04}`:     free(6.04),
-		`{"x0":0,"queue":7,"x1":"not ours","a":{}}`: free(0),
-		`{"util":1}`: free(-1),
+		`{"avg_ms":87.5,"cpu":0.136,"x0":6.04}`:     freeSlots(6.04),
+		`{"x0":0,"queue":7,"x1":"not ours","a":{}}`: freeSlots(0),
+		`{"util":1}`: freeSlots(-1),
 		`null`:       nil, ``: nil,
 	} {
 		require.Equal(t, want, r.Object([]byte(text)), text)
 	}
-	require.Equal(t, free(3), r.Line("TEXT x0=3, util=0.61,latency_ms=8"))
-	require.Equal(t, free(-1), r.Line("text inflight=7"))
+	require.Equal(t, freeSlots(3), r.Line("TEXT x0=3, util=0.61,latency_ms=8"))
+	require.Equal(t, freeSlots(-1), r.Line("text inflight=7"))
 	require.Empty(t, log.String())
 	for _, text := range []string{`{"x0":-1}`, `{"x0":1e9}`, `{"x0":"3"}`, `{"cpu":null`, `[3]`, `{"x0":1e999}`, strings.Repeat(" ", 2000)} {
 		require.Nil(t, r.Object([]byte(text)), text)
@@ -42,9 +42,9 @@
 	require.Equal(t, &decide.Report{Active: 7, Waiting: 2, FreeSlots: -1, FreeMemory: -1}, r.Line("TEXT inflight=7, queue=2, util=0.61"))
 	r.Retune(nil)
 	require.Nil(t, r.Object([]byte(`{"x0":1}`)))
-	var none *Reader
-	require.False(t, none.Any())
-	require.Nil(t, none.Line("TEXT x0=3"))
+	var nilReader *Reader
+	require.False(t, nilReader.Any())
+	require.Nil(t, nilReader.Line("TEXT x0=3"))
 }
 
 // A null value counts as absent. It was read as 0: an encoder without free slots.
@@ -60,11 +60,11 @@
 	}
 	r := New([]string{"x0", "queue", "inflight", "x1"}, slog.New(slog.DiscardHandler))
 	f.Fuzz(func(t *testing.T, text string) {
-		for _, got := range []*decide.Report{r.Object([]byte(text)), r.Line(text)} {
-			if got == nil {
+		for _, report := range []*decide.Report{r.Object([]byte(text)), r.Line(text)} {
+			if report == nil {
 				continue
 			}
-			for _, n := range []float64{got.Active, got.Waiting, got.FreeSlots, got.FreeMemory} {
+			for _, n := range []float64{report.Active, report.Waiting, report.FreeSlots, report.FreeMemory} {
 				require.True(t, n == -1 || n >= 0 && n <= maxValue, n)
 			}
 		}
--- a/internal/net/sock/sock_test.go
+++ b/internal/net/sock/sock_test.go
@@ -29,25 +29,25 @@
 		c.SetLinger(0)
 		c.Close()
 	}
-	for name, one := range map[string]struct {
-		does func(*net.TCPConn)
-		want State
+	for name, test := range map[string]struct {
+		action func(*net.TCPConn)
+		want   State
 	}{
-		"nothing":           {func(*net.TCPConn) {}, Empty},
-		"a byte":            {func(c *net.TCPConn) { c.Write([]byte("x")) }, Data},
-		"a byte, then FIN":  {func(c *net.TCPConn) { c.Write([]byte("x")); c.Close() }, Data},
-		"FIN":               {func(c *net.TCPConn) { c.Close() }, Closed},
-		"half closed":       {func(c *net.TCPConn) { c.CloseWrite() }, Closed},
-		"RST":               {reset, Closed},
-		"RST over a byte":   {func(c *net.TCPConn) { c.Write([]byte("x")); reset(c) }, Data},
-		"their reads ended": {func(c *net.TCPConn) { c.CloseRead() }, Empty},
+		"nothing":          {func(*net.TCPConn) {}, Empty},
+		"a byte":           {func(c *net.TCPConn) { c.Write([]byte("x")) }, Data},
+		"a byte, then FIN": {func(c *net.TCPConn) { c.Write([]byte("x")); c.Close() }, Data},
+		"FIN":              {func(c *net.TCPConn) { c.Close() }, Closed},
+		"half closed":      {func(c *net.TCPConn) { c.CloseWrite() }, Closed},
+		"RST":              {reset, Closed},
+		"RST over a byte":  {func(c *net.TCPConn) { c.Write([]byte("x")); reset(c) }, Data},
+		"reads ended":      {func(c *net.TCPConn) { c.CloseRead() }, Empty},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ours, theirs := connPair(t)
-			one.does(theirs)
-			require.Equal(t, one.want, Look(ours))
-			require.Equal(t, one.want, Look(ours))
-			if one.want == Data {
+			test.action(theirs)
+			require.Equal(t, test.want, Look(ours))
+			require.Equal(t, test.want, Look(ours))
+			if test.want == Data {
 				var b [2]byte
 				n, err := ours.Read(b[:])
 				require.NoError(t, err)
