--- a/internal/net/clients/callback.go
+++ b/internal/net/clients/callback.go
@@ -9,43 +9,46 @@
 	"caperrelay/internal/net/http1"
 )
 
-var newsStates = map[string]dispatch.JobState{
+var callbackStates = map[string]dispatch.JobState{
 	"started": dispatch.Started, "running": dispatch.Running, "done": dispatch.Done,
 	"failed": dispatch.Errored, "returned": dispatch.Returned, "lost": dispatch.Lost,
 }
 
-// news takes an instance's call-back; false: the connection is to end, or is another process's.
-func (c *conn) news(q *http1.Request) bool {
+// handleCallback processes an instance's callback. It returns false if the connection is to be closed or has been
+// passed to another process.
+func (c *conn) handleCallback(q *http1.Request) bool {
 	var in callback
-	if err := in.read(q.Body); err != nil {
+	if err := in.parse(q.Body); err != nil {
 		return c.reply(400, nil, "no call-back\n", q.Close)
 	}
-	state, ok := newsStates[in.State]
-	if !ok { // others may come some day: nothing to do
+	state, ok := callbackStates[in.State]
+	if !ok { // unknown states, perhaps of later encoders, are ignored
 		return c.reply(204, nil, "", q.Close)
 	}
-	n := in.news(state)
-	n.Report = c.server.reports.Object(in.Load)
-	if !c.hand(q, n) || !c.server.core.PersistCallback(n) {
+	cb := in.toDispatch(state)
+	cb.Report = c.server.reports.Object(in.Load)
+	if !c.deliver(q, cb) || !c.server.core.PersistCallback(cb) {
 		return false
 	}
 	return c.reply(204, nil, "", q.Close)
 }
 
-// hand gives the core a call-back; false: a newer process has the connection, and the call-back to read and to answer. This
-// process could die before it had passed on what the instance takes for heard.
-func (c *conn) hand(q *http1.Request, n dispatch.Callback) bool {
+// deliver passes a callback to the core. It returns false if a newer process has the connection and will read and
+// answer the callback: this process could die before it has forwarded a callback that the instance takes for
+// received.
+func (c *conn) deliver(q *http1.Request, cb dispatch.Callback) bool {
 	s := c.server
 	s.callbacks.RLock()
 	defer s.callbacks.RUnlock()
 	if s.Yielded() && c.passUnread(q) {
 		return false
 	}
-	s.core.HandleCallback(n)
+	s.core.HandleCallback(cb)
 	return true
 }
 
-// passUnread passes the connection as if a call-back on it had not been read; false: nobody takes over any more.
+// passUnread passes the connection to the newer process as if the callback on it had not been read. It returns false
+// if no process takes over any more.
 func (c *conn) passUnread(q *http1.Request) bool {
 	var h http1.Header
 	if q.Close {
@@ -54,28 +57,28 @@
 	unread := http1.AppendRequest(nil, q.Method, q.Target, h, q.Body)
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.pass(Passed{Rest: unread})
+	return c.passOn(Passed{Rest: unread})
 }
 
-// news is what a call-back tells, but for the instance's load report.
-func (c *callback) news(state dispatch.JobState) dispatch.Callback {
-	n := dispatch.Callback{ID: c.ID, From: c.From, State: state, Share: c.Share, Result: c.Result}
-	if plain, rest, ok := text(c.Result); ok && len(rest) == 0 { // a text stands for itself, all else as it is
-		n.Result = plain
+// toDispatch converts a callback, except for its load report.
+func (c *callback) toDispatch(state dispatch.JobState) dispatch.Callback {
+	cb := dispatch.Callback{ID: c.ID, From: c.From, State: state, Share: c.Share, Result: c.Result}
+	if plain, rest, ok := plainString(c.Result); ok && len(rest) == 0 { // a string result is its text; any other JSON value stays as it is
+		cb.Result = plain
 	} else if c.Result != nil {
 		var text *string
 		if json.Unmarshal(c.Result, &text) == nil && text != nil {
-			n.Result = []byte(*text)
+			cb.Result = []byte(*text)
 		}
 	}
-	// Guards against serving what no instance made: it ran, and nothing came of it.
-	if none := len(c.Result) == 0 || string(c.Result) == "null"; none && state == dispatch.Done {
-		n.State = dispatch.Errored
+	// A job that is done without a result has nothing to serve, so its attempt counts as failed.
+	if noResult := len(c.Result) == 0 || string(c.Result) == "null"; noResult && state == dispatch.Done {
+		cb.State = dispatch.Errored
 	}
-	return n
+	return cb
 }
 
-// callback is the body of an instance's call.
+// callback is the body of an instance's callback request.
 type callback struct {
 	ID     string          `json:"id"`
 	From   string          `json:"from"`
@@ -85,18 +88,19 @@
 	Load   json.RawMessage `json:"load"` // the instance's load report
 }
 
-// read takes a body. Nearly all are one flat object of plain texts and numbers, perhaps with a flat one of loads, of which reading by
-// encoding/json took a twelfth of the CPU that a command costs; whatever looks otherwise goes that way.
-func (c *callback) read(body []byte) error {
-	if c.quick(body) {
+// parse parses a body. Nearly all bodies are one flat object of plain strings and numbers, perhaps with a flat object
+// of loads. Parsing them with encoding/json took a twelfth of the CPU time that a command costs, so only other bodies
+// are parsed with it.
+func (c *callback) parse(body []byte) error {
+	if c.parseFast(body) {
 		return nil
 	}
 	*c = callback{}
 	return json.Unmarshal(body, c)
 }
 
-// quick reads what is plain; false: it is not, and c holds nothing of use.
-func (c *callback) quick(b []byte) bool {
+// parseFast parses a plain body. If it returns false the body is not plain, and the contents of c are meaningless.
+func (c *callback) parseFast(b []byte) bool {
 	b = bytes.Trim(b, " \t\r\n")
 	if len(b) < 2 || b[0] != '{' || b[len(b)-1] != '}' {
 		return false
@@ -114,7 +118,7 @@
 			}
 			b = bytes.TrimLeft(b[1:], " \t\r\n")
 		}
-		key, rest, ok := text(b)
+		key, rest, ok := plainString(b)
 		if !ok {
 			return false
 		}
@@ -137,7 +141,7 @@
 			field = 16
 		case "load":
 			field = 32
-		default: // also a name in other letters, which encoding/json takes for one of these
+		default: // also a name in other case, which encoding/json would match
 			return false
 		}
 		if seen&field != 0 {
@@ -149,7 +153,7 @@
 			if n < 0 {
 				n = len(b)
 			}
-			if !number(b[:n]) {
+			if !isPlainNumber(b[:n]) {
 				return false
 			}
 			share, err := strconv.ParseFloat(string(b[:n]), 64)
@@ -161,13 +165,13 @@
 		}
 		if field == 32 {
 			end := bytes.IndexByte(b, '}') + 1
-			if b[0] != '{' || end == 0 || !json.Valid(b[:end]) { // valid as it is cut: it ends there
+			if b[0] != '{' || end == 0 || !json.Valid(b[:end]) { // valid when cut there, so the object ends there
 				return false
 			}
 			c.Load, b = b[:end], b[end:]
 			continue
 		}
-		value, rest, ok := text(b)
+		value, rest, ok := plainString(b)
 		if !ok {
 			return false
 		}
@@ -185,8 +189,8 @@
 	}
 }
 
-// text reads a JSON text of plain ASCII without escapes.
-func text(b []byte) (value, rest []byte, ok bool) {
+// plainString parses a JSON string of plain ASCII without escapes.
+func plainString(b []byte) (value, rest []byte, ok bool) {
 	if len(b) < 2 || b[0] != '"' {
 		return nil, nil, false
 	}
@@ -201,9 +205,9 @@
 	return nil, nil, false
 }
 
-// number tells whether a text is a plain JSON number: digits, perhaps a point and more digits.
-func number(b []byte) bool {
-	whole, part, point := bytes.Cut(b, []byte{'.'})
+// isPlainNumber reports whether b is a plain JSON number: digits, optionally followed by a point and more digits.
+func isPlainNumber(b []byte) bool {
+	integer, fraction, hasPoint := bytes.Cut(b, []byte{'.'})
 	digits := func(b []byte) bool {
 		for _, x := range b {
 			if x < '0' || x > '9' {
@@ -212,5 +216,5 @@
 		}
 		return len(b) > 0 && len(b) < 18
 	}
-	return digits(whole) && (len(whole) == 1 || whole[0] != '0') && (!point || digits(part))
+	return digits(integer) && (len(integer) == 1 || integer[0] != '0') && (!hasPoint || digits(fraction))
 }
--- a/internal/net/clients/conn.go
+++ b/internal/net/clients/conn.go
@@ -17,99 +17,99 @@
 	"caperrelay/internal/net/sock"
 )
 
-// past as a deadline wakes whoever reads from a connection.
-var past = time.Unix(1, 0)
+// pastDeadline, set as a deadline, interrupts a pending read.
+var pastDeadline = time.Unix(1, 0)
 
-// state is what a connection is doing.
+// state is the phase that a connection is in.
 type state int
 
 const (
-	waiting   state = iota // for a request's first byte
-	reading                // from that byte to the request's last
-	handling               // a request, to its answer's last byte
-	lingering              // after this side's end, until the other's
+	waiting   state = iota // for the first byte of a request
+	reading                // from that byte to the last of the request
+	handling               // a request, until its answer is written
+	lingering              // this side's half is closed, the peer's is still open
 )
 
-// conn is one connection that was accepted and, through run, its goroutine.
+// conn is an accepted connection; run is its goroutine.
 type conn struct {
-	server *Server
-	nc     net.Conn
-	br     *bufio.Reader
-	out    []byte      // room for answers
-	rest   []byte      // of a connection that was passed here: to be read first
-	first  func() bool // and to be done first; false: it is to end
-
-	gone    bool // the peer has ended it, or does not take its answer
-	more    int  // requests answered since its end was due
-	dropped int  // bytes that came behind a request and were not kept
-	parts   bool // a request has come, whole or not, and has no answer
-
-	// Under the server's lock.
-	state    state
-	since    time.Time // of the state; before the first answer since it was accepted
-	evicted  bool
-	answered bool // it has asked for something before
-	instance bool // its last request was a call-back
-	passed   bool // to another process
-	flood    bool // so much has come behind a request that some is dropped: no other is read
+	server    *Server
+	nc        net.Conn
+	reader    *bufio.Reader
+	outBuf    []byte      // buffer for answers
+	received  []byte      // received by the process that passed the connection here; read first
+	firstTask func() bool // if set, run before reading requests; returns false if the connection is to be closed
+
+	peerGone      bool // the peer has closed it, or does not read its answer
+	extraRequests int  // requests answered since it should have been closed
+	discarded     int  // bytes received after a request and discarded
+	unanswered    bool // a request has been received, at least in part, and is not answered yet
+
+	// Guarded by the server's lock.
+	state      state
+	stateSince time.Time // when the state began; until the first answer, when it was accepted
+	evicted    bool
+	answered   bool // a request on it has been answered
+	instance   bool // its last request was a callback
+	passed     bool // to another process
+	flooded    bool // bytes after a request were dropped, so no further request can be read
 }
 
-// use is how much a connection is needed while others want its place, the least first.
-type use int
+// retention orders connections by how much they are needed while others wait for a slot, the most expendable first.
+type retention int
 
 const (
-	done    use = iota // has its answer and is only kept from being reset
-	mute               // connected and said nothing: whoever has a request sends it at once
-	halting            // began a request and does not end it
-	spare              // a client's, stands between two requests
-	kept               // an encoder's, does so too: word of jobs comes on it, which ends what clients wait for
+	lingered    retention = iota // it is answered, and open only to avoid a reset
+	silent                       // it has sent nothing: a client that has a request sends it at once
+	stalled                      // it has sent a part of a request
+	idleClient                   // a client's connection between two requests
+	idleEncoder                  // an encoder's connection between two callbacks: those end the waits of clients
 	inUse
 )
 
-func (c *conn) use(now time.Time) use {
-	p := c.server.patience
-	switch age := now.Sub(c.since); {
-	case c.state == lingering && age >= p.lingerer:
-		return done
-	case c.state == waiting && !c.answered && age >= p.mute:
-		return mute
-	case c.state == reading && age >= p.halting:
-		return halting
+func (c *conn) retention(now time.Time) retention {
+	t := c.server.timeouts
+	switch age := now.Sub(c.stateSince); {
+	case c.state == lingering && age >= t.linger:
+		return lingered
+	case c.state == waiting && !c.answered && age >= t.firstByte:
+		return silent
+	case c.state == reading && age >= t.remainder:
+		return stalled
 	case c.state == waiting && c.answered && c.instance:
-		return kept
+		return idleEncoder
 	case c.state == waiting && c.answered:
-		return spare
+		return idleClient
 	}
 	return inUse
 }
 
-// evict has a connection that can be spared end, by its own goroutine.
+// evict has the connection's goroutine close it.
 func (c *conn) evict() {
 	c.evicted = true
-	c.nc.SetReadDeadline(past)
+	c.nc.SetReadDeadline(pastDeadline)
 }
 
 func (c *conn) run() {
-	defer c.server.ended(c)
+	defer c.server.connEnded(c)
 	c.serve()
 	if c.passed {
 		return
 	}
-	if !c.gone {
+	if !c.peerGone {
 		c.linger()
 	}
 	c.nc.Close()
 }
 
-// serve answers what is asked until the connection is to end. Whatever has come by then has its answer, unless the
-// peer itself has ended the connection.
+// serve answers requests until the connection is to be closed. Every request received by then is answered, unless the
+// peer has closed the connection.
 func (c *conn) serve() {
-	c.buffer(c.rest, http1.MaxLine)
-	if c.first != nil && !c.first() {
+	c.setBuffer(c.received, http1.MaxLine)
+	if c.firstTask != nil && !c.firstTask() {
 		return
 	}
 	for {
-		q, err := c.next()
+		q, err := c.readRequest()
 		var m *http1.Malformed
 		switch {
 		case errors.Is(err, errPassed):
@@ -118,12 +118,12 @@
 			c.reply(m.Status, nil, m.Text+"\n", true)
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.tooSlow()
+			c.replyTimeout()
 			return
 		case errors.Is(err, errIdle):
 			return
 		case err != nil:
-			c.gone = true
+			c.peerGone = true
 			return
 		case !c.handle(q):
 			return
@@ -131,20 +131,20 @@
 	}
 }
 
-// buffer has the connection read by way of so much room at least, which holds what has come of it already.
-func (c *conn) buffer(come []byte, size int) {
-	c.br = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(come), c.nc), max(size, len(come)))
-	c.br.Peek(len(come)) // lest it is passed on without them
+// setBuffer sets a read buffer of at least the given size that starts with the received bytes.
+func (c *conn) setBuffer(received []byte, size int) {
+	c.reader = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(received), c.nc), max(size, len(received)))
+	c.reader.Peek(len(received)) // fills the buffer, so that they are passed on with the connection
 }
 
-// next reads the next request.
-func (c *conn) next() (*http1.Request, error) {
-	if err := c.await(); err != nil {
+// readRequest reads the next request.
+func (c *conn) readRequest() (*http1.Request, error) {
+	if err := c.awaitRequest(); err != nil {
 		return nil, err
 	}
-	c.parts = true
-	return http1.ReadRequest(c.br, func() error {
-		err := c.nc.SetWriteDeadline(time.Now().Add(writePatience)) // that of the last answer may have passed
+	c.unanswered = true
+	return http1.ReadRequest(c.reader, func() error {
+		err := c.nc.SetWriteDeadline(time.Now().Add(writeTimeout)) // the deadline of the last answer may have passed
 		if err == nil {
 			_, err = c.nc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
@@ -152,9 +152,9 @@
 	})
 }
 
-// tooSlow tells a peer whose request has not come why its connection ends. One that had to
-// make room may try again.
-func (c *conn) tooSlow() {
+// replyTimeout tells a peer whose request has not arrived in time why its connection is closed. If it was evicted, it
+// may try again.
+func (c *conn) replyTimeout() {
 	c.server.mu.Lock()
 	evicted := c.evicted
 	c.server.mu.Unlock()
@@ -165,169 +165,170 @@
 	c.reply(408, nil, "the request did not come in time\n", true)
 }
 
-// errIdle says that a connection is ended by this side between two requests.
+// errIdle reports that this side closes a connection between two requests.
 var errIdle = errors.New("idle")
 
-// errPassed says that a connection is another process's now.
-var errPassed = errors.New("passed on")
+// errPassed reports that another process has taken over the connection.
+var errPassed = errors.New("connection passed to another process")
 
-// pass hands the connection to the process that takes over, if there is one. What has come
-// unread goes with it, behind p.Rest. The server's lock is held.
-func (c *conn) pass(p Passed) bool {
+// passOn passes the connection to the process that takes over, if there is one. Bytes received but not read go with
+// it, after p.Rest. The server's lock must be held.
+func (c *conn) passOn(p Passed) bool {
 	tcp, ok := c.nc.(*net.TCPConn)
-	if c.server.heir == nil || !ok {
+	if c.server.newer == nil || !ok {
 		return false
 	}
-	p.Answered, p.Instance, p.Flood = c.answered, c.instance, c.flood
-	unread, _ := c.br.Peek(c.br.Buffered())
+	p.Answered, p.Instance, p.Flood = c.answered, c.instance, c.flooded
+	unread, _ := c.reader.Peek(c.reader.Buffered())
 	p.Rest = append(p.Rest, unread...)
 	c.passed = true
-	c.server.heir.Pass(tcp, p)
+	c.server.newer.Pass(tcp, p)
 	return true
 }
 
-// await waits for a request's first byte. The end of a connection between two requests is io.EOF, or errIdle where it
-// is this side that ends it.
-func (c *conn) await() error {
+// awaitRequest waits for the first byte of a request. If the connection ends between two requests it returns io.EOF,
+// or errIdle if this side closes it.
+func (c *conn) awaitRequest() error {
 	s := c.server
 	s.mu.Lock()
-	if c.pass(Passed{}) {
+	if c.passOn(Passed{}) {
 		s.mu.Unlock()
 		return errPassed
 	}
-	first, now := !c.answered, time.Now()
-	until := c.since.Add(s.patience.first)
-	if c.state = waiting; !first {
-		c.since, until = now, now.Add(idlePatience)
+	isFirst, now := !c.answered, time.Now()
+	deadline := c.stateSince.Add(s.timeouts.firstRequest)
+	if c.state = waiting; !isFirst {
+		c.stateSince, deadline = now, now.Add(idleTimeout)
 	}
-	err := c.nc.SetReadDeadline(until)
-	if c.evicted || !first && s.crowded && !c.instance { // before it was here, or since its last answer was under way
+	err := c.nc.SetReadDeadline(deadline)
+	if c.evicted || !isFirst && s.crowded && !c.instance { // evicted before, or crowded since the last answer
 		c.evict()
 	}
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	_, err = c.br.Peek(1)
-	late := errors.Is(err, os.ErrDeadlineExceeded)
+	_, err = c.reader.Peek(1)
+	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if late && c.pass(Passed{}) {
+	if timedOut && c.passOn(Passed{}) {
 		return errPassed
 	}
-	// A request may cross the end of the connection: one that has come is taken.
-	if err != nil && (!late || c.nc.SetReadDeadline(time.Time{}) != nil || sock.Look(c.nc) != sock.Data) {
+	// A request may arrive just as the connection is to be closed; it is accepted.
+	if err != nil && (!timedOut || c.nc.SetReadDeadline(time.Time{}) != nil || sock.Look(c.nc) != sock.Data) {
 		switch {
-		case !first && late:
+		case !isFirst && timedOut:
 			return errIdle
-		case !first:
+		case !isFirst:
 			return io.EOF
 		}
 		return err
 	}
 	c.state, now = reading, time.Now()
-	if !first {
-		c.since, until = now, now.Add(readPatience)
+	if !isFirst {
+		c.stateSince, deadline = now, now.Add(readTimeout)
 	}
-	if late || c.evicted {
-		until = now.Add(s.patience.halting)
+	if timedOut || c.evicted {
+		deadline = now.Add(s.timeouts.remainder)
 	}
-	if s.over {
-		until = now.Add(s.patience.last)
+	if s.pastAnswerBy {
+		deadline = now.Add(s.timeouts.shutdown)
 	}
-	return c.nc.SetReadDeadline(until)
+	return c.nc.SetReadDeadline(deadline)
 }
 
-// handle serves one request; false: the connection is to end.
+// handle processes one request. It returns false if the connection is to be closed.
 func (c *conn) handle(q *http1.Request) bool {
 	path, _, _ := strings.Cut(q.Target, "?")
 	c.server.mu.Lock()
-	c.state, c.instance = handling, path == newsPath
+	c.state, c.instance = handling, path == callbackPath
 	c.server.mu.Unlock()
-	want := "GET"
-	if path == newsPath || path == commandPath {
-		want = "POST"
+	method := "GET"
+	if path == callbackPath || path == commandPath {
+		method = "POST"
 	}
 	switch {
-	case path != newsPath && path != commandPath && path != readyPath && path != countersPath:
+	case path != callbackPath && path != commandPath && path != readyPath && path != countersPath:
 		return c.reply(404, nil, "no such path\n", q.Close)
-	case q.Method != want:
-		return c.reply(405, http1.Header{{Name: "Allow", Value: want}}, "only "+want+"\n", q.Close)
+	case q.Method != method:
+		return c.reply(405, http1.Header{{Name: "Allow", Value: method}}, "only "+method+"\n", q.Close)
 	case path == readyPath && c.server.leaving():
 		return c.reply(503, nil, "departing\n", q.Close)
 	case path == readyPath:
 		return c.reply(200, nil, "ok\n", q.Close)
 	case path == countersPath:
-		return c.reply(200, nil, c.server.counters(), q.Close)
-	case path == newsPath:
-		return c.news(q)
+		return c.reply(200, nil, c.server.countersText(), q.Close)
+	case path == callbackPath:
+		return c.handleCallback(q)
 	}
-	return c.command(q, time.Time{})
+	return c.handleCommand(q, time.Time{})
 }
 
-// reply writes an answer; false: the connection is to end.
-func (c *conn) reply(status int, h http1.Header, body string, end bool) bool {
+// reply writes an answer. It returns false if the connection is to be closed.
+func (c *conn) reply(status int, h http1.Header, body string, closeConn bool) bool {
 	c.server.mu.Lock()
 	c.answered = true
-	end = end || c.flood
-	due := c.evicted || !c.instance && (c.server.crowded || c.server.draining && c.server.heir == nil)
+	closeConn = closeConn || c.flooded
+	closeDue := c.evicted || !c.instance && (c.server.crowded || c.server.draining && c.server.newer == nil)
 	c.server.mu.Unlock()
-	if due && !end {
-		end = c.more >= mostMore || !c.another()
-		c.more++
+	if closeDue && !closeConn {
+		closeConn = c.extraRequests >= maxExtraRequests || !c.hasInput()
+		c.extraRequests++
 	}
-	if end {
+	if closeConn {
 		h = append(h, http1.Field{Name: "Connection", Value: "close"})
 	}
-	if c.nc.SetWriteDeadline(time.Now().Add(writePatience)) != nil {
+	if c.nc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return false
 	}
-	text := http1.AppendResponse(c.out[:0], status, h, []byte(body))
-	_, err := c.nc.Write(text)
-	if c.out = text; cap(text) > http1.MaxLine { // kept for the next answer, but for a large one
-		c.out = nil
+	message := http1.AppendResponse(c.outBuf[:0], status, h, []byte(body))
+	_, err := c.nc.Write(message)
+	if c.outBuf = message; cap(message) > http1.MaxLine { // reuse the buffer for the next answer unless it is large
+		c.outBuf = nil
 	}
-	if err != nil { // a peer that has gone owes nothing; one that only did not read in time is cut
-		c.gone = true
+	if err != nil { // a peer that has closed the connection is not counted, one that did not read in time is
+		c.peerGone = true
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.server.count(dispatch.Truncated)
+			c.server.countEnd(dispatch.Truncated)
 		}
 	}
-	c.parts = false
-	return err == nil && !end
+	c.unanswered = false
+	return err == nil && !closeConn
 }
 
-// another tells whether the next request has come, at least in part: it gets its answer before the connection ends.
-func (c *conn) another() bool {
-	return c.br.Buffered() > 0 || c.nc.SetReadDeadline(time.Time{}) == nil && sock.Look(c.nc) == sock.Data
+// hasInput reports whether the next request has arrived, at least in part. It is answered before the connection is
+// closed.
+func (c *conn) hasInput() bool {
+	return c.reader.Buffered() > 0 || c.nc.SetReadDeadline(time.Time{}) == nil && sock.Look(c.nc) == sock.Data
 }
 
-// linger ends this side's half and reads on until the peer ends the other, for a moment: closing over bytes unread would
-// reset the connection, and an answer could be lost with it. Where others want the place and nothing has come, it is
-// theirs at once.
+// linger closes this side's half of the connection and reads until the peer closes the other or the timeout expires:
+// closing with unread bytes would reset the connection, and an answer could be lost. If others wait for the slot and
+// nothing has arrived, it returns at once.
 func (c *conn) linger() {
 	s := c.server
 	s.mu.Lock()
 	crowded := s.crowded
 	s.mu.Unlock()
 	tcp, ok := c.nc.(*net.TCPConn)
-	if !ok || crowded && !c.another() || tcp.CloseWrite() != nil {
+	if !ok || crowded && !c.hasInput() || tcp.CloseWrite() != nil {
 		return
 	}
 	s.mu.Lock()
-	between := c.answered && c.state == waiting
-	c.state, c.since, c.evicted = lingering, time.Now(), false
-	err := c.nc.SetReadDeadline(c.since.Add(lingerPatience))
+	wasIdle := c.answered && c.state == waiting
+	c.state, c.stateSince, c.evicted = lingering, time.Now(), false
+	err := c.nc.SetReadDeadline(c.stateSince.Add(lingerTimeout))
 	s.mu.Unlock()
 	if err != nil {
 		return
 	}
-	var rest [512]byte // most say nothing more
+	var buf [512]byte // small, since most peers send nothing more
 	for left := 4 * http1.MaxBody; left > 0; {
-		n, err := c.nc.Read(rest[:])
-		if n > 0 && between {
-			s.count(dispatch.RequestInFlight)
-			between = false
+		n, err := c.nc.Read(buf[:])
+		if n > 0 && wasIdle {
+			s.countEnd(dispatch.RequestInFlight)
+			wasIdle = false
 		}
 		if err != nil {
 			return
@@ -336,39 +337,40 @@
 	}
 }
 
-// waiter is the service client of one command.
-type waiter struct {
-	cmd     *dispatch.Command
-	end     bool      // the connection is to end with the answer
-	repeats bool      // it may be tried again even when it may have run
-	answer  chan word // holds one
+// commandClient is the client of one command.
+type commandClient struct {
+	cmd        *dispatch.Command
+	closeAfter bool         // the connection is to be closed after the answer
+	mayRetry   bool         // the command may be retried even if it may have run
+	answer     chan outcome // has room for one
 
 	mu sync.Mutex
-	nc net.Conn // nil: on its way from an older process
+	nc net.Conn // nil: not yet received from an older process
 }
 
-// word is what the loop says: the answer, or that another process will give it.
-type word struct {
+// outcome is the loop's message for a client: the answer, or that another process will give it.
+type outcome struct {
 	dispatch.Answer
-	passed, handed bool
+	handedOver, transferred bool
 }
 
-// Answer wakes the connection's goroutine, which watches for the client's leaving.
-func (w *waiter) Answer(a dispatch.Answer) { w.say(word{Answer: a}) }
+// Answer sends the answer to the connection's goroutine and interrupts its watch for a disconnect.
+func (w *commandClient) Answer(a dispatch.Answer) { w.send(outcome{Answer: a}) }
 
-// MayRetry tells whether its command may be tried again even when it may have run.
-func (w *waiter) MayRetry() bool { return w.repeats }
+// MayRetry reports whether the command may be retried even if it may have run.
+func (w *commandClient) MayRetry() bool { return w.mayRetry }
 
-// Disconnected looks at the connection: the goroutine that watches it may not have come to run since its end.
-func (w *waiter) Disconnected() bool {
+// Disconnected checks the connection itself, because the goroutine that watches it may not have run since the
+// disconnect.
+func (w *commandClient) Disconnected() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.nc != nil && closed(w.nc)
+	return w.nc != nil && peerClosed(w.nc)
 }
 
-// closed tells whether the other side has closed a connection, or it is broken, as far as no bytes stand before that. Unlike
-// sock.Look it does not wait for a goroutine that reads.
-func closed(nc net.Conn) bool {
+// peerClosed reports whether the peer has closed the connection, or it is broken, provided that no unread bytes
+// precede that. Unlike sock.Look it does not wait for a goroutine that is reading.
+func peerClosed(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -378,118 +380,123 @@
 		return false
 	}
 	ended := false
-	var one [1]byte
+	var buf [1]byte
 	err = raw.Control(func(fd uintptr) {
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		ended = n == 0 && err == nil || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
 	})
 	return ended || err != nil
 }
 
-// HandOver wakes it likewise.
-func (w *waiter) HandOver(handed bool) { w.say(word{passed: true, handed: handed}) }
+// HandOver tells the connection's goroutine that another process answers the command.
+func (w *commandClient) HandOver(transferred bool) {
+	w.send(outcome{handedOver: true, transferred: transferred})
+}
 
-// say wakes first: set after the goroutine has the word the deadline would cut its next read.
-func (w *waiter) say(what word) {
+// send interrupts the read before it sends the message: a deadline set after the goroutine has received the message
+// would interrupt its next read.
+func (w *commandClient) send(o outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.nc != nil {
-		w.nc.SetReadDeadline(past)
+		w.nc.SetReadDeadline(pastDeadline)
 	}
-	w.answer <- what
+	w.answer <- o
 }
 
-// join gives the waiter its connection, whose reads end with what is said.
-func (w *waiter) join(nc net.Conn) error {
+// setConn sets the client's connection, whose reads are interrupted when a message is sent.
+func (w *commandClient) setConn(nc net.Conn) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.nc = nc
 	if len(w.answer) > 0 {
-		return nc.SetReadDeadline(past)
+		return nc.SetReadDeadline(pastDeadline)
 	}
 	return nc.SetReadDeadline(time.Time{})
 }
 
-// command hands a command in and waits for its answer; false: the connection is to end. The
-// deadline is given where another process has read it.
-func (c *conn) command(q *http1.Request, deadline time.Time) bool {
-	cmd, repeats, err := c.server.parse(q, time.Now())
+// handleCommand submits a command and waits for its answer. It returns false if the connection is to be closed.
+// deadline is set if another process has read the request.
+func (c *conn) handleCommand(q *http1.Request, deadline time.Time) bool {
+	cmd, mayRetry, err := c.server.parse(q, time.Now())
 	if err != nil {
 		return c.reply(400, nil, err.Error()+"\n", q.Close)
 	}
 	if !deadline.IsZero() {
 		cmd.Deadline = deadline
 	}
-	last, over := c.server.last()
-	if over {
-		c.server.books.CountShutdownRefusal(cmd.Class)
-		return c.relay(dispatch.Answer{Verdict: dispatch.Refused}, q.Close)
+	answerBy, pastAnswerBy := c.server.answerDeadline()
+	if pastAnswerBy {
+		c.server.connCounters.CountShutdownRefusal(cmd.Class)
+		return c.writeAnswer(dispatch.Answer{Verdict: dispatch.Refused}, q.Close)
 	}
-	if !last.IsZero() && cmd.Deadline.After(last) {
-		cmd.Deadline = last
+	if !answerBy.IsZero() && cmd.Deadline.After(answerBy) {
+		cmd.Deadline = answerBy
 	}
-	if err := c.present(); err != nil { // it may have stood in a backlog for long
-		return c.leave(err)
+	if err := c.checkClient(); err != nil { // the request may have been in a backlog for long
+		return c.endGone(err)
 	}
-	w := &waiter{cmd: cmd, end: q.Close, repeats: repeats, answer: make(chan word, 1), nc: c.nc}
+	w := &commandClient{cmd: cmd, closeAfter: q.Close, mayRetry: mayRetry, answer: make(chan outcome, 1), nc: c.nc}
 	cmd.Client = w
 	c.server.core.Submit(cmd)
-	return c.wait(w)
+	return c.awaitAnswer(w)
 }
 
-// leave ends a connection whose client has gone, or floods it and could go unseen, by what present or watch says. What a
-// flood's request asked for may have run: its answer is none after which the client could simply try again.
-func (c *conn) leave(err error) bool {
+// endGone closes a connection after checkClient or watchClient has failed: the client has disconnected, or it has
+// sent so much that a disconnect could go unnoticed. In the second case the command may have run, so the status must
+// not be one after which the client may simply retry.
+func (c *conn) endGone(err error) bool {
 	if errors.Is(err, errFlood) {
 		return c.reply(413, nil, "too much behind the request\n", true)
 	}
-	c.gone = true
+	c.peerGone = true
 	return false
 }
 
-// wait waits for a command's answer and writes it; false: the connection is to end.
-func (c *conn) wait(w *waiter) bool {
-	err := w.join(c.nc)
+// awaitAnswer waits for a command's answer and writes it. It returns false if the connection is to be closed.
+func (c *conn) awaitAnswer(w *commandClient) bool {
+	err := w.setConn(c.nc)
 	if err == nil {
-		err = c.watch()
+		err = c.watchClient()
 	}
 	if answered := len(w.answer) > 0; err != nil && !(answered && errors.Is(err, errFlood)) {
 		c.server.core.ClientGone(w.cmd)
-		return c.leave(err)
+		return c.endGone(err)
 	}
-	a := <-w.answer
-	if !a.passed {
-		return c.relay(a.Answer, w.end)
+	o := <-w.answer
+	if !o.handedOver {
+		return c.writeAnswer(o.Answer, w.closeAfter)
 	}
 	p := Passed{ID: w.cmd.ID}
-	if !a.handed {
+	if !o.transferred {
 		p.Request, p.Deadline = w.cmd.Payload.(*http1.Request), w.cmd.Deadline
 	}
 	c.server.mu.Lock()
-	passed := c.pass(p)
+	passed := c.passOn(p)
 	c.server.mu.Unlock()
 	if passed {
 		return false
 	}
-	// The other process has died with it.
-	return c.relay(dispatch.Answer{Verdict: dispatch.Failed}, true)
+	// The other process has died, and the command with it.
+	return c.writeAnswer(dispatch.Answer{Verdict: dispatch.Failed}, true)
 }
 
-// What a client may have behind the request that waits.
+// Bounds of what a client may send after a request that is not answered yet.
 const (
-	mostAhead   = http1.MaxBody // bytes that are kept
-	mostDropped = 1 << 20       // and read beyond that, to see whether it goes
+	maxReadAhead = http1.MaxBody // bytes that are buffered
+	maxDiscarded = 1 << 20       // bytes that are read and discarded beyond that, to notice a disconnect
 )
 
-// errGone says that the client has closed its connection.
-var errGone = errors.New("the client has gone")
+// errGone reports that the client has disconnected.
+var errGone = errors.New("client has disconnected")
 
-// errFlood says that a client has sent more behind its request than is read to see whether it goes.
-var errFlood = errors.New("too much behind a request")
+// errFlood reports that a client has sent more after its request than is read to notice a disconnect.
+var errFlood = errors.New("too many bytes after a request")
 
-// present looks, without waiting, whether the client is there before its request is handed in: errGone or errFlood if it is
-// not. What it has sent behind the request stands before its end and is read for that.
-func (c *conn) present() error {
+// checkClient checks, without waiting, that the client is still connected before its request is submitted. It returns
+// errGone or errFlood otherwise. Bytes sent after the request precede the end of the connection, so they are read
+// first.
+func (c *conn) checkClient() error {
 	if c.nc.SetReadDeadline(time.Time{}) != nil {
 		return errGone
 	}
@@ -504,9 +511,10 @@
 	return nil
 }
 
-// watch waits until a read is ended from here, or until the client has gone before, errGone or errFlood. Whatever it has sent
-// behind its request stands before its end and is read for that: one that sends much at once and goes is gone all the same.
-func (c *conn) watch() error {
+// watchClient waits until a message interrupts the read, which is nil, or the client disconnects, which is errGone or
+// errFlood. Bytes sent after the request precede the end of the connection, so they are read: a client that sends
+// much and disconnects must be noticed, too.
+func (c *conn) watchClient() error {
 	for {
 		if err := c.readAhead(); errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil
@@ -516,53 +524,55 @@
 	}
 }
 
-// readAhead waits for more behind the request in hand. It keeps that as long as there is room, and drops what comes then.
+// readAhead waits for more bytes after the current request. It buffers them as long as there is room, and discards
+// further ones.
 func (c *conn) readAhead() error {
-	_, err := c.br.Peek(c.br.Buffered() + 1)
-	switch size := c.br.Size(); {
+	_, err := c.reader.Peek(c.reader.Buffered() + 1)
+	switch size := c.reader.Size(); {
 	case err == nil || errors.Is(err, os.ErrDeadlineExceeded):
 		return err
 	case !errors.Is(err, bufio.ErrBufferFull):
 		return errGone
-	case size < mostAhead:
-		come, _ := c.br.Peek(c.br.Buffered())
-		c.buffer(bytes.Clone(come), 2*size)
+	case size < maxReadAhead:
+		received, _ := c.reader.Peek(c.reader.Buffered())
+		c.setBuffer(bytes.Clone(received), 2*size)
 		return nil
 	}
-	return c.drop()
+	return c.discardInput()
 }
 
-// drop is the same where there is no room. Nobody is watched for ever through what it sends: it would cost what it likes.
-func (c *conn) drop() error {
-	if c.dropped >= mostDropped {
+// discardInput does the same when the buffer is full. The amount is bounded, since a client could otherwise cause any
+// amount of work.
+func (c *conn) discardInput() error {
+	if c.discarded >= maxDiscarded {
 		return errFlood
 	}
 	c.server.mu.Lock()
-	c.flood = true
+	c.flooded = true
 	c.server.mu.Unlock()
-	var some [4 << 10]byte
-	n, err := c.nc.Read(some[:])
-	c.dropped += n
+	var buf [4 << 10]byte
+	n, err := c.nc.Read(buf[:])
+	c.discarded += n
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		return errGone
 	}
 	return err
 }
 
-// relay writes a command's final answer.
-func (c *conn) relay(a dispatch.Answer, end bool) bool {
+// writeAnswer writes a command's final answer.
+func (c *conn) writeAnswer(a dispatch.Answer, closeConn bool) bool {
 	switch a.Verdict {
 	case dispatch.Served:
-		return c.reply(200, nil, string(a.Result), end)
+		return c.reply(200, nil, string(a.Result), closeConn)
 	case dispatch.Refused:
 		var h http1.Header
 		if a.RetryAfter > 0 {
-			h = http1.Header{{Name: "Retry-After", Value: seconds(a.RetryAfter)}}
+			h = http1.Header{{Name: "Retry-After", Value: formatSeconds(a.RetryAfter)}}
 		}
-		return c.reply(503, h, "refused: trying again is harmless\n", end)
+		return c.reply(503, h, "refused: trying again is harmless\n", closeConn)
 	}
 	if a.Verdict == dispatch.Unusable {
-		return c.reply(400, nil, "no instance can use the command, or its id is in hand\n", end)
+		return c.reply(400, nil, "no instance can use the command, or its id is in hand\n", closeConn)
 	}
-	return c.reply(502, nil, "failed\n", end)
+	return c.reply(502, nil, "failed\n", closeConn)
 }
--- a/internal/net/clients/parse.go
+++ b/internal/net/clients/parse.go
@@ -14,31 +14,31 @@
 	"caperrelay/internal/wire"
 )
 
-// The paths of the listener.
+// Paths of the listener.
 const (
 	commandPath  = "/api"
-	newsPath     = "/_jobs/news"
+	callbackPath = "/_jobs/news"
 	readyPath    = "/_health"
 	countersPath = "/_counters"
 )
 
-// commandFields are the header fields that a command is read from, or that go on with it.
+// commandFields are the header fields that a command is parsed from, or that are forwarded with it.
 var commandFields = []string{
 	"Host", "X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left", "X-Weight-Hint", "X-Facts", "X-Repeat",
 	"Idempotency-Key",
 }
 
 const (
-	maxID   = 128
-	maxLeft = 24 * time.Hour
+	maxID       = 128
+	maxDuration = 24 * time.Hour
 )
 
-// parse reads a command's fields. The time that it leaves becomes a deadline here. The other result tells whether it
-// may be tried again even when it may have run.
+// parse parses a command. The time that it leaves is converted to a deadline. The second result is whether the
+// command may be retried even if it may have run.
 func (s *Server) parse(q *http1.Request, now time.Time) (*dispatch.Command, bool, error) {
 	h := q.Header
 	for _, name := range commandFields {
-		if h.Conflicts(name) { // an instance might read another of them than we do
+		if h.Conflicts(name) { // an instance might use another of them than this program
 			return nil, false, errors.New(name + ": more than one")
 		}
 	}
@@ -46,28 +46,28 @@
 		ID: h.Get("X-Correlation-Id"), Class: h.Get("X-Service-Class"), Tenant: h.Get("X-Account"),
 		Payload: q, Retry: h.Get("X-Repeat") == "1",
 	}
-	// The id goes into lines and targets that are written on.
-	if !http1.Visible(c.ID) || len(c.ID) > maxID || strings.ContainsAny(c.ID, "/?#%") {
+	// The ID is written into header lines and request targets.
+	if !http1.IsVisible(c.ID) || len(c.ID) > maxID || strings.ContainsAny(c.ID, "/?#%") {
 		return nil, false, errors.New("X-Correlation-Id: missing or malformed")
 	}
-	if strings.Contains(q.Target, "#") { // no part of a target that is sent
+	if strings.Contains(q.Target, "#") { // a fragment is never sent in a target
 		return nil, false, errors.New("target: malformed")
 	}
 	class, ok := (*s.classes.Load())[c.Class]
 	if !ok {
 		return nil, false, errors.New("X-Service-Class: missing or unknown")
 	}
-	left := class.Deadline
+	remaining := class.Deadline
 	if h.Given("X-Time-Left") {
 		var err error
-		if left, err = span(h.Get("X-Time-Left")); err != nil {
+		if remaining, err = parseDuration(h.Get("X-Time-Left")); err != nil {
 			return nil, false, fmt.Errorf("X-Time-Left: %w", err)
 		}
 	}
-	c.Deadline = now.Add(left)
+	c.Deadline = now.Add(remaining)
 	if text := h.Get("X-Weight-Hint"); text != "" {
 		var err error
-		if c.Work, err = span(text); err != nil {
+		if c.Work, err = parseDuration(text); err != nil {
 			return nil, false, fmt.Errorf("X-Weight-Hint: %w", err)
 		}
 	}
@@ -78,13 +78,13 @@
 			f.Write([]byte(user))
 			key = f.Sum64()
 		}
-		c.Key = max(key, 1) // 0 is none
+		c.Key = max(key, 1) // 0 means no key
 	}
-	return c, dispatch.MayRetry(class), facts(h.Get("X-Facts"), map[string]*float64{"slots": &c.Slots, "memory": &c.Memory})
+	return c, dispatch.MayRetry(class), parseFacts(h.Get("X-Facts"), map[string]*float64{"slots": &c.Slots, "memory": &c.Memory})
 }
 
-// span reads a number with its unit, m for milliseconds or u for microseconds.
-func span(text string) (time.Duration, error) {
+// parseDuration parses a number with its unit, m for milliseconds or u for microseconds.
+func parseDuration(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
 	if !ok {
@@ -93,15 +93,15 @@
 			return 0, fmt.Errorf("%q has no unit m or u", text)
 		}
 	}
-	n, err := figure(number)
+	n, err := parseNumber(number)
 	if err != nil {
 		return 0, err
 	}
-	return time.Duration(min(n*float64(unit), float64(maxLeft))), nil
+	return time.Duration(min(n*float64(unit), float64(maxDuration))), nil
 }
 
-// figure reads a number that is finite and not negative.
-func figure(text string) (float64, error) {
+// parseNumber parses a number that is finite and not negative.
+func parseNumber(text string) (float64, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(n >= 0) || math.IsInf(n, 0) {
 		return 0, fmt.Errorf("%q is no figure", text)
@@ -109,13 +109,13 @@
 	return n, nil
 }
 
-// facts reads name=value,name=value for the names that are wanted.
-func facts(text string, wanted map[string]*float64) error {
+// parseFacts parses name=value,name=value and stores the values of the names in wanted.
+func parseFacts(text string, wanted map[string]*float64) error {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		if to := wanted[name]; to != nil {
+		if target := wanted[name]; target != nil {
 			var err error
-			if *to, err = figure(value); err != nil {
+			if *target, err = parseNumber(value); err != nil {
 				return fmt.Errorf("X-Facts: %s: %w", name, err)
 			}
 		}
@@ -136,8 +136,8 @@
 	return ""
 }
 
-// seconds writes a Retry-After: decimal, to the millisecond, never shorter than meant.
-func seconds(d time.Duration) string {
+// formatSeconds formats a Retry-After: in decimal seconds, rounded up to the millisecond.
+func formatSeconds(d time.Duration) string {
 	ms := (d + time.Millisecond - 1) / time.Millisecond
 	return strconv.FormatFloat(float64(ms)/1000, 'f', -1, 64)
 }
--- a/internal/net/clients/bar_test.go
+++ b/internal/net/clients/rejectnew_test.go
@@ -10,21 +10,21 @@
 	"caperrelay/internal/net/sock"
 )
 
-// Who connected before the bar is still served; nobody gets in after it.
-func TestBarred(t *testing.T) {
+// Connections from before the call are still accepted, later ones are not.
+func TestRejectNewConns(t *testing.T) {
 	l, err := sock.Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	before, err := net.Dial("tcp", l.Addr().String())
+	early, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
-	defer before.Close()
+	defer early.Close()
 	require.NoError(t, Bar(l.(*net.TCPListener)))
 	_, err = net.DialTimeout("tcp", l.Addr().String(), 200*time.Millisecond)
 	require.Error(t, err)
 	c, err := l.Accept()
 	require.NoError(t, err)
 	defer c.Close()
-	before.Write([]byte("x"))
+	early.Write([]byte("x"))
 	n, err := c.Read(make([]byte, 1))
 	require.Equal(t, []any{1, nil}, []any{n, err})
 }
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -1,5 +1,4 @@
-// Package http1 reads and writes HTTP/1.1 messages of bounded size. It knows
-// nothing of what they are for.
+// Package http1 reads and writes HTTP/1.1 messages of bounded size. It is independent of their purpose.
 package http1
 
 import (
@@ -15,15 +14,15 @@
 	"unicode/utf8"
 )
 
-// The bounds of what a peer may send. They guard against unbounded reads.
+// Limits of what a peer may send, so that no read is unbounded.
 const (
-	MaxLine   = 8 << 10 // and the least size of a reader's buffer
+	MaxLine   = 8 << 10 // also the minimum buffer size of a reader
 	MaxFields = 64
 	MaxHead   = 16 << 10
 	MaxBody   = 64 << 10
 )
 
-// Malformed says what is wrong with a message and the status that tells its sender.
+// Malformed is an error in a received message, with the status to answer the sender with.
 type Malformed struct {
 	Status int
 	Text   string
@@ -38,25 +37,26 @@
 // Field is one header line.
 type Field struct{ Name, Value string }
 
-// fieldText is a field between two processes. JSON holds no bytes that are not UTF-8, which a value may.
-type fieldText struct {
+// fieldJSON is the JSON form of a field that is sent to another process. JSON strings hold valid UTF-8 only, which a
+// field's value need not be.
+type fieldJSON struct {
 	Name  string `json:"Name"`
 	Value string `json:"Value"`
-	Raw   []byte `json:"Raw,omitempty"` // the value, where JSON cannot hold it
+	Raw   []byte `json:"Raw,omitempty"` // the value, if it is not valid UTF-8
 }
 
-// MarshalJSON writes a field whole, whatever its bytes.
+// MarshalJSON encodes a field without loss, whatever bytes its value holds.
 func (f Field) MarshalJSON() ([]byte, error) {
-	t := fieldText{Name: f.Name, Value: f.Value}
+	t := fieldJSON{Name: f.Name, Value: f.Value}
 	if !utf8.ValidString(f.Value) {
 		t.Raw = []byte(f.Value)
 	}
 	return json.Marshal(t)
 }
 
-// UnmarshalJSON reads it, also as processes wrote it that knew no Raw.
+// UnmarshalJSON decodes a field, also from older processes, which don't send Raw.
 func (f *Field) UnmarshalJSON(text []byte) error {
-	var t fieldText
+	var t fieldJSON
 	if err := json.Unmarshal(text, &t); err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Header is a message's header lines as they came.
+// Header is a message's header lines in the order received.
 type Header []Field
 
 // Get returns the value of the first field of that name, or "".
@@ -79,18 +79,18 @@
 	return ""
 }
 
-// Given tells whether there is a field of that name, were it empty.
+// Given reports whether there is a field of that name, even an empty one.
 func (h Header) Given(name string) bool {
 	return slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, name) })
 }
 
-// Conflicts tells whether fields of that name differ.
+// Conflicts reports whether fields of that name have different values.
 func (h Header) Conflicts(name string) bool {
 	first := h.Get(name)
 	return slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, name) && f.Value != first })
 }
 
-// Has tells whether a field holds the token in its comma-separated list.
+// Has reports whether a field of that name contains the token in its comma-separated list.
 func (h Header) Has(name, token string) bool {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -104,7 +104,7 @@
 	return false
 }
 
-// Request is a request whole.
+// Request is a complete request.
 type Request struct {
 	Method string `json:"Method"`
 	Target string `json:"Target"`
@@ -113,7 +113,7 @@
 	Close  bool   `json:"Close"` // the sender wants the connection closed after the answer
 }
 
-// Response is a response whole.
+// Response is a complete response.
 type Response struct {
 	Status int
 	Header Header
@@ -121,8 +121,8 @@
 	Close  bool
 }
 
-// ReadRequest reads one request. A clean end before its first byte is io.EOF. Where the
-// sender waits to be told to go on with the body, onContinue does that.
+// ReadRequest reads one request. It returns io.EOF if the connection ends before the first byte. If the sender
+// expects 100 Continue before it sends the body, onContinue is called to send it.
 func ReadRequest(r *bufio.Reader, onContinue func() error) (*Request, error) {
 	line, err := readLine(r, true)
 	if err != nil {
@@ -130,36 +130,36 @@
 	}
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || !isToken(method) || !Visible(target) {
+	if !ok || !ok2 || !isToken(method) || !IsVisible(target) {
 		return nil, malformed(400, "request line")
 	}
 	q := &Request{Method: method, Target: target}
 	if q.Header, err = readHeader(r); err != nil {
 		return nil, err
 	}
-	if q.Close, err = closes(version, q.Header); err != nil {
+	if q.Close, err = wantsClose(version, q.Header); err != nil {
 		return nil, err
 	}
-	f, err := framingOf(q.Header)
+	f, err := parseFraming(q.Header)
 	if err != nil {
 		return nil, err
 	}
-	if f.n > MaxBody {
-		return nil, malformed(413, "body of %d bytes", f.n)
+	if f.length > MaxBody {
+		return nil, malformed(413, "body of %d bytes", f.length)
 	}
-	if q.Header.Has("Expect", "100-continue") && (f.chunked || f.n > 0) && onContinue != nil {
+	if q.Header.Has("Expect", "100-continue") && (f.chunked || f.length > 0) && onContinue != nil {
 		if err := onContinue(); err != nil {
 			return nil, err
 		}
 	}
-	if !f.chunked && f.n < 0 {
+	if !f.chunked && f.length < 0 {
 		return q, nil
 	}
 	q.Body, err = readBody(r, f)
 	return q, err
 }
 
-// ReadResponse reads one response to a request of that method, past any 1xx.
+// ReadResponse reads one response to a request of that method, skipping 1xx responses.
 func ReadResponse(r *bufio.Reader, method string) (*Response, error) {
 	p, f, err := readResponseHead(r)
 	if err != nil {
@@ -168,7 +168,7 @@
 	if method == "HEAD" || p.Status == 204 || p.Status == 304 {
 		return p, nil
 	}
-	if !f.chunked && f.n < 0 { // the body ends with the connection
+	if !f.chunked && f.length < 0 { // the body ends with the connection
 		p.Close = true
 		p.Body, err = io.ReadAll(io.LimitReader(r, MaxBody+1))
 		if err == nil && len(p.Body) > MaxBody {
@@ -180,7 +180,7 @@
 	return p, err
 }
 
-// ReadStream reads a response's head and returns its body for reading as it comes.
+// ReadStream reads a response's head and returns a reader of its body.
 func ReadStream(r *bufio.Reader) (*Response, io.Reader, error) {
 	p, f, err := readResponseHead(r)
 	if err != nil {
@@ -188,15 +188,15 @@
 	}
 	switch {
 	case f.chunked:
-		return p, &chunks{r: r}, nil
-	case f.n >= 0:
-		return p, io.LimitReader(r, f.n), nil
+		return p, &chunkedReader{r: r}, nil
+	case f.length >= 0:
+		return p, io.LimitReader(r, f.length), nil
 	}
 	return p, r, nil
 }
 
 func readResponseHead(r *bufio.Reader) (*Response, framing, error) {
-	for range 8 { // guards against interim responses without end
+	for range 8 { // bounds the number of interim responses
 		line, err := readLine(r, true)
 		if err != nil {
 			return nil, framing{}, err
@@ -211,19 +211,19 @@
 		if p.Header, err = readHeader(r); err != nil {
 			return nil, framing{}, err
 		}
-		if p.Close, err = closes(version, p.Header); err != nil {
+		if p.Close, err = wantsClose(version, p.Header); err != nil {
 			return nil, framing{}, err
 		}
 		if status >= 200 {
-			f, err := framingOf(p.Header)
+			f, err := parseFraming(p.Header)
 			return p, f, err
 		}
 	}
 	return nil, framing{}, malformed(502, "interim responses without end")
 }
 
-// readLine reads a line without its end. atStart: nothing of the message has come yet,
-// an empty line or two before it is passed over and a clean end is io.EOF.
+// readLine reads a line without its line ending. If atStart is set, no part of the message has been read yet: up to
+// two empty lines are skipped, and an end of the connection is io.EOF.
 func readLine(r *bufio.Reader, atStart bool) (string, error) {
 	for skipped := 0; ; skipped++ {
 		line, err := r.ReadSlice('\n')
@@ -265,7 +265,7 @@
 	}
 }
 
-func closes(version string, h Header) (bool, error) {
+func wantsClose(version string, h Header) (bool, error) {
 	switch {
 	case h.Has("Connection", "close"):
 		return true, nil
@@ -277,22 +277,22 @@
 	return false, malformed(400, "version")
 }
 
-// framing is how a body ends: by chunks, after n bytes, or, n < 0, unsaid.
+// framing is how the end of a body is determined: by chunks, by its length, or, if length is negative, not stated.
 type framing struct {
 	chunked bool
-	n       int64
+	length  int64
 }
 
-func framingOf(h Header) (framing, error) {
-	f := framing{n: -1}
+func parseFraming(h Header) (framing, error) {
+	f := framing{length: -1}
 	for _, v := range h {
 		switch {
 		case strings.EqualFold(v.Name, "Content-Length"):
 			n, err := strconv.ParseUint(v.Value, 10, 62)
-			if err != nil || f.n >= 0 && f.n != int64(n) {
+			if err != nil || f.length >= 0 && f.length != int64(n) {
 				return f, malformed(400, "content length")
 			}
-			f.n = int64(n)
+			f.length = int64(n)
 		case strings.EqualFold(v.Name, "Transfer-Encoding"):
 			if !strings.EqualFold(v.Value, "chunked") || f.chunked {
 				return f, malformed(400, "transfer encoding")
@@ -300,7 +300,7 @@
 			f.chunked = true
 		}
 	}
-	if f.chunked && f.n >= 0 { // guards against two readers seeing two bodies
+	if f.chunked && f.length >= 0 { // otherwise two readers could see different bodies (request smuggling)
 		return f, malformed(400, "content length beside chunks")
 	}
 	return f, nil
@@ -308,16 +308,16 @@
 
 func readBody(r *bufio.Reader, f framing) ([]byte, error) {
 	if f.chunked {
-		body, err := io.ReadAll(io.LimitReader(&chunks{r: r}, MaxBody+1))
+		body, err := io.ReadAll(io.LimitReader(&chunkedReader{r: r}, MaxBody+1))
 		if err == nil && len(body) > MaxBody {
 			err = malformed(413, "body over %d bytes", MaxBody)
 		}
 		return body, err
 	}
-	if f.n > MaxBody {
-		return nil, malformed(413, "body of %d bytes", f.n)
+	if f.length > MaxBody {
+		return nil, malformed(413, "body of %d bytes", f.length)
 	}
-	body := make([]byte, f.n)
+	body := make([]byte, f.length)
 	if _, err := io.ReadFull(r, body); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
@@ -327,38 +327,38 @@
 	return body, nil
 }
 
-// chunks reads a chunked body up to and with its trailer.
-type chunks struct {
-	r    *bufio.Reader
-	left int64 // of the chunk at hand
-	any  bool  // a chunk has been begun
-	end  bool
+// chunkedReader reads a chunked body including its trailer.
+type chunkedReader struct {
+	r         *bufio.Reader
+	remaining int64 // of the current chunk
+	any       bool  // a chunk has been read, at least in part
+	finished  bool
 }
 
-func (c *chunks) Read(p []byte) (int, error) {
-	if c.end {
+func (c *chunkedReader) Read(p []byte) (int, error) {
+	if c.finished {
 		return 0, io.EOF
 	}
 	if len(p) == 0 {
 		return 0, nil
 	}
-	if c.left == 0 {
-		if err := c.next(); err != nil {
+	if c.remaining == 0 {
+		if err := c.nextChunk(); err != nil {
 			return 0, err
 		}
-		if c.end {
+		if c.finished {
 			return 0, io.EOF
 		}
 	}
-	n, err := c.r.Read(p[:min(int64(len(p)), c.left)])
-	c.left -= int64(n)
+	n, err := c.r.Read(p[:min(int64(len(p)), c.remaining)])
+	c.remaining -= int64(n)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-func (c *chunks) next() error {
+func (c *chunkedReader) nextChunk() error {
 	if c.any {
 		if line, err := readLine(c.r, false); err != nil {
 			return err
@@ -376,8 +376,8 @@
 	if err != nil {
 		return malformed(400, "chunk size")
 	}
-	if c.left = int64(n); n == 0 {
-		c.end = true
+	if c.remaining = int64(n); n == 0 {
+		c.finished = true
 		_, err := readHeader(c.r)
 		return err
 	}
@@ -394,8 +394,8 @@
 	return s != ""
 }
 
-// Visible tells whether a text can stand in a header line or a target as it is.
-func Visible(s string) bool {
+// IsVisible reports whether s can be written into a header line or target as it is.
+func IsVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 127 {
 			return false
@@ -404,30 +404,30 @@
 	return s != ""
 }
 
-// AppendRequest writes a request whole. It adds the body's length.
+// AppendRequest appends a complete request to buf. It adds the Content-Length.
 func AppendRequest(buf []byte, method, target string, h Header, body []byte) []byte {
 	buf = append(append(append(append(buf, method...), ' '), target...), " HTTP/1.1\r\n"...)
-	return appendRest(buf, h, body, method == "GET" || method == "DELETE")
+	return appendHeaderAndBody(buf, h, body, method == "GET" || method == "DELETE")
 }
 
-// AppendResponse writes a response whole. It adds the body's length.
+// AppendResponse appends a complete response to buf. It adds the Content-Length.
 func AppendResponse(buf []byte, status int, h Header, body []byte) []byte {
 	buf = append(strconv.AppendInt(append(buf, "HTTP/1.1 "...), int64(status), 10), ' ')
-	buf = append(append(buf, reasons[status]...), "\r\n"...)
-	return appendRest(buf, h, body, status == 204)
+	buf = append(append(buf, reasonPhrases[status]...), "\r\n"...)
+	return appendHeaderAndBody(buf, h, body, status == 204)
 }
 
-func appendRest(buf []byte, h Header, body []byte, bare bool) []byte {
+func appendHeaderAndBody(buf []byte, h Header, body []byte, noBody bool) []byte {
 	for _, f := range h {
 		buf = append(append(append(append(buf, f.Name...), ": "...), f.Value...), "\r\n"...)
 	}
-	if !bare || len(body) > 0 {
+	if !noBody || len(body) > 0 {
 		buf = append(strconv.AppendInt(append(buf, "Content-Length: "...), int64(len(body)), 10), "\r\n"...)
 	}
 	return append(append(buf, "\r\n"...), body...)
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 502: "Bad Gateway", 503: "Service Unavailable",
--- a/internal/net/loadreport/loadreport.go
+++ b/internal/net/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport reads the load reports that instances send along: as an object in call-backs and in the
-// answers to probes, as a header line in answers that end an attempt. What the figures mean is the module's.
+// Package loadreport parses the load reports of instances: a JSON object in callbacks and answers to probes, or a
+// header line in answers that end an attempt. The decision module interprets the values.
 package loadreport
 
 import (
@@ -18,117 +18,116 @@
 	"caperrelay/internal/wire"
 )
 
-// HeaderField is where answers carry a report, behind the name of its form.
+// HeaderField is the header field of a report in an answer. Its value begins with the name of the report's format.
 const HeaderField = "X-Backend-Load"
 
-const lineForm = "TEXT "
+const linePrefix = "TEXT "
 
-// The bounds of a report. One beyond them is no instance's, and a size that it told would count for all instances
-// of a kind.
+// Limits of a report. Instances send none beyond them, and a false size would be applied to all instances of a kind.
 const (
-	maxText   = 1 << 10
-	maxFigure = 1 << 16
+	maxSize  = 1 << 10
+	maxValue = 1 << 16
 )
 
-// complainEvery is how often rubbish is logged.
-const complainEvery = time.Minute
+// logInterval is the minimum time between log messages about invalid reports.
+const logInterval = time.Minute
 
-// Reader reads reports, of each only the fields that the settings name. A nil Reader finds none.
+// Reader parses reports. Of each it reads the fields named in the settings only. A nil Reader returns no reports.
 type Reader struct {
 	fields     atomic.Pointer[map[string]bool]
 	log        *slog.Logger
-	complained atomic.Int64 // when, in nanoseconds of Unix time
+	lastLogged atomic.Int64 // Unix time in nanoseconds
 }
 
-// New returns a reader of the fields that settings name.
+// New returns a reader of the fields that the settings name.
 func New(fields []string, logger *slog.Logger) *Reader {
 	r := &Reader{log: logger}
 	r.Retune(fields)
 	return r
 }
 
-// Retune has other fields read from now on.
+// Retune replaces the fields that are read.
 func (r *Reader) Retune(fields []string) {
-	named := map[string]bool{}
+	wanted := map[string]bool{}
 	for _, f := range fields {
-		named[wire.ReportField(f)] = true
+		wanted[wire.ReportField(f)] = true
 	}
-	r.fields.Store(&named)
+	r.fields.Store(&wanted)
 }
 
-// Any tells whether there are reports at all.
+// Any reports whether any fields are read.
 func (r *Reader) Any() bool { return r != nil && len(*r.fields.Load()) > 0 }
 
-// Object reads a JSON object; nil: it tells nothing that the settings name.
+// Object parses a JSON object. It returns nil if there is no report or it is invalid.
 func (r *Reader) Object(text []byte) *decide.Report {
 	if !r.Any() || len(text) == 0 || string(text) == "null" {
 		return nil
 	}
-	return r.read("object", len(text), func(named map[string]bool) (map[string]float64, error) {
-		var all map[string]json.RawMessage
-		if err := json.Unmarshal(text, &all); err != nil {
+	return r.parseChecked("object", len(text), func(wanted map[string]bool) (map[string]float64, error) {
+		var object map[string]json.RawMessage
+		if err := json.Unmarshal(text, &object); err != nil {
 			return nil, err
 		}
-		found := map[string]float64{}
-		for name, value := range all {
-			if name = wire.ReportField(name); named[name] && string(value) != "null" {
-				var n float64
-				if err := json.Unmarshal(value, &n); err != nil {
+		values := map[string]float64{}
+		for name, value := range object {
+			if name = wire.ReportField(name); wanted[name] && string(value) != "null" {
+				var number float64
+				if err := json.Unmarshal(value, &number); err != nil {
 					return nil, fmt.Errorf("%s: %w", name, err)
 				}
-				found[name] = n
+				values[name] = number
 			}
 		}
-		return found, nil
+		return values, nil
 	})
 }
 
-// Line reads the header field's value: TEXT name=figure, name=figure.
+// Line parses a header value of the form "TEXT name=number, name=number".
 func (r *Reader) Line(text string) *decide.Report {
 	if !r.Any() || text == "" {
 		return nil
 	}
-	return r.read("line", len(text), func(named map[string]bool) (map[string]float64, error) {
-		if len(text) < len(lineForm) || !strings.EqualFold(text[:len(lineForm)], lineForm) {
-			return nil, errors.New("not in the form TEXT")
+	return r.parseChecked("line", len(text), func(wanted map[string]bool) (map[string]float64, error) {
+		if len(text) < len(linePrefix) || !strings.EqualFold(text[:len(linePrefix)], linePrefix) {
+			return nil, errors.New("not in the TEXT format")
 		}
-		found := map[string]float64{}
-		for part := range strings.SplitSeq(text[len(lineForm):], ",") {
+		values := map[string]float64{}
+		for part := range strings.SplitSeq(text[len(linePrefix):], ",") {
 			name, value, _ := strings.Cut(part, "=")
-			if name = wire.ReportField(strings.TrimSpace(name)); named[name] {
-				n, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
+			if name = wire.ReportField(strings.TrimSpace(name)); wanted[name] {
+				number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 				if err != nil {
 					return nil, fmt.Errorf("%s: %w", name, err)
 				}
-				found[name] = n
+				values[name] = number
 			}
 		}
-		return found, nil
+		return values, nil
 	})
 }
 
-// read takes what a parser finds, all or nothing.
-func (r *Reader) read(form string, size int, parse func(named map[string]bool) (map[string]float64, error)) *decide.Report {
-	var found map[string]float64
-	err := errors.New("too long")
-	if size <= maxText {
-		found, err = parse(*r.fields.Load())
+// parseChecked returns the report that parse finds, or nil if any of its values is invalid.
+func (r *Reader) parseChecked(form string, size int, parse func(wanted map[string]bool) (map[string]float64, error)) *decide.Report {
+	var values map[string]float64
+	err := errors.New("report too long")
+	if size <= maxSize {
+		values, err = parse(*r.fields.Load())
 	}
-	for name, n := range found {
-		if math.IsNaN(n) || n < 0 || n > maxFigure {
-			err = fmt.Errorf("%s: %v is no load", name, n)
+	for name, n := range values {
+		if math.IsNaN(n) || n < 0 || n > maxValue {
+			err = fmt.Errorf("%s: %v is out of range", name, n)
 		}
 	}
 	if err != nil {
-		r.complain(form, err)
+		r.logInvalid(form, err)
 		return nil
 	}
-	return wire.Report(maps.All(found))
+	return wire.Report(maps.All(values))
 }
 
-func (r *Reader) complain(form string, err error) {
-	now, last := time.Now().UnixNano(), r.complained.Load()
-	if now-last >= int64(complainEvery) && r.complained.CompareAndSwap(last, now) {
-		r.log.Warn("load report ignored, as others may be", "form", form, "err", err)
+func (r *Reader) logInvalid(form string, err error) {
+	now, last := time.Now().UnixNano(), r.lastLogged.Load()
+	if now-last >= int64(logInterval) && r.lastLogged.CompareAndSwap(last, now) {
+		r.log.Warn("invalid load report ignored; further ones within a minute are not logged", "form", form, "err", err)
 	}
 }
--- a/internal/net/sock/sock_test.go
+++ b/internal/net/sock/sock_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair is both ends of a connection.
-func pair(t *testing.T) (ours, theirs *net.TCPConn) {
+// connPair returns both ends of a connection.
+func connPair(t *testing.T) (ours, theirs *net.TCPConn) {
 	l, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -23,31 +23,31 @@
 	return c.(*net.TCPConn), other.(*net.TCPConn)
 }
 
-// A look tells what lies on a connection, and takes nothing of it: neither bytes nor the end behind them.
+// Look returns the state of a connection and consumes nothing: neither bytes nor the end of the stream.
 func TestLook(t *testing.T) {
 	reset := func(c *net.TCPConn) {
 		c.SetLinger(0)
 		c.Close()
 	}
-	for name, one := range map[string]struct {
-		does func(*net.TCPConn)
-		want State
+	for name, test := range map[string]struct {
+		action func(*net.TCPConn)
+		want   State
 	}{
-		"nothing":           {func(*net.TCPConn) {}, Empty},
-		"a byte":            {func(c *net.TCPConn) { c.Write([]byte("x")) }, Data},
-		"a byte, then FIN":  {func(c *net.TCPConn) { c.Write([]byte("x")); c.Close() }, Data},
-		"FIN":               {func(c *net.TCPConn) { c.Close() }, Closed},
-		"half closed":       {func(c *net.TCPConn) { c.CloseWrite() }, Closed},
-		"RST":               {reset, Closed},
-		"RST over a byte":   {func(c *net.TCPConn) { c.Write([]byte("x")); reset(c) }, Data},
-		"their reads ended": {func(c *net.TCPConn) { c.CloseRead() }, Empty},
+		"nothing":          {func(*net.TCPConn) {}, Empty},
+		"a byte":           {func(c *net.TCPConn) { c.Write([]byte("x")) }, Data},
+		"a byte, then FIN": {func(c *net.TCPConn) { c.Write([]byte("x")); c.Close() }, Data},
+		"FIN":              {func(c *net.TCPConn) { c.Close() }, Closed},
+		"half closed":      {func(c *net.TCPConn) { c.CloseWrite() }, Closed},
+		"RST":              {reset, Closed},
+		"RST over a byte":  {func(c *net.TCPConn) { c.Write([]byte("x")); reset(c) }, Data},
+		"reads ended":      {func(c *net.TCPConn) { c.CloseRead() }, Empty},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ours, theirs := pair(t)
-			one.does(theirs)
-			require.Equal(t, one.want, Look(ours))
-			require.Equal(t, one.want, Look(ours))
-			if one.want == Data {
+			ours, theirs := connPair(t)
+			test.action(theirs)
+			require.Equal(t, test.want, Look(ours))
+			require.Equal(t, test.want, Look(ours))
+			if test.want == Data {
 				var b [2]byte
 				n, err := ours.Read(b[:])
 				require.NoError(t, err)
@@ -57,9 +57,9 @@
 	}
 }
 
-// What cannot be looked at counts as closed: nobody is to use it.
-func TestLookAtWhatIsOfNoUse(t *testing.T) {
-	ours, _ := pair(t)
+// Connections that cannot be examined count as closed, so that they are not used.
+func TestLookAtUnusableConnections(t *testing.T) {
+	ours, _ := connPair(t)
 	require.NoError(t, ours.SetReadDeadline(time.Unix(1, 0)))
 	require.Equal(t, Closed, Look(ours))
 	require.NoError(t, ours.Close())
@@ -70,7 +70,7 @@
 	require.Equal(t, Closed, Look(one))
 }
 
-// Two listeners share an address, and once one of them ends all connections come to the other.
+// Two listeners share an address. Once one of them is closed, all connections go to the other.
 func TestAddressIsShared(t *testing.T) {
 	first, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
