--- a/internal/net/discovery/faulty_test.go
+++ b/internal/net/discovery/faulty_test.go
@@ -22,8 +22,8 @@
 	"caperrelay/internal/net/http1"
 )
 
-// accepted is the next call at a listener on this machine, whose head is read.
-func accepted(t *testing.T, l net.Listener) net.Conn {
+// acceptCall is the next call at a listener on this machine, whose head is read.
+func acceptCall(t *testing.T, l net.Listener) net.Conn {
 	c, err := l.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
@@ -57,7 +57,7 @@
 }
 
 // next is the next list that counts. A watch that is lost instead fails the test.
-func (s sink) next(t *testing.T) dispatch.InstanceUpdate {
+func (s recordingSink) next(t *testing.T) dispatch.InstanceUpdate {
 	t.Helper()
 	select {
 	case l := <-s.listed:
@@ -69,22 +69,22 @@
 }
 
 // One entry that cannot be read used to end the watch at every call: the dispatcher stayed blind to all other encoders.
-func TestFaultyEntriesArePassedOver(t *testing.T) {
+func TestFaultyEntriesAreIgnored(t *testing.T) {
 	l := listen(t)
-	w := NewWatcher(l.Addr().String(), 0, of(1, false))
-	s := run(t, w)
+	w := NewWatcher(l.Addr().String(), 0, testSettings(1, false))
+	s := runWatcher(t, w)
 	w.Subscribe()
-	c := accepted(t, l)
+	c := acceptCall(t, l)
 	faults := []string{
 		member("s-2", "resting"), `{"host_port":"h:1","phase":"in_service"}`, `null`, `7`,
 		strings.Replace(member("s-3", "in_service"), "1.0", `"large"`, 1),
 		strings.Replace(member("s-4", "in_service"), `_ms":0`, `_ms":1e300`, 1),
 	}
-	fmt.Fprint(c, head, list(41, true, append(faults, member("s-1", "in_service"), member("s-5", "terminating"))...))
+	fmt.Fprint(c, responseHead, list(41, true, append(faults, member("s-1", "in_service"), member("s-5", "terminating"))...))
 	require.Equal(t, map[string]decide.WorkerState{"s-1": decide.Ready, "s-5": decide.Draining}, states(s.next(t)))
 	require.EqualError(t, <-s.faulty, `list: member 0, "s-2": unknown phase "resting"`)
 	require.EqualError(t, <-s.faulty, `list: member 1: no id`)
-	for range mostTold - 2 {
+	for range maxReportedEntries - 2 {
 		var entry *EntryError
 		require.ErrorAs(t, <-s.faulty, &entry)
 	}
@@ -99,19 +99,19 @@
 }
 
 // A faulty entry in the configuration stops the start and is named.
-func TestFaultyEntryOfAKnownList(t *testing.T) {
+func TestFaultyEntryInConfiguredList(t *testing.T) {
 	_, err := ParseList([]byte(`{"revision":1,"complete":true,"members":[` + member("s-1", "in_service") + `,` + member("s-2", "resting") + `]}`))
 	require.EqualError(t, err, `list: member 1, "s-2": unknown phase "resting"`)
 }
 
 // A list that comes late, behind a newer one, used to bring an encoder back that was gone.
-func TestOlderListOnAWatchIsPassedOver(t *testing.T) {
+func TestOlderListOnSameWatchIsIgnored(t *testing.T) {
 	l := listen(t)
-	w := NewWatcher(l.Addr().String(), 0, of(1, false))
-	s := run(t, w)
+	w := NewWatcher(l.Addr().String(), 0, testSettings(1, false))
+	s := runWatcher(t, w)
 	w.Subscribe()
-	c := accepted(t, l)
-	fmt.Fprint(c, head, list(41, true, member("s-1", "in_service"), member("s-2", "in_service")))
+	c := acceptCall(t, l)
+	fmt.Fprint(c, responseHead, list(41, true, member("s-1", "in_service"), member("s-2", "in_service")))
 	fmt.Fprint(c, list(43, false, member("s-1", "terminated")))
 	fmt.Fprint(c, list(42, true, member("s-1", "in_service"), member("s-2", "in_service")))
 	fmt.Fprint(c, list(43, false, member("s-2", "terminating"))) // more of the same revision
@@ -127,20 +127,20 @@
 	c.Close()
 	<-s.lost
 	w.Subscribe()
-	c = accepted(t, l) // a watch that begins may tell of an earlier revision: discovery has begun anew
-	fmt.Fprint(c, head, list(1, true, member("s-1", "in_service")))
+	c = acceptCall(t, l) // a watch that begins may tell of an earlier revision: discovery has begun anew
+	fmt.Fprint(c, responseHead, list(1, true, member("s-1", "in_service")))
 	require.EqualValues(t, 1, s.next(t).Revision)
 }
 
 // An older list is no news: what it brings is as old as the last that counted, and the watch is opened anew by then.
-func TestOlderListsKeepNoWatchAlive(t *testing.T) {
+func TestOlderListsDoNotKeepWatchAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := NewWatcher("h:1", 0, of(300, false))
-		calls := table(t, w)
-		s := run(t, w)
+		w := NewWatcher("h:1", 0, testSettings(300, false))
+		calls := fakeDiscovery(t, w)
+		s := runWatcher(t, w)
 		w.Subscribe()
 		c := <-calls
-		c.Write([]byte(head + list(43, true, member("s-1", "in_service"))))
+		c.Write([]byte(responseHead + list(43, true, member("s-1", "in_service"))))
 		<-s.listed
 		told := time.Now()
 		for len(calls) == 0 && time.Since(told) < time.Minute {
@@ -154,26 +154,26 @@
 }
 
 // Blanks before a list used to be kept until it came, without a bound.
-func TestBlanksAreNotKept(t *testing.T) {
+func TestWhitespaceIsNotBuffered(t *testing.T) {
 	blanks := strings.Repeat(" \t\r\n", 1<<20)
-	w := NewWatcher("h:1", 0, of(1, false))
-	body := io.MultiReader(strings.NewReader(blanks), strings.NewReader(drained))
-	text, err := io.ReadAll(&objects{in: body, w: w, sink: newManyBeats(), empty: true})
+	w := NewWatcher("h:1", 0, testSettings(1, false))
+	body := io.MultiReader(strings.NewReader(blanks), strings.NewReader(drainingList))
+	text, err := io.ReadAll(&listReader{in: body, w: w, sink: newHeartbeatDiscarder(), empty: true})
 	require.NoError(t, err)
-	require.Equal(t, drained, string(bytes.TrimSpace(text)))
-	require.Len(t, text, len(drained))
+	require.Equal(t, drainingList, string(bytes.TrimSpace(text)))
+	require.Len(t, text, len(drainingList))
 }
 
-// manyBeats takes any number of beats.
-type manyBeats struct{ sink }
+// heartbeatDiscarder takes any number of beats.
+type heartbeatDiscarder struct{ recordingSink }
 
-func newManyBeats() manyBeats { return manyBeats{newSink()} }
+func newHeartbeatDiscarder() heartbeatDiscarder { return heartbeatDiscarder{newSink()} }
 
-func (manyBeats) Alive() {}
+func (heartbeatDiscarder) Alive() {}
 
 // A want of descriptors here says nothing of discovery: a new process must not take it for one that nobody reaches. The
 // loss says how long ago the call was made, whoever made it.
-func TestWantOfDescriptorsIsNotNobody(t *testing.T) {
+func TestLocalShortageIsNotUnreachable(t *testing.T) {
 	for _, tt := range []struct {
 		errno  syscall.Errno
 		nobody bool
@@ -183,12 +183,12 @@
 	} {
 		t.Run(tt.errno.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := NewWatcher("h:1", 0, of(3, false))
+				w := NewWatcher("h:1", 0, testSettings(3, false))
 				w.dial = func(context.Context, string, time.Time) (net.Conn, error) {
 					time.Sleep(700 * time.Millisecond)
 					return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", tt.errno)}
 				}
-				s := run(t, w)
+				s := runWatcher(t, w)
 				w.Subscribe()
 				for range 3 { // the later ones are the clock's
 					err := <-s.lost
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -113,8 +113,8 @@
 	return m, nil
 }
 
-// keep has encoders whose entries in a whole list cannot be read stay as they were: the list says that they are there.
-func keep(l dispatch.InstanceUpdate, faulty []*EntryError, before map[string]dispatch.Instance) dispatch.InstanceUpdate {
+// keepUnreadable has encoders whose entries in a whole list cannot be read stay as they were: the list says that they are there.
+func keepUnreadable(l dispatch.InstanceUpdate, faulty []*EntryError, before map[string]dispatch.Instance) dispatch.InstanceUpdate {
 	if !l.Complete {
 		return l
 	}
--- a/internal/net/discovery/trouble_test.go
+++ b/internal/net/discovery/trouble_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	answers = 990 * time.Millisecond // how late a call is answered
-	told    = 6 * time.Second        // after discovery had it a change counts as told
-	refusal = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	answerDelay = 990 * time.Millisecond // how late a call is answered
+	maxStaleness    = 6 * time.Second        // after discovery had it a change counts as told
+	response503 = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
-// say writes pieces a time apart.
-func (c call) say(apart time.Duration, pieces ...string) {
+// send writes pieces a time apart.
+func (c call) send(apart time.Duration, pieces ...string) {
 	for i, p := range pieces {
 		if i > 0 {
 			time.Sleep(apart)
@@ -32,111 +32,111 @@
 	synctest.Wait()
 }
 
-// beats has a watch be quiet for a minute, and says when it last spoke.
-func (c call) beats() time.Time {
-	c.say(2*time.Second, append([]string{head + chunk(drained+"\n")}, slices.Repeat([]string{chunk("\n")}, 30)...)...)
+// sendHeartbeats has a watch be quiet for a minute, and says when it last spoke.
+func (c call) sendHeartbeats() time.Time {
+	c.send(2*time.Second, append([]string{responseHead + chunk(drainingList+"\n")}, slices.Repeat([]string{chunk("\n")}, 30)...)...)
 	return time.Now()
 }
 
 // Whatever becomes of a call or a watch, and whenever, a change made right behind the last moment up to which all is
 // known, or behind a call that told nothing, is known 6 s later: though the next answer takes a second, and though nobody
 // subscribes.
-func TestAChangeIsKnownSixSecondsLater(t *testing.T) {
+func TestChangeIsKnownWithinSixSeconds(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		trouble func(c call) (known time.Time)
 	}{
-		{"refused", func(c call) time.Time { c.say(0, refusal); c.Close(); return c.at }},
-		{"waits and is refused", func(c call) time.Time { time.Sleep(2900 * time.Millisecond); c.say(0, refusal); return c.at }},
+		{"refused", func(c call) time.Time { c.send(0, response503); c.Close(); return c.at }},
+		{"waits and is refused", func(c call) time.Time { time.Sleep(2900 * time.Millisecond); c.send(0, response503); return c.at }},
 		{"closed at once", func(c call) time.Time { c.Close(); return c.at }},
 		{"waits and is closed", func(c call) time.Time { time.Sleep(2900 * time.Millisecond); c.Close(); return c.at }},
 		{"silent", func(c call) time.Time { return c.at }},
-		{"half a head, then silent", func(c call) time.Time { c.say(0, head[:20]); return c.at }},
-		{"a head in crumbs", func(c call) time.Time { c.say(time.Second, strings.Split(head[:5], "")...); return c.at }},
-		{"a head, then silent", func(c call) time.Time { c.say(0, head); return c.at }},
-		{"a head, then closed", func(c call) time.Time { c.say(0, head); c.Close(); return c.at }},
+		{"half a head, then silent", func(c call) time.Time { c.send(0, responseHead[:20]); return c.at }},
+		{"a head in crumbs", func(c call) time.Time { c.send(time.Second, strings.Split(responseHead[:5], "")...); return c.at }},
+		{"a head, then silent", func(c call) time.Time { c.send(0, responseHead); return c.at }},
+		{"a head, then closed", func(c call) time.Time { c.send(0, responseHead); c.Close(); return c.at }},
 		{"a late head and a blank, then closed", func(c call) time.Time {
 			time.Sleep(900 * time.Millisecond)
-			c.say(0, head+chunk("\n"))
+			c.send(0, responseHead+chunk("\n"))
 			c.Close()
 			return c.at
 		}},
-		{"half a list, then silent", func(c call) time.Time { c.say(time.Second, head, chunk(drained[:60])); return c.at }},
-		{"half a list, then closed", func(c call) time.Time { c.say(time.Second, head, chunk(drained[:60])); c.Close(); return c.at }},
+		{"half a list, then silent", func(c call) time.Time { c.send(time.Second, responseHead, chunk(drainingList[:60])); return c.at }},
+		{"half a list, then closed", func(c call) time.Time { c.send(time.Second, responseHead, chunk(drainingList[:60])); c.Close(); return c.at }},
 		{"a list in crumbs", func(c call) time.Time {
-			c.say(time.Second, head, chunk("{"), chunk(" "), chunk(" "), chunk(" "))
+			c.send(time.Second, responseHead, chunk("{"), chunk(" "), chunk(" "), chunk(" "))
 			return c.at
 		}},
-		{"chunk sizes in crumbs", func(c call) time.Time { c.say(time.Second, head, "0", "0", "0", "0"); return c.at }},
-		{"a list, then closed", func(c call) time.Time { c.say(0, head+chunk(drained)); c.Close(); return c.at }},
+		{"chunk sizes in crumbs", func(c call) time.Time { c.send(time.Second, responseHead, "0", "0", "0", "0"); return c.at }},
+		{"a list, then closed", func(c call) time.Time { c.send(0, responseHead+chunk(drainingList)); c.Close(); return c.at }},
 		{"a list late and whole, then closed", func(c call) time.Time {
-			c.say(2500*time.Millisecond, head+chunk(drained[:60]), chunk(drained[60:]))
+			c.send(2500*time.Millisecond, responseHead+chunk(drainingList[:60]), chunk(drainingList[60:]))
 			c.Close()
 			return c.at
 		}},
 		{"a list late and whole, then silent", func(c call) time.Time {
-			c.say(2500*time.Millisecond, head+chunk(drained[:60]), chunk(drained[60:]))
+			c.send(2500*time.Millisecond, responseHead+chunk(drainingList[:60]), chunk(drainingList[60:]))
 			return c.at
 		}},
-		{"quiet for a minute, then silent", func(c call) time.Time { return c.beats() }},
+		{"quiet for a minute, then silent", func(c call) time.Time { return c.sendHeartbeats() }},
 		{"quiet for a minute, then closed", func(c call) time.Time {
-			known := c.beats()
+			known := c.sendHeartbeats()
 			time.Sleep(1900 * time.Millisecond)
 			c.Close()
 			return known
 		}},
-		{"quiet for a minute, then the body ends", func(c call) time.Time { known := c.beats(); c.say(0, "0\r\n\r\n"); return known }},
+		{"quiet for a minute, then the body ends", func(c call) time.Time { known := c.sendHeartbeats(); c.send(0, "0\r\n\r\n"); return known }},
 		{"quiet for a minute, then half a list and silent", func(c call) time.Time {
-			known := c.beats()
+			known := c.sendHeartbeats()
 			time.Sleep(time.Second)
-			c.say(time.Second, chunk("{"), chunk(" "))
+			c.send(time.Second, chunk("{"), chunk(" "))
 			return known
 		}},
 		{"quiet for a minute, then half a list and closed", func(c call) time.Time {
-			known := c.beats()
+			known := c.sendHeartbeats()
 			time.Sleep(time.Second)
-			c.say(time.Second, chunk("{"), chunk(" "))
+			c.send(time.Second, chunk("{"), chunk(" "))
 			c.Close()
 			return known
 		}},
 		{"quiet for a minute, silent, and speaks again", func(c call) time.Time {
-			known := c.beats()
+			known := c.sendHeartbeats()
 			time.Sleep(3 * time.Second)
-			c.say(0, chunk("\n"))
+			c.send(0, chunk("\n"))
 			return known
 		}},
 		{"quiet for a minute, silent, speaks again and is closed", func(c call) time.Time {
-			known := c.beats()
+			known := c.sendHeartbeats()
 			time.Sleep(3 * time.Second)
-			c.say(0, chunk("\n"))
+			c.send(0, chunk("\n"))
 			c.Close()
 			return known
 		}},
-		{"quiet for a minute, then garbage", func(c call) time.Time { known := c.beats(); c.say(0, chunk("]")); return known }},
+		{"quiet for a minute, then garbage", func(c call) time.Time { known := c.sendHeartbeats(); c.send(0, chunk("]")); return known }},
 	} {
 		for _, dispatchers := range []int{3, 300} {
 			t.Run(fmt.Sprint(tt.name, " of ", dispatchers), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := NewWatcher("h:1", 41, of(dispatchers, false))
-					calls := table(t, w)
-					s := run(t, w)
+					w := NewWatcher("h:1", 41, testSettings(dispatchers, false))
+					calls := fakeDiscovery(t, w)
+					s := runWatcher(t, w)
 					w.Subscribe()
 					c := <-calls
 					for range 3 {
 						known := tt.trouble(c)
 						require.Empty(t, calls, "called anew while it still told")
 						c = <-calls
-						require.LessOrEqual(t, c.at.Sub(known), told-answers)
+						require.LessOrEqual(t, c.at.Sub(known), maxStaleness-answerDelay)
 					}
 					known := tt.trouble(c)
 					c = <-calls
-					time.Sleep(answers)
+					time.Sleep(answerDelay)
 					for len(s.listed) > 0 {
 						<-s.listed
 					}
-					c.say(0, head+chunk(drained))
+					c.send(0, responseHead+chunk(drainingList))
 					<-s.listed
-					require.LessOrEqual(t, time.Since(known), told)
+					require.LessOrEqual(t, time.Since(known), maxStaleness)
 				})
 			})
 		}
@@ -144,7 +144,7 @@
 }
 
 // A connection that never comes up, or is refused, is a call that told nothing.
-func TestNobodyThereIsAskedAgain(t *testing.T) {
+func TestUnreachableDiscoveryIsCalledAgain(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for _, tt := range []struct {
 		name  string
@@ -157,8 +157,8 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := NewWatcher("h:1", 41, of(300, false))
-				calls := table(t, w)
+				w := NewWatcher("h:1", 41, testSettings(300, false))
+				calls := fakeDiscovery(t, w)
 				dialed, nobody := make(chan time.Time, 99), 3
 				there := w.dial
 				w.dial = func(ctx context.Context, address string, by time.Time) (net.Conn, error) {
@@ -173,17 +173,17 @@
 					time.Sleep(tt.takes)
 					return nil, tt.err
 				}
-				s := run(t, w)
+				s := runWatcher(t, w)
 				w.Subscribe()
 				for last := <-dialed; len(calls) == 0; {
 					at := <-dialed
-					require.LessOrEqual(t, at.Sub(last), told-answers)
+					require.LessOrEqual(t, at.Sub(last), maxStaleness-answerDelay)
 					require.GreaterOrEqual(t, at.Sub(last), 3*time.Second)
 					last = at
 					synctest.Wait()
 				}
 				c := <-calls
-				c.say(0, head+chunk(drained))
+				c.send(0, responseHead+chunk(drainingList))
 				<-s.listed
 				require.Empty(t, s.listed)
 			})
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	maxObject = 4 << 20               // bytes of one list
-	mostTold  = 4                     // faulty entries of one list that are told of, one by one
-	pace      = 20 * time.Millisecond // a dispatcher, at which the fleet's calls for one cause are spread; as in decide
-	slack     = 10 * time.Millisecond // by which a timer may be early
+	maxListBytes = 4 << 20               // bytes of one list
+	maxReportedEntries  = 4                     // faulty entries of one list that are told of, one by one
+	callSpacing      = 20 * time.Millisecond // a dispatcher, at which the fleet's calls for one cause are spread; as in decide
+	timerSlack     = 10 * time.Millisecond // by which a timer may be early
 )
 
 // ErrNobody says that a call has reached nobody: it has cost the service nothing.
@@ -56,26 +56,26 @@
 // Watcher keeps a watch on the changes of discovery's list. When it calls goes by its [listclock.Clock], and by Subscribe.
 type Watcher struct {
 	start  time.Time // of the clock
-	wanted chan struct{}
-	nudged chan struct{} // the clock tells another time than before
+	subscribed chan struct{}
+	clockChanged chan struct{} // the clock tells another time than before
 	dial   func(ctx context.Context, address string, by time.Time) (net.Conn, error)
 
 	mu       sync.Mutex
 	clock    *listclock.Clock
 	address  string
 	revision int64
-	called   time.Duration         // when the last call was made
-	table    dispatch.InstanceList // as told, of the watch's goroutine
-	leave    context.CancelFunc    // ends the watch that is on
-	rested   bool                  // the watch that is on was ended by Rest
+	callStarted   time.Duration         // when the last call was made
+	instances    dispatch.InstanceList // as told, of the watch's goroutine
+	cancelWatch    context.CancelFunc    // ends the watch that is on
+	paused   bool                  // the watch that is on was ended by Rest
 	answered bool                  // the call for it succeeded
 }
 
 // NewWatcher watches from the given revision on, as the settings say.
 func NewWatcher(address string, revision int64, s decide.Settings) *Watcher {
 	return &Watcher{
-		address: address, revision: revision, start: time.Now(), wanted: make(chan struct{}, 1), nudged: make(chan struct{}, 1),
-		leave: func() {}, clock: listclock.New(terms(s), 0), dial: dial,
+		address: address, revision: revision, start: time.Now(), subscribed: make(chan struct{}, 1), clockChanged: make(chan struct{}, 1),
+		cancelWatch: func() {}, clock: listclock.New(clockSettings(s), 0), dial: dial,
 	}
 }
 
@@ -94,14 +94,14 @@
 func (w *Watcher) Retune(s decide.Settings) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.clock.UpdateSettings(terms(s))
-	nudge(w.nudged)
+	w.clock.UpdateSettings(clockSettings(s))
+	signal(w.clockChanged)
 }
 
-// terms is what the settings say of the list. A pushed one comes by an agent on this machine, which has been sent it;
+// clockSettings is what the settings say of the list. A pushed one comes by an agent on this machine, which has been sent it;
 // else by a service that many call.
-func terms(s decide.Settings) listclock.Settings {
-	t := listclock.Settings{Mode: listclock.Watched, MaxAge: s.Rules.MustAskIn, DrainGrace: s.Rules.DrainGrace, Spread: time.Duration(s.DispatcherCount) * pace}
+func clockSettings(s decide.Settings) listclock.Settings {
+	t := listclock.Settings{Mode: listclock.Watched, MaxAge: s.Rules.MustAskIn, DrainGrace: s.Rules.DrainGrace, Spread: time.Duration(s.DispatcherCount) * callSpacing}
 	if s.ListPushed {
 		t.Mode = listclock.Pushed
 	}
@@ -110,14 +110,14 @@
 
 func (w *Watcher) now() time.Duration { return time.Since(w.start) }
 
-// since is how long ago the last call was made.
-func (w *Watcher) since() time.Duration {
+// sinceCall is how long ago the last call was made.
+func (w *Watcher) sinceCall() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.now() - w.called
+	return w.now() - w.callStarted
 }
 
-func nudge(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -125,7 +125,7 @@
 }
 
 // Subscribe asks for a watch. It never blocks; while one is on, it does nothing.
-func (w *Watcher) Subscribe() { nudge(w.wanted) }
+func (w *Watcher) Subscribe() { signal(w.subscribed) }
 
 // Move has the name table at another address from now on. The watch there begins with the whole table: revisions told
 // by another peer say nothing of what this one has told. Until the clock has it begin, the watch that is on stays.
@@ -134,9 +134,9 @@
 	defer w.mu.Unlock()
 	w.address, w.revision = address, 0
 	w.clock.AddressChanged(w.now())
-	nudge(w.nudged)
+	signal(w.clockChanged)
 	if ask, ok := w.clock.NextCall(); ok {
-		time.AfterFunc(ask-w.now(), w.follow)
+		time.AfterFunc(ask-w.now(), w.leaveOldAddress)
 	}
 }
 
@@ -147,12 +147,12 @@
 	return w.clock.AddressChangePending()
 }
 
-// follow ends the watch at an address that the name table has left.
-func (w *Watcher) follow() {
+// leaveOldAddress ends the watch at an address that the name table has left.
+func (w *Watcher) leaveOldAddress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.clock.AddressChangePending() {
-		w.leave()
+		w.cancelWatch()
 	}
 }
 
@@ -160,16 +160,16 @@
 func (w *Watcher) Rest() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.forget()
+	w.clearSubscription()
 	w.clock.Pause(w.now())
-	w.rested = true
-	w.leave()
+	w.paused = true
+	w.cancelWatch()
 }
 
-// forget drops what was asked for.
-func (w *Watcher) forget() {
+// clearSubscription drops what was asked for.
+func (w *Watcher) clearSubscription() {
 	select {
-	case <-w.wanted:
+	case <-w.subscribed:
 	default:
 	}
 }
@@ -180,7 +180,7 @@
 	silent := 0 // calls and watches in a row
 	for again := false; again || w.wait(ctx); {
 		on, leave := context.WithCancel(ctx)
-		address, revision, ok := w.call(leave, again)
+		address, revision, ok := w.startCall(leave, again)
 		if again = false; !ok {
 			leave()
 			continue
@@ -190,16 +190,16 @@
 		if ctx.Err() != nil {
 			return
 		}
-		how, answered := w.over(err)
+		how, answered := w.watchEnded(err)
 		if answered {
 			silent = 0
 		}
-		switch again = how == anew || how == left; how {
-		case anew:
+		switch again = how == endSilent || how == endMoved; how {
+		case endSilent:
 			silent++
 			sink.Silent(silent, err)
-		case lost:
-			sink.Lost(err, w.since())
+		case endLost:
+			sink.Lost(err, w.sinceCall())
 		}
 	}
 }
@@ -218,63 +218,63 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-w.wanted:
+		case <-w.subscribed:
 			return true
-		case <-w.nudged:
+		case <-w.clockChanged:
 		case <-alarm.C:
 			return true
 		}
 	}
 }
 
-// call tells the clock of a call, and says where; false: it is not to be made, since others tell of changes meanwhile.
-func (w *Watcher) call(leave context.CancelFunc, again bool) (address string, revision int64, ok bool) {
+// startCall tells the clock of a call, and says where; false: it is not to be made, since others tell of changes meanwhile.
+func (w *Watcher) startCall(leave context.CancelFunc, again bool) (address string, revision int64, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if again && w.rested {
+	if again && w.paused {
 		return "", 0, false
 	}
-	w.called = w.now()
-	w.clock.CallStarted(w.called, 0, rand.Float64())
-	w.leave, w.rested, w.answered = leave, false, false
+	w.callStarted = w.now()
+	w.clock.CallStarted(w.callStarted, 0, rand.Float64())
+	w.cancelWatch, w.paused, w.answered = leave, false, false
 	return w.address, w.revision, true
 }
 
-// ending is how a watch ended.
-type ending int
+// watchEnd is how a watch ended.
+type watchEnd int
 
 const (
-	lost  ending = iota // and others say when to ask again
-	anew                // it fell silent: it is opened anew now
-	left                // for another address, now
-	moves               // its address was left anyway, and the clock says when to call the other
+	endLost  watchEnd = iota // and others say when to ask again
+	endSilent                // it fell silent: it is opened anew now
+	endMoved                // for another address, now
+	endMovePending               // its address was left anyway, and the clock says when to call the other
 )
 
-// over takes the end of a watch.
-func (w *Watcher) over(err error) (how ending, answered bool) {
+// watchEnded takes the end of a watch.
+func (w *Watcher) watchEnded(err error) (how watchEnd, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.rested { // what was asked for since then stands
-		return lost, w.answered
+	if w.paused { // what was asked for since then stands
+		return endLost, w.answered
 	}
-	w.forget() // what was asked for while the watch was on is answered with it
+	w.clearSubscription() // what was asked for while the watch was on is answered with it
 	ask, goes := w.clock.NextCall()
-	due, moving := goes && w.now() > ask-slack, w.clock.AddressChangePending()
+	due, moving := goes && w.now() > ask-timerSlack, w.clock.AddressChangePending()
 	var timeout net.Error
 	switch {
 	case due && moving:
-		return left, w.answered
+		return endMoved, w.answered
 	case due && errors.As(err, &timeout) && timeout.Timeout():
-		return anew, w.answered
+		return endSilent, w.answered
 	}
 	if w.clock.CallEnded(w.now()); moving {
-		return moves, w.answered
+		return endMovePending, w.answered
 	}
-	return lost, w.answered
+	return endLost, w.answered
 }
 
-// told keeps the revision from which a later watch goes on.
-func (w *Watcher) told(revision int64) {
+// listReceived keeps the revision from which a later watch goes on.
+func (w *Watcher) listReceived(revision int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.clock.ListReceived(w.now()); !w.clock.AddressChangePending() {
@@ -282,22 +282,22 @@
 	}
 }
 
-// passedOver tells the clock that what came was no news.
-func (w *Watcher) passedOver() {
+// listIgnored tells the clock that what came was no news.
+func (w *Watcher) listIgnored() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.clock.ListIgnored(w.now())
 }
 
-// beat tells the clock that nothing has changed.
-func (w *Watcher) beat() {
+// heartbeat tells the clock that nothing has changed.
+func (w *Watcher) heartbeat() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.clock.Heartbeat(w.now())
 }
 
-// deadline is when what is open has been silent for too long.
-func (w *Watcher) deadline() time.Time {
+// silenceDeadline is when what is open has been silent for too long.
+func (w *Watcher) silenceDeadline() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ask, _ := w.clock.NextCall()
@@ -305,8 +305,8 @@
 }
 
 func (w *Watcher) watch(ctx context.Context, sink Sink, address string, revision int64) error {
-	conn, err := w.dial(ctx, address, w.deadline())
-	if scarce(err) {
+	conn, err := w.dial(ctx, address, w.silenceDeadline())
+	if localShortage(err) {
 		return fmt.Errorf("no descriptor for a call: %w", err)
 	}
 	if err != nil {
@@ -314,7 +314,7 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if err := conn.SetWriteDeadline(w.deadline()); err != nil {
+	if err := conn.SetWriteDeadline(w.silenceDeadline()); err != nil {
 		return err
 	}
 	target := "/catalog/members?stream=1&index=" + strconv.FormatInt(revision, 10)
@@ -322,7 +322,7 @@
 	if _, err := conn.Write(ask); err != nil {
 		return err
 	}
-	br := bufio.NewReaderSize(signs{conn, w}, http1.MaxLine)
+	br := bufio.NewReaderSize(monitoredConn{conn, w}, http1.MaxLine)
 	p, body, err := http1.ReadStream(br)
 	if err != nil {
 		return err
@@ -333,11 +333,11 @@
 	w.mu.Lock()
 	w.answered = true
 	w.mu.Unlock()
-	return w.read(sink, body)
+	return w.readLists(sink, body)
 }
 
-// scarce tells whether this machine or process had too little for a call: that says nothing of whom it was for.
-func scarce(err error) bool {
+// localShortage tells whether this machine or process had too little for a call: that says nothing of whom it was for.
+func localShortage(err error) bool {
 	for _, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, lack) {
 			return true
@@ -346,9 +346,9 @@
 	return false
 }
 
-// read reads lists until the watch ends. Each is a JSON value, on one line or on many.
-func (w *Watcher) read(sink Sink, body io.Reader) error {
-	in := &objects{in: body, w: w, sink: sink, empty: true}
+// readLists reads lists until the watch ends. Each is a JSON value, on one line or on many.
+func (w *Watcher) readLists(sink Sink, body io.Reader) error {
+	in := &listReader{in: body, w: w, sink: sink, empty: true}
 	last := int64(math.MinInt64)
 	for values := json.NewDecoder(in); ; {
 		var text json.RawMessage
@@ -366,41 +366,41 @@
 			return err
 		}
 		if l.Revision < last {
-			w.passedOver()
-			in.next(rest)
+			w.listIgnored()
+			in.listEnded(rest)
 			sink.Faulty(&OlderListError{Revision: l.Revision, Last: last})
 			continue
 		}
 		last = l.Revision
-		w.told(last)
-		in.next(rest)
-		report(sink, faulty)
-		l = keep(l, faulty, w.table.Instances())
-		w.table.Update(l)
+		w.listReceived(last)
+		in.listEnded(rest)
+		reportFaulty(sink, faulty)
+		l = keepUnreadable(l, faulty, w.instances.Instances())
+		w.instances.Update(l)
 		sink.Listed(l)
 	}
 }
 
-// report tells of the entries of a list that are passed over, the first ones one by one.
-func report(sink Sink, faulty []*EntryError) {
-	for _, f := range faulty[:min(len(faulty), mostTold)] {
+// reportFaulty tells of the entries of a list that are passed over, the first ones one by one.
+func reportFaulty(sink Sink, faulty []*EntryError) {
+	for _, f := range faulty[:min(len(faulty), maxReportedEntries)] {
 		sink.Faulty(f)
 	}
-	if more := len(faulty) - mostTold; more > 0 {
+	if more := len(faulty) - maxReportedEntries; more > 0 {
 		sink.Faulty(fmt.Errorf("list: %d more members that cannot be read", more))
 	}
 }
 
-// signs tells the clock of each sign of life on a connection, and goes by its patience.
-type signs struct {
+// monitoredConn tells the clock of each sign of life on a connection, and goes by its patience.
+type monitoredConn struct {
 	net.Conn
 	w *Watcher
 }
 
-func (s signs) Read(p []byte) (int, error) {
+func (s monitoredConn) Read(p []byte) (int, error) {
 	// Guards against a watch that has gone silent with its machine: a lost line would otherwise leave draining
 	// instances in use.
-	if err := s.SetReadDeadline(s.w.deadline()); err != nil {
+	if err := s.SetReadDeadline(s.w.silenceDeadline()); err != nil {
 		return 0, err
 	}
 	n, err := s.Conn.Read(p)
@@ -412,9 +412,9 @@
 	return n, err
 }
 
-// objects passes a watch's body on without what stands between lists, and tells the empty lines there, which are the
+// listReader passes a watch's body on without what stands between lists, and tells the empty lines there, which are the
 // beat of the watch. Blanks inside a list, or on the line that it ends on, are none.
-type objects struct {
+type listReader struct {
 	in    io.Reader
 	w     *Watcher
 	sink  Sink
@@ -422,12 +422,12 @@
 	empty bool // nothing has come on the line that is being read
 }
 
-func (o *objects) Read(p []byte) (int, error) {
+func (o *listReader) Read(p []byte) (int, error) {
 	for {
 		n, err := o.in.Read(p)
-		text := o.take(p[:n])
-		if o.size > maxObject {
-			return 0, fmt.Errorf("a list of over %d bytes", maxObject)
+		text := o.filter(p[:n])
+		if o.size > maxListBytes {
+			return 0, fmt.Errorf("a list of over %d bytes", maxListBytes)
 		}
 		if len(text) > 0 || err != nil {
 			return copy(p, text), err
@@ -435,21 +435,21 @@
 	}
 }
 
-// next says that a list is whole, and what came with it of the next.
-func (o *objects) next(rest []byte) {
+// listEnded says that a list is whole, and what came with it of the next.
+func (o *listReader) listEnded(rest []byte) {
 	o.size, o.empty = 0, false
-	o.take(rest)
+	o.filter(rest)
 }
 
-// take returns what is not between lists.
-func (o *objects) take(text []byte) []byte {
+// filter returns what is not between lists.
+func (o *listReader) filter(text []byte) []byte {
 	if o.size > 0 {
 		o.size += len(text)
 		return text
 	}
-	text, beats := o.between(text)
+	text, beats := o.skipBetween(text)
 	if beats {
-		o.w.beat()
+		o.w.heartbeat()
 		o.sink.Alive()
 	}
 	if len(text) > 0 {
@@ -461,8 +461,8 @@
 	return text
 }
 
-// between returns the text from the next list on, and whether an empty line stands before it.
-func (o *objects) between(text []byte) (rest []byte, beats bool) {
+// skipBetween returns the text from the next list on, and whether an empty line stands before it.
+func (o *listReader) skipBetween(text []byte) (rest []byte, beats bool) {
 	for i, c := range text {
 		switch c {
 		case '\n':
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -18,23 +18,23 @@
 	"caperrelay/internal/net/http1"
 )
 
-type sink struct {
+type recordingSink struct {
 	listed       chan dispatch.InstanceUpdate
 	alive        chan struct{}
 	silent, lost chan error
 	faulty       chan error
 }
 
-func newSink() sink {
-	return sink{make(chan dispatch.InstanceUpdate, 99), make(chan struct{}, 999), make(chan error, 99), make(chan error, 99), make(chan error, 99)}
+func newSink() recordingSink {
+	return recordingSink{make(chan dispatch.InstanceUpdate, 99), make(chan struct{}, 999), make(chan error, 99), make(chan error, 99), make(chan error, 99)}
 }
 
-func (s sink) Listed(l dispatch.InstanceUpdate) { s.listed <- l }
-func (s sink) Alive()                           { s.alive <- struct{}{} }
-func (s sink) Silent(_ int, err error)          { s.silent <- err }
-func (s sink) Faulty(err error)                 { s.faulty <- err }
+func (s recordingSink) Listed(l dispatch.InstanceUpdate) { s.listed <- l }
+func (s recordingSink) Alive()                           { s.alive <- struct{}{} }
+func (s recordingSink) Silent(_ int, err error)          { s.silent <- err }
+func (s recordingSink) Faulty(err error)                 { s.faulty <- err }
 
-func (s sink) Lost(err error, after time.Duration) { s.lost <- lostWatch{err, after} }
+func (s recordingSink) Lost(err error, after time.Duration) { s.lost <- lostWatch{err, after} }
 
 // lostWatch is how a watch ended, and how long after its call.
 type lostWatch struct {
@@ -44,13 +44,13 @@
 
 func (l lostWatch) Unwrap() error { return l.error }
 
-func of(dispatchers int, pushed bool) decide.Settings {
+func testSettings(dispatchers int, pushed bool) decide.Settings {
 	return decide.Settings{DispatcherCount: dispatchers, ListPushed: pushed, Rules: decide.Rules{MustAskIn: 10 * time.Second, DrainGrace: 500 * time.Millisecond}}
 }
 
 const (
-	head    = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	drained = `{"revision":43,"complete":false,"members":[{"id":"s-5","host_port":"h:1","locality":"a","flavor":"m2","cell":3,"phase":"terminating","size":1.0,"up_since_ms":2000}]}`
+	responseHead    = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	drainingList = `{"revision":43,"complete":false,"members":[{"id":"s-5","host_port":"h:1","locality":"a","flavor":"m2","cell":3,"phase":"terminating","size":1.0,"up_since_ms":2000}]}`
 )
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
@@ -62,8 +62,8 @@
 	at              time.Time
 }
 
-// table has a watcher call here, on pipes, so that its time may be a test's.
-func table(t *testing.T, w *Watcher) chan call {
+// fakeDiscovery has a watcher call here, on pipes, so that its time may be a test's.
+func fakeDiscovery(t *testing.T, w *Watcher) chan call {
 	calls := make(chan call, 99)
 	w.dial = func(_ context.Context, address string, _ time.Time) (net.Conn, error) {
 		here, there := net.Pipe()
@@ -78,7 +78,7 @@
 	return calls
 }
 
-func run(t *testing.T, w *Watcher) sink {
+func runWatcher(t *testing.T, w *Watcher) recordingSink {
 	s := newSink()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -87,18 +87,18 @@
 }
 
 // Whatever way a watch ends, it is told once, and the next one goes on from the last revision.
-func TestEveryEndOfAWatchIsTold(t *testing.T) {
+func TestEveryEndOfWatchIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	w := NewWatcher(l.Addr().String(), 41, of(1, false))
-	s := run(t, w)
+	w := NewWatcher(l.Addr().String(), 41, testSettings(1, false))
+	s := runWatcher(t, w)
 	for i, text := range []string{
-		head + chunk(drained+"\n"),
+		responseHead + chunk(drainingList+"\n"),
 		"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-		head + "3\r\n{x\n\r\n",
-		head + "3\r\n{}\n\r\n",
-		head + chunk(drained[:60]),
+		responseHead + "3\r\n{x\n\r\n",
+		responseHead + "3\r\n{}\n\r\n",
+		responseHead + chunk(drainingList[:60]),
 		"",
 	} {
 		w.Subscribe()
@@ -120,7 +120,7 @@
 
 // Silence of any sort has the next call made on a new connection before what was missed counts as told, without a word
 // from whoever subscribes, and again for as long as it lasts. Bytes that never become a list are no news.
-func TestSilenceIsAskedAgain(t *testing.T) {
+func TestSilentWatchIsReplaced(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		dispatchers int
@@ -129,20 +129,20 @@
 		from, to    time.Duration // after the last of it
 	}{
 		{"nothing after the connection", 300, false, nil, 3 * time.Second, 5 * time.Second},
-		{"nothing after the head", 300, false, []string{head}, 3 * time.Second, 5 * time.Second},
-		{"nothing after an empty line", 300, false, []string{head, chunk("\n")}, 3 * time.Second, 5 * time.Second},
-		{"half a line", 300, false, []string{head + chunk("\n"), chunk(drained[:40])}, 3 * time.Second, 5 * time.Second},
-		{"a list in crumbs", 300, false, append([]string{head}, strings.Split(chunk("[")+strings.Repeat("\x00"+chunk(" "), 3), "\x00")...), time.Second, time.Second},
-		{"blanks that end no line", 300, false, []string{head, chunk(" "), chunk("\t"), chunk("\r"), chunk(" ")}, time.Second, time.Second},
-		{"of a few", 3, false, []string{head, chunk("\n")}, 3 * time.Second, 3060 * time.Millisecond},
-		{"agent's watch", 300, true, []string{head, chunk("\n")}, 3 * time.Second, 3 * time.Second},
+		{"nothing after the head", 300, false, []string{responseHead}, 3 * time.Second, 5 * time.Second},
+		{"nothing after an empty line", 300, false, []string{responseHead, chunk("\n")}, 3 * time.Second, 5 * time.Second},
+		{"half a line", 300, false, []string{responseHead + chunk("\n"), chunk(drainingList[:40])}, 3 * time.Second, 5 * time.Second},
+		{"a list in crumbs", 300, false, append([]string{responseHead}, strings.Split(chunk("[")+strings.Repeat("\x00"+chunk(" "), 3), "\x00")...), time.Second, time.Second},
+		{"blanks that end no line", 300, false, []string{responseHead, chunk(" "), chunk("\t"), chunk("\r"), chunk(" ")}, time.Second, time.Second},
+		{"of a few", 3, false, []string{responseHead, chunk("\n")}, 3 * time.Second, 3060 * time.Millisecond},
+		{"agent's watch", 300, true, []string{responseHead, chunk("\n")}, 3 * time.Second, 3 * time.Second},
 		{"agent", 300, true, nil, 250 * time.Millisecond, 250 * time.Millisecond},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := NewWatcher("h:1", 41, of(tt.dispatchers, tt.pushed))
-				calls := table(t, w)
-				s := run(t, w)
+				w := NewWatcher("h:1", 41, testSettings(tt.dispatchers, tt.pushed))
+				calls := fakeDiscovery(t, w)
+				s := runWatcher(t, w)
 				w.Subscribe()
 				c := <-calls
 				for n := range 3 {
@@ -160,7 +160,7 @@
 					require.GreaterOrEqual(t, c.at.Sub(last), tt.from, n)
 					require.LessOrEqual(t, c.at.Sub(last), tt.to, n)
 				}
-				c.Write([]byte(head + chunk(drained+"\n")))
+				c.Write([]byte(responseHead + chunk(drainingList+"\n")))
 				require.EqualValues(t, 43, (<-s.listed).Revision)
 				require.Empty(t, s.lost)
 			})
@@ -169,19 +169,19 @@
 }
 
 // What falls silent at all dispatchers at once is not asked for by all at once, and by none too late.
-func TestSilenceOfAFleetIsSpread(t *testing.T) {
+func TestCallsAfterFleetWideSilenceAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var all []time.Duration
 		began := time.Now()
 		calls := make(chan call, 999)
 		for range 300 {
-			w := NewWatcher("h:1", 41, of(300, false))
-			own := table(t, w)
-			run(t, w)
+			w := NewWatcher("h:1", 41, testSettings(300, false))
+			own := fakeDiscovery(t, w)
+			runWatcher(t, w)
 			w.Subscribe()
 			go func() {
 				c := <-own
-				c.Write([]byte(head + chunk("\n")))
+				c.Write([]byte(responseHead + chunk("\n")))
 				calls <- <-own
 			}()
 		}
@@ -199,30 +199,30 @@
 
 // Lists come on one line or on many, in any pieces. Empty lines between them are the beat of the watch; other blanks, the
 // end of a list's own line and lines inside a list are not.
-func TestListsMayComeIndented(t *testing.T) {
-	wide := strings.NewReplacer("{", "{\n\n  ", ",", ",\r\n\t  ", "[", "[\n ", "}", "\n}").Replace(drained)
+func TestIndentedLists(t *testing.T) {
+	wide := strings.NewReplacer("{", "{\n\n  ", ",", ",\r\n\t  ", "[", "[\n ", "}", "\n}").Replace(drainingList)
 	for _, tt := range []struct {
 		name  string
 		text  string
 		lists int
 		beats int // where it comes byte by byte
 	}{
-		{"on a line", drained + "\n", 1, 0},
-		{"no end of line", drained, 1, 0},
+		{"on a line", drainingList + "\n", 1, 0},
+		{"no end of line", drainingList, 1, 0},
 		{"indented", wide + "\n", 1, 0},
 		{"blanks first", " \t\r\n   " + wide + "\r\n\n", 1, 2},
-		{"one after the other", wide + wide + "\n" + drained, 3, 0},
+		{"one after the other", wide + wide + "\n" + drainingList, 3, 0},
 		{"beats", "\n \n\r\n" + wide, 1, 3},
 	} {
 		for _, size := range []int{1, 7, 4096} {
 			t.Run(fmt.Sprint(tt.name, " by ", size), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := NewWatcher("h:1", 41, of(1, false))
-					calls := table(t, w)
-					s := run(t, w)
+					w := NewWatcher("h:1", 41, testSettings(1, false))
+					calls := fakeDiscovery(t, w)
+					s := runWatcher(t, w)
 					w.Subscribe()
 					c := <-calls
-					c.Write([]byte(head))
+					c.Write([]byte(responseHead))
 					for piece := range slices.Chunk([]byte(tt.text), size) {
 						c.Write([]byte(chunk(string(piece))))
 						synctest.Wait()
@@ -244,19 +244,19 @@
 
 // A move takes its turn among the fleet's, within 3 s, and the watch at the old address tells until then. A watch that
 // ends there is no loss. An agent is called at once.
-func TestMovesTakeTurns(t *testing.T) {
+func TestAddressChangesAreSpread(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := NewWatcher("h:1", 41, of(300, false))
-			calls := table(t, w)
-			s := run(t, w)
+			w := NewWatcher("h:1", 41, testSettings(300, false))
+			calls := fakeDiscovery(t, w)
+			s := runWatcher(t, w)
 			w.Subscribe()
 			c := <-calls
-			c.Write([]byte(head))
+			c.Write([]byte(responseHead))
 			synctest.Wait()
 			began := time.Now()
 			w.Move("h:2")
-			c.Write([]byte(chunk(drained)))
+			c.Write([]byte(chunk(drainingList)))
 			require.EqualValues(t, 43, (<-s.listed).Revision)
 			require.True(t, w.Moving(), "whoever goes by revisions must know whose that was")
 			if ends {
@@ -271,11 +271,11 @@
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		w := NewWatcher("h:1", 41, of(300, true))
-		calls := table(t, w)
-		run(t, w)
+		w := NewWatcher("h:1", 41, testSettings(300, true))
+		calls := fakeDiscovery(t, w)
+		runWatcher(t, w)
 		c := <-calls // and at its start without being asked to
-		c.Write([]byte(head))
+		c.Write([]byte(responseHead))
 		synctest.Wait()
 		began := time.Now()
 		w.Move("h:2")
@@ -285,11 +285,11 @@
 
 // Turns may be longer than a list is good for: the clock calls before that is over. While others tell of the list it
 // does not, and a watch asked for right after a rest is begun.
-func TestClockCallsWhereNobodyAsks(t *testing.T) {
+func TestClockCallsWithoutSubscription(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := NewWatcher("h:1", 41, of(300, false))
-		calls := table(t, w)
-		s := run(t, w)
+		w := NewWatcher("h:1", 41, testSettings(300, false))
+		calls := fakeDiscovery(t, w)
+		s := runWatcher(t, w)
 		w.Subscribe()
 		for range 3 {
 			c := <-calls
@@ -301,7 +301,7 @@
 			next.Close()
 			require.Error(t, <-s.lost)
 			next = <-calls
-			next.Write([]byte(head + chunk("\n")))
+			next.Write([]byte(responseHead + chunk("\n")))
 			synctest.Wait()
 			next.Close() // a watch that ends is no failed call
 			require.Error(t, <-s.lost)
@@ -323,14 +323,14 @@
 }
 
 // A list without an end is not read on.
-func TestListsAreBounded(t *testing.T) {
+func TestListSizeIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := NewWatcher("h:1", 41, of(1, false))
-		calls := table(t, w)
-		s := run(t, w)
+		w := NewWatcher("h:1", 41, testSettings(1, false))
+		calls := fakeDiscovery(t, w)
+		s := runWatcher(t, w)
 		w.Subscribe()
 		c := <-calls
-		fmt.Fprint(c, head, chunk("["))
+		fmt.Fprint(c, responseHead, chunk("["))
 		for err := error(nil); err == nil; {
 			_, err = fmt.Fprint(c, chunk(strings.Repeat(" ", 64<<10)))
 		}
--- a/internal/net/upstream/answer_test.go
+++ b/internal/net/upstream/answer_test.go
@@ -13,10 +13,10 @@
 	"caperrelay/internal/net/http1"
 )
 
-const unprocessed = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+const response503 = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
-// sent has an attempt sent on a new connection and read by its encoder.
-func (e *encoder) sent(p *Pool) (*dispatch.Attempt, *peer) {
+// sendAttempt has an attempt sent on a new connection and read by its encoder.
+func (e *encoder) sendAttempt(p *Pool) (*dispatch.Attempt, *encoderConn) {
 	a := attempt("s-1")
 	a.NewConn = true
 	p.Send(a)
@@ -27,7 +27,7 @@
 
 // An answer that is spoilt, oversized or cut ends its own attempt as a reset, told once, and its own connection. The encoder,
 // which may think that it has the job, is told to give it up.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	const head = "HTTP/1.1 202 Accepted\r\n"
 	field := "X: " + strings.Repeat("x", 4000) + "\r\n"
 	for name, answer := range map[string]string{
@@ -55,18 +55,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := listen(t)
-			p, r := dial(t, e, 9)
-			_, c := e.sent(p)
+			p, r := newScriptedPool(t, e, 9)
+			_, c := e.sendAttempt(p)
 			c.write(answer)
-			require.Equal(t, decide.Reset, next(t, r.ended))
+			require.Equal(t, decide.Reset, receive(t, r.ended))
 			d := e.accept()
-			d.isGiveUp()
-			d.write(deleted)
-			c.ends()
-			rests(t, p, 1)
-			require.Equal(t, 1, open(p))
+			d.expectCancel()
+			d.write(response200)
+			c.expectClosed()
+			awaitIdle(t, p, 1)
+			require.Equal(t, 1, openConns(p))
 			require.Empty(t, r.ended)
-			require.Empty(t, r.taken)
+			require.Empty(t, r.accepted)
 		})
 	}
 }
@@ -74,10 +74,10 @@
 // An answer that is cut in the middle is a reset, be it by FIN, by RST or by a RST over bytes that nobody has read, and the
 // encoder is told to give up: it may have been about to take the job. One that breaks before an answer's first byte has
 // told its end itself.
-func TestCutAnswers(t *testing.T) {
-	ends := map[string]func(*peer){
-		"FIN": func(c *peer) { require.NoError(t, c.Close()) },
-		"RST": (*peer).reset,
+func TestTruncatedResponses(t *testing.T) {
+	ends := map[string]func(*encoderConn){
+		"FIN": func(c *encoderConn) { require.NoError(t, c.Close()) },
+		"RST": (*encoderConn).reset,
 	}
 	for name, end := range ends {
 		for text, told := range map[string]bool{
@@ -88,60 +88,60 @@
 		} {
 			t.Run(name+" after "+text, func(t *testing.T) {
 				e := listen(t)
-				p, r := dial(t, e, 9)
-				_, c := e.sent(p)
+				p, r := newScriptedPool(t, e, 9)
+				_, c := e.sendAttempt(p)
 				c.write(text)
 				end(c)
-				require.Equal(t, decide.Reset, next(t, r.ended))
+				require.Equal(t, decide.Reset, receive(t, r.ended))
 				if told {
 					d := e.accept()
-					d.isGiveUp()
-					d.write(deleted)
+					d.expectCancel()
+					d.write(response200)
 				}
-				rests(t, p, map[bool]int{true: 1}[told])
-				e.nobody()
+				awaitIdle(t, p, map[bool]int{true: 1}[told])
+				e.expectNoConn()
 				require.Empty(t, r.ended)
 			})
 		}
 	}
 }
 
-// paused holds up whoever has written an attempt whole until the test lets go, so that an answer lies unread.
-type paused struct {
-	reports
-	written, on chan bool
+// pausingObserver holds up whoever has written an attempt whole until the test lets go, so that an answer lies unread.
+type pausingObserver struct {
+	recorder
+	written, resume chan bool
 }
 
-func (p paused) AttemptSent(*dispatch.Attempt) {
+func (p pausingObserver) AttemptSent(*dispatch.Attempt) {
 	p.written <- true
-	<-p.on
+	<-p.resume
 }
 
-// pause returns a pool that stops after each attempt's last byte.
-func pause(t *testing.T, e *encoder) (*Pool, paused) {
-	p, r := dial(t, e, 9)
-	held := paused{r, make(chan bool, 9), make(chan bool, 9)}
+// newPausingPool returns a pool that stops after each attempt's last byte.
+func newPausingPool(t *testing.T, e *encoder) (*Pool, pausingObserver) {
+	p, r := newScriptedPool(t, e, 9)
+	held := pausingObserver{r, make(chan bool, 9), make(chan bool, 9)}
 	p.ReportTo(held)
 	return p, held
 }
 
 // A whole answer counts though the connection is reset over it before anybody has read it; what comes next goes out on
 // another connection.
-func TestAnswerBeforeAReset(t *testing.T) {
-	for answer, check := range map[string]func(*testing.T, paused, *dispatch.Attempt){
-		accepted:    func(t *testing.T, r paused, a *dispatch.Attempt) { require.Equal(t, a, next(t, r.taken)) },
-		unprocessed: func(t *testing.T, r paused, _ *dispatch.Attempt) { require.Equal(t, decide.Full, next(t, r.ended)) },
+func TestResponseFollowedByReset(t *testing.T) {
+	for answer, check := range map[string]func(*testing.T, pausingObserver, *dispatch.Attempt){
+		response202:    func(t *testing.T, r pausingObserver, a *dispatch.Attempt) { require.Equal(t, a, receive(t, r.accepted)) },
+		response503: func(t *testing.T, r pausingObserver, _ *dispatch.Attempt) { require.Equal(t, decide.Full, receive(t, r.ended)) },
 	} {
 		e := listen(t)
-		p, r := pause(t, e)
-		a, c := e.sent(p)
-		next(t, r.written)
+		p, r := newPausingPool(t, e)
+		a, c := e.sendAttempt(p)
+		receive(t, r.written)
 		c.write(answer)
 		c.reset()
-		r.on <- true
+		r.resume <- true
 		check(t, r, a)
-		rests(t, p, 1)
-		r.on <- true
+		awaitIdle(t, p, 1)
+		r.resume <- true
 		p.Send(attempt("s-1"))
 		e.accept().read()
 		require.Empty(t, r.ended)
@@ -149,62 +149,62 @@
 }
 
 // A reset right behind the request's last byte, before any answer, is told as one: the job may run.
-func TestResetBehindTheLastByte(t *testing.T) {
+func TestResetAfterLastByte(t *testing.T) {
 	e := listen(t)
-	p, r := pause(t, e)
-	_, c := e.sent(p)
-	next(t, r.written)
+	p, r := newPausingPool(t, e)
+	_, c := e.sendAttempt(p)
+	receive(t, r.written)
 	c.reset()
-	r.on <- true
-	require.Equal(t, decide.Reset, next(t, r.ended))
-	require.Eventually(t, func() bool { return open(p) == 0 }, patience, time.Millisecond)
+	r.resume <- true
+	require.Equal(t, decide.Reset, receive(t, r.ended))
+	require.Eventually(t, func() bool { return openConns(p) == 0 }, testTimeout, time.Millisecond)
 	require.Empty(t, r.ended)
 }
 
 // An attempt that is given up while its answer lies unread is taken back all the same, and the answer is nobody's.
-func TestGiveUpOverAnUnreadAnswer(t *testing.T) {
+func TestCancelWithUnreadResponse(t *testing.T) {
 	e := listen(t)
-	p, r := pause(t, e)
-	a, c := e.sent(p)
-	next(t, r.written)
-	c.write(accepted)
+	p, r := newPausingPool(t, e)
+	a, c := e.sendAttempt(p)
+	receive(t, r.written)
+	c.write(response202)
 	p.Cancel(a)
 	d := e.accept()
-	d.isGiveUp()
-	r.on <- true
-	require.Equal(t, decide.Reset, next(t, r.ended), "which the loop drops")
-	d.write(deleted)
-	rests(t, p, 1)
-	require.Empty(t, r.taken)
+	d.expectCancel()
+	r.resume <- true
+	require.Equal(t, decide.Reset, receive(t, r.ended), "which the loop drops")
+	d.write(response200)
+	awaitIdle(t, p, 1)
+	require.Empty(t, r.accepted)
 	require.Empty(t, r.ended)
 }
 
 // An answer that never ends is waited for until the attempt's deadline, and given up then: the encoder is told, the
 // connection closed, and one end is told.
-func TestAnswerWithoutEndIsGivenUp(t *testing.T) {
+func TestEndlessResponseIsCancelled(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 202 Acc", "HTTP/1.1 202 Accepted\r\n\r\nbody", "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n"} {
 		e := listen(t)
-		p, r := dial(t, e, 9)
-		a, c := e.sent(p)
+		p, r := newScriptedPool(t, e, 9)
+		a, c := e.sendAttempt(p)
 		c.write(text)
 		p.Cancel(a) // as the loop does at the deadline
 		d := e.accept()
-		d.isGiveUp()
-		d.write(deleted)
-		require.Equal(t, decide.Reset, next(t, r.ended), "which the loop drops")
-		c.ends()
-		rests(t, p, 1)
-		require.Equal(t, 1, open(p))
-		e.nobody()
+		d.expectCancel()
+		d.write(response200)
+		require.Equal(t, decide.Reset, receive(t, r.ended), "which the loop drops")
+		c.expectClosed()
+		awaitIdle(t, p, 1)
+		require.Equal(t, 1, openConns(p))
+		e.expectNoConn()
 		require.Empty(t, r.ended)
 	}
 }
 
 // Should the loop stand still at the deadline, the pool ends the attempt by itself a while later, also one that goes on
 // sending: the bound is a moment, not a pause between bytes.
-func TestAnswerThatTricklesIsBoundedInTime(t *testing.T) {
+func TestSlowResponseIsBoundedInTime(t *testing.T) {
 	e := listen(t)
-	p, r := dial(t, e, 9)
+	p, r := newScriptedPool(t, e, 9)
 	a := attempt("s-1")
 	a.Deadline = time.Now().Add(500 * time.Millisecond)
 	p.Send(a)
@@ -220,42 +220,42 @@
 			}
 		}
 	}()
-	require.Equal(t, decide.Reset, next(t, r.ended))
-	require.WithinRange(t, time.Now(), a.Deadline.Add(courtesy), a.Deadline.Add(patience))
-	e.accept().isGiveUp()
+	require.Equal(t, decide.Reset, receive(t, r.ended))
+	require.WithinRange(t, time.Now(), a.Deadline.Add(graceTime), a.Deadline.Add(testTimeout))
+	e.accept().expectCancel()
 }
 
 // Second answers are nobody's: not one that comes with the first, nor one that lies on the connection when the next request
 // is due. The connection is closed, and the next request goes out on another.
-func TestSecondAnswersBeforeTheNextRequest(t *testing.T) {
-	for name, second := range map[string]func(*peer, *Pool){
-		"with the first": func(c *peer, p *Pool) {
-			c.write(accepted + unprocessed)
+func TestSecondResponseBeforeNextRequest(t *testing.T) {
+	for name, second := range map[string]func(*encoderConn, *Pool){
+		"with the first": func(c *encoderConn, p *Pool) {
+			c.write(response202 + response503)
 		},
-		"between two": func(c *peer, p *Pool) {
-			c.write(accepted)
-			rests(c.t, p, 1)
-			c.write(unprocessed)
+		"between two": func(c *encoderConn, p *Pool) {
+			c.write(response202)
+			awaitIdle(c.t, p, 1)
+			c.write(response503)
 		},
-		"half of one between two": func(c *peer, p *Pool) {
-			c.write(accepted)
-			rests(c.t, p, 1)
+		"half of one between two": func(c *encoderConn, p *Pool) {
+			c.write(response202)
+			awaitIdle(c.t, p, 1)
 			c.write("HTTP/1.1 50")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := listen(t)
-			p, r := dial(t, e, 9)
-			a, c := e.sent(p)
+			p, r := newScriptedPool(t, e, 9)
+			a, c := e.sendAttempt(p)
 			second(c, p)
-			require.Equal(t, a, next(t, r.taken))
+			require.Equal(t, a, receive(t, r.accepted))
 			b := attempt("s-1")
 			p.Send(b)
 			d := e.accept()
 			d.read()
-			d.write(accepted)
-			require.Equal(t, b, next(t, r.taken))
-			c.ends()
+			d.write(response202)
+			require.Equal(t, b, receive(t, r.accepted))
+			c.expectClosed()
 			require.Empty(t, r.ended)
 		})
 	}
@@ -263,103 +263,103 @@
 
 // A connection that the encoder closes while it is idle carries nothing more, whether by FIN or by RST: seen before a byte is
 // written, it is replaced, and nothing is told.
-func TestIdleConnectionClosedByItsEncoder(t *testing.T) {
-	for name, end := range map[string]func(*peer){"FIN": func(c *peer) { c.Close() }, "RST": (*peer).reset} {
+func TestIdleConnectionClosedByEncoder(t *testing.T) {
+	for name, end := range map[string]func(*encoderConn){"FIN": func(c *encoderConn) { c.Close() }, "RST": (*encoderConn).reset} {
 		t.Run(name, func(t *testing.T) {
 			e := listen(t)
-			p, r := dial(t, e, 9)
-			end(e.serves(p, r))
+			p, r := newScriptedPool(t, e, 9)
+			end(e.serveAttempt(p, r))
 			p.Send(attempt("s-1"))
 			e.accept().read()
 			require.Empty(t, r.ended)
-			require.Equal(t, 1, open(p))
+			require.Equal(t, 1, openConns(p))
 		})
 	}
 }
 
 // Closed in the very moment of its reuse, after the look and before the first byte, an idle connection is told by how far
 // the request can have come: never written whole, it did not run; else it is a reset, since the encoder may have read it.
-func TestConnectionClosedInTheMomentOfReuse(t *testing.T) {
+func TestConnectionClosedDuringReuse(t *testing.T) {
 	for name, one := range map[string]struct {
-		end  func(*peer)
+		end  func(*encoderConn)
 		want decide.Outcome
 	}{
-		"FIN unseen": {func(c *peer) { c.Close() }, decide.Reset},
-		"RST":        {(*peer).reset, decide.ConnectFailed},
+		"FIN unseen": {func(c *encoderConn) { c.Close() }, decide.Reset},
+		"RST":        {(*encoderConn).reset, decide.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := listen(t)
-			p, r := dial(t, e, 9)
-			c := e.serves(p, r)
+			p, r := newScriptedPool(t, e, 9)
+			c := e.serveAttempt(p, r)
 			a := attempt("s-1")
-			outcome := make(chan end, 1)
+			outcome := make(chan result, 1)
 			p.start("s-1", &exchange{
-				method: "POST", target: "/api", id: "c1", deadline: a.Deadline, gated: true, done: func(e end) { outcome <- e },
+				method: "POST", target: "/api", correlationID: "c1", deadline: a.Deadline, newWork: true, onDone: func(e result) { outcome <- e },
 				expired: func(time.Time) bool { // asked directly before the first byte
 					one.end(c)
 					return false
 				},
 			})
-			end := next(t, outcome)
+			end := receive(t, outcome)
 			o, over := end.outcome()
 			require.True(t, over)
 			require.Equal(t, one.want, o)
-			require.Positive(t, end.kept, "by which the module knows that the connection was an old one")
-			require.Eventually(t, func() bool { return open(p) == 0 }, patience, time.Millisecond)
+			require.Positive(t, end.connIdle, "by which the module knows that the connection was an old one")
+			require.Eventually(t, func() bool { return openConns(p) == 0 }, testTimeout, time.Millisecond)
 		})
 	}
 }
 
 // A request that breaks off before its last byte is written never ran, whatever the encoder said before it broke off.
-func TestRequestCutWhileItIsWritten(t *testing.T) {
-	for name, end := range map[string]func(*peer){
-		"RST":                func(c *peer) { c.reset() },
-		"FIN over unread":    func(c *peer) { c.Close() },
-		"answer, then RST":   func(c *peer) { c.write(unprocessed); c.reset() },
-		"taken, then RST":    func(c *peer) { c.write(accepted); c.reset() },
-		"half, then RST":     func(c *peer) { c.write("HTTP/1.1 50"); c.reset() },
-		"error, then closed": func(c *peer) { c.write("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"); c.Close() },
+func TestConnectionClosedDuringWrite(t *testing.T) {
+	for name, end := range map[string]func(*encoderConn){
+		"RST":                func(c *encoderConn) { c.reset() },
+		"FIN over unread":    func(c *encoderConn) { c.Close() },
+		"answer, then RST":   func(c *encoderConn) { c.write(response503); c.reset() },
+		"taken, then RST":    func(c *encoderConn) { c.write(response202); c.reset() },
+		"half, then RST":     func(c *encoderConn) { c.write("HTTP/1.1 50"); c.reset() },
+		"error, then closed": func(c *encoderConn) { c.write("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := listen(t)
-			p, r := dial(t, e, 9)
-			c := e.narrow(p)
-			p.Send(large())
+			p, r := newScriptedPool(t, e, 9)
+			c := e.smallBufferConn(p)
+			p.Send(largeAttempt())
 			c.readByte()
 			end(c)
-			require.Equal(t, decide.ConnectFailed, next(t, r.ended))
-			require.Eventually(t, func() bool { return open(p) == 0 }, patience, time.Millisecond)
+			require.Equal(t, decide.ConnectFailed, receive(t, r.ended))
+			require.Eventually(t, func() bool { return openConns(p) == 0 }, testTimeout, time.Millisecond)
 			require.Empty(t, r.ended)
 		})
 	}
 }
 
 // An answer that comes while the request is still being written is read once that is done: handed back, it never ran.
-func TestAnswerWhileTheRequestIsWritten(t *testing.T) {
+func TestResponseDuringWrite(t *testing.T) {
 	e := listen(t)
-	p, r := dial(t, e, 9)
-	c := e.narrow(p)
-	p.Send(large())
+	p, r := newScriptedPool(t, e, 9)
+	c := e.smallBufferConn(p)
+	p.Send(largeAttempt())
 	c.readByte()
-	c.write(unprocessed)
+	c.write(response503)
 	require.NoError(t, c.br.UnreadByte())
 	c.read()
-	require.Equal(t, decide.Full, next(t, r.ended))
-	rests(t, p, 1)
+	require.Equal(t, decide.Full, receive(t, r.ended))
+	awaitIdle(t, p, 1)
 	require.Empty(t, r.ended)
 }
 
 // An encoder that answers early and reads no further holds its attempt up until the deadline, no longer.
-func TestAnswerToWhatIsNeverRead(t *testing.T) {
+func TestResponseToUnreadRequest(t *testing.T) {
 	e := listen(t)
-	p, r := dial(t, e, 9)
-	c := e.narrow(p)
-	a := large()
+	p, r := newScriptedPool(t, e, 9)
+	c := e.smallBufferConn(p)
+	a := largeAttempt()
 	a.Deadline = time.Now().Add(time.Second)
 	p.Send(a)
 	c.readByte()
-	c.write(unprocessed)
-	require.Equal(t, decide.ConnectFailed, next(t, r.ended))
-	require.WithinRange(t, time.Now(), a.Deadline.Add(courtesy), a.Deadline.Add(patience))
-	require.Eventually(t, func() bool { return open(p) == 0 }, patience, time.Millisecond)
+	c.write(response503)
+	require.Equal(t, decide.ConnectFailed, receive(t, r.ended))
+	require.WithinRange(t, time.Now(), a.Deadline.Add(graceTime), a.Deadline.Add(testTimeout))
+	require.Eventually(t, func() bool { return openConns(p) == 0 }, testTimeout, time.Millisecond)
 }
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -13,36 +13,36 @@
 	"caperrelay/internal/net/sock"
 )
 
-// stage is how far an exchange has come when it ends.
-type stage int
+// progress is how far an exchange has come when it ends.
+type progress int
 
 const (
-	unsent   stage = iota // not begun: no connection to spare, or the encoder wants nothing new
-	unmade                // the connection never came up, or broke before the last byte was written
-	broken                // it broke after that, before the answer
+	notSent   progress = iota // not begun: no connection to spare, or the encoder wants nothing new
+	connectFailed                // the connection never came up, or broke before the last byte was written
+	noResponse                // it broke after that, before the answer
 	answered              // the encoder answered
 )
 
-// end is how an exchange ended.
-type end struct {
-	stage    stage
+// result is how an exchange ended.
+type result struct {
+	progress    progress
 	response *http1.Response // where it was answered
-	kept     time.Duration   // how long its connection had been idle; 0: it was new
-	unknown  bool            // where it was unsent: no such encoder was ever listed
-	spoilt   bool            // where it broke: not before something of an answer had come
+	connIdle     time.Duration   // how long its connection had been idle; 0: it was new
+	unknownInstance  bool            // where it was unsent: no such encoder was ever listed
+	malformed   bool            // where it broke: not before something of an answer had come
 }
 
 // unusable tells whether the encoder says that no encoder could do the request as it stands.
-func (e end) unusable() bool { return e.stage == answered && e.response.Status == 400 }
+func (e result) unusable() bool { return e.progress == answered && e.response.Status == 400 }
 
 // outcome is what the end says of an attempt; over is false where the encoder has taken it.
-func (e end) outcome() (o decide.Outcome, over bool) {
-	switch e.stage {
-	case unsent:
+func (e result) outcome() (o decide.Outcome, over bool) {
+	switch e.progress {
+	case notSent:
 		return decide.NotSent, true
-	case unmade:
+	case connectFailed:
 		return decide.ConnectFailed, true
-	case broken:
+	case noResponse:
 		return decide.Reset, true
 	}
 	switch status := e.response.Status; {
@@ -54,11 +54,11 @@
 	return decide.Errored, true
 }
 
-func (e end) probeOutcome() decide.Outcome {
+func (e result) probeOutcome() decide.Outcome {
 	switch {
-	case e.stage == unmade || e.stage == unsent:
+	case e.progress == connectFailed || e.progress == notSent:
 		return decide.ConnectFailed
-	case e.stage == broken:
+	case e.progress == noResponse:
 		return decide.TimedOut
 	case e.response.Status == 200:
 		return decide.OK
@@ -71,18 +71,18 @@
 // exchange is one request to an encoder and what came back.
 type exchange struct {
 	method, target string
-	id             string       // correlation id, of requests only
-	passed         http1.Header // of the client's
+	correlationID             string       // correlation id, of requests only
+	passedHeader         http1.Header // of the client's
 	body           []byte
 	deadline       time.Time
-	mostIdle       time.Duration        // of the connection; 0: any
-	fresh          bool                 // only a new connection will do
-	gated          bool                 // new work: only for an encoder that is ready
-	patient        bool                 // its connection may take until the deadline to come up
+	maxIdle       time.Duration        // of the connection; 0: any
+	newConn          bool                 // only a new connection will do
+	newWork          bool                 // new work: only for an encoder that is ready
+	connectUntilDeadline        bool                 // its connection may take until the deadline to come up
 	expired        func(time.Time) bool // nil: never; it is too late to send it
 	begin          func() bool          // nil: always; told that it is about to be sent, it may say no
-	sent           func()               // called once it is written whole, if at all; may be nil
-	done           func(end)            // called once, from the connection's goroutine
+	onSent           func()               // called once it is written whole, if at all; may be nil
+	onDone           func(result)            // called once, from the connection's goroutine
 
 	mu      sync.Mutex
 	conn    net.Conn // while it is on one
@@ -102,8 +102,8 @@
 	return x.written
 }
 
-// unsend aborts the exchange unless the encoder may have got something of it.
-func (x *exchange) unsend() {
+// abortUnsent aborts the exchange unless the encoder may have got something of it.
+func (x *exchange) abortUnsent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.written {
@@ -114,11 +114,11 @@
 	}
 }
 
-// late tells whether nobody waits any more for new work that has not been begun.
-func (x *exchange) late() bool { return x.gated && !time.Now().Before(x.deadline) }
+// tooLate tells whether nobody waits any more for new work that has not been begun.
+func (x *exchange) tooLate() bool { return x.newWork && !time.Now().Before(x.deadline) }
 
-// enter puts the exchange on a connection unless it was aborted before.
-func (x *exchange) enter(c net.Conn) bool {
+// attach puts the exchange on a connection unless it was aborted before.
+func (x *exchange) attach(c net.Conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.aborted {
@@ -127,8 +127,8 @@
 	return !x.aborted
 }
 
-// leave takes it off, so that an abort that comes too late can't close another's connection.
-func (x *exchange) leave() (aborted bool) {
+// detach takes it off, so that an abort that comes too late can't close another's connection.
+func (x *exchange) detach() (aborted bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn = nil
@@ -138,22 +138,22 @@
 // conn is one connection to an encoder and, through run, its goroutine.
 type conn struct {
 	pool  *Pool
-	in    *endpoint
-	work  chan *exchange // closed: the connection is to end
-	since time.Time      // idle since
-	shut  bool           // by the pool, which counts it no more
+	endpoint    *endpoint
+	exchanges  chan *exchange // closed: the connection is to end
+	idleSince time.Time      // idle since
+	closedByPool  bool           // by the pool, which counts it no more
 
 	epoch  int       // of the encoder, when it was dialled
-	dialed time.Time // when that began
+	dialStarted time.Time // when that began
 
 	nc  net.Conn
 	br  *bufio.Reader
-	out []byte // room for requests
+	buf []byte // room for requests
 }
 
-// run opens a connection for a first exchange and serves further ones until it ends.
-func (p *Pool) run(c *conn, x *exchange) {
-	defer p.closed(c)
+// serveConn opens a connection for a first exchange and serves further ones until it ends.
+func (p *Pool) serveConn(c *conn, x *exchange) {
+	defer p.connEnded(c)
 	defer func() {
 		if c.nc != nil {
 			c.nc.Close()
@@ -163,12 +163,12 @@
 	defer retire.Stop()
 	for {
 		e, alive := c.serve(x)
-		x.done(e)
+		x.onDone(e)
 		if !alive {
 			return
 		}
-		p.rest(c)
-		retire.Reset(p.bounds().rest())
+		p.putIdle(c)
+		retire.Reset(p.currentLimits().maxIdle())
 		var ok bool
 		if x, ok = c.next(retire.C); !ok {
 			return
@@ -179,70 +179,70 @@
 // next waits for a resting connection's next exchange; false: there is none, the connection is to end.
 func (c *conn) next(retire <-chan time.Time) (x *exchange, ok bool) {
 	select {
-	case x, ok = <-c.work:
+	case x, ok = <-c.exchanges:
 		return x, ok
 	case <-retire:
 	}
-	if c.pool.retire(c) {
+	if c.pool.removeIdle(c) {
 		return nil, false
 	}
-	x, ok = <-c.work // it was given work, or shut, in that moment
+	x, ok = <-c.exchanges // it was given work, or shut, in that moment
 	return x, ok
 }
 
 // serve carries out one exchange. alive: the connection may carry another.
-func (c *conn) serve(x *exchange) (e end, alive bool) {
-	if c.nc != nil && (!c.pool.leads(c) || c.stale()) { // nothing is written yet, so another connection does no harm
+func (c *conn) serve(x *exchange) (e result, alive bool) {
+	if c.nc != nil && (!c.pool.isCurrent(c) || c.stale()) { // nothing is written yet, so another connection does no harm
 		c.nc.Close()
 		c.nc = nil
 	}
 	kept := time.Duration(0)
 	if c.nc != nil {
-		kept = max(time.Since(c.since), 1)
+		kept = max(time.Since(c.idleSince), 1)
 	} else if e, up := c.open(x); !up {
 		return e, false
 	}
-	if !x.enter(c.nc) {
-		return end{stage: unsent}, true
+	if !x.attach(c.nc) {
+		return result{progress: notSent}, true
 	}
-	e = c.exchange(x)
-	e.kept = kept
-	aborted, talks := x.leave(), e.stage == answered && c.br.Buffered() > 0
+	e = c.roundTrip(x)
+	e.connIdle = kept
+	aborted, talks := x.detach(), e.progress == answered && c.br.Buffered() > 0
 	if talks {
-		c.pool.talked(c.in)
+		c.pool.noteUnsolicited(c.endpoint)
 	}
-	e.spoilt = e.spoilt && !aborted // else who aborted it takes it back
-	return e, !aborted && !talks && (e.stage == unsent || e.stage == answered && !e.response.Close)
+	e.malformed = e.malformed && !aborted // else who aborted it takes it back
+	return e, !aborted && !talks && (e.progress == notSent || e.progress == answered && !e.response.Close)
 }
 
 // open opens a connection for an exchange; up is false where there is none, and e says why.
-func (c *conn) open(x *exchange) (e end, up bool) {
-	if x.late() { // a dial would fail at once, which speaks against no encoder
-		return end{stage: unsent}, false
+func (c *conn) open(x *exchange) (e result, up bool) {
+	if x.tooLate() { // a dial would fail at once, which speaks against no encoder
+		return result{progress: notSent}, false
 	}
 	err := c.dial(x)
 	switch {
 	case err == nil:
-		return end{}, true
+		return result{}, true
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-		return end{stage: unsent}, false // our own want speaks against no encoder
+		return result{progress: notSent}, false // our own want speaks against no encoder
 	}
-	return end{stage: unmade}, false
+	return result{progress: connectFailed}, false
 }
 
 // dial opens a connection. For what is no new work it does so again if the encoder has moved meanwhile.
 func (c *conn) dial(x *exchange) error {
-	up := time.Now().Add(c.pool.bounds().Connect)
-	if x.patient || x.deadline.Before(up) {
+	up := time.Now().Add(c.pool.currentLimits().Connect)
+	if x.connectUntilDeadline || x.deadline.Before(up) {
 		up = x.deadline
 	}
 	dialer := net.Dialer{Deadline: up, KeepAlive: -1}
 	for {
-		nc, err := dialer.Dial("tcp", c.pool.aim(c))
+		nc, err := dialer.Dial("tcp", c.pool.dialAddress(c))
 		if err != nil {
 			return err
 		}
-		if x.gated || c.pool.leads(c) {
+		if x.newWork || c.pool.isCurrent(c) {
 			c.nc, c.br = nc, bufio.NewReaderSize(nc, http1.MaxLine)
 			return nil
 		}
@@ -250,53 +250,53 @@
 	}
 }
 
-// aim returns the address at which a connection is to be dialled now.
-func (p *Pool) aim(c *conn) string {
+// dialAddress returns the address at which a connection is to be dialled now.
+func (p *Pool) dialAddress(c *conn) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.epoch, c.dialed = c.in.epoch, time.Now()
-	return c.in.address
+	c.epoch, c.dialStarted = c.endpoint.epoch, time.Now()
+	return c.endpoint.address
 }
 
-func (c *conn) exchange(x *exchange) end {
+func (c *conn) roundTrip(x *exchange) result {
 	now := time.Now()
-	text := http1.AppendRequest(c.out[:0], x.method, x.target, x.header(c.nc.RemoteAddr().String(), now), x.body)
+	text := http1.AppendRequest(c.buf[:0], x.method, x.target, x.header(c.nc.RemoteAddr().String(), now), x.body)
 	last := x.deadline
-	if x.gated {
-		last = last.Add(courtesy)
+	if x.newWork {
+		last = last.Add(graceTime)
 	}
-	if c.out = text; cap(text) > http1.MaxLine { // kept for the next request, but for a large one
-		c.out = nil
+	if c.buf = text; cap(text) > http1.MaxLine { // kept for the next request, but for a large one
+		c.buf = nil
 	}
 	if c.nc.SetDeadline(last) != nil {
-		return end{stage: unmade}
+		return result{progress: connectFailed}
 	}
 	// The list may have told of a drain or a move since this was decided, and while the connection
 	// came up. From the first byte on it counts as sent.
-	if x.begin != nil && !x.begin() || x.expired != nil && x.expired(time.Now()) || x.late() || x.gated && !c.pool.takes(c) {
-		return end{stage: unsent}
+	if x.begin != nil && !x.begin() || x.expired != nil && x.expired(time.Now()) || x.tooLate() || x.newWork && !c.pool.allowsNewWork(c) {
+		return result{progress: notSent}
 	}
 	x.mu.Lock()
 	if x.aborted {
 		x.mu.Unlock()
-		return end{stage: unsent}
+		return result{progress: notSent}
 	}
 	x.written = true // it may be whole before Write returns
 	x.mu.Unlock()
 	if n, err := c.nc.Write(text); err != nil && n < len(text) {
-		return end{stage: unmade}
+		return result{progress: connectFailed}
 	}
-	if x.sent != nil {
-		x.sent()
+	if x.onSent != nil {
+		x.onSent()
 	}
 	if _, err := c.br.Peek(1); err != nil {
-		return end{stage: broken}
+		return result{progress: noResponse}
 	}
 	p, err := http1.ReadResponse(c.br, x.method)
 	if err != nil {
-		return end{stage: broken, spoilt: true}
+		return result{progress: noResponse, malformed: true}
 	}
-	return end{stage: answered, response: p}
+	return result{progress: answered, response: p}
 }
 
 // stale tells whether an idle connection has been closed by the other side, or carries
@@ -307,7 +307,7 @@
 	}
 	state := sock.Look(c.nc)
 	if state == sock.Data {
-		c.pool.talked(c.in)
+		c.pool.noteUnsolicited(c.endpoint)
 	}
 	return state != sock.Empty
 }
--- a/internal/net/upstream/encoder_test.go
+++ b/internal/net/upstream/encoder_test.go
@@ -18,10 +18,10 @@
 	"caperrelay/internal/net/http1"
 )
 
-// patience is how long a test waits for an event that has to come.
-const patience = 10 * time.Second
+// testTimeout is how long a test waits for an event that has to come.
+const testTimeout = 10 * time.Second
 
-const accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+const response202 = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
 // encoder is one whose every step a test makes by hand, on a real socket.
 type encoder struct {
@@ -36,37 +36,37 @@
 	return &encoder{l.(*net.TCPListener), t}
 }
 
-// peer is the encoder's end of one connection.
-type peer struct {
+// encoderConn is the encoder's end of one connection.
+type encoderConn struct {
 	*net.TCPConn
 	t  *testing.T
 	br *bufio.Reader
 }
 
 // accept returns the next connection.
-func (e *encoder) accept() *peer {
-	require.NoError(e.t, e.SetDeadline(time.Now().Add(patience)))
+func (e *encoder) accept() *encoderConn {
+	require.NoError(e.t, e.SetDeadline(time.Now().Add(testTimeout)))
 	c, err := e.AcceptTCP()
 	require.NoError(e.t, err)
 	e.t.Cleanup(func() { c.Close() })
-	require.NoError(e.t, c.SetDeadline(time.Now().Add(patience)))
-	return &peer{c, e.t, bufio.NewReader(c)}
+	require.NoError(e.t, c.SetDeadline(time.Now().Add(testTimeout)))
+	return &encoderConn{c, e.t, bufio.NewReader(c)}
 }
 
 // read returns the next request.
-func (c *peer) read() *http1.Request {
+func (c *encoderConn) read() *http1.Request {
 	q, err := http1.ReadRequest(c.br, nil)
 	require.NoError(c.t, err)
 	return q
 }
 
-func (c *peer) write(text string) {
+func (c *encoderConn) write(text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(c.t, err)
 }
 
-// ends waits until the dispatcher has closed the connection, and checks that it wrote nothing more.
-func (c *peer) ends() {
+// expectClosed waits until the dispatcher has closed the connection, and checks that it wrote nothing more.
+func (c *encoderConn) expectClosed() {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.br)
 	require.Empty(c.t, string(rest))
@@ -76,14 +76,14 @@
 }
 
 // reset closes the connection by a RST.
-func (c *peer) reset() {
+func (c *encoderConn) reset() {
 	require.NoError(c.t, c.SetLinger(0))
 	require.NoError(c.t, c.Close())
 }
 
-// jam has the encoder let no further connection come up: its queue is full. What it returns lets them come up; the kernel
+// blockConnects has the encoder let no further connection come up: its queue is full. What it returns lets them come up; the kernel
 // tries again each second.
-func (e *encoder) jam() (release func()) {
+func (e *encoder) blockConnects() (release func()) {
 	raw, err := e.SyscallConn()
 	require.NoError(e.t, err)
 	require.NoError(e.t, raw.Control(func(fd uintptr) { require.NoError(e.t, syscall.Listen(int(fd), 0)) }))
@@ -95,19 +95,19 @@
 	}
 }
 
-// dialed waits until a connection to the encoder is on its way up.
-func (e *encoder) dialed() {
+// awaitDial waits until a connection to the encoder is on its way up.
+func (e *encoder) awaitDial() {
 	const synSent = "02"
 	line := fmt.Sprintf(":%04X %s ", e.Addr().(*net.TCPAddr).Port, synSent)
 	require.Eventually(e.t, func() bool {
 		table, err := os.ReadFile("/proc/net/tcp")
 		return err == nil && strings.Contains(string(table), line)
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
-// narrow puts an idle connection into the pool that holds only a few KiB on their way, so that a large request is still being
+// smallBufferConn puts an idle connection into the pool that holds only a few KiB on their way, so that a large request is still being
 // written when the encoder has its first bytes. It returns the encoder's end.
-func (e *encoder) narrow(p *Pool) *peer {
+func (e *encoder) smallBufferConn(p *Pool) *encoderConn {
 	const small = 4 << 10
 	set := func(raw syscall.RawConn, option int) {
 		require.NoError(e.t, raw.Control(func(fd uintptr) {
@@ -126,30 +126,30 @@
 	p.mu.Lock()
 	in := p.endpoints["s-1"]
 	c := &conn{
-		pool: p, in: in, work: make(chan *exchange, 1), epoch: in.epoch, dialed: time.Now(), since: time.Now(),
+		pool: p, endpoint: in, exchanges: make(chan *exchange, 1), epoch: in.epoch, dialStarted: time.Now(), idleSince: time.Now(),
 		nc: nc, br: bufio.NewReaderSize(nc, http1.MaxLine),
 	}
-	p.conns++
+	p.connCount++
 	p.mu.Unlock()
-	go p.run(c, &exchange{aborted: true, done: func(end) {}}) // it rests at once
-	rests(e.t, p, 1)
+	go p.serveConn(c, &exchange{aborted: true, onDone: func(result) {}}) // it rests at once
+	awaitIdle(e.t, p, 1)
 	return e.accept()
 }
 
-// large is an attempt whose request fills more than a narrow connection holds.
-func large() *dispatch.Attempt {
+// largeAttempt is an attempt whose request fills more than a narrow connection holds.
+func largeAttempt() *dispatch.Attempt {
 	a := attempt("s-1")
 	a.Command.Payload.(*http1.Request).Body = make([]byte, http1.MaxBody)
 	return a
 }
 
-func (c *peer) readByte() {
+func (c *encoderConn) readByte() {
 	_, err := c.br.ReadByte()
 	require.NoError(c.t, err)
 }
 
-// nobody checks that no connection waits to be accepted: one of the test's own is the first.
-func (e *encoder) nobody() {
+// expectNoConn checks that no connection waits to be accepted: one of the test's own is the first.
+func (e *encoder) expectNoConn() {
 	e.t.Helper()
 	c, err := net.Dial("tcp", e.Addr().String())
 	require.NoError(e.t, err)
@@ -157,52 +157,52 @@
 	require.Equal(e.t, c.LocalAddr().String(), e.accept().RemoteAddr().String(), "another came before")
 }
 
-// list is the list's line of an encoder.
-func (e *encoder) list(state decide.WorkerState) dispatch.InstanceUpdate {
+// update is the list's line of an encoder.
+func (e *encoder) update(state decide.WorkerState) dispatch.InstanceUpdate {
 	return dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-1", Address: e.Addr().String(), State: state}}}
 }
 
-// dial returns a pool whose only encoder is scripted.
-func dial(t *testing.T, e *encoder, most int) (*Pool, reports) {
-	p, r, _ := pool(t, most)
-	p.Listed(e.list(decide.Ready))
+// newScriptedPool returns a pool whose only encoder is scripted.
+func newScriptedPool(t *testing.T, e *encoder, most int) (*Pool, recorder) {
+	p, r, _ := newAutoPool(t, most)
+	p.Listed(e.update(decide.Ready))
 	return p, r
 }
 
-// serves has an attempt served on a connection that is then idle, and returns the encoder's end of it.
-func (e *encoder) serves(p *Pool, r reports) *peer {
+// serveAttempt has an attempt served on a connection that is then idle, and returns the encoder's end of it.
+func (e *encoder) serveAttempt(p *Pool, r recorder) *encoderConn {
 	idle := p.Idle()
 	a := attempt("s-1")
 	a.NewConn = idle > 0
 	p.Send(a)
 	c := e.accept()
 	c.read()
-	c.write(accepted)
-	require.Equal(e.t, a, next(e.t, r.taken))
-	rests(e.t, p, max(1, idle))
+	c.write(response202)
+	require.Equal(e.t, a, receive(e.t, r.accepted))
+	awaitIdle(e.t, p, max(1, idle))
 	return c
 }
 
-// next is what comes next on a channel, within the test's patience.
-func next[T any](t *testing.T, from <-chan T) (value T) {
+// receive is what comes next on a channel, within the test's patience.
+func receive[T any](t *testing.T, from <-chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-from:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.FailNow(t, "nothing came")
 	}
 	return value
 }
 
-// rests waits until so many connections are idle and none is busy.
-func rests(t *testing.T, p *Pool, idle int) {
+// awaitIdle waits until so many connections are idle and none is busy.
+func awaitIdle(t *testing.T, p *Pool, idle int) {
 	t.Helper()
-	require.Eventually(t, func() bool { return p.Idle() == idle && !p.Busy() }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return p.Idle() == idle && !p.Busy() }, testTimeout, time.Millisecond)
 }
 
-// open is how many connections the pool counts.
-func open(p *Pool) int {
+// openConns is how many connections the pool counts.
+func openConns(p *Pool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conns
+	return p.connCount
 }
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -14,29 +14,29 @@
 	"caperrelay/internal/net/loadreport"
 )
 
-// courtesy is how long a give-up or a probe may take before it is dropped. A connection with
+// graceTime is how long a give-up or a probe may take before it is dropped. A connection with
 // an attempt waits on for as long after its deadline: the loop ends what is silent then, and
 // a read that ended here at the same moment would make a reset of a time-out.
-const courtesy = time.Second
+const graceTime = time.Second
 
 // How a give-up is made sure of.
 const (
-	giveUpTries = 2                     // on connections, each within courtesy
-	placePause  = 10 * time.Millisecond // before the next look for a connection to spare
+	cancelTries = 2                     // on connections, each within courtesy
+	cancelRetryDelay  = 10 * time.Millisecond // before the next look for a connection to spare
 )
 
 // A spoilt answer may be followed by a second one some milliseconds later, which would be read as the answer to the next
 // request on that connection: as taken where it was turned away, or the other way round.
 const (
-	settles  = 50 * time.Millisecond // that a connection rests before it is used again, where others do as well,
-	talksFor = 30 * time.Second      // for so long after some encoder was seen to do so, and at that one no other is used
+	defaultSettle  = 50 * time.Millisecond // that a connection rests before it is used again, where others do as well,
+	unsolicitedWindow = 30 * time.Second      // for so long after some encoder was seen to do so, and at that one no other is used
 )
 
-// mostEndpoints is how many are remembered before those gone are forgotten.
-const mostEndpoints = 4096
+// maxEndpoints is how many are remembered before those gone are forgotten.
+const maxEndpoints = 4096
 
-// Reports takes what comes of what was sent.
-type Reports interface {
+// Observer takes what comes of what was sent.
+type Observer interface {
 	AttemptEnded(_ *dispatch.Attempt, _ decide.Outcome, kept time.Duration)
 	AttemptSent(*dispatch.Attempt)
 	AttemptAccepted(*dispatch.Attempt)
@@ -52,24 +52,24 @@
 	Idle        time.Duration // after which encoders close a connection
 }
 
-// rest is how long a connection is kept idle: well below the limit, since a request written to one that the encoder's machine
+// maxIdle is how long a connection is kept idle: well below the limit, since a request written to one that the encoder's machine
 // has just closed would end as a reset.
-func (l Limits) rest() time.Duration { return l.Idle * 3 / 5 }
+func (l Limits) maxIdle() time.Duration { return l.Idle * 3 / 5 }
 
 // Pool is the way to all encoders.
 type Pool struct {
 	limits  Limits
-	reports Reports
+	observer Observer
 	settle  time.Duration
-	loads   *loadreport.Reader // nil: encoders report none
+	loadReader   *loadreport.Reader // nil: encoders report none
 
 	mu        sync.Mutex
 	endpoints map[string]*endpoint
 	cordoned  map[string]bool                 // left out by hand
-	out       map[*dispatch.Attempt]*exchange // sent and not yet taken by the encoder
-	conns     int
-	pauses    int       // give-ups that wait for a connection to spare
-	talk      time.Time // when an encoder last said something that nobody had asked for
+	unaccepted       map[*dispatch.Attempt]*exchange // sent and not yet taken by the encoder
+	connCount     int
+	pendingRetries    int       // give-ups that wait for a connection to spare
+	lastUnsolicited      time.Time // when an encoder last said something that nobody had asked for
 }
 
 // endpoint is one encoder as discovery lists it.
@@ -79,19 +79,19 @@
 	started     time.Time // its process, as listed
 	epoch       int       // counts removals and moves: connections of an earlier one lead nowhere that is wanted
 	idle        []*conn   // the longest idle first
-	talked      time.Time // when it last said something that nobody had asked for
+	lastUnsolicited      time.Time // when it last said something that nobody had asked for
 }
 
 // NewPool returns a pool that knows no encoder yet.
 func NewPool(l Limits) *Pool {
-	return &Pool{limits: l, endpoints: map[string]*endpoint{}, cordoned: map[string]bool{}, out: map[*dispatch.Attempt]*exchange{}, settle: settles}
+	return &Pool{limits: l, endpoints: map[string]*endpoint{}, cordoned: map[string]bool{}, unaccepted: map[*dispatch.Attempt]*exchange{}, settle: defaultSettle}
 }
 
 // ReportTo says who takes reports. It must come before anything is sent.
-func (p *Pool) ReportTo(r Reports) { p.reports = r }
+func (p *Pool) ReportTo(r Observer) { p.observer = r }
 
 // ReadBy says who reads encoders' load reports. It must come before anything is sent.
-func (p *Pool) ReadBy(r *loadreport.Reader) { p.loads = r }
+func (p *Pool) ReadBy(r *loadreport.Reader) { p.loadReader = r }
 
 // Listed takes discovery's news as soon as it has been read: what drains or is gone
 // gets nothing new, whatever has been decided by then.
@@ -112,17 +112,17 @@
 		}
 		if in.state = m.State; m.Address != "" && m.Address != in.address {
 			in.address = m.Address
-			p.disown(in)
+			p.invalidateConns(in)
 		}
 		if m.Started.After(in.started) && !m.Started.After(now) {
 			in.started = m.Started
-			p.dropStale(in)
+			p.closeStaleConns(in)
 		}
 	}
 	for id, in := range p.endpoints {
 		if in.state == decide.Gone {
-			p.disown(in)
-			if len(p.endpoints) > mostEndpoints {
+			p.invalidateConns(in)
+			if len(p.endpoints) > maxEndpoints {
 				delete(p.endpoints, id)
 			}
 		}
@@ -139,7 +139,7 @@
 	}
 	p.cordoned[id] = true
 	if in := p.endpoints[id]; in != nil {
-		p.disown(in)
+		p.invalidateConns(in)
 	}
 }
 
@@ -150,56 +150,56 @@
 	return p.endpoints[id] != nil || p.cordoned[id]
 }
 
-// drop closes an encoder's idle connections.
-func (p *Pool) drop(in *endpoint) {
+// closeIdleConns closes an encoder's idle connections.
+func (p *Pool) closeIdleConns(in *endpoint) {
 	for _, c := range in.idle {
-		p.shut(c)
+		p.closeConn(c)
 	}
 	in.idle = nil
 }
 
-// shut closes a connection that rests and is taken out of the idle ones. It is closed on return: another may take its place
+// closeConn closes a connection that rests and is taken out of the idle ones. It is closed on return: another may take its place
 // under the limit on connections.
-func (p *Pool) shut(c *conn) {
+func (p *Pool) closeConn(c *conn) {
 	c.nc.Close()
-	close(c.work)
-	c.shut = true
-	p.conns--
+	close(c.exchanges)
+	c.closedByPool = true
+	p.connCount--
 }
 
-// disown closes an encoder's idle connections at once and each busy one as soon as it rests. One that still comes up is
+// invalidateConns closes an encoder's idle connections at once and each busy one as soon as it rests. One that still comes up is
 // not written to.
-func (p *Pool) disown(in *endpoint) {
+func (p *Pool) invalidateConns(in *endpoint) {
 	in.epoch++
-	p.drop(in)
+	p.closeIdleConns(in)
 }
 
-// dropStale closes the idle connections that the encoder's process cannot know, since it started later.
-func (p *Pool) dropStale(in *endpoint) {
+// closeStaleConns closes the idle connections that the encoder's process cannot know, since it started later.
+func (p *Pool) closeStaleConns(in *endpoint) {
 	in.idle = slices.DeleteFunc(in.idle, func(c *conn) bool {
-		stale := !c.leads()
+		stale := !c.current()
 		if stale {
-			p.shut(c)
+			p.closeConn(c)
 		}
 		return stale
 	})
 }
 
-// leads tells whether a connection, or one that is coming up, leads to the encoder as it is listed. The pool's mutex is held.
-func (c *conn) leads() bool { return c.epoch == c.in.epoch && !c.dialed.Before(c.in.started) }
+// current tells whether a connection, or one that is coming up, leads to the encoder as it is listed. The pool's mutex is held.
+func (c *conn) current() bool { return c.epoch == c.endpoint.epoch && !c.dialStarted.Before(c.endpoint.started) }
 
-// leads is the same for those who do not hold the mutex.
-func (p *Pool) leads(c *conn) bool {
+// isCurrent is the same for those who do not hold the mutex.
+func (p *Pool) isCurrent(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.leads()
+	return c.current()
 }
 
-// takes tells whether a connection may carry new work at this moment.
-func (p *Pool) takes(c *conn) bool {
+// allowsNewWork tells whether a connection may carry new work at this moment.
+func (p *Pool) allowsNewWork(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.in.state == decide.Ready && !p.cordoned[c.in.id] && c.leads()
+	return c.endpoint.state == decide.Ready && !p.cordoned[c.endpoint.id] && c.current()
 }
 
 // CloseIdle closes the idle connections to an encoder.
@@ -207,36 +207,36 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if in := p.endpoints[id]; in != nil {
-		p.drop(in)
+		p.closeIdleConns(in)
 	}
 }
 
 // Send starts an attempt.
 func (p *Pool) Send(a *dispatch.Attempt) {
 	q := a.Command.Payload.(*http1.Request)
-	x := &exchange{method: q.Method, target: q.Target, body: q.Body, id: a.Command.ID, passed: passedOn(q.Header), deadline: a.Deadline, mostIdle: a.MaxIdle, fresh: a.NewConn, gated: true, begin: a.Begin, expired: a.Expired}
-	x.sent = func() { p.reports.AttemptSent(a) }
-	x.done = func(e end) {
+	x := &exchange{method: q.Method, target: q.Target, body: q.Body, correlationID: a.Command.ID, passedHeader: passThrough(q.Header), deadline: a.Deadline, maxIdle: a.MaxIdle, newConn: a.NewConn, newWork: true, begin: a.Begin, expired: a.Expired}
+	x.onSent = func() { p.observer.AttemptSent(a) }
+	x.onDone = func(e result) {
 		p.mu.Lock()
-		delete(p.out, a)
+		delete(p.unaccepted, a)
 		p.mu.Unlock()
 		if e.unusable() {
-			p.reports.AttemptUnusable(a)
+			p.observer.AttemptUnusable(a)
 		} else if o, over := e.outcome(); over {
-			if e.spoilt { // the encoder may take it for taken
+			if e.malformed { // the encoder may take it for taken
 				a.CancelPending()
-				p.takeBack(a)
+				p.cancelJob(a)
 			}
-			if r := p.load(e); r != nil {
-				p.reports.LoadReported(a, *r)
+			if r := p.loadReport(e); r != nil {
+				p.observer.LoadReported(a, *r)
 			}
-			p.reports.AttemptEnded(a, o, e.kept)
+			p.observer.AttemptEnded(a, o, e.connIdle)
 		} else {
-			p.reports.AttemptAccepted(a)
+			p.observer.AttemptAccepted(a)
 		}
 	}
 	p.mu.Lock()
-	p.out[a] = x
+	p.unaccepted[a] = x
 	p.mu.Unlock()
 	p.start(a.Instance, x)
 }
@@ -246,13 +246,13 @@
 // where no DELETE is answered: the encoder may still have it.
 func (p *Pool) Cancel(a *dispatch.Attempt) {
 	p.mu.Lock()
-	x := p.out[a]
+	x := p.unaccepted[a]
 	p.mu.Unlock()
 	if x != nil && !x.abort() {
 		a.CancelConfirmed()
 		return
 	}
-	p.takeBack(a)
+	p.cancelJob(a)
 }
 
 // Unsend ends all attempts of which nothing is written yet, as never sent: another process has them from now on, and may
@@ -260,82 +260,82 @@
 func (p *Pool) Unsend() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, x := range p.out {
-		x.unsend()
+	for _, x := range p.unaccepted {
+		x.abortUnsent()
 	}
 }
 
-// giveUp is word on its way to an encoder that an attempt is given up.
-type giveUp struct {
+// cancellation is word on its way to an encoder that an attempt is given up.
+type cancellation struct {
 	encoder, id string    // the request's
-	until       time.Time // when it is dropped that finds no connection to spare
-	tries       int       // left on connections
-	fresh       bool      // the next takes a new one
+	retryUntil       time.Time // when it is dropped that finds no connection to spare
+	triesLeft       int       // left on connections
+	newConn       bool      // the next takes a new one
 	confirm     func()    // called once the encoder knows, if it ever does
 }
 
-// takeBack tells an encoder that an attempt is given up. A DELETE may be repeated, unlike a request: the second goes over a
+// cancelJob tells an encoder that an attempt is given up. A DELETE may be repeated, unlike a request: the second goes over a
 // new connection, since a kept one may be dead. The attempt counts as given up only once the encoder has answered.
-func (p *Pool) takeBack(a *dispatch.Attempt) {
-	p.tell(&giveUp{encoder: a.Instance, id: a.Command.ID, until: time.Now().Add(courtesy), tries: giveUpTries, confirm: a.CancelConfirmed})
+func (p *Pool) cancelJob(a *dispatch.Attempt) {
+	p.sendCancellation(&cancellation{encoder: a.Instance, id: a.Command.ID, retryUntil: time.Now().Add(graceTime), triesLeft: cancelTries, confirm: a.CancelConfirmed})
 }
 
-func (p *Pool) tell(g *giveUp) {
+func (p *Pool) sendCancellation(g *cancellation) {
 	p.start(g.encoder, &exchange{
-		method: "DELETE", target: "/jobs/" + g.id, deadline: time.Now().Add(courtesy), fresh: g.fresh, patient: true,
-		done: func(e end) { p.told(g, e) },
+		method: "DELETE", target: "/jobs/" + g.id, deadline: time.Now().Add(graceTime), newConn: g.newConn, connectUntilDeadline: true,
+		onDone: func(e result) { p.cancellationEnded(g, e) },
 	})
 }
 
-// told takes the end of a give-up's exchange.
-func (p *Pool) told(g *giveUp, e end) {
+// cancellationEnded takes the end of a give-up's exchange.
+func (p *Pool) cancellationEnded(g *cancellation, e result) {
 	switch {
-	case e.stage == answered || e.unknown:
+	case e.progress == answered || e.unknownInstance:
 		g.confirm()
-	case e.stage == unsent && time.Now().Before(g.until):
-		p.pause(func() { p.tell(g) })
-	case e.stage != unsent && g.tries > 1:
-		g.tries--
-		g.fresh = true
-		p.tell(g)
+	case e.progress == notSent && time.Now().Before(g.retryUntil):
+		p.retryLater(func() { p.sendCancellation(g) })
+	case e.progress != notSent && g.triesLeft > 1:
+		g.triesLeft--
+		g.newConn = true
+		p.sendCancellation(g)
 	}
 }
 
-// pause calls f in a moment. The pool counts as busy until then.
-func (p *Pool) pause(f func()) {
+// retryLater calls f in a moment. The pool counts as busy until then.
+func (p *Pool) retryLater(f func()) {
 	p.mu.Lock()
-	p.pauses++
+	p.pendingRetries++
 	p.mu.Unlock()
-	time.AfterFunc(placePause, func() {
+	time.AfterFunc(cancelRetryDelay, func() {
 		f()
 		p.mu.Lock()
-		p.pauses--
+		p.pendingRetries--
 		p.mu.Unlock()
 	})
 }
 
-// load is the report that came with an answer, nil where none did.
-func (p *Pool) load(e end) *decide.Report {
-	if e.stage != answered {
+// loadReport is the report that came with an answer, nil where none did.
+func (p *Pool) loadReport(e result) *decide.Report {
+	if e.progress != answered {
 		return nil
 	}
-	return p.loads.Line(e.response.Header.Get(loadreport.HeaderField))
+	return p.loadReader.Line(e.response.Header.Get(loadreport.HeaderField))
 }
 
 // Probe checks an encoder, by the way that brings a load report where there are any.
 func (p *Pool) Probe(id string) {
 	target := "/ping"
-	if p.loads.Any() {
+	if p.loadReader.Any() {
 		target = "/_load"
 	}
 	p.start(id, &exchange{
-		method: "GET", target: target, deadline: time.Now().Add(courtesy),
-		done: func(e end) {
-			report := p.load(e)
-			if report == nil && e.stage == answered {
-				report = p.loads.Object(e.response.Body)
+		method: "GET", target: target, deadline: time.Now().Add(graceTime),
+		onDone: func(e result) {
+			report := p.loadReport(e)
+			if report == nil && e.progress == answered {
+				report = p.loadReader.Object(e.response.Body)
 			}
-			p.reports.ProbeEnded(id, e.probeOutcome(), report)
+			p.observer.ProbeEnded(id, e.probeOutcome(), report)
 		},
 	})
 }
@@ -346,41 +346,41 @@
 	defer p.mu.Unlock()
 	in := p.endpoints[id]
 	if in == nil || in.address == "" {
-		go x.done(end{stage: unsent, unknown: true})
+		go x.onDone(result{progress: notSent, unknownInstance: true})
 		return
 	}
 	now := time.Now()
-	for len(in.idle) > 0 && now.Sub(in.idle[0].since) >= p.limits.rest() { // its own timer is late, or the limit is new
-		p.shutOldest(in)
+	for len(in.idle) > 0 && now.Sub(in.idle[0].idleSince) >= p.limits.maxIdle() { // its own timer is late, or the limit is new
+		p.closeOldest(in)
 	}
-	for x.mostIdle > 0 && len(in.idle) > 0 && now.Sub(in.idle[0].since) > 2*x.mostIdle { // nobody will use it
-		p.shutOldest(in)
+	for x.maxIdle > 0 && len(in.idle) > 0 && now.Sub(in.idle[0].idleSince) > 2*x.maxIdle { // nobody will use it
+		p.closeOldest(in)
 	}
-	if x.fresh && len(in.idle) > 0 { // it takes the place of the oldest, which may be silent
-		p.shutOldest(in)
+	if x.newConn && len(in.idle) > 0 { // it takes the place of the oldest, which may be silent
+		p.closeOldest(in)
 	}
-	if c := in.take(x, p.settle, now.Sub(p.talk) < talksFor, now); c != nil {
-		c.work <- x // holds one; an idle connection has none
+	if c := in.takeIdle(x, p.settle, now.Sub(p.lastUnsolicited) < unsolicitedWindow, now); c != nil {
+		c.exchanges <- x // holds one; an idle connection has none
 		return
 	}
-	if p.conns >= p.limits.Connections && !p.evict() {
-		go x.done(end{stage: unsent})
+	if p.connCount >= p.limits.Connections && !p.evictOldest() {
+		go x.onDone(result{progress: notSent})
 		return
 	}
-	p.conns++
-	go p.run(&conn{pool: p, in: in, work: make(chan *exchange, 1)}, x)
+	p.connCount++
+	go p.serveConn(&conn{pool: p, endpoint: in, exchanges: make(chan *exchange, 1)}, x)
 }
 
-// take takes the idle connection that an exchange is to use, nil: a new one. It is the one used last. Where some encoder talks
+// takeIdle takes the idle connection that an exchange is to use, nil: a new one. It is the one used last. Where some encoder talks
 // unasked, it is the one used last that has settled; where none has, the one that has rested longest, unless it is this one's.
-func (in *endpoint) take(x *exchange, settle time.Duration, talk bool, now time.Time) *conn {
+func (in *endpoint) takeIdle(x *exchange, settle time.Duration, talk bool, now time.Time) *conn {
 	last := len(in.idle) - 1
-	if last < 0 || x.fresh {
+	if last < 0 || x.newConn {
 		return nil
 	}
-	rested := func(at int) time.Duration { return now.Sub(in.idle[at].since) }
+	rested := func(at int) time.Duration { return now.Sub(in.idle[at].idleSince) }
 	fits := func(at int) bool {
-		return (x.mostIdle == 0 || rested(at) <= x.mostIdle) && (rested(at) >= settle || !in.talks(now))
+		return (x.maxIdle == 0 || rested(at) <= x.maxIdle) && (rested(at) >= settle || !in.sendsUnsolicited(now))
 	}
 	at := last
 	for talk && at > 0 && rested(at) < settle {
@@ -397,14 +397,14 @@
 	return c
 }
 
-func (in *endpoint) talks(now time.Time) bool { return now.Sub(in.talked) < talksFor }
+func (in *endpoint) sendsUnsolicited(now time.Time) bool { return now.Sub(in.lastUnsolicited) < unsolicitedWindow }
 
-// talked notes that an encoder has said something that nobody had asked for.
-func (p *Pool) talked(in *endpoint) {
+// noteUnsolicited notes that an encoder has said something that nobody had asked for.
+func (p *Pool) noteUnsolicited(in *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	in.talked = time.Now()
-	p.talk = in.talked
+	in.lastUnsolicited = time.Now()
+	p.lastUnsolicited = in.lastUnsolicited
 }
 
 // Retune has connections come up and be kept by other limits from now on.
@@ -414,7 +414,7 @@
 	p.limits.Connect, p.limits.Idle = connect, idle
 }
 
-func (p *Pool) bounds() Limits {
+func (p *Pool) currentLimits() Limits {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.limits
@@ -425,84 +425,84 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits.Connections = connections
-	for p.conns > connections && p.evict() {
+	for p.connCount > connections && p.evictOldest() {
 	}
 }
 
-// evict closes the connection that has been idle longest. It guards the limit on
+// evictOldest closes the connection that has been idle longest. It guards the limit on
 // descriptors, which call-backs and the list need too.
-func (p *Pool) evict() bool {
+func (p *Pool) evictOldest() bool {
 	var oldest *endpoint
 	for _, in := range p.endpoints {
-		if len(in.idle) > 0 && (oldest == nil || in.idle[0].since.Before(oldest.idle[0].since)) {
+		if len(in.idle) > 0 && (oldest == nil || in.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
 			oldest = in
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	p.shutOldest(oldest)
+	p.closeOldest(oldest)
 	return true
 }
 
-// shutOldest closes the connection to an encoder that has been idle longest.
-func (p *Pool) shutOldest(in *endpoint) {
-	p.shut(in.idle[0])
+// closeOldest closes the connection to an encoder that has been idle longest.
+func (p *Pool) closeOldest(in *endpoint) {
+	p.closeConn(in.idle[0])
 	in.idle = in.idle[1:]
 }
 
-// rest puts a connection among the idle ones, or closes it where it is of no more use.
-func (p *Pool) rest(c *conn) {
+// putIdle puts a connection among the idle ones, or closes it where it is of no more use.
+func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.since = time.Now()
-	if c.in.state == decide.Gone || !c.leads() || p.conns > p.limits.Connections {
-		p.shut(c)
+	c.idleSince = time.Now()
+	if c.endpoint.state == decide.Gone || !c.current() || p.connCount > p.limits.Connections {
+		p.closeConn(c)
 		return
 	}
-	c.in.idle = append(c.in.idle, c)
+	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
-// retire takes a connection out of the idle ones; false: it has been given work, or closed.
-func (p *Pool) retire(c *conn) bool {
+// removeIdle takes a connection out of the idle ones; false: it has been given work, or closed.
+func (p *Pool) removeIdle(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, other := range c.in.idle {
+	for i, other := range c.endpoint.idle {
 		if other == c {
-			c.in.idle = append(c.in.idle[:i:i], c.in.idle[i+1:]...)
+			c.endpoint.idle = append(c.endpoint.idle[:i:i], c.endpoint.idle[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// closed notes that a connection has ended, unless the pool shut it itself.
-func (p *Pool) closed(c *conn) {
+// connEnded notes that a connection has ended, unless the pool shut it itself.
+func (p *Pool) connEnded(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !c.shut {
-		p.conns--
+	if !c.closedByPool {
+		p.connCount--
 	}
 }
 
 // header is what goes with an exchange.
 func (x *exchange) header(address string, now time.Time) http1.Header {
 	h := http1.Header{{Name: "Host", Value: address}}
-	if x.id != "" {
+	if x.correlationID != "" {
 		left := max(1, x.deadline.Sub(now).Milliseconds())
-		h = append(h, http1.Field{Name: "X-Correlation-Id", Value: x.id},
+		h = append(h, http1.Field{Name: "X-Correlation-Id", Value: x.correlationID},
 			http1.Field{Name: "X-Time-Left", Value: strconv.FormatInt(left, 10) + "m"})
 	}
-	return append(h, x.passed...)
+	return append(h, x.passedHeader...)
 }
 
-// keyField is what encoders know a repeat by: without it one sent again would run twice.
-const keyField = "Idempotency-Key"
+// idempotencyField is what encoders know a repeat by: without it one sent again would run twice.
+const idempotencyField = "Idempotency-Key"
 
-// passedOn is what of a client's header goes to encoders as it came, beside the id.
-func passedOn(from http1.Header) (h http1.Header) {
-	if from.Given(keyField) {
-		h = http1.Header{{Name: keyField, Value: from.Get(keyField)}}
+// passThrough is what of a client's header goes to encoders as it came, beside the id.
+func passThrough(from http1.Header) (h http1.Header) {
+	if from.Given(idempotencyField) {
+		h = http1.Header{{Name: idempotencyField, Value: from.Get(idempotencyField)}}
 	}
 	return h
 }
@@ -513,17 +513,17 @@
 func (p *Pool) Idle() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.idle()
+	return p.idleConns()
 }
 
 // Busy tells whether anything is under way: an attempt not yet taken, or a give-up.
 func (p *Pool) Busy() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conns > p.idle() || p.pauses > 0
+	return p.connCount > p.idleConns() || p.pendingRetries > 0
 }
 
-func (p *Pool) idle() (n int) {
+func (p *Pool) idleConns() (n int) {
 	for _, in := range p.endpoints {
 		n += len(in.idle)
 	}
--- a/internal/net/upstream/retire_test.go
+++ b/internal/net/upstream/retire_test.go
@@ -13,21 +13,21 @@
 
 // A connection that was busy when its encoder moved, went or was left out is closed once it rests, and the next attempt goes
 // to the encoder as it is listed by then.
-func TestBusyConnectionsOutliveNoMove(t *testing.T) {
+func TestBusyConnectionsAreClosedAfterAddressChange(t *testing.T) {
 	to := listen(t)
 	restarted := func(e *encoder) dispatch.InstanceUpdate {
-		l := e.list(decide.Ready)
+		l := e.update(decide.Ready)
 		l.Instances[0].Started = time.Now()
 		return l
 	}
 	for name, cross := range map[string]func(*Pool, *encoder) *encoder{
 		"moved": func(p *Pool, _ *encoder) *encoder {
-			p.Listed(to.list(decide.Ready))
+			p.Listed(to.update(decide.Ready))
 			return to
 		},
 		"gone and back": func(p *Pool, e *encoder) *encoder {
-			p.Listed(e.list(decide.Gone))
-			p.Listed(e.list(decide.Ready))
+			p.Listed(e.update(decide.Gone))
+			p.Listed(e.update(decide.Ready))
 			return e
 		},
 		"cordoned": func(p *Pool, e *encoder) *encoder {
@@ -42,14 +42,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := listen(t)
-			p, r := dial(t, e, 9)
+			p, r := newScriptedPool(t, e, 9)
 			p.Send(attempt("s-1"))
 			c := e.accept()
 			c.read()
 			place := cross(p, e)
-			c.write(accepted)
-			next(t, r.taken)
-			c.ends()
+			c.write(response202)
+			receive(t, r.accepted)
+			c.expectClosed()
 			p.Send(attempt("s-1"))
 			place.accept().read()
 		})
@@ -58,48 +58,48 @@
 
 // Idle connections are closed at once when the encoder's process is a new one, which knows none of them; those made
 // since stay.
-func TestIdleConnectionsToAnEarlierProcess(t *testing.T) {
+func TestIdleConnectionsToEarlierProcess(t *testing.T) {
 	e := listen(t)
-	p, r := dial(t, e, 9)
-	old := e.serves(p, r)
-	l := e.list(decide.Ready)
+	p, r := newScriptedPool(t, e, 9)
+	old := e.serveAttempt(p, r)
+	l := e.update(decide.Ready)
 	l.Instances[0].Started = time.Now()
-	young := e.serves(p, r) // which closes the one before, being a fresh one
-	old.ends()
+	young := e.serveAttempt(p, r) // which closes the one before, being a fresh one
+	old.expectClosed()
 	p.Listed(l)
-	rests(t, p, 1)
+	awaitIdle(t, p, 1)
 	l.Instances[0].Started = time.Now()
 	p.Listed(l)
-	young.ends()
-	rests(t, p, 0)
+	young.expectClosed()
+	awaitIdle(t, p, 0)
 }
 
 // An exchange that was handed to an idle connection just before its encoder moved is not written to the old address.
-func TestWorkHandedOverBeforeAMove(t *testing.T) {
+func TestExchangeQueuedBeforeAddressChange(t *testing.T) {
 	from, to := listen(t), listen(t)
-	p, r := dial(t, from, 9)
-	c := from.serves(p, r)
+	p, r := newScriptedPool(t, from, 9)
+	c := from.serveAttempt(p, r)
 	a := attempt("s-1")
 	moves := func(time.Time) bool { // asked directly before the first byte
-		p.Listed(to.list(decide.Ready))
+		p.Listed(to.update(decide.Ready))
 		return false
 	}
-	x := &exchange{method: "POST", target: "/api", id: "c1", deadline: a.Deadline, gated: true, expired: moves, done: func(e end) {
+	x := &exchange{method: "POST", target: "/api", correlationID: "c1", deadline: a.Deadline, newWork: true, expired: moves, onDone: func(e result) {
 		o, _ := e.outcome()
 		r.ended <- o
 	}}
 	p.start("s-1", x)
-	require.Equal(t, decide.NotSent, next(t, r.ended))
-	c.ends()
+	require.Equal(t, decide.NotSent, receive(t, r.ended))
+	c.expectClosed()
 }
 
 // A connection that makes room for another is closed before that is opened: the limit on connections, and so on descriptors,
 // is never passed, also where many make room at once.
-func TestEvictionIsOverBeforeThePlaceIsTaken(t *testing.T) {
+func TestEvictedConnectionIsClosedFirst(t *testing.T) {
 	const most = 40
 	e := listen(t)
-	p, r := dial(t, e, most)
-	var peers []*peer
+	p, r := newScriptedPool(t, e, most)
+	var peers []*encoderConn
 	for range most {
 		p.Send(attempt("s-1"))
 		c := e.accept()
@@ -107,10 +107,10 @@
 		peers = append(peers, c)
 	}
 	for _, c := range peers {
-		c.write(accepted)
-		next(t, r.taken)
+		c.write(response202)
+		receive(t, r.accepted)
 	}
-	rests(t, p, most)
+	awaitIdle(t, p, most)
 	other := listen(t)
 	p.Listed(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-2", Address: other.Addr().String(), State: decide.Ready}}})
 	for i := range most {
@@ -119,19 +119,19 @@
 		p.mu.Unlock()
 		p.Send(attempt("s-2"))
 		require.ErrorIs(t, oldest.SetDeadline(time.Time{}), net.ErrClosed)
-		require.LessOrEqual(t, open(p), most)
+		require.LessOrEqual(t, openConns(p), most)
 		require.Equal(t, most-1-i, p.Idle())
 	}
 	for _, c := range peers {
-		c.ends()
+		c.expectClosed()
 	}
 }
 
 // A lower bound on connections holds for busy ones too: those beyond it are closed as soon as they rest.
-func TestBoundHoldsForBusyConnections(t *testing.T) {
+func TestLimitAppliesToBusyConnections(t *testing.T) {
 	e := listen(t)
-	p, r := dial(t, e, 3)
-	var peers []*peer
+	p, r := newScriptedPool(t, e, 3)
+	var peers []*encoderConn
 	for range 3 {
 		p.Send(attempt("s-1"))
 		c := e.accept()
@@ -139,29 +139,29 @@
 		peers = append(peers, c)
 	}
 	p.Bound(1)
-	require.Equal(t, 3, open(p))
+	require.Equal(t, 3, openConns(p))
 	for _, c := range peers {
-		c.write(accepted)
-		next(t, r.taken)
+		c.write(response202)
+		receive(t, r.accepted)
 	}
-	rests(t, p, 1)
-	require.Equal(t, 1, open(p))
+	awaitIdle(t, p, 1)
+	require.Equal(t, 1, openConns(p))
 }
 
 // A connection that has rested for as long as it may carries nothing more, though its own timer has not closed it yet.
-func TestConnectionRestedTooLongIsNotUsed(t *testing.T) {
+func TestConnectionIdleTooLongIsNotUsed(t *testing.T) {
 	e := listen(t)
-	p, r := dial(t, e, 9)
-	c := e.serves(p, r)
+	p, r := newScriptedPool(t, e, 9)
+	c := e.serveAttempt(p, r)
 	p.Retune(time.Minute, time.Nanosecond) // its timer goes by the limit of before
 	p.Send(attempt("s-1"))
-	c.ends()
+	c.expectClosed()
 	e.accept().read()
 }
 
 // Where a connection's time is up in the moment in which it is given work or shut, only one of them comes true, and no work is
 // lost.
-func TestRetirementAgainstNewWork(t *testing.T) {
+func TestIdleTimeoutRacesWithNewWork(t *testing.T) {
 	p := NewPool(Limits{Connections: 9, Idle: time.Minute})
 	in := &endpoint{id: "s-1", address: "127.0.0.1:1", state: decide.Ready}
 	p.endpoints[in.id] = in
@@ -169,11 +169,11 @@
 	resting := func() *conn {
 		nc, other := net.Pipe()
 		t.Cleanup(func() { other.Close() })
-		c := &conn{pool: p, in: in, work: make(chan *exchange, 1), nc: nc}
+		c := &conn{pool: p, endpoint: in, exchanges: make(chan *exchange, 1), nc: nc}
 		p.mu.Lock()
-		p.conns++
+		p.connCount++
 		p.mu.Unlock()
-		p.rest(c)
+		p.putIdle(c)
 		up <- time.Now()
 		return c
 	}
@@ -183,7 +183,7 @@
 		x, ok := c.next(up)
 		require.True(t, ok)
 		require.Same(t, work, x)
-		p.closed(c)
+		p.connEnded(c)
 		select {
 		case <-up:
 		default:
@@ -192,7 +192,7 @@
 		p.CloseIdle("s-1")
 		_, ok = c.next(up)
 		require.False(t, ok)
-		p.closed(c)
+		p.connEnded(c)
 		select {
 		case <-up:
 		default:
@@ -200,7 +200,7 @@
 		c = resting()
 		_, ok = c.next(up)
 		require.False(t, ok)
-		p.closed(c)
-		require.Equal(t, []int{0, 0}, []int{p.Idle(), open(p)})
+		p.connEnded(c)
+		require.Equal(t, []int{0, 0}, []int{p.Idle(), openConns(p)})
 	}
 }
