--- a/internal/net/discovery/faulty_test.go
+++ b/internal/net/discovery/faulty_test.go
@@ -88,7 +88,7 @@
 		var entry *EntryError
 		require.ErrorAs(t, <-s.faulty, &entry)
 	}
-	require.EqualError(t, <-s.faulty, `list: 2 more members that cannot be read`)
+	require.EqualError(t, <-s.faulty, `list: 2 more invalid members`)
 
 	// s-1 is listed, though nobody can tell as what: it stays what it was. s-9 was never there.
 	fmt.Fprint(c, list(42, true, member("s-1", "resting"), member("s-9", "resting"), member("s-6", "in_service")))
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -1,4 +1,5 @@
-// Package discovery speaks to discovery: it keeps the list of encoders by a watch on its changes.
+// Package discovery keeps the instance list up to date by watching discovery, or the local agent that pushes the
+// list, for changes.
 package discovery
 
 import (
@@ -15,21 +16,21 @@
 	"in_service": decide.Ready, "terminating": decide.Draining, "terminated": decide.Gone,
 }
 
-// latestStart is the last start of an encoder that can be one, in Unix milliseconds: the end of the year 9999.
+// latestStart is the latest valid start time of an encoder in Unix milliseconds: the end of the year 9999.
 const latestStart = 253_402_300_799_999
 
-// listText is a list as discovery writes it.
+// listText is a list as encoded by discovery.
 type listText struct {
 	Revision int64             `json:"revision"`
 	Complete bool              `json:"complete"`
 	Members  []json.RawMessage `json:"members"`
 }
 
-// memberText is one entry of it.
+// memberText is one entry of a list.
 type memberText struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
-	GRPC     string  `json:"grpc"` // an addition of ours, for plug-ins
+	GRPC     string  `json:"grpc"` // extension for plug-ins
 	Locality string  `json:"locality"`
 	Flavor   string  `json:"flavor"`
 	Cell     int     `json:"cell"`
@@ -38,10 +39,10 @@
 	UpSince  float64 `json:"up_since_ms"`
 }
 
-// EntryError is an entry of a list that cannot be read.
+// EntryError reports an invalid entry of a list.
 type EntryError struct {
 	Index int    // in the list, from 0
-	ID    string // empty: it cannot be read either
+	ID    string // empty if it cannot be read
 	Err   error
 }
 
@@ -54,7 +55,7 @@
 
 func (e *EntryError) Unwrap() error { return e.Err }
 
-// ParseList reads a list in discovery's form. An entry that cannot be read makes all of it faulty.
+// ParseList decodes a list in discovery's format. One invalid entry makes the whole list invalid.
 func ParseList(text []byte) (dispatch.InstanceUpdate, error) {
 	l, faulty, err := readList(text)
 	if err == nil && len(faulty) > 0 {
@@ -66,14 +67,14 @@
 	return l, nil
 }
 
-// readList reads a list without the entries that cannot be read, and says which those are.
+// readList decodes a list. It returns the valid entries, and an error for each invalid one.
 func readList(text []byte) (dispatch.InstanceUpdate, []*EntryError, error) {
 	var in listText
 	if err := json.Unmarshal(text, &in); err != nil {
 		return dispatch.InstanceUpdate{}, nil, fmt.Errorf("list: %w", err)
 	}
-	if in.Members == nil { // guards against taking some other object for an empty list
-		return dispatch.InstanceUpdate{}, nil, errors.New("list: an object without members")
+	if in.Members == nil { // prevents another JSON object from being taken for an empty list
+		return dispatch.InstanceUpdate{}, nil, errors.New("list: JSON object has no members array")
 	}
 	l := dispatch.InstanceUpdate{Revision: in.Revision, Complete: in.Complete}
 	var faulty []*EntryError
@@ -88,10 +89,10 @@
 	return l, faulty, nil
 }
 
-// readMember reads an entry. Of a faulty one it returns the id, if that can be read.
+// readMember decodes an entry. For an invalid one, it returns the ID if that can be read.
 func readMember(text []byte) (dispatch.Instance, error) {
 	var in memberText
-	err := json.Unmarshal(text, &in) // goes on behind a value of the wrong type
+	err := json.Unmarshal(text, &in) // continues after a value of the wrong type
 	named := dispatch.Instance{ID: in.ID}
 	state, known := phases[in.Phase]
 	switch {
@@ -102,7 +103,7 @@
 	case !known:
 		return named, fmt.Errorf("unknown phase %q", in.Phase)
 	case in.UpSince > latestStart:
-		return named, fmt.Errorf("up_since_ms %g is no time", in.UpSince)
+		return named, fmt.Errorf("up_since_ms %g is out of range", in.UpSince)
 	}
 	m := dispatch.Instance{
 		ID: in.ID, Address: in.HostPort, GRPC: in.GRPC, Zone: in.Locality, Kind: in.Flavor, Cell: in.Cell, State: state, Size: in.Size,
@@ -113,7 +114,8 @@
 	return m, nil
 }
 
-// keepUnreadable has encoders whose entries in a whole list cannot be read stay as they were: the list says that they are there.
+// keepUnreadable adds the previous state of instances whose entries in a complete list are invalid: the list shows
+// that they still exist.
 func keepUnreadable(l dispatch.InstanceUpdate, faulty []*EntryError, before map[string]dispatch.Instance) dispatch.InstanceUpdate {
 	if !l.Complete {
 		return l
--- a/internal/net/discovery/trouble_test.go
+++ b/internal/net/discovery/trouble_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	answerDelay = 990 * time.Millisecond // how late a call is answered
-	maxStaleness    = 6 * time.Second        // after discovery had it a change counts as told
-	response503 = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	answerDelay  = 990 * time.Millisecond // how late a call is answered
+	maxStaleness = 6 * time.Second        // after discovery had it a change counts as told
+	response503  = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
 // send writes pieces a time apart.
@@ -62,7 +62,11 @@
 			return c.at
 		}},
 		{"half a list, then silent", func(c call) time.Time { c.send(time.Second, responseHead, chunk(drainingList[:60])); return c.at }},
-		{"half a list, then closed", func(c call) time.Time { c.send(time.Second, responseHead, chunk(drainingList[:60])); c.Close(); return c.at }},
+		{"half a list, then closed", func(c call) time.Time {
+			c.send(time.Second, responseHead, chunk(drainingList[:60]))
+			c.Close()
+			return c.at
+		}},
 		{"a list in crumbs", func(c call) time.Time {
 			c.send(time.Second, responseHead, chunk("{"), chunk(" "), chunk(" "), chunk(" "))
 			return c.at
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -22,56 +22,58 @@
 )
 
 const (
-	maxListBytes = 4 << 20               // bytes of one list
-	maxReportedEntries  = 4                     // faulty entries of one list that are told of, one by one
-	callSpacing      = 20 * time.Millisecond // a dispatcher, at which the fleet's calls for one cause are spread; as in decide
-	timerSlack     = 10 * time.Millisecond // by which a timer may be early
+	maxListBytes       = 4 << 20               // size limit of one list
+	maxReportedEntries = 4                     // invalid entries of one list that are reported one by one
+	callSpacing        = 20 * time.Millisecond // per dispatcher: interval over which the fleet's calls for the same cause are spread; the same as in decide
+	timerSlack         = 10 * time.Millisecond // a timer may fire this much early
 )
 
-// ErrNobody says that a call has reached nobody: it has cost the service nothing.
-var ErrNobody = errors.New("nobody reached")
+// ErrNobody reports that a call did not reach discovery, so it caused no load there.
+var ErrNobody = errors.New("discovery not reached")
 
-// OlderListError says that a list is older than one before it on the same watch.
+// OlderListError reports that a list has a lower revision than an earlier one on the same watch.
 type OlderListError struct{ Revision, Last int64 }
 
 func (e *OlderListError) Error() string {
-	return fmt.Sprintf("list: revision %d behind %d on one watch", e.Revision, e.Last)
+	return fmt.Sprintf("list: revision %d is older than revision %d received on the same watch", e.Revision, e.Last)
 }
 
-// Sink takes what discovery tells. Its calls come from one goroutine and in order.
+// Sink receives what discovery reports. Its methods are called from one goroutine, in order.
 type Sink interface {
-	// Listed takes a list as it was read.
+	// Listed receives a list as it was read.
 	Listed(dispatch.InstanceUpdate)
-	// Alive: the watch is on, and nothing has changed.
+	// Alive reports that the watch is active and nothing has changed.
 	Alive()
-	// Silent: the watch, or the call for one, has fallen silent, for the nth time in a row from 1, and is made anew
-	// right now.
+	// Silent reports that the watch, or the call that opens it, has timed out, for the nth time in a row from 1. It
+	// is reopened immediately.
 	Silent(n int, err error)
-	// Lost: the watch, or the call for one, has failed, so long after the call was made. The list stays as it was.
+	// Lost reports that the watch, or the call that opens it, has failed, and how long after the call started. The
+	// list is unchanged.
 	Lost(err error, after time.Duration)
-	// Faulty: an entry of a list, or a list, is passed over. The watch goes on.
+	// Faulty reports that a list or an entry of one is ignored. The watch continues.
 	Faulty(error)
 }
 
-// Watcher keeps a watch on the changes of discovery's list. When it calls goes by its [listclock.Clock], and by Subscribe.
+// Watcher watches discovery's list for changes. Its [listclock.Clock] and Subscribe determine when it calls
+// discovery.
 type Watcher struct {
-	start  time.Time // of the clock
-	subscribed chan struct{}
-	clockChanged chan struct{} // the clock tells another time than before
-	dial   func(ctx context.Context, address string, by time.Time) (net.Conn, error)
-
-	mu       sync.Mutex
-	clock    *listclock.Clock
-	address  string
-	revision int64
-	callStarted   time.Duration         // when the last call was made
-	instances    dispatch.InstanceList // as told, of the watch's goroutine
-	cancelWatch    context.CancelFunc    // ends the watch that is on
-	paused   bool                  // the watch that is on was ended by Rest
-	answered bool                  // the call for it succeeded
-}
-
-// NewWatcher watches from the given revision on, as the settings say.
+	start        time.Time // zero of the clock's time
+	subscribed   chan struct{}
+	clockChanged chan struct{} // signalled when the time of the clock's next call may have changed
+	dial         func(ctx context.Context, address string, by time.Time) (net.Conn, error)
+
+	mu          sync.Mutex
+	clock       *listclock.Clock
+	address     string
+	revision    int64
+	callStarted time.Duration         // start time of the last call
+	instances   dispatch.InstanceList // as last received; used by the watch's goroutine only
+	cancelWatch context.CancelFunc    // ends the current watch
+	paused      bool                  // the current watch was ended by Rest
+	answered    bool                  // the call that opened the current watch succeeded
+}
+
+// NewWatcher returns a watcher that starts from the given revision.
 func NewWatcher(address string, revision int64, s decide.Settings) *Watcher {
 	return &Watcher{
 		address: address, revision: revision, start: time.Now(), subscribed: make(chan struct{}, 1), clockChanged: make(chan struct{}, 1),
@@ -83,14 +85,14 @@
 	return (&net.Dialer{Deadline: by}).DialContext(ctx, "tcp", address)
 }
 
-// From has the first watch be at an address, from a revision on. It must come before Run.
+// From sets the address and revision of the first watch. It must be called before Run.
 func (w *Watcher) From(address string, revision int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.address, w.revision = address, revision
 }
 
-// Retune has other settings count from now on.
+// Retune applies new settings.
 func (w *Watcher) Retune(s decide.Settings) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -98,8 +100,8 @@
 	signal(w.clockChanged)
 }
 
-// clockSettings is what the settings say of the list. A pushed one comes by an agent on this machine, which has been sent it;
-// else by a service that many call.
+// clockSettings derives the clock's settings. A pushed list comes from an agent on this machine, which has received
+// it already; otherwise it comes from a service that many dispatchers call.
 func clockSettings(s decide.Settings) listclock.Settings {
 	t := listclock.Settings{Mode: listclock.Watched, MaxAge: s.Rules.MustAskIn, DrainGrace: s.Rules.DrainGrace, Spread: time.Duration(s.DispatcherCount) * callSpacing}
 	if s.ListPushed {
@@ -110,7 +112,7 @@
 
 func (w *Watcher) now() time.Duration { return time.Since(w.start) }
 
-// sinceCall is how long ago the last call was made.
+// sinceCall returns the time since the start of the last call.
 func (w *Watcher) sinceCall() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -124,11 +126,11 @@
 	}
 }
 
-// Subscribe asks for a watch. It never blocks; while one is on, it does nothing.
+// Subscribe requests a watch. It never blocks, and has no effect while a watch is active.
 func (w *Watcher) Subscribe() { signal(w.subscribed) }
 
-// Move has the name table at another address from now on. The watch there begins with the whole table: revisions told
-// by another peer say nothing of what this one has told. Until the clock has it begin, the watch that is on stays.
+// Move sets a new address of discovery. The watch there starts with the complete list, since revisions of different
+// servers cannot be compared. The current watch continues until the clock permits the call to the new address.
 func (w *Watcher) Move(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,14 +142,14 @@
 	}
 }
 
-// Moving tells whether what is told still comes from an address that the name table has left.
+// Moving reports whether updates still come from an address that is no longer discovery's.
 func (w *Watcher) Moving() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.clock.AddressChangePending()
 }
 
-// leaveOldAddress ends the watch at an address that the name table has left.
+// leaveOldAddress ends the watch at an address that is no longer discovery's.
 func (w *Watcher) leaveOldAddress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -156,7 +158,8 @@
 	}
 }
 
-// Rest ends the watch that is on, and what is asked for: others tell of changes. The next Subscribe begins one again.
+// Rest ends the current watch and drops a pending subscription, because others report changes. The next Subscribe
+// starts a new watch.
 func (w *Watcher) Rest() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -166,7 +169,7 @@
 	w.cancelWatch()
 }
 
-// clearSubscription drops what was asked for.
+// clearSubscription drops a pending subscription.
 func (w *Watcher) clearSubscription() {
 	select {
 	case <-w.subscribed:
@@ -174,10 +177,10 @@
 	}
 }
 
-// Run serves subscriptions until the context ends. When to ask again after a loss is the decision of whoever
-// subscribes, and at the latest the clock's; after silence, and after a move, it is the clock's alone.
+// Run serves subscriptions until the context ends. After a failure, the subscriber decides when to call again, and
+// the clock sets the latest time; after a time-out or an address change, the clock alone decides.
 func (w *Watcher) Run(ctx context.Context, sink Sink) {
-	silent := 0 // calls and watches in a row
+	silent := 0 // consecutive time-outs
 	for again := false; again || w.wait(ctx); {
 		on, leave := context.WithCancel(ctx)
 		address, revision, ok := w.startCall(leave, again)
@@ -204,7 +207,7 @@
 	}
 }
 
-// wait waits until a watch is wanted, or the clock says so; false: the context has ended.
+// wait waits for a subscription or for the clock's next call. It returns false if the context has ended.
 func (w *Watcher) wait(ctx context.Context) bool {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
@@ -227,7 +230,8 @@
 	}
 }
 
-// startCall tells the clock of a call, and says where; false: it is not to be made, since others tell of changes meanwhile.
+// startCall records the start of a call and returns where to call. ok is false if the call must not be made because
+// others report changes meanwhile.
 func (w *Watcher) startCall(leave context.CancelFunc, again bool) (address string, revision int64, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -240,24 +244,24 @@
 	return w.address, w.revision, true
 }
 
-// watchEnd is how a watch ended.
+// watchEnd is the reason why a watch ended.
 type watchEnd int
 
 const (
-	endLost  watchEnd = iota // and others say when to ask again
-	endSilent                // it fell silent: it is opened anew now
-	endMoved                // for another address, now
-	endMovePending               // its address was left anyway, and the clock says when to call the other
+	endLost        watchEnd = iota // failed; the subscriber decides when to call again
+	endSilent                      // timed out; reopen now
+	endMoved                       // address changed; call the new one now
+	endMovePending                 // failed after the address changed; the clock decides when to call the new one
 )
 
-// watchEnded takes the end of a watch.
+// watchEnded records the end of a watch and returns its reason.
 func (w *Watcher) watchEnded(err error) (how watchEnd, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.paused { // what was asked for since then stands
+	if w.paused { // keep a subscription that was made since
 		return endLost, w.answered
 	}
-	w.clearSubscription() // what was asked for while the watch was on is answered with it
+	w.clearSubscription() // this watch has served any subscription made while it was active
 	ask, goes := w.clock.NextCall()
 	due, moving := goes && w.now() > ask-timerSlack, w.clock.AddressChangePending()
 	var timeout net.Error
@@ -273,7 +277,7 @@
 	return endLost, w.answered
 }
 
-// listReceived keeps the revision from which a later watch goes on.
+// listReceived records a received list and the revision from which a later watch continues.
 func (w *Watcher) listReceived(revision int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -282,21 +286,21 @@
 	}
 }
 
-// listIgnored tells the clock that what came was no news.
+// listIgnored records a list that was ignored.
 func (w *Watcher) listIgnored() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.clock.ListIgnored(w.now())
 }
 
-// heartbeat tells the clock that nothing has changed.
+// heartbeat records that nothing has changed.
 func (w *Watcher) heartbeat() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.clock.Heartbeat(w.now())
 }
 
-// silenceDeadline is when what is open has been silent for too long.
+// silenceDeadline returns the time at which the current call or watch counts as timed out.
 func (w *Watcher) silenceDeadline() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -307,7 +311,7 @@
 func (w *Watcher) watch(ctx context.Context, sink Sink, address string, revision int64) error {
 	conn, err := w.dial(ctx, address, w.silenceDeadline())
 	if localShortage(err) {
-		return fmt.Errorf("no descriptor for a call: %w", err)
+		return fmt.Errorf("local resource shortage, discovery not called: %w", err)
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNobody, err)
@@ -328,7 +332,7 @@
 		return err
 	}
 	if p.Status != 200 {
-		return fmt.Errorf("discovery answered %d", p.Status)
+		return fmt.Errorf("discovery answered with HTTP status %d", p.Status)
 	}
 	w.mu.Lock()
 	w.answered = true
@@ -336,7 +340,8 @@
 	return w.readLists(sink, body)
 }
 
-// localShortage tells whether this machine or process had too little for a call: that says nothing of whom it was for.
+// localShortage reports whether a call failed for lack of resources of this machine or process, which says nothing
+// about discovery.
 func localShortage(err error) bool {
 	for _, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, lack) {
@@ -346,14 +351,14 @@
 	return false
 }
 
-// readLists reads lists until the watch ends. Each is a JSON value, on one line or on many.
+// readLists reads lists until the watch ends. Each is a JSON value, on one line or on several.
 func (w *Watcher) readLists(sink Sink, body io.Reader) error {
 	in := &listReader{in: body, w: w, sink: sink, empty: true}
 	last := int64(math.MinInt64)
 	for values := json.NewDecoder(in); ; {
 		var text json.RawMessage
 		if err := values.Decode(&text); errors.Is(err, io.EOF) {
-			return errors.New("the watch ended")
+			return errors.New("watch closed by discovery")
 		} else if err != nil {
 			return err
 		}
@@ -381,25 +386,24 @@
 	}
 }
 
-// reportFaulty tells of the entries of a list that are passed over, the first ones one by one.
+// reportFaulty reports the invalid entries of a list, only the first ones individually.
 func reportFaulty(sink Sink, faulty []*EntryError) {
 	for _, f := range faulty[:min(len(faulty), maxReportedEntries)] {
 		sink.Faulty(f)
 	}
 	if more := len(faulty) - maxReportedEntries; more > 0 {
-		sink.Faulty(fmt.Errorf("list: %d more members that cannot be read", more))
+		sink.Faulty(fmt.Errorf("list: %d more invalid members", more))
 	}
 }
 
-// monitoredConn tells the clock of each sign of life on a connection, and goes by its patience.
+// monitoredConn records any received data with the clock, and applies the clock's deadline to reads.
 type monitoredConn struct {
 	net.Conn
 	w *Watcher
 }
 
 func (s monitoredConn) Read(p []byte) (int, error) {
-	// Guards against a watch that has gone silent with its machine: a lost line would otherwise leave draining
-	// instances in use.
+	// Detects a watch whose server has failed silently: a missed update would leave draining instances in use.
 	if err := s.SetReadDeadline(s.w.silenceDeadline()); err != nil {
 		return 0, err
 	}
@@ -412,14 +416,14 @@
 	return n, err
 }
 
-// listReader passes a watch's body on without what stands between lists, and tells the empty lines there, which are the
-// beat of the watch. Blanks inside a list, or on the line that it ends on, are none.
+// listReader passes on the body of a watch without the whitespace between lists, and reports empty lines there, which
+// are the watch's heartbeats. Blank lines inside a list, or the end of its last line, are no heartbeats.
 type listReader struct {
 	in    io.Reader
 	w     *Watcher
 	sink  Sink
-	size  int  // of the list that has begun; 0: none has
-	empty bool // nothing has come on the line that is being read
+	size  int  // bytes of the current list; 0: between lists
+	empty bool // the current line has no text so far
 }
 
 func (o *listReader) Read(p []byte) (int, error) {
@@ -427,7 +431,7 @@
 		n, err := o.in.Read(p)
 		text := o.filter(p[:n])
 		if o.size > maxListBytes {
-			return 0, fmt.Errorf("a list of over %d bytes", maxListBytes)
+			return 0, fmt.Errorf("list exceeds %d bytes", maxListBytes)
 		}
 		if len(text) > 0 || err != nil {
 			return copy(p, text), err
@@ -435,13 +439,13 @@
 	}
 }
 
-// listEnded says that a list is whole, and what came with it of the next.
+// listEnded records that a list is complete. rest is the data after it that has been read already.
 func (o *listReader) listEnded(rest []byte) {
 	o.size, o.empty = 0, false
 	o.filter(rest)
 }
 
-// filter returns what is not between lists.
+// filter returns the text without what is between lists.
 func (o *listReader) filter(text []byte) []byte {
 	if o.size > 0 {
 		o.size += len(text)
@@ -461,7 +465,7 @@
 	return text
 }
 
-// skipBetween returns the text from the next list on, and whether an empty line stands before it.
+// skipBetween returns the text from the start of the next list, and whether an empty line precedes it.
 func (o *listReader) skipBetween(text []byte) (rest []byte, beats bool) {
 	for i, c := range text {
 		switch c {
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -49,7 +49,7 @@
 }
 
 const (
-	responseHead    = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	responseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	drainingList = `{"revision":43,"complete":false,"members":[{"id":"s-5","host_port":"h:1","locality":"a","flavor":"m2","cell":3,"phase":"terminating","size":1.0,"up_since_ms":2000}]}`
 )
 
@@ -334,6 +334,6 @@
 		for err := error(nil); err == nil; {
 			_, err = fmt.Fprint(c, chunk(strings.Repeat(" ", 64<<10)))
 		}
-		require.ErrorContains(t, <-s.lost, "over")
+		require.ErrorContains(t, <-s.lost, "list exceeds")
 	})
 }
--- a/internal/net/upstream/answer_test.go
+++ b/internal/net/upstream/answer_test.go
@@ -129,8 +129,12 @@
 // another connection.
 func TestResponseFollowedByReset(t *testing.T) {
 	for answer, check := range map[string]func(*testing.T, pausingObserver, *dispatch.Attempt){
-		response202:    func(t *testing.T, r pausingObserver, a *dispatch.Attempt) { require.Equal(t, a, receive(t, r.accepted)) },
-		response503: func(t *testing.T, r pausingObserver, _ *dispatch.Attempt) { require.Equal(t, decide.Full, receive(t, r.ended)) },
+		response202: func(t *testing.T, r pausingObserver, a *dispatch.Attempt) {
+			require.Equal(t, a, receive(t, r.accepted))
+		},
+		response503: func(t *testing.T, r pausingObserver, _ *dispatch.Attempt) {
+			require.Equal(t, decide.Full, receive(t, r.ended))
+		},
 	} {
 		e := listen(t)
 		p, r := newPausingPool(t, e)
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -13,29 +13,29 @@
 	"caperrelay/internal/net/sock"
 )
 
-// progress is how far an exchange has come when it ends.
+// progress is how far an exchange got before it ended.
 type progress int
 
 const (
-	notSent   progress = iota // not begun: no connection to spare, or the encoder wants nothing new
-	connectFailed                // the connection never came up, or broke before the last byte was written
-	noResponse                // it broke after that, before the answer
-	answered              // the encoder answered
+	notSent       progress = iota // nothing was sent: no free connection, too late, cancelled, or the encoder takes no new work
+	connectFailed                 // the connection could not be opened, or broke before the last byte was written
+	noResponse                    // the connection broke after that, without a complete response
+	answered                      // a response was received
 )
 
-// result is how an exchange ended.
+// result is the result of an exchange.
 type result struct {
-	progress    progress
-	response *http1.Response // where it was answered
-	connIdle     time.Duration   // how long its connection had been idle; 0: it was new
-	unknownInstance  bool            // where it was unsent: no such encoder was ever listed
-	malformed   bool            // where it broke: not before something of an answer had come
+	progress        progress
+	response        *http1.Response // if answered
+	connIdle        time.Duration   // how long the connection had been idle before; 0: it was new
+	unknownInstance bool            // if notSent: the encoder has never been listed
+	malformed       bool            // if noResponse: the response was truncated or invalid
 }
 
-// unusable tells whether the encoder says that no encoder could do the request as it stands.
+// unusable reports whether the encoder answered that no encoder can execute the request as submitted.
 func (e result) unusable() bool { return e.progress == answered && e.response.Status == 400 }
 
-// outcome is what the end says of an attempt; over is false where the encoder has taken it.
+// outcome returns the outcome of the attempt. over is false if the encoder has accepted it and still works on it.
 func (e result) outcome() (o decide.Outcome, over bool) {
 	switch e.progress {
 	case notSent:
@@ -68,30 +68,29 @@
 	return decide.Errored
 }
 
-// exchange is one request to an encoder and what came back.
+// exchange is one request to an encoder and its response.
 type exchange struct {
-	method, target string
-	correlationID             string       // correlation id, of requests only
-	passedHeader         http1.Header // of the client's
-	body           []byte
-	deadline       time.Time
-	maxIdle       time.Duration        // of the connection; 0: any
-	newConn          bool                 // only a new connection will do
-	newWork          bool                 // new work: only for an encoder that is ready
-	connectUntilDeadline        bool                 // its connection may take until the deadline to come up
-	expired        func(time.Time) bool // nil: never; it is too late to send it
-	begin          func() bool          // nil: always; told that it is about to be sent, it may say no
-	onSent           func()               // called once it is written whole, if at all; may be nil
-	onDone           func(result)            // called once, from the connection's goroutine
+	method, target       string
+	correlationID        string       // empty for cancellations and probes
+	passedHeader         http1.Header // fields of the client's header that are passed on
+	body                 []byte
+	deadline             time.Time
+	maxIdle              time.Duration        // longest permitted idle time of the connection; 0: no limit
+	newConn              bool                 // must use a new connection
+	newWork              bool                 // new work: sent only to an encoder that is ready
+	connectUntilDeadline bool                 // the connect timeout does not apply, only the deadline
+	expired              func(time.Time) bool // reports whether it must no longer be sent; nil: never
+	begin                func() bool          // called right before sending, which it permits by returning true; nil: always permitted
+	onSent               func()               // called after the last byte has been written; may be nil
+	onDone               func(result)         // called exactly once, from the connection's goroutine
 
 	mu      sync.Mutex
-	conn    net.Conn // while it is on one
+	conn    net.Conn // the connection that carries it, nil if none does
 	aborted bool
 	written bool
 }
 
-// abort ends the exchange by closing its connection. It tells whether the encoder may have
-// got the request whole.
+// abort ends the exchange by closing its connection. It reports whether the encoder may have received the request.
 func (x *exchange) abort() (mayHave bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -102,7 +101,7 @@
 	return x.written
 }
 
-// abortUnsent aborts the exchange unless the encoder may have got something of it.
+// abortUnsent aborts the exchange unless the encoder may have received some of it.
 func (x *exchange) abortUnsent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -114,10 +113,10 @@
 	}
 }
 
-// tooLate tells whether nobody waits any more for new work that has not been begun.
+// tooLate reports whether the deadline has passed for new work that has not been sent.
 func (x *exchange) tooLate() bool { return x.newWork && !time.Now().Before(x.deadline) }
 
-// attach puts the exchange on a connection unless it was aborted before.
+// attach assigns the exchange to a connection. It returns false if the exchange has been aborted.
 func (x *exchange) attach(c net.Conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -127,7 +126,7 @@
 	return !x.aborted
 }
 
-// detach takes it off, so that an abort that comes too late can't close another's connection.
+// detach releases the connection, so that a late abort cannot close it while it carries another exchange.
 func (x *exchange) detach() (aborted bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -135,23 +134,23 @@
 	return x.aborted
 }
 
-// conn is one connection to an encoder and, through run, its goroutine.
+// conn is one connection to an encoder. [Pool.serveConn] is its goroutine.
 type conn struct {
-	pool  *Pool
-	endpoint    *endpoint
-	exchanges  chan *exchange // closed: the connection is to end
-	idleSince time.Time      // idle since
-	closedByPool  bool           // by the pool, which counts it no more
+	pool         *Pool
+	endpoint     *endpoint
+	exchanges    chan *exchange // closed when the connection is to end
+	idleSince    time.Time
+	closedByPool bool // and no longer counted by it
 
-	epoch  int       // of the encoder, when it was dialled
-	dialStarted time.Time // when that began
+	epoch       int // the endpoint's epoch when the dial started
+	dialStarted time.Time
 
 	nc  net.Conn
 	br  *bufio.Reader
-	buf []byte // room for requests
+	buf []byte // reused for encoding requests
 }
 
-// serveConn opens a connection for a first exchange and serves further ones until it ends.
+// serveConn opens a connection for its first exchange and serves further ones until the connection ends.
 func (p *Pool) serveConn(c *conn, x *exchange) {
 	defer p.connEnded(c)
 	defer func() {
@@ -176,7 +175,7 @@
 	}
 }
 
-// next waits for a resting connection's next exchange; false: there is none, the connection is to end.
+// next waits for an idle connection's next exchange. It returns false if there is none and the connection must end.
 func (c *conn) next(retire <-chan time.Time) (x *exchange, ok bool) {
 	select {
 	case x, ok = <-c.exchanges:
@@ -186,13 +185,13 @@
 	if c.pool.removeIdle(c) {
 		return nil, false
 	}
-	x, ok = <-c.exchanges // it was given work, or shut, in that moment
+	x, ok = <-c.exchanges // it has just been given an exchange or been closed by the pool
 	return x, ok
 }
 
-// serve carries out one exchange. alive: the connection may carry another.
+// serve carries out one exchange. alive reports whether the connection can carry another.
 func (c *conn) serve(x *exchange) (e result, alive bool) {
-	if c.nc != nil && (!c.pool.isCurrent(c) || c.stale()) { // nothing is written yet, so another connection does no harm
+	if c.nc != nil && (!c.pool.isCurrent(c) || c.stale()) { // nothing has been written yet, so replacing the connection is harmless
 		c.nc.Close()
 		c.nc = nil
 	}
@@ -211,13 +210,13 @@
 	if talks {
 		c.pool.noteUnsolicited(c.endpoint)
 	}
-	e.malformed = e.malformed && !aborted // else who aborted it takes it back
+	e.malformed = e.malformed && !aborted // an aborted exchange is cancelled by the caller of abort
 	return e, !aborted && !talks && (e.progress == notSent || e.progress == answered && !e.response.Close)
 }
 
-// open opens a connection for an exchange; up is false where there is none, and e says why.
+// open opens a connection for an exchange. If up is false, e holds the reason.
 func (c *conn) open(x *exchange) (e result, up bool) {
-	if x.tooLate() { // a dial would fail at once, which speaks against no encoder
+	if x.tooLate() { // a dial would fail at once, which says nothing about the encoder
 		return result{progress: notSent}, false
 	}
 	err := c.dial(x)
@@ -225,12 +224,12 @@
 	case err == nil:
 		return result{}, true
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-		return result{progress: notSent}, false // our own want speaks against no encoder
+		return result{progress: notSent}, false // a shortage of descriptors in this process says nothing about the encoder
 	}
 	return result{progress: connectFailed}, false
 }
 
-// dial opens a connection. For what is no new work it does so again if the encoder has moved meanwhile.
+// dial opens a connection. For anything but new work, it dials again if the encoder's address has changed meanwhile.
 func (c *conn) dial(x *exchange) error {
 	up := time.Now().Add(c.pool.currentLimits().Connect)
 	if x.connectUntilDeadline || x.deadline.Before(up) {
@@ -250,7 +249,7 @@
 	}
 }
 
-// dialAddress returns the address at which a connection is to be dialled now.
+// dialAddress returns the address to dial now, and records the epoch and the time.
 func (p *Pool) dialAddress(c *conn) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -265,14 +264,14 @@
 	if x.newWork {
 		last = last.Add(graceTime)
 	}
-	if c.buf = text; cap(text) > http1.MaxLine { // kept for the next request, but for a large one
+	if c.buf = text; cap(text) > http1.MaxLine { // reuse the buffer unless a large request made it grow
 		c.buf = nil
 	}
 	if c.nc.SetDeadline(last) != nil {
 		return result{progress: connectFailed}
 	}
-	// The list may have told of a drain or a move since this was decided, and while the connection
-	// came up. From the first byte on it counts as sent.
+	// The list may have reported a drain or a new address since the attempt was decided, or while the connection was
+	// being opened. From the first byte on, the request counts as sent.
 	if x.begin != nil && !x.begin() || x.expired != nil && x.expired(time.Now()) || x.tooLate() || x.newWork && !c.pool.allowsNewWork(c) {
 		return result{progress: notSent}
 	}
@@ -281,7 +280,7 @@
 		x.mu.Unlock()
 		return result{progress: notSent}
 	}
-	x.written = true // it may be whole before Write returns
+	x.written = true // the encoder may have all of it before Write returns
 	x.mu.Unlock()
 	if n, err := c.nc.Write(text); err != nil && n < len(text) {
 		return result{progress: connectFailed}
@@ -299,8 +298,8 @@
 	return result{progress: answered, response: p}
 }
 
-// stale tells whether an idle connection has been closed by the other side, or carries
-// bytes that nobody asked for, by a look that takes nothing from it.
+// stale reports whether the peer has closed an idle connection or sent unsolicited bytes on it, without consuming
+// any.
 func (c *conn) stale() bool {
 	if c.nc.SetDeadline(time.Time{}) != nil {
 		return true
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -1,5 +1,5 @@
-// Package upstream speaks to the encoders: it keeps a pool of connections to each and
-// sends attempts, give-ups and probes over them.
+// Package upstream keeps a pool of connections to each encoder and sends attempts, cancellations and probes over
+// them.
 package upstream
 
 import (
@@ -14,28 +14,28 @@
 	"caperrelay/internal/net/loadreport"
 )
 
-// graceTime is how long a give-up or a probe may take before it is dropped. A connection with
-// an attempt waits on for as long after its deadline: the loop ends what is silent then, and
-// a read that ended here at the same moment would make a reset of a time-out.
+// graceTime is how long a cancellation or a probe may take before it is dropped. A connection that carries an attempt
+// waits this much longer than the attempt's deadline: the loop ends silent attempts at the deadline, and a read that
+// ended at the same moment would turn a time-out into a reset.
 const graceTime = time.Second
 
-// How a give-up is made sure of.
+// Retries of cancellations.
 const (
-	cancelTries = 2                     // on connections, each within courtesy
-	cancelRetryDelay  = 10 * time.Millisecond // before the next look for a connection to spare
+	cancelTries      = 2                     // sent at most, each within graceTime
+	cancelRetryDelay = 10 * time.Millisecond // before the next attempt to get a free connection
 )
 
-// A spoilt answer may be followed by a second one some milliseconds later, which would be read as the answer to the next
-// request on that connection: as taken where it was turned away, or the other way round.
+// A malformed response may be followed by a second one some milliseconds later, which would be read as the response
+// to the next request on that connection: a refused request would count as accepted, or the reverse.
 const (
-	defaultSettle  = 50 * time.Millisecond // that a connection rests before it is used again, where others do as well,
-	unsolicitedWindow = 30 * time.Second      // for so long after some encoder was seen to do so, and at that one no other is used
+	defaultSettle     = 50 * time.Millisecond // idle time after which a connection is preferred for reuse
+	unsolicitedWindow = 30 * time.Second      // how long after unsolicited data from any encoder that preference applies; for the encoder that sent it, it is mandatory
 )
 
-// maxEndpoints is how many are remembered before those gone are forgotten.
+// maxEndpoints is the number of encoders above which those that are gone are removed.
 const maxEndpoints = 4096
 
-// Observer takes what comes of what was sent.
+// Observer is notified of the results of what was sent.
 type Observer interface {
 	AttemptEnded(_ *dispatch.Attempt, _ decide.Outcome, kept time.Duration)
 	AttemptSent(*dispatch.Attempt)
@@ -45,56 +45,56 @@
 	LoadReported(*dispatch.Attempt, decide.Report)
 }
 
-// Limits bounds the pool.
+// Limits are the limits of a pool.
 type Limits struct {
-	Connections int           // in all
-	Connect     time.Duration // for a connection to come up
-	Idle        time.Duration // after which encoders close a connection
+	Connections int           // total
+	Connect     time.Duration // connect timeout
+	Idle        time.Duration // idle time after which encoders close a connection
 }
 
-// maxIdle is how long a connection is kept idle: well below the limit, since a request written to one that the encoder's machine
-// has just closed would end as a reset.
+// maxIdle is how long an idle connection is kept. It is well below the limit, since a request written to a connection
+// that the encoder's machine has just closed would end as a reset.
 func (l Limits) maxIdle() time.Duration { return l.Idle * 3 / 5 }
 
-// Pool is the way to all encoders.
+// Pool holds the connections to all encoders.
 type Pool struct {
-	limits  Limits
-	observer Observer
-	settle  time.Duration
-	loadReader   *loadreport.Reader // nil: encoders report none
+	limits     Limits
+	observer   Observer
+	settle     time.Duration
+	loadReader *loadreport.Reader // nil: encoders send no load reports
 
-	mu        sync.Mutex
-	endpoints map[string]*endpoint
-	cordoned  map[string]bool                 // left out by hand
-	unaccepted       map[*dispatch.Attempt]*exchange // sent and not yet taken by the encoder
-	connCount     int
-	pendingRetries    int       // give-ups that wait for a connection to spare
-	lastUnsolicited      time.Time // when an encoder last said something that nobody had asked for
+	mu              sync.Mutex
+	endpoints       map[string]*endpoint
+	cordoned        map[string]bool                 // by operators
+	unaccepted      map[*dispatch.Attempt]*exchange // sent, and neither accepted by the encoder nor ended
+	connCount       int
+	pendingRetries  int       // cancellations waiting for a free connection
+	lastUnsolicited time.Time // when any encoder last sent unsolicited data
 }
 
-// endpoint is one encoder as discovery lists it.
+// endpoint is one encoder as listed by discovery.
 type endpoint struct {
-	id, address string
-	state       decide.WorkerState
-	started     time.Time // its process, as listed
-	epoch       int       // counts removals and moves: connections of an earlier one lead nowhere that is wanted
-	idle        []*conn   // the longest idle first
-	lastUnsolicited      time.Time // when it last said something that nobody had asked for
+	id, address     string
+	state           decide.WorkerState
+	started         time.Time // start of its process, as listed
+	epoch           int       // incremented on removal and on a new address: connections of an earlier epoch must not be used
+	idle            []*conn   // longest idle first
+	lastUnsolicited time.Time // when it last sent unsolicited data
 }
 
-// NewPool returns a pool that knows no encoder yet.
+// NewPool returns a pool without any encoders.
 func NewPool(l Limits) *Pool {
 	return &Pool{limits: l, endpoints: map[string]*endpoint{}, cordoned: map[string]bool{}, unaccepted: map[*dispatch.Attempt]*exchange{}, settle: defaultSettle}
 }
 
-// ReportTo says who takes reports. It must come before anything is sent.
+// ReportTo sets the observer. It must be called before anything is sent.
 func (p *Pool) ReportTo(r Observer) { p.observer = r }
 
-// ReadBy says who reads encoders' load reports. It must come before anything is sent.
+// ReadBy sets the reader of load reports. It must be called before anything is sent.
 func (p *Pool) ReadBy(r *loadreport.Reader) { p.loadReader = r }
 
-// Listed takes discovery's news as soon as it has been read: what drains or is gone
-// gets nothing new, whatever has been decided by then.
+// Listed applies an update of the instance list as soon as it has been read: encoders that drain or are gone get
+// nothing new, even if an attempt has already been decided.
 func (p *Pool) Listed(l dispatch.InstanceUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,7 +129,8 @@
 	}
 }
 
-// Cordon has an encoder get nothing new from now on, whatever the list says, or again.
+// Cordon sets or, if out is false, lifts the cordon on an encoder. A cordoned encoder gets nothing new, whatever the
+// list says.
 func (p *Pool) Cordon(id string, out bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,14 +144,13 @@
 	}
 }
 
-// Knows tells whether the list has ever told of an encoder, or it is left out.
+// Knows reports whether an encoder has been listed or is cordoned.
 func (p *Pool) Knows(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[id] != nil || p.cordoned[id]
 }
 
-// closeIdleConns closes an encoder's idle connections.
 func (p *Pool) closeIdleConns(in *endpoint) {
 	for _, c := range in.idle {
 		p.closeConn(c)
@@ -158,8 +158,8 @@
 	in.idle = nil
 }
 
-// closeConn closes a connection that rests and is taken out of the idle ones. It is closed on return: another may take its place
-// under the limit on connections.
+// closeConn closes a connection that has been removed from the idle ones. It is closed on return, so another one may
+// be opened under the connection limit.
 func (p *Pool) closeConn(c *conn) {
 	c.nc.Close()
 	close(c.exchanges)
@@ -167,14 +167,14 @@
 	p.connCount--
 }
 
-// invalidateConns closes an encoder's idle connections at once and each busy one as soon as it rests. One that still comes up is
-// not written to.
+// invalidateConns closes an encoder's idle connections at once and each busy one when it becomes idle. New work is
+// not written to one that is still being opened.
 func (p *Pool) invalidateConns(in *endpoint) {
 	in.epoch++
 	p.closeIdleConns(in)
 }
 
-// closeStaleConns closes the idle connections that the encoder's process cannot know, since it started later.
+// closeStaleConns closes the idle connections that were opened before the encoder's process started.
 func (p *Pool) closeStaleConns(in *endpoint) {
 	in.idle = slices.DeleteFunc(in.idle, func(c *conn) bool {
 		stale := !c.current()
@@ -185,17 +185,20 @@
 	})
 }
 
-// current tells whether a connection, or one that is coming up, leads to the encoder as it is listed. The pool's mutex is held.
-func (c *conn) current() bool { return c.epoch == c.endpoint.epoch && !c.dialStarted.Before(c.endpoint.started) }
+// current reports whether a connection, or one that is being opened, leads to the encoder as it is listed now. The
+// pool's mutex must be held.
+func (c *conn) current() bool {
+	return c.epoch == c.endpoint.epoch && !c.dialStarted.Before(c.endpoint.started)
+}
 
-// isCurrent is the same for those who do not hold the mutex.
+// isCurrent is current for callers that do not hold the mutex.
 func (p *Pool) isCurrent(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return c.current()
 }
 
-// allowsNewWork tells whether a connection may carry new work at this moment.
+// allowsNewWork reports whether a connection may carry new work now.
 func (p *Pool) allowsNewWork(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -223,7 +226,7 @@
 		if e.unusable() {
 			p.observer.AttemptUnusable(a)
 		} else if o, over := e.outcome(); over {
-			if e.malformed { // the encoder may take it for taken
+			if e.malformed { // the encoder may have accepted it
 				a.CancelPending()
 				p.cancelJob(a)
 			}
@@ -241,9 +244,9 @@
 	p.start(a.Instance, x)
 }
 
-// Cancel ends an attempt. One that the encoder may have is taken back by DELETE; before
-// its 202 the connection is closed too. Not instead: the 202 may be on its way. It stays unconfirmed
-// where no DELETE is answered: the encoder may still have it.
+// Cancel cancels an attempt. If the encoder may have it, a DELETE is sent; before the 202, the connection is closed
+// as well, but not instead, since the 202 may be on its way. If no DELETE is answered, the cancellation remains
+// unconfirmed: the encoder may still have the job.
 func (p *Pool) Cancel(a *dispatch.Attempt) {
 	p.mu.Lock()
 	x := p.unaccepted[a]
@@ -255,8 +258,8 @@
 	p.cancelJob(a)
 }
 
-// Unsend ends all attempts of which nothing is written yet, as never sent: another process has them from now on, and may
-// give one up and send it elsewhere while it still waits here for its connection.
+// Unsend ends all attempts of which nothing has been written, with outcome NotSent. Another process owns them from
+// now on, and could cancel one and send it elsewhere while it still waits here for its connection.
 func (p *Pool) Unsend() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -265,17 +268,18 @@
 	}
 }
 
-// cancellation is word on its way to an encoder that an attempt is given up.
+// cancellation is the notification of an encoder that an attempt is cancelled.
 type cancellation struct {
-	encoder, id string    // the request's
-	retryUntil       time.Time // when it is dropped that finds no connection to spare
-	triesLeft       int       // left on connections
-	newConn       bool      // the next takes a new one
-	confirm     func()    // called once the encoder knows, if it ever does
+	encoder, id string    // id is the request's correlation ID
+	retryUntil  time.Time // dropped after this time if there is no free connection
+	triesLeft   int       // including the current one
+	newConn     bool      // the next try must use a new connection
+	confirm     func()    // called once the encoder has answered, or if it was never listed
 }
 
-// cancelJob tells an encoder that an attempt is given up. A DELETE may be repeated, unlike a request: the second goes over a
-// new connection, since a kept one may be dead. The attempt counts as given up only once the encoder has answered.
+// cancelJob notifies an encoder that an attempt is cancelled. Unlike a request, a DELETE may be repeated; the second
+// one uses a new connection, since an idle one may be dead. The attempt counts as cancelled only when the encoder has
+// answered.
 func (p *Pool) cancelJob(a *dispatch.Attempt) {
 	p.sendCancellation(&cancellation{encoder: a.Instance, id: a.Command.ID, retryUntil: time.Now().Add(graceTime), triesLeft: cancelTries, confirm: a.CancelConfirmed})
 }
@@ -287,7 +291,7 @@
 	})
 }
 
-// cancellationEnded takes the end of a give-up's exchange.
+// cancellationEnded handles the result of a cancellation's exchange.
 func (p *Pool) cancellationEnded(g *cancellation, e result) {
 	switch {
 	case e.progress == answered || e.unknownInstance:
@@ -301,7 +305,7 @@
 	}
 }
 
-// retryLater calls f in a moment. The pool counts as busy until then.
+// retryLater calls f after cancelRetryDelay. The pool counts as busy until then.
 func (p *Pool) retryLater(f func()) {
 	p.mu.Lock()
 	p.pendingRetries++
@@ -314,7 +318,7 @@
 	})
 }
 
-// loadReport is the report that came with an answer, nil where none did.
+// loadReport returns the load report in a response's header, or nil.
 func (p *Pool) loadReport(e result) *decide.Report {
 	if e.progress != answered {
 		return nil
@@ -322,7 +326,7 @@
 	return p.loadReader.Line(e.response.Header.Get(loadreport.HeaderField))
 }
 
-// Probe checks an encoder, by the way that brings a load report where there are any.
+// Probe checks an encoder's health, at the path that returns a load report if load reports are in use.
 func (p *Pool) Probe(id string) {
 	target := "/ping"
 	if p.loadReader.Any() {
@@ -340,7 +344,7 @@
 	})
 }
 
-// start hands an exchange to an idle connection, the one used last, or to a new one.
+// start assigns an exchange to an idle connection or to a new one.
 func (p *Pool) start(id string, x *exchange) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -350,17 +354,17 @@
 		return
 	}
 	now := time.Now()
-	for len(in.idle) > 0 && now.Sub(in.idle[0].idleSince) >= p.limits.maxIdle() { // its own timer is late, or the limit is new
+	for len(in.idle) > 0 && now.Sub(in.idle[0].idleSince) >= p.limits.maxIdle() { // its own timer is late, or the limit has changed
 		p.closeOldest(in)
 	}
-	for x.maxIdle > 0 && len(in.idle) > 0 && now.Sub(in.idle[0].idleSince) > 2*x.maxIdle { // nobody will use it
+	for x.maxIdle > 0 && len(in.idle) > 0 && now.Sub(in.idle[0].idleSince) > 2*x.maxIdle { // unlikely to be reused
 		p.closeOldest(in)
 	}
-	if x.newConn && len(in.idle) > 0 { // it takes the place of the oldest, which may be silent
+	if x.newConn && len(in.idle) > 0 { // replaces the longest idle one, which may be dead
 		p.closeOldest(in)
 	}
 	if c := in.takeIdle(x, p.settle, now.Sub(p.lastUnsolicited) < unsolicitedWindow, now); c != nil {
-		c.exchanges <- x // holds one; an idle connection has none
+		c.exchanges <- x // does not block: the buffer holds one, and an idle connection has none queued
 		return
 	}
 	if p.connCount >= p.limits.Connections && !p.evictOldest() {
@@ -371,8 +375,9 @@
 	go p.serveConn(&conn{pool: p, endpoint: in, exchanges: make(chan *exchange, 1)}, x)
 }
 
-// takeIdle takes the idle connection that an exchange is to use, nil: a new one. It is the one used last. Where some encoder talks
-// unasked, it is the one used last that has settled; where none has, the one that has rested longest, unless it is this one's.
+// takeIdle removes and returns the idle connection to be used for an exchange, or nil if a new one is needed. It is
+// the most recently used one. If some encoder sends unsolicited data, it is the most recently used one that has been
+// idle for at least the settle time; if none has, the longest idle one, unless it was this encoder.
 func (in *endpoint) takeIdle(x *exchange, settle time.Duration, talk bool, now time.Time) *conn {
 	last := len(in.idle) - 1
 	if last < 0 || x.newConn {
@@ -386,7 +391,7 @@
 	for talk && at > 0 && rested(at) < settle {
 		at--
 	}
-	if !fits(at) { // settled for too long, perhaps
+	if !fits(at) { // it may have been idle for longer than maxIdle
 		at = last
 	}
 	if !fits(at) {
@@ -397,9 +402,11 @@
 	return c
 }
 
-func (in *endpoint) sendsUnsolicited(now time.Time) bool { return now.Sub(in.lastUnsolicited) < unsolicitedWindow }
+func (in *endpoint) sendsUnsolicited(now time.Time) bool {
+	return now.Sub(in.lastUnsolicited) < unsolicitedWindow
+}
 
-// noteUnsolicited notes that an encoder has said something that nobody had asked for.
+// noteUnsolicited records that an encoder has sent unsolicited data.
 func (p *Pool) noteUnsolicited(in *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -407,7 +414,7 @@
 	p.lastUnsolicited = in.lastUnsolicited
 }
 
-// Retune has connections come up and be kept by other limits from now on.
+// Retune sets the connect timeout and the idle limit.
 func (p *Pool) Retune(connect, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -420,7 +427,8 @@
 	return p.limits
 }
 
-// Bound says how many connections there may be from now on. Idle ones beyond that are closed, busy ones once they rest.
+// Bound sets the maximum number of connections. Idle ones above it are closed at once, busy ones when they become
+// idle.
 func (p *Pool) Bound(connections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -429,8 +437,8 @@
 	}
 }
 
-// evictOldest closes the connection that has been idle longest. It guards the limit on
-// descriptors, which call-backs and the list need too.
+// evictOldest closes the longest idle connection of all and reports whether there was one. It protects the limit on
+// descriptors, which callbacks and the instance list need too.
 func (p *Pool) evictOldest() bool {
 	var oldest *endpoint
 	for _, in := range p.endpoints {
@@ -445,13 +453,13 @@
 	return true
 }
 
-// closeOldest closes the connection to an encoder that has been idle longest.
+// closeOldest closes the longest idle connection to an encoder.
 func (p *Pool) closeOldest(in *endpoint) {
 	p.closeConn(in.idle[0])
 	in.idle = in.idle[1:]
 }
 
-// putIdle puts a connection among the idle ones, or closes it where it is of no more use.
+// putIdle adds a connection to the idle ones, or closes it if it must not be reused.
 func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -463,7 +471,8 @@
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
-// removeIdle takes a connection out of the idle ones; false: it has been given work, or closed.
+// removeIdle removes a connection from the idle ones. It returns false if the connection has been given an exchange
+// or been closed.
 func (p *Pool) removeIdle(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -476,7 +485,7 @@
 	return false
 }
 
-// connEnded notes that a connection has ended, unless the pool shut it itself.
+// connEnded counts a connection as ended, unless the pool has closed it itself.
 func (p *Pool) connEnded(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -485,7 +494,7 @@
 	}
 }
 
-// header is what goes with an exchange.
+// header returns the header of an exchange's request.
 func (x *exchange) header(address string, now time.Time) http1.Header {
 	h := http1.Header{{Name: "Host", Value: address}}
 	if x.correlationID != "" {
@@ -496,10 +505,10 @@
 	return append(h, x.passedHeader...)
 }
 
-// idempotencyField is what encoders know a repeat by: without it one sent again would run twice.
+// idempotencyField lets encoders recognize a retry, which would otherwise run twice.
 const idempotencyField = "Idempotency-Key"
 
-// passThrough is what of a client's header goes to encoders as it came, beside the id.
+// passThrough returns the fields of a client's header that are sent to encoders unchanged.
 func passThrough(from http1.Header) (h http1.Header) {
 	if from.Given(idempotencyField) {
 		h = http1.Header{{Name: idempotencyField, Value: from.Get(idempotencyField)}}
@@ -509,14 +518,14 @@
 
 var _ dispatch.Fleet = (*Pool)(nil)
 
-// Idle is how many connections stand idle.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.idleConns()
 }
 
-// Busy tells whether anything is under way: an attempt not yet taken, or a give-up.
+// Busy reports whether an exchange is in progress or a cancellation waits.
 func (p *Pool) Busy() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -530,7 +539,7 @@
 	return n
 }
 
-// Takes tells whether an encoder may be sent new work at this moment.
+// Takes reports whether an encoder may be sent new work now.
 func (p *Pool) Takes(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/net/upstream/pool_test.go
+++ b/internal/net/upstream/pool_test.go
@@ -18,10 +18,10 @@
 
 // recorder collects the pool's reports.
 type recorder struct {
-	ended  chan decide.Outcome
-	probed chan decide.Outcome
-	loads  chan *decide.Report
-	accepted  chan *dispatch.Attempt
+	ended    chan decide.Outcome
+	probed   chan decide.Outcome
+	loads    chan *decide.Report
+	accepted chan *dispatch.Attempt
 }
 
 func (r recorder) AttemptEnded(_ *dispatch.Attempt, o decide.Outcome, _ time.Duration) { r.ended <- o }
