--- a/internal/net/discovery/faulty_test.go
+++ b/internal/net/discovery/faulty_test.go
@@ -22,7 +22,7 @@
 	"caperrelay/internal/net/http1"
 )
 
-// acceptCall is the next call at a listener on this machine, whose head is read.
+// acceptCall accepts the next call at a listener and reads its request.
 func acceptCall(t *testing.T, l net.Listener) net.Conn {
 	c, err := l.Accept()
 	require.NoError(t, err)
@@ -47,7 +47,7 @@
 	return chunk(fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`+"\n", revision, complete, strings.Join(members, ",")))
 }
 
-// states is who a list names, and in what state.
+// states returns the state of each instance in a list.
 func states(l dispatch.InstanceUpdate) map[string]decide.WorkerState {
 	all := map[string]decide.WorkerState{}
 	for _, m := range l.Instances {
@@ -56,7 +56,7 @@
 	return all
 }
 
-// next is the next list that counts. A watch that is lost instead fails the test.
+// next returns the next list that was accepted. It fails the test if the watch is lost.
 func (s recordingSink) next(t *testing.T) dispatch.InstanceUpdate {
 	t.Helper()
 	select {
@@ -68,7 +68,8 @@
 	return dispatch.InstanceUpdate{}
 }
 
-// One entry that cannot be read used to end the watch at every call: the dispatcher stayed blind to all other encoders.
+// One invalid entry used to end the watch at every call, so that the dispatcher received no updates of any other
+// encoder.
 func TestFaultyEntriesAreIgnored(t *testing.T) {
 	l := listen(t)
 	w := NewWatcher(l.Addr().String(), 0, testSettings(1, false))
@@ -90,7 +91,7 @@
 	}
 	require.EqualError(t, <-s.faulty, `list: 2 more invalid members`)
 
-	// s-1 is listed, though nobody can tell as what: it stays what it was. s-9 was never there.
+	// The entry of s-1 is invalid, so s-1 keeps its previous state. s-9 has no previous state.
 	fmt.Fprint(c, list(42, true, member("s-1", "resting"), member("s-9", "resting"), member("s-6", "in_service")))
 	require.Equal(t, map[string]decide.WorkerState{"s-1": decide.Ready, "s-6": decide.Ready}, states(s.next(t)))
 	fmt.Fprint(c, list(43, false, member("s-1", "resting"), member("s-6", "terminating")))
@@ -98,13 +99,13 @@
 	require.Empty(t, s.lost, "the watch goes on")
 }
 
-// A faulty entry in the configuration stops the start and is named.
+// An invalid entry in the configuration prevents the start and is named in the error.
 func TestFaultyEntryInConfiguredList(t *testing.T) {
 	_, err := ParseList([]byte(`{"revision":1,"complete":true,"members":[` + member("s-1", "in_service") + `,` + member("s-2", "resting") + `]}`))
 	require.EqualError(t, err, `list: member 1, "s-2": unknown phase "resting"`)
 }
 
-// A list that comes late, behind a newer one, used to bring an encoder back that was gone.
+// A list that arrived after a newer one used to bring back an encoder that was gone.
 func TestOlderListOnSameWatchIsIgnored(t *testing.T) {
 	l := listen(t)
 	w := NewWatcher(l.Addr().String(), 0, testSettings(1, false))
@@ -114,7 +115,7 @@
 	fmt.Fprint(c, responseHead, list(41, true, member("s-1", "in_service"), member("s-2", "in_service")))
 	fmt.Fprint(c, list(43, false, member("s-1", "terminated")))
 	fmt.Fprint(c, list(42, true, member("s-1", "in_service"), member("s-2", "in_service")))
-	fmt.Fprint(c, list(43, false, member("s-2", "terminating"))) // more of the same revision
+	fmt.Fprint(c, list(43, false, member("s-2", "terminating"))) // another part of the same revision
 	for _, want := range []map[string]decide.WorkerState{
 		{"s-1": decide.Ready, "s-2": decide.Ready}, {"s-1": decide.Gone}, {"s-2": decide.Draining},
 	} {
@@ -127,12 +128,13 @@
 	c.Close()
 	<-s.lost
 	w.Subscribe()
-	c = acceptCall(t, l) // a watch that begins may tell of an earlier revision: discovery has begun anew
+	c = acceptCall(t, l) // a new watch may start at a lower revision, since discovery may have restarted
 	fmt.Fprint(c, responseHead, list(1, true, member("s-1", "in_service")))
 	require.EqualValues(t, 1, s.next(t).Revision)
 }
 
-// An older list is no news: what it brings is as old as the last that counted, and the watch is opened anew by then.
+// An older list does not count as an update: its contents are as old as the last accepted list, so the watch is
+// reopened in time.
 func TestOlderListsDoNotKeepWatchAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWatcher("h:1", 0, testSettings(300, false))
@@ -153,7 +155,7 @@
 	})
 }
 
-// Blanks before a list used to be kept until it came, without a bound.
+// Whitespace before a list used to be buffered without a limit until the list came.
 func TestWhitespaceIsNotBuffered(t *testing.T) {
 	blanks := strings.Repeat(" \t\r\n", 1<<20)
 	w := NewWatcher("h:1", 0, testSettings(1, false))
@@ -164,15 +166,15 @@
 	require.Len(t, text, len(drainingList))
 }
 
-// heartbeatDiscarder takes any number of beats.
+// heartbeatDiscarder is a sink that accepts any number of heartbeats.
 type heartbeatDiscarder struct{ recordingSink }
 
 func newHeartbeatDiscarder() heartbeatDiscarder { return heartbeatDiscarder{newSink()} }
 
 func (heartbeatDiscarder) Alive() {}
 
-// A want of descriptors here says nothing of discovery: a new process must not take it for one that nobody reaches. The
-// loss says how long ago the call was made, whoever made it.
+// A shortage of descriptors here says nothing about discovery: a new process must not conclude that discovery is
+// unreachable. The report of the loss includes the time since the call, whoever requested it.
 func TestLocalShortageIsNotUnreachable(t *testing.T) {
 	for _, tt := range []struct {
 		errno  syscall.Errno
@@ -190,7 +192,7 @@
 				}
 				s := runWatcher(t, w)
 				w.Subscribe()
-				for range 3 { // the later ones are the clock's
+				for range 3 { // the later ones are made by the clock
 					err := <-s.lost
 					require.Equal(t, tt.nobody, errors.Is(err, ErrNobody), err)
 					require.Equal(t, 700*time.Millisecond, err.(lostWatch).after)
--- a/internal/net/discovery/trouble_test.go
+++ b/internal/net/discovery/trouble_test.go
@@ -17,11 +17,11 @@
 
 const (
 	answerDelay  = 990 * time.Millisecond // how late a call is answered
-	maxStaleness = 6 * time.Second        // after discovery had it a change counts as told
+	maxStaleness = 6 * time.Second        // a change must be known this long after discovery had it
 	response503  = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
-// send writes pieces a time apart.
+// send writes pieces with a pause between them.
 func (c call) send(apart time.Duration, pieces ...string) {
 	for i, p := range pieces {
 		if i > 0 {
@@ -32,15 +32,15 @@
 	synctest.Wait()
 }
 
-// sendHeartbeats has a watch be quiet for a minute, and says when it last spoke.
+// sendHeartbeats sends heartbeats for a minute and returns the time of the last one.
 func (c call) sendHeartbeats() time.Time {
 	c.send(2*time.Second, append([]string{responseHead + chunk(drainingList+"\n")}, slices.Repeat([]string{chunk("\n")}, 30)...)...)
 	return time.Now()
 }
 
-// Whatever becomes of a call or a watch, and whenever, a change made right behind the last moment up to which all is
-// known, or behind a call that told nothing, is known 6 s later: though the next answer takes a second, and though nobody
-// subscribes.
+// Whenever and however a call or a watch fails, a change made right after the last time at which the list was known
+// to be current, or after a call without an answer, is known 6 s later, although the next answer takes a second and
+// nobody subscribes.
 func TestChangeIsKnownWithinSixSeconds(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -147,7 +147,7 @@
 	}
 }
 
-// A connection that never comes up, or is refused, is a call that told nothing.
+// A call whose connection is refused or never established counts as a call without an answer.
 func TestUnreachableDiscoveryIsCalledAgain(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for _, tt := range []struct {
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -36,7 +36,7 @@
 
 func (s recordingSink) Lost(err error, after time.Duration) { s.lost <- lostWatch{err, after} }
 
-// lostWatch is how a watch ended, and how long after its call.
+// lostWatch is the error that ended a watch and the time since its call.
 type lostWatch struct {
 	error
 	after time.Duration
@@ -55,14 +55,14 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// call is one that the name table's peer took.
+// call is a call that discovery has received.
 type call struct {
 	net.Conn
 	target, address string
 	at              time.Time
 }
 
-// fakeDiscovery has a watcher call here, on pipes, so that its time may be a test's.
+// fakeDiscovery connects a watcher's calls to pipes, which work with a test's virtual time.
 func fakeDiscovery(t *testing.T, w *Watcher) chan call {
 	calls := make(chan call, 99)
 	w.dial = func(_ context.Context, address string, _ time.Time) (net.Conn, error) {
@@ -86,7 +86,7 @@
 	return s
 }
 
-// Whatever way a watch ends, it is told once, and the next one goes on from the last revision.
+// Every end of a watch is reported once, and the next watch continues from the last revision.
 func TestEveryEndOfWatchIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -118,15 +118,16 @@
 	require.Empty(t, s.silent)
 }
 
-// Silence of any sort has the next call made on a new connection before what was missed counts as told, without a word
-// from whoever subscribes, and again for as long as it lasts. Bytes that never become a list are no news.
+// After a silence of any kind, a new call is made on a new connection before a missed change counts as late, without
+// a subscription, and again for as long as the silence lasts. Bytes that never complete a list do not count as an
+// update.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		dispatchers int
 		pushed      bool
-		text        []string      // a second apart
-		from, to    time.Duration // after the last of it
+		text        []string      // sent one second apart
+		from, to    time.Duration // after the last text
 	}{
 		{"nothing after the connection", 300, false, nil, 3 * time.Second, 5 * time.Second},
 		{"nothing after the head", 300, false, []string{responseHead}, 3 * time.Second, 5 * time.Second},
@@ -168,7 +169,7 @@
 	}
 }
 
-// What falls silent at all dispatchers at once is not asked for by all at once, and by none too late.
+// If all dispatchers lose their watch to silence at once, their calls are spread, and none is made too late.
 func TestCallsAfterFleetWideSilenceAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var all []time.Duration
@@ -197,15 +198,15 @@
 	})
 }
 
-// Lists come on one line or on many, in any pieces. Empty lines between them are the beat of the watch; other blanks, the
-// end of a list's own line and lines inside a list are not.
+// Lists come on one line or on several, in pieces of any size. Empty lines between them are heartbeats; other
+// whitespace, the end of a list's last line and blank lines inside a list are not.
 func TestIndentedLists(t *testing.T) {
 	wide := strings.NewReplacer("{", "{\n\n  ", ",", ",\r\n\t  ", "[", "[\n ", "}", "\n}").Replace(drainingList)
 	for _, tt := range []struct {
 		name  string
 		text  string
 		lists int
-		beats int // where it comes byte by byte
+		beats int // if sent byte by byte
 	}{
 		{"on a line", drainingList + "\n", 1, 0},
 		{"no end of line", drainingList, 1, 0},
@@ -226,7 +227,7 @@
 					for piece := range slices.Chunk([]byte(tt.text), size) {
 						c.Write([]byte(chunk(string(piece))))
 						synctest.Wait()
-						time.Sleep(10 * time.Millisecond) // virtual: pieces arrive apart
+						time.Sleep(10 * time.Millisecond) // virtual time: pieces arrive separately
 					}
 					require.Len(t, s.listed, tt.lists)
 					for range tt.lists {
@@ -242,8 +243,8 @@
 	}
 }
 
-// A move takes its turn among the fleet's, within 3 s, and the watch at the old address tells until then. A watch that
-// ends there is no loss. An agent is called at once.
+// After an address change, the fleet's calls are spread over 3 s, and the watch at the old address continues to
+// report until then. The end of that watch is not reported as a loss. An agent is called at once.
 func TestAddressChangesAreSpread(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -274,7 +275,7 @@
 		w := NewWatcher("h:1", 41, testSettings(300, true))
 		calls := fakeDiscovery(t, w)
 		runWatcher(t, w)
-		c := <-calls // and at its start without being asked to
+		c := <-calls // an agent is called at the start without a subscription
 		c.Write([]byte(responseHead))
 		synctest.Wait()
 		began := time.Now()
@@ -283,8 +284,8 @@
 	})
 }
 
-// Turns may be longer than a list is good for: the clock calls before that is over. While others tell of the list it
-// does not, and a watch asked for right after a rest is begun.
+// The interval between subscriptions may be longer than a list stays valid: the clock calls before it expires. While
+// others report changes it does not, and a watch requested right after a pause is started.
 func TestClockCallsWithoutSubscription(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWatcher("h:1", 41, testSettings(300, false))
@@ -303,7 +304,7 @@
 			next = <-calls
 			next.Write([]byte(responseHead + chunk("\n")))
 			synctest.Wait()
-			next.Close() // a watch that ends is no failed call
+			next.Close() // a watch that ends is not a failed call
 			require.Error(t, <-s.lost)
 			ended := time.Now()
 			next = <-calls
@@ -322,7 +323,7 @@
 	})
 }
 
-// A list without an end is not read on.
+// A list without an end is not read without limit.
 func TestListSizeIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWatcher("h:1", 41, testSettings(1, false))
--- a/internal/net/upstream/answer_test.go
+++ b/internal/net/upstream/answer_test.go
@@ -15,7 +15,7 @@
 
 const response503 = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
-// sendAttempt has an attempt sent on a new connection and read by its encoder.
+// sendAttempt sends an attempt on a new connection and has the encoder read it.
 func (e *encoder) sendAttempt(p *Pool) (*dispatch.Attempt, *encoderConn) {
 	a := attempt("s-1")
 	a.NewConn = true
@@ -25,8 +25,8 @@
 	return a, c
 }
 
-// An answer that is spoilt, oversized or cut ends its own attempt as a reset, told once, and its own connection. The encoder,
-// which may think that it has the job, is told to give it up.
+// A response that is malformed or too large ends its attempt as a reset, reported once, and closes the connection.
+// The encoder is sent a cancellation, since it may believe that it has accepted the job.
 func TestMalformedResponses(t *testing.T) {
 	const head = "HTTP/1.1 202 Accepted\r\n"
 	field := "X: " + strings.Repeat("x", 4000) + "\r\n"
@@ -71,9 +71,9 @@
 	}
 }
 
-// An answer that is cut in the middle is a reset, be it by FIN, by RST or by a RST over bytes that nobody has read, and the
-// encoder is told to give up: it may have been about to take the job. One that breaks before an answer's first byte has
-// told its end itself.
+// A truncated response is a reset, whether the connection ends by FIN, by RST or by RST over unread data. The encoder
+// is sent a cancellation, since it may have been accepting the job. A connection that breaks before the first byte of
+// a response needs none.
 func TestTruncatedResponses(t *testing.T) {
 	ends := map[string]func(*encoderConn){
 		"FIN": func(c *encoderConn) { require.NoError(t, c.Close()) },
@@ -106,7 +106,8 @@
 	}
 }
 
-// pausingObserver holds up whoever has written an attempt whole until the test lets go, so that an answer lies unread.
+// pausingObserver blocks the connection's goroutine after an attempt has been written until the test continues, so
+// that a response stays unread.
 type pausingObserver struct {
 	recorder
 	written, resume chan bool
@@ -117,7 +118,7 @@
 	<-p.resume
 }
 
-// newPausingPool returns a pool that stops after each attempt's last byte.
+// newPausingPool returns a pool that pauses after the last byte of each attempt.
 func newPausingPool(t *testing.T, e *encoder) (*Pool, pausingObserver) {
 	p, r := newScriptedPool(t, e, 9)
 	held := pausingObserver{r, make(chan bool, 9), make(chan bool, 9)}
@@ -125,7 +126,7 @@
 	return p, held
 }
 
-// A whole answer counts though the connection is reset over it before anybody has read it; what comes next goes out on
+// A complete response counts even if the connection is reset before the response is read. The next request uses
 // another connection.
 func TestResponseFollowedByReset(t *testing.T) {
 	for answer, check := range map[string]func(*testing.T, pausingObserver, *dispatch.Attempt){
@@ -152,7 +153,7 @@
 	}
 }
 
-// A reset right behind the request's last byte, before any answer, is told as one: the job may run.
+// A reset after the request's last byte and before any response is reported as a reset: the job may be running.
 func TestResetAfterLastByte(t *testing.T) {
 	e := listen(t)
 	p, r := newPausingPool(t, e)
@@ -165,7 +166,8 @@
 	require.Empty(t, r.ended)
 }
 
-// An attempt that is given up while its answer lies unread is taken back all the same, and the answer is nobody's.
+// An attempt that is cancelled while its response is unread is cancelled by DELETE too, and the response is
+// discarded.
 func TestCancelWithUnreadResponse(t *testing.T) {
 	e := listen(t)
 	p, r := newPausingPool(t, e)
@@ -183,8 +185,8 @@
 	require.Empty(t, r.ended)
 }
 
-// An answer that never ends is waited for until the attempt's deadline, and given up then: the encoder is told, the
-// connection closed, and one end is told.
+// A response that never ends is awaited until the attempt's deadline. Then the attempt is cancelled, the connection
+// is closed and one result is reported.
 func TestEndlessResponseIsCancelled(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 202 Acc", "HTTP/1.1 202 Accepted\r\n\r\nbody", "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n"} {
 		e := listen(t)
@@ -204,8 +206,8 @@
 	}
 }
 
-// Should the loop stand still at the deadline, the pool ends the attempt by itself a while later, also one that goes on
-// sending: the bound is a moment, not a pause between bytes.
+// If the loop is blocked at the deadline, the pool ends the attempt itself a little later, even if the encoder keeps
+// sending: the limit is a point in time, not a time between bytes.
 func TestSlowResponseIsBoundedInTime(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
@@ -229,8 +231,8 @@
 	e.accept().expectCancel()
 }
 
-// Second answers are nobody's: not one that comes with the first, nor one that lies on the connection when the next request
-// is due. The connection is closed, and the next request goes out on another.
+// A second response is discarded, whether it arrives with the first one or lies on the connection when the next
+// request is due. The connection is closed, and the next request uses another.
 func TestSecondResponseBeforeNextRequest(t *testing.T) {
 	for name, second := range map[string]func(*encoderConn, *Pool){
 		"with the first": func(c *encoderConn, p *Pool) {
@@ -265,8 +267,8 @@
 	}
 }
 
-// A connection that the encoder closes while it is idle carries nothing more, whether by FIN or by RST: seen before a byte is
-// written, it is replaced, and nothing is told.
+// A connection that the encoder closes by FIN or RST while it is idle carries nothing more. The closure is detected
+// before a byte is written, the connection is replaced, and nothing is reported.
 func TestIdleConnectionClosedByEncoder(t *testing.T) {
 	for name, end := range map[string]func(*encoderConn){"FIN": func(c *encoderConn) { c.Close() }, "RST": (*encoderConn).reset} {
 		t.Run(name, func(t *testing.T) {
@@ -281,8 +283,9 @@
 	}
 }
 
-// Closed in the very moment of its reuse, after the look and before the first byte, an idle connection is told by how far
-// the request can have come: never written whole, it did not run; else it is a reset, since the encoder may have read it.
+// If an idle connection is closed after the check for staleness and before the first byte, the outcome depends on how
+// far the request can have got: if it was not written completely it did not run, otherwise it is a reset, since the
+// encoder may have read it.
 func TestConnectionClosedDuringReuse(t *testing.T) {
 	for name, one := range map[string]struct {
 		end  func(*encoderConn)
@@ -299,7 +302,7 @@
 			outcome := make(chan result, 1)
 			p.start("s-1", &exchange{
 				method: "POST", target: "/api", correlationID: "c1", deadline: a.Deadline, newWork: true, onDone: func(e result) { outcome <- e },
-				expired: func(time.Time) bool { // asked directly before the first byte
+				expired: func(time.Time) bool { // called right before the first byte
 					one.end(c)
 					return false
 				},
@@ -314,7 +317,7 @@
 	}
 }
 
-// A request that breaks off before its last byte is written never ran, whatever the encoder said before it broke off.
+// A request whose connection breaks before the last byte is written never ran, whatever the encoder answered before.
 func TestConnectionClosedDuringWrite(t *testing.T) {
 	for name, end := range map[string]func(*encoderConn){
 		"RST":                func(c *encoderConn) { c.reset() },
@@ -338,7 +341,7 @@
 	}
 }
 
-// An answer that comes while the request is still being written is read once that is done: handed back, it never ran.
+// A response that arrives while the request is still being written is read afterwards: a refused request never ran.
 func TestResponseDuringWrite(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
@@ -353,7 +356,7 @@
 	require.Empty(t, r.ended)
 }
 
-// An encoder that answers early and reads no further holds its attempt up until the deadline, no longer.
+// An encoder that answers early and stops reading delays its attempt only until the deadline.
 func TestResponseToUnreadRequest(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
--- a/internal/net/upstream/dial_test.go
+++ b/internal/net/upstream/dial_test.go
@@ -10,7 +10,7 @@
 	"caperrelay/internal/dispatch"
 )
 
-// setExpired replaces what tells whether an attempt that waits is still to be sent.
+// setExpired replaces the check whether a waiting attempt may still be sent.
 func setExpired(p *Pool, a *dispatch.Attempt, expired func(time.Time) bool) {
 	p.mu.Lock()
 	x := p.unaccepted[a]
@@ -20,8 +20,8 @@
 	x.expired = expired
 }
 
-// A connection that comes up once its attempt is no more carries nothing of it, and the attempt's end is told once. The
-// connection is kept where it is of use, and closed where its encoder has gone or moved.
+// A connection that is established after its attempt has ended carries nothing of it, and the attempt's end is
+// reported once. The connection is kept if it is usable, and closed if its encoder is gone or has a new address.
 func TestConnectionEstablishedTooLate(t *testing.T) {
 	gone := func(time.Time) bool { return true }
 	elsewhere := listen(t)
@@ -70,7 +70,8 @@
 	}
 }
 
-// A connection that is still not up at the attempt's deadline, or where it has to be, is given up, and nothing ran.
+// A connection that is not established by the attempt's deadline or the connect timeout is abandoned, and nothing
+// ran.
 func TestConnectionNeverEstablished(t *testing.T) {
 	for name, bound := range map[string]func(*Pool, *dispatch.Attempt){
 		"deadline": func(_ *Pool, a *dispatch.Attempt) { a.Deadline = time.Now().Add(50 * time.Millisecond) },
@@ -91,7 +92,7 @@
 	}
 }
 
-// A give-up whose encoder moves while its connection comes up goes to the new address.
+// A cancellation whose encoder changes its address while the connection is being opened goes to the new address.
 func TestCancellationFollowsAddressChange(t *testing.T) {
 	from, to := listen(t), listen(t)
 	release := from.blockConnects()
@@ -104,8 +105,8 @@
 	require.Equal(t, "DELETE", to.accept().read().Method)
 }
 
-// Nothing is begun once the attempt's deadline has passed, be it that the process stood still just before the first byte or
-// before the dial. It speaks against no encoder.
+// Nothing is sent after the attempt's deadline, whether the process was stopped just before the first byte or before
+// the dial. That says nothing about the encoder.
 func TestNothingIsSentAfterDeadline(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
@@ -113,8 +114,8 @@
 	deadline := time.Now().Add(time.Second)
 	p.start("s-1", &exchange{
 		method: "POST", target: "/api", correlationID: "c1", newWork: true, deadline: deadline,
-		expired: func(time.Time) bool { // asked once the connection is up
-			<-time.After(time.Until(deadline)) // the process stands still
+		expired: func(time.Time) bool { // called once the connection is established
+			<-time.After(time.Until(deadline)) // the process is stopped
 			return false
 		},
 		onDone: func(e result) { ends <- e },
--- a/internal/net/upstream/encoder_test.go
+++ b/internal/net/upstream/encoder_test.go
@@ -18,12 +18,12 @@
 	"caperrelay/internal/net/http1"
 )
 
-// testTimeout is how long a test waits for an event that has to come.
+// testTimeout is how long a test waits for an expected event.
 const testTimeout = 10 * time.Second
 
 const response202 = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
-// encoder is one whose every step a test makes by hand, on a real socket.
+// encoder is a real listener whose every step is controlled by the test.
 type encoder struct {
 	*net.TCPListener
 	t *testing.T
@@ -36,14 +36,13 @@
 	return &encoder{l.(*net.TCPListener), t}
 }
 
-// encoderConn is the encoder's end of one connection.
+// encoderConn is the encoder's side of one connection.
 type encoderConn struct {
 	*net.TCPConn
 	t  *testing.T
 	br *bufio.Reader
 }
 
-// accept returns the next connection.
 func (e *encoder) accept() *encoderConn {
 	require.NoError(e.t, e.SetDeadline(time.Now().Add(testTimeout)))
 	c, err := e.AcceptTCP()
@@ -53,7 +52,6 @@
 	return &encoderConn{c, e.t, bufio.NewReader(c)}
 }
 
-// read returns the next request.
 func (c *encoderConn) read() *http1.Request {
 	q, err := http1.ReadRequest(c.br, nil)
 	require.NoError(c.t, err)
@@ -75,14 +73,14 @@
 	}
 }
 
-// reset closes the connection by a RST.
+// reset closes the connection by RST.
 func (c *encoderConn) reset() {
 	require.NoError(c.t, c.SetLinger(0))
 	require.NoError(c.t, c.Close())
 }
 
-// blockConnects has the encoder let no further connection come up: its queue is full. What it returns lets them come up; the kernel
-// tries again each second.
+// blockConnects fills the encoder's accept queue, so that no further connection is established. The returned function
+// lets them complete; the kernel retries every second.
 func (e *encoder) blockConnects() (release func()) {
 	raw, err := e.SyscallConn()
 	require.NoError(e.t, err)
@@ -95,7 +93,7 @@
 	}
 }
 
-// awaitDial waits until a connection to the encoder is on its way up.
+// awaitDial waits until a connection to the encoder is being established.
 func (e *encoder) awaitDial() {
 	const synSent = "02"
 	line := fmt.Sprintf(":%04X %s ", e.Addr().(*net.TCPAddr).Port, synSent)
@@ -105,8 +103,8 @@
 	}, testTimeout, time.Millisecond)
 }
 
-// smallBufferConn puts an idle connection into the pool that holds only a few KiB on their way, so that a large request is still being
-// written when the encoder has its first bytes. It returns the encoder's end.
+// smallBufferConn adds an idle connection with buffers of a few KiB to the pool, so that a large request is still
+// being written when the encoder has received its first bytes. It returns the encoder's side.
 func (e *encoder) smallBufferConn(p *Pool) *encoderConn {
 	const small = 4 << 10
 	set := func(raw syscall.RawConn, option int) {
@@ -131,12 +129,12 @@
 	}
 	p.connCount++
 	p.mu.Unlock()
-	go p.serveConn(c, &exchange{aborted: true, onDone: func(result) {}}) // it rests at once
+	go p.serveConn(c, &exchange{aborted: true, onDone: func(result) {}}) // becomes idle at once
 	awaitIdle(e.t, p, 1)
 	return e.accept()
 }
 
-// largeAttempt is an attempt whose request fills more than a narrow connection holds.
+// largeAttempt returns an attempt whose request exceeds the buffers of a smallBufferConn.
 func largeAttempt() *dispatch.Attempt {
 	a := attempt("s-1")
 	a.Command.Payload.(*http1.Request).Body = make([]byte, http1.MaxBody)
@@ -148,7 +146,7 @@
 	require.NoError(c.t, err)
 }
 
-// expectNoConn checks that no connection waits to be accepted: one of the test's own is the first.
+// expectNoConn checks that no connection waits to be accepted, by opening one and accepting it as the first.
 func (e *encoder) expectNoConn() {
 	e.t.Helper()
 	c, err := net.Dial("tcp", e.Addr().String())
@@ -157,19 +155,19 @@
 	require.Equal(e.t, c.LocalAddr().String(), e.accept().RemoteAddr().String(), "another came before")
 }
 
-// update is the list's line of an encoder.
+// update returns an update of the instance list that lists the encoder in a state.
 func (e *encoder) update(state decide.WorkerState) dispatch.InstanceUpdate {
 	return dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-1", Address: e.Addr().String(), State: state}}}
 }
 
-// newScriptedPool returns a pool whose only encoder is scripted.
+// newScriptedPool returns a pool whose only encoder is controlled by the test.
 func newScriptedPool(t *testing.T, e *encoder, most int) (*Pool, recorder) {
 	p, r, _ := newAutoPool(t, most)
 	p.Listed(e.update(decide.Ready))
 	return p, r
 }
 
-// serveAttempt has an attempt served on a connection that is then idle, and returns the encoder's end of it.
+// serveAttempt serves an attempt on a connection that is idle afterwards, and returns the encoder's side of it.
 func (e *encoder) serveAttempt(p *Pool, r recorder) *encoderConn {
 	idle := p.Idle()
 	a := attempt("s-1")
@@ -183,7 +181,7 @@
 	return c
 }
 
-// receive is what comes next on a channel, within the test's patience.
+// receive returns the next value from a channel, or fails the test after testTimeout.
 func receive[T any](t *testing.T, from <-chan T) (value T) {
 	t.Helper()
 	select {
@@ -194,13 +192,13 @@
 	return value
 }
 
-// awaitIdle waits until so many connections are idle and none is busy.
+// awaitIdle waits until the given number of connections is idle and none is busy.
 func awaitIdle(t *testing.T, p *Pool, idle int) {
 	t.Helper()
 	require.Eventually(t, func() bool { return p.Idle() == idle && !p.Busy() }, testTimeout, time.Millisecond)
 }
 
-// openConns is how many connections the pool counts.
+// openConns returns the number of connections that the pool counts.
 func openConns(p *Pool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/net/upstream/giveup_test.go
+++ b/internal/net/upstream/giveup_test.go
@@ -13,7 +13,7 @@
 
 const response200 = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// startCancellation starts a give-up, whose confirmation comes on the channel.
+// startCancellation starts a cancellation whose confirmation is sent to the returned channel.
 func startCancellation(p *Pool) (confirmed chan bool) {
 	confirmed = make(chan bool, 9)
 	p.sendCancellation(&cancellation{
@@ -23,14 +23,14 @@
 	return confirmed
 }
 
-// expectCancel checks that a request is one.
+// expectCancel checks that the next request is a cancellation.
 func (c *encoderConn) expectCancel() {
 	c.t.Helper()
 	q := c.read()
 	require.Equal(c.t, []string{"DELETE", "/jobs/c1"}, []string{q.Method, q.Target})
 }
 
-// A give-up is confirmed by the encoder's answer, whatever that is, and by nothing before.
+// A cancellation is confirmed by any response of the encoder, and by nothing before.
 func TestCancellationConfirmedByResponse(t *testing.T) {
 	for _, answer := range []string{response200, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"} {
 		e := listen(t)
@@ -44,8 +44,8 @@
 	}
 }
 
-// A give-up that breaks on a connection that the encoder closes in that moment goes out again, on a new one although others
-// are idle; after that it is dropped, and never confirmed.
+// A cancellation whose connection is closed by the encoder at that moment is sent again on a new connection, even if
+// others are idle. After that it is dropped and never confirmed.
 func TestFailedCancellationIsRetriedOnce(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
@@ -61,7 +61,7 @@
 	require.Empty(t, confirmed)
 }
 
-// The second give-up does not go over another idle connection, which may be as dead as the first.
+// The second cancellation does not use another idle connection, which may be as dead as the first.
 func TestRetriedCancellationUsesNewConnection(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
@@ -78,7 +78,7 @@
 	}
 	awaitIdle(t, p, 2)
 	confirmed := startCancellation(p)
-	two.expectCancel() // the one used last
+	two.expectCancel() // the most recently used one
 	two.reset()
 	c := e.accept()
 	c.expectCancel()
@@ -87,8 +87,8 @@
 	one.expectClosed()
 }
 
-// A give-up over connections that are refused, or that never come up, is dropped after two tries. The attempt is not confirmed
-// as given up: an encoder that refuses may just be full.
+// A cancellation whose connections are refused or never established is dropped after two tries. It is not confirmed,
+// since an encoder that refuses connections may just be overloaded.
 func TestUndeliverableCancellation(t *testing.T) {
 	for name, shut := range map[string]func(*encoder){
 		"refused":       func(e *encoder) { e.Close() },
@@ -108,8 +108,8 @@
 	}
 }
 
-// A give-up's connection may take longer to come up than one for new work: connections come up late under it too, and
-// nothing else tells the encoder.
+// The connect timeout of new work does not apply to a cancellation: connections are also established late under load,
+// and nothing else notifies the encoder.
 func TestCancellationWaitsForItsConnection(t *testing.T) {
 	e := listen(t)
 	release := e.blockConnects()
@@ -127,7 +127,7 @@
 	require.Equal(t, answered, receive(t, confirmed).progress)
 }
 
-// A give-up for which there is no connection to spare waits for one, and the pool is busy meanwhile.
+// A cancellation without a free connection waits for one, and the pool is busy meanwhile.
 func TestCancellationWaitsForFreeConnection(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 1)
@@ -149,8 +149,8 @@
 	awaitIdle(t, p, 1)
 }
 
-// A give-up to which the encoder's answer to the attempt comes across ends both: the answer is nobody's, and what follows
-// goes out on another connection.
+// If a cancellation crosses the encoder's response to the attempt, the response is discarded, and what follows uses
+// another connection.
 func TestCancelCrossesResponse(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
@@ -169,7 +169,8 @@
 	require.Empty(t, r.ended)
 }
 
-// An attempt that is given up while it is being written is taken back by DELETE: its encoder may have it whole.
+// An attempt that is cancelled while it is being written is cancelled by DELETE, since the encoder may have all of
+// it.
 func TestCancelDuringWrite(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
@@ -184,7 +185,8 @@
 	require.Less(t, len(rest), len(a.Command.Payload.(*http1.Request).Body))
 }
 
-// The pool is busy as long as a give-up waits for a connection to spare, so that a process that is to end sends it first.
+// The pool is busy while a cancellation waits for a free connection, so that a process that is about to end sends it
+// first.
 func TestWaitingCancellationKeepsPoolBusy(t *testing.T) {
 	p := NewPool(Limits{})
 	told := make(chan bool)
--- a/internal/net/upstream/pool_test.go
+++ b/internal/net/upstream/pool_test.go
@@ -16,7 +16,7 @@
 	"caperrelay/internal/net/loadreport"
 )
 
-// recorder collects the pool's reports.
+// recorder records the pool's notifications.
 type recorder struct {
 	ended    chan decide.Outcome
 	probed   chan decide.Outcome
@@ -35,10 +35,11 @@
 	}
 }
 
-// secondResponse has a second answer written, and tells that it is.
+// secondResponse triggers the second response and reports that it has been written.
 var secondResponse = make(chan bool)
 
-// newAutoPool returns one of so many connections and encoders that show each request.
+// newAutoPool returns a pool of at most the given number of connections, and encoders that answer by themselves and
+// pass each request to the channel.
 func newAutoPool(t *testing.T, most int, ids ...string) (*Pool, recorder, chan *http1.Request) {
 	r, seen := recorder{make(chan decide.Outcome, 9), make(chan decide.Outcome, 9), make(chan *decide.Report, 9), make(chan *dispatch.Attempt, 9)}, make(chan *http1.Request, 9)
 	p := NewPool(Limits{Connections: most, Connect: 10 * time.Second, Idle: time.Minute})
@@ -64,7 +65,7 @@
 						}
 						q.Header = append(q.Header, http1.Field{Name: "From", Value: c.RemoteAddr().String()})
 						seen <- q
-						if q.Target == "/twice" { // the second answer comes late
+						if q.Target == "/twice" { // a second response follows later
 							c.Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
 							<-secondResponse
 							c.Write([]byte("HTTP/1.1 500 Spoilt\r\nContent-Length: 0\r\n\r\n"))
@@ -75,7 +76,7 @@
 							c.Write([]byte("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nX-Backend-Load: TEXT x0=2.5\r\nContent-Length: 0\r\n\r\n"))
 						} else if q.Target == "/_load" {
 							c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":4}"))
-						} else if q.Method != "POST" { // other attempts stay unanswered
+						} else if q.Method != "POST" { // other attempts remain unanswered
 							c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 						}
 					}
@@ -94,15 +95,15 @@
 	}
 }
 
-// The bound on descriptors holds: idle connections elsewhere make room, and where there are
-// none an attempt is told as never sent, which speaks against no encoder.
+// The connection limit holds: idle connections to other encoders are closed to make room. If there are none, an
+// attempt ends as not sent, which says nothing about the encoder.
 func TestConnectionsAreBounded(t *testing.T) {
 	p, r, seen := newAutoPool(t, 1, "s-1", "s-2")
 	p.Probe("s-1")
 	require.Equal(t, decide.OK, <-r.probed)
 	<-seen
 	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
-	p.Probe("s-2") // takes the place of the idle connection once that is closed
+	p.Probe("s-2") // waits for the idle connection to be closed and replaces it
 	require.Equal(t, decide.OK, <-r.probed)
 	<-seen
 	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
@@ -112,8 +113,8 @@
 	require.Equal(t, decide.NotSent, <-r.ended)
 }
 
-// A connection that may have been dropped unseen is not used: what is written to it would
-// end as a reset, and a request that must not run twice could go nowhere else.
+// A connection that may have been dropped unnoticed is not used: a request written to it would end as a reset, and
+// one that must not run twice could not be sent elsewhere.
 func TestMaxIdleOfAttempt(t *testing.T) {
 	for most, same := range map[time.Duration]bool{time.Nanosecond: false, time.Hour: true} {
 		p, r, seen := newAutoPool(t, 9, "s-1")
@@ -128,7 +129,7 @@
 	}
 }
 
-// A request that needs a new connection has one, and none is kept more than before.
+// A request that must use a new connection gets one, and the number of idle connections does not grow.
 func TestNewConnectionReplacesIdleOne(t *testing.T) {
 	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.Probe("s-1")
@@ -142,7 +143,7 @@
 	require.Eventually(t, func() bool { return p.Idle() == 1 && !p.Busy() }, 20*time.Second, time.Millisecond)
 }
 
-// A 202 is told, so that the module can tell an encoder at work from a silent connection.
+// A 202 is reported, so that the decision module can distinguish a working encoder from a silent connection.
 func TestAcceptanceIsReported(t *testing.T) {
 	p, r, _ := newAutoPool(t, 9, "s-1")
 	a := attempt("s-1")
@@ -152,7 +153,7 @@
 	require.Empty(t, r.ended)
 }
 
-// A drain told between the decision and the first byte stops the send.
+// A drain reported between the decision and the first byte prevents the send.
 func TestDrainBeforeFirstByte(t *testing.T) {
 	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.Probe("s-1")
@@ -164,7 +165,7 @@
 	require.Empty(t, seen)
 }
 
-// An attempt given up before its 202 is taken back by DELETE too, and only then confirmed.
+// An attempt that is cancelled before its 202 is cancelled by DELETE too, and confirmed only afterwards.
 func TestCancelBefore202(t *testing.T) {
 	p, r, seen := newAutoPool(t, 9, "s-1")
 	a := attempt("s-1")
@@ -176,7 +177,7 @@
 	require.Equal(t, decide.Reset, <-r.ended, "which the loop drops: it has given the attempt up")
 }
 
-// A silent encoder makes no reset at the deadline: the loop tells of the time-out first.
+// A silent encoder is not reported as a reset at the deadline: the loop reports the time-out first.
 func TestSilentEncoderIsNotReportedAsReset(t *testing.T) {
 	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.Probe("s-1")
@@ -191,8 +192,9 @@
 	require.WithinRange(t, time.Now(), a.Deadline.Add(graceTime), a.Deadline.Add(time.Minute))
 }
 
-// An attempt that waited for its connection went out after another process had taken it over, given it up and sent it
-// elsewhere: two copies at once. Nothing is written of what was not begun by then; what was is the encoder's.
+// An attempt that waited for its connection used to be sent after another process had taken it over, cancelled it and
+// sent it elsewhere, so that two copies ran at once. Nothing that has not been started by the handover is written;
+// what has been started continues.
 func TestNothingIsSentAfterCancelUnsent(t *testing.T) {
 	p, _, seen := newAutoPool(t, 9, "s-1")
 	ends := make(chan result, 9)
@@ -204,7 +206,7 @@
 		p.mu.Unlock()
 		p.start("s-1", x)
 	}
-	send("/late", func(time.Time) bool { p.Unsend(); return false }) // its connection is up by then
+	send("/late", func(time.Time) bool { p.Unsend(); return false }) // its connection is established by now
 	require.Equal(t, notSent, (<-ends).progress)
 	send("/begun", nil)
 	require.Equal(t, "/begun", (<-seen).Target)
@@ -220,7 +222,8 @@
 	require.Equal(t, decide.NotSent, <-r.ended)
 }
 
-// What encoders know a repeat by goes with every attempt as it came, and nothing is made up where none came.
+// The idempotency key, by which encoders recognize a retry, is sent unchanged with every attempt, and none is made
+// up.
 func TestIdempotencyKeyIsSentWithEveryAttempt(t *testing.T) {
 	p, _, seen := newAutoPool(t, 9, "s-1", "s-2")
 	const key = "\"5c0f 6e1a\"; caf\xe9"
@@ -237,7 +240,8 @@
 	}
 }
 
-// An answer that ends an attempt brings its load report, and so does a probe, which goes the way that has one.
+// A response that ends an attempt may carry a load report, and so may the answer to a probe, which uses the path that
+// returns one.
 func TestLoadReportsOfResponsesAndProbes(t *testing.T) {
 	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.ReadBy(loadreport.New([]string{"x0"}, slog.New(slog.DiscardHandler)))
@@ -253,8 +257,9 @@
 	require.Equal(t, 4.0, (<-r.loads).FreeSlots)
 }
 
-// A second answer, some milliseconds behind the first, was read as the answer to the next request on that connection: here as
-// an error of a request that the encoder had taken. Where that was seen once, a connection is used again only after a rest.
+// A second response some milliseconds after the first used to be read as the response to the next request on that
+// connection: here as an error of a request that the encoder had accepted. Once this has been seen, a connection is
+// reused only after it has settled.
 func TestLateSecondResponseIsDiscarded(t *testing.T) {
 	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.settle = time.Minute
@@ -271,10 +276,10 @@
 	send("/twice")
 	idle(1)
 	secondResponse <- true
-	<-secondResponse // it lies on the connection at rest
+	<-secondResponse // it lies unread on the idle connection
 	send("/take")
 	idle(1)
-	for range 9 { // from now on, however soon
+	for range 9 { // from now on, whenever it arrives
 		send("/twice")
 		send("/take")
 		secondResponse <- true
@@ -283,15 +288,16 @@
 	require.Empty(t, r.ended)
 }
 
-// Of connections at rest the one used last is taken; where some encoder talks unasked, the one used last that has settled.
+// The most recently used idle connection is taken; if some encoder sends unsolicited data, the most recently used one
+// that has settled.
 func TestSettledConnectionsArePreferred(t *testing.T) {
 	const settle = defaultSettle
 	now := time.Now()
 	for _, one := range []struct {
-		rested   []time.Duration // of the idle ones
+		rested   []time.Duration // idle times of the idle connections
 		mostIdle time.Duration
-		talked   time.Duration // ago; 0: never
-		took     int           // -1: a new one
+		talked   time.Duration // time ago; 0: never
+		took     int           // index of the connection taken; -1: a new one
 	}{
 		{nil, 0, 0, -1},
 		{[]time.Duration{time.Second, 2 * settle, 0}, 0, 0, 1},
@@ -316,7 +322,8 @@
 			calm := &endpoint{idle: slices.Clone(in.idle)}
 			require.Same(t, in.idle[len(in.idle)-1], calm.takeIdle(&exchange{correlationID: "c1"}, settle, false, now))
 		}
-		// A give-up or a probe, which bears no id, goes by the same: what an encoder says late would be taken for its answer.
+		// The same applies to a cancellation or a probe, which has no correlation ID: a late response would be taken
+		// for its own.
 		word := &endpoint{idle: slices.Clone(in.idle), lastUnsolicited: in.lastUnsolicited}
 		require.Same(t, all[one.took+1], word.takeIdle(&exchange{method: "DELETE", maxIdle: one.mostIdle}, settle, true, now), "%+v", one)
 		c := in.takeIdle(&exchange{correlationID: "c1", maxIdle: one.mostIdle}, settle, true, now)
--- a/internal/net/upstream/retire_test.go
+++ b/internal/net/upstream/retire_test.go
@@ -11,8 +11,8 @@
 	"caperrelay/internal/dispatch"
 )
 
-// A connection that was busy when its encoder moved, went or was left out is closed once it rests, and the next attempt goes
-// to the encoder as it is listed by then.
+// A connection that was busy when its encoder changed its address, was removed or was cordoned is closed when it
+// becomes idle, and the next attempt goes to the encoder as listed then.
 func TestBusyConnectionsAreClosedAfterAddressChange(t *testing.T) {
 	to := listen(t)
 	restarted := func(e *encoder) dispatch.InstanceUpdate {
@@ -56,15 +56,15 @@
 	}
 }
 
-// Idle connections are closed at once when the encoder's process is a new one, which knows none of them; those made
-// since stay.
+// Idle connections are closed at once when the encoder's process is a new one, which does not have them. Those opened
+// since are kept.
 func TestIdleConnectionsToEarlierProcess(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
 	old := e.serveAttempt(p, r)
 	l := e.update(decide.Ready)
 	l.Instances[0].Started = time.Now()
-	young := e.serveAttempt(p, r) // which closes the one before, being a fresh one
+	young := e.serveAttempt(p, r) // replaces the previous one, since it must be a new connection
 	old.expectClosed()
 	p.Listed(l)
 	awaitIdle(t, p, 1)
@@ -74,13 +74,14 @@
 	awaitIdle(t, p, 0)
 }
 
-// An exchange that was handed to an idle connection just before its encoder moved is not written to the old address.
+// An exchange that was assigned to an idle connection just before its encoder changed its address is not written to
+// the old address.
 func TestExchangeQueuedBeforeAddressChange(t *testing.T) {
 	from, to := listen(t), listen(t)
 	p, r := newScriptedPool(t, from, 9)
 	c := from.serveAttempt(p, r)
 	a := attempt("s-1")
-	moves := func(time.Time) bool { // asked directly before the first byte
+	moves := func(time.Time) bool { // called right before the first byte
 		p.Listed(to.update(decide.Ready))
 		return false
 	}
@@ -93,8 +94,8 @@
 	c.expectClosed()
 }
 
-// A connection that makes room for another is closed before that is opened: the limit on connections, and so on descriptors,
-// is never passed, also where many make room at once.
+// A connection that makes room for another is closed before the other is opened: the limit on connections, and so on
+// descriptors, is never exceeded, even when many are replaced at once.
 func TestEvictedConnectionIsClosedFirst(t *testing.T) {
 	const most = 40
 	e := listen(t)
@@ -127,7 +128,7 @@
 	}
 }
 
-// A lower bound on connections holds for busy ones too: those beyond it are closed as soon as they rest.
+// A lowered connection limit applies to busy connections too: those above it are closed when they become idle.
 func TestLimitAppliesToBusyConnections(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 3)
@@ -148,19 +149,20 @@
 	require.Equal(t, 1, openConns(p))
 }
 
-// A connection that has rested for as long as it may carries nothing more, though its own timer has not closed it yet.
+// A connection that has been idle for the permitted time carries nothing more, even if its own timer has not closed
+// it yet.
 func TestConnectionIdleTooLongIsNotUsed(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
 	c := e.serveAttempt(p, r)
-	p.Retune(time.Minute, time.Nanosecond) // its timer goes by the limit of before
+	p.Retune(time.Minute, time.Nanosecond) // its timer runs by the previous limit
 	p.Send(attempt("s-1"))
 	c.expectClosed()
 	e.accept().read()
 }
 
-// Where a connection's time is up in the moment in which it is given work or shut, only one of them comes true, and no work is
-// lost.
+// If a connection's idle time ends at the moment at which it is assigned work or closed, only one of the two happens,
+// and no work is lost.
 func TestIdleTimeoutRacesWithNewWork(t *testing.T) {
 	p := NewPool(Limits{Connections: 9, Idle: time.Minute})
 	in := &endpoint{id: "s-1", address: "127.0.0.1:1", state: decide.Ready}
