--- a/internal/net/discovery/trouble_test.go
+++ b/internal/net/discovery/failure_test.go
@@ -43,19 +43,19 @@
 // nobody subscribes.
 func TestChangeIsKnownWithinSixSeconds(t *testing.T) {
 	for _, tt := range []struct {
-		name    string
-		trouble func(c call) (known time.Time)
+		name string
+		fail func(c call) (current time.Time)
 	}{
 		{"refused", func(c call) time.Time { c.send(0, response503); c.Close(); return c.at }},
-		{"waits and is refused", func(c call) time.Time { time.Sleep(2900 * time.Millisecond); c.send(0, response503); return c.at }},
+		{"refused after a delay", func(c call) time.Time { time.Sleep(2900 * time.Millisecond); c.send(0, response503); return c.at }},
 		{"closed at once", func(c call) time.Time { c.Close(); return c.at }},
-		{"waits and is closed", func(c call) time.Time { time.Sleep(2900 * time.Millisecond); c.Close(); return c.at }},
+		{"closed after a delay", func(c call) time.Time { time.Sleep(2900 * time.Millisecond); c.Close(); return c.at }},
 		{"silent", func(c call) time.Time { return c.at }},
 		{"half a head, then silent", func(c call) time.Time { c.send(0, responseHead[:20]); return c.at }},
-		{"a head in crumbs", func(c call) time.Time { c.send(time.Second, strings.Split(responseHead[:5], "")...); return c.at }},
+		{"a head in small pieces", func(c call) time.Time { c.send(time.Second, strings.Split(responseHead[:5], "")...); return c.at }},
 		{"a head, then silent", func(c call) time.Time { c.send(0, responseHead); return c.at }},
 		{"a head, then closed", func(c call) time.Time { c.send(0, responseHead); c.Close(); return c.at }},
-		{"a late head and a blank, then closed", func(c call) time.Time {
+		{"a late head and an empty line, then closed", func(c call) time.Time {
 			time.Sleep(900 * time.Millisecond)
 			c.send(0, responseHead+chunk("\n"))
 			c.Close()
@@ -67,11 +67,11 @@
 			c.Close()
 			return c.at
 		}},
-		{"a list in crumbs", func(c call) time.Time {
+		{"a list in small pieces", func(c call) time.Time {
 			c.send(time.Second, responseHead, chunk("{"), chunk(" "), chunk(" "), chunk(" "))
 			return c.at
 		}},
-		{"chunk sizes in crumbs", func(c call) time.Time { c.send(time.Second, responseHead, "0", "0", "0", "0"); return c.at }},
+		{"chunk sizes in small pieces", func(c call) time.Time { c.send(time.Second, responseHead, "0", "0", "0", "0"); return c.at }},
 		{"a list, then closed", func(c call) time.Time { c.send(0, responseHead+chunk(drainingList)); c.Close(); return c.at }},
 		{"a list late and whole, then closed", func(c call) time.Time {
 			c.send(2500*time.Millisecond, responseHead+chunk(drainingList[:60]), chunk(drainingList[60:]))
@@ -84,39 +84,39 @@
 		}},
 		{"quiet for a minute, then silent", func(c call) time.Time { return c.sendHeartbeats() }},
 		{"quiet for a minute, then closed", func(c call) time.Time {
-			known := c.sendHeartbeats()
+			current := c.sendHeartbeats()
 			time.Sleep(1900 * time.Millisecond)
 			c.Close()
-			return known
+			return current
 		}},
-		{"quiet for a minute, then the body ends", func(c call) time.Time { known := c.sendHeartbeats(); c.send(0, "0\r\n\r\n"); return known }},
+		{"quiet for a minute, then the body ends", func(c call) time.Time { current := c.sendHeartbeats(); c.send(0, "0\r\n\r\n"); return current }},
 		{"quiet for a minute, then half a list and silent", func(c call) time.Time {
-			known := c.sendHeartbeats()
+			current := c.sendHeartbeats()
 			time.Sleep(time.Second)
 			c.send(time.Second, chunk("{"), chunk(" "))
-			return known
+			return current
 		}},
 		{"quiet for a minute, then half a list and closed", func(c call) time.Time {
-			known := c.sendHeartbeats()
+			current := c.sendHeartbeats()
 			time.Sleep(time.Second)
 			c.send(time.Second, chunk("{"), chunk(" "))
 			c.Close()
-			return known
+			return current
 		}},
-		{"quiet for a minute, silent, and speaks again", func(c call) time.Time {
-			known := c.sendHeartbeats()
+		{"quiet for a minute, silent, then data again", func(c call) time.Time {
+			current := c.sendHeartbeats()
 			time.Sleep(3 * time.Second)
 			c.send(0, chunk("\n"))
-			return known
+			return current
 		}},
-		{"quiet for a minute, silent, speaks again and is closed", func(c call) time.Time {
-			known := c.sendHeartbeats()
+		{"quiet for a minute, silent, then data again and closed", func(c call) time.Time {
+			current := c.sendHeartbeats()
 			time.Sleep(3 * time.Second)
 			c.send(0, chunk("\n"))
 			c.Close()
-			return known
+			return current
 		}},
-		{"quiet for a minute, then garbage", func(c call) time.Time { known := c.sendHeartbeats(); c.send(0, chunk("]")); return known }},
+		{"quiet for a minute, then garbage", func(c call) time.Time { current := c.sendHeartbeats(); c.send(0, chunk("]")); return current }},
 	} {
 		for _, dispatchers := range []int{3, 300} {
 			t.Run(fmt.Sprint(tt.name, " of ", dispatchers), func(t *testing.T) {
@@ -127,12 +127,12 @@
 					w.Subscribe()
 					c := <-calls
 					for range 3 {
-						known := tt.trouble(c)
-						require.Empty(t, calls, "called anew while it still told")
+						current := tt.fail(c)
+						require.Empty(t, calls, "called again while updates still arrived")
 						c = <-calls
-						require.LessOrEqual(t, c.at.Sub(known), maxStaleness-answerDelay)
+						require.LessOrEqual(t, c.at.Sub(current), maxStaleness-answerDelay)
 					}
-					known := tt.trouble(c)
+					current := tt.fail(c)
 					c = <-calls
 					time.Sleep(answerDelay)
 					for len(s.listed) > 0 {
@@ -140,7 +140,7 @@
 					}
 					c.send(0, responseHead+chunk(drainingList))
 					<-s.listed
-					require.LessOrEqual(t, time.Since(known), maxStaleness)
+					require.LessOrEqual(t, time.Since(current), maxStaleness)
 				})
 			})
 		}
@@ -163,14 +163,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := NewWatcher("h:1", 41, testSettings(300, false))
 				calls := fakeDiscovery(t, w)
-				dialed, nobody := make(chan time.Time, 99), 3
-				there := w.dial
-				w.dial = func(ctx context.Context, address string, by time.Time) (net.Conn, error) {
+				dialed, failures := make(chan time.Time, 99), 3
+				connect := w.dial
+				w.dial = func(ctx context.Context, address string, deadline time.Time) (net.Conn, error) {
 					dialed <- time.Now()
-					if nobody--; nobody < 0 {
-						return there(ctx, address, by)
+					if failures--; failures < 0 {
+						return connect(ctx, address, deadline)
 					}
-					if until := time.Until(by); until < tt.takes {
+					if until := time.Until(deadline); until < tt.takes {
 						time.Sleep(until)
 						return nil, os.ErrDeadlineExceeded
 					}
--- a/internal/net/discovery/faulty_test.go
+++ b/internal/net/discovery/faulty_test.go
@@ -144,13 +144,13 @@
 		c := <-calls
 		c.Write([]byte(responseHead + list(43, true, member("s-1", "in_service"))))
 		<-s.listed
-		told := time.Now()
-		for len(calls) == 0 && time.Since(told) < time.Minute {
+		listedAt := time.Now()
+		for len(calls) == 0 && time.Since(listedAt) < time.Minute {
 			c.Write([]byte(list(42, true, member("s-1", "in_service"))))
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}
-		require.LessOrEqual(t, (<-calls).at.Sub(told), 5*time.Second)
+		require.LessOrEqual(t, (<-calls).at.Sub(listedAt), 5*time.Second)
 		require.Empty(t, s.listed)
 	})
 }
@@ -160,7 +160,7 @@
 	blanks := strings.Repeat(" \t\r\n", 1<<20)
 	w := NewWatcher("h:1", 0, testSettings(1, false))
 	body := io.MultiReader(strings.NewReader(blanks), strings.NewReader(drainingList))
-	text, err := io.ReadAll(&listReader{in: body, w: w, sink: newHeartbeatDiscarder(), empty: true})
+	text, err := io.ReadAll(&listReader{body: body, w: w, sink: newHeartbeatDiscarder(), lineEmpty: true})
 	require.NoError(t, err)
 	require.Equal(t, drainingList, string(bytes.TrimSpace(text)))
 	require.Len(t, text, len(drainingList))
@@ -177,8 +177,8 @@
 // unreachable. The report of the loss includes the time since the call, whoever requested it.
 func TestLocalShortageIsNotUnreachable(t *testing.T) {
 	for _, tt := range []struct {
-		errno  syscall.Errno
-		nobody bool
+		errno       syscall.Errno
+		unreachable bool
 	}{
 		{syscall.ECONNREFUSED, true}, {syscall.EHOSTUNREACH, true}, {syscall.ETIMEDOUT, true},
 		{syscall.EMFILE, false}, {syscall.ENFILE, false}, {syscall.ENOBUFS, false}, {syscall.EADDRNOTAVAIL, false},
@@ -194,7 +194,7 @@
 				w.Subscribe()
 				for range 3 { // the later ones are made by the clock
 					err := <-s.lost
-					require.Equal(t, tt.nobody, errors.Is(err, ErrNobody), err)
+					require.Equal(t, tt.unreachable, errors.Is(err, ErrNobody), err)
 					require.Equal(t, 700*time.Millisecond, err.(lostWatch).after)
 				}
 			})
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -93,17 +93,17 @@
 func readMember(text []byte) (dispatch.Instance, error) {
 	var in memberText
 	err := json.Unmarshal(text, &in) // continues after a value of the wrong type
-	named := dispatch.Instance{ID: in.ID}
+	invalid := dispatch.Instance{ID: in.ID}
 	state, known := phases[in.Phase]
 	switch {
 	case err != nil:
-		return named, err
+		return invalid, err
 	case in.ID == "":
-		return named, errors.New("no id")
+		return invalid, errors.New("no id")
 	case !known:
-		return named, fmt.Errorf("unknown phase %q", in.Phase)
+		return invalid, fmt.Errorf("unknown phase %q", in.Phase)
 	case in.UpSince > latestStart:
-		return named, fmt.Errorf("up_since_ms %g is out of range", in.UpSince)
+		return invalid, fmt.Errorf("up_since_ms %g is out of range", in.UpSince)
 	}
 	m := dispatch.Instance{
 		ID: in.ID, Address: in.HostPort, GRPC: in.GRPC, Zone: in.Locality, Kind: in.Flavor, Cell: in.Cell, State: state, Size: in.Size,
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -57,7 +57,7 @@
 // Watcher watches discovery's list for changes. Its [listclock.Clock] and Subscribe determine when it calls
 // discovery.
 type Watcher struct {
-	start        time.Time // zero of the clock's time
+	clockStart   time.Time // zero of the clock's time
 	subscribed   chan struct{}
 	clockChanged chan struct{} // signalled when the time of the clock's next call may have changed
 	dial         func(ctx context.Context, address string, by time.Time) (net.Conn, error)
@@ -76,13 +76,13 @@
 // NewWatcher returns a watcher that starts from the given revision.
 func NewWatcher(address string, revision int64, s decide.Settings) *Watcher {
 	return &Watcher{
-		address: address, revision: revision, start: time.Now(), subscribed: make(chan struct{}, 1), clockChanged: make(chan struct{}, 1),
+		address: address, revision: revision, clockStart: time.Now(), subscribed: make(chan struct{}, 1), clockChanged: make(chan struct{}, 1),
 		cancelWatch: func() {}, clock: listclock.New(clockSettings(s), 0), dial: dial,
 	}
 }
 
-func dial(ctx context.Context, address string, by time.Time) (net.Conn, error) {
-	return (&net.Dialer{Deadline: by}).DialContext(ctx, "tcp", address)
+func dial(ctx context.Context, address string, deadline time.Time) (net.Conn, error) {
+	return (&net.Dialer{Deadline: deadline}).DialContext(ctx, "tcp", address)
 }
 
 // From sets the address and revision of the first watch. It must be called before Run.
@@ -110,7 +110,7 @@
 	return t
 }
 
-func (w *Watcher) now() time.Duration { return time.Since(w.start) }
+func (w *Watcher) now() time.Duration { return time.Since(w.clockStart) }
 
 // sinceCall returns the time since the start of the last call.
 func (w *Watcher) sinceCall() time.Duration {
@@ -137,8 +137,8 @@
 	w.address, w.revision = address, 0
 	w.clock.AddressChanged(w.now())
 	signal(w.clockChanged)
-	if ask, ok := w.clock.NextCall(); ok {
-		time.AfterFunc(ask-w.now(), w.leaveOldAddress)
+	if next, ok := w.clock.NextCall(); ok {
+		time.AfterFunc(next-w.now(), w.leaveOldAddress)
 	}
 }
 
@@ -180,27 +180,27 @@
 // Run serves subscriptions until the context ends. After a failure, the subscriber decides when to call again, and
 // the clock sets the latest time; after a time-out or an address change, the clock alone decides.
 func (w *Watcher) Run(ctx context.Context, sink Sink) {
-	silent := 0 // consecutive time-outs
-	for again := false; again || w.wait(ctx); {
-		on, leave := context.WithCancel(ctx)
-		address, revision, ok := w.startCall(leave, again)
-		if again = false; !ok {
-			leave()
+	silences := 0 // consecutive time-outs
+	for reopen := false; reopen || w.wait(ctx); {
+		watchCtx, cancel := context.WithCancel(ctx)
+		address, revision, ok := w.startCall(cancel, reopen)
+		if reopen = false; !ok {
+			cancel()
 			continue
 		}
-		err := w.watch(on, sink, address, revision)
-		leave()
+		err := w.watch(watchCtx, sink, address, revision)
+		cancel()
 		if ctx.Err() != nil {
 			return
 		}
-		how, answered := w.watchEnded(err)
+		end, answered := w.watchEnded(err)
 		if answered {
-			silent = 0
+			silences = 0
 		}
-		switch again = how == endSilent || how == endMoved; how {
+		switch reopen = end == endSilent || end == endMoved; end {
 		case endSilent:
-			silent++
-			sink.Silent(silent, err)
+			silences++
+			sink.Silent(silences, err)
 		case endLost:
 			sink.Lost(err, w.sinceCall())
 		}
@@ -209,14 +209,14 @@
 
 // wait waits for a subscription or for the clock's next call. It returns false if the context has ended.
 func (w *Watcher) wait(ctx context.Context) bool {
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		w.mu.Lock()
-		ask, goes := w.clock.NextCall()
+		next, scheduled := w.clock.NextCall()
 		w.mu.Unlock()
-		if alarm.Stop(); goes {
-			alarm.Reset(ask - w.now())
+		if timer.Stop(); scheduled {
+			timer.Reset(next - w.now())
 		}
 		select {
 		case <-ctx.Done():
@@ -224,7 +224,7 @@
 		case <-w.subscribed:
 			return true
 		case <-w.clockChanged:
-		case <-alarm.C:
+		case <-timer.C:
 			return true
 		}
 	}
@@ -232,38 +232,38 @@
 
 // startCall records the start of a call and returns where to call. ok is false if the call must not be made because
 // others report changes meanwhile.
-func (w *Watcher) startCall(leave context.CancelFunc, again bool) (address string, revision int64, ok bool) {
+func (w *Watcher) startCall(cancel context.CancelFunc, reopen bool) (address string, revision int64, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if again && w.paused {
+	if reopen && w.paused {
 		return "", 0, false
 	}
 	w.callStarted = w.now()
 	w.clock.CallStarted(w.callStarted, 0, rand.Float64())
-	w.cancelWatch, w.paused, w.answered = leave, false, false
+	w.cancelWatch, w.paused, w.answered = cancel, false, false
 	return w.address, w.revision, true
 }
 
-// watchEnd is the reason why a watch ended.
-type watchEnd int
+// watchEndReason is the reason why a watch ended.
+type watchEndReason int
 
 const (
-	endLost        watchEnd = iota // failed; the subscriber decides when to call again
-	endSilent                      // timed out; reopen now
-	endMoved                       // address changed; call the new one now
-	endMovePending                 // failed after the address changed; the clock decides when to call the new one
+	endLost        watchEndReason = iota // failed; the subscriber decides when to call again
+	endSilent                            // timed out; reopen now
+	endMoved                             // address changed; call the new one now
+	endMovePending                       // failed after the address changed; the clock decides when to call the new one
 )
 
 // watchEnded records the end of a watch and returns its reason.
-func (w *Watcher) watchEnded(err error) (how watchEnd, answered bool) {
+func (w *Watcher) watchEnded(err error) (end watchEndReason, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.paused { // keep a subscription that was made since
 		return endLost, w.answered
 	}
 	w.clearSubscription() // this watch has served any subscription made while it was active
-	ask, goes := w.clock.NextCall()
-	due, moving := goes && w.now() > ask-timerSlack, w.clock.AddressChangePending()
+	next, scheduled := w.clock.NextCall()
+	due, moving := scheduled && w.now() > next-timerSlack, w.clock.AddressChangePending()
 	var timeout net.Error
 	switch {
 	case due && moving:
@@ -304,8 +304,8 @@
 func (w *Watcher) silenceDeadline() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ask, _ := w.clock.NextCall()
-	return w.start.Add(ask)
+	next, _ := w.clock.NextCall()
+	return w.clockStart.Add(next)
 }
 
 func (w *Watcher) watch(ctx context.Context, sink Sink, address string, revision int64) error {
@@ -322,17 +322,17 @@
 		return err
 	}
 	target := "/catalog/members?stream=1&index=" + strconv.FormatInt(revision, 10)
-	ask := http1.AppendRequest(nil, "GET", target, http1.Header{{Name: "Host", Value: address}}, nil)
-	if _, err := conn.Write(ask); err != nil {
+	request := http1.AppendRequest(nil, "GET", target, http1.Header{{Name: "Host", Value: address}}, nil)
+	if _, err := conn.Write(request); err != nil {
 		return err
 	}
 	br := bufio.NewReaderSize(monitoredConn{conn, w}, http1.MaxLine)
-	p, body, err := http1.ReadStream(br)
+	response, body, err := http1.ReadStream(br)
 	if err != nil {
 		return err
 	}
-	if p.Status != 200 {
-		return fmt.Errorf("discovery answered with HTTP status %d", p.Status)
+	if response.Status != 200 {
+		return fmt.Errorf("discovery answered with HTTP status %d", response.Status)
 	}
 	w.mu.Lock()
 	w.answered = true
@@ -343,8 +343,8 @@
 // localShortage reports whether a call failed for lack of resources of this machine or process, which says nothing
 // about discovery.
 func localShortage(err error) bool {
-	for _, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, lack) {
+	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
@@ -353,16 +353,16 @@
 
 // readLists reads lists until the watch ends. Each is a JSON value, on one line or on several.
 func (w *Watcher) readLists(sink Sink, body io.Reader) error {
-	in := &listReader{in: body, w: w, sink: sink, empty: true}
+	lists := &listReader{body: body, w: w, sink: sink, lineEmpty: true}
 	last := int64(math.MinInt64)
-	for values := json.NewDecoder(in); ; {
-		var text json.RawMessage
-		if err := values.Decode(&text); errors.Is(err, io.EOF) {
+	for values := json.NewDecoder(lists); ; {
+		var list json.RawMessage
+		if err := values.Decode(&list); errors.Is(err, io.EOF) {
 			return errors.New("watch closed by discovery")
 		} else if err != nil {
 			return err
 		}
-		l, faulty, err := readList(text)
+		update, faulty, err := readList(list)
 		if err != nil {
 			return err
 		}
@@ -370,19 +370,19 @@
 		if err != nil {
 			return err
 		}
-		if l.Revision < last {
+		if update.Revision < last {
 			w.listIgnored()
-			in.listEnded(rest)
-			sink.Faulty(&OlderListError{Revision: l.Revision, Last: last})
+			lists.listEnded(rest)
+			sink.Faulty(&OlderListError{Revision: update.Revision, Last: last})
 			continue
 		}
-		last = l.Revision
+		last = update.Revision
 		w.listReceived(last)
-		in.listEnded(rest)
+		lists.listEnded(rest)
 		reportFaulty(sink, faulty)
-		l = keepUnreadable(l, faulty, w.instances.Instances())
-		w.instances.Update(l)
-		sink.Listed(l)
+		update = keepUnreadable(update, faulty, w.instances.Instances())
+		w.instances.Update(update)
+		sink.Listed(update)
 	}
 }
 
@@ -419,16 +419,16 @@
 // listReader passes on the body of a watch without the whitespace between lists, and reports empty lines there, which
 // are the watch's heartbeats. Blank lines inside a list, or the end of its last line, are no heartbeats.
 type listReader struct {
-	in    io.Reader
-	w     *Watcher
-	sink  Sink
-	size  int  // bytes of the current list; 0: between lists
-	empty bool // the current line has no text so far
+	body      io.Reader
+	w         *Watcher
+	sink      Sink
+	size      int  // bytes of the current list; 0: between lists
+	lineEmpty bool // the current line has no text so far
 }
 
 func (o *listReader) Read(p []byte) (int, error) {
 	for {
-		n, err := o.in.Read(p)
+		n, err := o.body.Read(p)
 		text := o.filter(p[:n])
 		if o.size > maxListBytes {
 			return 0, fmt.Errorf("list exceeds %d bytes", maxListBytes)
@@ -441,7 +441,7 @@
 
 // listEnded records that a list is complete. rest is the data after it that has been read already.
 func (o *listReader) listEnded(rest []byte) {
-	o.size, o.empty = 0, false
+	o.size, o.lineEmpty = 0, false
 	o.filter(rest)
 }
 
@@ -451,8 +451,8 @@
 		o.size += len(text)
 		return text
 	}
-	text, beats := o.skipBetween(text)
-	if beats {
+	text, heartbeat := o.skipBetween(text)
+	if heartbeat {
 		o.w.heartbeat()
 		o.sink.Alive()
 	}
@@ -466,16 +466,16 @@
 }
 
 // skipBetween returns the text from the start of the next list, and whether an empty line precedes it.
-func (o *listReader) skipBetween(text []byte) (rest []byte, beats bool) {
+func (o *listReader) skipBetween(text []byte) (rest []byte, heartbeat bool) {
 	for i, c := range text {
 		switch c {
 		case '\n':
-			beats = beats || o.empty
-			o.empty = true
+			heartbeat = heartbeat || o.lineEmpty
+			o.lineEmpty = true
 		case ' ', '\t', '\r':
 		default:
-			return text[i:], beats
+			return text[i:], heartbeat
 		}
 	}
-	return nil, beats
+	return nil, heartbeat
 }
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -133,9 +133,9 @@
 		{"nothing after the head", 300, false, []string{responseHead}, 3 * time.Second, 5 * time.Second},
 		{"nothing after an empty line", 300, false, []string{responseHead, chunk("\n")}, 3 * time.Second, 5 * time.Second},
 		{"half a line", 300, false, []string{responseHead + chunk("\n"), chunk(drainingList[:40])}, 3 * time.Second, 5 * time.Second},
-		{"a list in crumbs", 300, false, append([]string{responseHead}, strings.Split(chunk("[")+strings.Repeat("\x00"+chunk(" "), 3), "\x00")...), time.Second, time.Second},
-		{"blanks that end no line", 300, false, []string{responseHead, chunk(" "), chunk("\t"), chunk("\r"), chunk(" ")}, time.Second, time.Second},
-		{"of a few", 3, false, []string{responseHead, chunk("\n")}, 3 * time.Second, 3060 * time.Millisecond},
+		{"a list in small pieces", 300, false, append([]string{responseHead}, strings.Split(chunk("[")+strings.Repeat("\x00"+chunk(" "), 3), "\x00")...), time.Second, time.Second},
+		{"whitespace without an end of line", 300, false, []string{responseHead, chunk(" "), chunk("\t"), chunk("\r"), chunk(" ")}, time.Second, time.Second},
+		{"small fleet", 3, false, []string{responseHead, chunk("\n")}, 3 * time.Second, 3060 * time.Millisecond},
 		{"agent's watch", 300, true, []string{responseHead, chunk("\n")}, 3 * time.Second, 3 * time.Second},
 		{"agent", 300, true, nil, 250 * time.Millisecond, 250 * time.Millisecond},
 	} {
@@ -193,7 +193,7 @@
 		require.GreaterOrEqual(t, all[0], 3*time.Second)
 		require.Less(t, all[299], 5*time.Second)
 		for i := 60; i < 300; i++ {
-			require.Greater(t, all[i]-all[i-60], 200*time.Millisecond, "60 calls in so little time")
+			require.Greater(t, all[i]-all[i-60], 200*time.Millisecond, "60 calls within 200 ms")
 		}
 	})
 }
@@ -201,19 +201,19 @@
 // Lists come on one line or on several, in pieces of any size. Empty lines between them are heartbeats; other
 // whitespace, the end of a list's last line and blank lines inside a list are not.
 func TestIndentedLists(t *testing.T) {
-	wide := strings.NewReplacer("{", "{\n\n  ", ",", ",\r\n\t  ", "[", "[\n ", "}", "\n}").Replace(drainingList)
+	indented := strings.NewReplacer("{", "{\n\n  ", ",", ",\r\n\t  ", "[", "[\n ", "}", "\n}").Replace(drainingList)
 	for _, tt := range []struct {
-		name  string
-		text  string
-		lists int
-		beats int // if sent byte by byte
+		name       string
+		text       string
+		lists      int
+		heartbeats int // if sent byte by byte
 	}{
-		{"on a line", drainingList + "\n", 1, 0},
+		{"on one line", drainingList + "\n", 1, 0},
 		{"no end of line", drainingList, 1, 0},
-		{"indented", wide + "\n", 1, 0},
-		{"blanks first", " \t\r\n   " + wide + "\r\n\n", 1, 2},
-		{"one after the other", wide + wide + "\n" + drainingList, 3, 0},
-		{"beats", "\n \n\r\n" + wide, 1, 3},
+		{"indented", indented + "\n", 1, 0},
+		{"whitespace first", " \t\r\n   " + indented + "\r\n\n", 1, 2},
+		{"one after another", indented + indented + "\n" + drainingList, 3, 0},
+		{"heartbeats", "\n \n\r\n" + indented, 1, 3},
 	} {
 		for _, size := range []int{1, 7, 4096} {
 			t.Run(fmt.Sprint(tt.name, " by ", size), func(t *testing.T) {
@@ -234,7 +234,7 @@
 						require.Equal(t, "s-5", (<-s.listed).Instances[0].ID)
 					}
 					if size == 1 {
-						require.Len(t, s.alive, tt.beats)
+						require.Len(t, s.alive, tt.heartbeats)
 					}
 					require.Empty(t, s.lost)
 				})
@@ -259,7 +259,7 @@
 			w.Move("h:2")
 			c.Write([]byte(chunk(drainingList)))
 			require.EqualValues(t, 43, (<-s.listed).Revision)
-			require.True(t, w.Moving(), "whoever goes by revisions must know whose that was")
+			require.True(t, w.Moving(), "the revision is the old address's")
 			if ends {
 				c.Close()
 			}
--- a/internal/net/upstream/giveup_test.go
+++ b/internal/net/upstream/cancel_test.go
@@ -90,7 +90,7 @@
 // A cancellation whose connections are refused or never established is dropped after two tries. It is not confirmed,
 // since an encoder that refuses connections may just be overloaded.
 func TestUndeliverableCancellation(t *testing.T) {
-	for name, shut := range map[string]func(*encoder){
+	for name, block := range map[string]func(*encoder){
 		"refused":       func(e *encoder) { e.Close() },
 		"never come up": func(e *encoder) { e.blockConnects() },
 	} {
@@ -99,7 +99,7 @@
 			e := listen(t)
 			p, _ := newScriptedPool(t, e, 9)
 			p.Retune(time.Millisecond, time.Minute)
-			shut(e)
+			block(e)
 			confirmed := startCancellation(p)
 			require.Eventually(t, func() bool { return !p.Busy() }, testTimeout, time.Millisecond)
 			require.Zero(t, openConns(p))
@@ -162,7 +162,7 @@
 	d := e.accept()
 	d.expectCancel()
 	_, _ = c.TCPConn.Write([]byte(response202))
-	require.Equal(t, decide.Reset, receive(t, r.ended), "which the loop drops")
+	require.Equal(t, decide.Reset, receive(t, r.ended), "the loop ignores it")
 	d.write(response200)
 	awaitIdle(t, p, 1)
 	require.Empty(t, r.accepted)
@@ -180,7 +180,7 @@
 	c.readByte()
 	p.Cancel(a)
 	e.accept().expectCancel()
-	require.Equal(t, decide.ConnectFailed, receive(t, r.ended), "which the loop drops")
+	require.Equal(t, decide.ConnectFailed, receive(t, r.ended), "the loop ignores it")
 	rest, _ := io.ReadAll(c.br)
 	require.Less(t, len(rest), len(a.Command.Payload.(*http1.Request).Body))
 }
@@ -189,9 +189,9 @@
 // first.
 func TestWaitingCancellationKeepsPoolBusy(t *testing.T) {
 	p := NewPool(Limits{})
-	told := make(chan bool)
-	p.retryLater(func() { <-told })
+	release := make(chan bool)
+	p.retryLater(func() { <-release })
 	require.True(t, p.Busy())
-	told <- true
+	release <- true
 	require.Eventually(t, func() bool { return !p.Busy() }, testTimeout, time.Millisecond)
 }
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -91,7 +91,7 @@
 }
 
 // abort ends the exchange by closing its connection. It reports whether the encoder may have received the request.
-func (x *exchange) abort() (mayHave bool) {
+func (x *exchange) abort() (mayHaveReceived bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.aborted = true
@@ -158,8 +158,8 @@
 			c.nc.Close()
 		}
 	}()
-	retire := time.NewTimer(time.Hour)
-	defer retire.Stop()
+	idleTimer := time.NewTimer(time.Hour)
+	defer idleTimer.Stop()
 	for {
 		e, alive := c.serve(x)
 		x.onDone(e)
@@ -167,20 +167,20 @@
 			return
 		}
 		p.putIdle(c)
-		retire.Reset(p.currentLimits().maxIdle())
+		idleTimer.Reset(p.currentLimits().maxIdle())
 		var ok bool
-		if x, ok = c.next(retire.C); !ok {
+		if x, ok = c.next(idleTimer.C); !ok {
 			return
 		}
 	}
 }
 
 // next waits for an idle connection's next exchange. It returns false if there is none and the connection must end.
-func (c *conn) next(retire <-chan time.Time) (x *exchange, ok bool) {
+func (c *conn) next(idleTimeout <-chan time.Time) (x *exchange, ok bool) {
 	select {
 	case x, ok = <-c.exchanges:
 		return x, ok
-	case <-retire:
+	case <-idleTimeout:
 	}
 	if c.pool.removeIdle(c) {
 		return nil, false
@@ -195,9 +195,9 @@
 		c.nc.Close()
 		c.nc = nil
 	}
-	kept := time.Duration(0)
+	connIdle := time.Duration(0)
 	if c.nc != nil {
-		kept = max(time.Since(c.idleSince), 1)
+		connIdle = max(time.Since(c.idleSince), 1)
 	} else if e, up := c.open(x); !up {
 		return e, false
 	}
@@ -205,13 +205,13 @@
 		return result{progress: notSent}, true
 	}
 	e = c.roundTrip(x)
-	e.connIdle = kept
-	aborted, talks := x.detach(), e.progress == answered && c.br.Buffered() > 0
-	if talks {
+	e.connIdle = connIdle
+	aborted, unsolicited := x.detach(), e.progress == answered && c.br.Buffered() > 0
+	if unsolicited {
 		c.pool.noteUnsolicited(c.endpoint)
 	}
 	e.malformed = e.malformed && !aborted // an aborted exchange is cancelled by the caller of abort
-	return e, !aborted && !talks && (e.progress == notSent || e.progress == answered && !e.response.Close)
+	return e, !aborted && !unsolicited && (e.progress == notSent || e.progress == answered && !e.response.Close)
 }
 
 // open opens a connection for an exchange. If up is false, e holds the reason.
@@ -231,11 +231,11 @@
 
 // dial opens a connection. For anything but new work, it dials again if the encoder's address has changed meanwhile.
 func (c *conn) dial(x *exchange) error {
-	up := time.Now().Add(c.pool.currentLimits().Connect)
-	if x.connectUntilDeadline || x.deadline.Before(up) {
-		up = x.deadline
+	dialBy := time.Now().Add(c.pool.currentLimits().Connect)
+	if x.connectUntilDeadline || x.deadline.Before(dialBy) {
+		dialBy = x.deadline
 	}
-	dialer := net.Dialer{Deadline: up, KeepAlive: -1}
+	dialer := net.Dialer{Deadline: dialBy, KeepAlive: -1}
 	for {
 		nc, err := dialer.Dial("tcp", c.pool.dialAddress(c))
 		if err != nil {
@@ -259,15 +259,15 @@
 
 func (c *conn) roundTrip(x *exchange) result {
 	now := time.Now()
-	text := http1.AppendRequest(c.buf[:0], x.method, x.target, x.header(c.nc.RemoteAddr().String(), now), x.body)
-	last := x.deadline
+	request := http1.AppendRequest(c.buf[:0], x.method, x.target, x.header(c.nc.RemoteAddr().String(), now), x.body)
+	deadline := x.deadline
 	if x.newWork {
-		last = last.Add(graceTime)
+		deadline = deadline.Add(graceTime)
 	}
-	if c.buf = text; cap(text) > http1.MaxLine { // reuse the buffer unless a large request made it grow
+	if c.buf = request; cap(request) > http1.MaxLine { // reuse the buffer unless a large request made it grow
 		c.buf = nil
 	}
-	if c.nc.SetDeadline(last) != nil {
+	if c.nc.SetDeadline(deadline) != nil {
 		return result{progress: connectFailed}
 	}
 	// The list may have reported a drain or a new address since the attempt was decided, or while the connection was
@@ -282,7 +282,7 @@
 	}
 	x.written = true // the encoder may have all of it before Write returns
 	x.mu.Unlock()
-	if n, err := c.nc.Write(text); err != nil && n < len(text) {
+	if n, err := c.nc.Write(request); err != nil && n < len(request) {
 		return result{progress: connectFailed}
 	}
 	if x.onSent != nil {
@@ -291,11 +291,11 @@
 	if _, err := c.br.Peek(1); err != nil {
 		return result{progress: noResponse}
 	}
-	p, err := http1.ReadResponse(c.br, x.method)
+	response, err := http1.ReadResponse(c.br, x.method)
 	if err != nil {
 		return result{progress: noResponse, malformed: true}
 	}
-	return result{progress: answered, response: p}
+	return result{progress: answered, response: response}
 }
 
 // stale reports whether the peer has closed an idle connection or sent unsolicited bytes on it, without consuming
--- a/internal/net/upstream/dial_test.go
+++ b/internal/net/upstream/dial_test.go
@@ -25,23 +25,23 @@
 func TestConnectionEstablishedTooLate(t *testing.T) {
 	gone := func(time.Time) bool { return true }
 	elsewhere := listen(t)
-	for name, one := range map[string]struct {
-		cross func(*Pool, *encoder, *dispatch.Attempt)
-		kept  int
+	for name, tt := range map[string]struct {
+		change func(*Pool, *encoder, *dispatch.Attempt)
+		open   int
 	}{
-		"given up":              {func(p *Pool, _ *encoder, a *dispatch.Attempt) { p.Cancel(a) }, 1},
-		"client gone":           {func(p *Pool, _ *encoder, a *dispatch.Attempt) { setExpired(p, a, gone) }, 1},
-		"another process's":     {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Unsend() }, 1},
-		"drain":                 {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.Listed(e.update(decide.Draining)) }, 1},
-		"gone":                  {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.Listed(e.update(decide.Gone)) }, 0},
-		"gone from a full list": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Listed(dispatch.InstanceUpdate{Complete: true}) }, 0},
+		"cancelled":                {func(p *Pool, _ *encoder, a *dispatch.Attempt) { p.Cancel(a) }, 1},
+		"client gone":              {func(p *Pool, _ *encoder, a *dispatch.Attempt) { setExpired(p, a, gone) }, 1},
+		"owned by another process": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Unsend() }, 1},
+		"drain":                    {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.Listed(e.update(decide.Draining)) }, 1},
+		"gone":                     {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.Listed(e.update(decide.Gone)) }, 0},
+		"gone from a full list":    {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Listed(dispatch.InstanceUpdate{Complete: true}) }, 0},
 		"gone and back": {func(p *Pool, e *encoder, _ *dispatch.Attempt) {
 			p.Listed(e.update(decide.Gone))
 			p.Listed(e.update(decide.Ready))
 		}, 0},
 		"moved":    {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Listed(elsewhere.update(decide.Ready)) }, 0},
 		"cordoned": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Cordon("s-1", true) }, 0},
-		"started anew": {func(p *Pool, e *encoder, _ *dispatch.Attempt) {
+		"restarted": {func(p *Pool, e *encoder, _ *dispatch.Attempt) {
 			l := e.update(decide.Ready)
 			l.Instances[0].Started = time.Now()
 			p.Listed(l)
@@ -55,12 +55,12 @@
 			a := attempt("s-1")
 			p.Send(a)
 			e.awaitDial()
-			one.cross(p, e, a)
+			tt.change(p, e, a)
 			release()
 			c := e.accept()
 			require.Equal(t, decide.NotSent, receive(t, r.ended))
-			awaitIdle(t, p, one.kept)
-			require.Equal(t, one.kept, openConns(p))
+			awaitIdle(t, p, tt.open)
+			require.Equal(t, tt.open, openConns(p))
 			p.CloseIdle("s-1")
 			c.expectClosed()
 			require.Eventually(t, func() bool { return openConns(p) == 0 }, testTimeout, time.Millisecond)
--- a/internal/net/upstream/retire_test.go
+++ b/internal/net/upstream/idle_test.go
@@ -14,16 +14,16 @@
 // A connection that was busy when its encoder changed its address, was removed or was cordoned is closed when it
 // becomes idle, and the next attempt goes to the encoder as listed then.
 func TestBusyConnectionsAreClosedAfterAddressChange(t *testing.T) {
-	to := listen(t)
+	other := listen(t)
 	restarted := func(e *encoder) dispatch.InstanceUpdate {
 		l := e.update(decide.Ready)
 		l.Instances[0].Started = time.Now()
 		return l
 	}
-	for name, cross := range map[string]func(*Pool, *encoder) *encoder{
+	for name, change := range map[string]func(*Pool, *encoder) *encoder{
 		"moved": func(p *Pool, _ *encoder) *encoder {
-			p.Listed(to.update(decide.Ready))
-			return to
+			p.Listed(other.update(decide.Ready))
+			return other
 		},
 		"gone and back": func(p *Pool, e *encoder) *encoder {
 			p.Listed(e.update(decide.Gone))
@@ -35,7 +35,7 @@
 			p.Cordon("s-1", false)
 			return e
 		},
-		"started anew": func(p *Pool, e *encoder) *encoder {
+		"restarted": func(p *Pool, e *encoder) *encoder {
 			p.Listed(restarted(e))
 			return e
 		},
@@ -46,12 +46,12 @@
 			p.Send(attempt("s-1"))
 			c := e.accept()
 			c.read()
-			place := cross(p, e)
+			target := change(p, e)
 			c.write(response202)
 			receive(t, r.accepted)
 			c.expectClosed()
 			p.Send(attempt("s-1"))
-			place.accept().read()
+			target.accept().read()
 		})
 	}
 }
@@ -61,16 +61,16 @@
 func TestIdleConnectionsToEarlierProcess(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
-	old := e.serveAttempt(p, r)
+	before := e.serveAttempt(p, r)
 	l := e.update(decide.Ready)
 	l.Instances[0].Started = time.Now()
-	young := e.serveAttempt(p, r) // replaces the previous one, since it must be a new connection
-	old.expectClosed()
+	after := e.serveAttempt(p, r) // replaces the previous one, since it must be a new connection
+	before.expectClosed()
 	p.Listed(l)
 	awaitIdle(t, p, 1)
 	l.Instances[0].Started = time.Now()
 	p.Listed(l)
-	young.expectClosed()
+	after.expectClosed()
 	awaitIdle(t, p, 0)
 }
 
@@ -97,11 +97,11 @@
 // A connection that makes room for another is closed before the other is opened: the limit on connections, and so on
 // descriptors, is never exceeded, even when many are replaced at once.
 func TestEvictedConnectionIsClosedFirst(t *testing.T) {
-	const most = 40
+	const maxConns = 40
 	e := listen(t)
-	p, r := newScriptedPool(t, e, most)
+	p, r := newScriptedPool(t, e, maxConns)
 	var peers []*encoderConn
-	for range most {
+	for range maxConns {
 		p.Send(attempt("s-1"))
 		c := e.accept()
 		c.read()
@@ -111,17 +111,17 @@
 		c.write(response202)
 		receive(t, r.accepted)
 	}
-	awaitIdle(t, p, most)
+	awaitIdle(t, p, maxConns)
 	other := listen(t)
 	p.Listed(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-2", Address: other.Addr().String(), State: decide.Ready}}})
-	for i := range most {
+	for i := range maxConns {
 		p.mu.Lock()
 		oldest := p.endpoints["s-1"].idle[0].nc
 		p.mu.Unlock()
 		p.Send(attempt("s-2"))
 		require.ErrorIs(t, oldest.SetDeadline(time.Time{}), net.ErrClosed)
-		require.LessOrEqual(t, openConns(p), most)
-		require.Equal(t, most-1-i, p.Idle())
+		require.LessOrEqual(t, openConns(p), maxConns)
+		require.Equal(t, maxConns-1-i, p.Idle())
 	}
 	for _, c := range peers {
 		c.expectClosed()
@@ -165,42 +165,42 @@
 // and no work is lost.
 func TestIdleTimeoutRacesWithNewWork(t *testing.T) {
 	p := NewPool(Limits{Connections: 9, Idle: time.Minute})
-	in := &endpoint{id: "s-1", address: "127.0.0.1:1", state: decide.Ready}
-	p.endpoints[in.id] = in
-	up := make(chan time.Time, 1)
-	resting := func() *conn {
-		nc, other := net.Pipe()
-		t.Cleanup(func() { other.Close() })
-		c := &conn{pool: p, endpoint: in, exchanges: make(chan *exchange, 1), nc: nc}
+	ep := &endpoint{id: "s-1", address: "127.0.0.1:1", state: decide.Ready}
+	p.endpoints[ep.id] = ep
+	expired := make(chan time.Time, 1)
+	newIdle := func() *conn {
+		nc, peer := net.Pipe()
+		t.Cleanup(func() { peer.Close() })
+		c := &conn{pool: p, endpoint: ep, exchanges: make(chan *exchange, 1), nc: nc}
 		p.mu.Lock()
 		p.connCount++
 		p.mu.Unlock()
 		p.putIdle(c)
-		up <- time.Now()
+		expired <- time.Now()
 		return c
 	}
 	for range 100 { // either may be seen first
-		c, work := resting(), &exchange{deadline: time.Now().Add(time.Minute)}
+		c, work := newIdle(), &exchange{deadline: time.Now().Add(time.Minute)}
 		p.start("s-1", work)
-		x, ok := c.next(up)
+		x, ok := c.next(expired)
 		require.True(t, ok)
 		require.Same(t, work, x)
 		p.connEnded(c)
 		select {
-		case <-up:
+		case <-expired:
 		default:
 		}
-		c = resting()
+		c = newIdle()
 		p.CloseIdle("s-1")
-		_, ok = c.next(up)
+		_, ok = c.next(expired)
 		require.False(t, ok)
 		p.connEnded(c)
 		select {
-		case <-up:
+		case <-expired:
 		default:
 		}
-		c = resting()
-		_, ok = c.next(up)
+		c = newIdle()
+		_, ok = c.next(expired)
 		require.False(t, ok)
 		p.connEnded(c)
 		require.Equal(t, []int{0, 0}, []int{p.Idle(), openConns(p)})
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -99,29 +99,29 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l.Complete {
-		for _, in := range p.endpoints {
-			in.state = decide.Gone
+		for _, ep := range p.endpoints {
+			ep.state = decide.Gone
 		}
 	}
 	now := time.Now()
-	for _, m := range l.Instances {
-		in := p.endpoints[m.ID]
-		if in == nil {
-			in = &endpoint{id: m.ID}
-			p.endpoints[m.ID] = in
+	for _, inst := range l.Instances {
+		ep := p.endpoints[inst.ID]
+		if ep == nil {
+			ep = &endpoint{id: inst.ID}
+			p.endpoints[inst.ID] = ep
 		}
-		if in.state = m.State; m.Address != "" && m.Address != in.address {
-			in.address = m.Address
-			p.invalidateConns(in)
+		if ep.state = inst.State; inst.Address != "" && inst.Address != ep.address {
+			ep.address = inst.Address
+			p.invalidateConns(ep)
 		}
-		if m.Started.After(in.started) && !m.Started.After(now) {
-			in.started = m.Started
-			p.closeStaleConns(in)
+		if inst.Started.After(ep.started) && !inst.Started.After(now) {
+			ep.started = inst.Started
+			p.closeStaleConns(ep)
 		}
 	}
-	for id, in := range p.endpoints {
-		if in.state == decide.Gone {
-			p.invalidateConns(in)
+	for id, ep := range p.endpoints {
+		if ep.state == decide.Gone {
+			p.invalidateConns(ep)
 			if len(p.endpoints) > maxEndpoints {
 				delete(p.endpoints, id)
 			}
@@ -131,16 +131,16 @@
 
 // Cordon sets or, if out is false, lifts the cordon on an encoder. A cordoned encoder gets nothing new, whatever the
 // list says.
-func (p *Pool) Cordon(id string, out bool) {
+func (p *Pool) Cordon(id string, cordon bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !out {
+	if !cordon {
 		delete(p.cordoned, id)
 		return
 	}
 	p.cordoned[id] = true
-	if in := p.endpoints[id]; in != nil {
-		p.invalidateConns(in)
+	if ep := p.endpoints[id]; ep != nil {
+		p.invalidateConns(ep)
 	}
 }
 
@@ -151,11 +151,11 @@
 	return p.endpoints[id] != nil || p.cordoned[id]
 }
 
-func (p *Pool) closeIdleConns(in *endpoint) {
-	for _, c := range in.idle {
+func (p *Pool) closeIdleConns(ep *endpoint) {
+	for _, c := range ep.idle {
 		p.closeConn(c)
 	}
-	in.idle = nil
+	ep.idle = nil
 }
 
 // closeConn closes a connection that has been removed from the idle ones. It is closed on return, so another one may
@@ -169,14 +169,14 @@
 
 // invalidateConns closes an encoder's idle connections at once and each busy one when it becomes idle. New work is
 // not written to one that is still being opened.
-func (p *Pool) invalidateConns(in *endpoint) {
-	in.epoch++
-	p.closeIdleConns(in)
+func (p *Pool) invalidateConns(ep *endpoint) {
+	ep.epoch++
+	p.closeIdleConns(ep)
 }
 
 // closeStaleConns closes the idle connections that were opened before the encoder's process started.
-func (p *Pool) closeStaleConns(in *endpoint) {
-	in.idle = slices.DeleteFunc(in.idle, func(c *conn) bool {
+func (p *Pool) closeStaleConns(ep *endpoint) {
+	ep.idle = slices.DeleteFunc(ep.idle, func(c *conn) bool {
 		stale := !c.current()
 		if stale {
 			p.closeConn(c)
@@ -209,8 +209,8 @@
 func (p *Pool) CloseIdle(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if in := p.endpoints[id]; in != nil {
-		p.closeIdleConns(in)
+	if ep := p.endpoints[id]; ep != nil {
+		p.closeIdleConns(ep)
 	}
 }
 
@@ -348,22 +348,22 @@
 func (p *Pool) start(id string, x *exchange) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	in := p.endpoints[id]
-	if in == nil || in.address == "" {
+	ep := p.endpoints[id]
+	if ep == nil || ep.address == "" {
 		go x.onDone(result{progress: notSent, unknownInstance: true})
 		return
 	}
 	now := time.Now()
-	for len(in.idle) > 0 && now.Sub(in.idle[0].idleSince) >= p.limits.maxIdle() { // its own timer is late, or the limit has changed
-		p.closeOldest(in)
+	for len(ep.idle) > 0 && now.Sub(ep.idle[0].idleSince) >= p.limits.maxIdle() { // its own timer is late, or the limit has changed
+		p.closeOldest(ep)
 	}
-	for x.maxIdle > 0 && len(in.idle) > 0 && now.Sub(in.idle[0].idleSince) > 2*x.maxIdle { // unlikely to be reused
-		p.closeOldest(in)
+	for x.maxIdle > 0 && len(ep.idle) > 0 && now.Sub(ep.idle[0].idleSince) > 2*x.maxIdle { // unlikely to be reused
+		p.closeOldest(ep)
 	}
-	if x.newConn && len(in.idle) > 0 { // replaces the longest idle one, which may be dead
-		p.closeOldest(in)
+	if x.newConn && len(ep.idle) > 0 { // replaces the longest idle one, which may be dead
+		p.closeOldest(ep)
 	}
-	if c := in.takeIdle(x, p.settle, now.Sub(p.lastUnsolicited) < unsolicitedWindow, now); c != nil {
+	if c := ep.takeIdle(x, p.settle, now.Sub(p.lastUnsolicited) < unsolicitedWindow, now); c != nil {
 		c.exchanges <- x // does not block: the buffer holds one, and an idle connection has none queued
 		return
 	}
@@ -372,46 +372,46 @@
 		return
 	}
 	p.connCount++
-	go p.serveConn(&conn{pool: p, endpoint: in, exchanges: make(chan *exchange, 1)}, x)
+	go p.serveConn(&conn{pool: p, endpoint: ep, exchanges: make(chan *exchange, 1)}, x)
 }
 
 // takeIdle removes and returns the idle connection to be used for an exchange, or nil if a new one is needed. It is
 // the most recently used one. If some encoder sends unsolicited data, it is the most recently used one that has been
 // idle for at least the settle time; if none has, the longest idle one, unless it was this encoder.
-func (in *endpoint) takeIdle(x *exchange, settle time.Duration, talk bool, now time.Time) *conn {
-	last := len(in.idle) - 1
+func (ep *endpoint) takeIdle(x *exchange, settle time.Duration, unsolicited bool, now time.Time) *conn {
+	last := len(ep.idle) - 1
 	if last < 0 || x.newConn {
 		return nil
 	}
-	rested := func(at int) time.Duration { return now.Sub(in.idle[at].idleSince) }
-	fits := func(at int) bool {
-		return (x.maxIdle == 0 || rested(at) <= x.maxIdle) && (rested(at) >= settle || !in.sendsUnsolicited(now))
+	idleTime := func(i int) time.Duration { return now.Sub(ep.idle[i].idleSince) }
+	usable := func(i int) bool {
+		return (x.maxIdle == 0 || idleTime(i) <= x.maxIdle) && (idleTime(i) >= settle || !ep.sendsUnsolicited(now))
 	}
-	at := last
-	for talk && at > 0 && rested(at) < settle {
-		at--
+	i := last
+	for unsolicited && i > 0 && idleTime(i) < settle {
+		i--
 	}
-	if !fits(at) { // it may have been idle for longer than maxIdle
-		at = last
+	if !usable(i) { // it may have been idle for longer than maxIdle
+		i = last
 	}
-	if !fits(at) {
+	if !usable(i) {
 		return nil
 	}
-	c := in.idle[at]
-	in.idle = slices.Delete(in.idle, at, at+1)
+	c := ep.idle[i]
+	ep.idle = slices.Delete(ep.idle, i, i+1)
 	return c
 }
 
-func (in *endpoint) sendsUnsolicited(now time.Time) bool {
-	return now.Sub(in.lastUnsolicited) < unsolicitedWindow
+func (ep *endpoint) sendsUnsolicited(now time.Time) bool {
+	return now.Sub(ep.lastUnsolicited) < unsolicitedWindow
 }
 
 // noteUnsolicited records that an encoder has sent unsolicited data.
-func (p *Pool) noteUnsolicited(in *endpoint) {
+func (p *Pool) noteUnsolicited(ep *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	in.lastUnsolicited = time.Now()
-	p.lastUnsolicited = in.lastUnsolicited
+	ep.lastUnsolicited = time.Now()
+	p.lastUnsolicited = ep.lastUnsolicited
 }
 
 // Retune sets the connect timeout and the idle limit.
@@ -441,9 +441,9 @@
 // descriptors, which callbacks and the instance list need too.
 func (p *Pool) evictOldest() bool {
 	var oldest *endpoint
-	for _, in := range p.endpoints {
-		if len(in.idle) > 0 && (oldest == nil || in.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
-			oldest = in
+	for _, ep := range p.endpoints {
+		if len(ep.idle) > 0 && (oldest == nil || ep.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
+			oldest = ep
 		}
 	}
 	if oldest == nil {
@@ -454,9 +454,9 @@
 }
 
 // closeOldest closes the longest idle connection to an encoder.
-func (p *Pool) closeOldest(in *endpoint) {
-	p.closeConn(in.idle[0])
-	in.idle = in.idle[1:]
+func (p *Pool) closeOldest(ep *endpoint) {
+	p.closeConn(ep.idle[0])
+	ep.idle = ep.idle[1:]
 }
 
 // putIdle adds a connection to the idle ones, or closes it if it must not be reused.
@@ -533,8 +533,8 @@
 }
 
 func (p *Pool) idleConns() (n int) {
-	for _, in := range p.endpoints {
-		n += len(in.idle)
+	for _, ep := range p.endpoints {
+		n += len(ep.idle)
 	}
 	return n
 }
@@ -543,6 +543,6 @@
 func (p *Pool) Takes(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	in := p.endpoints[id]
-	return in != nil && in.state == decide.Ready && !p.cordoned[id]
+	ep := p.endpoints[id]
+	return ep != nil && ep.state == decide.Ready && !p.cordoned[id]
 }
--- a/internal/net/upstream/pool_test.go
+++ b/internal/net/upstream/pool_test.go
@@ -40,43 +40,43 @@
 
 // newAutoPool returns a pool of at most the given number of connections, and encoders that answer by themselves and
 // pass each request to the channel.
-func newAutoPool(t *testing.T, most int, ids ...string) (*Pool, recorder, chan *http1.Request) {
-	r, seen := recorder{make(chan decide.Outcome, 9), make(chan decide.Outcome, 9), make(chan *decide.Report, 9), make(chan *dispatch.Attempt, 9)}, make(chan *http1.Request, 9)
-	p := NewPool(Limits{Connections: most, Connect: 10 * time.Second, Idle: time.Minute})
-	p.ReportTo(r)
+func newAutoPool(t *testing.T, maxConns int, ids ...string) (*Pool, recorder, chan *http1.Request) {
+	rec, seen := recorder{make(chan decide.Outcome, 9), make(chan decide.Outcome, 9), make(chan *decide.Report, 9), make(chan *dispatch.Attempt, 9)}, make(chan *http1.Request, 9)
+	p := NewPool(Limits{Connections: maxConns, Connect: 10 * time.Second, Idle: time.Minute})
+	p.ReportTo(rec)
 	var l dispatch.InstanceUpdate
 	for _, id := range ids {
-		in, err := net.Listen("tcp", "127.0.0.1:0")
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		t.Cleanup(func() { in.Close() })
-		l.Instances = append(l.Instances, dispatch.Instance{ID: id, Address: in.Addr().String(), State: decide.Ready})
+		t.Cleanup(func() { ln.Close() })
+		l.Instances = append(l.Instances, dispatch.Instance{ID: id, Address: ln.Addr().String(), State: decide.Ready})
 		go func() {
 			for {
-				c, err := in.Accept()
+				c, err := ln.Accept()
 				if err != nil {
 					return
 				}
 				go func() {
 					defer c.Close()
 					for br := bufio.NewReader(c); ; {
-						q, err := http1.ReadRequest(br, nil)
+						req, err := http1.ReadRequest(br, nil)
 						if err != nil {
 							return
 						}
-						q.Header = append(q.Header, http1.Field{Name: "From", Value: c.RemoteAddr().String()})
-						seen <- q
-						if q.Target == "/twice" { // a second response follows later
+						req.Header = append(req.Header, http1.Field{Name: "From", Value: c.RemoteAddr().String()})
+						seen <- req
+						if req.Target == "/twice" { // a second response follows later
 							c.Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
 							<-secondResponse
 							c.Write([]byte("HTTP/1.1 500 Spoilt\r\nContent-Length: 0\r\n\r\n"))
 							secondResponse <- true
-						} else if q.Target == "/take" {
+						} else if req.Target == "/take" {
 							c.Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
-						} else if q.Target == "/full" {
+						} else if req.Target == "/full" {
 							c.Write([]byte("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nX-Backend-Load: TEXT x0=2.5\r\nContent-Length: 0\r\n\r\n"))
-						} else if q.Target == "/_load" {
+						} else if req.Target == "/_load" {
 							c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":4}"))
-						} else if q.Method != "POST" { // other attempts remain unanswered
+						} else if req.Method != "POST" { // other attempts remain unanswered
 							c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 						}
 					}
@@ -85,7 +85,7 @@
 		}()
 	}
 	p.Listed(l)
-	return p, r, seen
+	return p, rec, seen
 }
 
 func attempt(encoder string) *dispatch.Attempt {
@@ -116,16 +116,16 @@
 // A connection that may have been dropped unnoticed is not used: a request written to it would end as a reset, and
 // one that must not run twice could not be sent elsewhere.
 func TestMaxIdleOfAttempt(t *testing.T) {
-	for most, same := range map[time.Duration]bool{time.Nanosecond: false, time.Hour: true} {
+	for maxIdle, reused := range map[time.Duration]bool{time.Nanosecond: false, time.Hour: true} {
 		p, r, seen := newAutoPool(t, 9, "s-1")
 		p.Probe("s-1")
 		require.Equal(t, decide.OK, <-r.probed)
 		require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
 		a := attempt("s-1")
-		a.MaxIdle = most
+		a.MaxIdle = maxIdle
 		p.Send(a)
 		probed, sent := <-seen, <-seen
-		require.Equal(t, same, probed.Header.Get("From") == sent.Header.Get("From"))
+		require.Equal(t, reused, probed.Header.Get("From") == sent.Header.Get("From"))
 	}
 }
 
@@ -174,7 +174,7 @@
 	p.Cancel(a)
 	q := <-seen
 	require.Equal(t, []string{"DELETE", "/jobs/c1"}, []string{q.Method, q.Target})
-	require.Equal(t, decide.Reset, <-r.ended, "which the loop drops: it has given the attempt up")
+	require.Equal(t, decide.Reset, <-r.ended, "the loop ignores it, since it has cancelled the attempt")
 }
 
 // A silent encoder is not reported as a reset at the deadline: the loop reports the time-out first.
@@ -213,7 +213,7 @@
 	p.Unsend()
 	send("/take", nil)
 	require.Equal(t, "/take", (<-seen).Target)
-	require.Equal(t, answered, (<-ends).progress, "the one before goes on")
+	require.Equal(t, answered, (<-ends).progress, "the earlier one continues")
 }
 
 func TestNothingIsSentToUnknownInstance(t *testing.T) {
@@ -293,11 +293,11 @@
 func TestSettledConnectionsArePreferred(t *testing.T) {
 	const settle = defaultSettle
 	now := time.Now()
-	for _, one := range []struct {
-		rested   []time.Duration // idle times of the idle connections
-		mostIdle time.Duration
-		talked   time.Duration // time ago; 0: never
-		took     int           // index of the connection taken; -1: a new one
+	for _, tt := range []struct {
+		idle        []time.Duration // idle times of the idle connections
+		maxIdle     time.Duration
+		unsolicited time.Duration // time ago; 0: never
+		taken       int           // index of the connection taken; -1: a new one
 	}{
 		{nil, 0, 0, -1},
 		{[]time.Duration{time.Second, 2 * settle, 0}, 0, 0, 1},
@@ -310,24 +310,24 @@
 		{[]time.Duration{time.Second, settle / 2}, settle, time.Second, -1},
 		{[]time.Duration{time.Second, settle / 2}, settle / 4, 0, -1},
 	} {
-		in := &endpoint{}
-		for _, d := range one.rested {
-			in.idle = append(in.idle, &conn{idleSince: now.Add(-d)})
+		ep := &endpoint{}
+		for _, d := range tt.idle {
+			ep.idle = append(ep.idle, &conn{idleSince: now.Add(-d)})
 		}
-		if one.talked > 0 {
-			in.lastUnsolicited = now.Add(-one.talked)
+		if tt.unsolicited > 0 {
+			ep.lastUnsolicited = now.Add(-tt.unsolicited)
 		}
-		all := append([]*conn{nil}, in.idle...)
-		if one.talked == 0 && one.mostIdle == 0 && len(in.idle) > 0 {
-			calm := &endpoint{idle: slices.Clone(in.idle)}
-			require.Same(t, in.idle[len(in.idle)-1], calm.takeIdle(&exchange{correlationID: "c1"}, settle, false, now))
+		want := append([]*conn{nil}, ep.idle...)
+		if tt.unsolicited == 0 && tt.maxIdle == 0 && len(ep.idle) > 0 {
+			quiet := &endpoint{idle: slices.Clone(ep.idle)}
+			require.Same(t, ep.idle[len(ep.idle)-1], quiet.takeIdle(&exchange{correlationID: "c1"}, settle, false, now))
 		}
 		// The same applies to a cancellation or a probe, which has no correlation ID: a late response would be taken
 		// for its own.
-		word := &endpoint{idle: slices.Clone(in.idle), lastUnsolicited: in.lastUnsolicited}
-		require.Same(t, all[one.took+1], word.takeIdle(&exchange{method: "DELETE", maxIdle: one.mostIdle}, settle, true, now), "%+v", one)
-		c := in.takeIdle(&exchange{correlationID: "c1", maxIdle: one.mostIdle}, settle, true, now)
-		require.Same(t, all[one.took+1], c, "%+v", one)
-		require.Len(t, in.idle, max(0, len(one.rested)-1)+map[bool]int{true: 1}[c == nil && len(one.rested) > 0])
+		other := &endpoint{idle: slices.Clone(ep.idle), lastUnsolicited: ep.lastUnsolicited}
+		require.Same(t, want[tt.taken+1], other.takeIdle(&exchange{method: "DELETE", maxIdle: tt.maxIdle}, settle, true, now), "%+v", tt)
+		c := ep.takeIdle(&exchange{correlationID: "c1", maxIdle: tt.maxIdle}, settle, true, now)
+		require.Same(t, want[tt.taken+1], c, "%+v", tt)
+		require.Len(t, ep.idle, max(0, len(tt.idle)-1)+map[bool]int{true: 1}[c == nil && len(tt.idle) > 0])
 	}
 }
--- a/internal/net/upstream/answer_test.go
+++ b/internal/net/upstream/response_test.go
@@ -31,27 +31,27 @@
 	const head = "HTTP/1.1 202 Accepted\r\n"
 	field := "X: " + strings.Repeat("x", 4000) + "\r\n"
 	for name, answer := range map[string]string{
-		"no HTTP":              "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n",
-		"no status":            "HTTP/1.1 abc\r\n\r\n",
-		"status below":         "HTTP/1.1 099 Low\r\n\r\n",
-		"other version":        "HTTP/3.0 202 Accepted\r\n\r\n",
-		"endless line":         head + "X: " + strings.Repeat("x", 2*http1.MaxLine),
-		"endless head":         head + strings.Repeat(field, 8),
-		"too many fields":      head + strings.Repeat("X: x\r\n", http1.MaxFields+1),
-		"field without a name": head + ": x\r\n\r\n",
-		"zero byte":            head + "X: a\x00b\r\n\r\n",
-		"interim without end":  strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20),
-		"huge length":          head + "Content-Length: 99999999999\r\n\r\n",
-		"negative length":      head + "Content-Length: -1\r\n\r\n",
-		"length past numbers":  head + "Content-Length: 99999999999999999999999\r\n\r\n",
-		"two lengths":          head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
-		"length and chunks":    head + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"unknown coding":       head + "Transfer-Encoding: gzip\r\n\r\n",
-		"bad chunk":            head + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
-		"huge chunk":           head + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n",
-		"chunks without end":   head + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("400\r\n"+strings.Repeat("x", 1024)+"\r\n", 80),
-		"trailer without end":  head + "Transfer-Encoding: chunked\r\n\r\n0\r\n" + strings.Repeat(field, 8),
-		"body without end":     head + "\r\n" + strings.Repeat("x", http1.MaxBody+1),
+		"no HTTP":                   "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n",
+		"no status":                 "HTTP/1.1 abc\r\n\r\n",
+		"status below":              "HTTP/1.1 099 Low\r\n\r\n",
+		"other version":             "HTTP/3.0 202 Accepted\r\n\r\n",
+		"endless line":              head + "X: " + strings.Repeat("x", 2*http1.MaxLine),
+		"endless head":              head + strings.Repeat(field, 8),
+		"too many fields":           head + strings.Repeat("X: x\r\n", http1.MaxFields+1),
+		"field without a name":      head + ": x\r\n\r\n",
+		"zero byte":                 head + "X: a\x00b\r\n\r\n",
+		"endless interim responses": strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20),
+		"huge length":               head + "Content-Length: 99999999999\r\n\r\n",
+		"negative length":           head + "Content-Length: -1\r\n\r\n",
+		"length out of range":       head + "Content-Length: 99999999999999999999999\r\n\r\n",
+		"two lengths":               head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
+		"length and chunks":         head + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"unknown coding":            head + "Transfer-Encoding: gzip\r\n\r\n",
+		"bad chunk":                 head + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
+		"huge chunk":                head + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n",
+		"endless chunks":            head + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("400\r\n"+strings.Repeat("x", 1024)+"\r\n", 80),
+		"endless trailer":           head + "Transfer-Encoding: chunked\r\n\r\n0\r\n" + strings.Repeat(field, 8),
+		"endless body":              head + "\r\n" + strings.Repeat("x", http1.MaxBody+1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := listen(t)
@@ -80,7 +80,7 @@
 		"RST": (*encoderConn).reset,
 	}
 	for name, end := range ends {
-		for text, told := range map[string]bool{
+		for text, cancelled := range map[string]bool{
 			"": false, "H": true, "HTTP/1.1 20": true, "HTTP/1.1 202 Accepted\r\n": true,
 			"HTTP/1.1 202 Accepted\r\nContent-Length: 5\r\n\r\nab":              true,
 			"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n5\r\na": true,
@@ -93,12 +93,12 @@
 				c.write(text)
 				end(c)
 				require.Equal(t, decide.Reset, receive(t, r.ended))
-				if told {
+				if cancelled {
 					d := e.accept()
 					d.expectCancel()
 					d.write(response200)
 				}
-				awaitIdle(t, p, map[bool]int{true: 1}[told])
+				awaitIdle(t, p, map[bool]int{true: 1}[cancelled])
 				e.expectNoConn()
 				require.Empty(t, r.ended)
 			})
@@ -121,9 +121,9 @@
 // newPausingPool returns a pool that pauses after the last byte of each attempt.
 func newPausingPool(t *testing.T, e *encoder) (*Pool, pausingObserver) {
 	p, r := newScriptedPool(t, e, 9)
-	held := pausingObserver{r, make(chan bool, 9), make(chan bool, 9)}
-	p.ReportTo(held)
-	return p, held
+	observer := pausingObserver{r, make(chan bool, 9), make(chan bool, 9)}
+	p.ReportTo(observer)
+	return p, observer
 }
 
 // A complete response counts even if the connection is reset before the response is read. The next request uses
@@ -178,7 +178,7 @@
 	d := e.accept()
 	d.expectCancel()
 	r.resume <- true
-	require.Equal(t, decide.Reset, receive(t, r.ended), "which the loop drops")
+	require.Equal(t, decide.Reset, receive(t, r.ended), "the loop ignores it")
 	d.write(response200)
 	awaitIdle(t, p, 1)
 	require.Empty(t, r.accepted)
@@ -197,7 +197,7 @@
 		d := e.accept()
 		d.expectCancel()
 		d.write(response200)
-		require.Equal(t, decide.Reset, receive(t, r.ended), "which the loop drops")
+		require.Equal(t, decide.Reset, receive(t, r.ended), "the loop ignores it")
 		c.expectClosed()
 		awaitIdle(t, p, 1)
 		require.Equal(t, 1, openConns(p))
@@ -238,12 +238,12 @@
 		"with the first": func(c *encoderConn, p *Pool) {
 			c.write(response202 + response503)
 		},
-		"between two": func(c *encoderConn, p *Pool) {
+		"between two requests": func(c *encoderConn, p *Pool) {
 			c.write(response202)
 			awaitIdle(c.t, p, 1)
 			c.write(response503)
 		},
-		"half of one between two": func(c *encoderConn, p *Pool) {
+		"half a response between two requests": func(c *encoderConn, p *Pool) {
 			c.write(response202)
 			awaitIdle(c.t, p, 1)
 			c.write("HTTP/1.1 50")
@@ -287,12 +287,12 @@
 // far the request can have got: if it was not written completely it did not run, otherwise it is a reset, since the
 // encoder may have read it.
 func TestConnectionClosedDuringReuse(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, tt := range map[string]struct {
 		end  func(*encoderConn)
 		want decide.Outcome
 	}{
-		"FIN unseen": {func(c *encoderConn) { c.Close() }, decide.Reset},
-		"RST":        {(*encoderConn).reset, decide.ConnectFailed},
+		"FIN": {func(c *encoderConn) { c.Close() }, decide.Reset},
+		"RST": {(*encoderConn).reset, decide.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := listen(t)
@@ -303,15 +303,15 @@
 			p.start("s-1", &exchange{
 				method: "POST", target: "/api", correlationID: "c1", deadline: a.Deadline, newWork: true, onDone: func(e result) { outcome <- e },
 				expired: func(time.Time) bool { // called right before the first byte
-					one.end(c)
+					tt.end(c)
 					return false
 				},
 			})
 			end := receive(t, outcome)
 			o, over := end.outcome()
 			require.True(t, over)
-			require.Equal(t, one.want, o)
-			require.Positive(t, end.connIdle, "by which the module knows that the connection was an old one")
+			require.Equal(t, tt.want, o)
+			require.Positive(t, end.connIdle, "the decision module must see that the connection was reused")
 			require.Eventually(t, func() bool { return openConns(p) == 0 }, testTimeout, time.Millisecond)
 		})
 	}
@@ -320,12 +320,12 @@
 // A request whose connection breaks before the last byte is written never ran, whatever the encoder answered before.
 func TestConnectionClosedDuringWrite(t *testing.T) {
 	for name, end := range map[string]func(*encoderConn){
-		"RST":                func(c *encoderConn) { c.reset() },
-		"FIN over unread":    func(c *encoderConn) { c.Close() },
-		"answer, then RST":   func(c *encoderConn) { c.write(response503); c.reset() },
-		"taken, then RST":    func(c *encoderConn) { c.write(response202); c.reset() },
-		"half, then RST":     func(c *encoderConn) { c.write("HTTP/1.1 50"); c.reset() },
-		"error, then closed": func(c *encoderConn) { c.write("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"); c.Close() },
+		"RST":                  func(c *encoderConn) { c.reset() },
+		"FIN with unread data": func(c *encoderConn) { c.Close() },
+		"refused, then RST":    func(c *encoderConn) { c.write(response503); c.reset() },
+		"accepted, then RST":   func(c *encoderConn) { c.write(response202); c.reset() },
+		"half, then RST":       func(c *encoderConn) { c.write("HTTP/1.1 50"); c.reset() },
+		"error, then FIN":      func(c *encoderConn) { c.write("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := listen(t)
--- a/internal/net/upstream/encoder_test.go
+++ b/internal/net/upstream/scripted_encoder_test.go
@@ -122,9 +122,9 @@
 	nc, err := dialer.Dial("tcp", e.Addr().String())
 	require.NoError(e.t, err)
 	p.mu.Lock()
-	in := p.endpoints["s-1"]
+	ep := p.endpoints["s-1"]
 	c := &conn{
-		pool: p, endpoint: in, exchanges: make(chan *exchange, 1), epoch: in.epoch, dialStarted: time.Now(), idleSince: time.Now(),
+		pool: p, endpoint: ep, exchanges: make(chan *exchange, 1), epoch: ep.epoch, dialStarted: time.Now(), idleSince: time.Now(),
 		nc: nc, br: bufio.NewReaderSize(nc, http1.MaxLine),
 	}
 	p.connCount++
@@ -152,7 +152,7 @@
 	c, err := net.Dial("tcp", e.Addr().String())
 	require.NoError(e.t, err)
 	defer c.Close()
-	require.Equal(e.t, c.LocalAddr().String(), e.accept().RemoteAddr().String(), "another came before")
+	require.Equal(e.t, c.LocalAddr().String(), e.accept().RemoteAddr().String(), "another connection was waiting")
 }
 
 // update returns an update of the instance list that lists the encoder in a state.
@@ -161,8 +161,8 @@
 }
 
 // newScriptedPool returns a pool whose only encoder is controlled by the test.
-func newScriptedPool(t *testing.T, e *encoder, most int) (*Pool, recorder) {
-	p, r, _ := newAutoPool(t, most)
+func newScriptedPool(t *testing.T, e *encoder, maxConns int) (*Pool, recorder) {
+	p, r, _ := newAutoPool(t, maxConns)
 	p.Listed(e.update(decide.Ready))
 	return p, r
 }
@@ -187,7 +187,7 @@
 	select {
 	case value = <-from:
 	case <-time.After(testTimeout):
-		require.FailNow(t, "nothing came")
+		require.FailNow(t, "no value received in time")
 	}
 	return value
 }
