--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -29,7 +29,7 @@
 // to the next request on that connection: a refused request would count as accepted, or the reverse.
 const (
 	defaultSettle     = 50 * time.Millisecond // idle time after which a connection is preferred for reuse
-	unsolicitedWindow = 30 * time.Second      // how long after unsolicited data from any encoder that preference applies; for the encoder that sent it, it is mandatory
+	unsolicitedWindow = 30 * time.Second      // how long that applies after unsolicited data from any encoder; a rule for the one that sent it
 )
 
 // maxEndpoints is the number of encoders above which those that are gone are removed.
@@ -129,8 +129,7 @@
 	}
 }
 
-// Cordon sets or, if out is false, lifts the cordon on an encoder. A cordoned encoder gets nothing new, whatever the
-// list says.
+// Cordon sets or lifts the cordon on an encoder. A cordoned encoder gets nothing new, whatever the list says.
 func (p *Pool) Cordon(id string, cordon bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -377,7 +376,7 @@
 
 // takeIdle removes and returns the idle connection to be used for an exchange, or nil if a new one is needed. It is
 // the most recently used one. If some encoder sends unsolicited data, it is the most recently used one that has been
-// idle for at least the settle time; if none has, the longest idle one, unless it was this encoder.
+// idle for at least the settle time; if none has, the longest idle one, or nil if this encoder sent the data.
 func (ep *endpoint) takeIdle(x *exchange, settle time.Duration, unsolicited bool, now time.Time) *conn {
 	last := len(ep.idle) - 1
 	if last < 0 || x.newConn {
