--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -60,7 +60,7 @@
 	clockStart   time.Time // zero of the clock's time
 	subscribed   chan struct{}
 	clockChanged chan struct{} // signalled when the time of the clock's next call may have changed
-	dial         func(ctx context.Context, address string, by time.Time) (net.Conn, error)
+	dial         func(ctx context.Context, address string, deadline time.Time) (net.Conn, error)
 
 	mu          sync.Mutex
 	clock       *listclock.Clock
@@ -263,15 +263,15 @@
 	}
 	w.clearSubscription() // this watch has served any subscription made while it was active
 	next, scheduled := w.clock.NextCall()
-	due, moving := scheduled && w.now() > next-timerSlack, w.clock.AddressChangePending()
+	due, addressChanged := scheduled && w.now() > next-timerSlack, w.clock.AddressChangePending()
 	var timeout net.Error
 	switch {
-	case due && moving:
+	case due && addressChanged:
 		return endMoved, w.answered
 	case due && errors.As(err, &timeout) && timeout.Timeout():
 		return endSilent, w.answered
 	}
-	if w.clock.CallEnded(w.now()); moving {
+	if w.clock.CallEnded(w.now()); addressChanged {
 		return endMovePending, w.answered
 	}
 	return endLost, w.answered
--- a/internal/net/upstream/cancel_test.go
+++ b/internal/net/upstream/cancel_test.go
@@ -49,10 +49,10 @@
 func TestFailedCancellationIsRetriedOnce(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
-	kept := e.serveAttempt(p, r)
+	idle := e.serveAttempt(p, r)
 	confirmed := startCancellation(p)
-	kept.expectCancel()
-	kept.reset()
+	idle.expectCancel()
+	idle.reset()
 	c := e.accept()
 	c.expectCancel()
 	c.reset()
--- a/internal/net/upstream/dial_test.go
+++ b/internal/net/upstream/dial_test.go
@@ -23,14 +23,14 @@
 // A connection that is established after its attempt has ended carries nothing of it, and the attempt's end is
 // reported once. The connection is kept if it is usable, and closed if its encoder is gone or has a new address.
 func TestConnectionEstablishedTooLate(t *testing.T) {
-	gone := func(time.Time) bool { return true }
+	expired := func(time.Time) bool { return true }
 	elsewhere := listen(t)
 	for name, tt := range map[string]struct {
 		change func(*Pool, *encoder, *dispatch.Attempt)
 		open   int
 	}{
 		"cancelled":                {func(p *Pool, _ *encoder, a *dispatch.Attempt) { p.Cancel(a) }, 1},
-		"client gone":              {func(p *Pool, _ *encoder, a *dispatch.Attempt) { setExpired(p, a, gone) }, 1},
+		"client gone":              {func(p *Pool, _ *encoder, a *dispatch.Attempt) { setExpired(p, a, expired) }, 1},
 		"owned by another process": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Unsend() }, 1},
 		"drain":                    {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.Listed(e.update(decide.Draining)) }, 1},
 		"gone":                     {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.Listed(e.update(decide.Gone)) }, 0},
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -37,7 +37,7 @@
 
 // Observer is notified of the results of what was sent.
 type Observer interface {
-	AttemptEnded(_ *dispatch.Attempt, _ decide.Outcome, kept time.Duration)
+	AttemptEnded(_ *dispatch.Attempt, _ decide.Outcome, connIdle time.Duration)
 	AttemptSent(*dispatch.Attempt)
 	AttemptAccepted(*dispatch.Attempt)
 	AttemptUnusable(*dispatch.Attempt)
