--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -22,259 +22,263 @@
 )
 
 const (
-	maxObject = 4 << 20               // bytes of one list
-	mostTold  = 4                     // faulty entries of one list that are told of, one by one
-	pace      = 20 * time.Millisecond // a dispatcher, at which the fleet's calls for one cause are spread; as in decide
-	slack     = 10 * time.Millisecond // by which a timer may be early
+	maxListBytes       = 4 << 20               // size limit of one list
+	maxReportedEntries = 4                     // invalid entries of one list that are reported one by one
+	callSpacing        = 20 * time.Millisecond // per dispatcher: interval over which the fleet's calls for the same cause are spread; the same as in decide
+	timerSlack         = 10 * time.Millisecond // a timer may fire this much early
 )
 
-// ErrNobody says that a call has reached nobody: it has cost the service nothing.
-var ErrNobody = errors.New("nobody reached")
+// ErrNobody reports that a call did not reach discovery, so it caused no load there.
+var ErrNobody = errors.New("discovery not reached")
 
-// OlderListError says that a list is older than one before it on the same watch.
+// OlderListError reports that a list has a lower revision than an earlier one on the same watch.
 type OlderListError struct{ Revision, Last int64 }
 
 func (e *OlderListError) Error() string {
-	return fmt.Sprintf("list: revision %d behind %d on one watch", e.Revision, e.Last)
+	return fmt.Sprintf("list: revision %d is older than revision %d received on the same watch", e.Revision, e.Last)
 }
 
-// Sink takes what discovery tells. Its calls come from one goroutine and in order.
+// Sink receives what discovery reports. Its methods are called from one goroutine, in order.
 type Sink interface {
-	// Listed takes a list as it was read.
+	// Listed receives a list as it was read.
 	Listed(dispatch.InstanceUpdate)
-	// Alive: the watch is on, and nothing has changed.
+	// Alive reports that the watch is active and nothing has changed.
 	Alive()
-	// Silent: the watch, or the call for one, has fallen silent, for the nth time in a row from 1, and is made anew
-	// right now.
+	// Silent reports that the watch, or the call that opens it, has timed out, for the nth time in a row from 1. It
+	// is reopened immediately.
 	Silent(n int, err error)
-	// Lost: the watch, or the call for one, has failed, so long after the call was made. The list stays as it was.
+	// Lost reports that the watch, or the call that opens it, has failed, and how long after the call started. The
+	// list is unchanged.
 	Lost(err error, after time.Duration)
-	// Faulty: an entry of a list, or a list, is passed over. The watch goes on.
+	// Faulty reports that a list or an entry of one is ignored. The watch continues.
 	Faulty(error)
 }
 
-// Watcher keeps a watch on the changes of discovery's list. When it calls goes by its [listclock.Clock], and by Subscribe.
+// Watcher watches discovery's list for changes. Its [listclock.Clock] and Subscribe determine when it calls
+// discovery.
 type Watcher struct {
-	start  time.Time // of the clock
-	wanted chan struct{}
-	nudged chan struct{} // the clock tells another time than before
-	dial   func(ctx context.Context, address string, by time.Time) (net.Conn, error)
-
-	mu       sync.Mutex
-	clock    *listclock.Clock
-	address  string
-	revision int64
-	called   time.Duration         // when the last call was made
-	table    dispatch.InstanceList // as told, of the watch's goroutine
-	leave    context.CancelFunc    // ends the watch that is on
-	rested   bool                  // the watch that is on was ended by Rest
-	answered bool                  // the call for it succeeded
-}
-
-// NewWatcher watches from the given revision on, as the settings say.
+	clockStart   time.Time // zero of the clock's time
+	subscribed   chan struct{}
+	clockChanged chan struct{} // signalled when the time of the clock's next call may have changed
+	dial         func(ctx context.Context, address string, deadline time.Time) (net.Conn, error)
+
+	mu          sync.Mutex
+	clock       *listclock.Clock
+	address     string
+	revision    int64
+	callStarted time.Duration         // start time of the last call
+	instances   dispatch.InstanceList // as last received; used by the watch's goroutine only
+	cancelWatch context.CancelFunc    // ends the current watch
+	paused      bool                  // the current watch was ended by Rest
+	answered    bool                  // the call that opened the current watch succeeded
+}
+
+// NewWatcher returns a watcher that starts from the given revision.
 func NewWatcher(address string, revision int64, s decide.Settings) *Watcher {
 	return &Watcher{
-		address: address, revision: revision, start: time.Now(), wanted: make(chan struct{}, 1), nudged: make(chan struct{}, 1),
-		leave: func() {}, clock: listclock.New(terms(s), 0), dial: dial,
+		address: address, revision: revision, clockStart: time.Now(), subscribed: make(chan struct{}, 1), clockChanged: make(chan struct{}, 1),
+		cancelWatch: func() {}, clock: listclock.New(clockSettings(s), 0), dial: dial,
 	}
 }
 
-func dial(ctx context.Context, address string, by time.Time) (net.Conn, error) {
-	return (&net.Dialer{Deadline: by}).DialContext(ctx, "tcp", address)
+func dial(ctx context.Context, address string, deadline time.Time) (net.Conn, error) {
+	return (&net.Dialer{Deadline: deadline}).DialContext(ctx, "tcp", address)
 }
 
-// From has the first watch be at an address, from a revision on. It must come before Run.
+// From sets the address and revision of the first watch. It must be called before Run.
 func (w *Watcher) From(address string, revision int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.address, w.revision = address, revision
 }
 
-// Retune has other settings count from now on.
+// Retune applies new settings.
 func (w *Watcher) Retune(s decide.Settings) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.clock.UpdateSettings(terms(s))
-	nudge(w.nudged)
+	w.clock.UpdateSettings(clockSettings(s))
+	signal(w.clockChanged)
 }
 
-// terms is what the settings say of the list. A pushed one comes by an agent on this machine, which has been sent it;
-// else by a service that many call.
-func terms(s decide.Settings) listclock.Settings {
-	t := listclock.Settings{Mode: listclock.Watched, MaxAge: s.Rules.MustAskIn, DrainGrace: s.Rules.DrainGrace, Spread: time.Duration(s.DispatcherCount) * pace}
+// clockSettings derives the clock's settings. A pushed list comes from an agent on this machine, which has received
+// it already; otherwise it comes from a service that many dispatchers call.
+func clockSettings(s decide.Settings) listclock.Settings {
+	t := listclock.Settings{Mode: listclock.Watched, MaxAge: s.Rules.MustAskIn, DrainGrace: s.Rules.DrainGrace, Spread: time.Duration(s.DispatcherCount) * callSpacing}
 	if s.ListPushed {
 		t.Mode = listclock.Pushed
 	}
 	return t
 }
 
-func (w *Watcher) now() time.Duration { return time.Since(w.start) }
+func (w *Watcher) now() time.Duration { return time.Since(w.clockStart) }
 
-// since is how long ago the last call was made.
-func (w *Watcher) since() time.Duration {
+// sinceCall returns the time since the start of the last call.
+func (w *Watcher) sinceCall() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.now() - w.called
+	return w.now() - w.callStarted
 }
 
-func nudge(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// Subscribe asks for a watch. It never blocks; while one is on, it does nothing.
-func (w *Watcher) Subscribe() { nudge(w.wanted) }
+// Subscribe requests a watch. It never blocks, and has no effect while a watch is active.
+func (w *Watcher) Subscribe() { signal(w.subscribed) }
 
-// Move has the name table at another address from now on. The watch there begins with the whole table: revisions told
-// by another peer say nothing of what this one has told. Until the clock has it begin, the watch that is on stays.
+// Move sets a new address of discovery. The watch there starts with the complete list, since revisions of different
+// servers cannot be compared. The current watch continues until the clock permits the call to the new address.
 func (w *Watcher) Move(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.address, w.revision = address, 0
 	w.clock.AddressChanged(w.now())
-	nudge(w.nudged)
-	if ask, ok := w.clock.NextCall(); ok {
-		time.AfterFunc(ask-w.now(), w.follow)
+	signal(w.clockChanged)
+	if next, ok := w.clock.NextCall(); ok {
+		time.AfterFunc(next-w.now(), w.leaveOldAddress)
 	}
 }
 
-// Moving tells whether what is told still comes from an address that the name table has left.
+// Moving reports whether updates still come from an address that is no longer discovery's.
 func (w *Watcher) Moving() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.clock.AddressChangePending()
 }
 
-// follow ends the watch at an address that the name table has left.
-func (w *Watcher) follow() {
+// leaveOldAddress ends the watch at an address that is no longer discovery's.
+func (w *Watcher) leaveOldAddress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.clock.AddressChangePending() {
-		w.leave()
+		w.cancelWatch()
 	}
 }
 
-// Rest ends the watch that is on, and what is asked for: others tell of changes. The next Subscribe begins one again.
+// Rest ends the current watch and drops a pending subscription, because others report changes. The next Subscribe
+// starts a new watch.
 func (w *Watcher) Rest() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.forget()
+	w.clearSubscription()
 	w.clock.Pause(w.now())
-	w.rested = true
-	w.leave()
+	w.paused = true
+	w.cancelWatch()
 }
 
-// forget drops what was asked for.
-func (w *Watcher) forget() {
+// clearSubscription drops a pending subscription.
+func (w *Watcher) clearSubscription() {
 	select {
-	case <-w.wanted:
+	case <-w.subscribed:
 	default:
 	}
 }
 
-// Run serves subscriptions until the context ends. When to ask again after a loss is the decision of whoever
-// subscribes, and at the latest the clock's; after silence, and after a move, it is the clock's alone.
+// Run serves subscriptions until the context ends. After a failure, the subscriber decides when to call again, and
+// the clock sets the latest time; after a time-out or an address change, the clock alone decides.
 func (w *Watcher) Run(ctx context.Context, sink Sink) {
-	silent := 0 // calls and watches in a row
-	for again := false; again || w.wait(ctx); {
-		on, leave := context.WithCancel(ctx)
-		address, revision, ok := w.call(leave, again)
-		if again = false; !ok {
-			leave()
+	silences := 0 // consecutive time-outs
+	for reopen := false; reopen || w.wait(ctx); {
+		watchCtx, cancel := context.WithCancel(ctx)
+		address, revision, ok := w.startCall(cancel, reopen)
+		if reopen = false; !ok {
+			cancel()
 			continue
 		}
-		err := w.watch(on, sink, address, revision)
-		leave()
+		err := w.watch(watchCtx, sink, address, revision)
+		cancel()
 		if ctx.Err() != nil {
 			return
 		}
-		how, answered := w.over(err)
+		end, answered := w.watchEnded(err)
 		if answered {
-			silent = 0
+			silences = 0
 		}
-		switch again = how == anew || how == left; how {
-		case anew:
-			silent++
-			sink.Silent(silent, err)
-		case lost:
-			sink.Lost(err, w.since())
+		switch reopen = end == endSilent || end == endMoved; end {
+		case endSilent:
+			silences++
+			sink.Silent(silences, err)
+		case endLost:
+			sink.Lost(err, w.sinceCall())
 		}
 	}
 }
 
-// wait waits until a watch is wanted, or the clock says so; false: the context has ended.
+// wait waits for a subscription or for the clock's next call. It returns false if the context has ended.
 func (w *Watcher) wait(ctx context.Context) bool {
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		w.mu.Lock()
-		ask, goes := w.clock.NextCall()
+		next, scheduled := w.clock.NextCall()
 		w.mu.Unlock()
-		if alarm.Stop(); goes {
-			alarm.Reset(ask - w.now())
+		if timer.Stop(); scheduled {
+			timer.Reset(next - w.now())
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-w.wanted:
+		case <-w.subscribed:
 			return true
-		case <-w.nudged:
-		case <-alarm.C:
+		case <-w.clockChanged:
+		case <-timer.C:
 			return true
 		}
 	}
 }
 
-// call tells the clock of a call, and says where; false: it is not to be made, since others tell of changes meanwhile.
-func (w *Watcher) call(leave context.CancelFunc, again bool) (address string, revision int64, ok bool) {
+// startCall records the start of a call and returns where to call. ok is false if the call must not be made because
+// others report changes meanwhile.
+func (w *Watcher) startCall(cancel context.CancelFunc, reopen bool) (address string, revision int64, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if again && w.rested {
+	if reopen && w.paused {
 		return "", 0, false
 	}
-	w.called = w.now()
-	w.clock.CallStarted(w.called, 0, rand.Float64())
-	w.leave, w.rested, w.answered = leave, false, false
+	w.callStarted = w.now()
+	w.clock.CallStarted(w.callStarted, 0, rand.Float64())
+	w.cancelWatch, w.paused, w.answered = cancel, false, false
 	return w.address, w.revision, true
 }
 
-// ending is how a watch ended.
-type ending int
+// watchEndReason is the reason why a watch ended.
+type watchEndReason int
 
 const (
-	lost  ending = iota // and others say when to ask again
-	anew                // it fell silent: it is opened anew now
-	left                // for another address, now
-	moves               // its address was left anyway, and the clock says when to call the other
+	endLost        watchEndReason = iota // failed; the subscriber decides when to call again
+	endSilent                            // timed out; reopen now
+	endMoved                             // address changed; call the new one now
+	endMovePending                       // failed after the address changed; the clock decides when to call the new one
 )
 
-// over takes the end of a watch.
-func (w *Watcher) over(err error) (how ending, answered bool) {
+// watchEnded records the end of a watch and returns its reason.
+func (w *Watcher) watchEnded(err error) (end watchEndReason, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.rested { // what was asked for since then stands
-		return lost, w.answered
+	if w.paused { // keep a subscription that was made since
+		return endLost, w.answered
 	}
-	w.forget() // what was asked for while the watch was on is answered with it
-	ask, goes := w.clock.NextCall()
-	due, moving := goes && w.now() > ask-slack, w.clock.AddressChangePending()
+	w.clearSubscription() // this watch has served any subscription made while it was active
+	next, scheduled := w.clock.NextCall()
+	due, addressChanged := scheduled && w.now() > next-timerSlack, w.clock.AddressChangePending()
 	var timeout net.Error
 	switch {
-	case due && moving:
-		return left, w.answered
+	case due && addressChanged:
+		return endMoved, w.answered
 	case due && errors.As(err, &timeout) && timeout.Timeout():
-		return anew, w.answered
+		return endSilent, w.answered
 	}
-	if w.clock.CallEnded(w.now()); moving {
-		return moves, w.answered
+	if w.clock.CallEnded(w.now()); addressChanged {
+		return endMovePending, w.answered
 	}
-	return lost, w.answered
+	return endLost, w.answered
 }
 
-// told keeps the revision from which a later watch goes on.
-func (w *Watcher) told(revision int64) {
+// listReceived records a received list and the revision from which a later watch continues.
+func (w *Watcher) listReceived(revision int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.clock.ListReceived(w.now()); !w.clock.AddressChangePending() {
@@ -282,82 +286,83 @@
 	}
 }
 
-// passedOver tells the clock that what came was no news.
-func (w *Watcher) passedOver() {
+// listIgnored records a list that was ignored.
+func (w *Watcher) listIgnored() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.clock.ListIgnored(w.now())
 }
 
-// beat tells the clock that nothing has changed.
-func (w *Watcher) beat() {
+// heartbeat records that nothing has changed.
+func (w *Watcher) heartbeat() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.clock.Heartbeat(w.now())
 }
 
-// deadline is when what is open has been silent for too long.
-func (w *Watcher) deadline() time.Time {
+// silenceDeadline returns the time at which the current call or watch counts as timed out.
+func (w *Watcher) silenceDeadline() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ask, _ := w.clock.NextCall()
-	return w.start.Add(ask)
+	next, _ := w.clock.NextCall()
+	return w.clockStart.Add(next)
 }
 
 func (w *Watcher) watch(ctx context.Context, sink Sink, address string, revision int64) error {
-	conn, err := w.dial(ctx, address, w.deadline())
-	if scarce(err) {
-		return fmt.Errorf("no descriptor for a call: %w", err)
+	conn, err := w.dial(ctx, address, w.silenceDeadline())
+	if localShortage(err) {
+		return fmt.Errorf("local resource shortage, discovery not called: %w", err)
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNobody, err)
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if err := conn.SetWriteDeadline(w.deadline()); err != nil {
+	if err := conn.SetWriteDeadline(w.silenceDeadline()); err != nil {
 		return err
 	}
 	target := "/catalog/members?stream=1&index=" + strconv.FormatInt(revision, 10)
-	ask := http1.AppendRequest(nil, "GET", target, http1.Header{{Name: "Host", Value: address}}, nil)
-	if _, err := conn.Write(ask); err != nil {
+	request := http1.AppendRequest(nil, "GET", target, http1.Header{{Name: "Host", Value: address}}, nil)
+	if _, err := conn.Write(request); err != nil {
 		return err
 	}
-	br := bufio.NewReaderSize(signs{conn, w}, http1.MaxLine)
-	p, body, err := http1.ReadStream(br)
+	br := bufio.NewReaderSize(monitoredConn{conn, w}, http1.MaxLine)
+	response, body, err := http1.ReadStream(br)
 	if err != nil {
 		return err
 	}
-	if p.Status != 200 {
-		return fmt.Errorf("discovery answered %d", p.Status)
+	if response.Status != 200 {
+		return fmt.Errorf("discovery answered with HTTP status %d", response.Status)
 	}
 	w.mu.Lock()
 	w.answered = true
 	w.mu.Unlock()
-	return w.read(sink, body)
+	return w.readLists(sink, body)
 }
 
-// scarce tells whether this machine or process had too little for a call: that says nothing of whom it was for.
-func scarce(err error) bool {
-	for _, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, lack) {
+// localShortage reports whether a call failed for lack of resources of this machine or process, which says nothing
+// about discovery.
+func localShortage(err error) bool {
+	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
 	return false
 }
 
-// read reads lists until the watch ends. Each is a JSON value, on one line or on many.
-func (w *Watcher) read(sink Sink, body io.Reader) error {
-	in := &objects{in: body, w: w, sink: sink, empty: true}
+// readLists reads lists until the watch ends. Each is a JSON value, on one line or on several.
+func (w *Watcher) readLists(sink Sink, body io.Reader) error {
+	lists := &listReader{body: body, w: w, sink: sink, lineEmpty: true}
 	last := int64(math.MinInt64)
-	for values := json.NewDecoder(in); ; {
-		var text json.RawMessage
-		if err := values.Decode(&text); errors.Is(err, io.EOF) {
-			return errors.New("the watch ended")
+	for values := json.NewDecoder(lists); ; {
+		var list json.RawMessage
+		if err := values.Decode(&list); errors.Is(err, io.EOF) {
+			return errors.New("watch closed by discovery")
 		} else if err != nil {
 			return err
 		}
-		l, faulty, err := readList(text)
+		update, faulty, err := readList(list)
 		if err != nil {
 			return err
 		}
@@ -365,42 +370,41 @@
 		if err != nil {
 			return err
 		}
-		if l.Revision < last {
-			w.passedOver()
-			in.next(rest)
-			sink.Faulty(&OlderListError{Revision: l.Revision, Last: last})
+		if update.Revision < last {
+			w.listIgnored()
+			lists.listEnded(rest)
+			sink.Faulty(&OlderListError{Revision: update.Revision, Last: last})
 			continue
 		}
-		last = l.Revision
-		w.told(last)
-		in.next(rest)
-		report(sink, faulty)
-		l = keep(l, faulty, w.table.Instances())
-		w.table.Update(l)
-		sink.Listed(l)
+		last = update.Revision
+		w.listReceived(last)
+		lists.listEnded(rest)
+		reportFaulty(sink, faulty)
+		update = keepUnreadable(update, faulty, w.instances.Instances())
+		w.instances.Update(update)
+		sink.Listed(update)
 	}
 }
 
-// report tells of the entries of a list that are passed over, the first ones one by one.
-func report(sink Sink, faulty []*EntryError) {
-	for _, f := range faulty[:min(len(faulty), mostTold)] {
+// reportFaulty reports the invalid entries of a list, only the first ones individually.
+func reportFaulty(sink Sink, faulty []*EntryError) {
+	for _, f := range faulty[:min(len(faulty), maxReportedEntries)] {
 		sink.Faulty(f)
 	}
-	if more := len(faulty) - mostTold; more > 0 {
-		sink.Faulty(fmt.Errorf("list: %d more members that cannot be read", more))
+	if more := len(faulty) - maxReportedEntries; more > 0 {
+		sink.Faulty(fmt.Errorf("list: %d more invalid members", more))
 	}
 }
 
-// signs tells the clock of each sign of life on a connection, and goes by its patience.
-type signs struct {
+// monitoredConn records any received data with the clock, and applies the clock's deadline to reads.
+type monitoredConn struct {
 	net.Conn
 	w *Watcher
 }
 
-func (s signs) Read(p []byte) (int, error) {
-	// Guards against a watch that has gone silent with its machine: a lost line would otherwise leave draining
-	// instances in use.
-	if err := s.SetReadDeadline(s.w.deadline()); err != nil {
+func (s monitoredConn) Read(p []byte) (int, error) {
+	// Detects a watch whose server has failed silently: a missed update would leave draining instances in use.
+	if err := s.SetReadDeadline(s.w.silenceDeadline()); err != nil {
 		return 0, err
 	}
 	n, err := s.Conn.Read(p)
@@ -412,22 +416,22 @@
 	return n, err
 }
 
-// objects passes a watch's body on without what stands between lists, and tells the empty lines there, which are the
-// beat of the watch. Blanks inside a list, or on the line that it ends on, are none.
-type objects struct {
-	in    io.Reader
-	w     *Watcher
-	sink  Sink
-	size  int  // of the list that has begun; 0: none has
-	empty bool // nothing has come on the line that is being read
+// listReader passes on the body of a watch without the whitespace between lists, and reports empty lines there, which
+// are the watch's heartbeats. Blank lines inside a list, or the end of its last line, are no heartbeats.
+type listReader struct {
+	body      io.Reader
+	w         *Watcher
+	sink      Sink
+	size      int  // bytes of the current list; 0: between lists
+	lineEmpty bool // the current line has no text so far
 }
 
-func (o *objects) Read(p []byte) (int, error) {
+func (o *listReader) Read(p []byte) (int, error) {
 	for {
-		n, err := o.in.Read(p)
-		text := o.take(p[:n])
-		if o.size > maxObject {
-			return 0, fmt.Errorf("a list of over %d bytes", maxObject)
+		n, err := o.body.Read(p)
+		text := o.filter(p[:n])
+		if o.size > maxListBytes {
+			return 0, fmt.Errorf("list exceeds %d bytes", maxListBytes)
 		}
 		if len(text) > 0 || err != nil {
 			return copy(p, text), err
@@ -435,21 +439,21 @@
 	}
 }
 
-// next says that a list is whole, and what came with it of the next.
-func (o *objects) next(rest []byte) {
-	o.size, o.empty = 0, false
-	o.take(rest)
+// listEnded records that a list is complete. rest is the data after it that has been read already.
+func (o *listReader) listEnded(rest []byte) {
+	o.size, o.lineEmpty = 0, false
+	o.filter(rest)
 }
 
-// take returns what is not between lists.
-func (o *objects) take(text []byte) []byte {
+// filter returns the text without what is between lists.
+func (o *listReader) filter(text []byte) []byte {
 	if o.size > 0 {
 		o.size += len(text)
 		return text
 	}
-	text, beats := o.between(text)
-	if beats {
-		o.w.beat()
+	text, heartbeat := o.skipBetween(text)
+	if heartbeat {
+		o.w.heartbeat()
 		o.sink.Alive()
 	}
 	if len(text) > 0 {
@@ -461,17 +465,17 @@
 	return text
 }
 
-// between returns the text from the next list on, and whether an empty line stands before it.
-func (o *objects) between(text []byte) (rest []byte, beats bool) {
+// skipBetween returns the text from the start of the next list, and whether an empty line precedes it.
+func (o *listReader) skipBetween(text []byte) (rest []byte, heartbeat bool) {
 	for i, c := range text {
 		switch c {
 		case '\n':
-			beats = beats || o.empty
-			o.empty = true
+			heartbeat = heartbeat || o.lineEmpty
+			o.lineEmpty = true
 		case ' ', '\t', '\r':
 		default:
-			return text[i:], beats
+			return text[i:], heartbeat
 		}
 	}
-	return nil, beats
+	return nil, heartbeat
 }
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -13,36 +13,36 @@
 	"caperrelay/internal/net/sock"
 )
 
-// stage is how far an exchange has come when it ends.
-type stage int
+// progress is how far an exchange got before it ended.
+type progress int
 
 const (
-	unsent   stage = iota // not begun: no connection to spare, or the encoder wants nothing new
-	unmade                // the connection never came up, or broke before the last byte was written
-	broken                // it broke after that, before the answer
-	answered              // the encoder answered
+	notSent       progress = iota // nothing was sent: no free connection, too late, cancelled, or the encoder takes no new work
+	connectFailed                 // the connection could not be opened, or broke before the last byte was written
+	noResponse                    // the connection broke after that, without a complete response
+	answered                      // a response was received
 )
 
-// end is how an exchange ended.
-type end struct {
-	stage    stage
-	response *http1.Response // where it was answered
-	kept     time.Duration   // how long its connection had been idle; 0: it was new
-	unknown  bool            // where it was unsent: no such encoder was ever listed
-	spoilt   bool            // where it broke: not before something of an answer had come
+// result is the result of an exchange.
+type result struct {
+	progress        progress
+	response        *http1.Response // if answered
+	connIdle        time.Duration   // how long the connection had been idle before; 0: it was new
+	unknownInstance bool            // if notSent: the encoder has never been listed
+	malformed       bool            // if noResponse: the response was truncated or invalid
 }
 
-// unusable tells whether the encoder says that no encoder could do the request as it stands.
-func (e end) unusable() bool { return e.stage == answered && e.response.Status == 400 }
+// unusable reports whether the encoder answered that no encoder can execute the request as submitted.
+func (e result) unusable() bool { return e.progress == answered && e.response.Status == 400 }
 
-// outcome is what the end says of an attempt; over is false where the encoder has taken it.
-func (e end) outcome() (o decide.Outcome, over bool) {
-	switch e.stage {
-	case unsent:
+// outcome returns the outcome of the attempt. over is false if the encoder has accepted it and still works on it.
+func (e result) outcome() (o decide.Outcome, over bool) {
+	switch e.progress {
+	case notSent:
 		return decide.NotSent, true
-	case unmade:
+	case connectFailed:
 		return decide.ConnectFailed, true
-	case broken:
+	case noResponse:
 		return decide.Reset, true
 	}
 	switch status := e.response.Status; {
@@ -54,11 +54,11 @@
 	return decide.Errored, true
 }
 
-func (e end) probeOutcome() decide.Outcome {
+func (e result) probeOutcome() decide.Outcome {
 	switch {
-	case e.stage == unmade || e.stage == unsent:
+	case e.progress == connectFailed || e.progress == notSent:
 		return decide.ConnectFailed
-	case e.stage == broken:
+	case e.progress == noResponse:
 		return decide.TimedOut
 	case e.response.Status == 200:
 		return decide.OK
@@ -68,31 +68,30 @@
 	return decide.Errored
 }
 
-// exchange is one request to an encoder and what came back.
+// exchange is one request to an encoder and its response.
 type exchange struct {
-	method, target string
-	id             string       // correlation id, of requests only
-	passed         http1.Header // of the client's
-	body           []byte
-	deadline       time.Time
-	mostIdle       time.Duration        // of the connection; 0: any
-	fresh          bool                 // only a new connection will do
-	gated          bool                 // new work: only for an encoder that is ready
-	patient        bool                 // its connection may take until the deadline to come up
-	expired        func(time.Time) bool // nil: never; it is too late to send it
-	begin          func() bool          // nil: always; told that it is about to be sent, it may say no
-	sent           func()               // called once it is written whole, if at all; may be nil
-	done           func(end)            // called once, from the connection's goroutine
+	method, target       string
+	correlationID        string       // empty for cancellations and probes
+	passedHeader         http1.Header // fields of the client's header that are passed on
+	body                 []byte
+	deadline             time.Time
+	maxIdle              time.Duration        // longest permitted idle time of the connection; 0: no limit
+	newConn              bool                 // must use a new connection
+	newWork              bool                 // new work: sent only to an encoder that is ready
+	connectUntilDeadline bool                 // the connect timeout does not apply, only the deadline
+	expired              func(time.Time) bool // reports whether it must no longer be sent; nil: never
+	begin                func() bool          // called right before sending, which it permits by returning true; nil: always permitted
+	onSent               func()               // called after the last byte has been written; may be nil
+	onDone               func(result)         // called exactly once, from the connection's goroutine
 
 	mu      sync.Mutex
-	conn    net.Conn // while it is on one
+	conn    net.Conn // the connection that carries it, nil if none does
 	aborted bool
 	written bool
 }
 
-// abort ends the exchange by closing its connection. It tells whether the encoder may have
-// got the request whole.
-func (x *exchange) abort() (mayHave bool) {
+// abort ends the exchange by closing its connection. It reports whether the encoder may have received the request.
+func (x *exchange) abort() (mayHaveReceived bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.aborted = true
@@ -102,8 +101,8 @@
 	return x.written
 }
 
-// unsend aborts the exchange unless the encoder may have got something of it.
-func (x *exchange) unsend() {
+// abortUnsent aborts the exchange unless the encoder may have received some of it.
+func (x *exchange) abortUnsent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.written {
@@ -114,11 +113,11 @@
 	}
 }
 
-// late tells whether nobody waits any more for new work that has not been begun.
-func (x *exchange) late() bool { return x.gated && !time.Now().Before(x.deadline) }
+// tooLate reports whether the deadline has passed for new work that has not been sent.
+func (x *exchange) tooLate() bool { return x.newWork && !time.Now().Before(x.deadline) }
 
-// enter puts the exchange on a connection unless it was aborted before.
-func (x *exchange) enter(c net.Conn) bool {
+// attach assigns the exchange to a connection. It returns false if the exchange has been aborted.
+func (x *exchange) attach(c net.Conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.aborted {
@@ -127,122 +126,122 @@
 	return !x.aborted
 }
 
-// leave takes it off, so that an abort that comes too late can't close another's connection.
-func (x *exchange) leave() (aborted bool) {
+// detach releases the connection, so that a late abort cannot close it while it carries another exchange.
+func (x *exchange) detach() (aborted bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn = nil
 	return x.aborted
 }
 
-// conn is one connection to an encoder and, through run, its goroutine.
+// conn is one connection to an encoder. [Pool.serveConn] is its goroutine.
 type conn struct {
-	pool  *Pool
-	in    *endpoint
-	work  chan *exchange // closed: the connection is to end
-	since time.Time      // idle since
-	shut  bool           // by the pool, which counts it no more
+	pool         *Pool
+	endpoint     *endpoint
+	exchanges    chan *exchange // closed when the connection is to end
+	idleSince    time.Time
+	closedByPool bool // and no longer counted by it
 
-	epoch  int       // of the encoder, when it was dialled
-	dialed time.Time // when that began
+	epoch       int // the endpoint's epoch when the dial started
+	dialStarted time.Time
 
 	nc  net.Conn
 	br  *bufio.Reader
-	out []byte // room for requests
+	buf []byte // reused for encoding requests
 }
 
-// run opens a connection for a first exchange and serves further ones until it ends.
-func (p *Pool) run(c *conn, x *exchange) {
-	defer p.closed(c)
+// serveConn opens a connection for its first exchange and serves further ones until the connection ends.
+func (p *Pool) serveConn(c *conn, x *exchange) {
+	defer p.connEnded(c)
 	defer func() {
 		if c.nc != nil {
 			c.nc.Close()
 		}
 	}()
-	retire := time.NewTimer(time.Hour)
-	defer retire.Stop()
+	idleTimer := time.NewTimer(time.Hour)
+	defer idleTimer.Stop()
 	for {
 		e, alive := c.serve(x)
-		x.done(e)
+		x.onDone(e)
 		if !alive {
 			return
 		}
-		p.rest(c)
-		retire.Reset(p.bounds().rest())
+		p.putIdle(c)
+		idleTimer.Reset(p.currentLimits().maxIdle())
 		var ok bool
-		if x, ok = c.next(retire.C); !ok {
+		if x, ok = c.next(idleTimer.C); !ok {
 			return
 		}
 	}
 }
 
-// next waits for a resting connection's next exchange; false: there is none, the connection is to end.
-func (c *conn) next(retire <-chan time.Time) (x *exchange, ok bool) {
+// next waits for an idle connection's next exchange. It returns false if there is none and the connection must end.
+func (c *conn) next(idleTimeout <-chan time.Time) (x *exchange, ok bool) {
 	select {
-	case x, ok = <-c.work:
+	case x, ok = <-c.exchanges:
 		return x, ok
-	case <-retire:
+	case <-idleTimeout:
 	}
-	if c.pool.retire(c) {
+	if c.pool.removeIdle(c) {
 		return nil, false
 	}
-	x, ok = <-c.work // it was given work, or shut, in that moment
+	x, ok = <-c.exchanges // it has just been given an exchange or been closed by the pool
 	return x, ok
 }
 
-// serve carries out one exchange. alive: the connection may carry another.
-func (c *conn) serve(x *exchange) (e end, alive bool) {
-	if c.nc != nil && (!c.pool.leads(c) || c.stale()) { // nothing is written yet, so another connection does no harm
+// serve carries out one exchange. alive reports whether the connection can carry another.
+func (c *conn) serve(x *exchange) (e result, alive bool) {
+	if c.nc != nil && (!c.pool.isCurrent(c) || c.stale()) { // nothing has been written yet, so replacing the connection is harmless
 		c.nc.Close()
 		c.nc = nil
 	}
-	kept := time.Duration(0)
+	connIdle := time.Duration(0)
 	if c.nc != nil {
-		kept = max(time.Since(c.since), 1)
+		connIdle = max(time.Since(c.idleSince), 1)
 	} else if e, up := c.open(x); !up {
 		return e, false
 	}
-	if !x.enter(c.nc) {
-		return end{stage: unsent}, true
+	if !x.attach(c.nc) {
+		return result{progress: notSent}, true
 	}
-	e = c.exchange(x)
-	e.kept = kept
-	aborted, talks := x.leave(), e.stage == answered && c.br.Buffered() > 0
-	if talks {
-		c.pool.talked(c.in)
+	e = c.roundTrip(x)
+	e.connIdle = connIdle
+	aborted, unsolicited := x.detach(), e.progress == answered && c.br.Buffered() > 0
+	if unsolicited {
+		c.pool.noteUnsolicited(c.endpoint)
 	}
-	e.spoilt = e.spoilt && !aborted // else who aborted it takes it back
-	return e, !aborted && !talks && (e.stage == unsent || e.stage == answered && !e.response.Close)
+	e.malformed = e.malformed && !aborted // an aborted exchange is cancelled by the caller of abort
+	return e, !aborted && !unsolicited && (e.progress == notSent || e.progress == answered && !e.response.Close)
 }
 
-// open opens a connection for an exchange; up is false where there is none, and e says why.
-func (c *conn) open(x *exchange) (e end, up bool) {
-	if x.late() { // a dial would fail at once, which speaks against no encoder
-		return end{stage: unsent}, false
+// open opens a connection for an exchange. If up is false, e holds the reason.
+func (c *conn) open(x *exchange) (e result, up bool) {
+	if x.tooLate() { // a dial would fail at once, which says nothing about the encoder
+		return result{progress: notSent}, false
 	}
 	err := c.dial(x)
 	switch {
 	case err == nil:
-		return end{}, true
+		return result{}, true
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-		return end{stage: unsent}, false // our own want speaks against no encoder
+		return result{progress: notSent}, false // a shortage of descriptors in this process says nothing about the encoder
 	}
-	return end{stage: unmade}, false
+	return result{progress: connectFailed}, false
 }
 
-// dial opens a connection. For what is no new work it does so again if the encoder has moved meanwhile.
+// dial opens a connection. For anything but new work, it dials again if the encoder's address has changed meanwhile.
 func (c *conn) dial(x *exchange) error {
-	up := time.Now().Add(c.pool.bounds().Connect)
-	if x.patient || x.deadline.Before(up) {
-		up = x.deadline
+	dialBy := time.Now().Add(c.pool.currentLimits().Connect)
+	if x.connectUntilDeadline || x.deadline.Before(dialBy) {
+		dialBy = x.deadline
 	}
-	dialer := net.Dialer{Deadline: up, KeepAlive: -1}
+	dialer := net.Dialer{Deadline: dialBy, KeepAlive: -1}
 	for {
-		nc, err := dialer.Dial("tcp", c.pool.aim(c))
+		nc, err := dialer.Dial("tcp", c.pool.dialAddress(c))
 		if err != nil {
 			return err
 		}
-		if x.gated || c.pool.leads(c) {
+		if x.newWork || c.pool.isCurrent(c) {
 			c.nc, c.br = nc, bufio.NewReaderSize(nc, http1.MaxLine)
 			return nil
 		}
@@ -250,64 +249,64 @@
 	}
 }
 
-// aim returns the address at which a connection is to be dialled now.
-func (p *Pool) aim(c *conn) string {
+// dialAddress returns the address to dial now, and records the epoch and the time.
+func (p *Pool) dialAddress(c *conn) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.epoch, c.dialed = c.in.epoch, time.Now()
-	return c.in.address
+	c.epoch, c.dialStarted = c.endpoint.epoch, time.Now()
+	return c.endpoint.address
 }
 
-func (c *conn) exchange(x *exchange) end {
+func (c *conn) roundTrip(x *exchange) result {
 	now := time.Now()
-	text := http1.AppendRequest(c.out[:0], x.method, x.target, x.header(c.nc.RemoteAddr().String(), now), x.body)
-	last := x.deadline
-	if x.gated {
-		last = last.Add(courtesy)
+	request := http1.AppendRequest(c.buf[:0], x.method, x.target, x.header(c.nc.RemoteAddr().String(), now), x.body)
+	deadline := x.deadline
+	if x.newWork {
+		deadline = deadline.Add(graceTime)
 	}
-	if c.out = text; cap(text) > http1.MaxLine { // kept for the next request, but for a large one
-		c.out = nil
+	if c.buf = request; cap(request) > http1.MaxLine { // reuse the buffer unless a large request made it grow
+		c.buf = nil
 	}
-	if c.nc.SetDeadline(last) != nil {
-		return end{stage: unmade}
+	if c.nc.SetDeadline(deadline) != nil {
+		return result{progress: connectFailed}
 	}
-	// The list may have told of a drain or a move since this was decided, and while the connection
-	// came up. From the first byte on it counts as sent.
-	if x.begin != nil && !x.begin() || x.expired != nil && x.expired(time.Now()) || x.late() || x.gated && !c.pool.takes(c) {
-		return end{stage: unsent}
+	// The list may have reported a drain or a new address since the attempt was decided, or while the connection was
+	// being opened. From the first byte on, the request counts as sent.
+	if x.begin != nil && !x.begin() || x.expired != nil && x.expired(time.Now()) || x.tooLate() || x.newWork && !c.pool.allowsNewWork(c) {
+		return result{progress: notSent}
 	}
 	x.mu.Lock()
 	if x.aborted {
 		x.mu.Unlock()
-		return end{stage: unsent}
+		return result{progress: notSent}
 	}
-	x.written = true // it may be whole before Write returns
+	x.written = true // the encoder may have all of it before Write returns
 	x.mu.Unlock()
-	if n, err := c.nc.Write(text); err != nil && n < len(text) {
-		return end{stage: unmade}
+	if n, err := c.nc.Write(request); err != nil && n < len(request) {
+		return result{progress: connectFailed}
 	}
-	if x.sent != nil {
-		x.sent()
+	if x.onSent != nil {
+		x.onSent()
 	}
 	if _, err := c.br.Peek(1); err != nil {
-		return end{stage: broken}
+		return result{progress: noResponse}
 	}
-	p, err := http1.ReadResponse(c.br, x.method)
+	response, err := http1.ReadResponse(c.br, x.method)
 	if err != nil {
-		return end{stage: broken, spoilt: true}
+		return result{progress: noResponse, malformed: true}
 	}
-	return end{stage: answered, response: p}
+	return result{progress: answered, response: response}
 }
 
-// stale tells whether an idle connection has been closed by the other side, or carries
-// bytes that nobody asked for, by a look that takes nothing from it.
+// stale reports whether the peer has closed an idle connection or sent unsolicited bytes on it, without consuming
+// any.
 func (c *conn) stale() bool {
 	if c.nc.SetDeadline(time.Time{}) != nil {
 		return true
 	}
 	state := sock.Look(c.nc)
 	if state == sock.Data {
-		c.pool.talked(c.in)
+		c.pool.noteUnsolicited(c.endpoint)
 	}
 	return state != sock.Empty
 }
--- a/internal/net/upstream/pool_test.go
+++ b/internal/net/upstream/pool_test.go
@@ -16,66 +16,67 @@
 	"caperrelay/internal/net/loadreport"
 )
 
-// reports collects the pool's reports.
-type reports struct {
-	ended  chan decide.Outcome
-	probed chan decide.Outcome
-	loads  chan *decide.Report
-	taken  chan *dispatch.Attempt
+// recorder records the pool's notifications.
+type recorder struct {
+	ended    chan decide.Outcome
+	probed   chan decide.Outcome
+	loads    chan *decide.Report
+	accepted chan *dispatch.Attempt
 }
 
-func (r reports) AttemptEnded(_ *dispatch.Attempt, o decide.Outcome, _ time.Duration) { r.ended <- o }
-func (r reports) AttemptSent(*dispatch.Attempt)                                       {}
-func (r reports) AttemptAccepted(a *dispatch.Attempt)                                 { r.taken <- a }
-func (r reports) AttemptUnusable(*dispatch.Attempt)                                   {}
-func (r reports) LoadReported(_ *dispatch.Attempt, l decide.Report)                   { r.loads <- &l }
-func (r reports) ProbeEnded(_ string, o decide.Outcome, l *decide.Report) {
+func (r recorder) AttemptEnded(_ *dispatch.Attempt, o decide.Outcome, _ time.Duration) { r.ended <- o }
+func (r recorder) AttemptSent(*dispatch.Attempt)                                       {}
+func (r recorder) AttemptAccepted(a *dispatch.Attempt)                                 { r.accepted <- a }
+func (r recorder) AttemptUnusable(*dispatch.Attempt)                                   {}
+func (r recorder) LoadReported(_ *dispatch.Attempt, l decide.Report)                   { r.loads <- &l }
+func (r recorder) ProbeEnded(_ string, o decide.Outcome, l *decide.Report) {
 	if r.probed <- o; l != nil {
 		r.loads <- l
 	}
 }
 
-// late has a second answer written, and tells that it is.
-var late = make(chan bool)
+// secondResponse triggers the second response and reports that it has been written.
+var secondResponse = make(chan bool)
 
-// pool returns one of so many connections and encoders that show each request.
-func pool(t *testing.T, most int, ids ...string) (*Pool, reports, chan *http1.Request) {
-	r, seen := reports{make(chan decide.Outcome, 9), make(chan decide.Outcome, 9), make(chan *decide.Report, 9), make(chan *dispatch.Attempt, 9)}, make(chan *http1.Request, 9)
-	p := NewPool(Limits{Connections: most, Connect: 10 * time.Second, Idle: time.Minute})
-	p.ReportTo(r)
+// newAutoPool returns a pool of at most the given number of connections, and encoders that answer by themselves and
+// pass each request to the channel.
+func newAutoPool(t *testing.T, maxConns int, ids ...string) (*Pool, recorder, chan *http1.Request) {
+	rec, seen := recorder{make(chan decide.Outcome, 9), make(chan decide.Outcome, 9), make(chan *decide.Report, 9), make(chan *dispatch.Attempt, 9)}, make(chan *http1.Request, 9)
+	p := NewPool(Limits{Connections: maxConns, Connect: 10 * time.Second, Idle: time.Minute})
+	p.ReportTo(rec)
 	var l dispatch.InstanceUpdate
 	for _, id := range ids {
-		in, err := net.Listen("tcp", "127.0.0.1:0")
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		t.Cleanup(func() { in.Close() })
-		l.Instances = append(l.Instances, dispatch.Instance{ID: id, Address: in.Addr().String(), State: decide.Ready})
+		t.Cleanup(func() { ln.Close() })
+		l.Instances = append(l.Instances, dispatch.Instance{ID: id, Address: ln.Addr().String(), State: decide.Ready})
 		go func() {
 			for {
-				c, err := in.Accept()
+				c, err := ln.Accept()
 				if err != nil {
 					return
 				}
 				go func() {
 					defer c.Close()
 					for br := bufio.NewReader(c); ; {
-						q, err := http1.ReadRequest(br, nil)
+						req, err := http1.ReadRequest(br, nil)
 						if err != nil {
 							return
 						}
-						q.Header = append(q.Header, http1.Field{Name: "From", Value: c.RemoteAddr().String()})
-						seen <- q
-						if q.Target == "/twice" { // the second answer comes late
+						req.Header = append(req.Header, http1.Field{Name: "From", Value: c.RemoteAddr().String()})
+						seen <- req
+						if req.Target == "/twice" { // a second response follows later
 							c.Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
-							<-late
+							<-secondResponse
 							c.Write([]byte("HTTP/1.1 500 Spoilt\r\nContent-Length: 0\r\n\r\n"))
-							late <- true
-						} else if q.Target == "/take" {
+							secondResponse <- true
+						} else if req.Target == "/take" {
 							c.Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
-						} else if q.Target == "/full" {
+						} else if req.Target == "/full" {
 							c.Write([]byte("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nX-Backend-Load: TEXT x0=2.5\r\nContent-Length: 0\r\n\r\n"))
-						} else if q.Target == "/_load" {
+						} else if req.Target == "/_load" {
 							c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":4}"))
-						} else if q.Method != "POST" { // other attempts stay unanswered
+						} else if req.Method != "POST" { // other attempts remain unanswered
 							c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 						}
 					}
@@ -84,7 +85,7 @@
 		}()
 	}
 	p.Listed(l)
-	return p, r, seen
+	return p, rec, seen
 }
 
 func attempt(encoder string) *dispatch.Attempt {
@@ -94,15 +95,15 @@
 	}
 }
 
-// The bound on descriptors holds: idle connections elsewhere make room, and where there are
-// none an attempt is told as never sent, which speaks against no encoder.
+// The connection limit holds: idle connections to other encoders are closed to make room. If there are none, an
+// attempt ends as not sent, which says nothing about the encoder.
 func TestConnectionsAreBounded(t *testing.T) {
-	p, r, seen := pool(t, 1, "s-1", "s-2")
+	p, r, seen := newAutoPool(t, 1, "s-1", "s-2")
 	p.Probe("s-1")
 	require.Equal(t, decide.OK, <-r.probed)
 	<-seen
 	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
-	p.Probe("s-2") // takes the place of the idle connection once that is closed
+	p.Probe("s-2") // waits for the idle connection to be closed and replaces it
 	require.Equal(t, decide.OK, <-r.probed)
 	<-seen
 	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
@@ -112,49 +113,49 @@
 	require.Equal(t, decide.NotSent, <-r.ended)
 }
 
-// A connection that may have been dropped unseen is not used: what is written to it would
-// end as a reset, and a request that must not run twice could go nowhere else.
-func TestConnectionsIdleTooLongAreNotUsed(t *testing.T) {
-	for most, same := range map[time.Duration]bool{time.Nanosecond: false, time.Hour: true} {
-		p, r, seen := pool(t, 9, "s-1")
+// A connection that may have been dropped unnoticed is not used: a request written to it would end as a reset, and
+// one that must not run twice could not be sent elsewhere.
+func TestMaxIdleOfAttempt(t *testing.T) {
+	for maxIdle, reused := range map[time.Duration]bool{time.Nanosecond: false, time.Hour: true} {
+		p, r, seen := newAutoPool(t, 9, "s-1")
 		p.Probe("s-1")
 		require.Equal(t, decide.OK, <-r.probed)
 		require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
 		a := attempt("s-1")
-		a.MaxIdle = most
+		a.MaxIdle = maxIdle
 		p.Send(a)
 		probed, sent := <-seen, <-seen
-		require.Equal(t, same, probed.Header.Get("From") == sent.Header.Get("From"))
+		require.Equal(t, reused, probed.Header.Get("From") == sent.Header.Get("From"))
 	}
 }
 
-// A request that needs a new connection has one, and none is kept more than before.
-func TestFreshConnectionTakesThePlaceOfAnother(t *testing.T) {
-	p, r, seen := pool(t, 9, "s-1")
+// A request that must use a new connection gets one, and the number of idle connections does not grow.
+func TestNewConnectionReplacesIdleOne(t *testing.T) {
+	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.Probe("s-1")
 	require.Equal(t, decide.OK, <-r.probed)
 	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
 	a := attempt("s-1")
 	a.NewConn, a.Command.Payload.(*http1.Request).Target = true, "/take"
 	p.Send(a)
-	<-r.taken
+	<-r.accepted
 	require.NotEqual(t, (<-seen).Header.Get("From"), (<-seen).Header.Get("From"))
 	require.Eventually(t, func() bool { return p.Idle() == 1 && !p.Busy() }, 20*time.Second, time.Millisecond)
 }
 
-// A 202 is told, so that the module can tell an encoder at work from a silent connection.
-func TestTakenIsTold(t *testing.T) {
-	p, r, _ := pool(t, 9, "s-1")
+// A 202 is reported, so that the decision module can distinguish a working encoder from a silent connection.
+func TestAcceptanceIsReported(t *testing.T) {
+	p, r, _ := newAutoPool(t, 9, "s-1")
 	a := attempt("s-1")
 	a.Command.Payload.(*http1.Request).Target = "/take"
 	p.Send(a)
-	require.Equal(t, a, <-r.taken)
+	require.Equal(t, a, <-r.accepted)
 	require.Empty(t, r.ended)
 }
 
-// A drain told between the decision and the first byte stops the send.
-func TestDrainToldBeforeTheFirstByte(t *testing.T) {
-	p, r, seen := pool(t, 9, "s-1")
+// A drain reported between the decision and the first byte prevents the send.
+func TestDrainBeforeFirstByte(t *testing.T) {
+	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.Probe("s-1")
 	<-seen
 	require.Equal(t, decide.OK, <-r.probed)
@@ -164,21 +165,21 @@
 	require.Empty(t, seen)
 }
 
-// An attempt given up before its 202 is taken back by DELETE too, and only then confirmed.
-func TestGivenUpBeforeThe202(t *testing.T) {
-	p, r, seen := pool(t, 9, "s-1")
+// An attempt that is cancelled before its 202 is cancelled by DELETE too, and confirmed only afterwards.
+func TestCancelBefore202(t *testing.T) {
+	p, r, seen := newAutoPool(t, 9, "s-1")
 	a := attempt("s-1")
 	p.Send(a)
 	require.Equal(t, "POST", (<-seen).Method)
 	p.Cancel(a)
 	q := <-seen
 	require.Equal(t, []string{"DELETE", "/jobs/c1"}, []string{q.Method, q.Target})
-	require.Equal(t, decide.Reset, <-r.ended, "which the loop drops: it has given the attempt up")
+	require.Equal(t, decide.Reset, <-r.ended, "the loop ignores it, since it has cancelled the attempt")
 }
 
-// A silent encoder makes no reset at the deadline: the loop tells of the time-out first.
-func TestSilenceIsNoReset(t *testing.T) {
-	p, r, seen := pool(t, 9, "s-1")
+// A silent encoder is not reported as a reset at the deadline: the loop reports the time-out first.
+func TestSilentEncoderIsNotReportedAsReset(t *testing.T) {
+	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.Probe("s-1")
 	require.Equal(t, decide.OK, <-r.probed)
 	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
@@ -188,41 +189,43 @@
 	p.Send(a)
 	require.Equal(t, "POST", (<-seen).Method)
 	<-r.ended
-	require.WithinRange(t, time.Now(), a.Deadline.Add(courtesy), a.Deadline.Add(time.Minute))
+	require.WithinRange(t, time.Now(), a.Deadline.Add(graceTime), a.Deadline.Add(time.Minute))
 }
 
-// An attempt that waited for its connection went out after another process had taken it over, given it up and sent it
-// elsewhere: two copies at once. Nothing is written of what was not begun by then; what was is the encoder's.
-func TestNothingIsBegunOnceAnotherProcessHasIt(t *testing.T) {
-	p, _, seen := pool(t, 9, "s-1")
-	ends := make(chan end, 9)
+// An attempt that waited for its connection used to be sent after another process had taken it over, cancelled it and
+// sent it elsewhere, so that two copies ran at once. Nothing that has not been started by the handover is written;
+// what has been started continues.
+func TestNothingIsSentAfterCancelUnsent(t *testing.T) {
+	p, _, seen := newAutoPool(t, 9, "s-1")
+	ends := make(chan result, 9)
 	send := func(target string, expired func(time.Time) bool) {
-		x := &exchange{method: "POST", target: target, id: "c1", deadline: time.Now().Add(time.Minute), expired: expired,
-			done: func(e end) { ends <- e }}
+		x := &exchange{method: "POST", target: target, correlationID: "c1", deadline: time.Now().Add(time.Minute), expired: expired,
+			onDone: func(e result) { ends <- e }}
 		p.mu.Lock()
-		p.out[&dispatch.Attempt{}] = x
+		p.unaccepted[&dispatch.Attempt{}] = x
 		p.mu.Unlock()
 		p.start("s-1", x)
 	}
-	send("/late", func(time.Time) bool { p.Unsend(); return false }) // its connection is up by then
-	require.Equal(t, unsent, (<-ends).stage)
+	send("/late", func(time.Time) bool { p.Unsend(); return false }) // its connection is established by now
+	require.Equal(t, notSent, (<-ends).progress)
 	send("/begun", nil)
 	require.Equal(t, "/begun", (<-seen).Target)
 	p.Unsend()
 	send("/take", nil)
 	require.Equal(t, "/take", (<-seen).Target)
-	require.Equal(t, answered, (<-ends).stage, "the one before goes on")
+	require.Equal(t, answered, (<-ends).progress, "the earlier one continues")
 }
 
-func TestUnknownInstanceIsNeverSentTo(t *testing.T) {
-	p, r, _ := pool(t, 9)
+func TestNothingIsSentToUnknownInstance(t *testing.T) {
+	p, r, _ := newAutoPool(t, 9)
 	p.Send(attempt("s-9"))
 	require.Equal(t, decide.NotSent, <-r.ended)
 }
 
-// What encoders know a repeat by goes with every attempt as it came, and nothing is made up where none came.
-func TestKeyGoesWithEveryAttempt(t *testing.T) {
-	p, _, seen := pool(t, 9, "s-1", "s-2")
+// The idempotency key, by which encoders recognize a retry, is sent unchanged with every attempt, and none is made
+// up.
+func TestIdempotencyKeyIsSentWithEveryAttempt(t *testing.T) {
+	p, _, seen := newAutoPool(t, 9, "s-1", "s-2")
 	const key = "\"5c0f 6e1a\"; caf\xe9"
 	for _, h := range []http1.Header{{{Name: "idempotency-key", Value: key}, {Name: "Cookie", Value: "user=1"}}, nil} {
 		for _, id := range []string{"s-1", "s-2"} {
@@ -237,9 +240,10 @@
 	}
 }
 
-// An answer that ends an attempt brings its load report, and so does a probe, which goes the way that has one.
-func TestReportsOfAnswersAndProbes(t *testing.T) {
-	p, r, seen := pool(t, 9, "s-1")
+// A response that ends an attempt may carry a load report, and so may the answer to a probe, which uses the path that
+// returns one.
+func TestLoadReportsOfResponsesAndProbes(t *testing.T) {
+	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.ReadBy(loadreport.New([]string{"x0"}, slog.New(slog.DiscardHandler)))
 	a := attempt("s-1")
 	a.Command.Payload.(*http1.Request).Target = "/full"
@@ -253,74 +257,77 @@
 	require.Equal(t, 4.0, (<-r.loads).FreeSlots)
 }
 
-// A second answer, some milliseconds behind the first, was read as the answer to the next request on that connection: here as
-// an error of a request that the encoder had taken. Where that was seen once, a connection is used again only after a rest.
-func TestSecondAnswerIsNobodys(t *testing.T) {
-	p, r, seen := pool(t, 9, "s-1")
+// A second response some milliseconds after the first used to be read as the response to the next request on that
+// connection: here as an error of a request that the encoder had accepted. Once this has been seen, a connection is
+// reused only after it has settled.
+func TestLateSecondResponseIsDiscarded(t *testing.T) {
+	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.settle = time.Minute
 	send := func(target string) {
 		a := attempt("s-1")
 		a.Command.Payload.(*http1.Request).Target = target
 		p.Send(a)
 		require.Equal(t, target, (<-seen).Target)
-		require.Equal(t, a, <-r.taken)
+		require.Equal(t, a, <-r.accepted)
 	}
 	idle := func(n int) {
 		require.Eventually(t, func() bool { return p.Idle() == n && !p.Busy() }, 20*time.Second, time.Millisecond)
 	}
 	send("/twice")
 	idle(1)
-	late <- true
-	<-late // it lies on the connection at rest
+	secondResponse <- true
+	<-secondResponse // it lies unread on the idle connection
 	send("/take")
 	idle(1)
-	for range 9 { // from now on, however soon
+	for range 9 { // from now on, whenever it arrives
 		send("/twice")
 		send("/take")
-		late <- true
-		<-late
+		secondResponse <- true
+		<-secondResponse
 	}
 	require.Empty(t, r.ended)
 }
 
-// Of connections at rest the one used last is taken; where some encoder talks unasked, the one used last that has settled.
-func TestSettledConnectionsGoFirst(t *testing.T) {
-	const settle = settles
+// The most recently used idle connection is taken; if some encoder sends unsolicited data, the most recently used one
+// that has settled.
+func TestSettledConnectionsArePreferred(t *testing.T) {
+	const settle = defaultSettle
 	now := time.Now()
-	for _, one := range []struct {
-		rested   []time.Duration // of the idle ones
-		mostIdle time.Duration
-		talked   time.Duration // ago; 0: never
-		took     int           // -1: a new one
+	for _, tt := range []struct {
+		idle        []time.Duration // idle times of the idle connections
+		maxIdle     time.Duration
+		unsolicited time.Duration // time ago; 0: never
+		taken       int           // index of the connection taken; -1: a new one
 	}{
 		{nil, 0, 0, -1},
 		{[]time.Duration{time.Second, 2 * settle, 0}, 0, 0, 1},
 		{[]time.Duration{time.Second, 2 * settle}, 0, 0, 1},
 		{[]time.Duration{settle / 2, settle / 4}, 0, 0, 0},
 		{[]time.Duration{settle / 2}, 0, time.Second, -1},
-		{[]time.Duration{settle / 2}, 0, talksFor, 0},
+		{[]time.Duration{settle / 2}, 0, unsolicitedWindow, 0},
 		{[]time.Duration{time.Second, settle / 2}, 2 * time.Second, time.Second, 0},
 		{[]time.Duration{time.Second, settle / 2}, settle, 0, 1},
 		{[]time.Duration{time.Second, settle / 2}, settle, time.Second, -1},
 		{[]time.Duration{time.Second, settle / 2}, settle / 4, 0, -1},
 	} {
-		in := &endpoint{}
-		for _, d := range one.rested {
-			in.idle = append(in.idle, &conn{since: now.Add(-d)})
+		ep := &endpoint{}
+		for _, d := range tt.idle {
+			ep.idle = append(ep.idle, &conn{idleSince: now.Add(-d)})
 		}
-		if one.talked > 0 {
-			in.talked = now.Add(-one.talked)
+		if tt.unsolicited > 0 {
+			ep.lastUnsolicited = now.Add(-tt.unsolicited)
 		}
-		all := append([]*conn{nil}, in.idle...)
-		if one.talked == 0 && one.mostIdle == 0 && len(in.idle) > 0 {
-			calm := &endpoint{idle: slices.Clone(in.idle)}
-			require.Same(t, in.idle[len(in.idle)-1], calm.take(&exchange{id: "c1"}, settle, false, now))
+		want := append([]*conn{nil}, ep.idle...)
+		if tt.unsolicited == 0 && tt.maxIdle == 0 && len(ep.idle) > 0 {
+			quiet := &endpoint{idle: slices.Clone(ep.idle)}
+			require.Same(t, ep.idle[len(ep.idle)-1], quiet.takeIdle(&exchange{correlationID: "c1"}, settle, false, now))
 		}
-		// A give-up or a probe, which bears no id, goes by the same: what an encoder says late would be taken for its answer.
-		word := &endpoint{idle: slices.Clone(in.idle), talked: in.talked}
-		require.Same(t, all[one.took+1], word.take(&exchange{method: "DELETE", mostIdle: one.mostIdle}, settle, true, now), "%+v", one)
-		c := in.take(&exchange{id: "c1", mostIdle: one.mostIdle}, settle, true, now)
-		require.Same(t, all[one.took+1], c, "%+v", one)
-		require.Len(t, in.idle, max(0, len(one.rested)-1)+map[bool]int{true: 1}[c == nil && len(one.rested) > 0])
+		// The same applies to a cancellation or a probe, which has no correlation ID: a late response would be taken
+		// for its own.
+		other := &endpoint{idle: slices.Clone(ep.idle), lastUnsolicited: ep.lastUnsolicited}
+		require.Same(t, want[tt.taken+1], other.takeIdle(&exchange{method: "DELETE", maxIdle: tt.maxIdle}, settle, true, now), "%+v", tt)
+		c := ep.takeIdle(&exchange{correlationID: "c1", maxIdle: tt.maxIdle}, settle, true, now)
+		require.Same(t, want[tt.taken+1], c, "%+v", tt)
+		require.Len(t, ep.idle, max(0, len(tt.idle)-1)+map[bool]int{true: 1}[c == nil && len(tt.idle) > 0])
 	}
 }
