--- a/internal/full/accord.go
+++ b/internal/full/accord.go
@@ -156,14 +156,14 @@
 }
 
 // Leave has the program leave instances out.
-func (a *accords) Leave(ids []string, only bool) { a.core.Cordons.Leave(ids, only) }
+func (a *accords) Leave(ids []string, only bool) { a.core.Cordons.SetCordons(ids, only) }
 
 // part has it live with the program.
 func (a *accords) part(host replicas.Host) program.NewPart {
 	return func(core program.Core) (program.Part, error) {
 		a.core = core
 		a.server.Use(a, host, core.Log)
-		core.Cordons.KeepBy(a.server)
+		core.Cordons.SetStore(a.server)
 		return &accorded{a.server, a}, nil
 	}
 }
@@ -180,7 +180,7 @@
 	switch phase {
 	case program.Serving, program.Quiescing, program.Quiesced:
 		p.Open(ctx)
-	case program.Yielded, program.Stopped: // the next process is heard in this one's place
+	case program.HandedOver, program.Stopped: // the next process is heard in this one's place
 		p.Close()
 	}
 	return nil
--- a/internal/full/front.go
+++ b/internal/full/front.go
@@ -104,7 +104,7 @@
 			go p.site.Loop.Run(ctx)
 		}
 		return p.site.Front.Open()
-	case program.Quiescing, program.Yielded, program.Departing, program.Draining:
+	case program.Quiescing, program.HandedOver, program.Departing, program.Draining:
 		p.site.Front.Leave()
 	case program.Stopped:
 		p.site.Front.Leave()
--- a/internal/full/gangs.go
+++ b/internal/full/gangs.go
@@ -60,7 +60,7 @@
 	switch phase {
 	case program.Serving, program.Quiescing, program.Quiesced:
 		p.Open(ctx)
-	case program.Yielded, program.Stopped:
+	case program.HandedOver, program.Stopped:
 		p.Close()
 	}
 	return nil
--- a/internal/full/members.go
+++ b/internal/full/members.go
@@ -21,7 +21,7 @@
 			Config: decisions.Config{Name: f.Node.Name, Zone: f.Node.Zone, Watchers: m.Watchers, FanOut: m.FanOut, Expected: f.Node.Of},
 			Listen: m.Listen, Join: m.Join, Through: m.Through,
 		}, core.Lists, core.Log)
-		core.Lists.ShareBy(s)
+		core.Lists.SetSharer(s)
 		return &among{s}, nil
 	}
 }
@@ -35,7 +35,7 @@
 	switch p {
 	case program.Starting, program.Serving, program.Quiescing, program.Quiesced:
 		a.Open(ctx) // from the start on: a process that waits for its list is not to call for it by itself
-	case program.Yielded, program.Stopped:
+	case program.HandedOver, program.Stopped:
 		a.Close()
 	}
 	return nil
--- a/internal/full/pipelines.go
+++ b/internal/full/pipelines.go
@@ -107,7 +107,7 @@
 			p.ended = make(chan struct{})
 			go func(ended chan struct{}) { defer close(ended); p.Run(ctx) }(p.ended)
 		}
-	case program.Yielded, program.Departing, program.Stopped: // whoever acts next takes up what runs
+	case program.HandedOver, program.Departing, program.Stopped: // whoever acts next takes up what runs
 		p.mu.Lock()
 		cancel, ended := p.cancel, p.ended
 		p.cancel = nil
--- a/internal/full/promises.go
+++ b/internal/full/promises.go
@@ -39,8 +39,8 @@
 func (*promising) Name() string { return "promises" }
 
 func (p *promising) Phase(ctx context.Context, phase program.Phase) error {
-	if phase == program.Serving || phase == program.Yielded {
-		p.Yield(phase == program.Yielded)
+	if phase == program.Serving || phase == program.HandedOver {
+		p.Yield(phase == program.HandedOver)
 	}
 	switch phase {
 	case program.Serving:
@@ -51,7 +51,7 @@
 			p.ended = make(chan struct{})
 			go func() { defer close(p.ended); p.Run(ctx) }()
 		}
-	case program.Yielded, program.Departing, program.Stopped: // what runs is told of to whichever dispatcher is called
+	case program.HandedOver, program.Departing, program.Stopped: // what runs is told of to whichever dispatcher is called
 		p.mu.Lock()
 		cancel, ended := p.cancel, p.ended
 		p.cancel = nil
--- a/internal/full/replicas.go
+++ b/internal/full/replicas.go
@@ -72,7 +72,7 @@
 		r.Open(ctx)
 	case program.Departing:
 		r.Yield()
-	case program.Yielded, program.Stopped: // the disk is the next process's
+	case program.HandedOver, program.Stopped: // the disk is the next process's
 		r.Close()
 	}
 	return nil
--- a/internal/full/serve.go
+++ b/internal/full/serve.go
@@ -187,7 +187,7 @@
 	switch p {
 	case program.Serving, program.Quiescing, program.Quiesced:
 		return c.Open()
-	case program.Yielded, program.Stopped:
+	case program.HandedOver, program.Stopped:
 		c.Close()
 	}
 	return nil
--- a/internal/full/snapshot.go
+++ b/internal/full/snapshot.go
@@ -73,7 +73,7 @@
 			s.ended = make(chan struct{})
 			go s.run(ctx, s.ended)
 		}
-	case program.Yielded, program.Stopped:
+	case program.HandedOver, program.Stopped:
 		s.mu.Lock()
 		cancel, ended := s.cancel, s.ended
 		s.cancel = nil
--- a/internal/net/clients/callback.go
+++ b/internal/net/clients/callback.go
@@ -26,7 +26,7 @@
 		return c.reply(204, nil, "", q.Close)
 	}
 	cb := in.toDispatch(state)
-	cb.Report = c.server.reports.Object(in.Load)
+	cb.Report = c.server.reports.ParseObject(in.Load)
 	if !c.deliver(q, cb) || !c.server.core.PersistCallback(cb) {
 		return false
 	}
@@ -40,7 +40,7 @@
 	s := c.server
 	s.callbacks.RLock()
 	defer s.callbacks.RUnlock()
-	if s.Yielded() && c.passUnread(q) {
+	if s.HandedOver() && c.passUnread(q) {
 		return false
 	}
 	s.core.HandleCallback(cb)
@@ -57,7 +57,7 @@
 	unread := http1.AppendRequest(nil, q.Method, q.Target, h, q.Body)
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.passOn(Passed{Rest: unread})
+	return c.passOn(PassedConn{Received: unread})
 }
 
 // toDispatch converts a callback, except for its load report.
--- a/internal/net/clients/conn.go
+++ b/internal/net/clients/conn.go
@@ -110,7 +110,7 @@
 	}
 	for {
 		q, err := c.readRequest()
-		var m *http1.Malformed
+		var m *http1.MalformedError
 		switch {
 		case errors.Is(err, errPassed):
 			return
@@ -173,14 +173,14 @@
 
 // passOn passes the connection to the process that takes over, if there is one. Bytes received but not read go with
 // it, after p.Rest. The server's lock must be held.
-func (c *conn) passOn(p Passed) bool {
+func (c *conn) passOn(p PassedConn) bool {
 	tcp, ok := c.nc.(*net.TCPConn)
 	if c.server.newer == nil || !ok {
 		return false
 	}
-	p.Answered, p.Instance, p.Flood = c.answered, c.instance, c.flooded
+	p.Answered, p.Instance, p.Flooded = c.answered, c.instance, c.flooded
 	unread, _ := c.reader.Peek(c.reader.Buffered())
-	p.Rest = append(p.Rest, unread...)
+	p.Received = append(p.Received, unread...)
 	c.passed = true
 	c.server.newer.Pass(tcp, p)
 	return true
@@ -191,7 +191,7 @@
 func (c *conn) awaitRequest() error {
 	s := c.server
 	s.mu.Lock()
-	if c.passOn(Passed{}) {
+	if c.passOn(PassedConn{}) {
 		s.mu.Unlock()
 		return errPassed
 	}
@@ -212,11 +212,11 @@
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if timedOut && c.passOn(Passed{}) {
+	if timedOut && c.passOn(PassedConn{}) {
 		return errPassed
 	}
 	// A request may arrive just as the connection is to be closed; it is accepted.
-	if err != nil && (!timedOut || c.nc.SetReadDeadline(time.Time{}) != nil || sock.Look(c.nc) != sock.Data) {
+	if err != nil && (!timedOut || c.nc.SetReadDeadline(time.Time{}) != nil || sock.Peek(c.nc) != sock.Data) {
 		switch {
 		case !isFirst && timedOut:
 			return errIdle
@@ -300,7 +300,7 @@
 // hasInput reports whether the next request has arrived, at least in part. It is answered before the connection is
 // closed.
 func (c *conn) hasInput() bool {
-	return c.reader.Buffered() > 0 || c.nc.SetReadDeadline(time.Time{}) == nil && sock.Look(c.nc) == sock.Data
+	return c.reader.Buffered() > 0 || c.nc.SetReadDeadline(time.Time{}) == nil && sock.Peek(c.nc) == sock.Data
 }
 
 // linger closes this side's half of the connection and reads until the peer closes the other or the timeout expires:
@@ -369,7 +369,7 @@
 }
 
 // peerClosed reports whether the peer has closed the connection, or it is broken, provided that no unread bytes
-// precede that. Unlike sock.Look it does not wait for a goroutine that is reading.
+// precede that. Unlike sock.Peek it does not wait for a goroutine that is reading.
 func peerClosed(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -467,7 +467,7 @@
 	if !o.handedOver {
 		return c.writeAnswer(o.Answer, w.closeAfter)
 	}
-	p := Passed{ID: w.cmd.ID}
+	p := PassedConn{CommandID: w.cmd.ID}
 	if !o.transferred {
 		p.Request, p.Deadline = w.cmd.Payload.(*http1.Request), w.cmd.Deadline
 	}
@@ -500,12 +500,12 @@
 	if c.nc.SetReadDeadline(time.Time{}) != nil {
 		return errGone
 	}
-	for sock.Look(c.nc) == sock.Data {
+	for sock.Peek(c.nc) == sock.Data {
 		if err := c.readAhead(); err != nil {
 			return err
 		}
 	}
-	if sock.Look(c.nc) == sock.Closed {
+	if sock.Peek(c.nc) == sock.Closed {
 		return errGone
 	}
 	return nil
--- a/internal/net/clients/disconnect_test.go
+++ b/internal/net/clients/disconnect_test.go
@@ -250,9 +250,9 @@
 		core, s := newServer(9)
 		serverEnd, client := acceptedConn(t)
 		cmd := &dispatch.Command{ID: "1"}
-		s.Expect(cmd, false)
+		s.ExpectConn(cmd, false)
 		leave(client)
-		s.Adopt(serverEnd, Passed{Answered: true, ID: "1"})
+		s.TakeOverConn(serverEnd, PassedConn{Answered: true, CommandID: "1"})
 		select {
 		case gone := <-core.clientsGone:
 			require.Same(t, cmd, gone, name)
@@ -263,7 +263,7 @@
 		q, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(commandRequest)), nil)
 		require.NoError(t, err)
 		leave(client)
-		s.Adopt(serverEnd, Passed{Answered: true, ID: "1", Request: q, Deadline: time.Now().Add(time.Minute)})
+		s.TakeOverConn(serverEnd, PassedConn{Answered: true, CommandID: "1", Request: q, Deadline: time.Now().Add(time.Minute)})
 		require.Eventually(t, func() bool { return s.Connections() == 0 }, 20*time.Second, time.Millisecond)
 		require.Empty(t, core.commands, name)
 	}
@@ -274,10 +274,10 @@
 func TestConnectionsLostWithOlderProcess(t *testing.T) {
 	core, s := newServer(9)
 	cmd := &dispatch.Command{ID: "1"}
-	s.Expect(cmd, false)
-	s.ReturnAll()
+	s.ExpectConn(cmd, false)
+	s.ReclaimAllSlots()
 	require.Len(t, core.clientsGone, 1)
 	require.Same(t, cmd, <-core.clientsGone)
-	s.ReturnAll()
+	s.ReclaimAllSlots()
 	require.Empty(t, core.clientsGone)
 }
--- a/internal/net/clients/parse.go
+++ b/internal/net/clients/parse.go
@@ -58,7 +58,7 @@
 		return nil, false, errors.New("X-Service-Class: missing or unknown")
 	}
 	remaining := class.Deadline
-	if h.Given("X-Time-Left") {
+	if h.Present("X-Time-Left") {
 		var err error
 		if remaining, err = parseDuration(h.Get("X-Time-Left")); err != nil {
 			return nil, false, fmt.Errorf("X-Time-Left: %w", err)
--- a/internal/net/clients/rejectnew.go
+++ b/internal/net/clients/rejectnew.go
@@ -5,10 +5,10 @@
 	"syscall"
 )
 
-// Bar makes a listener ignore new connection attempts, which are refused once it is closed. Connections whose
+// RejectNewConns makes a listener ignore new connection attempts, which are refused once it is closed. Connections whose
 // handshake has begun are still accepted. Closing the listener at once would reset those not accepted yet, with the
 // requests on them.
-func Bar(l *net.TCPListener) error {
+func RejectNewConns(l *net.TCPListener) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
--- a/internal/net/clients/rejectnew_test.go
+++ b/internal/net/clients/rejectnew_test.go
@@ -18,7 +18,7 @@
 	early, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	defer early.Close()
-	require.NoError(t, Bar(l.(*net.TCPListener)))
+	require.NoError(t, RejectNewConns(l.(*net.TCPListener)))
 	_, err = net.DialTimeout("tcp", l.Addr().String(), 200*time.Millisecond)
 	require.Error(t, err)
 	c, err := l.Accept()
--- a/internal/net/clients/server.go
+++ b/internal/net/clients/server.go
@@ -87,28 +87,28 @@
 	pastAnswerBy bool      // that time has passed
 	crowded      bool      // a connection waits for a slot: answers to clients close theirs
 	conns        map[*conn]struct{}
-	newer        Heir                      // the process that takes over; nil: none
+	newer        ConnReceiver              // the process that takes over; nil: none
 	lentSlots    int                       // slots still used by connections of an older process
 	expected     map[string]*commandClient // by ID, commands taken over from that process whose client connection has not arrived yet
 }
 
-// Heir passes connections to the process that takes over.
-type Heir interface {
+// ConnReceiver passes connections to the process that takes over.
+type ConnReceiver interface {
 	// Pass passes it a connection.
-	Pass(nc *net.TCPConn, p Passed)
-	// Left reports that a connection that was not passed has ended.
-	Left()
+	Pass(nc *net.TCPConn, p PassedConn)
+	// ConnEnded reports that a connection that was not passed has ended.
+	ConnEnded()
 }
 
-// Passed is the state of a connection that is passed to another process.
-type Passed struct {
-	Answered bool           `json:"Answered,omitempty"` // a request on it has been answered
-	Instance bool           `json:"Instance,omitempty"` // its last request was a callback
-	Rest     []byte         `json:"Rest,omitempty"`     // bytes read from it and not yet processed
-	Flood    bool           `json:"Flood,omitempty"`    // bytes after those were dropped
-	ID       string         `json:"ID,omitempty"`       // the command that its client waits for,
-	Request  *http1.Request `json:"Request,omitempty"`  // its request, unless the command was handed over separately
-	Deadline time.Time      `json:"Deadline,omitzero"`  // of that command
+// PassedConn is the state of a connection that is passed to another process.
+type PassedConn struct {
+	Answered  bool           `json:"Answered,omitempty"` // a request on it has been answered
+	Instance  bool           `json:"Instance,omitempty"` // its last request was a callback
+	Received  []byte         `json:"Rest,omitempty"`     // bytes read from it and not yet processed
+	Flooded   bool           `json:"Flood,omitempty"`    // bytes after those were dropped
+	CommandID string         `json:"ID,omitempty"`       // the command that its client waits for,
+	Request   *http1.Request `json:"Request,omitempty"`  // its request, unless the command was handed over separately
+	Deadline  time.Time      `json:"Deadline,omitzero"`  // of that command
 }
 
 // New returns a server for at most maxConns connections.
@@ -117,15 +117,15 @@
 		core: core, countersText: counters, log: logger, timeouts: defaultTimeouts, slots: make(chan struct{}, maxConns),
 		conns: map[*conn]struct{}{}, expected: map[string]*commandClient{}, connCounters: new(dispatch.Counters),
 	}
-	server.Retune(settings, names)
+	server.UpdateSettings(settings, names)
 	return server
 }
 
-// ReadBy sets the reader of instances' load reports. It must be called before Serve.
-func (s *Server) ReadBy(r *loadreport.Reader) { s.reports = r }
+// SetReportReader sets the reader of instances' load reports. It must be called before Serve.
+func (s *Server) SetReportReader(r *loadreport.Reader) { s.reports = r }
 
-// CountIn sets the counters for the ends of connections. It must be called before Serve.
-func (s *Server) CountIn(counters *dispatch.Counters) { s.connCounters = counters }
+// SetCounters sets the counters for the ends of connections. It must be called before Serve.
+func (s *Server) SetCounters(counters *dispatch.Counters) { s.connCounters = counters }
 
 // countEnd counts the end of a connection.
 func (s *Server) countEnd(e dispatch.ConnEnd) {
@@ -134,8 +134,8 @@
 	s.connCounters.CountConnEnd(e, !s.answerBy.IsZero())
 }
 
-// Retune replaces the settings that commands are parsed with.
-func (s *Server) Retune(settings decide.Settings, names wire.Names) {
+// UpdateSettings replaces the settings that commands are parsed with.
+func (s *Server) UpdateSettings(settings decide.Settings, names wire.Names) {
 	classes := map[string]decide.Class{}
 	for i, name := range names.Classes {
 		classes[name] = settings.Classes[i]
@@ -186,7 +186,7 @@
 	defer s.setCrowded(false)
 	tick := time.NewTicker(acceptRetryInterval)
 	defer tick.Stop()
-	for !s.Yielded() {
+	for !s.HandedOver() {
 		s.evictOne(time.Now())
 		select {
 		case s.slots <- struct{}{}:
@@ -224,7 +224,7 @@
 	}
 	delete(s.conns, c)
 	if s.newer != nil && !c.passed {
-		s.newer.Left()
+		s.newer.ConnEnded()
 	}
 	s.mu.Unlock()
 	<-s.slots
@@ -238,9 +238,9 @@
 	return s.callbacks.Unlock
 }
 
-// Yield passes each idle connection to the process that takes over, now and as further answers are written. The
+// HandOver passes each idle connection to the process that takes over, now and as further answers are written. The
 // caller must end Serve.
-func (s *Server) Yield(newer Heir) {
+func (s *Server) HandOver(newer ConnReceiver) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.newer = newer
@@ -251,22 +251,22 @@
 	}
 }
 
-// Keep cancels the handover: no process takes over.
-func (s *Server) Keep() {
+// CancelHandover cancels the handover: no process takes over.
+func (s *Server) CancelHandover() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.newer = nil
 }
 
-// Yielded reports whether another process takes over.
-func (s *Server) Yielded() bool {
+// HandedOver reports whether another process takes over.
+func (s *Server) HandedOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.newer != nil
 }
 
-// Expect returns the client of a command that an older process has handed over and whose connection will follow.
-func (s *Server) Expect(cmd *dispatch.Command, closeAfter bool) dispatch.Client {
+// ExpectConn returns the client of a command that an older process has handed over and whose connection will follow.
+func (s *Server) ExpectConn(cmd *dispatch.Command, closeAfter bool) dispatch.Client {
 	w := &commandClient{cmd: cmd, closeAfter: closeAfter, answer: make(chan outcome, 1)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -274,11 +274,11 @@
 	return w
 }
 
-// Adopt serves a connection that an older process has passed. It uses the slot that was lent to that process for it.
-func (s *Server) Adopt(nc net.Conn, p Passed) {
+// TakeOverConn serves a connection that an older process has passed. It uses the slot that was lent to that process for it.
+func (s *Server) TakeOverConn(nc net.Conn, p PassedConn) {
 	s.mu.Lock()
-	w := s.expected[p.ID]
-	delete(s.expected, p.ID)
+	w := s.expected[p.CommandID]
+	delete(s.expected, p.CommandID)
 	lent := s.lentSlots > 0
 	if lent {
 		s.lentSlots--
@@ -292,13 +292,13 @@
 			return
 		}
 	}
-	c := &conn{server: s, nc: nc, stateSince: time.Now(), answered: p.Answered, instance: p.Instance, received: p.Rest, flooded: p.Flood}
+	c := &conn{server: s, nc: nc, stateSince: time.Now(), answered: p.Answered, instance: p.Instance, received: p.Received, flooded: p.Flooded}
 	switch {
 	case p.Request != nil:
 		c.state, c.firstTask = handling, func() bool { return c.handleCommand(p.Request, p.Deadline) }
 	case w != nil:
 		c.state, c.firstTask = handling, func() bool { return c.awaitAnswer(w) }
-	case p.ID != "": // the command has been lost
+	case p.CommandID != "": // the command has been lost
 		c.state, c.firstTask = handling, func() bool { return c.writeAnswer(dispatch.Answer{Verdict: dispatch.Failed}, true) }
 	}
 	c.unanswered = c.firstTask != nil
@@ -306,7 +306,7 @@
 }
 
 // rejectConn closes a connection for which there is no slot, after answering its request, if any.
-func (s *Server) rejectConn(nc net.Conn, p Passed, w *commandClient) {
+func (s *Server) rejectConn(nc net.Conn, p PassedConn, w *commandClient) {
 	c := &conn{server: s, nc: nc, stateSince: time.Now(), answered: p.Answered, reader: bufio.NewReader(nc)}
 	verdict := dispatch.Failed
 	if p.Request != nil { // it was never submitted
@@ -315,15 +315,15 @@
 	if w != nil {
 		s.core.ClientGone(w.cmd)
 	}
-	if p.ID != "" || p.Request != nil {
+	if p.CommandID != "" || p.Request != nil {
 		c.writeAnswer(dispatch.Answer{Verdict: verdict}, true)
 	}
 	c.linger()
 	nc.Close()
 }
 
-// Lend lends n slots to an older process for the connections that it still holds.
-func (s *Server) Lend(n int) {
+// LendSlots lends n slots to an older process for the connections that it still holds.
+func (s *Server) LendSlots(n int) {
 	for range n {
 		select {
 		case s.slots <- struct{}{}:
@@ -336,8 +336,8 @@
 	}
 }
 
-// Returned takes back one slot from the older process. It returns false if none is lent.
-func (s *Server) Returned() bool {
+// ReclaimSlot takes back one slot from the older process. It returns false if none is lent.
+func (s *Server) ReclaimSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lentSlots == 0 {
@@ -346,15 +346,15 @@
 	s.lentSlots--
 	<-s.slots
 	if s.newer != nil {
-		s.newer.Left()
+		s.newer.ConnEnded()
 	}
 	return true
 }
 
-// ReturnAll takes back all lent slots: the older process has ended, and with it the connections that have not been
+// ReclaimAllSlots takes back all lent slots: the older process has ended, and with it the connections that have not been
 // passed. The commands of those have no client any more.
-func (s *Server) ReturnAll() {
-	for s.Returned() {
+func (s *Server) ReclaimAllSlots() {
+	for s.ReclaimSlot() {
 	}
 	s.mu.Lock()
 	lost := slices.Collect(maps.Values(s.expected))
@@ -372,17 +372,17 @@
 	return len(s.conns) + s.lentSlots
 }
 
-// Away sets whether clients are sent away. If so, health checks fail and each answer to a client closes its
+// SetDraining sets whether clients are sent away. If so, health checks fail and each answer to a client closes its
 // connection; the listener still accepts.
-func (s *Server) Away(draining bool) {
+func (s *Server) SetDraining(draining bool) {
 	s.mu.Lock()
 	s.draining = draining
 	s.mu.Unlock()
 }
 
-// End starts the shutdown and returns the time by which all commands are answered, which is before the process may be
+// BeginShutdown starts the shutdown and returns the time by which all commands are answered, which is before the process may be
 // killed. Commands that arrive later are refused without asking the core.
-func (s *Server) End(toldAt time.Time) time.Time {
+func (s *Server) BeginShutdown(toldAt time.Time) time.Time {
 	var longest time.Duration
 	for _, c := range *s.classes.Load() {
 		longest = max(longest, c.Deadline)
@@ -395,9 +395,9 @@
 	return s.answerBy
 }
 
-// Finish is called once that time has passed: requests still being received are refused, and connections without one
+// CloseUnserved is called once that time has passed: requests still being received are refused, and connections without one
 // are closed. It is called repeatedly until none is left.
-func (s *Server) Finish(now time.Time) {
+func (s *Server) CloseUnserved(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.newer != nil {
@@ -438,9 +438,9 @@
 	}
 }
 
-// Quiet reports whether no request is being processed and no client is connected. Idle connections of instances don't
+// Drained reports whether no request is being processed and no client is connected. Idle connections of instances don't
 // count: abandoned jobs may run on for a while, and their callbacks must not delay the end of the process.
-func (s *Server) Quiet() bool {
+func (s *Server) Drained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/internal/net/clients/server_test.go
+++ b/internal/net/clients/server_test.go
@@ -205,7 +205,7 @@
 // callback.
 func TestLoadReportsInCallbacks(t *testing.T) {
 	c, s, dial := serve(t, 2, 0)
-	s.ReadBy(loadreport.New([]string{"x0", "avg_ms"}, slog.New(slog.DiscardHandler)))
+	s.SetReportReader(loadreport.New([]string{"x0", "avg_ms"}, slog.New(slog.DiscardHandler)))
 	for load, want := range map[string]float64{`{"avg_ms":87.483,"cpu":0.136,"x0":6.04}`: 6.04, `{"x0": 2, "more": {"x0": 9}}`: 2, `{"x0":"}"}`: -1, `7`: -1} {
 		body := `{"from":"s-1","id":"c1","load":` + load + `,"result":"r","state":"done"}`
 		text := fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -249,7 +249,7 @@
 // While clients are sent away, only the first of several pipelined requests was answered, and the others were reset.
 func TestPipelinedRequestsAreAnsweredWhileDraining(t *testing.T) {
 	_, s, dial := serve(t, 2, 0)
-	s.Away(true)
+	s.SetDraining(true)
 	c := dial()
 	fmt.Fprint(c, healthRequest+healthRequest+healthRequest)
 	br := bufio.NewReader(c)
@@ -296,9 +296,9 @@
 func TestShutdownAnswersInTime(t *testing.T) {
 	c, s, dial := serve(t, 9, 0)
 	toldAt := time.Now()
-	answerBy := s.End(toldAt)
+	answerBy := s.BeginShutdown(toldAt)
 	require.Equal(t, toldAt.Add(3500*time.Millisecond), answerBy)
-	require.Equal(t, answerBy, s.End(toldAt.Add(time.Second)), "second call")
+	require.Equal(t, answerBy, s.BeginShutdown(toldAt.Add(time.Second)), "second call")
 	command := "POST /api HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Service-Class: safe\r\nContent-Length: 0\r\n\r\n"
 	pending := dial()
 	fmt.Fprintf(pending, command, "1")
@@ -309,7 +309,7 @@
 	require.Equal(t, 200, roundTrip(t, idleConn, healthRequest).Status)
 	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered })
 	require.Eventually(t, func() bool { return s.Connections() == 4 }, 20*time.Second, time.Millisecond)
-	s.Finish(time.Now())
+	s.CloseUnserved(time.Now())
 	for _, c := range []net.Conn{silentConn, stalledConn} {
 		p := roundTrip(t, c, "")
 		require.Equal(t, []any{503, true}, []any{p.Status, p.Close})
@@ -328,11 +328,11 @@
 func TestPassedConnectionsAreAnswered(t *testing.T) {
 	for _, test := range []struct {
 		maxConns, status int
-		p                Passed
+		p                PassedConn
 	}{
-		{0, 503, Passed{Answered: true, ID: "1", Request: &http1.Request{Method: "POST", Target: "/api"}}},
-		{0, 502, Passed{Answered: true, ID: "1"}},
-		{1, 502, Passed{Answered: true, ID: "1"}},
+		{0, 503, PassedConn{Answered: true, CommandID: "1", Request: &http1.Request{Method: "POST", Target: "/api"}}},
+		{0, 502, PassedConn{Answered: true, CommandID: "1"}},
+		{1, 502, PassedConn{Answered: true, CommandID: "1"}},
 	} {
 		s := New(&fakeCore{}, decide.Settings{}, wire.Names{}, test.maxConns, nil, slog.New(slog.DiscardHandler))
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -344,7 +344,7 @@
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		nc, err := l.Accept()
 		require.NoError(t, err)
-		s.Adopt(nc, test.p)
+		s.TakeOverConn(nc, test.p)
 		require.Equal(t, test.status, roundTrip(t, c, "").Status)
 	}
 }
--- a/internal/net/discovery/faulty_test.go
+++ b/internal/net/discovery/faulty_test.go
@@ -171,7 +171,7 @@
 
 func newHeartbeatDiscarder() heartbeatDiscarder { return heartbeatDiscarder{newSink()} }
 
-func (heartbeatDiscarder) Alive() {}
+func (heartbeatDiscarder) Heartbeat() {}
 
 // A shortage of descriptors here says nothing about discovery: a new process must not conclude that discovery is
 // unreachable. The report of the loss includes the time since the call, whoever requested it.
@@ -194,7 +194,7 @@
 				w.Subscribe()
 				for range 3 { // the later ones are made by the clock
 					err := <-s.lost
-					require.Equal(t, tt.unreachable, errors.Is(err, ErrNobody), err)
+					require.Equal(t, tt.unreachable, errors.Is(err, ErrUnreachable), err)
 					require.Equal(t, 700*time.Millisecond, err.(lostWatch).after)
 				}
 			})
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -28,8 +28,8 @@
 	timerSlack         = 10 * time.Millisecond // a timer may fire this much early
 )
 
-// ErrNobody reports that a call did not reach discovery, so it caused no load there.
-var ErrNobody = errors.New("discovery not reached")
+// ErrUnreachable reports that a call did not reach discovery, so it caused no load there.
+var ErrUnreachable = errors.New("discovery not reached")
 
 // OlderListError reports that a list has a lower revision than an earlier one on the same watch.
 type OlderListError struct{ Revision, Last int64 }
@@ -40,18 +40,18 @@
 
 // Sink receives what discovery reports. Its methods are called from one goroutine, in order.
 type Sink interface {
-	// Listed receives a list as it was read.
-	Listed(dispatch.InstanceUpdate)
-	// Alive reports that the watch is active and nothing has changed.
-	Alive()
-	// Silent reports that the watch, or the call that opens it, has timed out, for the nth time in a row from 1. It
+	// ListReceived receives a list as it was read.
+	ListReceived(dispatch.InstanceUpdate)
+	// Heartbeat reports that the watch is active and nothing has changed.
+	Heartbeat()
+	// WatchSilent reports that the watch, or the call that opens it, has timed out, for the nth time in a row from 1. It
 	// is reopened immediately.
-	Silent(n int, err error)
-	// Lost reports that the watch, or the call that opens it, has failed, and how long after the call started. The
+	WatchSilent(n int, err error)
+	// WatchLost reports that the watch, or the call that opens it, has failed, and how long after the call started. The
 	// list is unchanged.
-	Lost(err error, after time.Duration)
-	// Faulty reports that a list or an entry of one is ignored. The watch continues.
-	Faulty(error)
+	WatchLost(err error, after time.Duration)
+	// ListFaulty reports that a list or an entry of one is ignored. The watch continues.
+	ListFaulty(error)
 }
 
 // Watcher watches discovery's list for changes. Its [listclock.Clock] and Subscribe determine when it calls
@@ -85,15 +85,15 @@
 	return (&net.Dialer{Deadline: deadline}).DialContext(ctx, "tcp", address)
 }
 
-// From sets the address and revision of the first watch. It must be called before Run.
-func (w *Watcher) From(address string, revision int64) {
+// SetStart sets the address and revision of the first watch. It must be called before Run.
+func (w *Watcher) SetStart(address string, revision int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.address, w.revision = address, revision
 }
 
-// Retune applies new settings.
-func (w *Watcher) Retune(s decide.Settings) {
+// UpdateSettings applies new settings.
+func (w *Watcher) UpdateSettings(s decide.Settings) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.clock.UpdateSettings(clockSettings(s))
@@ -129,9 +129,9 @@
 // Subscribe requests a watch. It never blocks, and has no effect while a watch is active.
 func (w *Watcher) Subscribe() { signal(w.subscribed) }
 
-// Move sets a new address of discovery. The watch there starts with the complete list, since revisions of different
+// ChangeAddress sets a new address of discovery. The watch there starts with the complete list, since revisions of different
 // servers cannot be compared. The current watch continues until the clock permits the call to the new address.
-func (w *Watcher) Move(address string) {
+func (w *Watcher) ChangeAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.address, w.revision = address, 0
@@ -142,8 +142,8 @@
 	}
 }
 
-// Moving reports whether updates still come from an address that is no longer discovery's.
-func (w *Watcher) Moving() bool {
+// AddressChangePending reports whether updates still come from an address that is no longer discovery's.
+func (w *Watcher) AddressChangePending() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.clock.AddressChangePending()
@@ -158,9 +158,9 @@
 	}
 }
 
-// Rest ends the current watch and drops a pending subscription, because others report changes. The next Subscribe
+// Pause ends the current watch and drops a pending subscription, because others report changes. The next Subscribe
 // starts a new watch.
-func (w *Watcher) Rest() {
+func (w *Watcher) Pause() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.clearSubscription()
@@ -200,9 +200,9 @@
 		switch reopen = end == endSilent || end == endMoved; end {
 		case endSilent:
 			silences++
-			sink.Silent(silences, err)
+			sink.WatchSilent(silences, err)
 		case endLost:
-			sink.Lost(err, w.sinceCall())
+			sink.WatchLost(err, w.sinceCall())
 		}
 	}
 }
@@ -314,7 +314,7 @@
 		return fmt.Errorf("local resource shortage, discovery not called: %w", err)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrNobody, err)
+		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
@@ -373,7 +373,7 @@
 		if update.Revision < last {
 			w.listIgnored()
 			lists.listEnded(rest)
-			sink.Faulty(&OlderListError{Revision: update.Revision, Last: last})
+			sink.ListFaulty(&OlderListError{Revision: update.Revision, Last: last})
 			continue
 		}
 		last = update.Revision
@@ -382,17 +382,17 @@
 		reportFaulty(sink, faulty)
 		update = keepUnreadable(update, faulty, w.instances.Instances())
 		w.instances.Update(update)
-		sink.Listed(update)
+		sink.ListReceived(update)
 	}
 }
 
 // reportFaulty reports the invalid entries of a list, only the first ones individually.
 func reportFaulty(sink Sink, faulty []*EntryError) {
 	for _, f := range faulty[:min(len(faulty), maxReportedEntries)] {
-		sink.Faulty(f)
+		sink.ListFaulty(f)
 	}
 	if more := len(faulty) - maxReportedEntries; more > 0 {
-		sink.Faulty(fmt.Errorf("list: %d more invalid members", more))
+		sink.ListFaulty(fmt.Errorf("list: %d more invalid members", more))
 	}
 }
 
@@ -454,7 +454,7 @@
 	text, heartbeat := o.skipBetween(text)
 	if heartbeat {
 		o.w.heartbeat()
-		o.sink.Alive()
+		o.sink.Heartbeat()
 	}
 	if len(text) > 0 {
 		o.w.mu.Lock()
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -29,12 +29,12 @@
 	return recordingSink{make(chan dispatch.InstanceUpdate, 99), make(chan struct{}, 999), make(chan error, 99), make(chan error, 99), make(chan error, 99)}
 }
 
-func (s recordingSink) Listed(l dispatch.InstanceUpdate) { s.listed <- l }
-func (s recordingSink) Alive()                           { s.alive <- struct{}{} }
-func (s recordingSink) Silent(_ int, err error)          { s.silent <- err }
-func (s recordingSink) Faulty(err error)                 { s.faulty <- err }
+func (s recordingSink) ListReceived(l dispatch.InstanceUpdate) { s.listed <- l }
+func (s recordingSink) Heartbeat()                             { s.alive <- struct{}{} }
+func (s recordingSink) WatchSilent(_ int, err error)           { s.silent <- err }
+func (s recordingSink) ListFaulty(err error)                   { s.faulty <- err }
 
-func (s recordingSink) Lost(err error, after time.Duration) { s.lost <- lostWatch{err, after} }
+func (s recordingSink) WatchLost(err error, after time.Duration) { s.lost <- lostWatch{err, after} }
 
 // lostWatch is the error that ended a watch and the time since its call.
 type lostWatch struct {
@@ -256,15 +256,15 @@
 			c.Write([]byte(responseHead))
 			synctest.Wait()
 			began := time.Now()
-			w.Move("h:2")
+			w.ChangeAddress("h:2")
 			c.Write([]byte(chunk(drainingList)))
 			require.EqualValues(t, 43, (<-s.listed).Revision)
-			require.True(t, w.Moving(), "the revision is the old address's")
+			require.True(t, w.AddressChangePending(), "the revision is the old address's")
 			if ends {
 				c.Close()
 			}
 			next := <-calls
-			require.False(t, w.Moving())
+			require.False(t, w.AddressChangePending())
 			require.Equal(t, []string{"h:2", "/catalog/members?stream=1&index=0"}, []string{next.address, next.target})
 			require.Less(t, next.at.Sub(began), 3*time.Second)
 			require.Empty(t, s.lost)
@@ -279,7 +279,7 @@
 		c.Write([]byte(responseHead))
 		synctest.Wait()
 		began := time.Now()
-		w.Move("h:2")
+		w.ChangeAddress("h:2")
 		require.Equal(t, began, (<-calls).at)
 	})
 }
@@ -309,14 +309,14 @@
 			ended := time.Now()
 			next = <-calls
 			require.LessOrEqual(t, next.at.Sub(ended), 5*time.Second)
-			w.Rest()
+			w.Pause()
 			require.Error(t, <-s.lost)
 			time.Sleep(time.Hour)
 			synctest.Wait()
 			require.Empty(t, calls)
 			w.Subscribe()
 			<-calls
-			w.Rest()
+			w.Pause()
 			w.Subscribe()
 			require.Error(t, <-s.lost)
 		}
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -22,16 +22,16 @@
 	MaxBody   = 64 << 10
 )
 
-// Malformed is an error in a received message, with the status to answer the sender with.
-type Malformed struct {
+// MalformedError is an error in a received message, with the status to answer the sender with.
+type MalformedError struct {
 	Status int
 	Text   string
 }
 
-func (m *Malformed) Error() string { return fmt.Sprintf("malformed message: %s", m.Text) }
+func (m *MalformedError) Error() string { return fmt.Sprintf("malformed message: %s", m.Text) }
 
 func malformed(status int, format string, args ...any) error {
-	return &Malformed{Status: status, Text: fmt.Sprintf(format, args...)}
+	return &MalformedError{Status: status, Text: fmt.Sprintf(format, args...)}
 }
 
 // Field is one header line.
@@ -79,8 +79,8 @@
 	return ""
 }
 
-// Given reports whether there is a field of that name, even an empty one.
-func (h Header) Given(name string) bool {
+// Present reports whether there is a field of that name, even an empty one.
+func (h Header) Present(name string) bool {
 	return slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, name) })
 }
 
@@ -90,8 +90,8 @@
 	return slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, name) && f.Value != first })
 }
 
-// Has reports whether a field of that name contains the token in its comma-separated list.
-func (h Header) Has(name, token string) bool {
+// HasToken reports whether a field of that name contains the token in its comma-separated list.
+func (h Header) HasToken(name, token string) bool {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
 			for part := range strings.SplitSeq(f.Value, ",") {
@@ -147,7 +147,7 @@
 	if f.length > MaxBody {
 		return nil, malformed(413, "body of %d bytes", f.length)
 	}
-	if q.Header.Has("Expect", "100-continue") && (f.chunked || f.length > 0) && onContinue != nil {
+	if q.Header.HasToken("Expect", "100-continue") && (f.chunked || f.length > 0) && onContinue != nil {
 		if err := onContinue(); err != nil {
 			return nil, err
 		}
@@ -267,12 +267,12 @@
 
 func wantsClose(version string, h Header) (bool, error) {
 	switch {
-	case h.Has("Connection", "close"):
+	case h.HasToken("Connection", "close"):
 		return true, nil
 	case version == "HTTP/1.1":
 		return false, nil
 	case version == "HTTP/1.0":
-		return !h.Has("Connection", "keep-alive"), nil
+		return !h.HasToken("Connection", "keep-alive"), nil
 	}
 	return false, malformed(400, "version")
 }
--- a/internal/net/http1/http1_test.go
+++ b/internal/net/http1/http1_test.go
@@ -35,7 +35,7 @@
 		"POST / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n":                      431,
 	} {
 		_, err := ReadRequest(newReader(text), nil)
-		var m *Malformed
+		var m *MalformedError
 		require.ErrorAs(t, err, &m, text[:min(len(text), 80)])
 		require.Equal(t, status, m.Status, text[:min(len(text), 80)])
 	}
@@ -92,7 +92,7 @@
 			}
 		}
 		again, err := ReadRequest(newReader(string(AppendRequest(nil, q.Method, q.Target, h, q.Body))), nil)
-		var m *Malformed
+		var m *MalformedError
 		if errors.As(err, &m) && m.Status == 431 {
 			return // a line just under the limit
 		}
--- a/internal/net/loadreport/loadreport.go
+++ b/internal/net/loadreport/loadreport.go
@@ -42,12 +42,12 @@
 // New returns a reader of the fields that the settings name.
 func New(fields []string, logger *slog.Logger) *Reader {
 	r := &Reader{log: logger}
-	r.Retune(fields)
+	r.SetFields(fields)
 	return r
 }
 
-// Retune replaces the fields that are read.
-func (r *Reader) Retune(fields []string) {
+// SetFields replaces the fields that are read.
+func (r *Reader) SetFields(fields []string) {
 	wanted := map[string]bool{}
 	for _, f := range fields {
 		wanted[wire.ReportField(f)] = true
@@ -55,12 +55,12 @@
 	r.fields.Store(&wanted)
 }
 
-// Any reports whether any fields are read.
-func (r *Reader) Any() bool { return r != nil && len(*r.fields.Load()) > 0 }
+// Enabled reports whether any fields are read.
+func (r *Reader) Enabled() bool { return r != nil && len(*r.fields.Load()) > 0 }
 
-// Object parses a JSON object. It returns nil if there is no report or it is invalid.
-func (r *Reader) Object(text []byte) *decide.Report {
-	if !r.Any() || len(text) == 0 || string(text) == "null" {
+// ParseObject parses a JSON object. It returns nil if there is no report or it is invalid.
+func (r *Reader) ParseObject(text []byte) *decide.Report {
+	if !r.Enabled() || len(text) == 0 || string(text) == "null" {
 		return nil
 	}
 	return r.parseChecked("object", len(text), func(wanted map[string]bool) (map[string]float64, error) {
@@ -82,9 +82,9 @@
 	})
 }
 
-// Line parses a header value of the form "TEXT name=number, name=number".
-func (r *Reader) Line(text string) *decide.Report {
-	if !r.Any() || text == "" {
+// ParseLine parses a header value of the form "TEXT name=number, name=number".
+func (r *Reader) ParseLine(text string) *decide.Report {
+	if !r.Enabled() || text == "" {
 		return nil
 	}
 	return r.parseChecked("line", len(text), func(wanted map[string]bool) (map[string]float64, error) {
--- a/internal/net/loadreport/loadreport_test.go
+++ b/internal/net/loadreport/loadreport_test.go
@@ -25,32 +25,32 @@
 		`{"util":1}`: freeSlots(-1),
 		`null`:       nil, ``: nil,
 	} {
-		require.Equal(t, want, r.Object([]byte(text)), text)
+		require.Equal(t, want, r.ParseObject([]byte(text)), text)
 	}
-	require.Equal(t, freeSlots(3), r.Line("TEXT x0=3, util=0.61,latency_ms=8"))
-	require.Equal(t, freeSlots(-1), r.Line("text inflight=7"))
+	require.Equal(t, freeSlots(3), r.ParseLine("TEXT x0=3, util=0.61,latency_ms=8"))
+	require.Equal(t, freeSlots(-1), r.ParseLine("text inflight=7"))
 	require.Empty(t, log.String())
 	for _, text := range []string{`{"x0":-1}`, `{"x0":1e9}`, `{"x0":"3"}`, `{"cpu":null`, `[3]`, `{"x0":1e999}`, strings.Repeat(" ", 2000)} {
-		require.Nil(t, r.Object([]byte(text)), text)
+		require.Nil(t, r.ParseObject([]byte(text)), text)
 	}
 	for _, text := range []string{"x0=3", "TEXT x0=NaN", "TEXT x0", "TEXT x0=+Inf", "BIN x0=3"} {
-		require.Nil(t, r.Line(text), text)
+		require.Nil(t, r.ParseLine(text), text)
 	}
 	require.Equal(t, 1, strings.Count(log.String(), "\n"))
 
-	r.Retune([]string{"inflight", "queue"})
-	require.Equal(t, &decide.Report{Active: 7, Waiting: 2, FreeSlots: -1, FreeMemory: -1}, r.Line("TEXT inflight=7, queue=2, util=0.61"))
-	r.Retune(nil)
-	require.Nil(t, r.Object([]byte(`{"x0":1}`)))
+	r.SetFields([]string{"inflight", "queue"})
+	require.Equal(t, &decide.Report{Active: 7, Waiting: 2, FreeSlots: -1, FreeMemory: -1}, r.ParseLine("TEXT inflight=7, queue=2, util=0.61"))
+	r.SetFields(nil)
+	require.Nil(t, r.ParseObject([]byte(`{"x0":1}`)))
 	var nilReader *Reader
-	require.False(t, nilReader.Any())
-	require.Nil(t, nilReader.Line("TEXT x0=3"))
+	require.False(t, nilReader.Enabled())
+	require.Nil(t, nilReader.ParseLine("TEXT x0=3"))
 }
 
 // A null value counts as absent. It was read as 0: an encoder without free slots.
 func TestNullIsIgnored(t *testing.T) {
 	r := New([]string{"x0", "inflight"}, slog.New(slog.DiscardHandler))
-	require.Equal(t, &decide.Report{Active: 7, Waiting: -1, FreeSlots: -1, FreeMemory: -1}, r.Object([]byte(`{"x0":null,"inflight":7}`)))
+	require.Equal(t, &decide.Report{Active: 7, Waiting: -1, FreeSlots: -1, FreeMemory: -1}, r.ParseObject([]byte(`{"x0":null,"inflight":7}`)))
 }
 
 // Any report is either read or rejected, without a panic or a value out of range.
@@ -60,7 +60,7 @@
 	}
 	r := New([]string{"x0", "queue", "inflight", "x1"}, slog.New(slog.DiscardHandler))
 	f.Fuzz(func(t *testing.T, text string) {
-		for _, report := range []*decide.Report{r.Object([]byte(text)), r.Line(text)} {
+		for _, report := range []*decide.Report{r.ParseObject([]byte(text)), r.ParseLine(text)} {
 			if report == nil {
 				continue
 			}
--- a/internal/net/plain/front.go
+++ b/internal/net/plain/front.go
@@ -185,7 +185,7 @@
 			_, err := io.WriteString(nc, "HTTP/1.1 100 Continue\r\n\r\n")
 			return err
 		})
-		var bad *http1.Malformed
+		var bad *http1.MalformedError
 		switch {
 		case errors.As(err, &bad):
 			reply(nc, &http1.Request{}, bad.Status, nil, []byte(bad.Text+"\n"), true)
--- a/internal/net/plain/servers.go
+++ b/internal/net/plain/servers.go
@@ -184,7 +184,7 @@
 			return &kept{Conn: nc, br: bufio.NewReaderSize(nc, http1.MaxLine)}, 0, nil
 		}
 		age := max(time.Since(k.since), 1)
-		if a.MaxIdle > 0 && age > a.MaxIdle || k.br.Buffered() > 0 || k.SetDeadline(time.Time{}) != nil || sock.Look(k.Conn) != sock.Empty {
+		if a.MaxIdle > 0 && age > a.MaxIdle || k.br.Buffered() > 0 || k.SetDeadline(time.Time{}) != nil || sock.Peek(k.Conn) != sock.Empty {
 			k.Close() // too old, closed, or it says what nobody asked for
 			continue
 		}
--- a/internal/net/plain/story_test.go
+++ b/internal/net/plain/story_test.go
@@ -135,7 +135,7 @@
 	for range 350 {
 		p := k.ask("GET", "/x?y=%20z", "")
 		require.Equal(t, 200, p.Status)
-		require.False(t, p.Header.Given("X-Hop"))
+		require.False(t, p.Header.Present("X-Hop"))
 	}
 	require.Equal(t, []int32{250, 50, 50, 0}, []int32{a.came.Load(), b.came.Load(), c.came.Load(), d.came.Load()})
 	require.EqualValues(t, 3, a.conns.Load()+b.conns.Load()+c.conns.Load())
@@ -143,7 +143,7 @@
 	defer a.mu.Unlock()
 	require.Equal(t, "/x?y=%20z", a.last.Target)
 	require.Equal(t, "1", a.last.Header.Get("X-Keep"))
-	require.False(t, a.last.Header.Given("X-Drop"))
+	require.False(t, a.last.Header.Present("X-Drop"))
 	require.Equal(t, "p", a.last.Header.Get("Host"))
 }
 
--- a/internal/net/sock/sock.go
+++ b/internal/net/sock/sock.go
@@ -16,9 +16,9 @@
 	Closed              // closed by the peer, or broken
 )
 
-// Look returns the state of a connection without waiting or consuming anything. The connection's read deadline must
+// Peek returns the state of a connection without waiting or consuming anything. The connection's read deadline must
 // not have passed.
-func Look(c net.Conn) State {
+func Peek(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return Closed
--- a/internal/net/sock/sock_test.go
+++ b/internal/net/sock/sock_test.go
@@ -24,7 +24,7 @@
 }
 
 // Look returns the state of a connection and consumes nothing: neither bytes nor the end of the stream.
-func TestLook(t *testing.T) {
+func TestPeek(t *testing.T) {
 	reset := func(c *net.TCPConn) {
 		c.SetLinger(0)
 		c.Close()
@@ -45,8 +45,8 @@
 		t.Run(name, func(t *testing.T) {
 			ours, theirs := connPair(t)
 			test.action(theirs)
-			require.Equal(t, test.want, Look(ours))
-			require.Equal(t, test.want, Look(ours))
+			require.Equal(t, test.want, Peek(ours))
+			require.Equal(t, test.want, Peek(ours))
 			if test.want == Data {
 				var b [2]byte
 				n, err := ours.Read(b[:])
@@ -58,16 +58,16 @@
 }
 
 // Connections that cannot be examined count as closed, so that they are not used.
-func TestLookAtUnusableConnections(t *testing.T) {
+func TestPeekUnusableConnections(t *testing.T) {
 	ours, _ := connPair(t)
 	require.NoError(t, ours.SetReadDeadline(time.Unix(1, 0)))
-	require.Equal(t, Closed, Look(ours))
+	require.Equal(t, Closed, Peek(ours))
 	require.NoError(t, ours.Close())
-	require.Equal(t, Closed, Look(ours))
+	require.Equal(t, Closed, Peek(ours))
 	one, other := net.Pipe()
 	defer other.Close()
 	defer one.Close()
-	require.Equal(t, Closed, Look(one))
+	require.Equal(t, Closed, Peek(one))
 }
 
 // Two listeners share an address. Once one of them is closed, all connections go to the other.
--- a/internal/net/upstream/cancel_test.go
+++ b/internal/net/upstream/cancel_test.go
@@ -74,7 +74,7 @@
 	for _, c := range []*encoderConn{one, two} {
 		c.write(response202)
 		receive(t, r.accepted)
-		require.Eventually(t, func() bool { return p.Idle() > 0 }, testTimeout, time.Millisecond)
+		require.Eventually(t, func() bool { return p.IdleConns() > 0 }, testTimeout, time.Millisecond)
 	}
 	awaitIdle(t, p, 2)
 	confirmed := startCancellation(p)
@@ -98,7 +98,7 @@
 			t.Parallel()
 			e := listen(t)
 			p, _ := newScriptedPool(t, e, 9)
-			p.Retune(time.Millisecond, time.Minute)
+			p.SetTimeouts(time.Millisecond, time.Minute)
 			block(e)
 			confirmed := startCancellation(p)
 			require.Eventually(t, func() bool { return !p.Busy() }, testTimeout, time.Millisecond)
@@ -114,7 +114,7 @@
 	e := listen(t)
 	release := e.blockConnects()
 	p, _ := newScriptedPool(t, e, 9)
-	p.Retune(time.Millisecond, time.Minute)
+	p.SetTimeouts(time.Millisecond, time.Minute)
 	confirmed := make(chan result, 1)
 	p.start("s-1", &exchange{
 		method: "DELETE", target: "/jobs/c1", deadline: time.Now().Add(testTimeout), connectUntilDeadline: true, onDone: func(e result) { confirmed <- e },
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -231,7 +231,7 @@
 
 // dial opens a connection. For anything but new work, it dials again if the encoder's address has changed meanwhile.
 func (c *conn) dial(x *exchange) error {
-	dialBy := time.Now().Add(c.pool.currentLimits().Connect)
+	dialBy := time.Now().Add(c.pool.currentLimits().ConnectTimeout)
 	if x.connectUntilDeadline || x.deadline.Before(dialBy) {
 		dialBy = x.deadline
 	}
@@ -304,7 +304,7 @@
 	if c.nc.SetDeadline(time.Time{}) != nil {
 		return true
 	}
-	state := sock.Look(c.nc)
+	state := sock.Peek(c.nc)
 	if state == sock.Data {
 		c.pool.noteUnsolicited(c.endpoint)
 	}
--- a/internal/net/upstream/dial_test.go
+++ b/internal/net/upstream/dial_test.go
@@ -31,20 +31,22 @@
 	}{
 		"cancelled":                {func(p *Pool, _ *encoder, a *dispatch.Attempt) { p.Cancel(a) }, 1},
 		"client gone":              {func(p *Pool, _ *encoder, a *dispatch.Attempt) { setExpired(p, a, expired) }, 1},
-		"owned by another process": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Unsend() }, 1},
-		"drain":                    {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.Listed(e.update(decide.Draining)) }, 1},
-		"gone":                     {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.Listed(e.update(decide.Gone)) }, 0},
-		"gone from a full list":    {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Listed(dispatch.InstanceUpdate{Complete: true}) }, 0},
+		"owned by another process": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.CancelUnsent() }, 1},
+		"drain":                    {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.UpdateInstances(e.update(decide.Draining)) }, 1},
+		"gone":                     {func(p *Pool, e *encoder, _ *dispatch.Attempt) { p.UpdateInstances(e.update(decide.Gone)) }, 0},
+		"gone from a full list": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) {
+			p.UpdateInstances(dispatch.InstanceUpdate{Complete: true})
+		}, 0},
 		"gone and back": {func(p *Pool, e *encoder, _ *dispatch.Attempt) {
-			p.Listed(e.update(decide.Gone))
-			p.Listed(e.update(decide.Ready))
+			p.UpdateInstances(e.update(decide.Gone))
+			p.UpdateInstances(e.update(decide.Ready))
 		}, 0},
-		"moved":    {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Listed(elsewhere.update(decide.Ready)) }, 0},
+		"moved":    {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.UpdateInstances(elsewhere.update(decide.Ready)) }, 0},
 		"cordoned": {func(p *Pool, _ *encoder, _ *dispatch.Attempt) { p.Cordon("s-1", true) }, 0},
 		"restarted": {func(p *Pool, e *encoder, _ *dispatch.Attempt) {
 			l := e.update(decide.Ready)
 			l.Instances[0].Started = time.Now()
-			p.Listed(l)
+			p.UpdateInstances(l)
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +77,7 @@
 func TestConnectionNeverEstablished(t *testing.T) {
 	for name, bound := range map[string]func(*Pool, *dispatch.Attempt){
 		"deadline": func(_ *Pool, a *dispatch.Attempt) { a.Deadline = time.Now().Add(50 * time.Millisecond) },
-		"limit":    func(p *Pool, _ *dispatch.Attempt) { p.Retune(50*time.Millisecond, time.Minute) },
+		"limit":    func(p *Pool, _ *dispatch.Attempt) { p.SetTimeouts(50*time.Millisecond, time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -99,7 +101,7 @@
 	p, _ := newScriptedPool(t, from, 9)
 	p.start("s-1", &exchange{method: "DELETE", target: "/jobs/c1", deadline: time.Now().Add(time.Minute), onDone: func(result) {}})
 	from.awaitDial()
-	p.Listed(to.update(decide.Ready))
+	p.UpdateInstances(to.update(decide.Ready))
 	release()
 	from.accept().expectClosed()
 	require.Equal(t, "DELETE", to.accept().read().Method)
--- a/internal/net/upstream/idle_test.go
+++ b/internal/net/upstream/idle_test.go
@@ -22,12 +22,12 @@
 	}
 	for name, change := range map[string]func(*Pool, *encoder) *encoder{
 		"moved": func(p *Pool, _ *encoder) *encoder {
-			p.Listed(other.update(decide.Ready))
+			p.UpdateInstances(other.update(decide.Ready))
 			return other
 		},
 		"gone and back": func(p *Pool, e *encoder) *encoder {
-			p.Listed(e.update(decide.Gone))
-			p.Listed(e.update(decide.Ready))
+			p.UpdateInstances(e.update(decide.Gone))
+			p.UpdateInstances(e.update(decide.Ready))
 			return e
 		},
 		"cordoned": func(p *Pool, e *encoder) *encoder {
@@ -36,7 +36,7 @@
 			return e
 		},
 		"restarted": func(p *Pool, e *encoder) *encoder {
-			p.Listed(restarted(e))
+			p.UpdateInstances(restarted(e))
 			return e
 		},
 	} {
@@ -66,10 +66,10 @@
 	l.Instances[0].Started = time.Now()
 	after := e.serveAttempt(p, r) // replaces the previous one, since it must be a new connection
 	before.expectClosed()
-	p.Listed(l)
+	p.UpdateInstances(l)
 	awaitIdle(t, p, 1)
 	l.Instances[0].Started = time.Now()
-	p.Listed(l)
+	p.UpdateInstances(l)
 	after.expectClosed()
 	awaitIdle(t, p, 0)
 }
@@ -82,7 +82,7 @@
 	c := from.serveAttempt(p, r)
 	a := attempt("s-1")
 	moves := func(time.Time) bool { // called right before the first byte
-		p.Listed(to.update(decide.Ready))
+		p.UpdateInstances(to.update(decide.Ready))
 		return false
 	}
 	x := &exchange{method: "POST", target: "/api", correlationID: "c1", deadline: a.Deadline, newWork: true, expired: moves, onDone: func(e result) {
@@ -113,7 +113,7 @@
 	}
 	awaitIdle(t, p, maxConns)
 	other := listen(t)
-	p.Listed(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-2", Address: other.Addr().String(), State: decide.Ready}}})
+	p.UpdateInstances(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-2", Address: other.Addr().String(), State: decide.Ready}}})
 	for i := range maxConns {
 		p.mu.Lock()
 		oldest := p.endpoints["s-1"].idle[0].nc
@@ -121,7 +121,7 @@
 		p.Send(attempt("s-2"))
 		require.ErrorIs(t, oldest.SetDeadline(time.Time{}), net.ErrClosed)
 		require.LessOrEqual(t, openConns(p), maxConns)
-		require.Equal(t, maxConns-1-i, p.Idle())
+		require.Equal(t, maxConns-1-i, p.IdleConns())
 	}
 	for _, c := range peers {
 		c.expectClosed()
@@ -139,7 +139,7 @@
 		c.read()
 		peers = append(peers, c)
 	}
-	p.Bound(1)
+	p.SetMaxConns(1)
 	require.Equal(t, 3, openConns(p))
 	for _, c := range peers {
 		c.write(response202)
@@ -155,7 +155,7 @@
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
 	c := e.serveAttempt(p, r)
-	p.Retune(time.Minute, time.Nanosecond) // its timer runs by the previous limit
+	p.SetTimeouts(time.Minute, time.Nanosecond) // its timer runs by the previous limit
 	p.Send(attempt("s-1"))
 	c.expectClosed()
 	e.accept().read()
@@ -164,7 +164,7 @@
 // If a connection's idle time ends at the moment at which it is assigned work or closed, only one of the two happens,
 // and no work is lost.
 func TestIdleTimeoutRacesWithNewWork(t *testing.T) {
-	p := NewPool(Limits{Connections: 9, Idle: time.Minute})
+	p := NewPool(Limits{MaxConns: 9, IdleTimeout: time.Minute})
 	ep := &endpoint{id: "s-1", address: "127.0.0.1:1", state: decide.Ready}
 	p.endpoints[ep.id] = ep
 	expired := make(chan time.Time, 1)
@@ -203,6 +203,6 @@
 		_, ok = c.next(expired)
 		require.False(t, ok)
 		p.connEnded(c)
-		require.Equal(t, []int{0, 0}, []int{p.Idle(), openConns(p)})
+		require.Equal(t, []int{0, 0}, []int{p.IdleConns(), openConns(p)})
 	}
 }
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -47,14 +47,14 @@
 
 // Limits are the limits of a pool.
 type Limits struct {
-	Connections int           // total
-	Connect     time.Duration // connect timeout
-	Idle        time.Duration // idle time after which encoders close a connection
+	MaxConns       int           // total
+	ConnectTimeout time.Duration // connect timeout
+	IdleTimeout    time.Duration // idle time after which encoders close a connection
 }
 
 // maxIdle is how long an idle connection is kept. It is well below the limit, since a request written to a connection
 // that the encoder's machine has just closed would end as a reset.
-func (l Limits) maxIdle() time.Duration { return l.Idle * 3 / 5 }
+func (l Limits) maxIdle() time.Duration { return l.IdleTimeout * 3 / 5 }
 
 // Pool holds the connections to all encoders.
 type Pool struct {
@@ -87,15 +87,15 @@
 	return &Pool{limits: l, endpoints: map[string]*endpoint{}, cordoned: map[string]bool{}, unaccepted: map[*dispatch.Attempt]*exchange{}, settle: defaultSettle}
 }
 
-// ReportTo sets the observer. It must be called before anything is sent.
-func (p *Pool) ReportTo(r Observer) { p.observer = r }
+// SetObserver sets the observer. It must be called before anything is sent.
+func (p *Pool) SetObserver(r Observer) { p.observer = r }
 
-// ReadBy sets the reader of load reports. It must be called before anything is sent.
-func (p *Pool) ReadBy(r *loadreport.Reader) { p.loadReader = r }
+// SetLoadReader sets the reader of load reports. It must be called before anything is sent.
+func (p *Pool) SetLoadReader(r *loadreport.Reader) { p.loadReader = r }
 
-// Listed applies an update of the instance list as soon as it has been read: encoders that drain or are gone get
+// UpdateInstances applies an update of the instance list as soon as it has been read: encoders that drain or are gone get
 // nothing new, even if an attempt has already been decided.
-func (p *Pool) Listed(l dispatch.InstanceUpdate) {
+func (p *Pool) UpdateInstances(l dispatch.InstanceUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l.Complete {
@@ -257,9 +257,9 @@
 	p.cancelJob(a)
 }
 
-// Unsend ends all attempts of which nothing has been written, with outcome NotSent. Another process owns them from
+// CancelUnsent ends all attempts of which nothing has been written, with outcome NotSent. Another process owns them from
 // now on, and could cancel one and send it elsewhere while it still waits here for its connection.
-func (p *Pool) Unsend() {
+func (p *Pool) CancelUnsent() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, x := range p.unaccepted {
@@ -322,13 +322,13 @@
 	if e.progress != answered {
 		return nil
 	}
-	return p.loadReader.Line(e.response.Header.Get(loadreport.HeaderField))
+	return p.loadReader.ParseLine(e.response.Header.Get(loadreport.HeaderField))
 }
 
 // Probe checks an encoder's health, at the path that returns a load report if load reports are in use.
 func (p *Pool) Probe(id string) {
 	target := "/ping"
-	if p.loadReader.Any() {
+	if p.loadReader.Enabled() {
 		target = "/_load"
 	}
 	p.start(id, &exchange{
@@ -336,7 +336,7 @@
 		onDone: func(e result) {
 			report := p.loadReport(e)
 			if report == nil && e.progress == answered {
-				report = p.loadReader.Object(e.response.Body)
+				report = p.loadReader.ParseObject(e.response.Body)
 			}
 			p.observer.ProbeEnded(id, e.probeOutcome(), report)
 		},
@@ -366,7 +366,7 @@
 		c.exchanges <- x // does not block: the buffer holds one, and an idle connection has none queued
 		return
 	}
-	if p.connCount >= p.limits.Connections && !p.evictOldest() {
+	if p.connCount >= p.limits.MaxConns && !p.evictOldest() {
 		go x.onDone(result{progress: notSent})
 		return
 	}
@@ -413,11 +413,11 @@
 	p.lastUnsolicited = ep.lastUnsolicited
 }
 
-// Retune sets the connect timeout and the idle limit.
-func (p *Pool) Retune(connect, idle time.Duration) {
+// SetTimeouts sets the connect timeout and the idle limit.
+func (p *Pool) SetTimeouts(connect, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limits.Connect, p.limits.Idle = connect, idle
+	p.limits.ConnectTimeout, p.limits.IdleTimeout = connect, idle
 }
 
 func (p *Pool) currentLimits() Limits {
@@ -426,12 +426,12 @@
 	return p.limits
 }
 
-// Bound sets the maximum number of connections. Idle ones above it are closed at once, busy ones when they become
+// SetMaxConns sets the maximum number of connections. Idle ones above it are closed at once, busy ones when they become
 // idle.
-func (p *Pool) Bound(connections int) {
+func (p *Pool) SetMaxConns(connections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limits.Connections = connections
+	p.limits.MaxConns = connections
 	for p.connCount > connections && p.evictOldest() {
 	}
 }
@@ -463,7 +463,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.idleSince = time.Now()
-	if c.endpoint.state == decide.Gone || !c.current() || p.connCount > p.limits.Connections {
+	if c.endpoint.state == decide.Gone || !c.current() || p.connCount > p.limits.MaxConns {
 		p.closeConn(c)
 		return
 	}
@@ -509,7 +509,7 @@
 
 // passThrough returns the fields of a client's header that are sent to encoders unchanged.
 func passThrough(from http1.Header) (h http1.Header) {
-	if from.Given(idempotencyField) {
+	if from.Present(idempotencyField) {
 		h = http1.Header{{Name: idempotencyField, Value: from.Get(idempotencyField)}}
 	}
 	return h
@@ -517,8 +517,8 @@
 
 var _ dispatch.Fleet = (*Pool)(nil)
 
-// Idle returns the number of idle connections.
-func (p *Pool) Idle() int {
+// IdleConns returns the number of idle connections.
+func (p *Pool) IdleConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.idleConns()
@@ -538,8 +538,8 @@
 	return n
 }
 
-// Takes reports whether an encoder may be sent new work now.
-func (p *Pool) Takes(id string) bool {
+// Available reports whether an encoder may be sent new work now.
+func (p *Pool) Available(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ep := p.endpoints[id]
--- a/internal/net/upstream/pool_test.go
+++ b/internal/net/upstream/pool_test.go
@@ -42,8 +42,8 @@
 // pass each request to the channel.
 func newAutoPool(t *testing.T, maxConns int, ids ...string) (*Pool, recorder, chan *http1.Request) {
 	rec, seen := recorder{make(chan decide.Outcome, 9), make(chan decide.Outcome, 9), make(chan *decide.Report, 9), make(chan *dispatch.Attempt, 9)}, make(chan *http1.Request, 9)
-	p := NewPool(Limits{Connections: maxConns, Connect: 10 * time.Second, Idle: time.Minute})
-	p.ReportTo(rec)
+	p := NewPool(Limits{MaxConns: maxConns, ConnectTimeout: 10 * time.Second, IdleTimeout: time.Minute})
+	p.SetObserver(rec)
 	var l dispatch.InstanceUpdate
 	for _, id := range ids {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -84,7 +84,7 @@
 			}
 		}()
 	}
-	p.Listed(l)
+	p.UpdateInstances(l)
 	return p, rec, seen
 }
 
@@ -102,11 +102,11 @@
 	p.Probe("s-1")
 	require.Equal(t, decide.OK, <-r.probed)
 	<-seen
-	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return p.IdleConns() == 1 }, 20*time.Second, time.Millisecond)
 	p.Probe("s-2") // waits for the idle connection to be closed and replaces it
 	require.Equal(t, decide.OK, <-r.probed)
 	<-seen
-	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return p.IdleConns() == 1 }, 20*time.Second, time.Millisecond)
 	p.Send(attempt("s-2"))
 	<-seen
 	p.Send(attempt("s-1"))
@@ -120,7 +120,7 @@
 		p, r, seen := newAutoPool(t, 9, "s-1")
 		p.Probe("s-1")
 		require.Equal(t, decide.OK, <-r.probed)
-		require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return p.IdleConns() == 1 }, 20*time.Second, time.Millisecond)
 		a := attempt("s-1")
 		a.MaxIdle = maxIdle
 		p.Send(a)
@@ -134,13 +134,13 @@
 	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.Probe("s-1")
 	require.Equal(t, decide.OK, <-r.probed)
-	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return p.IdleConns() == 1 }, 20*time.Second, time.Millisecond)
 	a := attempt("s-1")
 	a.NewConn, a.Command.Payload.(*http1.Request).Target = true, "/take"
 	p.Send(a)
 	<-r.accepted
 	require.NotEqual(t, (<-seen).Header.Get("From"), (<-seen).Header.Get("From"))
-	require.Eventually(t, func() bool { return p.Idle() == 1 && !p.Busy() }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return p.IdleConns() == 1 && !p.Busy() }, 20*time.Second, time.Millisecond)
 }
 
 // A 202 is reported, so that the decision module can distinguish a working encoder from a silent connection.
@@ -159,7 +159,7 @@
 	p.Probe("s-1")
 	<-seen
 	require.Equal(t, decide.OK, <-r.probed)
-	p.Listed(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-1", State: decide.Draining}}})
+	p.UpdateInstances(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-1", State: decide.Draining}}})
 	p.Send(attempt("s-1"))
 	require.Equal(t, decide.NotSent, <-r.ended)
 	require.Empty(t, seen)
@@ -182,7 +182,7 @@
 	p, r, seen := newAutoPool(t, 9, "s-1")
 	p.Probe("s-1")
 	require.Equal(t, decide.OK, <-r.probed)
-	require.Eventually(t, func() bool { return p.Idle() == 1 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return p.IdleConns() == 1 }, 20*time.Second, time.Millisecond)
 	<-seen
 	a := attempt("s-1")
 	a.Deadline = time.Now().Add(time.Second)
@@ -206,11 +206,11 @@
 		p.mu.Unlock()
 		p.start("s-1", x)
 	}
-	send("/late", func(time.Time) bool { p.Unsend(); return false }) // its connection is established by now
+	send("/late", func(time.Time) bool { p.CancelUnsent(); return false }) // its connection is established by now
 	require.Equal(t, notSent, (<-ends).progress)
 	send("/begun", nil)
 	require.Equal(t, "/begun", (<-seen).Target)
-	p.Unsend()
+	p.CancelUnsent()
 	send("/take", nil)
 	require.Equal(t, "/take", (<-seen).Target)
 	require.Equal(t, answered, (<-ends).progress, "the earlier one continues")
@@ -233,9 +233,9 @@
 			a.Command.Payload.(*http1.Request).Header = h
 			p.Send(a)
 			q := <-seen
-			require.Equal(t, h != nil, q.Header.Given("Idempotency-Key"))
+			require.Equal(t, h != nil, q.Header.Present("Idempotency-Key"))
 			require.Equal(t, h.Get("Idempotency-Key"), q.Header.Get("Idempotency-Key"))
-			require.False(t, q.Header.Given("Cookie"))
+			require.False(t, q.Header.Present("Cookie"))
 		}
 	}
 }
@@ -244,7 +244,7 @@
 // returns one.
 func TestLoadReportsOfResponsesAndProbes(t *testing.T) {
 	p, r, seen := newAutoPool(t, 9, "s-1")
-	p.ReadBy(loadreport.New([]string{"x0"}, slog.New(slog.DiscardHandler)))
+	p.SetLoadReader(loadreport.New([]string{"x0"}, slog.New(slog.DiscardHandler)))
 	a := attempt("s-1")
 	a.Command.Payload.(*http1.Request).Target = "/full"
 	p.Send(a)
@@ -271,7 +271,7 @@
 		require.Equal(t, a, <-r.accepted)
 	}
 	idle := func(n int) {
-		require.Eventually(t, func() bool { return p.Idle() == n && !p.Busy() }, 20*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return p.IdleConns() == n && !p.Busy() }, 20*time.Second, time.Millisecond)
 	}
 	send("/twice")
 	idle(1)
--- a/internal/net/upstream/response_test.go
+++ b/internal/net/upstream/response_test.go
@@ -122,7 +122,7 @@
 func newPausingPool(t *testing.T, e *encoder) (*Pool, pausingObserver) {
 	p, r := newScriptedPool(t, e, 9)
 	observer := pausingObserver{r, make(chan bool, 9), make(chan bool, 9)}
-	p.ReportTo(observer)
+	p.SetObserver(observer)
 	return p, observer
 }
 
--- a/internal/net/upstream/scripted_encoder_test.go
+++ b/internal/net/upstream/scripted_encoder_test.go
@@ -163,13 +163,13 @@
 // newScriptedPool returns a pool whose only encoder is controlled by the test.
 func newScriptedPool(t *testing.T, e *encoder, maxConns int) (*Pool, recorder) {
 	p, r, _ := newAutoPool(t, maxConns)
-	p.Listed(e.update(decide.Ready))
+	p.UpdateInstances(e.update(decide.Ready))
 	return p, r
 }
 
 // serveAttempt serves an attempt on a connection that is idle afterwards, and returns the encoder's side of it.
 func (e *encoder) serveAttempt(p *Pool, r recorder) *encoderConn {
-	idle := p.Idle()
+	idle := p.IdleConns()
 	a := attempt("s-1")
 	a.NewConn = idle > 0
 	p.Send(a)
@@ -195,7 +195,7 @@
 // awaitIdle waits until the given number of connections is idle and none is busy.
 func awaitIdle(t *testing.T, p *Pool, idle int) {
 	t.Helper()
-	require.Eventually(t, func() bool { return p.Idle() == idle && !p.Busy() }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return p.IdleConns() == idle && !p.Busy() }, testTimeout, time.Millisecond)
 }
 
 // openConns returns the number of connections that the pool counts.
--- a/internal/program/callbacks_test.go
+++ b/internal/program/callbacks_test.go
@@ -35,7 +35,7 @@
 	env.await(func() bool { return env.program.server.Connections() == 2 })
 	older := env.startNewer()
 	sendList(<-env.watches, 7, true, member(env.instance.Addr().String(), "in_service"))
-	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == Yielded })
+	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == HandedOver })
 	blocked, proceed := make(chan bool), make(chan bool)
 	older.program.loop.ExportLearned(func(dispatch.HandoverState) { close(blocked); <-proceed })
 	<-blocked
@@ -61,10 +61,10 @@
 	require.Equal(t, "c1", <-accepted)
 	newer, err := handover.Dial(env.program.socketPath())
 	require.NoError(t, err)
-	passed := make(chan clients.Passed, 9)
+	passed := make(chan clients.PassedConn, 9)
 	go newer.Run(func(m handover.Message, f *os.File) {
-		var p clients.Passed
-		if m.Kind == msgConnection && m.Decode(&p) == nil && len(p.Rest) > 0 {
+		var p clients.PassedConn
+		if m.Kind == msgConnection && m.Decode(&p) == nil && len(p.Received) > 0 {
 			passed <- p
 		}
 		if f != nil {
@@ -99,7 +99,7 @@
 	close(unblockFirst)
 	select {
 	case p := <-passed:
-		unread := bufio.NewReader(bytes.NewReader(p.Rest))
+		unread := bufio.NewReader(bytes.NewReader(p.Received))
 		q, err := http1.ReadRequest(unread, nil)
 		require.NoError(t, err)
 		require.Equal(t, []any{"POST", "/_jobs/news", body, true}, []any{q.Method, q.Target, string(q.Body), q.Close})
--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -38,9 +38,9 @@
 	Out bool   `json:"Out"`
 }
 
-// Keeper stores cordons that are shared among dispatchers. The LeftOut method of its part returns them at the
+// CordonStore stores cordons that are shared among dispatchers. The LeftOut method of its part returns them at the
 // start.
-type Keeper interface {
+type CordonStore interface {
 	// Cordon sets or removes a cordon everywhere; an error says how far that failed. It may block for as long as a
 	// disk may.
 	Cordon(id string, out bool) error
@@ -48,17 +48,17 @@
 
 // Cordons is the interface of the program that a Keeper uses.
 type Cordons interface {
-	// KeepBy sets the store that cordons go through. It must be called before the program runs.
-	KeepBy(Keeper)
-	// Leave cordons the given instances; with only, it also removes all other cordons.
-	Leave(ids []string, only bool)
+	// SetStore sets the store that cordons go through. It must be called before the program runs.
+	SetStore(CordonStore)
+	// SetCordons cordons the given instances; with only, it also removes all other cordons.
+	SetCordons(ids []string, only bool)
 }
 
 type cordonControl struct{ p *Program }
 
-func (a cordonControl) KeepBy(k Keeper) { a.p.cordonStore = k }
+func (a cordonControl) SetStore(k CordonStore) { a.p.cordonStore = k }
 
-func (a cordonControl) Leave(ids []string, only bool) {
+func (a cordonControl) SetCordons(ids []string, only bool) {
 	p := a.p
 	p.cordons.mu.Lock()
 	defer p.cordons.mu.Unlock()
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -24,8 +24,8 @@
 
 // Lists is the interface of the program that a Sharer uses.
 type Lists interface {
-	// ShareBy sets the sharer that lists come through. It must be called before the program runs.
-	ShareBy(Sharer)
+	// SetSharer sets the sharer that lists come through. It must be called before the program runs.
+	SetSharer(Sharer)
 	// Watch starts or stops this process's watch.
 	Watch(on bool)
 	// Take applies a list.
@@ -34,14 +34,14 @@
 
 type listControl struct{ p *Program }
 
-func (l listControl) ShareBy(s Sharer)                  { l.p.sharer = s }
+func (l listControl) SetSharer(s Sharer)                { l.p.sharer = s }
 func (l listControl) Take(list dispatch.InstanceUpdate) { l.p.receiveList(list) }
 
 func (l listControl) Watch(on bool) {
 	if on {
 		l.p.watcher.Subscribe()
 	} else {
-		l.p.watcher.Rest()
+		l.p.watcher.Pause()
 	}
 }
 
@@ -56,12 +56,12 @@
 
 func (p *Program) shared() bool { return p.sharer != nil && p.sharer.InForce() }
 
-// Listed receives an update from the watch.
-func (p *Program) Listed(l dispatch.InstanceUpdate) {
+// ListReceived receives an update from the watch.
+func (p *Program) ListReceived(l dispatch.InstanceUpdate) {
 	switch {
 	case !p.shared():
 		p.receiveList(l)
-	case !p.watcher.Moving(): // other dispatchers compare revisions, and those of the old address do not apply to the new one
+	case !p.watcher.AddressChangePending(): // other dispatchers compare revisions, and those of the old address do not apply to the new one
 		p.sharer.Listed(l)
 	}
 }
@@ -160,7 +160,7 @@
 
 // forwardList sends the current list to the other processes, if there are any.
 func (p *Program) forwardList(older, newer bool) {
-	if p.watcher.Moving() { // revisions of the old address do not apply to the new one
+	if p.watcher.AddressChangePending() { // revisions of the old address do not apply to the new one
 		return
 	}
 	p.mu.Lock()
@@ -170,20 +170,20 @@
 	}
 	p.mu.Unlock()
 	if !alone {
-		others{p}.send(msgList, l, older, newer)
+		otherProcesses{p}.send(msgList, l, older, newer)
 	}
 }
 
-// Alive is called when the watch works and nothing has changed.
-func (p *Program) Alive() {
+// Heartbeat is called when the watch works and nothing has changed.
+func (p *Program) Heartbeat() {
 	if p.shared() {
 		p.sharer.Alive()
 	}
 }
 
-// Silent is called when the watch, or the call for one, has gone silent and is restarted. The sharer is notified,
+// WatchSilent is called when the watch, or the call for one, has gone silent and is restarted. The sharer is notified,
 // so that no other dispatcher relies on a watch that reports nothing.
-func (p *Program) Silent(n int, err error) {
+func (p *Program) WatchSilent(n int, err error) {
 	level := slog.LevelDebug
 	if n == 1 {
 		level = slog.LevelWarn
@@ -197,18 +197,18 @@
 // noteUnreachable records whether a call that returned nothing has shown that discovery cannot be reached. A local
 // agent that sends nothing has no list.
 func (p *Program) noteUnreachable(err error) {
-	if errors.Is(err, discovery.ErrNobody) || p.config.Settings.ListPushed {
+	if errors.Is(err, discovery.ErrUnreachable) || p.config.Settings.ListPushed {
 		p.discoveryUnreachable.Store(true)
 	}
 }
 
-// Faulty is called when a list, or an entry of one, is ignored as invalid.
-func (p *Program) Faulty(err error) {
+// ListFaulty is called when a list, or an entry of one, is ignored as invalid.
+func (p *Program) ListFaulty(err error) {
 	p.log.Error("invalid instance list from discovery ignored", "err", err)
 }
 
-// Lost is called when a watch, or a call for one, has ended after the given time.
-func (p *Program) Lost(err error, after time.Duration) {
+// WatchLost is called when a watch, or a call for one, has ended after the given time.
+func (p *Program) WatchLost(err error, after time.Duration) {
 	p.noteUnreachable(err)
 	if p.shared() {
 		p.log.Debug("watch on discovery lost", "err", err)
@@ -216,5 +216,5 @@
 		return
 	}
 	p.log.Warn("watch on discovery lost", "err", err)
-	p.loop.DiscoveryFailed(errors.Is(err, discovery.ErrNobody), after)
+	p.loop.DiscoveryFailed(errors.Is(err, discovery.ErrUnreachable), after)
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -40,7 +40,7 @@
 	Serving                 // commands are accepted
 	Quiescing               // clients are sent away: the front still sends requests, and responses close connections
 	Quiesced                // the front has switched away: idle connections are closed as well
-	Yielded                 // a newer process accepts new work; this one answers pending commands
+	HandedOver              // a newer process accepts new work; this one answers pending commands
 	Departing               // termination requested: as Quiescing
 	Draining                // termination requested: as Quiesced or Yielded, until no commands are pending
 	Stopped                 // no commands are pending and nothing listens
@@ -83,7 +83,7 @@
 	// discoveryUnreachable: no call has reached discovery yet, so its current list cannot be known.
 	discoveryUnreachable atomic.Bool
 	parts                []Part
-	cordonStore          Keeper // nil: cordons are kept in a file
+	cordonStore          CordonStore // nil: cordons are kept in a file
 	reloadRequests       chan func(error)
 	sharer               Sharer          // nil: the list comes only from this process's watch
 	olderSilent          bool            // an older process answered the handover call but sent no state
@@ -119,21 +119,21 @@
 	sockets := c.Limits.Sockets - reservedSockets
 	p.connLimits.pool = sockets * 2 / 5
 	p.pool = upstream.NewPool(upstream.Limits{
-		Connections: p.connLimits.pool, Connect: c.Settings.Limits.ConnectTimeout, Idle: c.Settings.Limits.ConnIdle,
+		MaxConns: p.connLimits.pool, ConnectTimeout: c.Settings.Limits.ConnectTimeout, IdleTimeout: c.Settings.Limits.ConnIdle,
 	})
 	p.watcher = discovery.NewWatcher(c.Discovery, c.Known.Revision, c.Settings)
 	p.connLimits.listener = sockets - p.connLimits.pool
 	s := p.limitOpen(c.Settings)
 	var err error
-	if p.loop, err = dispatch.New(s, c.Names, p.pool, loopDiscovery{p}, others{p}, logger); err != nil {
+	if p.loop, err = dispatch.New(s, c.Names, p.pool, loopDiscovery{p}, otherProcesses{p}, logger); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p.pool.ReportTo(p.loop)
+	p.pool.SetObserver(p.loop)
 	p.loads = loadreport.New(c.Names.Reports, logger)
-	p.pool.ReadBy(p.loads)
+	p.pool.SetLoadReader(p.loads)
 	p.server = clients.New(p.loop, s, c.Names, p.connLimits.listener, p.counters, logger)
-	p.server.ReadBy(p.loads)
-	p.server.CountIn(&p.loop.Counters)
+	p.server.SetReportReader(p.loads)
+	p.server.SetCounters(&p.loop.Counters)
 	if c.Admin != "" {
 		p.parts = append(p.parts, &admin{program: p, address: c.Admin})
 	}
@@ -183,7 +183,7 @@
 		return false
 	}
 	p.phase, p.phaseSince = next, time.Now()
-	p.server.Away(next > Serving)
+	p.server.SetDraining(next > Serving)
 	return true
 }
 
@@ -222,9 +222,9 @@
 	p.mu.Lock()
 	phase, since, last := p.phase, p.phaseSince, p.answerBy
 	p.mu.Unlock()
-	if late := !last.IsZero() && now.After(last); late && (phase == Departing || phase == Draining) && !p.server.Yielded() {
+	if late := !last.IsZero() && now.After(last); late && (phase == Departing || phase == Draining) && !p.server.HandedOver() {
 		p.refuseConnections(now)
-		p.server.Finish(now)
+		p.server.CloseUnserved(now)
 		p.loop.AnswerAll()
 	}
 	switch moved := now.Sub(since) >= frontSwitchDelay; phase {
@@ -243,7 +243,7 @@
 	case Draining:
 		p.server.CloseIdle(now.Add(-idleGrace))
 		// Cancellations under way spare instances useless work; each ends within a second.
-		if p.loop.Pending() == 0 && !p.pool.Busy() && p.server.Quiet() && !slices.ContainsFunc(p.parts, func(t Part) bool { return !t.Quiet() }) && p.refuseConnections(now) {
+		if p.loop.Pending() == 0 && !p.pool.Busy() && p.server.Drained() && !slices.ContainsFunc(p.parts, func(t Part) bool { return !t.Quiet() }) && p.refuseConnections(now) {
 			p.enter(Stopped, Draining)
 		}
 	}
@@ -259,7 +259,7 @@
 	}
 	if p.refusedSince.IsZero() {
 		p.refusedSince = now
-		if err := clients.Bar(p.listener); err != nil {
+		if err := clients.RejectNewConns(p.listener); err != nil {
 			p.log.Debug("cannot refuse new connections on the listener", "err", err)
 		}
 	}
@@ -326,10 +326,10 @@
 		return err
 	}
 	p.updateNames(next.Names)
-	p.server.Retune(next.Settings, next.Names)
-	p.loads.Retune(next.Names.Reports)
-	p.watcher.Retune(next.Settings)
-	p.pool.Retune(next.Settings.Limits.ConnectTimeout, next.Settings.Limits.ConnIdle)
+	p.server.UpdateSettings(next.Settings, next.Names)
+	p.loads.SetFields(next.Names.Reports)
+	p.watcher.UpdateSettings(next.Settings)
+	p.pool.SetTimeouts(next.Settings.Limits.ConnectTimeout, next.Settings.Limits.ConnIdle)
 	if keys := p.config.AtRestart(next); len(keys) > 0 {
 		p.log.Warn("configuration changes that take effect at the next start", "keys", keys)
 	}
@@ -342,7 +342,7 @@
 	p.discovery = next.Discovery
 	p.mu.Unlock()
 	if moved {
-		p.watcher.Move(next.Discovery)
+		p.watcher.ChangeAddress(next.Discovery)
 		if p.sharer != nil {
 			p.sharer.Moved()
 		}
@@ -369,9 +369,9 @@
 func (p *Program) terminate() {
 	p.mu.Lock()
 	p.endRequested = true // while taking over: the older process may have handed over already
-	p.answerBy = p.server.End(time.Now())
+	p.answerBy = p.server.BeginShutdown(time.Now())
 	p.mu.Unlock()
-	_ = p.enter(Stopped, Starting) || p.enter(Departing, Serving, Quiescing, Quiesced) || p.enter(Draining, Yielded)
+	_ = p.enter(Stopped, Starting) || p.enter(Departing, Serving, Quiescing, Quiesced) || p.enter(Draining, HandedOver)
 }
 
 // applyList applies a list, to the pool first, which checks each send.
@@ -379,7 +379,7 @@
 	p.mu.Lock()
 	p.instances.Update(l)
 	p.mu.Unlock()
-	p.pool.Listed(l)
+	p.pool.UpdateInstances(l)
 	p.eachPart(func(t Part) { t.Listed(l) })
 	p.loop.UpdateInstances(l, cached)
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -133,7 +133,7 @@
 		c := env.dial()
 		env.sendCommand(c, fmt.Sprint("c", i), "safe", "30000m")
 		require.Equal(t, 200, env.read(c).Status)
-		env.await(func() bool { return env.program.pool.Idle() > 0 })
+		env.await(func() bool { return env.program.pool.IdleConns() > 0 })
 		require.Positive(t, env.instance.closeConns())
 	}
 	require.Zero(t, env.counter("attempts_reset"))
@@ -147,7 +147,7 @@
 	line := `{"revision":9,"complete":false,"members":[` + member("", "terminating") + "]}\n"
 	watch := <-env.watches
 	fmt.Fprintf(watch, "%x\r\n%s\r\n", len(line), line)
-	env.await(func() bool { return !env.program.pool.Takes("s-1") })
+	env.await(func() bool { return !env.program.pool.Available("s-1") })
 	c := env.dial()
 	env.sendCommand(c, "c1", "safe", "500m")
 	require.Equal(t, 503, env.read(c).Status)
@@ -171,7 +171,7 @@
 	}
 	line := `{"revision":9,"complete":false,"members":[` + member("", "terminating") + "]}\n"
 	fmt.Fprintf(<-env.watches, "%x\r\n%s\r\n", len(line), line)
-	env.await(func() bool { return !env.program.pool.Takes("s-1") })
+	env.await(func() bool { return !env.program.pool.Available("s-1") })
 }
 
 // Guards against SIGHUP ending the program. It rereads the file: discovery is watched at the address in the file,
@@ -193,7 +193,7 @@
 	require.Error(t, err, "the old watch is closed")
 	line := `{"revision":3,"complete":true,"members":[]}` + "\n"
 	fmt.Fprintf(<-env.watches, "%x\r\n%s\r\n", len(line), line)
-	env.await(func() bool { return !env.program.pool.Takes("s-1") })
+	env.await(func() bool { return !env.program.pool.Available("s-1") })
 	require.Equal(t, Serving, env.program.Phase())
 	next.closeConns() // a broken watch resumes there
 	require.Equal(t, "/catalog/members?stream=1&index=3", <-env.targets)
@@ -247,7 +247,7 @@
 	watch := <-env.watches
 	sent("c1", 200)
 	sendList(watch, 9, false, line("terminating"))
-	env.await(func() bool { return !env.program.pool.Takes("s-1") })
+	env.await(func() bool { return !env.program.pool.Available("s-1") })
 	sent("c2", 503)
 	for range 3 {
 		watch.Close()
@@ -259,7 +259,7 @@
 	env.signals <- syscall.SIGHUP
 	require.Equal(t, "/catalog/members?stream=1&index=0", <-env.targets)
 	sendList(<-env.watches, 3, true, strings.Replace(line("in_service"), `"up_since_ms":0`, `"up_since_ms":1000`, 1))
-	env.await(func() bool { return env.program.pool.Takes("s-1") })
+	env.await(func() bool { return env.program.pool.Available("s-1") })
 	sent("c3", 200)
 }
 
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -187,10 +187,10 @@
 		h.checkRefused(c)
 	}
 	report := h.settings["LoadReport"].(map[string]any)
-	require.Equal(h.t, report["Via"] != "silent" && len(report["Fields"].([]any)) > 0, h.program.loads.Any(), "load reports")
+	require.Equal(h.t, report["Via"] != "silent" && len(report["Fields"].([]any)) > 0, h.program.loads.Enabled(), "load reports")
 	longest := slices.MaxFunc(own, func(a, b class) int { return int(a.DeadlineUs - b.DeadlineUs) }).DeadlineUs
 	now := time.Now()
-	by := h.program.server.End(now)
+	by := h.program.server.BeginShutdown(now)
 	require.Equal(h.t, min(time.Duration(longest)*time.Microsecond, 3*time.Second)+500*time.Millisecond, by.Sub(now), "answered after SIGTERM by")
 }
 
--- a/internal/program/settings_test.go
+++ b/internal/program/settings_test.go
@@ -226,7 +226,7 @@
 	line, err := json.Marshal(object{"revision": 2, "complete": false, "members": members[:1]})
 	require.NoError(rt, err)
 	fmt.Fprintf(watch, "%x\r\n%s\n\r\n", len(line)+1, line)
-	env.await(func() bool { return !p.pool.Takes("s-0") })
+	env.await(func() bool { return !p.pool.Available("s-0") })
 	round(commandsPerRound)
 	signals <- syscall.SIGTERM
 	f.check(rt, s, members, status)
--- a/internal/program/takeover.go
+++ b/internal/program/takeover.go
@@ -38,7 +38,7 @@
 	msgReady         = "ready"      // from the newer: it is ready to serve
 	msgCommand       = "command"    // from the older: a dispatch.HandoverCommand
 	msgHandedOver    = "yielded"    // from the older: a handoverState, after which it accepts nothing more
-	msgConnection    = "connection" // from the older: a clients.Passed and its socket
+	msgConnection    = "connection" // from the older: a clients.PassedConn and its socket
 	msgConnClosed    = "closed"     // from the older: one of its connections has ended
 	msgClientGone    = "left"       // from the older: the ID of a command whose client has disconnected
 	msgAttemptUpdate = "became"     // from the older: a dispatch.AttemptUpdate
@@ -98,7 +98,7 @@
 	}
 	list := p.olderState.List
 	if p.olderState.sameDiscovery(p.config.Discovery) {
-		p.watcher.From(p.olderState.Discovery, list.Revision)
+		p.watcher.SetStart(p.olderState.Discovery, list.Revision)
 		p.mu.Lock()
 		p.discovery = p.olderState.Discovery
 		p.mu.Unlock()
@@ -137,7 +137,7 @@
 // resize sets the memory and connection limits: all processes at the address share the machine.
 func (p *Program) resize() {
 	p.mu.Lock()
-	takingOver, handedOver := p.older != nil, p.server.Yielded()
+	takingOver, handedOver := p.older != nil, p.server.HandedOver()
 	alone := !takingOver && p.newer == nil
 	p.mu.Unlock()
 	memory, pool := 1.0, p.connLimits.pool
@@ -150,7 +150,7 @@
 		pool -= pool / 4
 	}
 	debug.SetMemoryLimit(int64(memory * memoryShare * float64(p.config.Limits.MemoryMB) * (1 << 20)))
-	p.pool.Bound(pool)
+	p.pool.SetMaxConns(pool)
 }
 
 // listen opens the listener, unless it was handed over. Another process may listen at the address as well: the
@@ -273,7 +273,7 @@
 func (p *Program) serveNewer(ctx context.Context, link *handover.Link) {
 	p.cordons.mu.Lock() // so that later cordons are sent as later messages
 	p.mu.Lock()
-	refused := p.newer != nil || p.phase == Starting || p.phase == TakingOver || p.phase == Yielded
+	refused := p.newer != nil || p.phase == Starting || p.phase == TakingOver || p.phase == HandedOver
 	if !refused {
 		p.newer = link
 	}
@@ -328,7 +328,7 @@
 	release := p.server.HoldCallbacks()
 	p.loop.HandOver(func(state dispatch.HandoverState) bool {
 		defer release()
-		p.pool.Unsend() // before the other process can cancel one: this process may be suspended here
+		p.pool.CancelUnsent() // before the other process can cancel one: this process may be suspended here
 		for _, c := range state.Commands {
 			if !link.Send(msgCommand, c) {
 				return false
@@ -337,21 +337,23 @@
 		if !link.Send(msgHandedOver, handoverState{state, p.server.Connections()}) {
 			return false
 		}
-		p.server.Yield(heir{link})
+		p.server.HandOver(connReceiver{link})
 		p.listener.SetDeadline(time.Unix(1, 0)) // the socket is shared, this deadline is not
 		p.mu.Lock()
 		p.handedSnapshot = state.Module
-		p.mu.Unlock()                                  // the handover socket stays, turning callers away, until the newer process has its own in that place
-		p.enter(Yielded, Serving, Quiescing, Quiesced) // unless termination has begun
+		p.mu.Unlock()                                     // the handover socket stays, turning callers away, until the newer process has its own in that place
+		p.enter(HandedOver, Serving, Quiescing, Quiesced) // unless termination has begun
 		return true
 	})
 }
 
-// heir passes connections to the newer process.
-type heir struct{ *handover.Link }
+// connReceiver passes connections to the newer process.
+type connReceiver struct{ *handover.Link }
 
-func (h heir) Pass(nc *net.TCPConn, p clients.Passed) { h.Link.SendSocket(msgConnection, p, nc) }
-func (h heir) Left()                                  { h.Send(msgConnClosed, nil) }
+func (h connReceiver) Pass(nc *net.TCPConn, p clients.PassedConn) {
+	h.Link.SendSocket(msgConnection, p, nc)
+}
+func (h connReceiver) ConnEnded() { h.Send(msgConnClosed, nil) }
 
 // newerGone takes everything back, unless this process is ending.
 func (p *Program) newerGone(ctx context.Context) {
@@ -360,12 +362,12 @@
 	p.newer = nil
 	list, snapshot := p.instances.Snapshot(), p.handedSnapshot
 	p.mu.Unlock()
-	if p.server.Yielded() {
-		p.server.Keep()
+	if p.server.HandedOver() {
+		p.server.CancelHandover()
 		p.loop.Resume(list, snapshot)
 	}
 	p.resize()
-	if p.enter(Serving, Yielded) {
+	if p.enter(Serving, HandedOver) {
 		p.log.Info("the newer process has ended")
 		p.listener.SetDeadline(time.Time{})
 		go p.server.Serve(ctx, p.listener)
@@ -424,7 +426,7 @@
 		if err := json.Unmarshal(c.Payload, q); err != nil {
 			return err
 		}
-		c.Command.Payload, c.Client = q, r.server.Expect(&c.Command, q.Close)
+		c.Command.Payload, c.Client = q, r.server.ExpectConn(&c.Command, q.Close)
 		r.commands = append(r.commands, c)
 	case msgHandedOver:
 		var h handoverState
@@ -432,12 +434,12 @@
 			return err
 		}
 		h.Commands, r.commands = r.commands, nil
-		r.server.Lend(h.Places)
+		r.server.LendSlots(h.Places)
 		r.loop.TakeOver(h.HandoverState)
 		r.resize()
 		r.serve(ctx)
 	case msgConnection:
-		var p clients.Passed
+		var p clients.PassedConn
 		if err := m.Decode(&p); err != nil {
 			return err
 		}
@@ -445,9 +447,9 @@
 		if err != nil {
 			return err
 		}
-		r.server.Adopt(nc, p)
+		r.server.TakeOverConn(nc, p)
 	case msgConnClosed:
-		r.server.Returned()
+		r.server.ReclaimSlot()
 	case msgClientGone:
 		var id string
 		if err := m.Decode(&id); err != nil {
@@ -489,7 +491,7 @@
 	p.mu.Lock()
 	p.older = nil
 	p.mu.Unlock()
-	p.server.ReturnAll()
+	p.server.ReclaimAllSlots()
 	p.loop.OlderProcessGone()
 	p.resize()
 	p.log.Info("the older process has ended")
@@ -510,10 +512,10 @@
 	}
 }
 
-// others forwards events of the loop to the other processes.
-type others struct{ *Program }
+// otherProcesses forwards events of the loop to the other processes.
+type otherProcesses struct{ *Program }
 
-func (o others) send(kind string, body any, older, newer bool) (sent bool) {
+func (o otherProcesses) send(kind string, body any, older, newer bool) (sent bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if older && o.older != nil {
@@ -528,12 +530,14 @@
 }
 
 // ForwardCallback forwards a callback to the processes that it did not come from.
-func (o others) ForwardCallback(n dispatch.Callback) bool {
+func (o otherProcesses) ForwardCallback(n dispatch.Callback) bool {
 	return o.send(msgCallback, n, n.Via != dispatch.FromOlderProcess, n.Via != dispatch.FromNewerProcess)
 }
 
-func (o others) ForwardUpdate(f dispatch.AttemptUpdate) { o.send(msgAttemptUpdate, f, false, true) }
-func (o others) ForwardClientGone(id string)            { o.send(msgClientGone, id, false, true) }
+func (o otherProcesses) ForwardUpdate(f dispatch.AttemptUpdate) {
+	o.send(msgAttemptUpdate, f, false, true)
+}
+func (o otherProcesses) ForwardClientGone(id string) { o.send(msgClientGone, id, false, true) }
 
 // takeListener takes over the listener of the older process.
 func (p *Program) takeListener(f *os.File) error {
--- a/internal/program/takeover_test.go
+++ b/internal/program/takeover_test.go
@@ -41,7 +41,7 @@
 	require.Equal(t, "ERR starting\n", env.operatorCall("health"), "it cannot serve without an up-to-date list")
 	require.Equal(t, Serving, older.program.Phase())
 	sendList(second, 7, true, member(env.instance.Addr().String(), "in_service"))
-	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == Yielded })
+	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == HandedOver })
 	require.Equal(t, "OK\n", env.operatorCall("health"))
 	require.Equal(t, older.program.Address(), env.program.Address())
 
@@ -249,7 +249,7 @@
 		}
 	})
 	newer.Send(msgReady, nil)
-	env.await(func() bool { return env.program.Phase() == Yielded })
+	env.await(func() bool { return env.program.Phase() == HandedOver })
 	next, err := handover.Dial(env.program.socketPath())
 	require.NoError(t, err)
 	next.Run(func(m handover.Message, _ *os.File) { require.Fail(t, "unexpected message", m.Kind) }) // returns, since the link is closed
@@ -276,7 +276,7 @@
 	for range 3 {
 		sendList(<-env.watches, 7, true, member(env.instance.Addr().String(), "in_service"))
 	}
-	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == Yielded })
+	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == HandedOver })
 }
 
 // Guards against the older process failing on an attempt that no instance had confirmed when the newer process
@@ -343,9 +343,9 @@
 		require.NoError(t, <-results)
 	}
 	sendList(newest, 9, true, all)
-	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == Yielded })
+	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == HandedOver })
 	for _, p := range []*Program{older.program, env.program} {
-		env.await(func() bool { return !p.pool.Takes("s-1") && !p.pool.Takes("s-2") && !p.pool.Takes("s-3") })
+		env.await(func() bool { return !p.pool.Available("s-1") && !p.pool.Available("s-2") && !p.pool.Available("s-3") })
 	}
 	older.signals <- syscall.SIGTERM
 	require.NoError(t, <-older.ended)
@@ -378,11 +378,11 @@
 	results := make(chan string, 1)
 	go func() { results <- env.operatorCall("cordon s-1") }()
 	require.Equal(t, `["s-1"]`, <-writes)
-	require.False(t, env.program.pool.Takes("s-1"))
+	require.False(t, env.program.pool.Available("s-1"))
 	older := env.startNewer()
 	sendList(<-env.watches, 8, true, member(env.instance.Addr().String(), "in_service"))
-	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == Yielded })
-	require.False(t, env.program.pool.Takes("s-1"))
+	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == HandedOver })
+	require.False(t, env.program.pool.Available("s-1"))
 	require.Contains(t, <-results, "ERR done, but the next process may not know")
 	close(answers)
 	env.await(func() bool { return older.cordonsWritten() && len(env.program.readCordons()) == 1 })
@@ -396,16 +396,16 @@
 	up, down := member(env.instance.Addr().String(), "in_service"), member(env.instance.Addr().String(), "terminating")
 	older := env.startNewer()
 	second := <-env.watches
-	env.await(func() bool { return env.program.pool.Takes("s-1") })
+	env.await(func() bool { return env.program.pool.Available("s-1") })
 	sendList(first, 9, false, down)
-	env.await(func() bool { return !env.program.pool.Takes("s-1") })
+	env.await(func() bool { return !env.program.pool.Available("s-1") })
 	sendList(second, 8, false, up) // an older revision
-	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == Yielded })
-	require.False(t, env.program.pool.Takes("s-1"))
+	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == HandedOver })
+	require.False(t, env.program.pool.Available("s-1"))
 	sendList(second, 10, false, up)
-	env.await(func() bool { return env.program.pool.Takes("s-1") && older.program.pool.Takes("s-1") })
+	env.await(func() bool { return env.program.pool.Available("s-1") && older.program.pool.Available("s-1") })
 	sendList(second, 11, false, down)
-	env.await(func() bool { return !env.program.pool.Takes("s-1") && !older.program.pool.Takes("s-1") })
+	env.await(func() bool { return !env.program.pool.Available("s-1") && !older.program.pool.Available("s-1") })
 }
 
 // A process that takes over serves within 4 s, whatever the older one does: sends nothing, ends, or does not hand
@@ -448,7 +448,7 @@
 	env.startNewer()
 	sendList(<-env.watches, 8, true, member(env.instance.Addr().String(), "terminating"))
 	env.await(func() bool { return env.program.Phase() == Serving })
-	require.False(t, env.program.pool.Takes("s-1"), "by the current list, not by the configuration's")
+	require.False(t, env.program.pool.Available("s-1"), "by the current list, not by the configuration's")
 }
 
 // Guards against giving up on an older process that its machine holds up for over a second, which lost the
@@ -464,7 +464,7 @@
 	older := env.startNewer()
 	time.AfterFunc(1500*time.Millisecond, older.program.cordons.mu.Unlock)
 	sendList(<-env.watches, 8, true, member(env.instance.Addr().String(), "in_service"))
-	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == Yielded })
+	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == HandedOver })
 	older.signals <- syscall.SIGTERM
 	require.NoError(t, <-older.ended)
 	env.sendCommand(c, "c1", "safe", "30000m")
@@ -481,12 +481,12 @@
 		up, down := member(env.instance.Addr().String(), "in_service"), member(env.instance.Addr().String(), "terminating")
 		env.startNewer()
 		second := <-env.watches
-		env.await(func() bool { return env.program.pool.Takes("s-1") })
+		env.await(func() bool { return env.program.pool.Available("s-1") })
 		sendList(first, 9, false, down)
-		env.await(func() bool { return !env.program.pool.Takes("s-1") })
+		env.await(func() bool { return !env.program.pool.Available("s-1") })
 		sendList(second, 8, true, up)
 		env.await(func() bool { return env.program.Phase() == Serving }) // the list has been read by then
-		require.False(t, env.program.pool.Takes("s-1"))
+		require.False(t, env.program.pool.Available("s-1"))
 		if watchCatchesUp {
 			sendList(second, 9, false, down)
 			env.await(func() bool {
@@ -496,9 +496,9 @@
 			})
 		}
 		env.program.useWatchList()
-		require.Equal(t, !watchCatchesUp, env.program.pool.Takes("s-1"))
+		require.Equal(t, !watchCatchesUp, env.program.pool.Available("s-1"))
 		sendList(second, 10, false, up)
-		env.await(func() bool { return env.program.pool.Takes("s-1") })
+		env.await(func() bool { return env.program.pool.Available("s-1") })
 	}
 }
 
@@ -516,11 +516,11 @@
 	env.run()
 	watch := <-env.watches // it has asked and has no reply yet
 	require.Equal(t, Starting, env.program.Phase())
-	require.True(t, env.program.pool.Takes("s-1"), "by the configuration's list")
+	require.True(t, env.program.pool.Available("s-1"), "by the configuration's list")
 	require.Nil(t, env.program.listener, "no client can connect")
 	sendList(watch, 8, false, member(env.instance.Addr().String(), "terminated"))
 	env.await(func() bool { return env.program.Phase() == Serving })
-	require.False(t, env.program.pool.Takes("s-1"))
+	require.False(t, env.program.pool.Available("s-1"))
 	c := env.dial()
 	env.sendCommand(c, "c1", "safe", "500m")
 	require.Equal(t, 503, env.read(c).Status)
@@ -571,12 +571,12 @@
 	second := <-env.watches
 	require.Equal(t, own.Addr().String(), second.LocalAddr().String())
 	sendList(second, 8, false, member(env.instance.Addr().String(), "terminating"))
-	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == Yielded })
-	require.False(t, env.program.pool.Takes("s-1"))
-	require.True(t, older.program.pool.Takes("s-1"), "it uses its own discovery")
+	env.await(func() bool { return env.program.Phase() == Serving && older.program.Phase() == HandedOver })
+	require.False(t, env.program.pool.Available("s-1"))
+	require.True(t, older.program.pool.Available("s-1"), "it uses its own discovery")
 	sendList(first, 31, false, member(env.instance.Addr().String(), "in_service"))
 	sendList(second, 9, false, strings.Replace(member(env.instance.Addr().String(), "in_service"), `"up_since_ms":0`, `"up_since_ms":1000`, 1))
-	env.await(func() bool { return env.program.pool.Takes("s-1") })
+	env.await(func() bool { return env.program.pool.Available("s-1") })
 	c := env.dial()
 	env.sendCommand(c, "c1", "safe", "30000m")
 	require.Equal(t, 200, env.read(c).Status)
