--- a/internal/promise/machine.go
+++ b/internal/promise/machine.go
@@ -1,5 +1,5 @@
-// Package promise has the decisions about jobs that are handed in for good: the replicated table of them,
-// [Machine], and what the one dispatcher that acts for them does, [Owner]. It does no I/O and asks no clock.
+// Package promise implements promised jobs, which are handed in once and kept until they are done: the replicated table of a
+// group's jobs, [Machine], and the logic of the one dispatcher that acts for the group, [Owner]. It does no I/O and reads no clock.
 package promise
 
 import (
@@ -16,46 +16,46 @@
 	"time"
 )
 
-// Bounds of one group's table. They are the same at all replicas, or these would differ in what they refuse.
+// Limits of one group's table. They must be the same on all replicas: otherwise these would refuse different commands.
 const (
-	MaxID      = 96       // bytes of an id
-	MaxName    = 128      // of a class, tenant or instance
-	MaxTarget  = 2 << 10  // bytes of a target
-	MaxPayload = 64 << 10 // bytes of a job's payload
-	MaxResult  = 64 << 10 // and of its result; a longer one is not kept
-	MaxReason  = 256
-	MaxOrder   = 256      // instances that a job names
-	MaxJobs    = 1 << 14  // that are promised and not forgotten
-	MaxBytes   = 64 << 20 // of payloads and results in all
-	MaxWithin  = 24 * time.Hour
-	MaxKeep    = 7 * 24 * time.Hour
-	MaxGone    = 1 << 15 // ids that are not kept any more, and not yet free for what was on its way
-	maxIntents = 16      // of a job that have no end; of one that may repeat, the oldest makes room
+	MaxID          = 96       // bytes of an ID
+	MaxName        = 128      // bytes of a class, tenant or instance name
+	MaxTarget      = 2 << 10  // bytes of a target
+	MaxPayload     = 64 << 10 // bytes of a job's payload
+	MaxResult      = 64 << 10 // bytes of a job's result; a longer one is not stored
+	MaxReason      = 256
+	MaxCandidates  = 256      // instances in a job's list of candidates
+	MaxJobs        = 1 << 14  // jobs in the table, ended ones included
+	MaxBytes       = 64 << 20 // bytes of all payloads, targets, candidates and results
+	MaxStartWithin = 24 * time.Hour
+	MaxKeep        = 7 * 24 * time.Hour
+	MaxForgotten   = 1 << 15 // IDs that were removed and cannot be used again yet
+	maxIntents     = 16      // intents of one job that has not ended; further ones replace the oldest
 )
 
-// A proposal of which nothing was heard may be committed late: when the promise that it doubles has ended, and is
-// forgotten. So an id that is dropped stays known for Late commits, and a proposal bears how far its proposer had seen
-// when it was asked for: one from before the drop, or from longer ago, counts no more. Clocks have no part in it.
-const Late = 1 << 16
+// A proposal whose outcome is unknown may be committed late, when the promise that it duplicates has already ended and been removed.
+// A removed ID is therefore remembered for Late commits, and a proposal carries the group's index at the time it was made: a
+// proposal from before the removal, or older than Late commits, is refused. This does not depend on any clock.
+const MaxProposalLag = 1 << 16
 
-// Version of commands and snapshots.
+// Version is the format version of commands and snapshots.
 const Version = 1
 
-// Job is what is promised to be done.
+// Job describes a job that is promised to be done.
 type Job struct {
 	Class   string        `json:"class"`
 	Tenant  string        `json:"tenant,omitempty"`
 	Key     string        `json:"key,omitempty"`
-	Work    time.Duration `json:"work,omitempty"` // expected; 0: not told
+	Work    time.Duration `json:"work,omitempty"` // expected run time; 0: unknown
 	Slots   float64       `json:"slots,omitempty"`
-	Target  string        `json:"target,omitempty"` // that encoders are sent
-	Order   []string      `json:"order,omitempty"`  // the only instances that it may go to, the first before the next; nil: as its class says
+	Target  string        `json:"target,omitempty"` // sent to the encoder
+	Order   []string      `json:"order,omitempty"`  // the only instances that may run it, in order of preference; nil: chosen by class
 	Payload []byte        `json:"payload,omitempty"`
-	Within  time.Duration `json:"within"` // from the receipt: later it is begun no more
+	Within  time.Duration `json:"within"` // time after the receipt by which it must start
 	Keep    time.Duration `json:"keep"`   // how long its end is kept
 }
 
-// Check tells what is wrong with a job.
+// Check reports what is invalid in a job.
 func (j *Job) Check() error {
 	switch {
 	case j.Class == "" || len(j.Class) > MaxName || len(j.Tenant) > MaxName || len(j.Key) > MaxName:
@@ -64,10 +64,10 @@
 		return fmt.Errorf("a payload has at most %d bytes", MaxPayload)
 	case len(j.Target) > MaxTarget:
 		return fmt.Errorf("a target has at most %d bytes", MaxTarget)
-	case len(j.Order) > MaxOrder || slices.ContainsFunc(j.Order, func(id string) bool { return id == "" || len(id) > MaxName }):
-		return fmt.Errorf("an order has at most %d names", MaxOrder)
-	case j.Within <= 0 || j.Within > MaxWithin || j.Keep <= 0 || j.Keep > MaxKeep:
-		return fmt.Errorf("it is to be done within %v and kept for up to %v", MaxWithin, MaxKeep)
+	case len(j.Order) > MaxCandidates || slices.ContainsFunc(j.Order, func(id string) bool { return id == "" || len(id) > MaxName }):
+		return fmt.Errorf("an order has at most %d names", MaxCandidates)
+	case j.Within <= 0 || j.Within > MaxStartWithin || j.Keep <= 0 || j.Keep > MaxKeep:
+		return fmt.Errorf("it is to be done within %v and kept for up to %v", MaxStartWithin, MaxKeep)
 	case j.Work < 0 || !(j.Slots >= 0):
 		return fmt.Errorf("work and slots are not negative")
 	}
@@ -75,12 +75,12 @@
 }
 
 func (j *Job) digest() string {
-	text, _ := json.Marshal(j) // plain data: it cannot fail, but for figures that Check refuses
+	text, _ := json.Marshal(j) // plain data: it fails only for numbers that Check refuses
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:12])
 }
 
-// CheckID tells what is wrong with an id. It goes into lines and targets that are written on.
+// CheckID reports what is invalid in an ID, which becomes part of log lines and targets.
 func CheckID(id string) error {
 	if id == "" || len(id) > MaxID {
 		return fmt.Errorf("an id has 1 to %d bytes", MaxID)
@@ -93,52 +93,52 @@
 	return nil
 }
 
-// Receipt says that a job is promised. The same id has the same one for as long as it is kept.
+// Receipt confirms that a job is promised. An ID keeps the same receipt for as long as its job is stored.
 type Receipt struct {
 	ID    string        `json:"id"`
-	Index uint64        `json:"index"` // at which it was committed
-	At    time.Duration `json:"at"`    // Unix time
-	Until time.Duration `json:"until"` // likewise: later it is begun no more
+	Index uint64        `json:"index"` // of the commit
+	At    time.Duration `json:"at"`    // Unix time of the commit
+	Until time.Duration `json:"until"` // Unix time after which the job is not started
 }
 
-// Kind is how a promise ended.
+// Kind says how a promise ended.
 type Kind string
 
-// The ends.
+// Kinds of ends.
 const (
 	Done    Kind = "done"
 	Failed  Kind = "failed"
 	Refused Kind = "refused" // it never ran
 )
 
-// End is the one end of a promise.
+// End is the final outcome of a promise. A promise has exactly one.
 type End struct {
 	Kind   Kind          `json:"kind"`
 	Reason string        `json:"reason,omitempty"`
 	Result []byte        `json:"result,omitempty"`
-	By     string        `json:"by,omitempty"` // the instance that did it
+	By     string        `json:"by,omitempty"` // the instance that ran it
 	At     time.Duration `json:"at"`           // Unix time
 }
 
-// Intent says that an attempt may be sent, or was.
+// Intent records that an attempt may be sent or has been sent.
 type Intent struct {
 	Gen      uint64        `json:"gen"`
 	Hand     int           `json:"hand"`
 	N        int           `json:"n"`
 	Instance string        `json:"instance"`
 	Until    time.Duration `json:"until"`          // Unix time of the attempt's deadline
-	Lost     string        `json:"lost,omitempty"` // why no result of it will come
+	Lost     string        `json:"lost,omitempty"` // why the attempt will not give a result
 }
 
-// Entry is a line of the table.
+// Entry is the table's record of one job.
 type Entry struct {
 	Receipt
-	Job     Job      `json:"job"` // without its payload once it has ended
-	Digest  string   `json:"digest"`
-	Hands   int      `json:"hands"` // the highest number that an intent bore
-	Intents []Intent `json:"intents,omitempty"`
-	Ran     bool     `json:"ran,omitempty"` // it may have, by an intent that made room
-	End     *End     `json:"end,omitempty"`
+	Job            Job      `json:"job"` // without its payload once it has ended
+	Digest         string   `json:"digest"`
+	LastSubmission int      `json:"hands"` // the highest submission number of an intent
+	Intents        []Intent `json:"intents,omitempty"`
+	MayHaveRun     bool     `json:"ran,omitempty"` // an intent that was replaced may have run
+	End            *End     `json:"end,omitempty"`
 }
 
 func (e *Entry) bytes() int {
@@ -154,29 +154,29 @@
 
 func (e *Entry) expires() time.Duration { return e.End.At + e.Job.Keep }
 
-// Op is what a command does.
+// Op is the operation of a command.
 type Op string
 
-// The commands.
+// Operations.
 const (
-	OpPromise Op = "promise"
-	OpOwn     Op = "own"    // an owner of a later generation acts from here on
-	OpIntent  Op = "intent" // of the owner
-	OpOver    Op = "over"   // of the owner: an attempt never ran
-	OpEnd     Op = "end"    // of the owner: failed or refused
-	OpWord    Op = "word"   // of an instance, by whichever dispatcher it told
-	OpForget  Op = "forget"
-	OpLook    Op = "look" // changes nothing: a read in the order of all else
+	OpPromise       Op = "promise"
+	OpTakeOwnership Op = "own"    // an owner with a newer generation takes over
+	OpIntent        Op = "intent" // by the owner
+	OpOver          Op = "over"   // by the owner: an attempt never ran
+	OpEnd           Op = "end"    // by the owner: the job failed or was refused
+	OpWord          Op = "word"   // a report by an instance, proposed by any dispatcher that received it
+	OpForget        Op = "forget"
+	OpLook          Op = "look" // a read in the order of the log; changes nothing
 )
 
-// Command is what is committed.
+// Command is an entry of the replicated log.
 type Command struct {
 	V        int           `json:"v"`
 	Op       Op            `json:"op"`
 	Gen      uint64        `json:"gen,omitempty"` // of the owner that proposes it
 	ID       string        `json:"id,omitempty"`
-	Index    uint64        `json:"index,omitempty"` // of the receipt that it is about
-	Seen     uint64        `json:"seen,omitempty"`  // of a promise: the group's index when it was asked for
+	Index    uint64        `json:"index,omitempty"` // of the receipt
+	Seen     uint64        `json:"seen,omitempty"`  // for OpPromise: the group's index when the proposal was made
 	Job      *Job          `json:"job,omitempty"`
 	Hand     int           `json:"hand,omitempty"`
 	N        int           `json:"n,omitempty"`
@@ -187,86 +187,86 @@
 	Result   []byte        `json:"result,omitempty"`
 }
 
-// Bytes is the command as it is proposed.
+// Bytes encodes the command.
 func (c Command) Bytes() []byte {
 	c.V = Version
-	text, _ := json.Marshal(c) // plain data: it cannot fail, but for figures that Check refuses
+	text, _ := json.Marshal(c) // plain data: it fails only for numbers that Check refuses
 	return text
 }
 
-// Answer is what a command came to.
+// Answer is the result of a command.
 type Answer struct {
 	OK      bool     `json:"ok"`
 	Index   uint64   `json:"index"`         // of the command
-	Why     Why      `json:"why,omitempty"` // it was not done
+	Why     Why      `json:"why,omitempty"` // set if the command was not done
 	Text    string   `json:"text,omitempty"`
 	Receipt *Receipt `json:"receipt,omitempty"`
 	End     *End     `json:"end,omitempty"`
 }
 
-// Why is a reason for a refusal.
+// Why is a status code.
 type Why string
 
-// The reasons.
+// Status codes.
 const (
-	Malformed Why = "malformed"
-	Full      Why = "full"    // the table is
-	Another   Why = "another" // the id is another job's
-	Unknown   Why = "unknown" // no such receipt
-	Stale     Why = "stale"   // of an owner whose time is over
-	Ended     Why = "ended"   // it has its end already
-	Open      Why = "open"    // it has none yet
-	TooLate   Why = "late"    // the proposal was under way for too long, or the id was dropped a moment ago
+	Malformed    Why = "malformed"
+	Full         Why = "full"    // the table is full
+	Another      Why = "another" // the ID belongs to another job
+	Unknown      Why = "unknown" // there is no such receipt
+	StaleOwner   Why = "stale"   // the owner has been replaced
+	AlreadyEnded Why = "ended"   // the job has ended already
+	Open         Why = "open"    // the job has not ended
+	TooLate      Why = "late"    // the proposal was delayed for too long, or the ID was removed recently
 )
 
-// ReadAnswer reads what Apply gave.
+// ReadAnswer decodes a result of Apply.
 func ReadAnswer(text []byte) (a Answer, err error) {
 	err = json.Unmarshal(text, &a)
 	return a, err
 }
 
-// Machine is one group's table. It is not safe for more than one goroutine.
+// Machine is one group's table. It is not safe for concurrent use.
 type Machine struct {
-	index uint64 // of the last command
-	owner uint64 // the highest generation of an owner
-	jobs  map[string]*Entry
-	open  []*Entry // without an end, by index; some that have one meanwhile
-	dead  int      // how many of open those are
-	ended expiry
-	bytes int
-	gone  map[string]uint64 // ids by the index at which they were dropped
-	order []gone            // likewise, the first first
+	index          uint64 // of the last command
+	owner          uint64 // the highest generation of an owner
+	jobs           map[string]*Entry
+	openJobs       []*Entry // jobs without an end, by index; may contain some that have ended since
+	endedInOpen    int      // number of entries in open that have ended
+	ended          expiryHeap
+	bytes          int
+	forgotten      map[string]uint64 // removed IDs with the index of their removal
+	forgottenOrder []forgottenID     // the same in order of removal
 
-	faulty Faults
+	faults Faults
 }
 
-// Faults switches a rule off, for the tests that must notice.
-type Faults struct{ AnyGen, EndTwice, AnyIntent bool }
+// Faults disables rules, so that tests can check that each is needed.
+type Faults struct{ IgnoreGeneration, AllowSecondEnd, IgnoreIntentOwner bool }
 
 // New returns an empty table.
-func New() *Machine { return &Machine{jobs: map[string]*Entry{}, gone: map[string]uint64{}} }
+func New() *Machine { return &Machine{jobs: map[string]*Entry{}, forgotten: map[string]uint64{}} }
 
-type gone struct {
+type forgottenID struct {
 	ID    string `json:"id"`
 	Index uint64 `json:"index"`
 }
 
-// expiry is a heap of entries that have ended.
-type expiry []*Entry
+// expiry is a heap of ended entries, ordered by the end of their retention.
+type expiryHeap []*Entry
 
-func (x expiry) Len() int { return len(x) }
-func (x expiry) Less(i, j int) bool {
+func (x expiryHeap) Len() int { return len(x) }
+func (x expiryHeap) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(x[i].expires(), x[j].expires()), cmp.Compare(x[i].Index, x[j].Index)) < 0
 }
-func (x expiry) Swap(i, j int) { x[i], x[j] = x[j], x[i] }
-func (x *expiry) Push(e any)   { *x = append(*x, e.(*Entry)) }
-func (x *expiry) Pop() any {
+func (x expiryHeap) Swap(i, j int) { x[i], x[j] = x[j], x[i] }
+func (x *expiryHeap) Push(e any)   { *x = append(*x, e.(*Entry)) }
+func (x *expiryHeap) Pop() any {
 	last := (*x)[len(*x)-1]
 	*x = (*x)[:len(*x)-1]
 	return last
 }
 
-// Apply steps the table by a committed command. at is Unix time, and never less than before.
+// Apply executes a committed command. at is Unix time and never decreases.
 func (m *Machine) Apply(index uint64, at time.Duration, cmd []byte) []byte {
 	m.index = index
 	m.expire(at)
@@ -284,13 +284,13 @@
 	return text
 }
 
-// looks is how a command that only reads begins, as [Command.Bytes] has it.
-var looks = fmt.Appendf(nil, `{"v":%d,"op":%q`, Version, OpLook)
+// looks is the prefix of an encoded read command, see [Command.Bytes].
+var readPrefix = fmt.Appendf(nil, `{"v":%d,"op":%q`, Version, OpLook)
 
-// Read answers a look without the log.
+// Read answers a read command without the log.
 func (m *Machine) Read(cmd []byte) (result []byte, ok bool) {
 	var c Command
-	if !bytes.HasPrefix(cmd, looks) || json.Unmarshal(cmd, &c) != nil || c.Op != OpLook {
+	if !bytes.HasPrefix(cmd, readPrefix) || json.Unmarshal(cmd, &c) != nil || c.Op != OpLook {
 		return nil, false
 	}
 	a := Answer{Why: Unknown}
@@ -303,31 +303,31 @@
 }
 
 func (m *Machine) expire(at time.Duration) {
-	for len(m.order) > 0 && m.order[0].Index+Late < m.index {
-		if m.gone[m.order[0].ID] == m.order[0].Index {
-			delete(m.gone, m.order[0].ID)
+	for len(m.forgottenOrder) > 0 && m.forgottenOrder[0].Index+MaxProposalLag < m.index {
+		if m.forgotten[m.forgottenOrder[0].ID] == m.forgottenOrder[0].Index {
+			delete(m.forgotten, m.forgottenOrder[0].ID)
 		}
-		m.order = m.order[1:]
+		m.forgottenOrder = m.forgottenOrder[1:]
 	}
-	for len(m.ended) > 0 && m.ended[0].expires() <= at && len(m.order) < MaxGone {
-		m.drop(heap.Pop(&m.ended).(*Entry))
+	for len(m.ended) > 0 && m.ended[0].expires() <= at && len(m.forgottenOrder) < MaxForgotten {
+		m.forget(heap.Pop(&m.ended).(*Entry))
 	}
 }
 
-func (m *Machine) drop(e *Entry) {
+func (m *Machine) forget(e *Entry) {
 	delete(m.jobs, e.ID)
 	m.bytes -= e.bytes()
-	m.gone[e.ID] = m.index
-	m.order = append(m.order, gone{e.ID, m.index})
+	m.forgotten[e.ID] = m.index
+	m.forgottenOrder = append(m.forgottenOrder, forgottenID{e.ID, m.index})
 }
 
 func (m *Machine) step(index uint64, at time.Duration, c *Command) Answer {
 	switch c.Op {
 	case OpPromise:
 		return m.promise(index, at, c)
-	case OpOwn:
+	case OpTakeOwnership:
 		if c.Gen <= m.owner {
-			return Answer{OK: c.Gen == m.owner, Why: Stale}
+			return Answer{OK: c.Gen == m.owner, Why: StaleOwner}
 		}
 		m.owner = c.Gen
 		return Answer{OK: true}
@@ -343,39 +343,39 @@
 		if e.End == nil {
 			return Answer{Why: Open, Receipt: &e.Receipt}
 		}
-		if len(m.order) >= MaxGone {
+		if len(m.forgottenOrder) >= MaxForgotten {
 			return Answer{Why: Full, Text: "too many were forgotten of late: it goes by itself when its retention ends"}
 		}
 		heap.Remove(&m.ended, slices.Index(m.ended, e))
-		m.drop(e)
+		m.forget(e)
 		return Answer{OK: true}
 	case OpWord:
-		return m.word(at, e, c)
+		return m.report(at, e, c)
 	case OpIntent, OpOver, OpEnd:
-		if c.Gen != m.owner && !m.faulty.AnyGen {
-			return Answer{Why: Stale}
+		if c.Gen != m.owner && !m.faults.IgnoreGeneration {
+			return Answer{Why: StaleOwner}
 		}
 	default:
 		return Answer{Why: Malformed, Text: "no such command"}
 	}
-	if e.End != nil && !m.faulty.EndTwice {
-		return Answer{Why: Ended, End: e.End}
+	if e.End != nil && !m.faults.AllowSecondEnd {
+		return Answer{Why: AlreadyEnded, End: e.End}
 	}
 	switch c.Op {
 	case OpIntent:
 		if len(c.Instance) > MaxName {
 			return Answer{Why: Malformed, Text: "an instance's name is too long"}
 		}
-		for _, in := range e.Intents { // committed before, though nobody heard of it
+		for _, in := range e.Intents { // committed before, but the proposer did not learn of it
 			if in.Gen == c.Gen && in.Hand == c.Hand && in.N == c.N && in.Instance == c.Instance {
 				return Answer{OK: true}
 			}
 		}
 		if len(e.Intents) == maxIntents {
-			e.Intents, e.Ran = slices.Delete(e.Intents, 0, 1), true
+			e.Intents, e.MayHaveRun = slices.Delete(e.Intents, 0, 1), true
 		}
 		e.Intents = append(e.Intents, Intent{Gen: c.Gen, Hand: c.Hand, N: c.N, Instance: c.Instance, Until: c.Until})
-		e.Hands = max(e.Hands, c.Hand)
+		e.LastSubmission = max(e.LastSubmission, c.Hand)
 	case OpOver:
 		e.Intents = slices.DeleteFunc(e.Intents, func(in Intent) bool { return in.Gen == c.Gen && in.Hand == c.Hand && in.N == c.N })
 	case OpEnd:
@@ -383,7 +383,7 @@
 			return Answer{Why: Malformed, Text: "an owner ends what failed or is refused"}
 		}
 		end := &End{Kind: c.Kind, Reason: c.Reason, At: at}
-		if end.Kind == Refused && (len(e.Intents) > 0 || e.Ran) { // not as far as this table knows
+		if end.Kind == Refused && (len(e.Intents) > 0 || e.MayHaveRun) { // by this table's knowledge it may have run
 			end.Kind, end.Reason = Failed, "an attempt may have run; then: "+end.Reason
 		}
 		m.end(e, end)
@@ -412,7 +412,7 @@
 		}
 		return Answer{OK: true, Receipt: &e.Receipt}
 	}
-	if dropped, ok := m.gone[c.ID]; c.Seen+Late < index || ok && c.Seen < dropped {
+	if dropped, ok := m.forgotten[c.ID]; c.Seen+MaxProposalLag < index || ok && c.Seen < dropped {
 		return Answer{Why: TooLate, Text: "it was under way for too long, or the id was forgotten a moment ago"}
 	}
 	e := &Entry{Receipt: Receipt{ID: c.ID, Index: index, At: at, Until: at + c.Job.Within}, Job: *c.Job, Digest: digest}
@@ -420,15 +420,15 @@
 		return Answer{Why: Full, Text: fmt.Sprintf("the group holds %d promises and %d bytes of them", len(m.jobs), m.bytes)}
 	}
 	m.jobs[c.ID] = e
-	m.open = append(m.open, e)
+	m.openJobs = append(m.openJobs, e)
 	m.bytes += e.bytes()
 	return Answer{OK: true, Receipt: &e.Receipt}
 }
 
-// word takes what an instance tells of an attempt. It is a fact, whoever acts by now.
-func (m *Machine) word(at time.Duration, e *Entry, c *Command) Answer {
-	if e.End != nil && !m.faulty.EndTwice {
-		return Answer{Why: Ended, End: e.End}
+// word applies an instance's report on an attempt. It counts whoever the owner is now.
+func (m *Machine) report(at time.Duration, e *Entry, c *Command) Answer {
+	if e.End != nil && !m.faults.AllowSecondEnd {
+		return Answer{Why: AlreadyEnded, End: e.End}
 	}
 	i := slices.IndexFunc(e.Intents, func(in Intent) bool { return in.Hand == c.Hand && in.Instance == c.Instance })
 	if i < 0 {
@@ -442,8 +442,8 @@
 		}
 		m.end(e, end)
 	case Failed:
-		e.Intents[i].Lost = cut(cmp.Or(c.Reason, "it failed"))
-	case Refused: // handed back unstarted
+		e.Intents[i].Lost = truncate(cmp.Or(c.Reason, "it failed"))
+	case Refused: // returned without having been started
 		e.Intents = slices.Delete(e.Intents, i, i+1)
 	default:
 		return Answer{Why: Malformed, Text: "word of no known kind"}
@@ -451,58 +451,60 @@
 	return Answer{OK: true, Receipt: &e.Receipt}
 }
 
-func cut(reason string) string { return reason[:min(len(reason), MaxReason)] }
+func truncate(reason string) string { return reason[:min(len(reason), MaxReason)] }
 
 func (m *Machine) end(e *Entry, end *End) {
 	again := e.End != nil
 	m.bytes -= e.bytes()
-	end.Reason = cut(end.Reason)
+	end.Reason = truncate(end.Reason)
 	e.End, e.Intents, e.Job.Payload = end, nil, nil
 	m.bytes += e.bytes()
 	if again {
 		return
 	}
 	heap.Push(&m.ended, e)
-	if m.dead++; m.dead > 64 && m.dead > len(m.open)/2 {
-		m.open = slices.DeleteFunc(m.open, func(e *Entry) bool { return e.End != nil })
-		m.dead = 0
+	if m.endedInOpen++; m.endedInOpen > 64 && m.endedInOpen > len(m.openJobs)/2 {
+		m.openJobs = slices.DeleteFunc(m.openJobs, func(e *Entry) bool { return e.End != nil })
+		m.endedInOpen = 0
 	}
 }
 
-// Index is that of the last command.
+// Index returns the index of the last command.
 func (m *Machine) Index() uint64 { return m.index }
 
-// Owner is the generation of whoever acts.
+// Owner returns the generation of the current owner.
 func (m *Machine) Owner() uint64 { return m.owner }
 
-// Entry is a job's line, to be read only; nil: there is none.
+// Entry returns the record of a job, which must not be modified, or nil if there is none.
 func (m *Machine) Entry(id string) *Entry { return m.jobs[id] }
 
-// Open calls f with each job that has no end, by the order of their receipts and from one of these on, until it says
-// false.
+// Open calls f with each job that has not ended, in the order of the receipts and starting at index from, until f
+// returns false.
 func (m *Machine) Open(from uint64, f func(*Entry) bool) {
-	at, _ := slices.BinarySearchFunc(m.open, from, func(e *Entry, from uint64) int { return cmp.Compare(e.Index, from) })
-	for _, e := range m.open[at:] {
+	at, _ := slices.BinarySearchFunc(m.openJobs, from, func(e *Entry, from uint64) int { return cmp.Compare(e.Index, from) })
+	for _, e := range m.openJobs[at:] {
 		if e.End == nil && !f(e) {
 			return
 		}
 	}
 }
 
-// Size is how many jobs are in the table, how many of them have no end, and the bytes of all.
-func (m *Machine) Size() (jobs, open, bytes int) { return len(m.jobs), len(m.open) - m.dead, m.bytes }
+// Size returns the number of jobs in the table, the number of those without an end, and the bytes of all.
+func (m *Machine) Size() (jobs, open, bytes int) {
+	return len(m.jobs), len(m.openJobs) - m.endedInOpen, m.bytes
+}
 
 type state struct {
-	V     int      `json:"v"`
-	Index uint64   `json:"index"`
-	Owner uint64   `json:"owner"`
-	Jobs  []*Entry `json:"jobs"` // by index
-	Gone  []gone   `json:"gone,omitempty"`
+	V         int           `json:"v"`
+	Index     uint64        `json:"index"`
+	Owner     uint64        `json:"owner"`
+	Jobs      []*Entry      `json:"jobs"` // by index
+	Forgotten []forgottenID `json:"gone,omitempty"`
 }
 
-// Snapshot is the table as a text.
+// Snapshot encodes the table.
 func (m *Machine) Snapshot() ([]byte, error) {
-	s := state{V: Version, Index: m.index, Owner: m.owner, Gone: m.order}
+	s := state{V: Version, Index: m.index, Owner: m.owner, Forgotten: m.forgottenOrder}
 	for _, e := range m.jobs {
 		s.Jobs = append(s.Jobs, e)
 	}
@@ -510,7 +512,7 @@
 	return json.Marshal(s)
 }
 
-// Restore takes the table of a snapshot.
+// Restore replaces the table by that of a snapshot.
 func (m *Machine) Restore(text []byte) error {
 	var s state
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -519,14 +521,14 @@
 	if s.V != Version {
 		return fmt.Errorf("promises: a snapshot of version %d, not %d", s.V, Version)
 	}
-	fresh := Machine{index: s.Index, owner: s.Owner, jobs: map[string]*Entry{}, gone: map[string]uint64{}, order: s.Gone, faulty: m.faulty}
-	for _, g := range s.Gone {
-		fresh.gone[g.ID] = g.Index
+	fresh := Machine{index: s.Index, owner: s.Owner, jobs: map[string]*Entry{}, forgotten: map[string]uint64{}, forgottenOrder: s.Forgotten, faults: m.faults}
+	for _, g := range s.Forgotten {
+		fresh.forgotten[g.ID] = g.Index
 	}
 	for _, e := range s.Jobs {
 		fresh.jobs[e.ID] = e
 		if fresh.bytes += e.bytes(); e.End == nil {
-			fresh.open = append(fresh.open, e)
+			fresh.openJobs = append(fresh.openJobs, e)
 		} else {
 			fresh.ended = append(fresh.ended, e)
 		}
@@ -536,13 +538,13 @@
 	return nil
 }
 
-// WireID is what instances know one hand-in of a job by. It differs from hand-in to hand-in, and from promise to promise
-// of one id: what an earlier one has left at an instance must not be taken for a later one's.
+// WireID returns the ID under which instances know one submission of a job. It differs between submissions, and between promises that
+// use the same ID one after the other, so that an instance's leftover state of an earlier one is not taken for that of a later one.
 func WireID(id string, index uint64, hand int) string {
 	return id + "~" + strconv.FormatUint(index, 10) + "~" + strconv.Itoa(hand)
 }
 
-// ReadWireID takes one apart; false: it is no promised job's.
+// ReadWireID parses a wire ID; ok is false if it belongs to no promised job.
 func ReadWireID(text string) (id string, index uint64, hand int, ok bool) {
 	parts := strings.Split(text, "~")
 	if len(parts) != 3 || CheckID(parts[0]) != nil {
--- a/internal/promise/machine_test.go
+++ b/internal/promise/machine_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func ask1(m *Machine, index uint64, at time.Duration, c Command) Answer {
+func apply(m *Machine, index uint64, at time.Duration, c Command) Answer {
 	a, err := ReadAnswer(m.Apply(index, at, c.Bytes()))
 	if err != nil {
 		panic(err)
@@ -18,8 +18,8 @@
 	return a
 }
 
-// Whatever is committed in whatever order: the same id has the same receipt, an end never changes while it is kept, a
-// table that was restored goes on as the one that was not, and what is counted is what is there.
+// Checks for any order of commands: an ID keeps its receipt, an end does not change while it is kept, a restored table behaves
+// like the original, and the counters match the content.
 func TestAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
@@ -28,7 +28,7 @@
 		for index := uint64(1); index < 30; index++ {
 			at += time.Duration(rapid.IntRange(0, 3).Draw(t, "later")) * time.Second
 			c := Command{
-				Op: rapid.SampledFrom([]Op{OpPromise, OpPromise, OpOwn, OpIntent, OpIntent, OpOver, OpEnd, OpWord, OpWord, OpForget, OpLook, "other"}).Draw(t, "op"),
+				Op: rapid.SampledFrom([]Op{OpPromise, OpPromise, OpTakeOwnership, OpIntent, OpIntent, OpOver, OpEnd, OpWord, OpWord, OpForget, OpLook, "other"}).Draw(t, "op"),
 				ID: rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(t, "id"), Hand: rapid.IntRange(1, 2).Draw(t, "hand"),
 				Gen: gen - uint64(rapid.IntRange(0, 1).Draw(t, "stale")), N: rapid.IntRange(0, 1).Draw(t, "n"), Instance: "s-1",
 				Index: rapid.SampledFrom([]uint64{0, 1, 2}).Draw(t, "receipt"),
@@ -41,7 +41,7 @@
 			case OpPromise:
 				c.Seen = index - 1 - min(index-1, rapid.SampledFrom([]uint64{0, 0, 1, 20}).Draw(t, "under way"))
 				c.Job = &Job{Class: "c", Payload: []byte("payload"), Within: time.Hour, Keep: 10 * time.Second}
-			case OpOwn:
+			case OpTakeOwnership:
 				gen++
 				c.Gen = gen
 			}
@@ -57,7 +57,7 @@
 				m = n
 				index++
 			}
-			a := ask1(m, index, at, c)
+			a := apply(m, index, at, c)
 			for id := range receipts {
 				if m.Entry(id) == nil {
 					delete(receipts, id)
@@ -97,7 +97,7 @@
 	job := &Job{Class: "c", Payload: make([]byte, MaxPayload), Within: time.Hour, Keep: time.Minute}
 	n := 0
 	for ; ; n++ {
-		a := ask1(m, uint64(n+1), 0, Command{Op: OpPromise, ID: fmt.Sprint("j", n), Job: job})
+		a := apply(m, uint64(n+1), 0, Command{Op: OpPromise, ID: fmt.Sprint("j", n), Job: job})
 		if !a.OK {
 			require.Equal(t, Full, a.Why)
 			require.Contains(t, a.Text, "promises")
@@ -105,14 +105,14 @@
 		}
 	}
 	require.Equal(t, MaxBytes/MaxPayload, n)
-	require.True(t, ask1(m, 5000, 0, Command{Op: OpPromise, ID: "j0", Job: job}).OK, "it has its receipt already")
-	require.True(t, ask1(m, 5001, 0, Command{Op: OpOwn, Gen: 7}).OK)
-	require.True(t, ask1(m, 5002, 0, Command{Op: OpEnd, ID: "j0", Index: 1, Gen: 7, Kind: Refused, Reason: strings.Repeat("x", 9999)}).OK)
+	require.True(t, apply(m, 5000, 0, Command{Op: OpPromise, ID: "j0", Job: job}).OK, "it has its receipt already")
+	require.True(t, apply(m, 5001, 0, Command{Op: OpTakeOwnership, Gen: 7}).OK)
+	require.True(t, apply(m, 5002, 0, Command{Op: OpEnd, ID: "j0", Index: 1, Gen: 7, Kind: Refused, Reason: strings.Repeat("x", 9999)}).OK)
 	require.Len(t, m.Entry("j0").End.Reason, MaxReason)
-	require.True(t, ask1(m, 5003, 0, Command{Op: OpPromise, ID: "fits", Job: job}).OK, "what has ended leaves its payload's room")
-	require.Equal(t, Unknown, ask1(m, 5004, time.Minute, Command{Op: OpLook, ID: "j0"}).Why, "its retention is over")
-	require.Equal(t, TooLate, ask1(m, 5005, time.Minute, Command{Op: OpPromise, ID: "j0", Job: job, Seen: 5003}).Why, "it may double the one before")
-	require.True(t, ask1(m, 5006, time.Minute, Command{Op: OpPromise, ID: "j0", Job: &Job{Class: "c", Within: 1, Keep: 1}, Seen: 5005}).OK)
+	require.True(t, apply(m, 5003, 0, Command{Op: OpPromise, ID: "fits", Job: job}).OK, "what has ended leaves its payload's room")
+	require.Equal(t, Unknown, apply(m, 5004, time.Minute, Command{Op: OpLook, ID: "j0"}).Why, "its retention is over")
+	require.Equal(t, TooLate, apply(m, 5005, time.Minute, Command{Op: OpPromise, ID: "j0", Job: job, Seen: 5003}).Why, "it may double the one before")
+	require.True(t, apply(m, 5006, time.Minute, Command{Op: OpPromise, ID: "j0", Job: &Job{Class: "c", Within: 1, Keep: 1}, Seen: 5005}).OK)
 	for _, garbage := range []string{"", "{", "null", `{"v":9}`, `{"v":1,"op":"promise","id":"a b"}`, `{"v":1,"op":"promise","id":"x","job":{}}`} {
 		a, err := ReadAnswer(m.Apply(6000, time.Minute, []byte(garbage)))
 		require.NoError(t, err)
@@ -120,64 +120,64 @@
 	}
 }
 
-// ms is that many milliseconds after the start, by both clocks.
-func ms(n int) Clock {
+// ms returns readings of both clocks n milliseconds after the start.
+func at(n int) Clock {
 	return Clock{Mono: time.Duration(n) * time.Millisecond, Unix: time.Duration(n) * time.Millisecond}
 }
 
-// acting is a table with one job, and an owner that takes the lease in a term, until a time.
-func acting(t *testing.T, term uint64, until time.Duration) (m *Machine, o *Owner, take func(Clock) Start) {
+// acting returns a table with one job and an owner that gets the lease of a term until a time.
+func ownedTable(t *testing.T, term uint64, until time.Duration) (m *Machine, o *Owner, take func(Clock) Start) {
 	m, o = New(), NewOwner(func(string) bool { return false })
-	ask1(m, 1, 0, Command{Op: OpPromise, ID: "j", Job: &Job{Class: "c", Within: time.Second, Keep: time.Hour}})
+	apply(m, 1, 0, Command{Op: OpPromise, ID: "j", Job: &Job{Class: "c", Within: time.Second, Keep: time.Hour}})
 	take = func(c Clock) Start {
 		o.Look(c, m)
 		own := o.Actions()[0].(Propose)
-		o.Proposed(c, own.Seq, ask1(m, 2, 0, own.Command), false)
+		o.Proposed(c, own.Seq, apply(m, 2, 0, own.Command), false)
 		o.Look(c, m)
 		return o.Actions()[0].(Start)
 	}
-	o.Lead(ms(0), term, until, true)
+	o.Lead(at(0), term, until, true)
 	return m, o, take
 }
 
-// The lease comes back to the same dispatcher in the same term: what it proposed before must not count.
-func TestLeaseLostAndBackInOneTerm(t *testing.T) {
-	m, o, take := acting(t, 3, 500*time.Millisecond)
-	first := take(ms(0))
-	o.Answered(ms(400), "j", 1, first.Hand, TurnedAway, "", nil, 0, 0)
+// The same dispatcher regains the lease in the same term: its earlier proposals must not count.
+func TestLeaseRegainedInSameTerm(t *testing.T) {
+	m, o, take := ownedTable(t, 3, 500*time.Millisecond)
+	first := take(at(0))
+	o.Answered(at(400), "j", 1, first.Hand, TurnedAway, "", nil, 0, 0)
 	late := o.Actions()[0].(Propose)
 	require.Equal(t, OpEnd, late.Op)
-	o.Look(ms(490), m)
+	o.Look(at(490), m)
 	require.Equal(t, []Action{Leave{"j", first.Hand}}, o.Actions())
-	o.Lead(ms(600), 3, time.Second, true)
-	require.Greater(t, take(ms(600)).Hand, first.Hand, "the dispatcher may still have the first")
-	require.Equal(t, Stale, ask1(m, 9, 0, late.Command).Why)
+	o.Lead(at(600), 3, time.Second, true)
+	require.Greater(t, take(at(600)).Hand, first.Hand, "the dispatcher may still have the first")
+	require.Equal(t, StaleOwner, apply(m, 9, 0, late.Command).Why)
 }
 
-// Guards against a job that stays in hand with nobody who does it: the dispatcher's answer came late in a lease that was renewed.
-func TestAnswerLateInARenewedLeaseCounts(t *testing.T) {
-	m, o, take := acting(t, 3, 500*time.Millisecond)
-	first := take(ms(0))
-	o.Answered(ms(490), "j", 1, first.Hand, TurnedAway, "", nil, 0, 30*time.Second)
-	o.Lead(ms(491), 3, time.Minute, true)
-	o.Look(ms(700), m)
+// Guards against a job that stays submitted while nobody runs it: the dispatcher's answer came near the end of a lease that was then renewed.
+func TestAnswerNearExpiryOfRenewedLeaseCounts(t *testing.T) {
+	m, o, take := ownedTable(t, 3, 500*time.Millisecond)
+	first := take(at(0))
+	o.Answered(at(490), "j", 1, first.Hand, TurnedAway, "", nil, 0, 30*time.Second)
+	o.Lead(at(491), 3, time.Minute, true)
+	o.Look(at(700), m)
 	again := o.Actions()
 	require.NotEmpty(t, again)
 	require.Greater(t, again[0].(Start).Hand, first.Hand)
 }
 
-// Guards against an intent that stays though its attempt never ran, as that was heard late in a lease that was renewed.
-func TestNeverRanLateInARenewedLeaseIsTold(t *testing.T) {
-	m, o, take := acting(t, 3, 500*time.Millisecond)
-	first := take(ms(0))
-	o.Ask(ms(100), "j", first.Hand, 1, "s-1", time.Minute)
+// Guards against an intent that stays though its attempt never ran, when that was reported near the end of a lease that was then renewed.
+func TestNeverRanNearExpiryOfRenewedLeaseIsReported(t *testing.T) {
+	m, o, take := ownedTable(t, 3, 500*time.Millisecond)
+	first := take(at(0))
+	o.Ask(at(100), "j", first.Hand, 1, "s-1", time.Minute)
 	intent := o.Actions()[0].(Propose)
-	o.Proposed(ms(200), intent.Seq, ask1(m, 3, 0, intent.Command), false)
+	o.Proposed(at(200), intent.Seq, apply(m, 3, 0, intent.Command), false)
 	require.IsType(t, Go{}, o.Actions()[0])
 	o.Over("j", first.Hand, 1)
-	o.Lead(ms(491), 3, time.Minute, true)
+	o.Lead(at(491), 3, time.Minute, true)
 	over := o.Actions()
 	require.NotEmpty(t, over)
-	require.True(t, ask1(m, 4, 0, over[0].(Propose).Command).OK)
+	require.True(t, apply(m, 4, 0, over[0].(Propose).Command).OK)
 	require.Empty(t, m.Entry("j").Intents)
 }
--- a/internal/promise/owner.go
+++ b/internal/promise/owner.go
@@ -9,51 +9,51 @@
 )
 
 const (
-	// Margin is how long before its lease ends an owner stops: what it has begun by then is on its way before the end.
-	Margin = 20 * time.Millisecond
-	// MostHands is how many of a group's jobs are in the dispatcher's hands at once.
-	MostHands = 512
-	// afterWord is how long past an attempt's deadline its call-back is waited for before a job that may have run is
-	// given up.
-	afterWord  = time.Second
-	againFirst = 100 * time.Millisecond // before a job that was turned away is handed in again
-	againMost  = 5 * time.Second
-	bookWithin = 10 * time.Second
-	scanEach   = 250 * time.Millisecond // all of a table; what is new in it is seen at once
-	again      = 50 * time.Millisecond  // before a proposal of which nothing is known is made again
+	// LeaseMargin is how long before the end of its lease an owner stops: sends that it has started by then are out before the end.
+	LeaseMargin = 20 * time.Millisecond
+	// MaxSubmitted is the maximum number of a group's jobs that are submitted to the dispatcher at once.
+	MaxSubmitted = 512
+	// callbackGrace is how long after an attempt's deadline the owner still waits for its callback before it gives up a job that may
+	// have run.
+	callbackGrace      = time.Second
+	minResubmitDelay   = 100 * time.Millisecond // before a rejected job is submitted again
+	maxResubmitDelay   = 5 * time.Second
+	recordTimeout      = 10 * time.Second
+	scanInterval       = 250 * time.Millisecond // of scans of the whole table; new jobs are seen at once
+	proposalRetryDelay = 50 * time.Millisecond  // before a proposal with an unknown outcome is repeated
 )
 
-// MayHaveRun is why a job that must not run twice is ended failed though nobody knows.
+// MayHaveRun is the reason of a job's end as failed if it must not run twice and its outcome is unknown.
 const MayHaveRun = "may have run: whoever sent it is gone, and nothing was heard of it"
 
-// Clock is both clocks of a dispatcher.
+// Clock holds the readings of a dispatcher's two clocks.
 type Clock struct {
-	Mono time.Duration // since the process started: leases
-	Unix time.Duration // jobs' times
+	Mono time.Duration // since the start of the process; for leases
+	Unix time.Duration // for the times of jobs
 }
 
-// Verdict is what the dispatcher says of a hand-in.
+// Verdict is the dispatcher's answer to a submission.
 type Verdict int
 
-// The verdicts.
+// Verdicts.
 const (
 	Served     Verdict = iota
-	TurnedAway         // trying again is harmless
+	TurnedAway         // a retry is safe
 	Broken             // it may have run
-	NoUse              // no instance can do it
+	NoUse              // no instance can run it
 )
 
-// Action is something that an owner wants done.
+// Action is something that the owner's caller must do.
 type Action interface{ action() }
 
-// The actions.
+// Actions.
 type (
-	// Propose a command; [Owner.Proposed] takes what it came to.
+	// Propose proposes a command; [Owner.Proposed] receives the outcome.
 	Propose struct {
 		Seq uint64
 		Command
 	}
-	// Start hands a job to the dispatcher. Left is the time for it.
+	// Start submits a job to the dispatcher. Left is the time in which it must start.
 	Start struct {
 		ID     string
 		Index  uint64
@@ -62,25 +62,25 @@
 		Left   time.Duration
 		Repeat bool
 	}
-	// Go sends an attempt that waited for its intent, but not after Until by the clock of leases.
+	// Go sends an attempt that waited for its intent, unless the lease clock has passed Until.
 	Go struct {
 		ID      string
 		Hand, N int
 		Until   time.Duration
 	}
-	// Deny ends an attempt that waited: it is not sent.
+	// Deny ends an attempt that waited for its intent without sending it.
 	Deny struct {
 		ID      string
 		Hand, N int
 	}
-	// Leave has the dispatcher forget a hand-in. Nothing is sent of that, no give-up either.
+	// Leave makes the dispatcher forget a submission. No message is sent because of it, and no cancellation.
 	Leave struct {
 		ID   string
 		Hand int
 	}
-	// Book has it committed that an instance has done a job. Unlike a proposal it outlives the owner.
+	// Book commits that an instance has done a job. Unlike Propose it is continued after the lease has ended.
 	Book struct{ Command }
-	// Heard has the dispatcher take an end that another was told.
+	// Heard gives the dispatcher an end that was reported to another dispatcher.
 	Heard struct {
 		ID   string
 		Hand int
@@ -96,228 +96,228 @@
 func (Book) action()    {}
 func (Heard) action()   {}
 
-// Owner is what a dispatcher does for a group's promises while it holds the lease. It is not safe for more than one
-// goroutine.
+// Owner is the logic of the dispatcher that holds a group's lease and so acts for its promises. It is not safe for
+// concurrent use.
 type Owner struct {
-	repeats func(class string) bool
-
-	term  uint64 // 0: it has no lease
-	until time.Duration
-	last  uint64 // the term of the last lease,
-	times uint64 // and how often it was held before: what was proposed in those times counts no more
-	own   uint64 // the proposal to act, 0: none is out
-
-	base  int // the highest number of a hand-in under earlier leases, which the dispatcher may still have
-	hands map[string]*hand
-	later map[string]later
-	seq   uint64
-	out   map[uint64]proposal
-	do    []Action
-	every time.Duration // between looks at all of the table
-	whole time.Duration // when the next is, by the clock of leases
-	seen  uint64        // the newest receipt that was looked at
-
-	faulty OwnerFaults
+	mayRetry func(class string) bool
+
+	term           uint64 // 0: no lease
+	leaseEnd       time.Duration
+	lastTerm       uint64 // the term of the last lease
+	reacquisitions uint64 // how often the lease of that term was lost; proposals from before a loss do not count
+	ownProposal    uint64 // the pending proposal to take ownership; 0: none
+
+	baseSubmission int // the highest submission number under earlier leases, which the dispatcher may still have
+	submitted      map[string]*submission
+	resubmits      map[string]resubmitState
+	seq            uint64
+	proposals      map[uint64]proposal
+	actions        []Action
+	scanInterval   time.Duration // between scans of the whole table
+	nextScan       time.Duration // time of the next scan, by the lease clock
+	lastSeen       uint64        // index of the newest receipt that was examined
+
+	faults OwnerFaults
 }
 
-// OwnerFaults switches a rule off, for the tests that must notice.
+// OwnerFaults disables rules, so that tests can check that each is needed.
 type OwnerFaults struct{ SendFirst, NoLease bool }
 
-// hand is a job in the dispatcher's hands.
-type hand struct {
-	n      int
-	index  uint64 // of the receipt
-	class  string
-	ran    bool            // it may have, in an earlier hand
-	asks   map[int]ask     // attempts that wait for their intents
-	went   map[string]bool // instances that an attempt was asked for at; true: when it must not run twice
-	ending *Command        // it is to have this end
-	sent   uint64          // the proposal of that, 0: none is out
-	retry  time.Duration
+// hand is a job that has been submitted to the dispatcher.
+type submission struct {
+	number       int
+	index        uint64 // of the receipt
+	class        string
+	mayHaveRun   bool                // an earlier submission may have run
+	pendingSends map[int]pendingSend // attempts that wait for their intents
+	instances    map[string]bool     // instances for which an attempt was requested; true: the job must not run twice
+	endCommand   *Command            // the command that ends the job, if any
+	endProposal  uint64              // the pending proposal of that; 0: none
+	retryAt      time.Duration
 }
 
-type ask struct {
+type pendingSend struct {
 	Command
-	seq   uint64 // 0: to be proposed again
-	retry time.Duration
+	seq     uint64 // 0: to be proposed again
+	retryAt time.Duration
 }
 
-// later is when a job is handed in again.
-type later struct {
-	at    time.Duration // of the clock of leases
-	hand  int
-	pause time.Duration
+// later holds when a job is to be submitted again.
+type resubmitState struct {
+	at      time.Duration // by the lease clock
+	number  int
+	backoff time.Duration
 }
 
 type proposal struct {
-	id   string
-	hand int
-	n    int
-	op   Op
+	id         string
+	submission int
+	attempt    int
+	op         Op
 }
 
-// NewOwner returns one without a lease. repeats tells whether jobs of a class may run again after one that may have run.
+// NewOwner returns an owner without a lease. repeats reports whether a job of a class may be retried after it may have run.
 func NewOwner(repeats func(class string) bool) *Owner {
-	return &Owner{repeats: repeats, every: scanEach, hands: map[string]*hand{}, later: map[string]later{}, out: map[uint64]proposal{}}
+	return &Owner{mayRetry: repeats, scanInterval: scanInterval, submitted: map[string]*submission{}, resubmits: map[string]resubmitState{}, proposals: map[uint64]proposal{}}
 }
 
-// Actions takes what is to be done since the last call, in order.
+// Actions returns the actions since the last call, in order.
 func (o *Owner) Actions() []Action {
-	all := o.do
-	o.do = nil
+	all := o.actions
+	o.actions = nil
 	return all
 }
 
-// Hands is how many jobs are in the dispatcher's hands.
-func (o *Owner) Hands() int { return len(o.hands) }
+// Submitted returns the number of jobs that are submitted to the dispatcher.
+func (o *Owner) Submitted() int { return len(o.submitted) }
 
-// Acts tells whether it holds the lease, at a time.
-func (o *Owner) Acts(c Clock) bool {
-	return o.term > 0 && (c.Mono < o.until-Margin || o.faulty.NoLease)
+// HasLease reports whether the owner holds the lease at a time.
+func (o *Owner) HasLease(c Clock) bool {
+	return o.term > 0 && (c.Mono < o.leaseEnd-LeaseMargin || o.faults.NoLease)
 }
 
-// Lead takes the lease as it is now; ok false: there is none.
+// Lead sets the present state of the lease; ok is false if there is none.
 func (o *Owner) Lead(c Clock, term uint64, until time.Duration, ok bool) {
 	if !ok || term != o.term {
-		o.leave()
+		o.resign()
 	}
-	if ok && c.Mono < until-Margin {
-		if term != o.last {
-			o.last, o.times = term, 0
+	if ok && c.Mono < until-LeaseMargin {
+		if term != o.lastTerm {
+			o.lastTerm, o.reacquisitions = term, 0
 		}
-		o.term, o.until = term, until
+		o.term, o.leaseEnd = term, until
 	}
 }
 
-// leave forgets all that is in hand: another may act by now.
-func (o *Owner) leave() {
-	for _, id := range slices.Sorted(maps.Keys(o.hands)) {
-		h := o.hands[id]
-		for _, n := range slices.Sorted(maps.Keys(h.asks)) {
-			o.act(Deny{id, h.n, n})
+// leave abandons all submissions, since another dispatcher may be the owner now.
+func (o *Owner) resign() {
+	for _, id := range slices.Sorted(maps.Keys(o.submitted)) {
+		h := o.submitted[id]
+		for _, n := range slices.Sorted(maps.Keys(h.pendingSends)) {
+			o.emit(Deny{id, h.number, n})
 		}
-		o.act(Leave{id, h.n})
-		o.base = max(o.base, h.n)
+		o.emit(Leave{id, h.number})
+		o.baseSubmission = max(o.baseSubmission, h.number)
 	}
-	for _, l := range o.later {
-		o.base = max(o.base, l.hand)
+	for _, l := range o.resubmits {
+		o.baseSubmission = max(o.baseSubmission, l.number)
 	}
-	clear(o.hands)
-	clear(o.later)
-	clear(o.out)
+	clear(o.submitted)
+	clear(o.resubmits)
+	clear(o.proposals)
 	if o.term > 0 {
-		o.times++
+		o.reacquisitions++
 	}
-	o.term, o.own, o.whole, o.seen = 0, 0, 0, 0
+	o.term, o.ownProposal, o.nextScan, o.lastSeen = 0, 0, 0, 0
 }
 
-// gen is the generation that commands bear: the term, and in it the time that the lease is held.
-func (o *Owner) gen() uint64 { return o.term<<genShift + o.times }
+// gen is the generation of commands: the term, and how often the lease was regained in it.
+func (o *Owner) generation() uint64 { return o.term<<generationShift + o.reacquisitions }
 
-const genShift = 24
+const generationShift = 24
 
-func (o *Owner) act(a Action) { o.do = append(o.do, a) }
+func (o *Owner) emit(a Action) { o.actions = append(o.actions, a) }
 
 func (o *Owner) propose(c Command, p proposal) uint64 {
 	o.seq++
-	c.Gen, p.op = o.gen(), c.Op
-	o.out[o.seq] = p
-	o.act(Propose{o.seq, c})
+	c.Gen, p.op = o.generation(), c.Op
+	o.proposals[o.seq] = p
+	o.emit(Propose{o.seq, c})
 	return o.seq
 }
 
-// Look takes the table as it is here, at each change and every 50 ms or so: what is decided by it is not sent before
-// the group has agreed.
+// Look examines the local copy of the table. It must be called after each change and about every 50 ms. The copy may be behind:
+// nothing that is decided by it is sent before the group has committed it.
 func (o *Owner) Look(c Clock, m *Machine) {
-	if !o.Acts(c) {
+	if !o.HasLease(c) {
 		if o.term > 0 {
-			o.leave()
+			o.resign()
 		}
 		return
 	}
-	if gen := o.gen(); m.Owner() != gen {
-		if m.Owner() < gen && o.own == 0 { // what an earlier owner has proposed counts up to here, and no further
-			o.own = o.propose(Command{Op: OpOwn}, proposal{})
+	if gen := o.generation(); m.Owner() != gen {
+		if m.Owner() < gen && o.ownProposal == 0 { // proposals of an earlier owner count up to this command
+			o.ownProposal = o.propose(Command{Op: OpTakeOwnership}, proposal{})
 		} else if m.Owner() > gen {
-			o.leave()
+			o.resign()
 		}
 		return
 	}
-	o.again(c, m)
-	for _, id := range slices.Sorted(maps.Keys(o.hands)) {
-		h, e := o.hands[id], m.Entry(id)
+	o.retryProposals(c, m)
+	for _, id := range slices.Sorted(maps.Keys(o.submitted)) {
+		h, e := o.submitted[id], m.Entry(id)
 		if e != nil && e.Index != h.index {
-			e = nil // it was forgotten, and the id is another's
+			e = nil // the job was removed, and another one has its ID
 		}
 		if e != nil && e.End == nil {
 			continue
 		}
-		for _, n := range slices.Sorted(maps.Keys(h.asks)) {
-			o.act(Deny{id, h.n, n})
+		for _, n := range slices.Sorted(maps.Keys(h.pendingSends)) {
+			o.emit(Deny{id, h.number, n})
 		}
-		if e != nil && e.End.Kind == Done && h.ending == nil {
-			o.act(Heard{id, h.n, *e.End})
+		if e != nil && e.End.Kind == Done && h.endCommand == nil {
+			o.emit(Heard{id, h.number, *e.End})
 		} else {
-			o.act(Leave{id, h.n})
+			o.emit(Leave{id, h.number})
 		}
 		o.forget(id)
 	}
-	if len(o.hands) >= MostHands {
+	if len(o.submitted) >= MaxSubmitted {
 		return
 	}
-	from := o.seen + 1
-	if c.Mono >= o.whole {
-		from, o.whole = 0, c.Mono+o.every
+	from := o.lastSeen + 1
+	if c.Mono >= o.nextScan {
+		from, o.nextScan = 0, c.Mono+o.scanInterval
 	}
 	m.Open(from, func(e *Entry) bool {
-		if o.seen = max(o.seen, e.Index); o.hands[e.ID] == nil {
+		if o.lastSeen = max(o.lastSeen, e.Index); o.submitted[e.ID] == nil {
 			o.consider(c, e)
 		}
-		return len(o.hands) < MostHands
+		return len(o.submitted) < MaxSubmitted
 	})
 }
 
 func (o *Owner) forget(id string) {
-	delete(o.hands, id)
-	delete(o.later, id)
+	delete(o.submitted, id)
+	delete(o.resubmits, id)
 }
 
-// again proposes anew what nothing is known of, and what was to wait.
-func (o *Owner) again(c Clock, m *Machine) {
-	for _, id := range slices.Sorted(maps.Keys(o.hands)) {
-		h := o.hands[id]
-		if h.ending != nil && h.ending.Op == OpLook && c.Mono >= h.retry { // its result could not be booked
+// again repeats proposals with an unknown outcome and makes those that were postponed.
+func (o *Owner) retryProposals(c Clock, m *Machine) {
+	for _, id := range slices.Sorted(maps.Keys(o.submitted)) {
+		h := o.submitted[id]
+		if h.endCommand != nil && h.endCommand.Op == OpLook && c.Mono >= h.retryAt { // the result could not be recorded
 			o.forget(id)
 			continue
 		}
-		if h.ending != nil && h.sent == 0 && c.Mono >= h.retry && !o.early(c, h, m.Entry(id)) {
-			h.sent = o.propose(*h.ending, proposal{id: id, hand: h.n})
+		if h.endCommand != nil && h.endProposal == 0 && c.Mono >= h.retryAt && !o.refusalTooEarly(c, h, m.Entry(id)) {
+			h.endProposal = o.propose(*h.endCommand, proposal{id: id, submission: h.number})
 		}
-		for _, n := range slices.Sorted(maps.Keys(h.asks)) {
-			if a := h.asks[n]; a.seq == 0 && c.Mono >= a.retry {
-				a.seq = o.propose(a.Command, proposal{id: id, hand: h.n, n: n})
-				h.asks[n] = a
+		for _, n := range slices.Sorted(maps.Keys(h.pendingSends)) {
+			if a := h.pendingSends[n]; a.seq == 0 && c.Mono >= a.retryAt {
+				a.seq = o.propose(a.Command, proposal{id: id, submission: h.number, attempt: n})
+				h.pendingSends[n] = a
 			}
 		}
 	}
 }
 
-// consider decides what becomes of a job that is in nobody's hands here.
+// consider decides what to do with a job that is not submitted.
 func (o *Owner) consider(c Clock, e *Entry) {
 	due := func(at time.Duration) bool { return c.Unix >= at }
-	repeats := o.repeats(e.Job.Class)
+	repeats := o.mayRetry(e.Job.Class)
 	var until time.Duration
 	lost := ""
 	for _, in := range e.Intents {
 		if in.Lost == "" {
-			until = max(until, in.Until+afterWord)
+			until = max(until, in.Until+callbackGrace)
 		} else {
 			lost = in.Lost
 		}
 	}
-	switch wait := o.later[e.ID]; {
+	switch wait := o.resubmits[e.ID]; {
 	case len(e.Intents) > 0 && !repeats:
-		if until == 0 { // each is known to have come to nothing
+		if until == 0 { // every attempt is known to have failed
 			o.end(e, Failed, lost)
 		} else if due(until) {
 			o.end(e, Failed, MayHaveRun)
@@ -330,147 +330,147 @@
 		}
 	case c.Mono < wait.at:
 	default:
-		n := max(e.Hands, wait.hand, o.base) + 1
-		o.later[e.ID] = later{hand: n, pause: wait.pause}
-		o.hands[e.ID] = &hand{n: n, index: e.Index, class: e.Job.Class, ran: len(e.Intents) > 0, asks: map[int]ask{}, went: map[string]bool{}}
-		o.act(Start{ID: e.ID, Index: e.Index, Hand: n, Job: e.Job, Left: e.Until - c.Unix, Repeat: len(e.Intents) > 0})
+		n := max(e.LastSubmission, wait.number, o.baseSubmission) + 1
+		o.resubmits[e.ID] = resubmitState{number: n, backoff: wait.backoff}
+		o.submitted[e.ID] = &submission{number: n, index: e.Index, class: e.Job.Class, mayHaveRun: len(e.Intents) > 0, pendingSends: map[int]pendingSend{}, instances: map[string]bool{}}
+		o.emit(Start{ID: e.ID, Index: e.Index, Hand: n, Job: e.Job, Left: e.Until - c.Unix, Repeat: len(e.Intents) > 0})
 	}
 }
 
 func (o *Owner) end(e *Entry, kind Kind, reason string) {
-	o.finish(e.ID, &hand{n: max(e.Hands, 1), index: e.Index, class: e.Job.Class, asks: map[int]ask{}}, kind, reason)
+	o.finish(e.ID, &submission{number: max(e.LastSubmission, 1), index: e.Index, class: e.Job.Class, pendingSends: map[int]pendingSend{}}, kind, reason)
 }
 
-func (o *Owner) finish(id string, h *hand, kind Kind, reason string) {
-	o.hands[id] = h
-	h.ending = &Command{Op: OpEnd, ID: id, Index: h.index, Kind: kind, Reason: reason}
-	if kind == Refused && len(h.went) > 0 && !o.repeats(h.class) { // Look sees whether it is early
+func (o *Owner) finish(id string, h *submission, kind Kind, reason string) {
+	o.submitted[id] = h
+	h.endCommand = &Command{Op: OpEnd, ID: id, Index: h.index, Kind: kind, Reason: reason}
+	if kind == Refused && len(h.instances) > 0 && !o.mayRetry(h.class) { // Look checks whether that is too early
 		return
 	}
-	h.sent = o.propose(*h.ending, proposal{id: id, hand: h.n})
+	h.endProposal = o.propose(*h.endCommand, proposal{id: id, submission: h.number})
 }
 
-// early tells whether a job that must not run twice would be refused before the table has it that its attempts never ran,
-// which makes it one that may have run. That word is awaited for as long as a call-back is.
-func (o *Owner) early(c Clock, h *hand, e *Entry) bool {
-	return h.ending.Kind == Refused && e != nil && !o.repeats(h.class) &&
-		slices.ContainsFunc(e.Intents, func(in Intent) bool { return c.Unix < in.Until+afterWord })
+// early reports whether a job that must not run twice would be refused before the table knows that its attempts never ran:
+// it would then end as one that may have run. The owner waits for that as long as for a callback.
+func (o *Owner) refusalTooEarly(c Clock, h *submission, e *Entry) bool {
+	return h.endCommand.Kind == Refused && e != nil && !o.mayRetry(h.class) &&
+		slices.ContainsFunc(e.Intents, func(in Intent) bool { return c.Unix < in.Until+callbackGrace })
 }
 
-// Ask says that the dispatcher wants to send an attempt. until is the attempt's deadline in Unix time.
+// Ask requests permission to send an attempt. until is the attempt's deadline in Unix time.
 func (o *Owner) Ask(c Clock, id string, n, attempt int, instance string, until time.Duration) {
-	h := o.hands[id]
-	if h == nil || h.n != n || h.ending != nil || !o.Acts(c) {
-		o.act(Deny{id, n, attempt})
+	h := o.submitted[id]
+	if h == nil || h.number != n || h.endCommand != nil || !o.HasLease(c) {
+		o.emit(Deny{id, n, attempt})
 		return
 	}
-	once := !o.repeats(h.class)
-	if before, went := h.went[instance]; before || went && once { // word of its attempts there could not be told apart
-		o.act(Deny{id, n, attempt})
-		o.act(Leave{id, n})
-		o.handAgain(c, id, n, 0)
+	once := !o.mayRetry(h.class)
+	if before, went := h.instances[instance]; before || went && once { // reports on two attempts at one instance could not be told apart
+		o.emit(Deny{id, n, attempt})
+		o.emit(Leave{id, n})
+		o.resubmit(c, id, n, 0)
 		return
 	}
-	h.went[instance] = once
-	a := ask{Command: Command{Op: OpIntent, ID: id, Index: h.index, Hand: n, N: attempt, Instance: instance, Until: until}}
-	if o.faulty.SendFirst {
-		o.act(Go{id, n, attempt, o.until - Margin})
+	h.instances[instance] = once
+	a := pendingSend{Command: Command{Op: OpIntent, ID: id, Index: h.index, Hand: n, N: attempt, Instance: instance, Until: until}}
+	if o.faults.SendFirst {
+		o.emit(Go{id, n, attempt, o.leaseEnd - LeaseMargin})
 	}
-	a.seq = o.propose(a.Command, proposal{id: id, hand: n, n: attempt})
-	h.asks[attempt] = a
+	a.seq = o.propose(a.Command, proposal{id: id, submission: n, attempt: attempt})
+	h.pendingSends[attempt] = a
 }
 
-// Proposed takes what a proposal came to; failed: nothing is known of it.
+// Proposed handles the outcome of a proposal; failed: the outcome is unknown.
 func (o *Owner) Proposed(c Clock, seq uint64, a Answer, failed bool) {
-	p, ok := o.out[seq]
+	p, ok := o.proposals[seq]
 	if !ok {
-		return // of an earlier lease
+		return // from an earlier lease
 	}
-	delete(o.out, seq)
-	if p.op == OpOwn {
-		o.own = 0 // Look sees whether it counts
+	delete(o.proposals, seq)
+	if p.op == OpTakeOwnership {
+		o.ownProposal = 0 // Look checks whether it succeeded
 		return
 	}
-	h := o.hands[p.id]
-	if h == nil || h.n != p.hand {
+	h := o.submitted[p.id]
+	if h == nil || h.number != p.submission {
 		return
 	}
 	switch p.op {
-	case OpEnd: // a refusal says that there is an end, or another owner: Look sees to both
-		if h.sent = 0; failed {
-			h.retry = c.Mono + again
+	case OpEnd: // on a refusal the job has an end already or there is another owner: Look handles both
+		if h.endProposal = 0; failed {
+			h.retryAt = c.Mono + proposalRetryDelay
 		} else {
-			h.retry = c.Mono + time.Second
+			h.retryAt = c.Mono + time.Second
 		}
 	case OpIntent:
-		q, waits := h.asks[p.n]
+		q, waits := h.pendingSends[p.attempt]
 		switch {
 		case !waits:
-		case failed && o.Acts(c): // it may be committed, and that does no harm: nothing goes out
-			q.seq, q.retry = 0, c.Mono+again
-			h.asks[p.n] = q
-		case failed || !a.OK || !o.Acts(c):
-			delete(h.asks, p.n)
-			o.act(Deny{p.id, p.hand, p.n})
+		case failed && o.HasLease(c): // it may be committed, which is harmless as nothing is sent
+			q.seq, q.retryAt = 0, c.Mono+proposalRetryDelay
+			h.pendingSends[p.attempt] = q
+		case failed || !a.OK || !o.HasLease(c):
+			delete(h.pendingSends, p.attempt)
+			o.emit(Deny{p.id, p.submission, p.attempt})
 		default:
-			delete(h.asks, p.n)
-			if !o.faulty.SendFirst {
-				o.act(Go{p.id, p.hand, p.n, o.until - Margin})
+			delete(h.pendingSends, p.attempt)
+			if !o.faults.SendFirst {
+				o.emit(Go{p.id, p.submission, p.attempt, o.leaseEnd - LeaseMargin})
 			}
 		}
 	}
 }
 
-// Over says that an attempt has ended without having run. It counts also where the lease as known here is about to end:
-// that may be renewed already, and where it is lost, commands of its generation are not taken.
+// Over reports that an attempt ended without having run. It is accepted also close to the known end of the lease: the lease may
+// have been renewed, and if it is lost, commands of its generation are refused.
 func (o *Owner) Over(id string, n, attempt int) {
-	h := o.hands[id]
-	if h == nil || h.n != n {
+	h := o.submitted[id]
+	if h == nil || h.number != n {
 		return
 	}
-	delete(h.asks, attempt)
-	o.propose(Command{Op: OpOver, ID: id, Index: h.index, Hand: n, N: attempt}, proposal{id: id, hand: n, n: attempt})
+	delete(h.pendingSends, attempt)
+	o.propose(Command{Op: OpOver, ID: id, Index: h.index, Hand: n, N: attempt}, proposal{id: id, submission: n, attempt: attempt})
 }
 
-// Answered takes the dispatcher's one answer to a hand-in, which comes only once: like [Owner.Over] it counts also where the
-// lease as known here is about to end. left is how long the job still may be begun.
+// Answered handles the dispatcher's only answer to a submission. Like [Owner.Over] it is accepted also close to the known end of
+// the lease. left is the time in which the job may still start.
 func (o *Owner) Answered(c Clock, id string, index uint64, n int, v Verdict, by string, result []byte, after, left time.Duration) {
-	if v == Served { // true whoever acts
-		o.act(Book{Command{Op: OpWord, ID: id, Index: index, Hand: n, Instance: by, Kind: Done, Result: result}})
+	if v == Served { // valid whoever the owner is
+		o.emit(Book{Command{Op: OpWord, ID: id, Index: index, Hand: n, Instance: by, Kind: Done, Result: result}})
 	}
-	h := o.hands[id]
-	if h == nil || h.n != n || h.ending != nil {
+	h := o.submitted[id]
+	if h == nil || h.number != n || h.endCommand != nil {
 		return
 	}
 	switch {
 	case v == Served:
-		h.ending, h.sent = &Command{Op: OpLook}, 1 // nothing else may end it here
-		h.retry = c.Mono + bookWithin
-	case v == NoUse && h.ran:
+		h.endCommand, h.endProposal = &Command{Op: OpLook}, 1 // nothing else may end it here
+		h.retryAt = c.Mono + recordTimeout
+	case v == NoUse && h.mayHaveRun:
 		o.finish(id, h, Failed, "no encoder can do it as it stands, though one may have")
 	case v == NoUse:
 		o.finish(id, h, Refused, "no encoder can do it as it stands")
-	case v == Broken && !o.repeats(h.class):
+	case v == Broken && !o.mayRetry(h.class):
 		o.finish(id, h, Failed, "it failed, or may have run")
-	case left <= 0 && (v == Broken || h.ran):
+	case left <= 0 && (v == Broken || h.mayHaveRun):
 		o.finish(id, h, Failed, "it failed until its time was over")
 	case left <= 0:
 		o.finish(id, h, Refused, "turned away until its time was over")
 	default:
-		o.handAgain(c, id, n, after)
+		o.resubmit(c, id, n, after)
 	}
 }
 
-// handAgain has a job handed in anew after a pause, at least so long.
-func (o *Owner) handAgain(c Clock, id string, n int, after time.Duration) {
-	wait := o.later[id]
-	wait.pause = min(max(againFirst, 2*wait.pause), againMost)
-	wait.at, wait.hand = c.Mono+max(after, wait.pause), n
-	delete(o.hands, id)
-	o.later[id] = wait
+// resubmit schedules another submission of a job after a delay of at least after.
+func (o *Owner) resubmit(c Clock, id string, n int, after time.Duration) {
+	wait := o.resubmits[id]
+	wait.backoff = min(max(minResubmitDelay, 2*wait.backoff), maxResubmitDelay)
+	wait.at, wait.number = c.Mono+max(after, wait.backoff), n
+	delete(o.submitted, id)
+	o.resubmits[id] = wait
 }
 
-// String tells of an owner for people on call.
+// String describes the owner for operators.
 func (o *Owner) String() string {
-	return fmt.Sprintf("term %d, %d in hand, %d wait", o.term, len(o.hands), len(o.later))
+	return fmt.Sprintf("term %d, %d in hand, %d wait", o.term, len(o.submitted), len(o.resubmits))
 }
--- a/internal/promise/sendings.go
+++ b/internal/promise/sendings.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// SendState is how far the process that asked for an attempt's intent has come with it.
+// SendState is the state of an attempt in the process that requested its intent.
 type SendState int
 
-// The states of an attempt. From Unsent there is no way back.
+// States of an attempt. Unsent is final.
 const (
-	Asked  SendState = iota + 1 // its intent is proposed or committed; no byte of it has gone out
-	Begun                       // its first byte may have gone out
-	Unsent                      // it has not run, and never will
+	Asked  SendState = iota + 1 // its intent is proposed or committed; no byte has been sent
+	Begun                       // its first byte may have been sent
+	Unsent                      // it has not run and will never run
 )
 
-// Between two times that a group is told that an attempt never ran. The first comes as late as tellFirst, since the owner's
-// own word of it is usually on its way.
+// Delays between reports to a group that an attempt never ran. The first report waits for minReportDelay, since the owner's
+// own command is usually under way.
 const (
-	tellFirst = 250 * time.Millisecond
-	tellMost  = 4 * time.Second
+	minReportDelay = 250 * time.Millisecond
+	maxReportDelay = 4 * time.Second
 )
 
-// Sending is one attempt of a promised job. A hand-in goes to an instance once only, so the first three name it.
+// Sending is one attempt of a promised job. A submission goes to an instance only once, so the first three fields identify it.
 type Sending struct {
-	Job      string // the wire id, of one hand-in; another owner's may have the same, as long as no intent of it is committed
+	Job      string // the wire ID of a submission; another owner's may be equal while none of its intents is committed
 	Instance string
-	Gen      uint64        // of the owner that asked for the intent
+	Gen      uint64        // of the owner that requested the intent
 	Until    time.Duration // Unix time of the attempt's deadline
 	State    SendState
 
-	committed, doubled bool // its intent is; that was proposed more than once, and may be committed as often
+	committed, proposedTwice bool // its intent is committed; it was proposed more than once and may be committed as often
 
-	next, pause time.Duration // when the group is told that it is unsent, by the clock of leases, and before the time after
+	nextReport, reportBackoff time.Duration // time of the next report that it was never sent, by the lease clock, and delay before the one after
 }
 
-// Sendings is what one process knows of the attempts whose intents it has asked for. An intent alone says only that its
-// attempt may have run; a process that can say that it was never sent has the job begun again. It is not safe for more than
-// one goroutine.
+// Sendings records the attempts whose intents a process has requested. An intent alone says only that its attempt may have run:
+// a process that knows that it was never sent reports that, so that the job can be started again. It is not safe for
+// concurrent use.
 type Sendings struct {
 	byJob map[string][]*Sending
 
-	faulty SendingFaults
+	faults SendRecordFaults
 }
 
-// SendingFaults switches a rule off, for the tests that must notice.
-type SendingFaults struct{ BeginUnmarked, BeginUnsent bool }
+// SendRecordFaults disables rules, so that tests can check that each is needed.
+type SendRecordFaults struct{ BeginUnmarked, BeginUnsent bool }
 
-// NewSendings returns one that knows of none.
+// NewSendings returns an empty set.
 func NewSendings() *Sendings { return &Sendings{byJob: map[string][]*Sending{}} }
 
-// Ask notes that an intent is about to be proposed. Asked for again, it is the same attempt; fresh tells whether it is not.
+// Ask records that an intent is about to be proposed. fresh is false if the attempt is known already.
 func (s *Sendings) Ask(job, instance string, gen uint64, until time.Duration) (sending *Sending, fresh bool) {
 	asked := Sending{Job: job, Instance: instance, Gen: gen, Until: until, State: Asked}
 	if known := s.find(&asked); known != nil {
-		known.doubled = true
+		known.proposedTwice = true
 		return known, false
 	}
 	return s.add(asked), true
 }
 
-// Restore takes an attempt of the process before, which has ended: what it had not begun, it never will.
+// Restore adds an attempt of the previous process, which has ended: what that had not begun will never be sent.
 func (s *Sendings) Restore(sending Sending) {
 	if sending.State == Asked {
 		sending.State = Unsent
@@ -77,52 +77,52 @@
 
 func (s *Sendings) find(like *Sending) *Sending {
 	for _, known := range s.byJob[like.Job] {
-		if known.same(like) {
+		if known.sameAttempt(like) {
 			return known
 		}
 	}
 	return nil
 }
 
-// same tells whether two are of one attempt.
-func (s *Sending) same(as *Sending) bool {
+// same reports whether two records are of the same attempt.
+func (s *Sending) sameAttempt(as *Sending) bool {
 	return s.Job == as.Job && s.Instance == as.Instance && s.Gen == as.Gen
 }
 
-// Begin must be called before an attempt's first byte goes out; false: it must not be sent any more.
+// Begin must be called before an attempt's first byte is sent; false: it must not be sent.
 func (s *Sendings) Begin(sending *Sending) bool {
 	if sending.State == Unsent {
-		return s.faulty.BeginUnsent
+		return s.faults.BeginUnsent
 	}
-	if !s.faulty.BeginUnmarked {
+	if !s.faults.BeginUnmarked {
 		sending.State = Begun
 	}
 	return true
 }
 
-// NeverRan notes that an attempt has ended without having run, whether it was begun or not, or was forgotten as begun when
-// its hand-in was left.
+// NeverRan records that an attempt ended without having run, whether it was begun or not. An attempt that was dropped as begun,
+// when its submission was abandoned, is added again.
 func (s *Sendings) NeverRan(sending *Sending, mono time.Duration) {
 	if sending.State == Unsent {
 		return
 	}
-	sending.State, sending.next = Unsent, mono+tellFirst
+	sending.State, sending.nextReport = Unsent, mono+minReportDelay
 	if s.find(sending) == nil {
 		s.byJob[sending.Job] = append(s.byJob[sending.Job], sending)
 	}
 }
 
-// Committed notes that the group has an attempt's intent.
+// Committed records that an attempt's intent is committed.
 func (s *Sendings) Committed(sending *Sending) { sending.committed = true }
 
-// Over forgets an attempt of which the group has it that it never ran, where its intent cannot come any more.
+// Over removes an attempt that the group knows never ran, unless its intent may still be committed.
 func (s *Sendings) Over(sending *Sending) {
-	if sending.State == Unsent && sending.committed && !sending.doubled {
+	if sending.State == Unsent && sending.committed && !sending.proposedTwice {
 		s.Drop(sending)
 	}
 }
 
-// Leave has nothing more of a hand-in begun. What was begun is for others to hear of.
+// Leave stops a submission: no more attempts of it begin. Those that have begun are left to their callbacks.
 func (s *Sendings) Leave(job string, mono time.Duration) {
 	for _, sending := range slices.Clone(s.byJob[job]) {
 		switch sending.State {
@@ -134,13 +134,13 @@
 	}
 }
 
-// Untold is the attempts of which groups are to be told now that they never ran. Each comes again until it is dropped.
+// Untold returns the attempts that are to be reported as never sent now. Each is returned again until it is dropped.
 func (s *Sendings) Untold(mono time.Duration) (due []*Sending) {
 	for _, all := range s.byJob {
 		for _, sending := range all {
-			if sending.State == Unsent && mono >= sending.next {
-				sending.pause = min(max(tellFirst, 2*sending.pause), tellMost)
-				sending.next = mono + sending.pause
+			if sending.State == Unsent && mono >= sending.nextReport {
+				sending.reportBackoff = min(max(minReportDelay, 2*sending.reportBackoff), maxReportDelay)
+				sending.nextReport = mono + sending.reportBackoff
 				due = append(due, sending)
 			}
 		}
@@ -148,27 +148,27 @@
 	return due
 }
 
-// Drop forgets an attempt.
+// Drop removes an attempt.
 func (s *Sendings) Drop(sending *Sending) {
-	s.keep(sending.Job, func(known *Sending) bool { return !known.same(sending) })
+	s.retain(sending.Job, func(known *Sending) bool { return !known.sameAttempt(sending) })
 }
 
-// keep forgets those attempts of a hand-in that are not such.
-func (s *Sendings) keep(job string, such func(*Sending) bool) {
+// keep removes the attempts of a submission that do not match.
+func (s *Sendings) retain(job string, such func(*Sending) bool) {
 	s.byJob[job] = slices.DeleteFunc(s.byJob[job], func(known *Sending) bool { return !such(known) })
 	if len(s.byJob[job]) == 0 {
 		delete(s.byJob, job)
 	}
 }
 
-// Expire forgets attempts whose owners wait for them no longer.
+// Expire removes attempts for which their owners do not wait any more.
 func (s *Sendings) Expire(unix time.Duration) {
 	for job := range s.byJob {
-		s.keep(job, func(known *Sending) bool { return unix <= known.Until+2*afterWord })
+		s.retain(job, func(known *Sending) bool { return unix <= known.Until+2*callbackGrace })
 	}
 }
 
-// All is every attempt that is known, for what outlives the process.
+// All returns all attempts, to be stored for the next process.
 func (s *Sendings) All() (all []Sending) {
 	for _, known := range s.byJob {
 		for _, sending := range known {
@@ -178,28 +178,28 @@
 	return all
 }
 
-// NeverSent is the fact for the group that a sending's attempt never ran: as though its instance had handed it back
-// unstarted. It must be told only where the intent is [Machine.Intended]. ok is false where the wire id is no promised job's.
+// NeverSent returns the command that reports to the group that an attempt never ran, as if its instance had returned it
+// unstarted. It must be proposed only if the intent is [Machine.Intended]. ok is false if the wire ID is no promised job's.
 func (s *Sending) NeverSent() (c Command, ok bool) {
 	id, index, hand, ok := ReadWireID(s.Job)
 	return Command{Op: OpWord, ID: id, Index: index, Hand: hand, Instance: s.Instance, Kind: Refused}, ok
 }
 
-// Intended tells whether the table has the intent of a sending, and whether its job is settled: what is said of the attempt
-// counts no more. Once an intent is in a table later hand-ins have higher numbers, so that word of it can meet no other's.
+// Intended reports whether the table has the intent of an attempt, and whether its job is settled, so that reports on the attempt
+// do not count. Once an intent is in a table later submissions have higher numbers, so a report cannot match another attempt.
 func (m *Machine) Intended(s *Sending) (intended, settled bool) {
 	id, index, hand, ok := ReadWireID(s.Job)
 	if !ok {
 		return false, true
 	}
 	e := m.Entry(id)
-	if e == nil || e.Index != index { // this copy may be behind
+	if e == nil || e.Index != index { // this replica may be behind
 		return false, false
 	}
 	if e.End != nil {
 		return false, true
 	}
 	return slices.ContainsFunc(e.Intents, func(in Intent) bool {
-		return (in.Gen == s.Gen || m.faulty.AnyIntent) && in.Hand == hand && in.Instance == s.Instance
+		return (in.Gen == s.Gen || m.faults.IgnoreIntentOwner) && in.Hand == hand && in.Instance == s.Instance
 	}), false
 }
--- a/internal/promise/sendings_test.go
+++ b/internal/promise/sendings_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an attempt that is forgotten as known to the group while its intent may be committed yet: nobody would tell of it.
-func TestOverForgetsOnlyWhatCannotCome(t *testing.T) {
+// Guards against dropping an attempt as known to the group while its intent may still be committed: nobody would report it.
+func TestConfirmedKeepsRecordWhileIntentMayCommit(t *testing.T) {
 	for name, forgets := range map[string]bool{"committed": true, "not heard to be": false, "proposed twice": false, "begun": false} {
 		s := NewSendings()
 		sending, _ := s.Ask("j~1~1", "s-1", 1, time.Hour)
