--- a/internal/accord/machine.go
+++ b/internal/accord/machine.go
@@ -1,7 +1,7 @@
-// Package accord has the decisions about what all dispatchers of an installation go by alike: versions of the settings
-// and the instances that people leave out. [Machine] is the replicated table, [Member] what one dispatcher does by it,
-// [Driver] who puts out of the table those that are not heard any more. It does no I/O and asks no clock. What a version
-// says is nothing to it: a text with a number. docs/accord.md tells the protocol.
+// Package accord implements what all dispatchers of an installation agree on: versions of the settings and the cordons. [Machine]
+// is the replicated table, [Member] is one dispatcher's side, and [Driver] evicts processes from the table whose leases have
+// expired. It does no I/O and reads no clock. It does not interpret a version: that is a text with a number. docs/accord.md
+// describes the protocol.
 package accord
 
 import (
@@ -14,168 +14,168 @@
 	"time"
 )
 
-// Bounds of the table. They are the same at all replicas, or these would differ in what they refuse.
+// Limits of the table. They must be the same on all replicas: otherwise these would refuse different commands.
 const (
-	MaxText    = 48 << 10 // bytes of a version's text
-	MaxMembers = 1024     // processes that are heard
-	MaxCordons = 1024
-	MaxName    = 96 // bytes of an id or a name
-	MaxReason  = 512
-	MaxPast    = 16 // outcomes that are told
+	MaxText     = 48 << 10 // bytes of a version's text
+	MaxMembers  = 1024     // processes in the table
+	MaxCordons  = 1024
+	MaxName     = 96 // bytes of an ID or a name
+	MaxReason   = 512
+	MaxOutcomes = 16 // outcomes that answers report
 )
 
-// format of commands and snapshots.
+// format is the format version of commands and snapshots.
 const format = 1
 
-// Acts is what a dispatcher goes by: what the versions Low and High both allow; of one alone they are the same. With
-// Floor it is less than that, so little that no version contradicts it: nobody is sure which one counts.
+// Acts is what a dispatcher applies: what both versions Low and High allow, which are equal if there is only one. With
+// Floor it applies still less, so little that it conflicts with no version, because it does not know which one is in force.
 type Acts struct {
 	Low   uint64 `json:"low"`
 	High  uint64 `json:"high"`
 	Floor bool   `json:"floor,omitempty"`
 }
 
-// Contradict tells whether two dispatchers' rules do: there is no version by which both may do what they do.
+// Contradict reports whether two dispatchers conflict: no version allows what both of them apply.
 func Contradict(a, b Acts) bool {
 	return !a.Floor && !b.Floor && a.Low != b.Low && a.Low != b.High && a.High != b.Low && a.High != b.High
 }
 
-// Version is one of the settings. They are numbered from 1 in the order in which they were proposed; a number is never
-// another's again.
+// Version is one version of the settings. Versions are numbered from 1 in the order of their proposals; a number is never
+// used again.
 type Version struct {
 	N    uint64          `json:"n"`
-	By   string          `json:"by,omitempty"` // who proposed it
+	By   string          `json:"by,omitempty"` // the dispatcher that proposed it
 	Text json.RawMessage `json:"text,omitempty"`
 }
 
-// Phase of a version that is not agreed yet.
+// Phase is the state of a version that is not agreed yet.
 type Phase string
 
-// The phases.
+// Phases.
 const (
-	Checking Phase = "checking" // each says whether it can take it
-	Both     Phase = "both"     // all go by the stricter of it and the agreed one
+	Checking Phase = "checking" // every dispatcher checks whether it can apply the version
+	Joint    Phase = "both"     // all apply the stricter of it and the agreed one
 )
 
-// Past is what became of a version.
+// Past is the outcome of a proposed version.
 type Past struct {
 	N   uint64 `json:"n"`
 	By  string `json:"by"`
-	Why string `json:"why,omitempty"` // it was refused; empty: agreed
+	Why string `json:"why,omitempty"` // the reason for its refusal; empty: it was agreed
 }
 
-// Who is a process of a dispatcher.
+// Who identifies a process of a dispatcher.
 type Who struct {
 	Name string `json:"name"`
 	Boot uint64 `json:"boot"`
 }
 
-// Beat says that a dispatcher is there, and how far it is. Its answer renews its lease, which counts from when it sent it.
+// Beat reports that a dispatcher is alive, and its state. The answer renews its lease, counted from when the heartbeat was sent.
 type Beat struct {
-	Seq     uint64    `json:"seq"` // an older one that is committed late counts for nothing
-	Acts    Acts      `json:"acts"`
-	Checked uint64    `json:"checked"`           // the last version that it has looked at
-	Refuses string    `json:"refuses,omitempty"` // why it cannot take that
-	Has     [2]uint64 `json:"has"`               // versions whose texts it need not be sent
-	Cordons uint64    `json:"cordons"`           // the revision that it has
+	Seq           uint64    `json:"seq"` // one that is committed after a later one is ignored
+	Acts          Acts      `json:"acts"`
+	Checked       uint64    `json:"checked"`           // the last version that it has checked
+	Refuses       string    `json:"refuses,omitempty"` // why it cannot apply that version
+	KnownVersions [2]uint64 `json:"has"`               // versions whose texts it has
+	Cordons       uint64    `json:"cordons"`           // the revision that it has
 }
 
-// Cordon leaves an instance out, or uses it again.
+// Cordon cordons an instance, or lifts its cordon.
 type Cordon struct {
-	ID  string `json:"id"`
-	Out bool   `json:"out"`
+	ID       string `json:"id"`
+	Cordoned bool   `json:"out"`
 }
 
-// Proposal is a new version, made from the one that was agreed.
+// Proposal is a new version, derived from the agreed one.
 type Proposal struct {
 	Base uint64          `json:"base"`
 	Text json.RawMessage `json:"text"`
 }
 
-// Pass puts a process out whose lease has run out since the beat at Index, by the clock of whoever says so. It counts
-// for nothing if the process has been heard since.
-type Pass struct {
+// Eviction evicts a process whose lease has expired since its heartbeat at Index, by the proposer's clock. It has no effect
+// if another heartbeat of the process was committed since.
+type Eviction struct {
 	Who   Who    `json:"who"`
 	Index uint64 `json:"index"`
 }
 
-// Drop gives a version up that is not agreed.
-type Drop struct {
+// Abandonment abandons a version that is not agreed.
+type Abandonment struct {
 	N   uint64 `json:"n"`
 	Why string `json:"why"`
 }
 
-// Command is one of its parts.
+// Command is an entry of the replicated log; one of its parts is set.
 type Command struct {
-	Format   int       `json:"format"`
-	From     Who       `json:"from"`
-	Op       uint64    `json:"op,omitempty"` // of cordons and proposals: one that is committed twice counts once
-	Beat     *Beat     `json:"beat,omitempty"`
-	Cordon   *Cordon   `json:"cordon,omitempty"`
-	Proposal *Proposal `json:"proposal,omitempty"`
-	Pass     *Pass     `json:"pass,omitempty"`
-	Drop     *Drop     `json:"drop,omitempty"`
+	Format   int          `json:"format"`
+	From     Who          `json:"from"`
+	OpNumber uint64       `json:"op,omitempty"` // of cordons and proposals: a duplicate has no effect
+	Beat     *Beat        `json:"beat,omitempty"`
+	Cordon   *Cordon      `json:"cordon,omitempty"`
+	Proposal *Proposal    `json:"proposal,omitempty"`
+	Evict    *Eviction    `json:"pass,omitempty"`
+	Abandon  *Abandonment `json:"drop,omitempty"`
 }
 
-// Text is the command as the group takes it.
+// Text encodes the command.
 func (c Command) Text() []byte {
 	c.Format = format
 	return encode(c)
 }
 
-// Answer is what a command's result says: how things stood once it was taken.
+// Answer is the result of a command: the state after it.
 type Answer struct {
-	Index   uint64    `json:"index"`
-	Refused string    `json:"refused,omitempty"` // the command, and why
-	Agreed  Version   `json:"agreed"`            // without the text where the asker has it
-	Pending *Version  `json:"pending,omitempty"` // likewise
-	Phase   Phase     `json:"phase,omitempty"`
-	Members int       `json:"members"`
-	Past    []Past    `json:"past,omitempty"`
-	Rev     uint64    `json:"rev"`               // of the cordons
-	Cordons *[]string `json:"cordons,omitempty"` // nil: the asker has them
-}
-
-// ReadAnswer reads a result.
+	Index          uint64    `json:"index"`
+	Refused        string    `json:"refused,omitempty"` // why the command was refused; empty: it was not
+	Agreed         Version   `json:"agreed"`            // without the text if the sender has it
+	Pending        *Version  `json:"pending,omitempty"` // without the text if the sender has it
+	Phase          Phase     `json:"phase,omitempty"`
+	Members        int       `json:"members"`
+	Past           []Past    `json:"past,omitempty"`
+	CordonRevision uint64    `json:"rev"`               // revision of the cordons
+	Cordons        *[]string `json:"cordons,omitempty"` // nil: the sender has them
+}
+
+// ReadAnswer decodes a result of Apply.
 func ReadAnswer(text []byte) (a Answer, err error) {
 	err = json.Unmarshal(text, &a)
 	return a, err
 }
 
-// Line is what the table has of a process.
+// Line is the table's record of a process.
 type Line struct {
 	Who     Who    `json:"who"`
 	Seq     uint64 `json:"seq"`
-	Index   uint64 `json:"index"` // of its last beat
+	Index   uint64 `json:"index"` // of its last heartbeat
 	Acts    Acts   `json:"acts"`
 	Checked uint64 `json:"checked"`
-	Op      uint64 `json:"op"`
+	LastOp  uint64 `json:"op"`
 }
 
-// Machine is the table, in the root group.
+// Machine is the table. It is kept in the root group.
 type Machine struct {
 	s state
 }
 
 type state struct {
-	Format  int              `json:"format"`
-	Last    uint64           `json:"last"` // number given
-	Agreed  Version          `json:"agreed"`
-	Pending *Version         `json:"pending,omitempty"`
-	Phase   Phase            `json:"phase,omitempty"`
-	Since   uint64           `json:"since,omitempty"` // index from which on answers say that both count
-	Lines   map[string]*Line `json:"lines"`
-	Past    []Past           `json:"past,omitempty"`
-	Cordons []string         `json:"cordons,omitempty"` // in order
-	Rev     uint64           `json:"rev"`
+	Format         int              `json:"format"`
+	LastNumber     uint64           `json:"last"` // the highest number that was assigned
+	Agreed         Version          `json:"agreed"`
+	Pending        *Version         `json:"pending,omitempty"`
+	Phase          Phase            `json:"phase,omitempty"`
+	JointSince     uint64           `json:"since,omitempty"` // index from which on answers report the phase in which both versions count
+	Processes      map[string]*Line `json:"lines"`
+	Outcomes       []Past           `json:"past,omitempty"`
+	Cordons        []string         `json:"cordons,omitempty"` // sorted
+	CordonRevision uint64           `json:"rev"`
 }
 
 // New returns an empty table.
-func New() *Machine { return &Machine{state{Format: format, Lines: map[string]*Line{}}} }
+func New() *Machine { return &Machine{state{Format: format, Processes: map[string]*Line{}}} }
 
 func (w Who) key() string { return fmt.Sprintf("%s/%016x", w.Name, w.Boot) }
 
-// CheckID tells what is wrong with an instance's id or a dispatcher's name.
+// CheckID reports what is invalid in an instance's ID or a dispatcher's name.
 func CheckID(id string) error {
 	if id == "" || len(id) > MaxName {
 		return fmt.Errorf("an id has 1 to %d bytes", MaxName)
@@ -188,46 +188,46 @@
 	return nil
 }
 
-// encode has no word for an error: what is given to it is plain data whose texts were JSON before.
+// encode returns no error: its arguments are plain data whose texts were valid JSON before.
 func encode(v any) []byte {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
-	e.SetEscapeHTML(false) // or a text could be six times as long
+	e.SetEscapeHTML(false) // escaping could make a text six times as long
 	if e.Encode(v) != nil {
 		return nil
 	}
 	return bytes.TrimSpace(b.Bytes())
 }
 
-// Apply takes a command.
+// Apply executes a committed command.
 func (m *Machine) Apply(index uint64, _ time.Duration, text []byte) []byte {
 	var c Command
 	if err := json.Unmarshal(text, &c); err != nil || c.Format != format {
 		return encode(Answer{Index: index, Refused: "the command cannot be read"})
 	}
 	a := Answer{Index: index}
-	has, rev := [2]uint64{}, m.s.Rev
+	has, rev := [2]uint64{}, m.s.CordonRevision
 	switch {
 	case CheckID(c.From.Name) != nil:
 		a.Refused = "the dispatcher's name cannot be kept"
 	case c.Beat != nil:
-		a.Refused = m.beat(index, c.From, c.Beat)
-		has, rev = c.Beat.Has, c.Beat.Cordons
+		a.Refused = m.heartbeat(index, c.From, c.Beat)
+		has, rev = c.Beat.KnownVersions, c.Beat.Cordons
 	case c.Cordon != nil:
-		a.Refused = m.once(c, func() string { return m.cordon(index, c.Cordon) })
+		a.Refused = m.applyOnce(c, func() string { return m.cordon(index, c.Cordon) })
 	case c.Proposal != nil:
-		a.Refused = m.once(c, func() string { return m.propose(c.From.Name, c.Proposal) })
-	case c.Pass != nil:
-		if l := m.s.Lines[c.Pass.Who.key()]; l != nil && l.Index == c.Pass.Index {
-			delete(m.s.Lines, c.Pass.Who.key())
+		a.Refused = m.applyOnce(c, func() string { return m.propose(c.From.Name, c.Proposal) })
+	case c.Evict != nil:
+		if l := m.s.Processes[c.Evict.Who.key()]; l != nil && l.Index == c.Evict.Index {
+			delete(m.s.Processes, c.Evict.Who.key())
 		}
-	case c.Drop != nil:
-		if m.s.Pending != nil && m.s.Pending.N == c.Drop.N {
-			m.drop(c.Drop.Why)
+	case c.Abandon != nil:
+		if m.s.Pending != nil && m.s.Pending.N == c.Abandon.N {
+			m.abandon(c.Abandon.Why)
 		}
 	}
 	m.advance(index)
-	a.Agreed, a.Phase, a.Members, a.Rev, a.Past = m.s.Agreed, m.s.Phase, len(m.s.Lines), m.s.Rev, m.s.Past
+	a.Agreed, a.Phase, a.Members, a.CordonRevision, a.Past = m.s.Agreed, m.s.Phase, len(m.s.Processes), m.s.CordonRevision, m.s.Outcomes
 	if slices.Contains(has[:], a.Agreed.N) || c.Beat == nil {
 		a.Agreed.Text = nil
 	}
@@ -238,42 +238,42 @@
 		}
 		a.Pending = &v
 	}
-	if c.Beat != nil && rev != m.s.Rev {
+	if c.Beat != nil && rev != m.s.CordonRevision {
 		all := append([]string{}, m.s.Cordons...)
 		a.Cordons = &all
 	}
 	return encode(a)
 }
 
-func (m *Machine) beat(index uint64, who Who, b *Beat) string {
-	l := m.s.Lines[who.key()]
+func (m *Machine) heartbeat(index uint64, who Who, b *Beat) string {
+	l := m.s.Processes[who.key()]
 	if l == nil {
-		if len(m.s.Lines) >= MaxMembers {
+		if len(m.s.Processes) >= MaxMembers {
 			return fmt.Sprintf("the table has %d processes already", MaxMembers)
 		}
 		l = &Line{Who: who}
-		m.s.Lines[who.key()] = l
+		m.s.Processes[who.key()] = l
 	}
 	if b.Seq <= l.Seq {
 		return "a later beat has been taken"
 	}
 	l.Seq, l.Index, l.Acts, l.Checked = b.Seq, index, b.Acts, b.Checked
 	if p := m.s.Pending; p != nil && b.Checked == p.N && b.Refuses != "" {
-		m.drop(who.Name + ": " + b.Refuses)
+		m.abandon(who.Name + ": " + b.Refuses)
 	}
 	return ""
 }
 
-// once does what a process has not had done yet.
-func (m *Machine) once(c Command, do func() string) string {
-	l := m.s.Lines[c.From.key()]
+// applyOnce executes a command that the process has not had executed before.
+func (m *Machine) applyOnce(c Command, do func() string) string {
+	l := m.s.Processes[c.From.key()]
 	if l == nil {
 		return "the dispatcher has not been heard yet"
 	}
-	if c.Op <= l.Op {
+	if c.OpNumber <= l.LastOp {
 		return ""
 	}
-	l.Op = c.Op
+	l.LastOp = c.OpNumber
 	return do()
 }
 
@@ -283,16 +283,16 @@
 	}
 	at, there := slices.BinarySearch(m.s.Cordons, c.ID)
 	switch {
-	case c.Out == there:
+	case c.Cordoned == there:
 		return ""
-	case c.Out && len(m.s.Cordons) >= MaxCordons:
+	case c.Cordoned && len(m.s.Cordons) >= MaxCordons:
 		return fmt.Sprintf("%d are left out already", MaxCordons)
-	case c.Out:
+	case c.Cordoned:
 		m.s.Cordons = slices.Insert(m.s.Cordons, at, c.ID)
 	default:
 		m.s.Cordons = slices.Delete(m.s.Cordons, at, at+1)
 	}
-	m.s.Rev = index
+	m.s.CordonRevision = index
 	return ""
 }
 
@@ -307,41 +307,41 @@
 	case p.Base != m.s.Agreed.N:
 		return fmt.Sprintf("version %d is agreed meanwhile: ask again", m.s.Agreed.N)
 	}
-	m.s.Last++
-	m.s.Pending, m.s.Phase = &Version{N: m.s.Last, By: by, Text: p.Text}, Checking
+	m.s.LastNumber++
+	m.s.Pending, m.s.Phase = &Version{N: m.s.LastNumber, By: by, Text: p.Text}, Checking
 	return ""
 }
 
-func (m *Machine) drop(why string) {
-	m.ended(why[:min(len(why), MaxReason)])
+func (m *Machine) abandon(why string) {
+	m.finish(why[:min(len(why), MaxReason)])
 }
 
-func (m *Machine) ended(why string) {
+func (m *Machine) finish(why string) {
 	p := m.s.Pending
-	m.s.Past = append(m.s.Past, Past{p.N, p.By, why})
-	m.s.Past = m.s.Past[max(0, len(m.s.Past)-MaxPast):]
-	m.s.Pending, m.s.Phase, m.s.Since = nil, "", 0
+	m.s.Outcomes = append(m.s.Outcomes, Past{p.N, p.By, why})
+	m.s.Outcomes = m.s.Outcomes[max(0, len(m.s.Outcomes)-MaxOutcomes):]
+	m.s.Pending, m.s.Phase, m.s.JointSince = nil, "", 0
 }
 
-// advance takes a version on, once all that are heard have said what that needs.
+// advance moves the pending version to its next phase once all processes have reported what that requires.
 func (m *Machine) advance(index uint64) {
 	p := m.s.Pending
 	if p != nil && m.s.Phase == Checking && m.all(func(l *Line) bool { return l.Checked >= p.N }) {
-		m.s.Phase, m.s.Since = Both, index
+		m.s.Phase, m.s.JointSince = Joint, index
 	}
-	// One that was on the floor when it asked contradicts nobody, if the answer was that both count: after an earlier
-	// answer it goes by the agreed one alone, and what it has said is no longer so.
+	// A process that was on the floor when it sent its heartbeat conflicts with nobody if the answer reported that both versions
+	// count. After an earlier answer it applies the agreed version alone, and its report is outdated.
 	said := func(l *Line) bool {
-		return l.Checked >= p.N && (l.Acts.Floor && l.Index >= m.s.Since || l.Acts == Acts{Low: m.s.Agreed.N, High: p.N})
+		return l.Checked >= p.N && (l.Acts.Floor && l.Index >= m.s.JointSince || l.Acts == Acts{Low: m.s.Agreed.N, High: p.N})
 	}
-	if p != nil && m.s.Phase == Both && m.all(said) {
+	if p != nil && m.s.Phase == Joint && m.all(said) {
 		m.s.Agreed = *p
-		m.ended("")
+		m.finish("")
 	}
 }
 
 func (m *Machine) all(is func(*Line) bool) bool {
-	for _, l := range m.s.Lines {
+	for _, l := range m.s.Processes {
 		if !is(l) {
 			return false
 		}
@@ -349,10 +349,10 @@
 	return true
 }
 
-// Lines is who is heard, in order.
+// Lines returns the processes in the table, sorted.
 func (m *Machine) Lines() []Line {
 	var all []Line
-	for _, l := range m.s.Lines {
+	for _, l := range m.s.Processes {
 		all = append(all, *l)
 	}
 	slices.SortFunc(all, func(a, b Line) int {
@@ -361,7 +361,7 @@
 	return all
 }
 
-// Pending is the version under way; 0: none.
+// Pending returns the number of the pending version; 0: none.
 func (m *Machine) Pending() uint64 {
 	if m.s.Pending == nil {
 		return 0
@@ -369,12 +369,12 @@
 	return m.s.Pending.N
 }
 
-// Snapshot is the table as text.
+// Snapshot encodes the table.
 func (m *Machine) Snapshot() ([]byte, error) { return encode(m.s), nil }
 
-// Restore takes a snapshot.
+// Restore replaces the table by that of a snapshot.
 func (m *Machine) Restore(text []byte) error {
-	s := state{Lines: map[string]*Line{}}
+	s := state{Processes: map[string]*Line{}}
 	if err := json.Unmarshal(text, &s); err != nil {
 		return fmt.Errorf("accord: %w", err)
 	}
@@ -385,15 +385,15 @@
 	return nil
 }
 
-// Clone is a copy that shares nothing that changes.
+// clone returns a copy that shares no mutable data.
 func (m *Machine) clone() *Machine {
 	c := New()
 	c.s = m.s
-	c.s.Lines = maps.Clone(m.s.Lines)
-	for k, l := range c.s.Lines {
+	c.s.Processes = maps.Clone(m.s.Processes)
+	for k, l := range c.s.Processes {
 		line := *l
-		c.s.Lines[k] = &line
+		c.s.Processes[k] = &line
 	}
-	c.s.Past, c.s.Cordons = slices.Clone(m.s.Past), slices.Clone(m.s.Cordons)
+	c.s.Outcomes, c.s.Cordons = slices.Clone(m.s.Outcomes), slices.Clone(m.s.Cordons)
 	return c
 }
--- a/internal/accord/member.go
+++ b/internal/accord/member.go
@@ -8,88 +8,88 @@
 	"time"
 )
 
-// Times. A dispatcher goes by what it heard for Lease from when it asked, by its own clock; others take it that it does
-// for LeaseOver by theirs, whose rates differ from its by less than one part in MostDrift. The lease outlasts what the
-// root group needs to have another leader, or all would be on the floor each time that one is lost.
+// Times. A dispatcher relies on an answer for Lease from when it asked, by its own clock; others assume that it does so
+// for LeaseOver by theirs. Clock rates differ by less than one part in DriftDivisor. The lease is longer than the election of a
+// new leader of the root group takes: otherwise all dispatchers would fall to the floor whenever the leader is lost.
 const (
-	Stated      = 1500 * time.Millisecond // no two act on contradicting rules for longer
-	Lease       = 1200 * time.Millisecond
-	MostDrift   = 20
-	LeaseOver   = Lease + Lease/MostDrift
-	MostLate    = Stated - LeaseOver // of a loop that acts on what is due
-	BeatEach    = 200 * time.Millisecond
-	BeatSoon    = 50 * time.Millisecond // while a version is under way, or nothing was heard
-	ChangeMost  = 10 * time.Second      // then a version that is not agreed on is given up
-	beatsBudget = 3 * time.Millisecond  // of the group's time, for each process: many beat more rarely
-	beatMost    = 400 * time.Millisecond
+	Stated                = 1500 * time.Millisecond // the maximum time for which two dispatchers apply conflicting rules
+	Lease                 = 1200 * time.Millisecond
+	DriftDivisor          = 20
+	LeaseOver             = Lease + Lease/DriftDivisor
+	MaxLateness           = Stated - LeaseOver // of the loop that acts when a lease expires
+	HeartbeatInterval     = 200 * time.Millisecond
+	FastHeartbeatInterval = 50 * time.Millisecond // while a version is pending or there is no lease
+	ChangeTimeout         = 10 * time.Second      // then a version that is not agreed is abandoned
+	heartbeatBudget       = 3 * time.Millisecond  // of the group's time per process: many processes send less often
+	maxHeartbeatInterval  = 400 * time.Millisecond
 )
 
-// untold is no revision of the cordons: the whole list is to be told.
-const untold = ^uint64(0)
+// unknownRevision is no valid revision of the cordons: it makes the next answer contain the whole list.
+const unknownRevision = ^uint64(0)
 
-// Kept is what outlives a process, on its own disk.
+// Kept is what a process stores on its own disk for the next one.
 type Kept struct {
 	Agreed  Version  `json:"agreed"`
-	Pending *Version `json:"pending,omitempty"` // that it may have acted on too
+	Pending *Version `json:"pending,omitempty"` // which it may have applied, too
 	Cordons []string `json:"cordons,omitempty"` // as agreed
-	Mine    []string `json:"mine,omitempty"`    // left out here, and not yet agreed
+	Mine    []string `json:"mine,omitempty"`    // cordoned here and not agreed yet
 }
 
-// Order is what a dispatcher is to go by.
+// Order is what a dispatcher must apply.
 type Order struct {
 	Acts      Acts
-	Low, High json.RawMessage // the texts of those versions; nil: there is none yet
-	Cordons   []string        // to leave out, in order
-	Check     *Version        // to look at; nil: nothing
+	Low, High json.RawMessage // texts of those versions; nil: there is none yet
+	Cordons   []string        // cordoned instances, sorted
+	Check     *Version        // the version to check; nil: none
 }
 
-// Member is one process of a dispatcher among all. Times are of a clock that goes on while the machine is suspended.
+// Member is one process of a dispatcher. Times are of a clock that goes on while the machine is suspended.
 type Member struct {
-	who   Who
-	lease time.Duration
-
-	seq     uint64
-	out     bool // a beat is on its way
-	sent    time.Duration
-	said    Beat
-	until   time.Duration // of the lease; 0: there was none
-	heard   uint64        // index of the last answer that counts
-	bound   bool          // the last beat said that it is on the floor: so it must stay, until it or a later one is answered
-	members int
-
-	agreed  Version
-	pending *Version
-	phase   Phase
-	checked uint64
-	refuses string
-	unable  map[Acts]string // what could not be acted on
-	did     Acts            // what is acted on
-
-	rev     uint64
-	cordons []string
-	mine    map[string]uint64 // left out here: index at which that was agreed, 0: not yet
-	op      uint64
+	process Who
+	lease   time.Duration
+
+	seq           uint64
+	waiting       bool // a heartbeat has no answer yet
+	sentAt        time.Duration
+	lastSent      Beat
+	leaseEnd      time.Duration // end of the lease; 0: there was none
+	lastIndex     uint64        // index of the last answer that was used
+	floorReported bool          // the last heartbeat reported the floor: it must stay there until that or a later one is answered
+	members       int
+
+	agreed      Version
+	pending     *Version
+	phase       Phase
+	checked     uint64
+	refusal     string
+	applyErrors map[Acts]string // rules that could not be applied, with the reason
+	effective   Acts            // what is applied
+
+	cordonRevision uint64
+	cordons        []string
+	localCordons   map[string]uint64 // cordoned here: index at which that was agreed, 0: not yet
+	lastOp         uint64
 }
 
-// NewMember returns one that has heard nothing: it is on the floor of what it kept.
+// NewMember returns a member without a lease: it is on the floor of what the previous process stored.
 func NewMember(who Who, kept Kept) *Member {
-	m := &Member{who: who, lease: Lease, agreed: kept.Agreed, pending: kept.Pending, cordons: slices.Clone(kept.Cordons), rev: untold, mine: map[string]uint64{}, unable: map[Acts]string{}}
+	m := &Member{process: who, lease: Lease, agreed: kept.Agreed, pending: kept.Pending, cordons: slices.Clone(kept.Cordons), cordonRevision: unknownRevision, localCordons: map[string]uint64{}, applyErrors: map[Acts]string{}}
 	for _, id := range kept.Mine {
-		m.mine[id] = 0
+		m.localCordons[id] = 0
 	}
-	m.did = m.known()
+	m.effective = m.floor()
 	return m
 }
 
-// Keep is what the next process is to know.
+// Keep returns what is to be stored for the next process.
 func (m *Member) Keep() Kept {
 	k := Kept{Agreed: m.agreed, Pending: m.pending, Cordons: m.cordons}
-	k.Mine = slices.Sorted(maps.Keys(m.mine))
+	k.Mine = slices.Sorted(maps.Keys(m.localCordons))
 	return k
 }
 
-// known is the floor of all that it knows.
-func (m *Member) known() Acts {
+// floor is the floor of the versions that it knows.
+func (m *Member) floor() Acts {
 	a := Acts{Low: m.agreed.N, High: m.agreed.N, Floor: true}
 	if m.pending != nil {
 		a.High = m.pending.N
@@ -97,39 +97,39 @@
 	return a
 }
 
-// Leased tells whether what it heard counts.
-func (m *Member) Leased(now time.Duration) bool { return now < m.until }
+// Leased reports whether it holds a lease.
+func (m *Member) Leased(now time.Duration) bool { return now < m.leaseEnd }
 
-// Until is when its lease is over.
-func (m *Member) Until() time.Duration { return m.until }
+// Until returns the end of the lease.
+func (m *Member) Until() time.Duration { return m.leaseEnd }
 
-// Acts is what it is known to act on.
-func (m *Member) Acts() Acts { return m.did }
+// Acts returns what the dispatcher is known to apply.
+func (m *Member) Acts() Acts { return m.effective }
 
-// want is what it is to act on.
-func (m *Member) want(now time.Duration) Acts {
+// target is what the dispatcher should apply.
+func (m *Member) target(now time.Duration) Acts {
 	a := Acts{Low: m.agreed.N, High: m.agreed.N}
-	if m.pending != nil && m.phase == Both {
+	if m.pending != nil && m.phase == Joint {
 		a.High = m.pending.N
 	}
-	if !m.Leased(now) || m.agreed.N == 0 || m.bound {
-		a = m.known()
+	if !m.Leased(now) || m.agreed.N == 0 || m.floorReported {
+		a = m.floor()
 	}
-	if _, cannot := m.unable[a]; cannot { // it stays with what it can, so that it contradicts nobody
-		a = Acts{Low: m.did.Low, High: m.did.High, Floor: true}
+	if _, cannot := m.applyErrors[a]; cannot { // it stays with what it can apply, on the floor, and so conflicts with nobody
+		a = Acts{Low: m.effective.Low, High: m.effective.High, Floor: true}
 	}
 	return a
 }
 
-// Order is what to go by at a time.
+// Order returns what must be applied at a time.
 func (m *Member) Order(now time.Duration) Order {
-	o := Order{Acts: m.want(now)}
+	o := Order{Acts: m.target(now)}
 	o.Low, o.High = m.text(o.Acts.Low), m.text(o.Acts.High)
 	if m.pending != nil && m.pending.N > m.checked {
 		o.Check = m.pending
 	}
 	o.Cordons = slices.Clone(m.cordons)
-	for id := range m.mine {
+	for id := range m.localCordons {
 		if at, there := slices.BinarySearch(o.Cordons, id); !there {
 			o.Cordons = slices.Insert(o.Cordons, at, id)
 		}
@@ -147,196 +147,198 @@
 	return nil
 }
 
-// Did says that the dispatcher goes by it from now on.
-func (m *Member) Did(a Acts) { m.did = a }
+// Did reports that the dispatcher applies a from now on.
+func (m *Member) Did(a Acts) { m.effective = a }
 
-// Cannot says that the dispatcher could not go by it.
+// Cannot reports that the dispatcher could not apply a.
 func (m *Member) Cannot(a Acts, why string) {
-	if len(m.unable) > 8 { // of versions long gone
-		clear(m.unable)
+	if len(m.applyErrors) > 8 { // old versions
+		clear(m.applyErrors)
 	}
-	m.unable[a] = why
+	m.applyErrors[a] = why
 	if m.pending != nil && a.High == m.pending.N {
-		m.checked, m.refuses = m.pending.N, why
+		m.checked, m.refusal = m.pending.N, why
 	}
 }
 
-// Fault is why it cannot go by what is agreed; empty: it can.
-func (m *Member) Fault() string { return m.unable[Acts{Low: m.agreed.N, High: m.agreed.N}] }
+// Fault returns why it cannot apply the agreed version; empty: it can.
+func (m *Member) Fault() string { return m.applyErrors[Acts{Low: m.agreed.N, High: m.agreed.N}] }
 
-// Checked says that it has looked at a version. why is why it cannot take it; empty: it can.
+// Checked reports that it has checked a version. why is the reason why it cannot apply that; empty: it can.
 func (m *Member) Checked(n uint64, why string) {
 	if n >= m.checked {
-		m.checked, m.refuses = n, why
+		m.checked, m.refusal = n, why
 	}
 }
 
-// Beat is one to be sent, if one is due. Heard or Lost must follow.
+// Beat returns a heartbeat to send, if one is due. Heard or Lost must be called afterwards.
 func (m *Member) Beat(now time.Duration) (Command, bool) {
-	b := Beat{Acts: m.did, Checked: m.checked, Refuses: m.refuses, Cordons: m.rev}
-	b.Has[0] = m.agreed.N
+	b := Beat{Acts: m.effective, Checked: m.checked, Refuses: m.refusal, Cordons: m.cordonRevision}
+	b.KnownVersions[0] = m.agreed.N
 	if m.pending != nil {
-		b.Has[1] = m.pending.N
+		b.KnownVersions[1] = m.pending.N
 	}
-	every := min(max(BeatEach, time.Duration(m.members)*beatsBudget), beatMost)
+	every := min(max(HeartbeatInterval, time.Duration(m.members)*heartbeatBudget), maxHeartbeatInterval)
 	if m.pending != nil || !m.Leased(now) {
-		every = BeatSoon
+		every = FastHeartbeatInterval
 	}
-	news := b.Acts != m.said.Acts || b.Checked != m.said.Checked || b.Refuses != m.said.Refuses
-	if m.out || m.seq > 0 && now < m.sent+every && !news {
+	news := b.Acts != m.lastSent.Acts || b.Checked != m.lastSent.Checked || b.Refuses != m.lastSent.Refuses
+	if m.waiting || m.seq > 0 && now < m.sentAt+every && !news {
 		return Command{}, false
 	}
 	m.seq++
 	b.Seq = m.seq
-	m.out, m.sent, m.said, m.bound = true, now, b, b.Acts.Floor
-	return Command{From: m.who, Beat: &b}, true
+	m.waiting, m.sentAt, m.lastSent, m.floorReported = true, now, b, b.Acts.Floor
+	return Command{From: m.process, Beat: &b}, true
 }
 
-// Lost says that nothing was heard of the beat.
-func (m *Member) Lost() { m.out, m.said = false, Beat{Acts: Acts{Floor: true, Low: ^uint64(0)}} }
+// Lost reports that the heartbeat has no answer.
+func (m *Member) Lost() {
+	m.waiting, m.lastSent = false, Beat{Acts: Acts{Floor: true, Low: ^uint64(0)}}
+}
 
-// Heard takes the answer of the beat. It tells whether what is to be kept has changed.
+// Heard handles the answer to a heartbeat. It reports whether the state to be stored has changed.
 func (m *Member) Heard(a Answer) (changed bool) {
-	if !m.out {
+	if !m.waiting {
 		return false
 	}
-	m.out = false
-	if a.Index <= m.heard || a.Refused != "" { // of an older look at the table, or no word of a lease
+	m.waiting = false
+	if a.Index <= m.lastIndex || a.Refused != "" { // from an earlier state of the table, or no lease was granted
 		return false
 	}
-	agreed, pending := m.full(a.Agreed), (*Version)(nil)
+	agreed, pending := m.withText(a.Agreed), (*Version)(nil)
 	if a.Pending != nil {
-		p := m.full(*a.Pending)
+		p := m.withText(*a.Pending)
 		pending = &p
 	}
 	if agreed.N > 0 && agreed.Text == nil || pending != nil && pending.Text == nil {
-		return false // it has been told less than it needs
+		return false // it lacks a text that is needed
 	}
 	changed = agreed.N != m.agreed.N || (pending == nil) != (m.pending == nil) || pending != nil && pending.N != m.pending.N
-	m.heard, m.until, m.members, m.bound = a.Index, m.sent+m.lease, a.Members, false
+	m.lastIndex, m.leaseEnd, m.members, m.floorReported = a.Index, m.sentAt+m.lease, a.Members, false
 	m.agreed, m.pending, m.phase = agreed, pending, a.Phase
-	for id, at := range m.mine {
+	for id, at := range m.localCordons {
 		if at > 0 && at < a.Index {
-			delete(m.mine, id)
+			delete(m.localCordons, id)
 			changed = true
 		}
 	}
 	if a.Cordons != nil {
-		m.rev, m.cordons, changed = a.Rev, *a.Cordons, true
+		m.cordonRevision, m.cordons, changed = a.CordonRevision, *a.Cordons, true
 	}
 	return changed
 }
 
-// full is a version with its text, which may be known.
-func (m *Member) full(v Version) Version {
+// withText adds a version's text if that is known.
+func (m *Member) withText(v Version) Version {
 	if v.Text == nil {
 		v.Text = m.text(v.N)
 	}
 	return v
 }
 
-// Cordon is what to propose so that an instance is left out, or used again. Out counts here at once: that is the
-// stricter act. One that is used again is so once that is agreed.
+// Cordon returns the command that cordons an instance or lifts its cordon. A cordon takes effect here at once, being the
+// stricter rule; it is lifted only once that is agreed.
 func (m *Member) Cordon(id string, out bool) (Command, error) {
 	if err := CheckID(id); err != nil {
 		return Command{}, err
 	}
-	if _, there := m.mine[id]; out && !there && len(m.mine) >= MaxCordons {
+	if _, there := m.localCordons[id]; out && !there && len(m.localCordons) >= MaxCordons {
 		return Command{}, fmt.Errorf("%d are left out here already", MaxCordons)
 	}
 	if out {
-		m.mine[id] = 0
+		m.localCordons[id] = 0
 	}
 	return m.command(Command{Cordon: &Cordon{id, out}}), nil
 }
 
 func (m *Member) command(c Command) Command {
-	m.op++
-	c.From, c.Op = m.who, m.op
+	m.lastOp++
+	c.From, c.OpNumber = m.process, m.lastOp
 	return c
 }
 
-// Cordoned takes the answer to what was proposed of an instance.
+// Cordoned handles the answer to a cordon command.
 func (m *Member) Cordoned(c Cordon, a Answer) {
 	if a.Refused != "" {
 		return
 	}
-	_, waits := m.mine[c.ID]
+	_, waits := m.localCordons[c.ID]
 	switch {
-	case c.Out && waits:
-		m.mine[c.ID] = a.Index
-	case !c.Out:
-		delete(m.mine, c.ID)
-		if at, there := slices.BinarySearch(m.cordons, c.ID); there && m.heard < a.Index {
+	case c.Cordoned && waits:
+		m.localCordons[c.ID] = a.Index
+	case !c.Cordoned:
+		delete(m.localCordons, c.ID)
+		if at, there := slices.BinarySearch(m.cordons, c.ID); there && m.lastIndex < a.Index {
 			m.cordons = slices.Delete(slices.Clone(m.cordons), at, at+1)
-			m.rev = untold
+			m.cordonRevision = unknownRevision
 		}
 	}
 }
 
-// Unagreed is one that is left out here and not yet agreed; empty: none.
+// Unagreed returns an instance that is cordoned here and not agreed yet; empty: none.
 func (m *Member) Unagreed() string {
-	for _, id := range slices.Sorted(maps.Keys(m.mine)) {
-		if m.mine[id] == 0 {
+	for _, id := range slices.Sorted(maps.Keys(m.localCordons)) {
+		if m.localCordons[id] == 0 {
 			return id
 		}
 	}
 	return ""
 }
 
-// Propose is what to propose so that a text becomes the next version.
+// Propose returns the command that proposes a text as the next version.
 func (m *Member) Propose(text json.RawMessage) Command {
 	return m.command(Command{Proposal: &Proposal{Base: m.agreed.N, Text: text}})
 }
 
-// Agreed is the version that it knows as agreed on.
+// Agreed returns the last agreed version that it knows.
 func (m *Member) Agreed() Version { return m.agreed }
 
-// Pending is the version that it knows as under way, and how far it is; nil: none.
+// Pending returns the pending version that it knows, and its phase; nil: none.
 func (m *Member) Pending() (*Version, Phase) { return m.pending, m.phase }
 
-// Driver sees that nobody who is gone is waited for. Any dispatcher may be it, and several at once: what they propose
-// counts only for the beat that they saw last.
+// Driver evicts dead processes, so that no version waits for them. Any dispatcher may run it, also several at once: an eviction
+// has an effect only if the heartbeat that it names is still the process's last.
 type Driver struct {
-	over  time.Duration // of a lease that nobody has renewed
-	seen  map[Who]sight
-	n     uint64
-	since time.Duration
+	leaseExpiry  time.Duration // time after which a lease that was not renewed has expired for others
+	seen         map[Who]sighting
+	pending      uint64
+	pendingSince time.Duration
 }
 
-type sight struct {
-	index uint64
-	at    time.Duration
+type sighting struct {
+	index     uint64
+	firstSeen time.Duration
 }
 
-// NewDriver returns one that has seen nobody: everybody has a whole lease from now on.
-func NewDriver() *Driver { return &Driver{over: LeaseOver, seen: map[Who]sight{}} }
+// NewDriver returns a driver that has seen no process: each of them has a whole lease from now on.
+func NewDriver() *Driver { return &Driver{leaseExpiry: LeaseOver, seen: map[Who]sighting{}} }
 
-// Look takes the table as it is seen; now must have been read after that. It returns what to propose.
+// Look examines the table; now must have been read after the table. It returns the commands to propose.
 func (d *Driver) Look(now time.Duration, from Who, lines []Line, pending uint64) (all []Command) {
-	next := make(map[Who]sight, len(lines))
+	next := make(map[Who]sighting, len(lines))
 	for _, l := range lines {
 		s, ok := d.seen[l.Who]
 		if !ok || s.index != l.Index {
-			s = sight{l.Index, now}
+			s = sighting{l.Index, now}
 		}
 		next[l.Who] = s
-		if now-s.at > d.over {
-			all = append(all, Command{From: from, Pass: &Pass{l.Who, l.Index}})
+		if now-s.firstSeen > d.leaseExpiry {
+			all = append(all, Command{From: from, Evict: &Eviction{l.Who, l.Index}})
 		}
 	}
 	d.seen = next
-	if pending != d.n {
-		d.n, d.since = pending, now
+	if pending != d.pending {
+		d.pending, d.pendingSince = pending, now
 	}
-	if pending > 0 && now-d.since > ChangeMost {
+	if pending > 0 && now-d.pendingSince > ChangeTimeout {
 		late := ""
 		for _, l := range lines {
 			if l.Checked < pending || !l.Acts.Floor && l.Acts.High != pending {
 				late = l.Who.Name
 			}
 		}
-		all = append(all, Command{From: from, Drop: &Drop{pending, fmt.Sprintf("not agreed within %v: %s has not come to it", ChangeMost, late)}})
+		all = append(all, Command{From: from, Abandon: &Abandonment{pending, fmt.Sprintf("not agreed within %v: %s has not come to it", ChangeTimeout, late)}})
 	}
 	return all
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,6 +1,6 @@
-// Package members decides what dispatchers that talk to each other do about the worker list: who watches the list
-// service, who tells whom of a change, and what of it is believed. It has no I/O and no clock: it is driven by events,
-// each with its time, and returns what is to be done. docs/members-design.md weighs the choices.
+// Package members implements how dispatchers share the instance list: which of them watch discovery, how updates are forwarded,
+// and which updates are accepted. It has no I/O and no clock: it is driven by events with their times and returns the actions
+// to do. docs/members-design.md explains the choices.
 package members
 
 import (
@@ -17,106 +17,106 @@
 )
 
 const (
-	beatEvery   = 500 * time.Millisecond // that a watcher says that it watches
-	silentAfter = 2 * time.Second        // without a beat, a watcher counts as none
-	ackWithin   = 200 * time.Millisecond // else whoever was told is passed over
-	settleAfter = 500 * time.Millisecond // without a change of the membership, roles are taken,
-	settleMore  = 4 * time.Second        // and so much later as dispatchers are missing, in parts of all;
-	settleBy    = 5 * time.Second        // after the start in any case
-	leastRetry  = 200 * time.Millisecond // after a watch was lost; doubled for each more
-	mostRetry   = 5 * time.Second
-	failingFor  = 2 * time.Second  // without a watch, a watcher says so and another takes over
-	pardonAfter = 30 * time.Second // after which it may be chosen again
-	olderFor    = 10 * time.Second // that the service tells an older list, until that is believed
-	askEvery    = time.Second
-	askFirst    = 400 * time.Millisecond // while there is no list at all
-	mostMissing = 0.4                    // of the dispatchers: with a part f seen, so many more than needed take a role as 1/f
-	doubtFor    = 30 * time.Second       // that whoever told nonsense is not listened to
-	mostAhead   = 5 * time.Second        // of our clock, that a source's may be
-	mostJump    = 1 << 20                // revisions at once
-	mostSources = 256                    // of which it is kept what was passed on: many more than there are watchers
-	fewMembers  = 4                      // of a table, under which half of it may go at once
+	heartbeatInterval    = 500 * time.Millisecond // between heartbeats of a watcher
+	watcherTimeout       = 2 * time.Second        // without a heartbeat, a watcher counts as dead
+	ackTimeout           = 200 * time.Millisecond // then a peer without an acknowledgement is bypassed
+	settleAfter          = 500 * time.Millisecond // roles are assigned once the membership has not changed for this long,
+	settlePerMissing     = 4 * time.Second        // and later by this times the missing share of the dispatchers;
+	settleDeadline       = 5 * time.Second        // but at the latest this long after the start
+	minRetry             = 200 * time.Millisecond // after a watch was lost; doubled with each further failure
+	maxRetry             = 5 * time.Second
+	failingAfter         = 2 * time.Second  // without a watch, a watcher reports that, and another takes over
+	failureExpiry        = 30 * time.Second // after which it may be chosen again
+	olderListDelay       = 10 * time.Second // for which discovery must report an older list before that is accepted
+	requestInterval      = time.Second
+	firstRequestInterval = 400 * time.Millisecond // while there is no list at all
+	maxMissing           = 0.4                    // share of the dispatchers: roles are assigned at once up to this
+	distrustTime         = 30 * time.Second       // for which a peer that sent an invalid list is ignored
+	maxClockAhead        = 5 * time.Second        // how far a source's clock may be ahead of ours
+	maxRevisionJump      = 1 << 20                // revisions at once
+	maxSources           = 256                    // whose last forwarded version is stored: many more than there are watchers
+	minForHalfCheck      = 4                      // from which on a list that lacks over half of the instances is suspect
 )
 
-// Mark orders lists: a term begins when a list service has begun its revisions anew.
+// Mark orders lists: a new term begins when discovery has restarted its revisions.
 type Mark struct {
 	Term     int64 `json:"Term"`
 	Revision int64 `json:"Revision"`
 }
 
-// Before tells whether a mark is older.
+// Before reports whether m is older than o.
 func (m Mark) Before(o Mark) bool {
 	return cmp.Or(cmp.Compare(m.Term, o.Term), cmp.Compare(m.Revision, o.Revision)) < 0
 }
 
 func (m Mark) String() string { return fmt.Sprintf("%d.%d", m.Term, m.Revision) }
 
-// Watch is how a dispatcher stands to the list service.
+// Watch is the status of a dispatcher's watch on discovery.
 type Watch int
 
-// The states of a watch.
+// Watch statuses.
 const (
 	None    Watch = iota // others watch
-	Trying               // it is to watch and does not yet
+	Trying               // it should watch and does not yet
 	Well                 // it watches
-	Failing              // it should, and cannot: the next takes over
+	Failing              // it should watch and cannot: the next dispatcher takes over
 )
 
 func (w Watch) String() string {
 	return [...]string{"told by peers", "trying", "watches", "failing"}[w]
 }
 
-// Peer is a living dispatcher, as the membership tells of it.
+// Peer is a living dispatcher, as the membership reports it.
 type Peer struct {
 	Name, Zone, Settings string
 	Watch                Watch
 }
 
-// Told is what one dispatcher tells another of the list: a whole one, a change of one, or a beat, which has no members.
+// Told is a message about the instance list: a complete list, a change of one, or a heartbeat, which has no instances.
 type Told struct {
-	Source  string            `json:"Source"` // whose own watch it comes from, and root of the tree in which it is passed on
-	Mark    Mark              `json:"Mark"`
-	Base    Mark              `json:"Base"`  // of the table that a change is of
-	Heard   time.Time         `json:"Heard"` // by the source, by its clock
-	Age     time.Duration     `json:"Age"`   // since then, each measuring its own part
-	Whole   bool              `json:"Whole"`
-	Beat    bool              `json:"Beat"`
-	Answer  bool              `json:"Answer"` // to one who asked: it is not passed on
-	Members []dispatch.Member `json:"Members"`
-}
-
-// Config is what a dispatcher is told of itself.
+	Source   string            `json:"Source"` // the watcher that it comes from, the root of the tree in which it is forwarded
+	Mark     Mark              `json:"Mark"`
+	Base     Mark              `json:"Base"`  // the version that a change is based on
+	Heard    time.Time         `json:"Heard"` // by the source's clock
+	Age      time.Duration     `json:"Age"`   // time since then; each dispatcher adds its own part
+	Whole    bool              `json:"Whole"`
+	Beat     bool              `json:"Beat"`
+	Response bool              `json:"Answer"` // to a request: it is not forwarded
+	Members  []dispatch.Member `json:"Members"`
+}
+
+// Config describes the dispatcher itself.
 type Config struct {
 	Name, Zone string
-	Watchers   int // in each zone
-	FanOut     int // of a tree
-	Expected   int // dispatchers in all, as the settings say
+	Watchers   int // per zone
+	FanOut     int // of the forwarding tree
+	Expected   int // number of dispatchers in the settings
 }
 
-// Action is something to be done.
+// Action is something that the caller must do.
 type Action interface{ action() }
 
-// The actions.
+// Actions.
 type (
-	// Say tells a peer. It confirms by Acked.
+	// Say sends a message to a peer, which confirms it with Ack.
 	Say struct {
 		To string
 		Told
 	}
-	// Ack confirms to a peer what it told.
+	// Ack acknowledges a peer's message.
 	Ack struct {
 		To, Source string
 		Mark       Mark
 	}
-	// Ask asks a peer for the whole list.
+	// Ask requests the complete list from a peer.
 	Ask struct{ To string }
-	// Keep has the own watch begin, or end.
+	// Keep starts or ends the own watch.
 	Keep struct{ Watch bool }
-	// Take takes a list.
+	// Take applies a list.
 	Take struct{ dispatch.List }
-	// Show has the membership tell how the own watch is.
+	// Show publishes the status of the own watch through the membership.
 	Show struct{ Watch Watch }
-	// Note is for the log.
+	// Note is a log message.
 	Note struct{ Text, Peer string }
 )
 
@@ -128,66 +128,66 @@
 func (Show) action() {}
 func (Note) action() {}
 
-// State is one dispatcher's view. It is not safe for more than one goroutine.
+// State is one dispatcher's view. It is not safe for concurrent use.
 type State struct {
-	c     Config
-	rng   *rand.Rand
-	began time.Time
-	out   []Action
-
-	peers   map[string]Peer
-	changed time.Time // of who lives
-	ranked  []string  // of the own zone, self among them, who comes first as a watcher
-	trees   map[string][]string
-
-	table  dispatch.Table
-	has    bool // a list at all
-	mark   Mark
-	source string
-	heard  time.Time // by the source
-	fresh  time.Time // when the list was last true, as far as known here: now less the age of what was told last
-
-	watch  Watch
-	wants  bool // a watch is on, or asked for
-	lost   int
-	since  time.Time // of trying
-	retry  time.Time // zero: none waits
-	failed time.Time
-	older  time.Time // since when the own watch tells an older list; zero: it does not
-	moved  bool
-	beat   time.Time
-	shown  Watch
-
-	heardOf  map[string]time.Time // by watcher: its last beat
-	expected map[string]time.Time // by watcher: since when it should beat
-	passed   map[string]Mark      // by source: what was passed on last
-	waiting  map[string]wait      // by peer
-	doubted  map[string]time.Time // by peer: until when
-	unasked  map[string]time.Time // by peer: until when, since it told half of a list
-	doubt    Told                 // half of the table is missing in it
-	asked    time.Time
-	set      time.Time // when a watcher was last set right
-}
-
-// wait is for a confirmation.
-type wait struct {
+	config  Config
+	rng     *rand.Rand
+	started time.Time
+	actions []Action
+
+	peers        map[string]Peer
+	peersChanged time.Time // last change of the set of living peers
+	watcherOrder []string  // dispatchers of the own zone, itself included, in the order in which they become watchers
+	trees        map[string][]string
+
+	table      dispatch.Table
+	hasList    bool // there is a list
+	version    Mark
+	source     string
+	receivedAt time.Time // by the source
+	validAt    time.Time // when the list was last known to be valid: the time of the last message less its age
+
+	watch          Watch
+	shouldWatch    bool // a watch is on or requested
+	failures       int
+	tryingSince    time.Time // start of the present attempts to watch
+	retryAt        time.Time // zero: no retry is scheduled
+	failedAt       time.Time
+	olderSince     time.Time // since when the own watch has reported an older list; zero: it does not
+	addressChanged bool
+	lastHeartbeat  time.Time
+	shownStatus    Watch
+
+	heartbeats  map[string]time.Time  // by watcher: time of its last heartbeat
+	expected    map[string]time.Time  // by watcher: since when heartbeats are expected from it
+	forwarded   map[string]Mark       // by source: the last version that was forwarded
+	unacked     map[string]pendingAck // by peer
+	distrusted  map[string]time.Time  // by peer: end of the time in which it is ignored
+	notAsked    map[string]time.Time  // by peer: end of the time in which it is not asked, since it sent a list that lacks over half of the instances
+	suspectList Told                  // the last list that lacks over half of the instances
+	requestedAt time.Time
+	correctedAt time.Time // when a watcher with an older list was last sent the newer one
+}
+
+// pendingAck is a message that waits for its acknowledgement.
+type pendingAck struct {
 	Told
 	until time.Time
 }
 
-// New returns the view of a dispatcher that begins.
+// New returns the view of a dispatcher that starts.
 func New(c Config, now time.Time) *State {
 	c.Watchers, c.FanOut = max(1, c.Watchers), max(2, c.FanOut)
 	s := &State{
-		c: c, rng: rand.New(rand.NewPCG(rank(c.Name, "seed"), uint64(now.UnixNano()))), began: now, changed: now,
-		heardOf: map[string]time.Time{}, expected: map[string]time.Time{}, passed: map[string]Mark{}, waiting: map[string]wait{}, doubted: map[string]time.Time{},
-		unasked: map[string]time.Time{},
+		config: c, rng: rand.New(rand.NewPCG(rank(c.Name, "seed"), uint64(now.UnixNano()))), started: now, peersChanged: now,
+		heartbeats: map[string]time.Time{}, expected: map[string]time.Time{}, forwarded: map[string]Mark{}, unacked: map[string]pendingAck{}, distrusted: map[string]time.Time{},
+		notAsked: map[string]time.Time{},
 	}
 	s.Living(now, nil)
 	return s
 }
 
-// rank is a dispatcher's place for a purpose: all compute the same, and one that leaves moves nobody else.
+// rank orders dispatchers for a purpose. All compute the same order, and one that leaves does not change the order of the others.
 func rank(name, purpose string) uint64 {
 	sum := sha256.Sum256([]byte(purpose + "\x00" + name))
 	return binary.BigEndian.Uint64(sum[:])
@@ -202,64 +202,64 @@
 	return names
 }
 
-// Did takes the actions that have come up.
+// Did returns the actions since the last call.
 func (s *State) Did() []Action {
-	out := s.out
-	s.out = nil
+	out := s.actions
+	s.actions = nil
 	return out
 }
 
-func (s *State) do(a Action) { s.out = append(s.out, a) }
+func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
 
-// Living takes all other dispatchers that live.
+// Living sets all other living dispatchers.
 func (s *State) Living(now time.Time, peers []Peer) {
 	next := make(map[string]Peer, len(peers))
 	same := len(peers) == len(s.peers)
-	zone := []string{s.c.Name}
+	zone := []string{s.config.Name}
 	for _, p := range peers {
-		if p.Name == s.c.Name {
+		if p.Name == s.config.Name {
 			continue
 		}
 		next[p.Name] = p
 		before, known := s.peers[p.Name]
 		same = same && known && before.Zone == p.Zone
-		if p.Zone == s.c.Zone {
+		if p.Zone == s.config.Zone {
 			zone = append(zone, p.Name)
 		}
 	}
 	newcomer := len(s.peers) == 0 && len(next) > 0
 	s.peers, s.trees = next, map[string][]string{}
-	if same && s.ranked != nil {
+	if same && s.watcherOrder != nil {
 		return
 	}
-	s.changed, s.ranked = now, ranked(zone, "watch "+s.c.Zone)
-	for name := range s.heardOf {
+	s.peersChanged, s.watcherOrder = now, ranked(zone, "watch "+s.config.Zone)
+	for name := range s.heartbeats {
 		if _, lives := next[name]; !lives {
-			delete(s.heardOf, name)
+			delete(s.heartbeats, name)
 		}
 	}
-	for name := range s.passed {
-		if _, lives := next[name]; !lives && name != s.c.Name {
-			delete(s.passed, name)
+	for name := range s.forwarded {
+		if _, lives := next[name]; !lives && name != s.config.Name {
+			delete(s.forwarded, name)
 		}
 	}
-	if newcomer && !s.has { // two, lest one be mistaken or slow
-		s.ask(now, 2)
+	if newcomer && !s.hasList { // it asks two, since one may be wrong or slow
+		s.requestList(now, 2)
 	}
 }
 
-// ask asks some peers for the whole list, of the own zone if there are any.
-func (s *State) ask(now time.Time, n int) {
-	if every := map[bool]time.Duration{true: askEvery, false: askFirst}[s.has]; now.Sub(s.asked) < every {
+// requestList requests the complete list from n peers, preferably of the own zone.
+func (s *State) requestList(now time.Time, n int) {
+	if every := map[bool]time.Duration{true: requestInterval, false: firstRequestInterval}[s.hasList]; now.Sub(s.requestedAt) < every {
 		return
 	}
-	s.asked = now
+	s.requestedAt = now
 	var near, far []string
 	for _, p := range s.peers {
-		if now.Before(s.doubted[p.Name]) || now.Before(s.unasked[p.Name]) {
+		if now.Before(s.distrusted[p.Name]) || now.Before(s.notAsked[p.Name]) {
 			continue
 		}
-		if p.Zone == s.c.Zone {
+		if p.Zone == s.config.Zone {
 			near = append(near, p.Name)
 		} else {
 			far = append(far, p.Name)
@@ -270,175 +270,175 @@
 		s.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	}
 	for _, name := range append(near, far...)[:min(n, len(near)+len(far))] {
-		s.do(Ask{name})
+		s.emit(Ask{name})
 	}
 }
 
-// Heard takes what the own watch tells.
+// Heard handles an update of the own watch.
 func (s *State) Heard(now time.Time, l dispatch.List) {
-	if !s.wants {
-		return // it comes from a watch that is over
-	}
-	mark := Mark{s.mark.Term, l.Revision}
-	if s.has && mark.Before(s.mark) {
-		if s.older.IsZero() {
-			s.older = now
-			s.do(Note{Text: fmt.Sprintf("the list service tells revision %d after %v: not believed yet", l.Revision, s.mark)})
+	if !s.shouldWatch {
+		return // from a watch that has ended
+	}
+	mark := Mark{s.version.Term, l.Revision}
+	if s.hasList && mark.Before(s.version) {
+		if s.olderSince.IsZero() {
+			s.olderSince = now
+			s.emit(Note{Text: fmt.Sprintf("the list service tells revision %d after %v: not believed yet", l.Revision, s.version)})
 		}
-		if !l.Complete || !s.moved && now.Sub(s.older) < olderFor {
-			s.tried(now)
+		if !l.Complete || !s.addressChanged && now.Sub(s.olderSince) < olderListDelay {
+			s.checkFailing(now)
 			return
 		}
-		s.do(Note{Text: fmt.Sprintf("the list service has begun its revisions anew, at %d", l.Revision)})
+		s.emit(Note{Text: fmt.Sprintf("the list service has begun its revisions anew, at %d", l.Revision)})
 		mark.Term++
-	} else if !s.older.IsZero() && !l.Complete {
-		return // a change of a list that was not taken
+	} else if !s.olderSince.IsZero() && !l.Complete {
+		return // a change of a list that was not accepted
 	}
-	s.moved, s.older, s.lost, s.watch = false, time.Time{}, 0, Well
-	t := Told{Source: s.c.Name, Mark: mark, Base: s.mark, Heard: now, Whole: l.Complete, Members: l.Members}
-	s.take(now, t, l)
-	s.pass(now, t)
-	s.beat = now
-	s.show()
+	s.addressChanged, s.olderSince, s.failures, s.watch = false, time.Time{}, 0, Well
+	t := Told{Source: s.config.Name, Mark: mark, Base: s.version, Heard: now, Whole: l.Complete, Members: l.Members}
+	s.applyList(now, t, l)
+	s.forward(now, t)
+	s.lastHeartbeat = now
+	s.showStatus()
 }
 
-// Alive takes that the own watch is on, whether it told anything or not.
+// Alive reports that the own watch is working, with or without an update.
 func (s *State) Alive(now time.Time) {
-	if s.wants && s.older.IsZero() && s.has {
-		s.watch, s.lost, s.fresh = Well, 0, now
-		s.show()
+	if s.shouldWatch && s.olderSince.IsZero() && s.hasList {
+		s.watch, s.failures, s.validAt = Well, 0, now
+		s.showStatus()
 	}
 }
 
-// Lost takes the end of the own watch, or of the call for one.
+// Lost reports that the own watch, or an attempt to start one, has ended.
 func (s *State) Lost(now time.Time) {
-	if !s.wants {
+	if !s.shouldWatch {
 		return
 	}
 	if s.watch == Well {
-		s.watch, s.since = Trying, now
+		s.watch, s.tryingSince = Trying, now
 	}
-	s.lost++
-	after := min(mostRetry, leastRetry<<min(s.lost-1, 8))
-	s.retry = now.Add(after/2 + time.Duration(s.rng.Int64N(int64(after/2)+1)))
-	s.tried(now)
+	s.failures++
+	after := min(maxRetry, minRetry<<min(s.failures-1, 8))
+	s.retryAt = now.Add(after/2 + time.Duration(s.rng.Int64N(int64(after/2)+1)))
+	s.checkFailing(now)
 }
 
-// tried has a watcher that cannot watch say so.
-func (s *State) tried(now time.Time) {
+// checkFailing marks a watcher as failing if it has not been able to watch for long enough.
+func (s *State) checkFailing(now time.Time) {
 	if s.watch == Well {
-		s.watch, s.since = Trying, now
+		s.watch, s.tryingSince = Trying, now
 	}
-	if s.watch == Trying && now.Sub(s.since) >= failingFor && len(s.ranked) > 1 {
-		s.watch, s.failed = Failing, now
-		s.do(Note{Text: "no watch on the list service: the next is to take over"})
+	if s.watch == Trying && now.Sub(s.tryingSince) >= failingAfter && len(s.watcherOrder) > 1 {
+		s.watch, s.failedAt = Failing, now
+		s.emit(Note{Text: "no watch on the list service: the next is to take over"})
 	}
-	s.show()
+	s.showStatus()
 }
 
-// Moved says that the list service is at another address from now on: its revisions say nothing of those before.
-// Whoever is not to watch does not begin to, as all that are told at once would.
+// Moved reports that discovery has a new address, so that its revisions cannot be compared with earlier ones. A dispatcher that
+// should not watch stays without a watch: otherwise all of them would connect at once.
 func (s *State) Moved() {
-	if s.moved = true; !s.wants {
-		s.do(Keep{false})
+	if s.addressChanged = true; !s.shouldWatch {
+		s.emit(Keep{false})
 	}
 }
 
-func (s *State) show() {
-	if s.watch != s.shown {
-		s.shown = s.watch
-		s.do(Show{s.watch})
+func (s *State) showStatus() {
+	if s.watch != s.shownStatus {
+		s.shownStatus = s.watch
+		s.emit(Show{s.watch})
 	}
 }
 
-// take takes a list that is believed.
-func (s *State) take(now time.Time, t Told, l dispatch.List) {
+// applyList applies a list that was accepted.
+func (s *State) applyList(now time.Time, t Told, l dispatch.List) {
 	s.table.Take(l)
-	s.has, s.mark, s.source, s.heard, s.fresh = true, t.Mark, t.Source, t.Heard, now.Add(-t.Age)
-	s.do(Take{l})
+	s.hasList, s.version, s.source, s.receivedAt, s.validAt = true, t.Mark, t.Source, t.Heard, now.Add(-t.Age)
+	s.emit(Take{l})
 }
 
-// Told takes what a peer tells.
+// Told handles a peer's message.
 func (s *State) Told(now time.Time, from string, t Told) {
-	if now.Before(s.doubted[from]) {
+	if now.Before(s.distrusted[from]) {
 		return
 	}
-	if fault := s.nonsense(now, t); fault != "" {
+	if fault := s.implausible(now, t); fault != "" {
 		s.distrust(now, from, fault)
 		return
 	}
-	if !t.Answer {
-		s.do(Ack{from, t.Source, t.Mark})
+	if !t.Response {
+		s.emit(Ack{from, t.Source, t.Mark})
 	}
-	if _, lives := s.peers[t.Source]; lives && !t.Answer { // an answer names a source that may have died since
-		s.heardOf[t.Source] = now
+	if _, lives := s.peers[t.Source]; lives && !t.Response { // the source that a response names may have died since
+		s.heartbeats[t.Source] = now
 	}
-	news := !s.has || s.mark.Before(t.Mark)
+	news := !s.hasList || s.version.Before(t.Mark)
 	switch {
-	case t.Beat && news || news && !t.Whole && (!s.has || s.mark.Before(t.Base)): // something was missed
-		if now.Sub(s.asked) >= ackWithin && !now.Before(s.unasked[from]) {
-			s.asked = now
-			s.do(Ask{from})
+	case t.Beat && news || news && !t.Whole && (!s.hasList || s.version.Before(t.Base)): // an earlier update was missed
+		if now.Sub(s.requestedAt) >= ackTimeout && !now.Before(s.notAsked[from]) {
+			s.requestedAt = now
+			s.emit(Ask{from})
 		}
 		if t.Beat {
-			s.pass(now, t)
+			s.forward(now, t)
 		}
 		return
-	case news && t.Whole && s.halved(t) && !s.confirmed(t):
-		if s.doubt.Source != t.Source || s.doubt.Mark != t.Mark {
-			s.do(Note{Text: fmt.Sprintf("a list %v of %s lacks more than half of the encoders: not believed until another watcher tells so", t.Mark, t.Source), Peer: from})
-			for _, name := range s.others(t.Source) { // their own watches will tell
-				s.do(Ask{name})
+	case news && t.Whole && s.lacksHalf(t) && !s.confirmed(t):
+		if s.suspectList.Source != t.Source || s.suspectList.Mark != t.Mark {
+			s.emit(Note{Text: fmt.Sprintf("a list %v of %s lacks more than half of the encoders: not believed until another watcher tells so", t.Mark, t.Source), Peer: from})
+			for _, name := range s.otherWatchers(t.Source) { // they answer with what their own watches report
+				s.emit(Ask{name})
 			}
 		}
-		s.doubt, s.unasked[from] = t, now.Add(doubtFor)
-		if !t.Answer { // the others judge for themselves
-			s.pass(now, t)
+		s.suspectList, s.notAsked[from] = t, now.Add(distrustTime)
+		if !t.Response { // the others check it themselves
+			s.forward(now, t)
 		}
 		return
 	case news:
-		s.moved = s.moved && t.Mark.Term == s.mark.Term // else others have begun the new term
-		s.take(now, t, dispatch.List{Revision: t.Mark.Revision, Complete: t.Whole, Members: t.Members})
-		s.show()
-	case t.Beat && t.Mark.Before(s.mark) && from == t.Source && now.Sub(s.set) >= askEvery:
-		s.set = now // a watcher that slept, or whose service is behind, hears of it from those it tells first
-		s.do(Say{from, s.whole(now)})
-	case t.Mark == s.mark:
-		if at := now.Add(-t.Age); at.After(s.fresh) {
-			s.fresh = at
+		s.addressChanged = s.addressChanged && t.Mark.Term == s.version.Term // in a new term others have accepted the new address's list already
+		s.applyList(now, t, dispatch.List{Revision: t.Mark.Revision, Complete: t.Whole, Members: t.Members})
+		s.showStatus()
+	case t.Beat && t.Mark.Before(s.version) && from == t.Source && now.Sub(s.correctedAt) >= requestInterval:
+		s.correctedAt = now // a watcher that was suspended, or whose discovery server is behind, gets the newer list from its children
+		s.emit(Say{from, s.completeList(now)})
+	case t.Mark == s.version:
+		if at := now.Add(-t.Age); at.After(s.validAt) {
+			s.validAt = at
 		}
 	}
-	if !t.Answer {
-		s.pass(now, t)
+	if !t.Response {
+		s.forward(now, t)
 	}
 }
 
-// Garbage takes that a peer sent what cannot be read.
+// Garbage reports that a peer sent an unreadable message.
 func (s *State) Garbage(now time.Time, from string, err error) {
-	if !now.Before(s.doubted[from]) {
+	if !now.Before(s.distrusted[from]) {
 		s.distrust(now, from, err.Error())
 	}
 }
 
-// nonsense tells what no list of this installation can be; empty: it can.
-func (s *State) nonsense(now time.Time, t Told) string {
+// implausible returns why a message cannot be valid; empty: it can.
+func (s *State) implausible(now time.Time, t Told) string {
 	switch {
 	case t.Source == "" || t.Age < 0 || t.Mark.Term < 0 || t.Mark.Revision < 0:
 		return "what it tells lacks its source, its revision or its age"
-	case t.Heard.Sub(now) > mostAhead:
+	case t.Heard.Sub(now) > maxClockAhead:
 		return "what it tells is from the future"
-	case s.has && (t.Mark.Revision-s.mark.Revision > mostJump || t.Mark.Term-s.mark.Term > mostJump):
-		return fmt.Sprintf("its list's revision %v is far beyond %v", t.Mark, s.mark)
-	case t.Whole && len(t.Members) == 0 && s.has && len(s.table.Members()) > 0:
+	case s.hasList && (t.Mark.Revision-s.version.Revision > maxRevisionJump || t.Mark.Term-s.version.Term > maxRevisionJump):
+		return fmt.Sprintf("its list's revision %v is far beyond %v", t.Mark, s.version)
+	case t.Whole && len(t.Members) == 0 && s.hasList && len(s.table.Members()) > 0:
 		return "its list is empty"
 	}
 	return ""
 }
 
-// halved tells whether a list lacks more than half of what is known, without a word on any.
-func (s *State) halved(t Told) bool {
+// lacksHalf reports whether a list lacks more than half of the known instances instead of reporting their states.
+func (s *State) lacksHalf(t Told) bool {
 	known := s.table.Members()
-	if len(known) < fewMembers {
+	if len(known) < minForHalfCheck {
 		return false
 	}
 	there := 0
@@ -450,14 +450,14 @@
 	return 2*there < len(known)
 }
 
-// confirmed tells whether another watcher says so too, or whether there is none that could.
+// confirmed reports whether another watcher reports the same, or whether there is no other.
 func (s *State) confirmed(t Told) bool {
-	alone := len(s.others(t.Source)) == 0 && s.watch != Well
-	return alone || s.doubt.Source != "" && s.doubt.Source != t.Source && !t.Mark.Before(s.doubt.Mark)
+	alone := len(s.otherWatchers(t.Source)) == 0 && s.watch != Well
+	return alone || s.suspectList.Source != "" && s.suspectList.Source != t.Source && !t.Mark.Before(s.suspectList.Mark)
 }
 
-// others is all watchers but one.
-func (s *State) others(but string) (names []string) {
+// otherWatchers returns all watchers but one.
+func (s *State) otherWatchers(but string) (names []string) {
 	for _, p := range s.peers {
 		if p.Watch == Well && p.Name != but {
 			names = append(names, p.Name)
@@ -468,65 +468,65 @@
 }
 
 func (s *State) distrust(now time.Time, peer, why string) {
-	for _, of := range []map[string]time.Time{s.doubted, s.unasked} {
+	for _, of := range []map[string]time.Time{s.distrusted, s.notAsked} {
 		maps.DeleteFunc(of, func(_ string, until time.Time) bool { return !now.Before(until) })
 	}
-	s.doubted[peer] = now.Add(doubtFor)
-	s.do(Note{Text: why + ": not listened to for " + doubtFor.String(), Peer: peer})
+	s.distrusted[peer] = now.Add(distrustTime)
+	s.emit(Note{Text: why + ": not listened to for " + distrustTime.String(), Peer: peer})
 }
 
-// Asked takes that a peer wants the whole list.
+// Asked handles a peer's request for the complete list.
 func (s *State) Asked(now time.Time, from string) {
-	if s.has {
-		s.do(Say{from, s.whole(now)})
+	if s.hasList {
+		s.emit(Say{from, s.completeList(now)})
 	}
 }
 
-func (s *State) whole(now time.Time) Told {
-	return Told{Source: s.source, Mark: s.mark, Heard: s.heard, Age: max(0, now.Sub(s.fresh)), Whole: true, Answer: true, Members: s.table.List().Members}
+func (s *State) completeList(now time.Time) Told {
+	return Told{Source: s.source, Mark: s.version, Heard: s.receivedAt, Age: max(0, now.Sub(s.validAt)), Whole: true, Response: true, Members: s.table.List().Members}
 }
 
-// pass passes on what came down a source's tree, once.
-func (s *State) pass(now time.Time, t Told) {
-	if _, passed := s.passed[t.Source]; !passed && len(s.passed) >= mostSources {
+// forward forwards a message in its source's tree, each version once.
+func (s *State) forward(now time.Time, t Told) {
+	if _, passed := s.forwarded[t.Source]; !passed && len(s.forwarded) >= maxSources {
 		return
 	}
 	if !t.Beat {
-		if last, passed := s.passed[t.Source]; passed && !last.Before(t.Mark) {
+		if last, passed := s.forwarded[t.Source]; passed && !last.Before(t.Mark) {
 			return
 		}
-		s.passed[t.Source] = t.Mark
+		s.forwarded[t.Source] = t.Mark
 	}
-	s.say(now, s.children(t.Source, s.c.Name), t)
+	s.send(now, s.children(t.Source, s.config.Name), t)
 }
 
-func (s *State) say(now time.Time, to []string, t Told) {
+func (s *State) send(now time.Time, to []string, t Told) {
 	for _, name := range to {
-		if before, waits := s.waiting[name]; !waits || before.Beat || !t.Beat {
-			s.waiting[name] = wait{t, now.Add(ackWithin)}
+		if before, waits := s.unacked[name]; !waits || before.Beat || !t.Beat {
+			s.unacked[name] = pendingAck{t, now.Add(ackTimeout)}
 		}
-		s.do(Say{name, t})
+		s.emit(Say{name, t})
 	}
 }
 
-// Acked takes that a peer has what was told.
+// Acked handles a peer's acknowledgement.
 func (s *State) Acked(from, source string, mark Mark) {
-	if w, ok := s.waiting[from]; ok && w.Source == source && !mark.Before(w.Mark) {
-		delete(s.waiting, from)
+	if w, ok := s.unacked[from]; ok && w.Source == source && !mark.Before(w.Mark) {
+		delete(s.unacked, from)
 	}
 }
 
-// Unreached takes that a peer could not be told: those that it would have told are told from here.
+// Unreached reports that a peer could not be reached: its children in the tree get the message from here.
 func (s *State) Unreached(now time.Time, to string) {
-	w, ok := s.waiting[to]
-	if delete(s.waiting, to); ok {
-		w.Age += now.Sub(w.until.Add(-ackWithin))
-		s.say(now, s.children(w.Source, to), w.Told)
+	w, ok := s.unacked[to]
+	if delete(s.unacked, to); ok {
+		w.Age += now.Sub(w.until.Add(-ackTimeout))
+		s.send(now, s.children(w.Source, to), w.Told)
 	}
 }
 
-// children is whom a dispatcher tells in a source's tree. That has the source's zone and all zones in which nobody
-// watches; every member computes it alike from who lives.
+// children returns the dispatchers to which one forwards in a source's tree. The tree contains the source's zone and all zones
+// without a watcher; every dispatcher computes it alike from the living peers.
 func (s *State) children(source, of string) []string {
 	tree, ok := s.trees[source]
 	if !ok {
@@ -534,9 +534,9 @@
 		for _, p := range s.peers {
 			watched[p.Zone] = watched[p.Zone] || p.Watch == Well
 		}
-		watched[s.c.Zone] = watched[s.c.Zone] || s.watch == Well
-		if s.c.Name != source && (s.c.Zone == zone || !watched[s.c.Zone]) {
-			tree = append(tree, s.c.Name)
+		watched[s.config.Zone] = watched[s.config.Zone] || s.watch == Well
+		if s.config.Name != source && (s.config.Zone == zone || !watched[s.config.Zone]) {
+			tree = append(tree, s.config.Name)
 		}
 		for _, p := range s.peers {
 			if p.Name != source && (p.Zone == zone || !watched[p.Zone]) {
@@ -552,108 +552,108 @@
 		if at < 0 {
 			return nil
 		}
-		first = s.c.FanOut * (at + 1)
+		first = s.config.FanOut * (at + 1)
 	}
 	first = min(first, len(tree))
-	return tree[first:min(first+s.c.FanOut, len(tree))]
+	return tree[first:min(first+s.config.FanOut, len(tree))]
 }
 
 func (s *State) zoneOf(name string) string {
-	if name == s.c.Name {
-		return s.c.Zone
+	if name == s.config.Name {
+		return s.config.Zone
 	}
 	return s.peers[name].Zone
 }
 
-// Tick does what time brings about. It is to come every 50 ms or so.
+// Tick does what is due. It must be called about every 50 ms.
 func (s *State) Tick(now time.Time) {
-	for _, name := range slices.Sorted(maps.Keys(s.waiting)) {
-		if !now.Before(s.waiting[name].until) {
+	for _, name := range slices.Sorted(maps.Keys(s.unacked)) {
+		if !now.Before(s.unacked[name].until) {
 			s.Unreached(now, name)
 		}
 	}
-	if s.watch == Failing && !s.wants && now.Sub(s.failed) >= pardonAfter {
-		s.watch, s.since = None, now
+	if s.watch == Failing && !s.shouldWatch && now.Sub(s.failedAt) >= failureExpiry {
+		s.watch, s.tryingSince = None, now
 	}
 	if s.settled(now) {
-		s.role(now)
+		s.updateRole(now)
 	}
-	if s.wants && !s.retry.IsZero() && !now.Before(s.retry) {
-		s.retry = time.Time{}
-		s.do(Keep{true})
+	if s.shouldWatch && !s.retryAt.IsZero() && !now.Before(s.retryAt) {
+		s.retryAt = time.Time{}
+		s.emit(Keep{true})
 	}
-	if (s.watch == Well || s.wants && !s.older.IsZero()) && now.Sub(s.beat) >= beatEvery {
-		s.beat = now
-		s.pass(now, Told{Source: s.c.Name, Mark: s.mark, Heard: s.heard, Age: max(0, now.Sub(s.fresh)), Beat: true})
+	if (s.watch == Well || s.shouldWatch && !s.olderSince.IsZero()) && now.Sub(s.lastHeartbeat) >= heartbeatInterval {
+		s.lastHeartbeat = now
+		s.forward(now, Told{Source: s.config.Name, Mark: s.version, Heard: s.receivedAt, Age: max(0, now.Sub(s.validAt)), Beat: true})
 	}
-	if s.watch != Well && (!s.has || now.Sub(s.fresh) > silentAfter) {
-		s.ask(now, 1)
+	if s.watch != Well && (!s.hasList || now.Sub(s.validAt) > watcherTimeout) {
+		s.requestList(now, 1)
 	}
-	s.show()
+	s.showStatus()
 }
 
-// settled tells whether enough is known of who lives to take a role: else all that start at once would watch, each
-// the first of those it has heard of. The more are missing, the longer more are waited for.
+// settled reports whether enough peers are known to assign roles: otherwise all dispatchers that start at once would watch, each
+// the first of those that it knows. The more are missing, the longer it waits.
 func (s *State) settled(now time.Time) bool {
-	missing := max(0, 1-float64(len(s.peers)+1)/float64(max(1, s.c.Expected)))
-	after := settleAfter + time.Duration(missing*float64(settleMore))
-	return missing <= mostMissing || now.Sub(s.changed) >= after || now.Sub(s.began) >= settleBy
+	missing := max(0, 1-float64(len(s.peers)+1)/float64(max(1, s.config.Expected)))
+	after := settleAfter + time.Duration(missing*float64(settlePerMissing))
+	return missing <= maxMissing || now.Sub(s.peersChanged) >= after || now.Sub(s.started) >= settleDeadline
 }
 
-// role takes or leaves the watch: the first of a zone have it. Those that fail come last, and those that should beat
-// and do not count as none.
-func (s *State) role(now time.Time) {
+// updateRole starts or ends the own watch: the first dispatchers of a zone watch. Failing ones come last, and those that should send
+// heartbeats and do not are skipped.
+func (s *State) updateRole(now time.Time) {
 	failing := func(name string) bool {
-		return name == s.c.Name && s.watch == Failing || s.peers[name].Watch == Failing
+		return name == s.config.Name && s.watch == Failing || s.peers[name].Watch == Failing
 	}
 	before, mine := 0, false
 	looked := map[string]time.Time{}
 	for _, last := range []bool{false, true} {
-		for _, name := range s.ranked {
-			if failing(name) != last || before >= s.c.Watchers {
+		for _, name := range s.watcherOrder {
+			if failing(name) != last || before >= s.config.Watchers {
 				continue
 			}
-			if name == s.c.Name {
+			if name == s.config.Name {
 				mine = true
-			} else if last || s.beats(now, name, looked) {
+			} else if last || s.isWatching(now, name, looked) {
 				before++
 				continue
 			} else {
 				continue
 			}
-			before = s.c.Watchers // who comes after is not looked at
+			before = s.config.Watchers // later ones are not examined
 		}
 	}
 	s.expected = looked
 	switch {
-	case mine && !s.wants:
-		s.wants, s.watch, s.since, s.lost, s.retry = true, Trying, now, 0, time.Time{}
-		s.do(Keep{true})
-	case !mine && s.wants:
-		s.wants, s.retry, s.older = false, time.Time{}, time.Time{}
+	case mine && !s.shouldWatch:
+		s.shouldWatch, s.watch, s.tryingSince, s.failures, s.retryAt = true, Trying, now, 0, time.Time{}
+		s.emit(Keep{true})
+	case !mine && s.shouldWatch:
+		s.shouldWatch, s.retryAt, s.olderSince = false, time.Time{}, time.Time{}
 		if s.watch != Failing {
 			s.watch = None
 		}
-		s.do(Keep{false})
+		s.emit(Keep{false})
 	case mine && s.watch == Trying:
-		s.tried(now)
+		s.checkFailing(now)
 	}
 }
 
-// beats tells whether a dispatcher that should watch says so, or has not been looked at for long enough.
-func (s *State) beats(now time.Time, name string, looked map[string]time.Time) bool {
+// isWatching reports whether a dispatcher that should watch sends heartbeats, or has not been expected to for long enough.
+func (s *State) isWatching(now time.Time, name string, looked map[string]time.Time) bool {
 	last, ok := s.expected[name]
 	if !ok {
 		last = now
 	}
 	looked[name] = last
-	if at := s.heardOf[name]; at.After(last) {
+	if at := s.heartbeats[name]; at.After(last) {
 		last = at
 	}
-	return now.Sub(last) < silentAfter
+	return now.Sub(last) < watcherTimeout
 }
 
-// View is what operators are shown.
+// View is the state as shown to operators.
 type View struct {
 	Name     string        `json:"name"`
 	Zone     string        `json:"zone"`
@@ -662,14 +662,14 @@
 	Revision int64         `json:"revision"`
 	Source   string        `json:"source"`
 	Heard    time.Time     `json:"heard"`
-	Age      time.Duration `json:"age_ns"` // below 0: it has no list
+	Age      time.Duration `json:"age_ns"` // negative: there is no list
 	Encoders int           `json:"encoders"`
 	Tells    []string      `json:"tells"`
 	Doubted  []string      `json:"doubted,omitempty"`
 	Peers    []PeerView    `json:"peers"`
 }
 
-// PeerView is a peer as it tells of itself.
+// PeerView is a peer's state as it reports it.
 type PeerView struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone"`
@@ -677,16 +677,16 @@
 	Settings string `json:"settings"`
 }
 
-// View is the state as of now.
+// View returns the state at a time.
 func (s *State) View(now time.Time) View {
 	v := View{
-		Name: s.c.Name, Zone: s.c.Zone, Watch: s.watch.String(), Term: s.mark.Term, Revision: s.mark.Revision, Source: s.source, Heard: s.heard,
-		Age: -time.Millisecond, Encoders: len(s.table.Members()), Tells: s.children(cmp.Or(s.source, s.c.Name), s.c.Name),
+		Name: s.config.Name, Zone: s.config.Zone, Watch: s.watch.String(), Term: s.version.Term, Revision: s.version.Revision, Source: s.source, Heard: s.receivedAt,
+		Age: -time.Millisecond, Encoders: len(s.table.Members()), Tells: s.children(cmp.Or(s.source, s.config.Name), s.config.Name),
 	}
-	if s.has {
-		v.Age = max(0, now.Sub(s.fresh))
+	if s.hasList {
+		v.Age = max(0, now.Sub(s.validAt))
 	}
-	for _, of := range []map[string]time.Time{s.doubted, s.unasked} {
+	for _, of := range []map[string]time.Time{s.distrusted, s.notAsked} {
 		for name, until := range of {
 			if now.Before(until) {
 				v.Doubted = append(v.Doubted, name)
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -16,18 +16,18 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fleet is dispatchers in virtual time, with a network and a list service between them that have faults.
+// fleet simulates dispatchers in virtual time, with a faulty network and a faulty discovery service.
 type fleet struct {
-	now      time.Time
-	rng      *rand.Rand
-	nodes    []*node
-	service  dispatch.List
-	down     bool
-	cut      func(a, b string) bool // messages are lost
-	unserved func(string) bool      // cut off from the list service
-	unseen   bool                   // the membership does not notice who dies or is stopped
-	mail     []letter
-	calls    int
+	now             time.Time
+	rng             *rand.Rand
+	nodes           []*node
+	service         dispatch.List
+	down            bool
+	cut             func(a, b string) bool // drops messages
+	unserved        func(string) bool      // cut off from discovery
+	membershipStuck bool                   // the membership does not notice dispatchers that die or are paused
+	messages        []message
+	calls           int
 }
 
 type node struct {
@@ -35,16 +35,16 @@
 	name, zone     string
 	stopped, alive bool
 	watch          bool
-	told           Mark
-	shows          Watch
+	appliedVersion Mark
+	status         Watch
 	table          dispatch.Table
-	notes          []string
+	logLines       []string
 }
 
-type letter struct {
-	at   time.Time
-	to   string
-	open func(*node)
+type message struct {
+	at      time.Time
+	to      string
+	deliver func(*node)
 }
 
 func newFleet(seed uint64, n, zones int) *fleet {
@@ -58,7 +58,7 @@
 	return f
 }
 
-// publish has the service's list be of so many encoders, at the next revision.
+// publish sets discovery's list to a number of encoders, with the next revision.
 func (f *fleet) publish(encoders int) {
 	f.service = dispatch.List{Revision: f.service.Revision + 1, Complete: true}
 	for i := range encoders {
@@ -66,67 +66,67 @@
 	}
 	for _, d := range f.nodes {
 		if d.watch && !f.unserved(d.name) {
-			f.hear(d)
+			f.deliverList(d)
 		}
 	}
 }
 
-func (f *fleet) hear(d *node) {
+func (f *fleet) deliverList(d *node) {
 	if !d.stopped && d.alive {
 		d.Heard(f.now, f.service)
-		f.act(d)
+		f.perform(d)
 	}
 }
 
-func (f *fleet) post(from, to string, open func(*node)) {
+func (f *fleet) send(from, to string, open func(*node)) {
 	if !f.cut(from, to) {
-		f.mail = append(f.mail, letter{f.now.Add(time.Duration(1+f.rng.IntN(20)) * time.Millisecond), to, open})
+		f.messages = append(f.messages, message{f.now.Add(time.Duration(1+f.rng.IntN(20)) * time.Millisecond), to, open})
 	}
 }
 
-func (f *fleet) act(d *node) {
+func (f *fleet) perform(d *node) {
 	for _, a := range d.Did() {
 		switch a := a.(type) {
 		case Say:
-			f.post(d.name, a.To, func(to *node) { to.Told(f.now, d.name, a.Told) })
+			f.send(d.name, a.To, func(to *node) { to.Told(f.now, d.name, a.Told) })
 		case Ack:
-			f.post(d.name, a.To, func(to *node) { to.Acked(d.name, a.Source, a.Mark) })
+			f.send(d.name, a.To, func(to *node) { to.Acked(d.name, a.Source, a.Mark) })
 		case Ask:
-			f.post(d.name, a.To, func(to *node) { to.Asked(f.now, d.name) })
+			f.send(d.name, a.To, func(to *node) { to.Asked(f.now, d.name) })
 		case Keep:
 			if d.watch = a.Watch; !a.Watch {
 				continue
 			}
 			f.calls++
 			if d.watch = !f.down && !f.unserved(d.name); d.watch {
-				f.mail = append(f.mail, letter{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.Heard(f.now, f.service) }})
+				f.messages = append(f.messages, message{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.Heard(f.now, f.service) }})
 			} else {
-				f.mail = append(f.mail, letter{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.Lost(f.now) }})
+				f.messages = append(f.messages, message{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.Lost(f.now) }})
 			}
 		case Take:
 			d.table.Take(a.List)
-			d.told = d.mark
+			d.appliedVersion = d.version
 		case Show:
-			d.shows = a.Watch
+			d.status = a.Watch
 		case Note:
-			d.notes = append(d.notes, a.Text)
+			d.logLines = append(d.logLines, a.Text)
 		}
 	}
 }
 
-// run lets so much time pass. The membership tells who lives and is reached, 300 ms late.
+// run lets time pass. The membership reports living and reachable dispatchers with a delay of 300 ms.
 func (f *fleet) run(long time.Duration) {
 	for end := f.now.Add(long); f.now.Before(end); f.now = f.now.Add(10 * time.Millisecond) {
-		slices.SortStableFunc(f.mail, func(a, b letter) int { return a.at.Compare(b.at) })
-		for len(f.mail) > 0 && !f.mail[0].at.After(f.now) {
-			l := f.mail[0]
-			f.mail = f.mail[1:]
+		slices.SortStableFunc(f.messages, func(a, b message) int { return a.at.Compare(b.at) })
+		for len(f.messages) > 0 && !f.messages[0].at.After(f.now) {
+			l := f.messages[0]
+			f.messages = f.messages[1:]
 			i := slices.IndexFunc(f.nodes, func(d *node) bool { return d.name == l.to })
-			if d := f.nodes[i]; d.alive && d.stopped { // it reads once it is woken
-				f.mail = append(f.mail, letter{f.now.Add(time.Second), l.to, l.open})
+			if d := f.nodes[i]; d.alive && d.stopped { // it reads messages once it is resumed
+				f.messages = append(f.messages, message{f.now.Add(time.Second), l.to, l.deliver})
 			} else if d.alive {
-				l.open(d)
-				f.act(d)
+				l.deliver(d)
+				f.perform(d)
 			}
 		}
 		turn := f.now.Sub(start) / (10 * time.Millisecond)
@@ -137,8 +137,8 @@
 			if (int(turn)+i)%30 == 0 {
 				var all []Peer
 				for _, p := range f.nodes {
-					if p != d && (p.alive && !p.stopped || f.unseen) && !f.cut(p.name, d.name) {
-						all = append(all, Peer{Name: p.name, Zone: p.zone, Watch: p.shows})
+					if p != d && (p.alive && !p.stopped || f.membershipStuck) && !f.cut(p.name, d.name) {
+						all = append(all, Peer{Name: p.name, Zone: p.zone, Watch: p.status})
 					}
 				}
 				d.Living(f.now, all)
@@ -150,7 +150,7 @@
 				d.Alive(f.now)
 			}
 			d.Tick(f.now)
-			f.act(d)
+			f.perform(d)
 		}
 	}
 }
@@ -164,60 +164,60 @@
 	return n
 }
 
-func (f *fleet) agree(t require.TestingT) {
+func (f *fleet) requireAgreement(t require.TestingT) {
 	for _, d := range f.nodes {
 		if d.alive && !d.stopped {
-			require.Equal(t, f.service.Revision, d.told.Revision, "%s (%v) %v", d.name, d.watch, d.notes)
+			require.Equal(t, f.service.Revision, d.appliedVersion.Revision, "%s (%v) %v", d.name, d.watch, d.logLines)
 			require.Len(t, d.table.Members(), len(f.service.Members), d.name)
 		}
 	}
 }
 
-// A few of each zone watch, all others are told by them, also of what changes; whoever dies is replaced.
-func TestFewWatchAndAllAreTold(t *testing.T) {
+// Checks that a few dispatchers of each zone watch, that all others receive every update, and that dead watchers are replaced.
+func TestFewWatchersInformAll(t *testing.T) {
 	f := newFleet(1, 90, 3)
 	f.run(3 * time.Second)
-	f.agree(t)
+	f.requireAgreement(t)
 	require.LessOrEqual(t, f.calls, 12)
 	for _, zone := range []string{"z0", "z1", "z2"} {
 		require.Equal(t, 2, f.watchers(zone))
 	}
 	f.publish(9)
 	f.run(200 * time.Millisecond)
-	f.agree(t)
+	f.requireAgreement(t)
 	for _, d := range f.nodes {
 		d.alive = !d.watch // all watchers die at once
 	}
 	f.run(3 * time.Second)
 	f.publish(10)
 	f.run(250 * time.Millisecond)
-	f.agree(t)
+	f.requireAgreement(t)
 	require.Equal(t, 2, f.watchers("z0"))
 	require.LessOrEqual(t, f.calls, 24)
 }
 
-// Watchers that were killed were waited for as long as the membership had not noticed: those who missed their word asked
-// each other, and each answer, which named the dead as its source, counted as a sign of life of theirs.
+// Guards against waiting for killed watchers until the membership notices. Dispatchers that missed their heartbeats requested the list
+// from each other, and each response, which named the dead watcher as its source, counted as a sign of life.
 func TestDeadWatchersAreReplacedBeforeTheMembershipNotices(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, size := range []int{8, 60} {
 			f := newFleet(seed, size, 2)
 			f.run(3 * time.Second)
-			f.unseen = true
+			f.membershipStuck = true
 			for _, d := range f.nodes {
 				d.alive = !d.watch || d.zone != "z0"
 			}
-			f.run(silentAfter + askEvery)
+			f.run(watcherTimeout + requestInterval)
 			require.Equal(t, 2, f.watchers("z0"), "seed %d, %d dispatchers", seed, size)
 			f.publish(9)
 			f.run(500 * time.Millisecond)
-			f.agree(t)
+			f.requireAgreement(t)
 		}
 	}
 }
 
-// Whoever cannot reach the service is replaced, also by those it does not know to be worse; one that slept is told.
-func TestWatchersThatCannot(t *testing.T) {
+// Checks that watchers without a connection to discovery are replaced, and that one that was suspended gets the newer list.
+func TestWatchersWithoutDiscoveryAreReplaced(t *testing.T) {
 	f := newFleet(2, 30, 2)
 	f.run(3 * time.Second)
 	var off []string
@@ -232,13 +232,13 @@
 	f.run(7 * time.Second)
 	f.publish(3)
 	f.run(300 * time.Millisecond)
-	f.agree(t)
+	f.requireAgreement(t)
 	for _, d := range f.nodes {
 		d.stopped = false
 	}
 	f.unserved = func(string) bool { return false }
 	f.run(5 * time.Second)
-	f.agree(t)
+	f.requireAgreement(t)
 	require.Equal(t, 2, f.watchers("z0"))
 	require.Equal(t, 2, f.watchers("z1"))
 	f.down = true
@@ -254,12 +254,12 @@
 	f.down = false
 	f.service.Revision++
 	f.run(7 * time.Second)
-	f.agree(t)
+	f.requireAgreement(t)
 }
 
-// Half a list, an empty one, one from the future and one of an impossible revision change nothing, and whoever tells
-// them is not listened to; what two watchers say is believed.
-func TestNonsenseIsNotBelieved(t *testing.T) {
+// Checks that a list that lacks half of the instances, an empty one, one from the future and one of an impossible revision change
+// nothing and that their senders are ignored, and that what two watchers report is accepted.
+func TestImplausibleListsAreRejected(t *testing.T) {
 	f := newFleet(3, 6, 1)
 	f.run(3 * time.Second)
 	d := f.nodes[0]
@@ -275,31 +275,31 @@
 		from := fmt.Sprint("x", i)
 		d.Told(f.now, from, bad)
 		d.Told(f.now, from, good)
-		require.Equal(t, Mark{0, 1}, d.mark, i)
-		require.Len(t, d.notes, 0)
-		f.act(d)
-		require.Len(t, d.notes, 1, "one line")
-		d.notes = nil
+		require.Equal(t, Mark{0, 1}, d.version, i)
+		require.Len(t, d.logLines, 0)
+		f.perform(d)
+		require.Len(t, d.logLines, 1, "one line")
+		d.logLines = nil
 	}
 	half := good
 	half.Members = half.Members[:3]
 	d.Told(f.now, "x8", half)
 	d.Told(f.now, "x8", half)
-	require.Equal(t, Mark{0, 1}, d.mark)
-	f.act(d)
-	require.Len(t, d.notes, 1)
-	d.notes = nil
+	require.Equal(t, Mark{0, 1}, d.version)
+	f.perform(d)
+	require.Len(t, d.logLines, 1)
+	d.logLines = nil
 	half.Source = "n2"
 	d.Told(f.now, "x8", half)
-	require.Equal(t, Mark{0, 2}, d.mark, "another watcher says so too")
+	require.Equal(t, Mark{0, 2}, d.version, "another watcher says so too")
 	d.Garbage(f.now, "n3", fmt.Errorf("garbage"))
 	d.Garbage(f.now, "n3", fmt.Errorf("garbage"))
-	f.act(d)
-	require.Len(t, d.notes, 1)
+	f.perform(d)
+	require.Len(t, d.logLines, 1)
 }
 
-// The list service is elsewhere, at lower revisions: only those that watch call there, and all go over to it at once.
-func TestListServiceMoves(t *testing.T) {
+// Checks that only watchers connect when discovery moves to a server with lower revisions, and that all accept its list at once.
+func TestDiscoveryMoves(t *testing.T) {
 	f := newFleet(5, 40, 2)
 	f.service.Revision = 99
 	f.publish(8)
@@ -308,25 +308,25 @@
 	before := f.calls
 	for _, d := range f.nodes {
 		d.Moved()
-		if d.wants { // its watch ends, and it calls at the new address
+		if d.shouldWatch { // its watch ends, and it connects to the new address
 			d.Lost(f.now)
 		} else {
-			require.Contains(t, d.out, Action(Keep{false}), d.name)
+			require.Contains(t, d.actions, Action(Keep{false}), d.name)
 		}
-		f.act(d)
+		f.perform(d)
 	}
 	f.run(time.Second)
-	f.agree(t)
+	f.requireAgreement(t)
 	require.LessOrEqual(t, f.calls-before, 8)
 	require.Equal(t, 2, f.watchers("z0"))
 	for _, d := range f.nodes {
-		require.False(t, d.moved && d.watch)
-		require.EqualValues(t, 1, d.mark.Term, d.name)
+		require.False(t, d.addressChanged && d.watch)
+		require.EqualValues(t, 1, d.version.Term, d.name)
 	}
 }
 
-// A service that tells an older list is not believed at once; one that goes on doing so has begun anew.
-func TestOlderListOfTheService(t *testing.T) {
+// Checks that an older list of discovery is not accepted at once, but is once discovery goes on reporting it.
+func TestOlderListFromDiscovery(t *testing.T) {
 	f := newFleet(4, 8, 1)
 	f.service.Revision = 99
 	f.publish(8)
@@ -334,24 +334,24 @@
 	f.service.Revision = 4
 	for _, d := range f.nodes {
 		if d.watch {
-			f.hear(d)
+			f.deliverList(d)
 		}
 	}
 	f.run(time.Second)
-	require.EqualValues(t, 100, f.nodes[0].mark.Revision)
+	require.EqualValues(t, 100, f.nodes[0].version.Revision)
 	for range 30 {
 		for _, d := range f.nodes {
 			if d.watch {
-				f.hear(d)
+				f.deliverList(d)
 			}
 		}
 		f.run(time.Second)
 	}
-	f.agree(t)
-	require.EqualValues(t, 1, f.nodes[0].mark.Term)
+	f.requireAgreement(t)
+	require.EqualValues(t, 1, f.nodes[0].version.Term)
 }
 
-// Whatever dies, sleeps and is cut off meanwhile: once it is over all have the last list, by few watches.
+// Checks that after any deaths, pauses and partitions all dispatchers have the last list and only a few watch.
 func TestAnyFaultsHeal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 24).Draw(t, "dispatchers")
@@ -380,7 +380,7 @@
 		f.run(45 * time.Second)
 		f.publish(8)
 		f.run(time.Second)
-		f.agree(t)
+		f.requireAgreement(t)
 		for _, d := range f.nodes {
 			require.LessOrEqual(t, f.watchers(d.zone), 2)
 			require.GreaterOrEqual(t, f.watchers(d.zone), 1)
--- a/internal/promise/machine.go
+++ b/internal/promise/machine.go
@@ -251,7 +251,7 @@
 	Index uint64 `json:"index"`
 }
 
-// expiry is a heap of ended entries, ordered by the end of their retention.
+// expiryHeap is a heap of ended entries, ordered by the end of their retention.
 type expiryHeap []*Entry
 
 func (x expiryHeap) Len() int { return len(x) }
@@ -284,7 +284,7 @@
 	return text
 }
 
-// looks is the prefix of an encoded read command, see [Command.Bytes].
+// readPrefix is the prefix of an encoded read command, see [Command.Bytes].
 var readPrefix = fmt.Appendf(nil, `{"v":%d,"op":%q`, Version, OpLook)
 
 // Read answers a read command without the log.
@@ -425,7 +425,7 @@
 	return Answer{OK: true, Receipt: &e.Receipt}
 }
 
-// word applies an instance's report on an attempt. It counts whoever the owner is now.
+// report applies an instance's report on an attempt. It counts whoever the owner is now.
 func (m *Machine) report(at time.Duration, e *Entry, c *Command) Answer {
 	if e.End != nil && !m.faults.AllowSecondEnd {
 		return Answer{Why: AlreadyEnded, End: e.End}
--- a/internal/promise/machine_test.go
+++ b/internal/promise/machine_test.go
@@ -120,12 +120,12 @@
 	}
 }
 
-// ms returns readings of both clocks n milliseconds after the start.
+// at returns readings of both clocks n milliseconds after the start.
 func at(n int) Clock {
 	return Clock{Mono: time.Duration(n) * time.Millisecond, Unix: time.Duration(n) * time.Millisecond}
 }
 
-// acting returns a table with one job and an owner that gets the lease of a term until a time.
+// ownedTable returns a table with one job and an owner that gets the lease of a term until a time.
 func ownedTable(t *testing.T, term uint64, until time.Duration) (m *Machine, o *Owner, take func(Clock) Start) {
 	m, o = New(), NewOwner(func(string) bool { return false })
 	apply(m, 1, 0, Command{Op: OpPromise, ID: "j", Job: &Job{Class: "c", Within: time.Second, Keep: time.Hour}})
--- a/internal/promise/model.go
+++ b/internal/promise/model.go
@@ -272,7 +272,7 @@
 	return a
 }
 
-// consistent checks that no attempt ran that was reported as never sent.
+// checkReports checks that no attempt ran that was reported as never sent.
 func (w *model) checkReports() {
 	for _, a := range w.runs {
 		if slices.ContainsFunc(w.reportedUnsent, func(s Sending) bool { return s.Job == WireID(jobID, 1, a.submission) && s.Instance == a.instance }) {
@@ -300,7 +300,7 @@
 	w.messages = nil
 }
 
-// step lets a dispatcher process the log, or, if hears is false, only its present copy of the table.
+// update lets a dispatcher process the log, or, if hears is false, only its present copy of the table.
 func (w *model) update(i int, hears bool) {
 	d := &w.dispatchers[i]
 	for ; hears && d.applied < len(w.log); d.applied++ {
@@ -312,7 +312,7 @@
 	w.perform(i)
 }
 
-// carry performs an owner's actions.
+// perform performs an owner's actions.
 func (w *model) perform(i int) {
 	d := &w.dispatchers[i]
 	for _, a := range d.owner.Actions() {
@@ -340,10 +340,10 @@
 	}
 }
 
-// job is the wire ID of the current submission.
+// wireID is the wire ID of the current submission.
 func (d *dispatcher) wireID() string { return WireID(jobID, 1, d.submission) }
 
-// leave stops all further sends of the current submission.
+// abandon stops all further sends of the current submission.
 func (d *dispatcher) abandon(c Clock) {
 	if d.submission > 0 {
 		d.records.Leave(d.wireID(), c.Mono)
@@ -529,7 +529,7 @@
 	d.state = started
 }
 
-// over ends the last attempt as one that has not run.
+// neverRan ends the last attempt as one that has not run.
 func (w *model) neverRan(i int) {
 	d := &w.dispatchers[i]
 	d.neverRan(w.clock(i))
--- a/internal/promise/owner.go
+++ b/internal/promise/owner.go
@@ -123,7 +123,7 @@
 // OwnerFaults disables rules, so that tests can check that each is needed.
 type OwnerFaults struct{ SendFirst, NoLease bool }
 
-// hand is a job that has been submitted to the dispatcher.
+// submission is a job that has been submitted to the dispatcher.
 type submission struct {
 	number       int
 	index        uint64 // of the receipt
@@ -142,7 +142,7 @@
 	retryAt time.Duration
 }
 
-// later holds when a job is to be submitted again.
+// resubmitState holds when a job is to be submitted again.
 type resubmitState struct {
 	at      time.Duration // by the lease clock
 	number  int
@@ -189,7 +189,7 @@
 	}
 }
 
-// leave abandons all submissions, since another dispatcher may be the owner now.
+// resign abandons all submissions, since another dispatcher may be the owner now.
 func (o *Owner) resign() {
 	for _, id := range slices.Sorted(maps.Keys(o.submitted)) {
 		h := o.submitted[id]
@@ -211,7 +211,7 @@
 	o.term, o.ownProposal, o.nextScan, o.lastSeen = 0, 0, 0, 0
 }
 
-// gen is the generation of commands: the term, and how often the lease was regained in it.
+// generation is the generation of commands: the term, and how often the lease was regained in it.
 func (o *Owner) generation() uint64 { return o.term<<generationShift + o.reacquisitions }
 
 const generationShift = 24
@@ -282,7 +282,7 @@
 	delete(o.resubmits, id)
 }
 
-// again repeats proposals with an unknown outcome and makes those that were postponed.
+// retryProposals repeats proposals with an unknown outcome and makes those that were postponed.
 func (o *Owner) retryProposals(c Clock, m *Machine) {
 	for _, id := range slices.Sorted(maps.Keys(o.submitted)) {
 		h := o.submitted[id]
@@ -350,7 +350,7 @@
 	h.endProposal = o.propose(*h.endCommand, proposal{id: id, submission: h.number})
 }
 
-// early reports whether a job that must not run twice would be refused before the table knows that its attempts never ran:
+// refusalTooEarly reports whether a job that must not run twice would be refused before the table knows that its attempts never ran:
 // it would then end as one that may have run. The owner waits for that as long as for a callback.
 func (o *Owner) refusalTooEarly(c Clock, h *submission, e *Entry) bool {
 	return h.endCommand.Kind == Refused && e != nil && !o.mayRetry(h.class) &&
--- a/internal/promise/sendings.go
+++ b/internal/promise/sendings.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// same reports whether two records are of the same attempt.
+// sameAttempt reports whether two records are of the same attempt.
 func (s *Sending) sameAttempt(as *Sending) bool {
 	return s.Job == as.Job && s.Instance == as.Instance && s.Gen == as.Gen
 }
@@ -153,7 +153,7 @@
 	s.retain(sending.Job, func(known *Sending) bool { return !known.sameAttempt(sending) })
 }
 
-// keep removes the attempts of a submission that do not match.
+// retain removes the attempts of a submission that do not match.
 func (s *Sendings) retain(job string, such func(*Sending) bool) {
 	s.byJob[job] = slices.DeleteFunc(s.byJob[job], func(known *Sending) bool { return !such(known) })
 	if len(s.byJob[job]) == 0 {
