--- a/internal/accord/machine.go
+++ b/internal/accord/machine.go
@@ -206,13 +206,13 @@
 		return encode(Answer{Index: index, Refused: "the command cannot be read"})
 	}
 	a := Answer{Index: index}
-	has, rev := [2]uint64{}, m.s.CordonRevision
+	known, revision := [2]uint64{}, m.s.CordonRevision
 	switch {
 	case CheckID(c.From.Name) != nil:
 		a.Refused = "the dispatcher's name cannot be kept"
 	case c.Beat != nil:
 		a.Refused = m.heartbeat(index, c.From, c.Beat)
-		has, rev = c.Beat.KnownVersions, c.Beat.Cordons
+		known, revision = c.Beat.KnownVersions, c.Beat.Cordons
 	case c.Cordon != nil:
 		a.Refused = m.applyOnce(c, func() string { return m.cordon(index, c.Cordon) })
 	case c.Proposal != nil:
@@ -228,17 +228,17 @@
 	}
 	m.advance(index)
 	a.Agreed, a.Phase, a.Members, a.CordonRevision, a.Past = m.s.Agreed, m.s.Phase, len(m.s.Processes), m.s.CordonRevision, m.s.Outcomes
-	if slices.Contains(has[:], a.Agreed.N) || c.Beat == nil {
+	if slices.Contains(known[:], a.Agreed.N) || c.Beat == nil {
 		a.Agreed.Text = nil
 	}
 	if p := m.s.Pending; p != nil {
 		v := *p
-		if slices.Contains(has[:], v.N) || c.Beat == nil {
+		if slices.Contains(known[:], v.N) || c.Beat == nil {
 			v.Text = nil
 		}
 		a.Pending = &v
 	}
-	if c.Beat != nil && rev != m.s.CordonRevision {
+	if c.Beat != nil && revision != m.s.CordonRevision {
 		all := append([]string{}, m.s.Cordons...)
 		a.Cordons = &all
 	}
@@ -281,9 +281,9 @@
 	if err := CheckID(c.ID); err != nil {
 		return err.Error()
 	}
-	at, there := slices.BinarySearch(m.s.Cordons, c.ID)
+	at, found := slices.BinarySearch(m.s.Cordons, c.ID)
 	switch {
-	case c.Cordoned == there:
+	case c.Cordoned == found:
 		return ""
 	case c.Cordoned && len(m.s.Cordons) >= MaxCordons:
 		return fmt.Sprintf("%d are left out already", MaxCordons)
@@ -331,18 +331,18 @@
 	}
 	// A process that was on the floor when it sent its heartbeat conflicts with nobody if the answer reported that both versions
 	// count. After an earlier answer it applies the agreed version alone, and its report is outdated.
-	said := func(l *Line) bool {
+	reported := func(l *Line) bool {
 		return l.Checked >= p.N && (l.Acts.Floor && l.Index >= m.s.JointSince || l.Acts == Acts{Low: m.s.Agreed.N, High: p.N})
 	}
-	if p != nil && m.s.Phase == Joint && m.all(said) {
+	if p != nil && m.s.Phase == Joint && m.all(reported) {
 		m.s.Agreed = *p
 		m.finish("")
 	}
 }
 
-func (m *Machine) all(is func(*Line) bool) bool {
+func (m *Machine) all(match func(*Line) bool) bool {
 	for _, l := range m.s.Processes {
-		if !is(l) {
+		if !match(l) {
 			return false
 		}
 	}
--- a/internal/accord/member.go
+++ b/internal/accord/member.go
@@ -130,7 +130,7 @@
 	}
 	o.Cordons = slices.Clone(m.cordons)
 	for id := range m.localCordons {
-		if at, there := slices.BinarySearch(o.Cordons, id); !there {
+		if at, found := slices.BinarySearch(o.Cordons, id); !found {
 			o.Cordons = slices.Insert(o.Cordons, at, id)
 		}
 	}
@@ -182,8 +182,8 @@
 	if m.pending != nil || !m.Leased(now) {
 		every = FastHeartbeatInterval
 	}
-	news := b.Acts != m.lastSent.Acts || b.Checked != m.lastSent.Checked || b.Refuses != m.lastSent.Refuses
-	if m.waiting || m.seq > 0 && now < m.sentAt+every && !news {
+	changed := b.Acts != m.lastSent.Acts || b.Checked != m.lastSent.Checked || b.Refuses != m.lastSent.Refuses
+	if m.waiting || m.seq > 0 && now < m.sentAt+every && !changed {
 		return Command{}, false
 	}
 	m.seq++
@@ -239,17 +239,17 @@
 
 // Cordon returns the command that cordons an instance or lifts its cordon. A cordon takes effect here at once, being the
 // stricter rule; it is lifted only once that is agreed.
-func (m *Member) Cordon(id string, out bool) (Command, error) {
+func (m *Member) Cordon(id string, cordoned bool) (Command, error) {
 	if err := CheckID(id); err != nil {
 		return Command{}, err
 	}
-	if _, there := m.localCordons[id]; out && !there && len(m.localCordons) >= MaxCordons {
+	if _, found := m.localCordons[id]; cordoned && !found && len(m.localCordons) >= MaxCordons {
 		return Command{}, fmt.Errorf("%d are left out here already", MaxCordons)
 	}
-	if out {
+	if cordoned {
 		m.localCordons[id] = 0
 	}
-	return m.command(Command{Cordon: &Cordon{id, out}}), nil
+	return m.command(Command{Cordon: &Cordon{id, cordoned}}), nil
 }
 
 func (m *Member) command(c Command) Command {
@@ -263,13 +263,13 @@
 	if a.Refused != "" {
 		return
 	}
-	_, waits := m.localCordons[c.ID]
+	_, waiting := m.localCordons[c.ID]
 	switch {
-	case c.Cordoned && waits:
+	case c.Cordoned && waiting:
 		m.localCordons[c.ID] = a.Index
 	case !c.Cordoned:
 		delete(m.localCordons, c.ID)
-		if at, there := slices.BinarySearch(m.cordons, c.ID); there && m.lastIndex < a.Index {
+		if at, found := slices.BinarySearch(m.cordons, c.ID); found && m.lastIndex < a.Index {
 			m.cordons = slices.Delete(slices.Clone(m.cordons), at, at+1)
 			m.cordonRevision = unknownRevision
 		}
@@ -315,9 +315,9 @@
 func NewDriver() *Driver { return &Driver{leaseExpiry: LeaseOver, seen: map[Who]sighting{}} }
 
 // Look examines the table; now must have been read after the table. It returns the commands to propose.
-func (d *Driver) Look(now time.Duration, from Who, lines []Line, pending uint64) (all []Command) {
-	next := make(map[Who]sighting, len(lines))
-	for _, l := range lines {
+func (d *Driver) Look(now time.Duration, from Who, processes []Line, pending uint64) (all []Command) {
+	next := make(map[Who]sighting, len(processes))
+	for _, l := range processes {
 		s, ok := d.seen[l.Who]
 		if !ok || s.index != l.Index {
 			s = sighting{l.Index, now}
@@ -332,13 +332,13 @@
 		d.pending, d.pendingSince = pending, now
 	}
 	if pending > 0 && now-d.pendingSince > ChangeTimeout {
-		late := ""
-		for _, l := range lines {
+		slowest := ""
+		for _, l := range processes {
 			if l.Checked < pending || !l.Acts.Floor && l.Acts.High != pending {
-				late = l.Who.Name
+				slowest = l.Who.Name
 			}
 		}
-		all = append(all, Command{From: from, Abandon: &Abandonment{pending, fmt.Sprintf("not agreed within %v: %s has not come to it", ChangeTimeout, late)}})
+		all = append(all, Command{From: from, Abandon: &Abandonment{pending, fmt.Sprintf("not agreed within %v: %s has not come to it", ChangeTimeout, slowest)}})
 	}
 	return all
 }
--- a/internal/accord/model_test.go
+++ b/internal/accord/model_test.go
@@ -55,7 +55,7 @@
 func newModel(mutant string, losses, faults, refuses int) *model {
 	w := &model{table: New(), driver: NewDriver(), losses: losses, faults: faults, mutant: mutant, refuses: refuses}
 	w.table.s.Agreed, w.table.s.LastNumber = Version{1, "n0", json.RawMessage(`"one"`)}, 1
-	if mutant == "who is not heard is put out at once" {
+	if mutant == "evicted before its lease expires" {
 		w.driver.leaseExpiry = 0
 	}
 	for i := range w.processes {
@@ -76,7 +76,7 @@
 }
 
 func (w *model) mutate(m *Member) {
-	if w.mutant == "the lease is ignored" {
+	if w.mutant == "lease ignored" {
 		m.lease, m.leaseEnd = time.Hour, time.Hour
 	}
 }
@@ -84,9 +84,9 @@
 func (w *model) apply(c Command) Answer {
 	w.index++
 	switch l := w.table.s.Processes[c.From.key()]; {
-	case w.mutant == "late beats count" && l != nil && c.Beat != nil:
+	case w.mutant == "late heartbeats count" && l != nil && c.Beat != nil:
 		l.Seq = 0
-	case w.mutant == "who was heard meanwhile is put out" && c.Evict != nil:
+	case w.mutant == "evicted in spite of a newer heartbeat" && c.Evict != nil:
 		if l := w.table.s.Processes[c.Evict.Who.key()]; l != nil {
 			c.Evict = &Eviction{c.Evict.Who, l.Index}
 		}
@@ -95,11 +95,11 @@
 	if err != nil {
 		panic(err)
 	}
-	if w.mutant == "alone before all have said so" && w.table.s.Phase == Joint {
+	if w.mutant == "version alone before all report it" && w.table.s.Phase == Joint {
 		w.table.s.Agreed = *w.table.s.Pending
 		w.table.finish("")
 	}
-	if w.mutant == "a floor of before counts" {
+	if w.mutant == "outdated floor counts" {
 		w.table.s.JointSince = 0
 	}
 	return a
@@ -122,7 +122,7 @@
 func (w *model) settle() {
 	for i := range w.processes {
 		p := &w.processes[i]
-		p.m.floorReported = p.m.floorReported && w.mutant != "the floor is left unanswered"
+		p.m.floorReported = p.m.floorReported && w.mutant != "floor left before an answer"
 		if o := p.m.Order(w.now()).Acts; !p.down && !p.paused && o.Floor {
 			p.m.Did(o)
 		}
@@ -131,7 +131,7 @@
 		for j := range i {
 			a, b := &w.processes[i], &w.processes[j]
 			if !a.down && !a.paused && !b.down && !b.paused && Contradict(a.m.effective, b.m.effective) {
-				w.conflict = fmt.Sprintf("n%d acts on %v and n%d on %v", j, b.m.effective, i, a.m.effective)
+				w.conflict = fmt.Sprintf("n%d applies %v and n%d applies %v", j, b.m.effective, i, a.m.effective)
 			}
 		}
 	}
@@ -144,8 +144,8 @@
 
 // steps returns all steps that are possible now.
 func (w *model) steps() (all []step) {
-	add := func(what string, i int, do func(*model, *process)) {
-		all = append(all, step{fmt.Sprintf("%s n%d", what, i), func(w *model) { do(w, &w.processes[i]) }})
+	add := func(name string, i int, do func(*model, *process)) {
+		all = append(all, step{fmt.Sprintf("%s n%d", name, i), func(w *model) { do(w, &w.processes[i]) }})
 	}
 	all = append(all, step{"tick", func(w *model) { w.clockTicks++ }})
 	for i := range w.processes {
@@ -156,7 +156,7 @@
 					p.m = NewMember(Who{fmt.Sprint("n", i), uint64(i + 10)}, p.saved)
 					w.mutate(p.m)
 					p.down = false
-					if w.mutant == "a start is no floor" {
+					if w.mutant == "no floor after a start" {
 						p.m.effective.Floor, p.m.leaseEnd = false, w.now()+Lease
 					}
 				})
@@ -164,14 +164,14 @@
 			continue
 		}
 		if p.paused {
-			add("wake", i, func(_ *model, p *process) { p.paused = false })
+			add("resume", i, func(_ *model, p *process) { p.paused = false })
 			continue
 		}
 		if w.faults > 0 && i == 1 {
 			add("pause", i, func(w *model, p *process) { p.paused = true; w.faults-- })
 		}
 		if w.faults > 0 && i == 2 {
-			add("lose", i, func(w *model, p *process) {
+			add("crash", i, func(w *model, p *process) {
 				p.down, p.saved = true, p.m.Keep()
 				if p.heartbeat != nil && p.answer == nil {
 					w.late = append(w.late, *p.heartbeat)
@@ -182,9 +182,9 @@
 		}
 		o := p.m.Order(w.now())
 		if o.Check != nil {
-			add("look", i, func(w *model, p *process) {
+			add("check", i, func(w *model, p *process) {
 				why := map[bool]string{true: "no"}[i == w.refuses]
-				if w.mutant == "not looked at by all" {
+				if w.mutant == "not checked by all" {
 					why = ""
 				}
 				p.m.Checked(p.m.Order(w.now()).Check.N, why)
@@ -196,9 +196,9 @@
 		if p.heartbeat == nil {
 			m := *p.m
 			if _, ok := m.Beat(w.now()); ok {
-				add("beat", i, func(w *model, p *process) {
+				add("heartbeat", i, func(w *model, p *process) {
 					did := p.m.effective
-					if w.mutant == "said before it is done" {
+					if w.mutant == "reported before it is applied" {
 						p.m.effective = p.m.Order(w.now()).Acts
 					}
 					c, _ := p.m.Beat(w.now())
@@ -207,10 +207,10 @@
 			}
 		}
 		if p.heartbeat != nil && p.answer != nil {
-			add("hear", i, func(w *model, p *process) {
+			add("receive", i, func(w *model, p *process) {
 				p.m.Heard(*p.answer)
 				p.heartbeat, p.answer = nil, nil
-				if w.mutant == "a lease from the answer on" {
+				if w.mutant == "lease counted from the answer" {
 					p.m.leaseEnd = w.now() + Lease
 				}
 			})
@@ -239,14 +239,14 @@
 		}})
 	}
 	for i := range w.evictions {
-		all = append(all, step{fmt.Sprint("commit pass ", i), func(w *model) {
+		all = append(all, step{fmt.Sprint("commit eviction ", i), func(w *model) {
 			c := w.evictions[i]
 			w.evictions = slices.Delete(w.evictions, i, i+1)
 			w.apply(c)
 		}})
 	}
 	if len(w.evictions) == 0 {
-		all = append(all, step{"look round", func(w *model) {
+		all = append(all, step{"monitor", func(w *model) {
 			w.evictions = w.driver.Look(w.now(), Who{Name: "n0"}, w.table.Lines(), w.table.Pending())
 		}})
 	}
@@ -257,27 +257,27 @@
 
 // key identifies a state by what matters for its future. Log indexes matter by their order only.
 func (w *model) key() uint64 {
-	marks := []uint64{w.table.s.JointSince}
+	indexes := []uint64{w.table.s.JointSince}
 	for _, l := range w.table.s.Processes {
-		marks = append(marks, l.Index)
+		indexes = append(indexes, l.Index)
 	}
 	for i := range w.processes {
-		marks = append(marks, w.processes[i].m.lastIndex)
+		indexes = append(indexes, w.processes[i].m.lastIndex)
 		if a := w.processes[i].answer; a != nil {
-			marks = append(marks, a.Index)
+			indexes = append(indexes, a.Index)
 		}
 	}
 	for _, s := range w.driver.seen {
-		marks = append(marks, s.index)
+		indexes = append(indexes, s.index)
 	}
 	for _, c := range w.evictions {
 		if c.Evict != nil {
-			marks = append(marks, c.Evict.Index)
+			indexes = append(indexes, c.Evict.Index)
 		}
 	}
-	slices.Sort(marks)
-	marks = slices.Compact(marks)
-	rank := func(n uint64) int { at, _ := slices.BinarySearch(marks, n); return at }
+	slices.Sort(indexes)
+	indexes = slices.Compact(indexes)
+	rank := func(n uint64) int { at, _ := slices.BinarySearch(indexes, n); return at }
 	b := make([]byte, 0, 512)
 	num := func(all ...int) {
 		for _, n := range all {
@@ -342,10 +342,10 @@
 var depth = flag.Int("depth", 7, "steps of the model")
 
 // explore tries all orders of steps; it returns the number of states and the steps to the first conflict.
-func explore(first *model, depth int) (states int, way []string, broken string) {
+func explore(first *model, depth int) (states int, trace []string, conflict string) {
 	type node struct {
-		w   *model
-		way []string
+		w     *model
+		trace []string
 	}
 	seen := map[uint64]bool{first.key(): true}
 	level := []node{{first, nil}}
@@ -357,11 +357,11 @@
 				s.do(c)
 				c.settle()
 				if c.conflict != "" {
-					return len(seen), append(slices.Clone(n.way), s.name), c.conflict
+					return len(seen), append(slices.Clone(n.trace), s.name), c.conflict
 				}
 				if k := c.key(); !seen[k] {
 					seen[k] = true
-					next = append(next, node{c, append(slices.Clip(n.way), s.name)})
+					next = append(next, node{c, append(slices.Clip(n.trace), s.name)})
 				}
 			}
 		}
@@ -374,8 +374,8 @@
 func TestModel(t *testing.T) {
 	for _, refuses := range []int{-1, 1} {
 		began := time.Now()
-		states, way, broken := explore(newModel("", 1, 1, refuses), *depth)
-		require.Empty(t, broken, "%v", way)
+		states, trace, conflict := explore(newModel("", 1, 1, refuses), *depth)
+		require.Empty(t, conflict, "%v", trace)
 		t.Logf("depth=%d refuses=%d states=%d in %v", *depth, refuses, states, time.Since(began).Round(time.Millisecond))
 	}
 }
@@ -426,7 +426,7 @@
 		for i := range w.processes {
 			a := w.processes[i].m.Acts()
 			if a.Floor || a.Low != w.table.s.Agreed.N || a.High != a.Low || w.table.Pending() != 0 {
-				t.Fatalf("n%d acts on %v, agreed is %d, under way %d", i, a, w.table.s.Agreed.N, w.table.Pending())
+				t.Fatalf("n%d applies %v; agreed: %d, pending: %d", i, a, w.table.s.Agreed.N, w.table.Pending())
 			}
 		}
 	})
@@ -435,8 +435,8 @@
 // Checks that the model finds a conflict for each rule that is disabled.
 func TestMutants(t *testing.T) {
 	for _, mutant := range []string{
-		"alone before all have said so", "the lease is ignored", "who is not heard is put out at once", "late beats count",
-		"who was heard meanwhile is put out", "said before it is done", "a lease from the answer on", "a start is no floor", "a floor of before counts", "the floor is left unanswered",
+		"version alone before all report it", "lease ignored", "evicted before its lease expires", "late heartbeats count",
+		"evicted in spite of a newer heartbeat", "reported before it is applied", "lease counted from the answer", "no floor after a start", "outdated floor counts", "floor left before an answer",
 	} {
 		t.Run(mutant, func(t *testing.T) {
 			t.Parallel()
@@ -444,11 +444,11 @@
 			for n := range 20000 {
 				g := rapid.Custom(func(t *rapid.T) string { return tryMutant(t, mutant) })
 				if caught = g.Example(n); caught != "" {
-					t.Logf("play %d: %s", n, caught)
+					t.Logf("run %d: %s", n, caught)
 					return
 				}
 			}
-			t.Fatal("not noticed")
+			t.Fatal("no conflict found")
 		})
 	}
 }
@@ -457,13 +457,13 @@
 func tryMutant(t *rapid.T, mutant string) string {
 	most := rapid.SampledFrom([]int{0, 3}).Draw(t, "faults")
 	w := newModel(mutant, most, most, -1)
-	if mutant == "late beats count" { // random steps reach this case too rarely
+	if mutant == "late heartbeats count" { // random steps reach this case too rarely
 		w.losses = 3
-		for _, what := range []string{"tick", "beat n1", "commit n1", "hear n1", "look n1", "tick", "tick", "beat n1", "give up n1"} {
+		for _, name := range []string{"tick", "heartbeat n1", "commit n1", "receive n1", "check n1", "tick", "tick", "heartbeat n1", "give up n1"} {
 			all := w.steps()
-			i := slices.IndexFunc(all, func(s step) bool { return s.name == what })
+			i := slices.IndexFunc(all, func(s step) bool { return s.name == name })
 			if i < 0 {
-				t.Fatalf("%s is no step", what)
+				t.Fatalf("%s is not a possible step", name)
 			}
 			all[i].do(w)
 			w.settle()
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -234,12 +234,12 @@
 	}
 	s.peersChanged, s.watcherOrder = now, ranked(zone, "watch "+s.config.Zone)
 	for name := range s.heartbeats {
-		if _, lives := next[name]; !lives {
+		if _, living := next[name]; !living {
 			delete(s.heartbeats, name)
 		}
 	}
 	for name := range s.forwarded {
-		if _, lives := next[name]; !lives && name != s.config.Name {
+		if _, living := next[name]; !living && name != s.config.Name {
 			delete(s.forwarded, name)
 		}
 	}
@@ -250,7 +250,7 @@
 
 // requestList requests the complete list from n peers, preferably of the own zone.
 func (s *State) requestList(now time.Time, n int) {
-	if every := map[bool]time.Duration{true: requestInterval, false: firstRequestInterval}[s.hasList]; now.Sub(s.requestedAt) < every {
+	if interval := map[bool]time.Duration{true: requestInterval, false: firstRequestInterval}[s.hasList]; now.Sub(s.requestedAt) < interval {
 		return
 	}
 	s.requestedAt = now
@@ -279,23 +279,23 @@
 	if !s.shouldWatch {
 		return // from a watch that has ended
 	}
-	mark := Mark{s.version.Term, l.Revision}
-	if s.hasList && mark.Before(s.version) {
+	version := Mark{s.version.Term, l.Revision}
+	if s.hasList && version.Before(s.version) {
 		if s.olderSince.IsZero() {
 			s.olderSince = now
-			s.emit(Note{Text: fmt.Sprintf("the list service tells revision %d after %v: not believed yet", l.Revision, s.version)})
+			s.emit(Note{Text: fmt.Sprintf("discovery reports the older revision %d after %v: not accepted yet", l.Revision, s.version)})
 		}
 		if !l.Complete || !s.addressChanged && now.Sub(s.olderSince) < olderListDelay {
 			s.checkFailing(now)
 			return
 		}
-		s.emit(Note{Text: fmt.Sprintf("the list service has begun its revisions anew, at %d", l.Revision)})
-		mark.Term++
+		s.emit(Note{Text: fmt.Sprintf("discovery has restarted its revisions at %d", l.Revision)})
+		version.Term++
 	} else if !s.olderSince.IsZero() && !l.Complete {
 		return // a change of a list that was not accepted
 	}
 	s.addressChanged, s.olderSince, s.failures, s.watch = false, time.Time{}, 0, Well
-	t := Told{Source: s.config.Name, Mark: mark, Base: s.version, Heard: now, Whole: l.Complete, Members: l.Members}
+	t := Told{Source: s.config.Name, Mark: version, Base: s.version, Heard: now, Whole: l.Complete, Members: l.Members}
 	s.applyList(now, t, l)
 	s.forward(now, t)
 	s.lastHeartbeat = now
@@ -331,7 +331,7 @@
 	}
 	if s.watch == Trying && now.Sub(s.tryingSince) >= failingAfter && len(s.watcherOrder) > 1 {
 		s.watch, s.failedAt = Failing, now
-		s.emit(Note{Text: "no watch on the list service: the next is to take over"})
+		s.emit(Note{Text: "no watch on discovery: the next dispatcher must take over"})
 	}
 	s.showStatus()
 }
@@ -363,19 +363,19 @@
 	if now.Before(s.distrusted[from]) {
 		return
 	}
-	if fault := s.implausible(now, t); fault != "" {
-		s.distrust(now, from, fault)
+	if reason := s.implausible(now, t); reason != "" {
+		s.distrust(now, from, reason)
 		return
 	}
 	if !t.Response {
 		s.emit(Ack{from, t.Source, t.Mark})
 	}
-	if _, lives := s.peers[t.Source]; lives && !t.Response { // the source that a response names may have died since
+	if _, living := s.peers[t.Source]; living && !t.Response { // the source that a response names may have died since
 		s.heartbeats[t.Source] = now
 	}
-	news := !s.hasList || s.version.Before(t.Mark)
+	newer := !s.hasList || s.version.Before(t.Mark)
 	switch {
-	case t.Beat && news || news && !t.Whole && (!s.hasList || s.version.Before(t.Base)): // an earlier update was missed
+	case t.Beat && newer || newer && !t.Whole && (!s.hasList || s.version.Before(t.Base)): // an earlier update was missed
 		if now.Sub(s.requestedAt) >= ackTimeout && !now.Before(s.notAsked[from]) {
 			s.requestedAt = now
 			s.emit(Ask{from})
@@ -384,9 +384,9 @@
 			s.forward(now, t)
 		}
 		return
-	case news && t.Whole && s.lacksHalf(t) && !s.confirmed(t):
+	case newer && t.Whole && s.lacksHalf(t) && !s.confirmed(t):
 		if s.suspectList.Source != t.Source || s.suspectList.Mark != t.Mark {
-			s.emit(Note{Text: fmt.Sprintf("a list %v of %s lacks more than half of the encoders: not believed until another watcher tells so", t.Mark, t.Source), Peer: from})
+			s.emit(Note{Text: fmt.Sprintf("a list %v of %s lacks more than half of the encoders: not accepted until another watcher confirms it", t.Mark, t.Source), Peer: from})
 			for _, name := range s.otherWatchers(t.Source) { // they answer with what their own watches report
 				s.emit(Ask{name})
 			}
@@ -396,7 +396,7 @@
 			s.forward(now, t)
 		}
 		return
-	case news:
+	case newer:
 		s.addressChanged = s.addressChanged && t.Mark.Term == s.version.Term // in a new term others have accepted the new address's list already
 		s.applyList(now, t, dispatch.List{Revision: t.Mark.Revision, Complete: t.Whole, Members: t.Members})
 		s.showStatus()
@@ -424,11 +424,11 @@
 func (s *State) implausible(now time.Time, t Told) string {
 	switch {
 	case t.Source == "" || t.Age < 0 || t.Mark.Term < 0 || t.Mark.Revision < 0:
-		return "what it tells lacks its source, its revision or its age"
+		return "message has no valid source, revision or age"
 	case t.Heard.Sub(now) > maxClockAhead:
-		return "what it tells is from the future"
+		return "message has a time in the future"
 	case s.hasList && (t.Mark.Revision-s.version.Revision > maxRevisionJump || t.Mark.Term-s.version.Term > maxRevisionJump):
-		return fmt.Sprintf("its list's revision %v is far beyond %v", t.Mark, s.version)
+		return fmt.Sprintf("revision %v of its list is too far beyond %v", t.Mark, s.version)
 	case t.Whole && len(t.Members) == 0 && s.hasList && len(s.table.Members()) > 0:
 		return "its list is empty"
 	}
@@ -441,13 +441,13 @@
 	if len(known) < minForHalfCheck {
 		return false
 	}
-	there := 0
+	found := 0
 	for _, m := range t.Members {
 		if _, ok := known[m.ID]; ok {
-			there++
+			found++
 		}
 	}
-	return 2*there < len(known)
+	return 2*found < len(known)
 }
 
 // confirmed reports whether another watcher reports the same, or whether there is no other.
@@ -457,9 +457,9 @@
 }
 
 // otherWatchers returns all watchers but one.
-func (s *State) otherWatchers(but string) (names []string) {
+func (s *State) otherWatchers(except string) (names []string) {
 	for _, p := range s.peers {
-		if p.Watch == Well && p.Name != but {
+		if p.Watch == Well && p.Name != except {
 			names = append(names, p.Name)
 		}
 	}
@@ -472,7 +472,7 @@
 		maps.DeleteFunc(of, func(_ string, until time.Time) bool { return !now.Before(until) })
 	}
 	s.distrusted[peer] = now.Add(distrustTime)
-	s.emit(Note{Text: why + ": not listened to for " + distrustTime.String(), Peer: peer})
+	s.emit(Note{Text: why + ": ignored for " + distrustTime.String(), Peer: peer})
 }
 
 // Asked handles a peer's request for the complete list.
@@ -488,11 +488,11 @@
 
 // forward forwards a message in its source's tree, each version once.
 func (s *State) forward(now time.Time, t Told) {
-	if _, passed := s.forwarded[t.Source]; !passed && len(s.forwarded) >= maxSources {
+	if _, known := s.forwarded[t.Source]; !known && len(s.forwarded) >= maxSources {
 		return
 	}
 	if !t.Beat {
-		if last, passed := s.forwarded[t.Source]; passed && !last.Before(t.Mark) {
+		if last, known := s.forwarded[t.Source]; known && !last.Before(t.Mark) {
 			return
 		}
 		s.forwarded[t.Source] = t.Mark
@@ -502,7 +502,7 @@
 
 func (s *State) send(now time.Time, to []string, t Told) {
 	for _, name := range to {
-		if before, waits := s.unacked[name]; !waits || before.Beat || !t.Beat {
+		if before, waiting := s.unacked[name]; !waiting || before.Beat || !t.Beat {
 			s.unacked[name] = pendingAck{t, now.Add(ackTimeout)}
 		}
 		s.emit(Say{name, t})
@@ -510,8 +510,8 @@
 }
 
 // Acked handles a peer's acknowledgement.
-func (s *State) Acked(from, source string, mark Mark) {
-	if w, ok := s.unacked[from]; ok && w.Source == source && !mark.Before(w.Mark) {
+func (s *State) Acked(from, source string, version Mark) {
+	if w, ok := s.unacked[from]; ok && w.Source == source && !version.Before(w.Mark) {
 		delete(s.unacked, from)
 	}
 }
@@ -606,16 +606,16 @@
 	failing := func(name string) bool {
 		return name == s.config.Name && s.watch == Failing || s.peers[name].Watch == Failing
 	}
-	before, mine := 0, false
-	looked := map[string]time.Time{}
+	before, selected := 0, false
+	examined := map[string]time.Time{}
 	for _, last := range []bool{false, true} {
 		for _, name := range s.watcherOrder {
 			if failing(name) != last || before >= s.config.Watchers {
 				continue
 			}
 			if name == s.config.Name {
-				mine = true
-			} else if last || s.isWatching(now, name, looked) {
+				selected = true
+			} else if last || s.isWatching(now, name, examined) {
 				before++
 				continue
 			} else {
@@ -624,29 +624,29 @@
 			before = s.config.Watchers // later ones are not examined
 		}
 	}
-	s.expected = looked
+	s.expected = examined
 	switch {
-	case mine && !s.shouldWatch:
+	case selected && !s.shouldWatch:
 		s.shouldWatch, s.watch, s.tryingSince, s.failures, s.retryAt = true, Trying, now, 0, time.Time{}
 		s.emit(Keep{true})
-	case !mine && s.shouldWatch:
+	case !selected && s.shouldWatch:
 		s.shouldWatch, s.retryAt, s.olderSince = false, time.Time{}, time.Time{}
 		if s.watch != Failing {
 			s.watch = None
 		}
 		s.emit(Keep{false})
-	case mine && s.watch == Trying:
+	case selected && s.watch == Trying:
 		s.checkFailing(now)
 	}
 }
 
 // isWatching reports whether a dispatcher that should watch sends heartbeats, or has not been expected to for long enough.
-func (s *State) isWatching(now time.Time, name string, looked map[string]time.Time) bool {
+func (s *State) isWatching(now time.Time, name string, examined map[string]time.Time) bool {
 	last, ok := s.expected[name]
 	if !ok {
 		last = now
 	}
-	looked[name] = last
+	examined[name] = last
 	if at := s.heartbeats[name]; at.After(last) {
 		last = at
 	}
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -24,7 +24,7 @@
 	service         dispatch.List
 	down            bool
 	cut             func(a, b string) bool // drops messages
-	unserved        func(string) bool      // cut off from discovery
+	cutOff          func(string) bool      // cut off from discovery
 	membershipStuck bool                   // the membership does not notice dispatchers that die or are paused
 	messages        []message
 	calls           int
@@ -48,7 +48,7 @@
 }
 
 func newFleet(seed uint64, n, zones int) *fleet {
-	f := &fleet{now: start, rng: rand.New(rand.NewPCG(seed, 1)), cut: func(string, string) bool { return false }, unserved: func(string) bool { return false }}
+	f := &fleet{now: start, rng: rand.New(rand.NewPCG(seed, 1)), cut: func(string, string) bool { return false }, cutOff: func(string) bool { return false }}
 	for i := range n {
 		d := &node{name: fmt.Sprint("n", i), zone: fmt.Sprint("z", i%zones), alive: true}
 		d.State = New(Config{Name: d.name, Zone: d.zone, Watchers: 2, FanOut: 4, Expected: n}, f.now)
@@ -65,7 +65,7 @@
 		f.service.Members = append(f.service.Members, dispatch.Member{ID: fmt.Sprint("s-", i), State: decide.Ready})
 	}
 	for _, d := range f.nodes {
-		if d.watch && !f.unserved(d.name) {
+		if d.watch && !f.cutOff(d.name) {
 			f.deliverList(d)
 		}
 	}
@@ -78,9 +78,9 @@
 	}
 }
 
-func (f *fleet) send(from, to string, open func(*node)) {
+func (f *fleet) send(from, to string, deliver func(*node)) {
 	if !f.cut(from, to) {
-		f.messages = append(f.messages, message{f.now.Add(time.Duration(1+f.rng.IntN(20)) * time.Millisecond), to, open})
+		f.messages = append(f.messages, message{f.now.Add(time.Duration(1+f.rng.IntN(20)) * time.Millisecond), to, deliver})
 	}
 }
 
@@ -98,7 +98,7 @@
 				continue
 			}
 			f.calls++
-			if d.watch = !f.down && !f.unserved(d.name); d.watch {
+			if d.watch = !f.down && !f.cutOff(d.name); d.watch {
 				f.messages = append(f.messages, message{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.Heard(f.now, f.service) }})
 			} else {
 				f.messages = append(f.messages, message{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.Lost(f.now) }})
@@ -115,8 +115,8 @@
 }
 
 // run lets time pass. The membership reports living and reachable dispatchers with a delay of 300 ms.
-func (f *fleet) run(long time.Duration) {
-	for end := f.now.Add(long); f.now.Before(end); f.now = f.now.Add(10 * time.Millisecond) {
+func (f *fleet) run(duration time.Duration) {
+	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(10 * time.Millisecond) {
 		slices.SortStableFunc(f.messages, func(a, b message) int { return a.at.Compare(b.at) })
 		for len(f.messages) > 0 && !f.messages[0].at.After(f.now) {
 			l := f.messages[0]
@@ -129,12 +129,12 @@
 				f.perform(d)
 			}
 		}
-		turn := f.now.Sub(start) / (10 * time.Millisecond)
+		step := f.now.Sub(start) / (10 * time.Millisecond)
 		for i, d := range f.nodes {
-			if !d.alive || d.stopped || (int(turn)+i)%5 != 0 {
+			if !d.alive || d.stopped || (int(step)+i)%5 != 0 {
 				continue
 			}
-			if (int(turn)+i)%30 == 0 {
+			if (int(step)+i)%30 == 0 {
 				var all []Peer
 				for _, p := range f.nodes {
 					if p != d && (p.alive && !p.stopped || f.membershipStuck) && !f.cut(p.name, d.name) {
@@ -143,10 +143,10 @@
 				}
 				d.Living(f.now, all)
 			}
-			if d.watch && f.unserved(d.name) {
+			if d.watch && f.cutOff(d.name) {
 				d.watch = false
 				d.Lost(f.now)
-			} else if d.watch && int(turn)%100 == 0 {
+			} else if d.watch && int(step)%100 == 0 {
 				d.Alive(f.now)
 			}
 			d.Tick(f.now)
@@ -228,7 +228,7 @@
 			d.stopped = true
 		}
 	}
-	f.unserved = func(name string) bool { return slices.Contains(off, name) }
+	f.cutOff = func(name string) bool { return slices.Contains(off, name) }
 	f.run(7 * time.Second)
 	f.publish(3)
 	f.run(300 * time.Millisecond)
@@ -236,7 +236,7 @@
 	for _, d := range f.nodes {
 		d.stopped = false
 	}
-	f.unserved = func(string) bool { return false }
+	f.cutOff = func(string) bool { return false }
 	f.run(5 * time.Second)
 	f.requireAgreement(t)
 	require.Equal(t, 2, f.watchers("z0"))
@@ -264,21 +264,21 @@
 	f.run(3 * time.Second)
 	d := f.nodes[0]
 	good := Told{Source: "n1", Mark: Mark{0, 2}, Heard: f.now, Whole: true, Members: f.service.Members}
-	for i, spoil := range []func(*Told){
+	for i, corrupt := range []func(*Told){
 		func(w *Told) { w.Members = nil },
 		func(w *Told) { w.Heard = f.now.Add(time.Minute) },
 		func(w *Told) { w.Mark.Revision = 1 << 40 },
 		func(w *Told) { w.Source = "" },
 	} {
-		bad := good
-		spoil(&bad)
+		invalid := good
+		corrupt(&invalid)
 		from := fmt.Sprint("x", i)
-		d.Told(f.now, from, bad)
+		d.Told(f.now, from, invalid)
 		d.Told(f.now, from, good)
 		require.Equal(t, Mark{0, 1}, d.version, i)
 		require.Len(t, d.logLines, 0)
 		f.perform(d)
-		require.Len(t, d.logLines, 1, "one line")
+		require.Len(t, d.logLines, 1, "logged once")
 		d.logLines = nil
 	}
 	half := good
@@ -291,7 +291,7 @@
 	d.logLines = nil
 	half.Source = "n2"
 	d.Told(f.now, "x8", half)
-	require.Equal(t, Mark{0, 2}, d.version, "another watcher says so too")
+	require.Equal(t, Mark{0, 2}, d.version, "another watcher reports it, too")
 	d.Garbage(f.now, "n3", fmt.Errorf("garbage"))
 	d.Garbage(f.now, "n3", fmt.Errorf("garbage"))
 	f.perform(d)
@@ -364,16 +364,16 @@
 				}
 				return func(name string) bool { return who[name] }
 			}
-			side, off, asleep := some("side"), some("off"), some("asleep")
+			side, cutOff, paused := some("side"), some("off"), some("paused")
 			f.cut = func(a, b string) bool { return side(a) != side(b) }
-			f.unserved = off
+			f.cutOff = cutOff
 			for _, d := range f.nodes {
-				d.stopped = asleep(d.name)
+				d.stopped = paused(d.name)
 			}
 			f.run(time.Duration(rapid.IntRange(10, 4000).Draw(t, "ms")) * time.Millisecond)
 			f.publish(rapid.IntRange(5, 9).Draw(t, "encoders"))
 		}
-		f.cut, f.unserved = func(string, string) bool { return false }, func(string) bool { return false }
+		f.cut, f.cutOff = func(string, string) bool { return false }, func(string) bool { return false }
 		for _, d := range f.nodes {
 			d.stopped = false
 		}
--- a/internal/promise/machine.go
+++ b/internal/promise/machine.go
@@ -231,7 +231,7 @@
 	owner          uint64 // the highest generation of an owner
 	jobs           map[string]*Entry
 	openJobs       []*Entry // jobs without an end, by index; may contain some that have ended since
-	endedInOpen    int      // number of entries in open that have ended
+	endedInOpen    int      // number of entries in openJobs that have ended
 	ended          expiryHeap
 	bytes          int
 	forgotten      map[string]uint64 // removed IDs with the index of their removal
@@ -454,12 +454,12 @@
 func truncate(reason string) string { return reason[:min(len(reason), MaxReason)] }
 
 func (m *Machine) end(e *Entry, end *End) {
-	again := e.End != nil
+	endedBefore := e.End != nil
 	m.bytes -= e.bytes()
 	end.Reason = truncate(end.Reason)
 	e.End, e.Intents, e.Job.Payload = end, nil, nil
 	m.bytes += e.bytes()
-	if again {
+	if endedBefore {
 		return
 	}
 	heap.Push(&m.ended, e)
@@ -540,19 +540,19 @@
 
 // WireID returns the ID under which instances know one submission of a job. It differs between submissions, and between promises that
 // use the same ID one after the other, so that an instance's leftover state of an earlier one is not taken for that of a later one.
-func WireID(id string, index uint64, hand int) string {
-	return id + "~" + strconv.FormatUint(index, 10) + "~" + strconv.Itoa(hand)
+func WireID(id string, index uint64, submission int) string {
+	return id + "~" + strconv.FormatUint(index, 10) + "~" + strconv.Itoa(submission)
 }
 
 // ReadWireID parses a wire ID; ok is false if it belongs to no promised job.
-func ReadWireID(text string) (id string, index uint64, hand int, ok bool) {
+func ReadWireID(text string) (id string, index uint64, submission int, ok bool) {
 	parts := strings.Split(text, "~")
 	if len(parts) != 3 || CheckID(parts[0]) != nil {
 		return "", 0, 0, false
 	}
 	index, err := strconv.ParseUint(parts[1], 10, 64)
 	if err == nil {
-		hand, err = strconv.Atoi(parts[2])
+		submission, err = strconv.Atoi(parts[2])
 	}
-	return parts[0], index, hand, err == nil && hand > 0
+	return parts[0], index, submission, err == nil && submission > 0
 }
--- a/internal/promise/model.go
+++ b/internal/promise/model.go
@@ -54,7 +54,7 @@
 	owner        *Owner
 	submission   int    // submitted to the loop; 0: none
 	attempts     int    // of this submission so far
-	instance     string // instance of the last attempt; state and goes are of that, too
+	instance     string // instance of the last attempt; state and sendUntil are of that, too
 	state        int
 	sendUntil    time.Duration
 
@@ -91,8 +91,8 @@
 }
 
 func (w *model) clock(d int) Clock {
-	late := time.Duration(d) * drift
-	return Clock{Mono: time.Duration(w.now)*tick + tick - late, Unix: time.Duration(w.now) * tick}
+	behind := time.Duration(d) * drift
+	return Clock{Mono: time.Duration(w.now)*tick + tick - behind, Unix: time.Duration(w.now) * tick}
 }
 
 func (m *Machine) clone() *Machine {
@@ -126,8 +126,8 @@
 func (s *Sendings) clone(of *Sending) (*Sendings, *Sending) {
 	c := NewSendings()
 	c.faults = s.faults
-	for _, sending := range s.All() {
-		c.add(sending)
+	for _, record := range s.All() {
+		c.add(record)
 	}
 	if of == nil {
 		return c, nil
@@ -147,9 +147,9 @@
 		d.table, d.owner = w.dispatchers[i].table.clone(), w.dispatchers[i].owner.clone()
 		d.records, d.record = d.records.clone(d.record)
 		if d.abandoned != nil {
-			behind, sending := *d.abandoned, *d.abandoned.record
-			behind.record = &sending
-			d.abandoned = &behind
+			abandoned, record := *d.abandoned, *d.abandoned.record
+			abandoned.record = &record
+			d.abandoned = &abandoned
 		}
 	}
 	c.reportedUnsent = slices.Clone(w.reportedUnsent)
@@ -226,14 +226,14 @@
 			}
 		}
 	}
-	flights := make([]string, len(w.messages)) // any may be delivered next: their order does not matter
-	for i, f := range w.messages {
-		_, heard := w.dispatchers[f.dispatcher].owner.proposals[f.seq]
-		flights[i] = fmt.Sprint(f.dispatcher, heard, f.answer != nil, f.cmd)
+	messages := make([]string, len(w.messages)) // any may be delivered next: their order does not matter
+	for i, msg := range w.messages {
+		_, pending := w.dispatchers[msg.dispatcher].owner.proposals[msg.seq]
+		messages[i] = fmt.Sprint(msg.dispatcher, pending, msg.answer != nil, msg.cmd)
 	}
-	slices.Sort(flights)
-	for _, f := range flights {
-		b = append(b, f...)
+	slices.Sort(messages)
+	for _, msg := range messages {
+		b = append(b, msg...)
 	}
 	return maphash.Bytes(seed, b)
 }
@@ -247,27 +247,27 @@
 }
 
 // commit makes the group commit a message.
-func (w *model) commit(f message) Answer {
-	w.log = append(w.log, logEntry{time.Duration(w.now) * tick, f.cmd})
-	a, _ := ReadAnswer(w.table.Apply(uint64(len(w.log)), time.Duration(w.now)*tick, []byte(f.cmd)))
+func (w *model) commit(msg message) Answer {
+	w.log = append(w.log, logEntry{time.Duration(w.now) * tick, msg.cmd})
+	a, _ := ReadAnswer(w.table.Apply(uint64(len(w.log)), time.Duration(w.now)*tick, []byte(msg.cmd)))
 	if e := w.table.Entry(jobID); e != nil && e.End != nil {
 		if w.firstEnd != nil && (e.End.Kind != w.firstEnd.Kind || e.End.Reason != w.firstEnd.Reason || e.End.At != w.firstEnd.At) {
-			w.violate("end not once")
+			w.violate("more than one end")
 		}
 		if w.firstEnd == nil && e.End.Kind == Failed && slices.Contains(slices.Collect(maps.Values(w.callbackAcked)), true) {
-			w.violate("answered, and lost")
+			w.violate("callback acknowledged, but its result lost")
 		}
 		end := *e.End
 		if w.firstEnd = &end; e.End.Kind == Refused && len(w.runs) > 0 {
-			w.violate("refused, and it ran")
+			w.violate("refused, but it ran")
 		}
 	}
-	if f.unsent != nil && a.OK {
-		w.reportedUnsent = append(w.reportedUnsent, *f.unsent)
+	if msg.unsent != nil && a.OK {
+		w.reportedUnsent = append(w.reportedUnsent, *msg.unsent)
 		w.checkReports()
 	}
-	if f.answer != nil {
-		w.callbackAcked[*f.answer] = a.OK || a.Why == AlreadyEnded
+	if msg.answer != nil {
+		w.callbackAcked[*msg.answer] = a.OK || a.Why == AlreadyEnded
 	}
 	return a
 }
@@ -276,7 +276,7 @@
 func (w *model) checkReports() {
 	for _, a := range w.runs {
 		if slices.ContainsFunc(w.reportedUnsent, func(s Sending) bool { return s.Job == WireID(jobID, 1, a.submission) && s.Instance == a.instance }) {
-			w.violate("told as never sent, and it ran")
+			w.violate("reported as never sent, but it ran")
 		}
 	}
 }
@@ -294,16 +294,16 @@
 }
 
 func (w *model) commitAll() {
-	for _, f := range w.messages {
-		w.dispatchers[f.dispatcher].owner.Proposed(w.clock(f.dispatcher), f.seq, w.commit(f), false)
+	for _, msg := range w.messages {
+		w.dispatchers[msg.dispatcher].owner.Proposed(w.clock(msg.dispatcher), msg.seq, w.commit(msg), false)
 	}
 	w.messages = nil
 }
 
-// update lets a dispatcher process the log, or, if hears is false, only its present copy of the table.
-func (w *model) update(i int, hears bool) {
+// update lets a dispatcher process the log, or, if readsLog is false, only its present copy of the table.
+func (w *model) update(i int, readsLog bool) {
 	d := &w.dispatchers[i]
-	for ; hears && d.applied < len(w.log); d.applied++ {
+	for ; readsLog && d.applied < len(w.log); d.applied++ {
 		d.table.Apply(uint64(d.applied+1), w.log[d.applied].at, []byte(w.log[d.applied].cmd))
 	}
 	c := w.clock(i)
@@ -367,7 +367,7 @@
 	d := &w.dispatchers[i]
 	if d.state = sent; d.owner.clone().mayRetry("") {
 		if w.now >= d.trueLeaseEnd {
-			w.violate("sent after its lease")
+			w.violate("sent after the end of its lease")
 		}
 	} else {
 		switch {
@@ -376,29 +376,29 @@
 		case w.firstEnd != nil:
 			w.violate("ran after its end")
 		case w.now >= d.trueLeaseEnd:
-			w.violate("sent after its lease")
+			w.violate("sent after the end of its lease")
 		}
 	}
 	w.runs = append(w.runs, attempt{i, d.submission, d.attempts, d.instance})
 	w.checkReports()
 	if w.firstEnd != nil && w.firstEnd.Kind == Refused {
-		w.violate("refused, and it ran")
+		w.violate("refused, but it ran")
 	}
 }
 
 // next returns all possible successor states.
-func (w *model) next(most limits) (all []*model) {
+func (w *model) next(limit limits) (all []*model) {
 	try := func(f func(*model)) {
 		c := w.clone()
 		f(c)
 		all = append(all, c)
 	}
 	beginning := slices.ContainsFunc(w.dispatchers[:], func(d dispatcher) bool { return d.state == started }) // this takes less time than the lease's margin
-	if w.now < most.ticks && !beginning {
+	if w.now < limit.ticks && !beginning {
 		try(func(w *model) { w.now++ })
 	}
 	for i := range w.dispatchers {
-		if w.grants < most.grants && (w.now >= w.leaseEnd || w.holder == i) {
+		if w.grants < limit.grants && (w.now >= w.leaseEnd || w.holder == i) {
 			try(func(w *model) { w.grant(i) })
 		}
 		d := &w.dispatchers[i]
@@ -406,29 +406,29 @@
 		if d.applied < len(w.log) {
 			try(func(w *model) { w.update(i, false) })
 		}
-		if w.crashes < most.crashes {
+		if w.crashes < limit.crashes {
 			try(func(w *model) {
 				w.crashes++
-				repeats := w.dispatchers[i].owner.mayRetry
-				faulty := w.dispatchers[i].owner.faults
-				sends := NewSendings()
-				sends.faults = w.dispatchers[i].records.faults
-				for _, sending := range w.dispatchers[i].records.All() {
-					sends.Restore(sending)
+				mayRetry := w.dispatchers[i].owner.mayRetry
+				faults := w.dispatchers[i].owner.faults
+				records := NewSendings()
+				records.faults = w.dispatchers[i].records.faults
+				for _, record := range w.dispatchers[i].records.All() {
+					records.Restore(record)
 				}
-				w.dispatchers[i] = dispatcher{table: w.dispatchers[i].table, applied: w.dispatchers[i].applied, owner: NewOwner(repeats), records: sends}
-				w.dispatchers[i].owner.faults, w.dispatchers[i].owner.scanInterval = faulty, 0
-				w.messages = slices.DeleteFunc(w.messages, func(f message) bool { return f.dispatcher == i && f.seq == 0 })
+				w.dispatchers[i] = dispatcher{table: w.dispatchers[i].table, applied: w.dispatchers[i].applied, owner: NewOwner(mayRetry), records: records}
+				w.dispatchers[i].owner.faults, w.dispatchers[i].owner.scanInterval = faults, 0
+				w.messages = slices.DeleteFunc(w.messages, func(msg message) bool { return msg.dispatcher == i && msg.seq == 0 })
 				if w.holder == i {
 					w.holder = -1
 				}
 			})
 		}
-		for _, sending := range d.records.All() {
-			if c, ok := sending.NeverSent(); ok && sending.State == Unsent && !w.inFlight(c) {
-				if intended, _ := d.table.Intended(&sending); intended {
+		for _, record := range d.records.All() {
+			if c, ok := record.NeverSent(); ok && record.State == Unsent && !w.inFlight(c) {
+				if intended, _ := d.table.Intended(&record); intended {
 					try(func(w *model) {
-						w.messages = append(w.messages, message{dispatcher: i, unsent: &sending, cmd: string(c.Bytes())})
+						w.messages = append(w.messages, message{dispatcher: i, unsent: &record, cmd: string(c.Bytes())})
 					})
 				}
 			}
@@ -446,7 +446,7 @@
 		left := time.Duration(jobTicks-w.now) * tick
 		switch d.state {
 		case none:
-			for instance := range min(most.attempts-d.attempts, d.attempts+1) { // the same instance again or another one
+			for instance := range min(limit.attempts-d.attempts, d.attempts+1) { // the same instance again or another one
 				try(func(w *model) {
 					d := &w.dispatchers[i]
 					d.attempts, d.state, d.instance = d.attempts+1, requested, fmt.Sprint("s-", instance)
@@ -471,36 +471,36 @@
 		}
 	}
 	for _, a := range w.runs { // callbacks may reach any dispatcher, also one that has nothing to do with the job
-		if !w.callbackAcked[a] && !slices.ContainsFunc(w.messages, func(f message) bool { return f.answer != nil && *f.answer == a }) {
+		if !w.callbackAcked[a] && !slices.ContainsFunc(w.messages, func(msg message) bool { return msg.answer != nil && *msg.answer == a }) {
 			try(func(w *model) {
-				word := Command{Op: OpWord, ID: jobID, Index: 1, Hand: a.submission, Instance: a.instance, Kind: Done}
-				call := message{dispatcher: 1 - a.dispatcher, answer: &a, cmd: string(word.Bytes())}
-				if most.ackFirst {
-					w.callbackAcked[a], call.answer = true, nil
+				report := Command{Op: OpWord, ID: jobID, Index: 1, Hand: a.submission, Instance: a.instance, Kind: Done}
+				callback := message{dispatcher: 1 - a.dispatcher, answer: &a, cmd: string(report.Bytes())}
+				if limit.ackFirst {
+					w.callbackAcked[a], callback.answer = true, nil
 				}
-				w.messages = append(w.messages, call)
+				w.messages = append(w.messages, callback)
 			})
 		}
 	}
-	for k, f := range w.messages {
+	for k, msg := range w.messages {
 		out := func(w *model) { w.messages = slices.Delete(w.messages, k, k+1) }
 		try(func(w *model) {
 			out(w)
-			a := w.commit(f)
-			if f.seq > 0 {
-				w.dispatchers[f.dispatcher].owner.Proposed(w.clock(f.dispatcher), f.seq, a, false)
-				w.perform(f.dispatcher)
+			a := w.commit(msg)
+			if msg.seq > 0 {
+				w.dispatchers[msg.dispatcher].owner.Proposed(w.clock(msg.dispatcher), msg.seq, a, false)
+				w.perform(msg.dispatcher)
 			}
 		})
-		if w.unknownOutcomes < most.unknownOutcomes && f.seq > 0 {
+		if w.unknownOutcomes < limit.unknownOutcomes && msg.seq > 0 {
 			for _, counts := range []bool{true, false} {
 				try(func(w *model) {
 					if w.unknownOutcomes++; counts {
-						w.commit(f)
+						w.commit(msg)
 					}
 					out(w)
-					w.dispatchers[f.dispatcher].owner.Proposed(w.clock(f.dispatcher), f.seq, Answer{}, true)
-					w.perform(f.dispatcher)
+					w.dispatchers[msg.dispatcher].owner.Proposed(w.clock(msg.dispatcher), msg.seq, Answer{}, true)
+					w.perform(msg.dispatcher)
 				})
 			}
 		}
@@ -510,12 +510,12 @@
 
 func (w *model) answer(i int, v Verdict, left time.Duration) {
 	d := &w.dispatchers[i]
-	hand, sending := d.submission, d.record
+	submission, record := d.submission, d.record
 	d.abandon(w.clock(i))
-	if v == Broken && sending != nil && sending.State == Unsent { // cancelled before its first byte
+	if v == Broken && record != nil && record.State == Unsent { // cancelled before its first byte
 		v = TurnedAway
 	}
-	d.owner.Answered(w.clock(i), jobID, 1, hand, v, d.instance, nil, 0, left)
+	d.owner.Answered(w.clock(i), jobID, 1, submission, v, d.instance, nil, 0, left)
 	w.perform(i)
 }
 
@@ -540,7 +540,7 @@
 // inFlight reports whether a report is proposed and not committed yet.
 func (w *model) inFlight(c Command) bool {
 	text := string(c.Bytes())
-	return slices.ContainsFunc(w.messages, func(f message) bool { return f.seq == 0 && f.cmd == text })
+	return slices.ContainsFunc(w.messages, func(msg message) bool { return msg.seq == 0 && msg.cmd == text })
 }
 
 type limits struct {
@@ -549,8 +549,8 @@
 }
 
 // explore searches all states up to a depth and returns the first violated rule.
-func explore(repeats bool, f Faults, o OwnerFaults, sends SendRecordFaults, most limits) (states, depth int, broken string) {
-	class := func(string) bool { return repeats }
+func explore(mayRetry bool, f Faults, o OwnerFaults, s SendRecordFaults, limit limits) (states, depth int, broken string) {
+	class := func(string) bool { return mayRetry }
 	w := &model{ignoreLease: o.NoLease, holder: -1, callbackAcked: map[attempt]bool{}}
 	w.table = New()
 	w.table.faults = f
@@ -558,22 +558,22 @@
 		w.dispatchers[i].table, w.dispatchers[i].owner = w.table.clone(), NewOwner(class)
 		w.dispatchers[i].owner.faults, w.dispatchers[i].owner.scanInterval = o, 0
 		w.dispatchers[i].records = NewSendings()
-		w.dispatchers[i].records.faults = sends
+		w.dispatchers[i].records.faults = s
 	}
 	w.commit(message{cmd: string(Command{Op: OpPromise, ID: jobID, Job: &Job{Class: "c", Within: jobTicks * tick, Keep: time.Hour}}.Bytes())})
 	w.grant(0) // the first dispatcher holds the job: the change of owner follows
 	w.commitAll()
 	w.update(0, true)
 	seen, front := map[uint64]bool{w.key(): true}, []*model{w}
-	for depth = 0; depth < most.depth && len(front) > 0; depth++ {
+	for depth = 0; depth < limit.depth && len(front) > 0; depth++ {
 		var further []*model
 		for _, w := range front {
-			for _, n := range w.next(most) {
+			for _, n := range w.next(limit) {
 				if n.violation != "" {
 					return len(seen), depth + 1, n.violation
 				}
 				if k := n.key(); !seen[k] {
-					if seen[k] = true; len(seen) >= most.states {
+					if seen[k] = true; len(seen) >= limit.states {
 						return len(seen), depth, ""
 					}
 					further = append(further, n)
@@ -595,8 +595,8 @@
 
 // Explore searches all states within depth steps of one in which a dispatcher has the lease and holds a job. The job's class
 // allows retries of jobs that may have run, or does not.
-func Explore(repeats bool, depth int) Exploration {
-	states, reached, broken := explore(repeats, Faults{}, OwnerFaults{}, SendRecordFaults{}, limits{depth: depth, ticks: 9, grants: 3, attempts: 2, unknownOutcomes: 1, crashes: 1, states: 1 << 30})
+func Explore(mayRetry bool, depth int) Exploration {
+	states, reached, broken := explore(mayRetry, Faults{}, OwnerFaults{}, SendRecordFaults{}, limits{depth: depth, ticks: 9, grants: 3, attempts: 2, unknownOutcomes: 1, crashes: 1, states: 1 << 30})
 	return Exploration{States: states, Depth: reached, Broken: broken}
 }
 
@@ -607,20 +607,20 @@
 		f      Faults
 		o      OwnerFaults
 		s      SendRecordFaults
-		most   limits
+		limit  limits
 		breaks string
 	}{
-		{"intent not committed before send", Faults{}, OwnerFaults{SendFirst: true}, SendRecordFaults{}, limits{ticks: 3, crashes: 1}, "refused, and it ran"},
-		{"lease ignored", Faults{}, OwnerFaults{NoLease: true}, SendRecordFaults{}, limits{ticks: 3}, "sent after its lease"},
+		{"intent not committed before send", Faults{}, OwnerFaults{SendFirst: true}, SendRecordFaults{}, limits{ticks: 3, crashes: 1}, "refused, but it ran"},
+		{"lease ignored", Faults{}, OwnerFaults{NoLease: true}, SendRecordFaults{}, limits{ticks: 3}, "sent after the end of its lease"},
 		{"generation not compared", Faults{IgnoreGeneration: true}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 4}, "ran after its end"},
-		{"end not once", Faults{AllowSecondEnd: true}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 3}, "end not once"},
-		{"first byte before it is noted", Faults{}, OwnerFaults{}, SendRecordFaults{BeginUnmarked: true}, limits{ticks: 3, crashes: 1}, "told as never sent, and it ran"},
-		{"begun after it was left", Faults{}, OwnerFaults{}, SendRecordFaults{BeginUnsent: true}, limits{ticks: 3}, "told as never sent, and it ran"},
-		{"told of another owner's intent", Faults{IgnoreIntentOwner: true}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 2}, "told as never sent, and it ran"},
-		{"call answered before it is kept", Faults{}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 6, crashes: 1, ackFirst: true}, "answered, and lost"},
+		{"more than one end", Faults{AllowSecondEnd: true}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 3}, "more than one end"},
+		{"first byte sent before it is recorded", Faults{}, OwnerFaults{}, SendRecordFaults{BeginUnmarked: true}, limits{ticks: 3, crashes: 1}, "reported as never sent, but it ran"},
+		{"started after it was abandoned", Faults{}, OwnerFaults{}, SendRecordFaults{BeginUnsent: true}, limits{ticks: 3}, "reported as never sent, but it ran"},
+		{"reported for another owner's intent", Faults{IgnoreIntentOwner: true}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 2}, "reported as never sent, but it ran"},
+		{"callback acknowledged before its report is committed", Faults{}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 6, crashes: 1, ackFirst: true}, "callback acknowledged, but its result lost"},
 	} {
-		m.most.depth, m.most.grants, m.most.attempts, m.most.states = 14, 2, 1, 1<<30
-		states, depth, broken := explore(false, m.f, m.o, m.s, m.most)
+		m.limit.depth, m.limit.grants, m.limit.attempts, m.limit.states = 14, 2, 1, 1<<30
+		states, depth, broken := explore(false, m.f, m.o, m.s, m.limit)
 		all = append(all, Exploration{m.name, states, depth, broken, m.breaks})
 	}
 	return all
--- a/internal/promise/owner.go
+++ b/internal/promise/owner.go
@@ -156,9 +156,9 @@
 	op         Op
 }
 
-// NewOwner returns an owner without a lease. repeats reports whether a job of a class may be retried after it may have run.
-func NewOwner(repeats func(class string) bool) *Owner {
-	return &Owner{mayRetry: repeats, scanInterval: scanInterval, submitted: map[string]*submission{}, resubmits: map[string]resubmitState{}, proposals: map[uint64]proposal{}}
+// NewOwner returns an owner without a lease. mayRetry reports whether a job of a class may be retried after it may have run.
+func NewOwner(mayRetry func(class string) bool) *Owner {
+	return &Owner{mayRetry: mayRetry, scanInterval: scanInterval, submitted: map[string]*submission{}, resubmits: map[string]resubmitState{}, proposals: map[uint64]proposal{}}
 }
 
 // Actions returns the actions since the last call, in order.
@@ -192,12 +192,12 @@
 // resign abandons all submissions, since another dispatcher may be the owner now.
 func (o *Owner) resign() {
 	for _, id := range slices.Sorted(maps.Keys(o.submitted)) {
-		h := o.submitted[id]
-		for _, n := range slices.Sorted(maps.Keys(h.pendingSends)) {
-			o.emit(Deny{id, h.number, n})
+		s := o.submitted[id]
+		for _, n := range slices.Sorted(maps.Keys(s.pendingSends)) {
+			o.emit(Deny{id, s.number, n})
 		}
-		o.emit(Leave{id, h.number})
-		o.baseSubmission = max(o.baseSubmission, h.number)
+		o.emit(Leave{id, s.number})
+		o.baseSubmission = max(o.baseSubmission, s.number)
 	}
 	for _, l := range o.resubmits {
 		o.baseSubmission = max(o.baseSubmission, l.number)
@@ -245,20 +245,20 @@
 	}
 	o.retryProposals(c, m)
 	for _, id := range slices.Sorted(maps.Keys(o.submitted)) {
-		h, e := o.submitted[id], m.Entry(id)
-		if e != nil && e.Index != h.index {
+		s, e := o.submitted[id], m.Entry(id)
+		if e != nil && e.Index != s.index {
 			e = nil // the job was removed, and another one has its ID
 		}
 		if e != nil && e.End == nil {
 			continue
 		}
-		for _, n := range slices.Sorted(maps.Keys(h.pendingSends)) {
-			o.emit(Deny{id, h.number, n})
+		for _, n := range slices.Sorted(maps.Keys(s.pendingSends)) {
+			o.emit(Deny{id, s.number, n})
 		}
-		if e != nil && e.End.Kind == Done && h.endCommand == nil {
-			o.emit(Heard{id, h.number, *e.End})
+		if e != nil && e.End.Kind == Done && s.endCommand == nil {
+			o.emit(Heard{id, s.number, *e.End})
 		} else {
-			o.emit(Leave{id, h.number})
+			o.emit(Leave{id, s.number})
 		}
 		o.forget(id)
 	}
@@ -285,18 +285,18 @@
 // retryProposals repeats proposals with an unknown outcome and makes those that were postponed.
 func (o *Owner) retryProposals(c Clock, m *Machine) {
 	for _, id := range slices.Sorted(maps.Keys(o.submitted)) {
-		h := o.submitted[id]
-		if h.endCommand != nil && h.endCommand.Op == OpLook && c.Mono >= h.retryAt { // the result could not be recorded
+		s := o.submitted[id]
+		if s.endCommand != nil && s.endCommand.Op == OpLook && c.Mono >= s.retryAt { // the result could not be recorded
 			o.forget(id)
 			continue
 		}
-		if h.endCommand != nil && h.endProposal == 0 && c.Mono >= h.retryAt && !o.refusalTooEarly(c, h, m.Entry(id)) {
-			h.endProposal = o.propose(*h.endCommand, proposal{id: id, submission: h.number})
+		if s.endCommand != nil && s.endProposal == 0 && c.Mono >= s.retryAt && !o.refusalTooEarly(c, s, m.Entry(id)) {
+			s.endProposal = o.propose(*s.endCommand, proposal{id: id, submission: s.number})
 		}
-		for _, n := range slices.Sorted(maps.Keys(h.pendingSends)) {
-			if a := h.pendingSends[n]; a.seq == 0 && c.Mono >= a.retryAt {
-				a.seq = o.propose(a.Command, proposal{id: id, submission: h.number, attempt: n})
-				h.pendingSends[n] = a
+		for _, n := range slices.Sorted(maps.Keys(s.pendingSends)) {
+			if a := s.pendingSends[n]; a.seq == 0 && c.Mono >= a.retryAt {
+				a.seq = o.propose(a.Command, proposal{id: id, submission: s.number, attempt: n})
+				s.pendingSends[n] = a
 			}
 		}
 	}
@@ -305,33 +305,33 @@
 // consider decides what to do with a job that is not submitted.
 func (o *Owner) consider(c Clock, e *Entry) {
 	due := func(at time.Duration) bool { return c.Unix >= at }
-	repeats := o.mayRetry(e.Job.Class)
-	var until time.Duration
-	lost := ""
+	mayRetry := o.mayRetry(e.Job.Class)
+	var deadline time.Duration
+	failure := ""
 	for _, in := range e.Intents {
 		if in.Lost == "" {
-			until = max(until, in.Until+callbackGrace)
+			deadline = max(deadline, in.Until+callbackGrace)
 		} else {
-			lost = in.Lost
+			failure = in.Lost
 		}
 	}
-	switch wait := o.resubmits[e.ID]; {
-	case len(e.Intents) > 0 && !repeats:
-		if until == 0 { // every attempt is known to have failed
-			o.end(e, Failed, lost)
-		} else if due(until) {
+	switch next := o.resubmits[e.ID]; {
+	case len(e.Intents) > 0 && !mayRetry:
+		if deadline == 0 { // every attempt is known to have failed
+			o.end(e, Failed, failure)
+		} else if due(deadline) {
 			o.end(e, Failed, MayHaveRun)
 		}
 	case due(e.Until):
 		if len(e.Intents) > 0 {
-			o.end(e, Failed, cmp.Or(lost, MayHaveRun))
+			o.end(e, Failed, cmp.Or(failure, MayHaveRun))
 		} else {
 			o.end(e, Refused, "its time was over before it could be done")
 		}
-	case c.Mono < wait.at:
+	case c.Mono < next.at:
 	default:
-		n := max(e.LastSubmission, wait.number, o.baseSubmission) + 1
-		o.resubmits[e.ID] = resubmitState{number: n, backoff: wait.backoff}
+		n := max(e.LastSubmission, next.number, o.baseSubmission) + 1
+		o.resubmits[e.ID] = resubmitState{number: n, backoff: next.backoff}
 		o.submitted[e.ID] = &submission{number: n, index: e.Index, class: e.Job.Class, mayHaveRun: len(e.Intents) > 0, pendingSends: map[int]pendingSend{}, instances: map[string]bool{}}
 		o.emit(Start{ID: e.ID, Index: e.Index, Hand: n, Job: e.Job, Left: e.Until - c.Unix, Repeat: len(e.Intents) > 0})
 	}
@@ -341,43 +341,43 @@
 	o.finish(e.ID, &submission{number: max(e.LastSubmission, 1), index: e.Index, class: e.Job.Class, pendingSends: map[int]pendingSend{}}, kind, reason)
 }
 
-func (o *Owner) finish(id string, h *submission, kind Kind, reason string) {
-	o.submitted[id] = h
-	h.endCommand = &Command{Op: OpEnd, ID: id, Index: h.index, Kind: kind, Reason: reason}
-	if kind == Refused && len(h.instances) > 0 && !o.mayRetry(h.class) { // Look checks whether that is too early
+func (o *Owner) finish(id string, s *submission, kind Kind, reason string) {
+	o.submitted[id] = s
+	s.endCommand = &Command{Op: OpEnd, ID: id, Index: s.index, Kind: kind, Reason: reason}
+	if kind == Refused && len(s.instances) > 0 && !o.mayRetry(s.class) { // Look checks whether that is too early
 		return
 	}
-	h.endProposal = o.propose(*h.endCommand, proposal{id: id, submission: h.number})
+	s.endProposal = o.propose(*s.endCommand, proposal{id: id, submission: s.number})
 }
 
 // refusalTooEarly reports whether a job that must not run twice would be refused before the table knows that its attempts never ran:
 // it would then end as one that may have run. The owner waits for that as long as for a callback.
-func (o *Owner) refusalTooEarly(c Clock, h *submission, e *Entry) bool {
-	return h.endCommand.Kind == Refused && e != nil && !o.mayRetry(h.class) &&
+func (o *Owner) refusalTooEarly(c Clock, s *submission, e *Entry) bool {
+	return s.endCommand.Kind == Refused && e != nil && !o.mayRetry(s.class) &&
 		slices.ContainsFunc(e.Intents, func(in Intent) bool { return c.Unix < in.Until+callbackGrace })
 }
 
 // Ask requests permission to send an attempt. until is the attempt's deadline in Unix time.
 func (o *Owner) Ask(c Clock, id string, n, attempt int, instance string, until time.Duration) {
-	h := o.submitted[id]
-	if h == nil || h.number != n || h.endCommand != nil || !o.HasLease(c) {
+	s := o.submitted[id]
+	if s == nil || s.number != n || s.endCommand != nil || !o.HasLease(c) {
 		o.emit(Deny{id, n, attempt})
 		return
 	}
-	once := !o.mayRetry(h.class)
-	if before, went := h.instances[instance]; before || went && once { // reports on two attempts at one instance could not be told apart
+	once := !o.mayRetry(s.class)
+	if mustNotRepeat, requested := s.instances[instance]; mustNotRepeat || requested && once { // reports on two attempts at one instance could not be told apart
 		o.emit(Deny{id, n, attempt})
 		o.emit(Leave{id, n})
 		o.resubmit(c, id, n, 0)
 		return
 	}
-	h.instances[instance] = once
-	a := pendingSend{Command: Command{Op: OpIntent, ID: id, Index: h.index, Hand: n, N: attempt, Instance: instance, Until: until}}
+	s.instances[instance] = once
+	a := pendingSend{Command: Command{Op: OpIntent, ID: id, Index: s.index, Hand: n, N: attempt, Instance: instance, Until: until}}
 	if o.faults.SendFirst {
 		o.emit(Go{id, n, attempt, o.leaseEnd - LeaseMargin})
 	}
 	a.seq = o.propose(a.Command, proposal{id: id, submission: n, attempt: attempt})
-	h.pendingSends[attempt] = a
+	s.pendingSends[attempt] = a
 }
 
 // Proposed handles the outcome of a proposal; failed: the outcome is unknown.
@@ -391,29 +391,29 @@
 		o.ownProposal = 0 // Look checks whether it succeeded
 		return
 	}
-	h := o.submitted[p.id]
-	if h == nil || h.number != p.submission {
+	s := o.submitted[p.id]
+	if s == nil || s.number != p.submission {
 		return
 	}
 	switch p.op {
 	case OpEnd: // on a refusal the job has an end already or there is another owner: Look handles both
-		if h.endProposal = 0; failed {
-			h.retryAt = c.Mono + proposalRetryDelay
+		if s.endProposal = 0; failed {
+			s.retryAt = c.Mono + proposalRetryDelay
 		} else {
-			h.retryAt = c.Mono + time.Second
+			s.retryAt = c.Mono + time.Second
 		}
 	case OpIntent:
-		q, waits := h.pendingSends[p.attempt]
+		send, waiting := s.pendingSends[p.attempt]
 		switch {
-		case !waits:
+		case !waiting:
 		case failed && o.HasLease(c): // it may be committed, which is harmless as nothing is sent
-			q.seq, q.retryAt = 0, c.Mono+proposalRetryDelay
-			h.pendingSends[p.attempt] = q
+			send.seq, send.retryAt = 0, c.Mono+proposalRetryDelay
+			s.pendingSends[p.attempt] = send
 		case failed || !a.OK || !o.HasLease(c):
-			delete(h.pendingSends, p.attempt)
+			delete(s.pendingSends, p.attempt)
 			o.emit(Deny{p.id, p.submission, p.attempt})
 		default:
-			delete(h.pendingSends, p.attempt)
+			delete(s.pendingSends, p.attempt)
 			if !o.faults.SendFirst {
 				o.emit(Go{p.id, p.submission, p.attempt, o.leaseEnd - LeaseMargin})
 			}
@@ -424,12 +424,12 @@
 // Over reports that an attempt ended without having run. It is accepted also close to the known end of the lease: the lease may
 // have been renewed, and if it is lost, commands of its generation are refused.
 func (o *Owner) Over(id string, n, attempt int) {
-	h := o.submitted[id]
-	if h == nil || h.number != n {
+	s := o.submitted[id]
+	if s == nil || s.number != n {
 		return
 	}
-	delete(h.pendingSends, attempt)
-	o.propose(Command{Op: OpOver, ID: id, Index: h.index, Hand: n, N: attempt}, proposal{id: id, submission: n, attempt: attempt})
+	delete(s.pendingSends, attempt)
+	o.propose(Command{Op: OpOver, ID: id, Index: s.index, Hand: n, N: attempt}, proposal{id: id, submission: n, attempt: attempt})
 }
 
 // Answered handles the dispatcher's only answer to a submission. Like [Owner.Over] it is accepted also close to the known end of
@@ -438,24 +438,24 @@
 	if v == Served { // valid whoever the owner is
 		o.emit(Book{Command{Op: OpWord, ID: id, Index: index, Hand: n, Instance: by, Kind: Done, Result: result}})
 	}
-	h := o.submitted[id]
-	if h == nil || h.number != n || h.endCommand != nil {
+	s := o.submitted[id]
+	if s == nil || s.number != n || s.endCommand != nil {
 		return
 	}
 	switch {
 	case v == Served:
-		h.endCommand, h.endProposal = &Command{Op: OpLook}, 1 // nothing else may end it here
-		h.retryAt = c.Mono + recordTimeout
-	case v == NoUse && h.mayHaveRun:
-		o.finish(id, h, Failed, "no encoder can do it as it stands, though one may have")
+		s.endCommand, s.endProposal = &Command{Op: OpLook}, 1 // nothing else may end it here
+		s.retryAt = c.Mono + recordTimeout
+	case v == NoUse && s.mayHaveRun:
+		o.finish(id, s, Failed, "no encoder can do it as it stands, though one may have")
 	case v == NoUse:
-		o.finish(id, h, Refused, "no encoder can do it as it stands")
-	case v == Broken && !o.mayRetry(h.class):
-		o.finish(id, h, Failed, "it failed, or may have run")
-	case left <= 0 && (v == Broken || h.mayHaveRun):
-		o.finish(id, h, Failed, "it failed until its time was over")
+		o.finish(id, s, Refused, "no encoder can do it as it stands")
+	case v == Broken && !o.mayRetry(s.class):
+		o.finish(id, s, Failed, "it failed, or may have run")
+	case left <= 0 && (v == Broken || s.mayHaveRun):
+		o.finish(id, s, Failed, "it failed until its time was over")
 	case left <= 0:
-		o.finish(id, h, Refused, "turned away until its time was over")
+		o.finish(id, s, Refused, "turned away until its time was over")
 	default:
 		o.resubmit(c, id, n, after)
 	}
@@ -463,11 +463,11 @@
 
 // resubmit schedules another submission of a job after a delay of at least after.
 func (o *Owner) resubmit(c Clock, id string, n int, after time.Duration) {
-	wait := o.resubmits[id]
-	wait.backoff = min(max(minResubmitDelay, 2*wait.backoff), maxResubmitDelay)
-	wait.at, wait.number = c.Mono+max(after, wait.backoff), n
+	next := o.resubmits[id]
+	next.backoff = min(max(minResubmitDelay, 2*next.backoff), maxResubmitDelay)
+	next.at, next.number = c.Mono+max(after, next.backoff), n
 	delete(o.submitted, id)
-	o.resubmits[id] = wait
+	o.resubmits[id] = next
 }
 
 // String describes the owner for operators.
--- a/internal/promise/sendings.go
+++ b/internal/promise/sendings.go
@@ -32,7 +32,7 @@
 
 	committed, proposedTwice bool // its intent is committed; it was proposed more than once and may be committed as often
 
-	nextReport, reportBackoff time.Duration // time of the next report that it was never sent, by the lease clock, and delay before the one after
+	nextReport, reportBackoff time.Duration // time of the next report that it was never sent, by the lease clock; delay before the one after it
 }
 
 // Sendings records the attempts whose intents a process has requested. An intent alone says only that its attempt may have run:
@@ -51,28 +51,28 @@
 func NewSendings() *Sendings { return &Sendings{byJob: map[string][]*Sending{}} }
 
 // Ask records that an intent is about to be proposed. fresh is false if the attempt is known already.
-func (s *Sendings) Ask(job, instance string, gen uint64, until time.Duration) (sending *Sending, fresh bool) {
-	asked := Sending{Job: job, Instance: instance, Gen: gen, Until: until, State: Asked}
-	if known := s.find(&asked); known != nil {
+func (s *Sendings) Ask(job, instance string, gen uint64, until time.Duration) (record *Sending, fresh bool) {
+	request := Sending{Job: job, Instance: instance, Gen: gen, Until: until, State: Asked}
+	if known := s.find(&request); known != nil {
 		known.proposedTwice = true
 		return known, false
 	}
-	return s.add(asked), true
+	return s.add(request), true
 }
 
 // Restore adds an attempt of the previous process, which has ended: what that had not begun will never be sent.
-func (s *Sendings) Restore(sending Sending) {
-	if sending.State == Asked {
-		sending.State = Unsent
+func (s *Sendings) Restore(record Sending) {
+	if record.State == Asked {
+		record.State = Unsent
 	}
-	if s.find(&sending) == nil {
-		s.add(sending)
+	if s.find(&record) == nil {
+		s.add(record)
 	}
 }
 
-func (s *Sendings) add(sending Sending) *Sending {
-	s.byJob[sending.Job] = append(s.byJob[sending.Job], &sending)
-	return &sending
+func (s *Sendings) add(record Sending) *Sending {
+	s.byJob[record.Job] = append(s.byJob[record.Job], &record)
+	return &record
 }
 
 func (s *Sendings) find(like *Sending) *Sending {
@@ -85,51 +85,51 @@
 }
 
 // sameAttempt reports whether two records are of the same attempt.
-func (s *Sending) sameAttempt(as *Sending) bool {
-	return s.Job == as.Job && s.Instance == as.Instance && s.Gen == as.Gen
+func (s *Sending) sameAttempt(other *Sending) bool {
+	return s.Job == other.Job && s.Instance == other.Instance && s.Gen == other.Gen
 }
 
 // Begin must be called before an attempt's first byte is sent; false: it must not be sent.
-func (s *Sendings) Begin(sending *Sending) bool {
-	if sending.State == Unsent {
+func (s *Sendings) Begin(record *Sending) bool {
+	if record.State == Unsent {
 		return s.faults.BeginUnsent
 	}
 	if !s.faults.BeginUnmarked {
-		sending.State = Begun
+		record.State = Begun
 	}
 	return true
 }
 
 // NeverRan records that an attempt ended without having run, whether it was begun or not. An attempt that was dropped as begun,
 // when its submission was abandoned, is added again.
-func (s *Sendings) NeverRan(sending *Sending, mono time.Duration) {
-	if sending.State == Unsent {
+func (s *Sendings) NeverRan(record *Sending, mono time.Duration) {
+	if record.State == Unsent {
 		return
 	}
-	sending.State, sending.nextReport = Unsent, mono+minReportDelay
-	if s.find(sending) == nil {
-		s.byJob[sending.Job] = append(s.byJob[sending.Job], sending)
+	record.State, record.nextReport = Unsent, mono+minReportDelay
+	if s.find(record) == nil {
+		s.byJob[record.Job] = append(s.byJob[record.Job], record)
 	}
 }
 
 // Committed records that an attempt's intent is committed.
-func (s *Sendings) Committed(sending *Sending) { sending.committed = true }
+func (s *Sendings) Committed(record *Sending) { record.committed = true }
 
 // Over removes an attempt that the group knows never ran, unless its intent may still be committed.
-func (s *Sendings) Over(sending *Sending) {
-	if sending.State == Unsent && sending.committed && !sending.proposedTwice {
-		s.Drop(sending)
+func (s *Sendings) Over(record *Sending) {
+	if record.State == Unsent && record.committed && !record.proposedTwice {
+		s.Drop(record)
 	}
 }
 
 // Leave stops a submission: no more attempts of it begin. Those that have begun are left to their callbacks.
 func (s *Sendings) Leave(job string, mono time.Duration) {
-	for _, sending := range slices.Clone(s.byJob[job]) {
-		switch sending.State {
+	for _, record := range slices.Clone(s.byJob[job]) {
+		switch record.State {
 		case Begun:
-			s.Drop(sending)
+			s.Drop(record)
 		case Asked:
-			s.NeverRan(sending, mono)
+			s.NeverRan(record, mono)
 		}
 	}
 }
@@ -137,11 +137,11 @@
 // Untold returns the attempts that are to be reported as never sent now. Each is returned again until it is dropped.
 func (s *Sendings) Untold(mono time.Duration) (due []*Sending) {
 	for _, all := range s.byJob {
-		for _, sending := range all {
-			if sending.State == Unsent && mono >= sending.nextReport {
-				sending.reportBackoff = min(max(minReportDelay, 2*sending.reportBackoff), maxReportDelay)
-				sending.nextReport = mono + sending.reportBackoff
-				due = append(due, sending)
+		for _, record := range all {
+			if record.State == Unsent && mono >= record.nextReport {
+				record.reportBackoff = min(max(minReportDelay, 2*record.reportBackoff), maxReportDelay)
+				record.nextReport = mono + record.reportBackoff
+				due = append(due, record)
 			}
 		}
 	}
@@ -149,13 +149,13 @@
 }
 
 // Drop removes an attempt.
-func (s *Sendings) Drop(sending *Sending) {
-	s.retain(sending.Job, func(known *Sending) bool { return !known.sameAttempt(sending) })
+func (s *Sendings) Drop(record *Sending) {
+	s.retain(record.Job, func(known *Sending) bool { return !known.sameAttempt(record) })
 }
 
 // retain removes the attempts of a submission that do not match.
-func (s *Sendings) retain(job string, such func(*Sending) bool) {
-	s.byJob[job] = slices.DeleteFunc(s.byJob[job], func(known *Sending) bool { return !such(known) })
+func (s *Sendings) retain(job string, match func(*Sending) bool) {
+	s.byJob[job] = slices.DeleteFunc(s.byJob[job], func(known *Sending) bool { return !match(known) })
 	if len(s.byJob[job]) == 0 {
 		delete(s.byJob, job)
 	}
@@ -171,8 +171,8 @@
 // All returns all attempts, to be stored for the next process.
 func (s *Sendings) All() (all []Sending) {
 	for _, known := range s.byJob {
-		for _, sending := range known {
-			all = append(all, *sending)
+		for _, record := range known {
+			all = append(all, *record)
 		}
 	}
 	return all
@@ -181,14 +181,14 @@
 // NeverSent returns the command that reports to the group that an attempt never ran, as if its instance had returned it
 // unstarted. It must be proposed only if the intent is [Machine.Intended]. ok is false if the wire ID is no promised job's.
 func (s *Sending) NeverSent() (c Command, ok bool) {
-	id, index, hand, ok := ReadWireID(s.Job)
-	return Command{Op: OpWord, ID: id, Index: index, Hand: hand, Instance: s.Instance, Kind: Refused}, ok
+	id, index, submission, ok := ReadWireID(s.Job)
+	return Command{Op: OpWord, ID: id, Index: index, Hand: submission, Instance: s.Instance, Kind: Refused}, ok
 }
 
 // Intended reports whether the table has the intent of an attempt, and whether its job is settled, so that reports on the attempt
 // do not count. Once an intent is in a table later submissions have higher numbers, so a report cannot match another attempt.
 func (m *Machine) Intended(s *Sending) (intended, settled bool) {
-	id, index, hand, ok := ReadWireID(s.Job)
+	id, index, submission, ok := ReadWireID(s.Job)
 	if !ok {
 		return false, true
 	}
@@ -200,6 +200,6 @@
 		return false, true
 	}
 	return slices.ContainsFunc(e.Intents, func(in Intent) bool {
-		return (in.Gen == s.Gen || m.faults.IgnoreIntentOwner) && in.Hand == hand && in.Instance == s.Instance
+		return (in.Gen == s.Gen || m.faults.IgnoreIntentOwner) && in.Hand == submission && in.Instance == s.Instance
 	}), false
 }
