--- a/internal/accord/machine.go
+++ b/internal/accord/machine.go
@@ -17,7 +17,7 @@
 // Limits of the table. They must be the same on all replicas: otherwise these would refuse different commands.
 const (
 	MaxText     = 48 << 10 // bytes of a version's text
-	MaxMembers  = 1024     // processes in the table
+	MaxProcesses  = 1024     // processes in the table
 	MaxCordons  = 1024
 	MaxName     = 96 // bytes of an ID or a name
 	MaxReason   = 512
@@ -248,8 +248,8 @@
 func (m *Machine) heartbeat(index uint64, who Who, b *Beat) string {
 	l := m.s.Processes[who.key()]
 	if l == nil {
-		if len(m.s.Processes) >= MaxMembers {
-			return fmt.Sprintf("the table has %d processes already", MaxMembers)
+		if len(m.s.Processes) >= MaxProcesses {
+			return fmt.Sprintf("the table has %d processes already", MaxProcesses)
 		}
 		l = &Line{Who: who}
 		m.s.Processes[who.key()] = l
--- a/internal/promise/machine.go
+++ b/internal/promise/machine.go
@@ -34,8 +34,8 @@
 )
 
 // A proposal whose outcome is unknown may be committed late, when the promise that it duplicates has already ended and been removed.
-// A removed ID is therefore remembered for Late commits, and a proposal carries the group's index at the time it was made: a
-// proposal from before the removal, or older than Late commits, is refused. This does not depend on any clock.
+// A removed ID is therefore remembered for MaxProposalLag commits, and a proposal carries the group's index at the time it was made: a
+// proposal from before the removal, or older than MaxProposalLag commits, is refused. This does not depend on any clock.
 const MaxProposalLag = 1 << 16
 
 // Version is the format version of commands and snapshots.
--- a/internal/promise/model.go
+++ b/internal/promise/model.go
@@ -348,7 +348,7 @@
 	if d.submission > 0 {
 		d.records.Leave(d.wireID(), c.Mono)
 	}
-	if d.state == allowed && d.records.faults.BeginUnsent { // without the fault it never starts
+	if d.state == allowed && d.records.faults.SendAbandoned { // without the fault it never starts
 		d.abandoned = &abandonedAttempt{attempt{submission: d.submission, n: d.attempts, instance: d.instance}, d.sendUntil, d.record}
 	}
 	d.submission, d.attempts, d.state, d.record = 0, 0, none, nil
@@ -614,8 +614,8 @@
 		{"lease ignored", Faults{}, OwnerFaults{NoLease: true}, SendRecordFaults{}, limits{ticks: 3}, "sent after the end of its lease"},
 		{"generation not compared", Faults{IgnoreGeneration: true}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 4}, "ran after its end"},
 		{"more than one end", Faults{AllowSecondEnd: true}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 3}, "more than one end"},
-		{"first byte sent before it is recorded", Faults{}, OwnerFaults{}, SendRecordFaults{BeginUnmarked: true}, limits{ticks: 3, crashes: 1}, "reported as never sent, but it ran"},
-		{"started after it was abandoned", Faults{}, OwnerFaults{}, SendRecordFaults{BeginUnsent: true}, limits{ticks: 3}, "reported as never sent, but it ran"},
+		{"first byte sent before it is recorded", Faults{}, OwnerFaults{}, SendRecordFaults{SendUnrecorded: true}, limits{ticks: 3, crashes: 1}, "reported as never sent, but it ran"},
+		{"started after it was abandoned", Faults{}, OwnerFaults{}, SendRecordFaults{SendAbandoned: true}, limits{ticks: 3}, "reported as never sent, but it ran"},
 		{"reported for another owner's intent", Faults{IgnoreIntentOwner: true}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 2}, "reported as never sent, but it ran"},
 		{"callback acknowledged before its report is committed", Faults{}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 6, crashes: 1, ackFirst: true}, "callback acknowledged, but its result lost"},
 	} {
--- a/internal/promise/sendings.go
+++ b/internal/promise/sendrecords.go
@@ -45,7 +45,7 @@
 }
 
 // SendRecordFaults disables rules, so that tests can check that each is needed.
-type SendRecordFaults struct{ BeginUnmarked, BeginUnsent bool }
+type SendRecordFaults struct{ SendUnrecorded, SendAbandoned bool }
 
 // NewSendings returns an empty set.
 func NewSendings() *Sendings { return &Sendings{byJob: map[string][]*Sending{}} }
@@ -92,9 +92,9 @@
 // Begin must be called before an attempt's first byte is sent; false: it must not be sent.
 func (s *Sendings) Begin(record *Sending) bool {
 	if record.State == Unsent {
-		return s.faults.BeginUnsent
+		return s.faults.SendAbandoned
 	}
-	if !s.faults.BeginUnmarked {
+	if !s.faults.SendUnrecorded {
 		record.State = Begun
 	}
 	return true
