--- a/internal/accord/machine.go
+++ b/internal/accord/machine.go
@@ -1,5 +1,5 @@
 // Package accord implements what all dispatchers of an installation agree on: versions of the settings and the cordons. [Machine]
-// is the replicated table, [Member] is one dispatcher's side, and [Driver] evicts processes from the table whose leases have
+// is the replicated table, [Member] is one dispatcher's side, and a monitor evicts processes from the table whose leases have
 // expired. It does no I/O and reads no clock. It does not interpret a version: that is a text with a number. docs/accord.md
 // describes the protocol.
 package accord
@@ -16,12 +16,12 @@
 
 // Limits of the table. They must be the same on all replicas: otherwise these would refuse different commands.
 const (
-	MaxText     = 48 << 10 // bytes of a version's text
-	MaxProcesses  = 1024     // processes in the table
-	MaxCordons  = 1024
-	MaxName     = 96 // bytes of an ID or a name
-	MaxReason   = 512
-	MaxOutcomes = 16 // outcomes that answers report
+	MaxText      = 48 << 10 // bytes of a version's text
+	MaxProcesses = 1024     // processes in the table
+	MaxCordons   = 1024
+	MaxName      = 96 // bytes of an ID or a name
+	MaxReason    = 512
+	MaxOutcomes  = 16 // outcomes that answers report
 )
 
 // format is the format version of commands and snapshots.
--- a/internal/accord/member.go
+++ b/internal/accord/member.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// Beat returns a heartbeat to send, if one is due. Heard or Lost must be called afterwards.
+// Beat returns a heartbeat to send, if one is due. Its answer or loss must be reported afterwards.
 func (m *Member) Beat(now time.Duration) (Command, bool) {
 	b := Beat{Acts: m.effective, Checked: m.checked, Refuses: m.refusal, Cordons: m.cordonRevision}
 	b.KnownVersions[0] = m.agreed.N
@@ -311,7 +311,7 @@
 	firstSeen time.Duration
 }
 
-// NewDriver returns a driver that has seen no process: each of them has a whole lease from now on.
+// NewDriver returns a monitor that has seen no process: each of them has a whole lease from now on.
 func NewDriver() *Driver { return &Driver{leaseExpiry: LeaseOver, seen: map[Who]sighting{}} }
 
 // Look examines the table; now must have been read after the table. It returns the commands to propose.
--- a/internal/promise/owner.go
+++ b/internal/promise/owner.go
@@ -48,12 +48,12 @@
 
 // Actions.
 type (
-	// Propose proposes a command; [Owner.Proposed] receives the outcome.
+	// Propose proposes a command, whose outcome the owner must receive.
 	Propose struct {
 		Seq uint64
 		Command
 	}
-	// Start submits a job to the dispatcher. Left is the time in which it must start.
+	// Start submits a job to the dispatcher, with the time in which it must start.
 	Start struct {
 		ID     string
 		Index  uint64
@@ -344,7 +344,7 @@
 func (o *Owner) finish(id string, s *submission, kind Kind, reason string) {
 	o.submitted[id] = s
 	s.endCommand = &Command{Op: OpEnd, ID: id, Index: s.index, Kind: kind, Reason: reason}
-	if kind == Refused && len(s.instances) > 0 && !o.mayRetry(s.class) { // Look checks whether that is too early
+	if kind == Refused && len(s.instances) > 0 && !o.mayRetry(s.class) { // the next update checks whether that is too early
 		return
 	}
 	s.endProposal = o.propose(*s.endCommand, proposal{id: id, submission: s.number})
@@ -388,7 +388,7 @@
 	}
 	delete(o.proposals, seq)
 	if p.op == OpTakeOwnership {
-		o.ownProposal = 0 // Look checks whether it succeeded
+		o.ownProposal = 0 // the next update checks whether it succeeded
 		return
 	}
 	s := o.submitted[p.id]
@@ -396,7 +396,7 @@
 		return
 	}
 	switch p.op {
-	case OpEnd: // on a refusal the job has an end already or there is another owner: Look handles both
+	case OpEnd: // on a refusal the job has an end already or there is another owner: the next update handles both
 		if s.endProposal = 0; failed {
 			s.retryAt = c.Mono + proposalRetryDelay
 		} else {
@@ -432,7 +432,7 @@
 	o.propose(Command{Op: OpOver, ID: id, Index: s.index, Hand: n, N: attempt}, proposal{id: id, submission: n, attempt: attempt})
 }
 
-// Answered handles the dispatcher's only answer to a submission. Like [Owner.Over] it is accepted also close to the known end of
+// Answered handles the dispatcher's only answer to a submission. Like a report that an attempt never ran it is accepted also close to the known end of
 // the lease. left is the time in which the job may still start.
 func (o *Owner) Answered(c Clock, id string, index uint64, n int, v Verdict, by string, result []byte, after, left time.Duration) {
 	if v == Served { // valid whoever the owner is
--- a/internal/promise/sendrecords.go
+++ b/internal/promise/sendrecords.go
@@ -8,7 +8,7 @@
 // SendState is the state of an attempt in the process that requested its intent.
 type SendState int
 
-// States of an attempt. Unsent is final.
+// States of an attempt. The last one is final.
 const (
 	Asked  SendState = iota + 1 // its intent is proposed or committed; no byte has been sent
 	Begun                       // its first byte may have been sent
@@ -179,7 +179,7 @@
 }
 
 // NeverSent returns the command that reports to the group that an attempt never ran, as if its instance had returned it
-// unstarted. It must be proposed only if the intent is [Machine.Intended]. ok is false if the wire ID is no promised job's.
+// unstarted. It must be proposed only if the table has the intent. ok is false if the wire ID is no promised job's.
 func (s *Sending) NeverSent() (c Command, ok bool) {
 	id, index, submission, ok := ReadWireID(s.Job)
 	return Command{Op: OpWord, ID: id, Index: index, Hand: submission, Instance: s.Instance, Kind: Refused}, ok
