--- a/internal/accord/member.go
+++ b/internal/accord/member.go
@@ -178,12 +178,12 @@
 	if m.pending != nil {
 		b.KnownVersions[1] = m.pending.N
 	}
-	every := min(max(HeartbeatInterval, time.Duration(m.members)*heartbeatBudget), maxHeartbeatInterval)
+	interval := min(max(HeartbeatInterval, time.Duration(m.members)*heartbeatBudget), maxHeartbeatInterval)
 	if m.pending != nil || !m.Leased(now) {
-		every = FastHeartbeatInterval
+		interval = FastHeartbeatInterval
 	}
 	changed := b.Acts != m.lastSent.Acts || b.Checked != m.lastSent.Checked || b.Refuses != m.lastSent.Refuses
-	if m.waiting || m.seq > 0 && now < m.sentAt+every && !changed {
+	if m.waiting || m.seq > 0 && now < m.sentAt+interval && !changed {
 		return Command{}, false
 	}
 	m.seq++
--- a/internal/accord/model_test.go
+++ b/internal/accord/model_test.go
@@ -197,12 +197,12 @@
 			m := *p.m
 			if _, ok := m.Beat(w.now()); ok {
 				add("heartbeat", i, func(w *model, p *process) {
-					did := p.m.effective
+					effective := p.m.effective
 					if w.mutant == "reported before it is applied" {
 						p.m.effective = p.m.Order(w.now()).Acts
 					}
 					c, _ := p.m.Beat(w.now())
-					p.m.effective, p.heartbeat = did, &c
+					p.m.effective, p.heartbeat = effective, &c
 				})
 			}
 		}
@@ -381,8 +381,8 @@
 }
 
 // playRandom takes random steps.
-func playRandom(t *rapid.T, w *model, most int) {
-	for range rapid.IntRange(0, most).Draw(t, "steps") {
+func playRandom(t *rapid.T, w *model, maxSteps int) {
+	for range rapid.IntRange(0, maxSteps).Draw(t, "steps") {
 		w.walk(t, w.drawn(t))
 	}
 }
@@ -455,8 +455,8 @@
 
 // tryMutant runs a mutant; it returns the conflict.
 func tryMutant(t *rapid.T, mutant string) string {
-	most := rapid.SampledFrom([]int{0, 3}).Draw(t, "faults")
-	w := newModel(mutant, most, most, -1)
+	faults := rapid.SampledFrom([]int{0, 3}).Draw(t, "faults")
+	w := newModel(mutant, faults, faults, -1)
 	if mutant == "late heartbeats count" { // random steps reach this case too rarely
 		w.losses = 3
 		for _, name := range []string{"tick", "heartbeat n1", "commit n1", "receive n1", "check n1", "tick", "tick", "heartbeat n1", "give up n1"} {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -30,7 +30,7 @@
 	olderListDelay       = 10 * time.Second // for which discovery must report an older list before that is accepted
 	requestInterval      = time.Second
 	firstRequestInterval = 400 * time.Millisecond // while there is no list at all
-	maxMissing           = 0.4                    // share of the dispatchers: roles are assigned at once up to this
+	maxMissing           = 0.4                    // share of the dispatchers, up to which roles are assigned at once: if a share f is known, 1/f times as many as needed watch
 	distrustTime         = 30 * time.Second       // for which a peer that sent an invalid list is ignored
 	maxClockAhead        = 5 * time.Second        // how far a source's clock may be ahead of ours
 	maxRevisionJump      = 1 << 20                // revisions at once
--- a/internal/promise/machine_test.go
+++ b/internal/promise/machine_test.go
@@ -154,7 +154,8 @@
 	require.Equal(t, StaleOwner, apply(m, 9, 0, late.Command).Why)
 }
 
-// Guards against a job that stays submitted while nobody runs it: the dispatcher's answer came near the end of a lease that was then renewed.
+// Guards against a job that stays submitted while nobody runs it: the dispatcher's answer came near the end of a lease that was
+// then renewed.
 func TestAnswerNearExpiryOfRenewedLeaseCounts(t *testing.T) {
 	m, o, take := ownedTable(t, 3, 500*time.Millisecond)
 	first := take(at(0))
@@ -166,7 +167,8 @@
 	require.Greater(t, again[0].(Start).Hand, first.Hand)
 }
 
-// Guards against an intent that stays though its attempt never ran, when that was reported near the end of a lease that was then renewed.
+// Guards against an intent that stays though its attempt never ran, when that was reported near the end of a lease that was then
+// renewed.
 func TestNeverRanNearExpiryOfRenewedLeaseIsReported(t *testing.T) {
 	m, o, take := ownedTable(t, 3, 500*time.Millisecond)
 	first := take(at(0))
--- a/internal/promise/model.go
+++ b/internal/promise/model.go
@@ -549,7 +549,7 @@
 }
 
 // explore searches all states up to a depth and returns the first violated rule.
-func explore(mayRetry bool, f Faults, o OwnerFaults, s SendRecordFaults, limit limits) (states, depth int, broken string) {
+func explore(mayRetry bool, f Faults, o OwnerFaults, s SendRecordFaults, limit limits) (states, depth int, violation string) {
 	class := func(string) bool { return mayRetry }
 	w := &model{ignoreLease: o.NoLease, holder: -1, callbackAcked: map[attempt]bool{}}
 	w.table = New()
@@ -596,19 +596,19 @@
 // Explore searches all states within depth steps of one in which a dispatcher has the lease and holds a job. The job's class
 // allows retries of jobs that may have run, or does not.
 func Explore(mayRetry bool, depth int) Exploration {
-	states, reached, broken := explore(mayRetry, Faults{}, OwnerFaults{}, SendRecordFaults{}, limits{depth: depth, ticks: 9, grants: 3, attempts: 2, unknownOutcomes: 1, crashes: 1, states: 1 << 30})
-	return Exploration{States: states, Depth: reached, Broken: broken}
+	states, reached, violation := explore(mayRetry, Faults{}, OwnerFaults{}, SendRecordFaults{}, limits{depth: depth, ticks: 9, grants: 3, attempts: 2, unknownOutcomes: 1, crashes: 1, states: 1 << 30})
+	return Exploration{States: states, Depth: reached, Broken: violation}
 }
 
 // Mutants disables one rule after another, each of which must lead to the expected violation.
 func Mutants() (all []Exploration) {
 	for _, m := range []struct {
-		name   string
-		f      Faults
-		o      OwnerFaults
-		s      SendRecordFaults
-		limit  limits
-		breaks string
+		name     string
+		f        Faults
+		o        OwnerFaults
+		s        SendRecordFaults
+		limit    limits
+		expected string
 	}{
 		{"intent not committed before send", Faults{}, OwnerFaults{SendFirst: true}, SendRecordFaults{}, limits{ticks: 3, crashes: 1}, "refused, but it ran"},
 		{"lease ignored", Faults{}, OwnerFaults{NoLease: true}, SendRecordFaults{}, limits{ticks: 3}, "sent after the end of its lease"},
@@ -620,8 +620,8 @@
 		{"callback acknowledged before its report is committed", Faults{}, OwnerFaults{}, SendRecordFaults{}, limits{ticks: 6, crashes: 1, ackFirst: true}, "callback acknowledged, but its result lost"},
 	} {
 		m.limit.depth, m.limit.grants, m.limit.attempts, m.limit.states = 14, 2, 1, 1<<30
-		states, depth, broken := explore(false, m.f, m.o, m.s, m.limit)
-		all = append(all, Exploration{m.name, states, depth, broken, m.breaks})
+		states, depth, violation := explore(false, m.f, m.o, m.s, m.limit)
+		all = append(all, Exploration{m.name, states, depth, violation, m.expected})
 	}
 	return all
 }
--- a/internal/promise/owner.go
+++ b/internal/promise/owner.go
@@ -432,8 +432,8 @@
 	o.propose(Command{Op: OpOver, ID: id, Index: s.index, Hand: n, N: attempt}, proposal{id: id, submission: n, attempt: attempt})
 }
 
-// Answered handles the dispatcher's only answer to a submission. Like a report that an attempt never ran it is accepted also close to the known end of
-// the lease. left is the time in which the job may still start.
+// Answered handles the dispatcher's only answer to a submission. It is accepted also close to the known end of the lease, like a
+// report that an attempt never ran. left is the time in which the job may still start.
 func (o *Owner) Answered(c Clock, id string, index uint64, n int, v Verdict, by string, result []byte, after, left time.Duration) {
 	if v == Served { // valid whoever the owner is
 		o.emit(Book{Command{Op: OpWord, ID: id, Index: index, Hand: n, Instance: by, Kind: Done, Result: result}})
