--- a/cmd/winglb-full/members.go
+++ b/cmd/winglb-full/members.go
@@ -103,6 +103,6 @@
 		if v.Age >= 0 {
 			age = v.Age.Round(time.Millisecond).String()
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%d.%d\t%s\t%s\t%d\t%s\t%s\n", v.Name, v.Zone, v.Watch, v.Term, v.Revision, v.Source, age, v.Encoders, strings.Join(v.Tells, " "), strings.Join(v.Doubted, " "))
+		fmt.Fprintf(out, "%s\t%s\t%s\t%d.%d\t%s\t%s\t%d\t%s\t%s\n", v.Name, v.Zone, v.Watch, v.Term, v.Revision, v.Source, age, v.EncoderCount, strings.Join(v.SendsTo, " "), strings.Join(v.Distrusted, " "))
 	})
 }
--- a/internal/accord/machine.go
+++ b/internal/accord/machine.go
@@ -27,25 +27,25 @@
 // format is the format version of commands and snapshots.
 const format = 1
 
-// Acts is what a dispatcher applies: what both versions Low and High allow, which are equal if there is only one. With
+// EffectiveVersions is what a dispatcher applies: what both versions Low and High allow, which are equal if there is only one. With
 // Floor it applies still less, so little that it conflicts with no version, because it does not know which one is in force.
-type Acts struct {
+type EffectiveVersions struct {
 	Low   uint64 `json:"low"`
 	High  uint64 `json:"high"`
 	Floor bool   `json:"floor,omitempty"`
 }
 
-// Contradict reports whether two dispatchers conflict: no version allows what both of them apply.
-func Contradict(a, b Acts) bool {
+// Conflict reports whether two dispatchers conflict: no version allows what both of them apply.
+func Conflict(a, b EffectiveVersions) bool {
 	return !a.Floor && !b.Floor && a.Low != b.Low && a.Low != b.High && a.High != b.Low && a.High != b.High
 }
 
 // Version is one version of the settings. Versions are numbered from 1 in the order of their proposals; a number is never
 // used again.
 type Version struct {
-	N    uint64          `json:"n"`
-	By   string          `json:"by,omitempty"` // the dispatcher that proposed it
-	Text json.RawMessage `json:"text,omitempty"`
+	Number uint64          `json:"n"`
+	By     string          `json:"by,omitempty"` // the dispatcher that proposed it
+	Text   json.RawMessage `json:"text,omitempty"`
 }
 
 // Phase is the state of a version that is not agreed yet.
@@ -57,27 +57,27 @@
 	Joint    Phase = "both"     // all apply the stricter of it and the agreed one
 )
 
-// Past is the outcome of a proposed version.
-type Past struct {
-	N   uint64 `json:"n"`
-	By  string `json:"by"`
-	Why string `json:"why,omitempty"` // the reason for its refusal; empty: it was agreed
+// Outcome is the outcome of a proposed version.
+type Outcome struct {
+	Number uint64 `json:"n"`
+	By     string `json:"by"`
+	Why    string `json:"why,omitempty"` // the reason for its refusal; empty: it was agreed
 }
 
-// Who identifies a process of a dispatcher.
-type Who struct {
+// Process identifies a process of a dispatcher.
+type Process struct {
 	Name string `json:"name"`
 	Boot uint64 `json:"boot"`
 }
 
-// Beat reports that a dispatcher is alive, and its state. The answer renews its lease, counted from when the heartbeat was sent.
-type Beat struct {
-	Seq           uint64    `json:"seq"` // one that is committed after a later one is ignored
-	Acts          Acts      `json:"acts"`
-	Checked       uint64    `json:"checked"`           // the last version that it has checked
-	Refuses       string    `json:"refuses,omitempty"` // why it cannot apply that version
-	KnownVersions [2]uint64 `json:"has"`               // versions whose texts it has
-	Cordons       uint64    `json:"cordons"`           // the revision that it has
+// Heartbeat reports that a dispatcher is alive, and its state. The answer renews its lease, counted from when the heartbeat was sent.
+type Heartbeat struct {
+	Seq            uint64            `json:"seq"` // one that is committed after a later one is ignored
+	Effective      EffectiveVersions `json:"acts"`
+	Checked        uint64            `json:"checked"`           // the last version that it has checked
+	Refuses        string            `json:"refuses,omitempty"` // why it cannot apply that version
+	KnownVersions  [2]uint64         `json:"has"`               // versions whose texts it has
+	CordonRevision uint64            `json:"cordons"`           // the revision that it has
 }
 
 // Cordon cordons an instance, or lifts its cordon.
@@ -95,30 +95,30 @@
 // Eviction evicts a process whose lease has expired since its heartbeat at Index, by the proposer's clock. It has no effect
 // if another heartbeat of the process was committed since.
 type Eviction struct {
-	Who   Who    `json:"who"`
-	Index uint64 `json:"index"`
+	Process Process `json:"who"`
+	Index   uint64  `json:"index"`
 }
 
 // Abandonment abandons a version that is not agreed.
 type Abandonment struct {
-	N   uint64 `json:"n"`
-	Why string `json:"why"`
+	Number uint64 `json:"n"`
+	Why    string `json:"why"`
 }
 
 // Command is an entry of the replicated log; one of its parts is set.
 type Command struct {
-	Format   int          `json:"format"`
-	From     Who          `json:"from"`
-	OpNumber uint64       `json:"op,omitempty"` // of cordons and proposals: a duplicate has no effect
-	Beat     *Beat        `json:"beat,omitempty"`
-	Cordon   *Cordon      `json:"cordon,omitempty"`
-	Proposal *Proposal    `json:"proposal,omitempty"`
-	Evict    *Eviction    `json:"pass,omitempty"`
-	Abandon  *Abandonment `json:"drop,omitempty"`
-}
-
-// Text encodes the command.
-func (c Command) Text() []byte {
+	Format    int          `json:"format"`
+	From      Process      `json:"from"`
+	OpNumber  uint64       `json:"op,omitempty"` // of cordons and proposals: a duplicate has no effect
+	Heartbeat *Heartbeat   `json:"beat,omitempty"`
+	Cordon    *Cordon      `json:"cordon,omitempty"`
+	Proposal  *Proposal    `json:"proposal,omitempty"`
+	Evict     *Eviction    `json:"pass,omitempty"`
+	Abandon   *Abandonment `json:"drop,omitempty"`
+}
+
+// Encode encodes the command.
+func (c Command) Encode() []byte {
 	c.Format = format
 	return encode(c)
 }
@@ -131,7 +131,7 @@
 	Pending        *Version  `json:"pending,omitempty"` // without the text if the sender has it
 	Phase          Phase     `json:"phase,omitempty"`
 	Members        int       `json:"members"`
-	Past           []Past    `json:"past,omitempty"`
+	Outcomes       []Outcome `json:"past,omitempty"`
 	CordonRevision uint64    `json:"rev"`               // revision of the cordons
 	Cordons        *[]string `json:"cordons,omitempty"` // nil: the sender has them
 }
@@ -142,14 +142,14 @@
 	return a, err
 }
 
-// Line is the table's record of a process.
-type Line struct {
-	Who     Who    `json:"who"`
-	Seq     uint64 `json:"seq"`
-	Index   uint64 `json:"index"` // of its last heartbeat
-	Acts    Acts   `json:"acts"`
-	Checked uint64 `json:"checked"`
-	LastOp  uint64 `json:"op"`
+// ProcessEntry is the table's record of a process.
+type ProcessEntry struct {
+	Process   Process           `json:"who"`
+	Seq       uint64            `json:"seq"`
+	Index     uint64            `json:"index"` // of its last heartbeat
+	Effective EffectiveVersions `json:"acts"`
+	Checked   uint64            `json:"checked"`
+	LastOp    uint64            `json:"op"`
 }
 
 // Machine is the table. It is kept in the root group.
@@ -158,22 +158,22 @@
 }
 
 type state struct {
-	Format         int              `json:"format"`
-	LastNumber     uint64           `json:"last"` // the highest number that was assigned
-	Agreed         Version          `json:"agreed"`
-	Pending        *Version         `json:"pending,omitempty"`
-	Phase          Phase            `json:"phase,omitempty"`
-	JointSince     uint64           `json:"since,omitempty"` // index from which on answers report the phase in which both versions count
-	Processes      map[string]*Line `json:"lines"`
-	Outcomes       []Past           `json:"past,omitempty"`
-	Cordons        []string         `json:"cordons,omitempty"` // sorted
-	CordonRevision uint64           `json:"rev"`
+	Format         int                      `json:"format"`
+	LastNumber     uint64                   `json:"last"` // the highest number that was assigned
+	Agreed         Version                  `json:"agreed"`
+	Pending        *Version                 `json:"pending,omitempty"`
+	Phase          Phase                    `json:"phase,omitempty"`
+	JointSince     uint64                   `json:"since,omitempty"` // index from which on answers report the phase in which both versions count
+	Processes      map[string]*ProcessEntry `json:"lines"`
+	Outcomes       []Outcome                `json:"past,omitempty"`
+	Cordons        []string                 `json:"cordons,omitempty"` // sorted
+	CordonRevision uint64                   `json:"rev"`
 }
 
 // New returns an empty table.
-func New() *Machine { return &Machine{state{Format: format, Processes: map[string]*Line{}}} }
+func New() *Machine { return &Machine{state{Format: format, Processes: map[string]*ProcessEntry{}}} }
 
-func (w Who) key() string { return fmt.Sprintf("%s/%016x", w.Name, w.Boot) }
+func (w Process) key() string { return fmt.Sprintf("%s/%016x", w.Name, w.Boot) }
 
 // CheckID reports what is invalid in an instance's ID or a dispatcher's name.
 func CheckID(id string) error {
@@ -210,55 +210,55 @@
 	switch {
 	case CheckID(c.From.Name) != nil:
 		a.Refused = "the dispatcher's name cannot be kept"
-	case c.Beat != nil:
-		a.Refused = m.heartbeat(index, c.From, c.Beat)
-		known, revision = c.Beat.KnownVersions, c.Beat.Cordons
+	case c.Heartbeat != nil:
+		a.Refused = m.heartbeat(index, c.From, c.Heartbeat)
+		known, revision = c.Heartbeat.KnownVersions, c.Heartbeat.CordonRevision
 	case c.Cordon != nil:
 		a.Refused = m.applyOnce(c, func() string { return m.cordon(index, c.Cordon) })
 	case c.Proposal != nil:
 		a.Refused = m.applyOnce(c, func() string { return m.propose(c.From.Name, c.Proposal) })
 	case c.Evict != nil:
-		if l := m.s.Processes[c.Evict.Who.key()]; l != nil && l.Index == c.Evict.Index {
-			delete(m.s.Processes, c.Evict.Who.key())
+		if l := m.s.Processes[c.Evict.Process.key()]; l != nil && l.Index == c.Evict.Index {
+			delete(m.s.Processes, c.Evict.Process.key())
 		}
 	case c.Abandon != nil:
-		if m.s.Pending != nil && m.s.Pending.N == c.Abandon.N {
+		if m.s.Pending != nil && m.s.Pending.Number == c.Abandon.Number {
 			m.abandon(c.Abandon.Why)
 		}
 	}
 	m.advance(index)
-	a.Agreed, a.Phase, a.Members, a.CordonRevision, a.Past = m.s.Agreed, m.s.Phase, len(m.s.Processes), m.s.CordonRevision, m.s.Outcomes
-	if slices.Contains(known[:], a.Agreed.N) || c.Beat == nil {
+	a.Agreed, a.Phase, a.Members, a.CordonRevision, a.Outcomes = m.s.Agreed, m.s.Phase, len(m.s.Processes), m.s.CordonRevision, m.s.Outcomes
+	if slices.Contains(known[:], a.Agreed.Number) || c.Heartbeat == nil {
 		a.Agreed.Text = nil
 	}
 	if p := m.s.Pending; p != nil {
 		v := *p
-		if slices.Contains(known[:], v.N) || c.Beat == nil {
+		if slices.Contains(known[:], v.Number) || c.Heartbeat == nil {
 			v.Text = nil
 		}
 		a.Pending = &v
 	}
-	if c.Beat != nil && revision != m.s.CordonRevision {
+	if c.Heartbeat != nil && revision != m.s.CordonRevision {
 		all := append([]string{}, m.s.Cordons...)
 		a.Cordons = &all
 	}
 	return encode(a)
 }
 
-func (m *Machine) heartbeat(index uint64, who Who, b *Beat) string {
+func (m *Machine) heartbeat(index uint64, who Process, b *Heartbeat) string {
 	l := m.s.Processes[who.key()]
 	if l == nil {
 		if len(m.s.Processes) >= MaxProcesses {
 			return fmt.Sprintf("the table has %d processes already", MaxProcesses)
 		}
-		l = &Line{Who: who}
+		l = &ProcessEntry{Process: who}
 		m.s.Processes[who.key()] = l
 	}
 	if b.Seq <= l.Seq {
 		return "a later beat has been taken"
 	}
-	l.Seq, l.Index, l.Acts, l.Checked = b.Seq, index, b.Acts, b.Checked
-	if p := m.s.Pending; p != nil && b.Checked == p.N && b.Refuses != "" {
+	l.Seq, l.Index, l.Effective, l.Checked = b.Seq, index, b.Effective, b.Checked
+	if p := m.s.Pending; p != nil && b.Checked == p.Number && b.Refuses != "" {
 		m.abandon(who.Name + ": " + b.Refuses)
 	}
 	return ""
@@ -303,12 +303,12 @@
 	case !json.Valid(p.Text):
 		return "its text cannot be read"
 	case m.s.Pending != nil:
-		return fmt.Sprintf("version %d of %s is under way: once that has ended, ask again", m.s.Pending.N, m.s.Pending.By)
-	case p.Base != m.s.Agreed.N:
-		return fmt.Sprintf("version %d is agreed meanwhile: ask again", m.s.Agreed.N)
+		return fmt.Sprintf("version %d of %s is under way: once that has ended, ask again", m.s.Pending.Number, m.s.Pending.By)
+	case p.Base != m.s.Agreed.Number:
+		return fmt.Sprintf("version %d is agreed meanwhile: ask again", m.s.Agreed.Number)
 	}
 	m.s.LastNumber++
-	m.s.Pending, m.s.Phase = &Version{N: m.s.LastNumber, By: by, Text: p.Text}, Checking
+	m.s.Pending, m.s.Phase = &Version{Number: m.s.LastNumber, By: by, Text: p.Text}, Checking
 	return ""
 }
 
@@ -318,7 +318,7 @@
 
 func (m *Machine) finish(why string) {
 	p := m.s.Pending
-	m.s.Outcomes = append(m.s.Outcomes, Past{p.N, p.By, why})
+	m.s.Outcomes = append(m.s.Outcomes, Outcome{p.Number, p.By, why})
 	m.s.Outcomes = m.s.Outcomes[max(0, len(m.s.Outcomes)-MaxOutcomes):]
 	m.s.Pending, m.s.Phase, m.s.JointSince = nil, "", 0
 }
@@ -326,13 +326,13 @@
 // advance moves the pending version to its next phase once all processes have reported what that requires.
 func (m *Machine) advance(index uint64) {
 	p := m.s.Pending
-	if p != nil && m.s.Phase == Checking && m.all(func(l *Line) bool { return l.Checked >= p.N }) {
+	if p != nil && m.s.Phase == Checking && m.all(func(l *ProcessEntry) bool { return l.Checked >= p.Number }) {
 		m.s.Phase, m.s.JointSince = Joint, index
 	}
 	// A process that was on the floor when it sent its heartbeat conflicts with nobody if the answer reported that both versions
 	// count. After an earlier answer it applies the agreed version alone, and its report is outdated.
-	reported := func(l *Line) bool {
-		return l.Checked >= p.N && (l.Acts.Floor && l.Index >= m.s.JointSince || l.Acts == Acts{Low: m.s.Agreed.N, High: p.N})
+	reported := func(l *ProcessEntry) bool {
+		return l.Checked >= p.Number && (l.Effective.Floor && l.Index >= m.s.JointSince || l.Effective == EffectiveVersions{Low: m.s.Agreed.Number, High: p.Number})
 	}
 	if p != nil && m.s.Phase == Joint && m.all(reported) {
 		m.s.Agreed = *p
@@ -340,7 +340,7 @@
 	}
 }
 
-func (m *Machine) all(match func(*Line) bool) bool {
+func (m *Machine) all(match func(*ProcessEntry) bool) bool {
 	for _, l := range m.s.Processes {
 		if !match(l) {
 			return false
@@ -349,14 +349,14 @@
 	return true
 }
 
-// Lines returns the processes in the table, sorted.
-func (m *Machine) Lines() []Line {
-	var all []Line
+// Processes returns the processes in the table, sorted.
+func (m *Machine) Processes() []ProcessEntry {
+	var all []ProcessEntry
 	for _, l := range m.s.Processes {
 		all = append(all, *l)
 	}
-	slices.SortFunc(all, func(a, b Line) int {
-		return cmp.Or(cmp.Compare(a.Who.Name, b.Who.Name), cmp.Compare(a.Who.Boot, b.Who.Boot))
+	slices.SortFunc(all, func(a, b ProcessEntry) int {
+		return cmp.Or(cmp.Compare(a.Process.Name, b.Process.Name), cmp.Compare(a.Process.Boot, b.Process.Boot))
 	})
 	return all
 }
@@ -366,7 +366,7 @@
 	if m.s.Pending == nil {
 		return 0
 	}
-	return m.s.Pending.N
+	return m.s.Pending.Number
 }
 
 // Snapshot encodes the table.
@@ -374,7 +374,7 @@
 
 // Restore replaces the table by that of a snapshot.
 func (m *Machine) Restore(text []byte) error {
-	s := state{Processes: map[string]*Line{}}
+	s := state{Processes: map[string]*ProcessEntry{}}
 	if err := json.Unmarshal(text, &s); err != nil {
 		return fmt.Errorf("accord: %w", err)
 	}
--- a/internal/accord/member.go
+++ b/internal/accord/member.go
@@ -9,14 +9,14 @@
 )
 
 // Times. A dispatcher relies on an answer for Lease from when it asked, by its own clock; others assume that it does so
-// for LeaseOver by theirs. Clock rates differ by less than one part in DriftDivisor. The lease is longer than the election of a
+// for LeaseExpiry by theirs. Clock rates differ by less than one part in DriftDivisor. The lease is longer than the election of a
 // new leader of the root group takes: otherwise all dispatchers would fall to the floor whenever the leader is lost.
 const (
-	Stated                = 1500 * time.Millisecond // the maximum time for which two dispatchers apply conflicting rules
+	ConflictBound         = 1500 * time.Millisecond // the maximum time for which two dispatchers apply conflicting rules
 	Lease                 = 1200 * time.Millisecond
 	DriftDivisor          = 20
-	LeaseOver             = Lease + Lease/DriftDivisor
-	MaxLateness           = Stated - LeaseOver // of the loop that acts when a lease expires
+	LeaseExpiry           = Lease + Lease/DriftDivisor
+	MaxLateness           = ConflictBound - LeaseExpiry // of the loop that acts when a lease expires
 	HeartbeatInterval     = 200 * time.Millisecond
 	FastHeartbeatInterval = 50 * time.Millisecond // while a version is pending or there is no lease
 	ChangeTimeout         = 10 * time.Second      // then a version that is not agreed is abandoned
@@ -27,31 +27,31 @@
 // unknownRevision is no valid revision of the cordons: it makes the next answer contain the whole list.
 const unknownRevision = ^uint64(0)
 
-// Kept is what a process stores on its own disk for the next one.
-type Kept struct {
-	Agreed  Version  `json:"agreed"`
-	Pending *Version `json:"pending,omitempty"` // which it may have applied, too
-	Cordons []string `json:"cordons,omitempty"` // as agreed
-	Mine    []string `json:"mine,omitempty"`    // cordoned here and not agreed yet
+// Saved is what a process stores on its own disk for the next one.
+type Saved struct {
+	Agreed       Version  `json:"agreed"`
+	Pending      *Version `json:"pending,omitempty"` // which it may have applied, too
+	Cordons      []string `json:"cordons,omitempty"` // as agreed
+	LocalCordons []string `json:"mine,omitempty"`    // cordoned here and not agreed yet
 }
 
-// Order is what a dispatcher must apply.
-type Order struct {
-	Acts      Acts
+// Directive is what a dispatcher must apply.
+type Directive struct {
+	Effective EffectiveVersions
 	Low, High json.RawMessage // texts of those versions; nil: there is none yet
 	Cordons   []string        // cordoned instances, sorted
-	Check     *Version        // the version to check; nil: none
+	ToCheck   *Version        // the version to check; nil: none
 }
 
 // Member is one process of a dispatcher. Times are of a clock that goes on while the machine is suspended.
 type Member struct {
-	process Who
+	process Process
 	lease   time.Duration
 
 	seq           uint64
 	waiting       bool // a heartbeat has no answer yet
 	sentAt        time.Duration
-	lastSent      Beat
+	lastSent      Heartbeat
 	leaseEnd      time.Duration // end of the lease; 0: there was none
 	lastIndex     uint64        // index of the last answer that was used
 	floorReported bool          // the last heartbeat reported the floor: it must stay there until that or a later one is answered
@@ -62,8 +62,8 @@
 	phase       Phase
 	checked     uint64
 	refusal     string
-	applyErrors map[Acts]string // rules that could not be applied, with the reason
-	effective   Acts            // what is applied
+	applyErrors map[EffectiveVersions]string // rules that could not be applied, with the reason
+	effective   EffectiveVersions            // what is applied
 
 	cordonRevision uint64
 	cordons        []string
@@ -72,61 +72,61 @@
 }
 
 // NewMember returns a member without a lease: it is on the floor of what the previous process stored.
-func NewMember(who Who, kept Kept) *Member {
-	m := &Member{process: who, lease: Lease, agreed: kept.Agreed, pending: kept.Pending, cordons: slices.Clone(kept.Cordons), cordonRevision: unknownRevision, localCordons: map[string]uint64{}, applyErrors: map[Acts]string{}}
-	for _, id := range kept.Mine {
+func NewMember(who Process, kept Saved) *Member {
+	m := &Member{process: who, lease: Lease, agreed: kept.Agreed, pending: kept.Pending, cordons: slices.Clone(kept.Cordons), cordonRevision: unknownRevision, localCordons: map[string]uint64{}, applyErrors: map[EffectiveVersions]string{}}
+	for _, id := range kept.LocalCordons {
 		m.localCordons[id] = 0
 	}
 	m.effective = m.floor()
 	return m
 }
 
-// Keep returns what is to be stored for the next process.
-func (m *Member) Keep() Kept {
-	k := Kept{Agreed: m.agreed, Pending: m.pending, Cordons: m.cordons}
-	k.Mine = slices.Sorted(maps.Keys(m.localCordons))
+// Save returns what is to be stored for the next process.
+func (m *Member) Save() Saved {
+	k := Saved{Agreed: m.agreed, Pending: m.pending, Cordons: m.cordons}
+	k.LocalCordons = slices.Sorted(maps.Keys(m.localCordons))
 	return k
 }
 
 // floor is the floor of the versions that it knows.
-func (m *Member) floor() Acts {
-	a := Acts{Low: m.agreed.N, High: m.agreed.N, Floor: true}
+func (m *Member) floor() EffectiveVersions {
+	a := EffectiveVersions{Low: m.agreed.Number, High: m.agreed.Number, Floor: true}
 	if m.pending != nil {
-		a.High = m.pending.N
+		a.High = m.pending.Number
 	}
 	return a
 }
 
-// Leased reports whether it holds a lease.
-func (m *Member) Leased(now time.Duration) bool { return now < m.leaseEnd }
+// HasLease reports whether it holds a lease.
+func (m *Member) HasLease(now time.Duration) bool { return now < m.leaseEnd }
 
-// Until returns the end of the lease.
-func (m *Member) Until() time.Duration { return m.leaseEnd }
+// LeaseEnd returns the end of the lease.
+func (m *Member) LeaseEnd() time.Duration { return m.leaseEnd }
 
-// Acts returns what the dispatcher is known to apply.
-func (m *Member) Acts() Acts { return m.effective }
+// Effective returns what the dispatcher is known to apply.
+func (m *Member) Effective() EffectiveVersions { return m.effective }
 
 // target is what the dispatcher should apply.
-func (m *Member) target(now time.Duration) Acts {
-	a := Acts{Low: m.agreed.N, High: m.agreed.N}
+func (m *Member) target(now time.Duration) EffectiveVersions {
+	a := EffectiveVersions{Low: m.agreed.Number, High: m.agreed.Number}
 	if m.pending != nil && m.phase == Joint {
-		a.High = m.pending.N
+		a.High = m.pending.Number
 	}
-	if !m.Leased(now) || m.agreed.N == 0 || m.floorReported {
+	if !m.HasLease(now) || m.agreed.Number == 0 || m.floorReported {
 		a = m.floor()
 	}
 	if _, cannot := m.applyErrors[a]; cannot { // it stays with what it can apply, on the floor, and so conflicts with nobody
-		a = Acts{Low: m.effective.Low, High: m.effective.High, Floor: true}
+		a = EffectiveVersions{Low: m.effective.Low, High: m.effective.High, Floor: true}
 	}
 	return a
 }
 
-// Order returns what must be applied at a time.
-func (m *Member) Order(now time.Duration) Order {
-	o := Order{Acts: m.target(now)}
-	o.Low, o.High = m.text(o.Acts.Low), m.text(o.Acts.High)
-	if m.pending != nil && m.pending.N > m.checked {
-		o.Check = m.pending
+// Directive returns what must be applied at a time.
+func (m *Member) Directive(now time.Duration) Directive {
+	o := Directive{Effective: m.target(now)}
+	o.Low, o.High = m.text(o.Effective.Low), m.text(o.Effective.High)
+	if m.pending != nil && m.pending.Number > m.checked {
+		o.ToCheck = m.pending
 	}
 	o.Cordons = slices.Clone(m.cordons)
 	for id := range m.localCordons {
@@ -139,66 +139,68 @@
 
 func (m *Member) text(n uint64) json.RawMessage {
 	switch {
-	case n == m.agreed.N:
+	case n == m.agreed.Number:
 		return m.agreed.Text
-	case m.pending != nil && n == m.pending.N:
+	case m.pending != nil && n == m.pending.Number:
 		return m.pending.Text
 	}
 	return nil
 }
 
-// Did reports that the dispatcher applies a from now on.
-func (m *Member) Did(a Acts) { m.effective = a }
+// Applied reports that the dispatcher applies a from now on.
+func (m *Member) Applied(a EffectiveVersions) { m.effective = a }
 
-// Cannot reports that the dispatcher could not apply a.
-func (m *Member) Cannot(a Acts, why string) {
+// ApplyFailed reports that the dispatcher could not apply a.
+func (m *Member) ApplyFailed(a EffectiveVersions, why string) {
 	if len(m.applyErrors) > 8 { // old versions
 		clear(m.applyErrors)
 	}
 	m.applyErrors[a] = why
-	if m.pending != nil && a.High == m.pending.N {
-		m.checked, m.refusal = m.pending.N, why
+	if m.pending != nil && a.High == m.pending.Number {
+		m.checked, m.refusal = m.pending.Number, why
 	}
 }
 
 // Fault returns why it cannot apply the agreed version; empty: it can.
-func (m *Member) Fault() string { return m.applyErrors[Acts{Low: m.agreed.N, High: m.agreed.N}] }
+func (m *Member) Fault() string {
+	return m.applyErrors[EffectiveVersions{Low: m.agreed.Number, High: m.agreed.Number}]
+}
 
-// Checked reports that it has checked a version. why is the reason why it cannot apply that; empty: it can.
-func (m *Member) Checked(n uint64, why string) {
+// VersionChecked reports that it has checked a version. why is the reason why it cannot apply that; empty: it can.
+func (m *Member) VersionChecked(n uint64, why string) {
 	if n >= m.checked {
 		m.checked, m.refusal = n, why
 	}
 }
 
-// Beat returns a heartbeat to send, if one is due. Its answer or loss must be reported afterwards.
-func (m *Member) Beat(now time.Duration) (Command, bool) {
-	b := Beat{Acts: m.effective, Checked: m.checked, Refuses: m.refusal, Cordons: m.cordonRevision}
-	b.KnownVersions[0] = m.agreed.N
+// NextHeartbeat returns a heartbeat to send, if one is due. Its answer or loss must be reported afterwards.
+func (m *Member) NextHeartbeat(now time.Duration) (Command, bool) {
+	b := Heartbeat{Effective: m.effective, Checked: m.checked, Refuses: m.refusal, CordonRevision: m.cordonRevision}
+	b.KnownVersions[0] = m.agreed.Number
 	if m.pending != nil {
-		b.KnownVersions[1] = m.pending.N
+		b.KnownVersions[1] = m.pending.Number
 	}
 	interval := min(max(HeartbeatInterval, time.Duration(m.members)*heartbeatBudget), maxHeartbeatInterval)
-	if m.pending != nil || !m.Leased(now) {
+	if m.pending != nil || !m.HasLease(now) {
 		interval = FastHeartbeatInterval
 	}
-	changed := b.Acts != m.lastSent.Acts || b.Checked != m.lastSent.Checked || b.Refuses != m.lastSent.Refuses
+	changed := b.Effective != m.lastSent.Effective || b.Checked != m.lastSent.Checked || b.Refuses != m.lastSent.Refuses
 	if m.waiting || m.seq > 0 && now < m.sentAt+interval && !changed {
 		return Command{}, false
 	}
 	m.seq++
 	b.Seq = m.seq
-	m.waiting, m.sentAt, m.lastSent, m.floorReported = true, now, b, b.Acts.Floor
-	return Command{From: m.process, Beat: &b}, true
+	m.waiting, m.sentAt, m.lastSent, m.floorReported = true, now, b, b.Effective.Floor
+	return Command{From: m.process, Heartbeat: &b}, true
 }
 
-// Lost reports that the heartbeat has no answer.
-func (m *Member) Lost() {
-	m.waiting, m.lastSent = false, Beat{Acts: Acts{Floor: true, Low: ^uint64(0)}}
+// HeartbeatLost reports that the heartbeat has no answer.
+func (m *Member) HeartbeatLost() {
+	m.waiting, m.lastSent = false, Heartbeat{Effective: EffectiveVersions{Floor: true, Low: ^uint64(0)}}
 }
 
-// Heard handles the answer to a heartbeat. It reports whether the state to be stored has changed.
-func (m *Member) Heard(a Answer) (changed bool) {
+// HandleAnswer handles the answer to a heartbeat. It reports whether the state to be stored has changed.
+func (m *Member) HandleAnswer(a Answer) (changed bool) {
 	if !m.waiting {
 		return false
 	}
@@ -211,10 +213,10 @@
 		p := m.withText(*a.Pending)
 		pending = &p
 	}
-	if agreed.N > 0 && agreed.Text == nil || pending != nil && pending.Text == nil {
+	if agreed.Number > 0 && agreed.Text == nil || pending != nil && pending.Text == nil {
 		return false // it lacks a text that is needed
 	}
-	changed = agreed.N != m.agreed.N || (pending == nil) != (m.pending == nil) || pending != nil && pending.N != m.pending.N
+	changed = agreed.Number != m.agreed.Number || (pending == nil) != (m.pending == nil) || pending != nil && pending.Number != m.pending.Number
 	m.lastIndex, m.leaseEnd, m.members, m.floorReported = a.Index, m.sentAt+m.lease, a.Members, false
 	m.agreed, m.pending, m.phase = agreed, pending, a.Phase
 	for id, at := range m.localCordons {
@@ -232,7 +234,7 @@
 // withText adds a version's text if that is known.
 func (m *Member) withText(v Version) Version {
 	if v.Text == nil {
-		v.Text = m.text(v.N)
+		v.Text = m.text(v.Number)
 	}
 	return v
 }
@@ -258,8 +260,8 @@
 	return c
 }
 
-// Cordoned handles the answer to a cordon command.
-func (m *Member) Cordoned(c Cordon, a Answer) {
+// HandleCordonAnswer handles the answer to a cordon command.
+func (m *Member) HandleCordonAnswer(c Cordon, a Answer) {
 	if a.Refused != "" {
 		return
 	}
@@ -276,8 +278,8 @@
 	}
 }
 
-// Unagreed returns an instance that is cordoned here and not agreed yet; empty: none.
-func (m *Member) Unagreed() string {
+// UnconfirmedCordon returns an instance that is cordoned here and not agreed yet; empty: none.
+func (m *Member) UnconfirmedCordon() string {
 	for _, id := range slices.Sorted(maps.Keys(m.localCordons)) {
 		if m.localCordons[id] == 0 {
 			return id
@@ -288,7 +290,7 @@
 
 // Propose returns the command that proposes a text as the next version.
 func (m *Member) Propose(text json.RawMessage) Command {
-	return m.command(Command{Proposal: &Proposal{Base: m.agreed.N, Text: text}})
+	return m.command(Command{Proposal: &Proposal{Base: m.agreed.Number, Text: text}})
 }
 
 // Agreed returns the last agreed version that it knows.
@@ -297,11 +299,11 @@
 // Pending returns the pending version that it knows, and its phase; nil: none.
 func (m *Member) Pending() (*Version, Phase) { return m.pending, m.phase }
 
-// Driver evicts dead processes, so that no version waits for them. Any dispatcher may run it, also several at once: an eviction
+// Monitor evicts dead processes, so that no version waits for them. Any dispatcher may run it, also several at once: an eviction
 // has an effect only if the heartbeat that it names is still the process's last.
-type Driver struct {
+type Monitor struct {
 	leaseExpiry  time.Duration // time after which a lease that was not renewed has expired for others
-	seen         map[Who]sighting
+	seen         map[Process]sighting
 	pending      uint64
 	pendingSince time.Duration
 }
@@ -311,20 +313,20 @@
 	firstSeen time.Duration
 }
 
-// NewDriver returns a monitor that has seen no process: each of them has a whole lease from now on.
-func NewDriver() *Driver { return &Driver{leaseExpiry: LeaseOver, seen: map[Who]sighting{}} }
+// NewMonitor returns a monitor that has seen no process: each of them has a whole lease from now on.
+func NewMonitor() *Monitor { return &Monitor{leaseExpiry: LeaseExpiry, seen: map[Process]sighting{}} }
 
-// Look examines the table; now must have been read after the table. It returns the commands to propose.
-func (d *Driver) Look(now time.Duration, from Who, processes []Line, pending uint64) (all []Command) {
-	next := make(map[Who]sighting, len(processes))
+// Check examines the table; now must have been read after the table. It returns the commands to propose.
+func (d *Monitor) Check(now time.Duration, from Process, processes []ProcessEntry, pending uint64) (all []Command) {
+	next := make(map[Process]sighting, len(processes))
 	for _, l := range processes {
-		s, ok := d.seen[l.Who]
+		s, ok := d.seen[l.Process]
 		if !ok || s.index != l.Index {
 			s = sighting{l.Index, now}
 		}
-		next[l.Who] = s
+		next[l.Process] = s
 		if now-s.firstSeen > d.leaseExpiry {
-			all = append(all, Command{From: from, Evict: &Eviction{l.Who, l.Index}})
+			all = append(all, Command{From: from, Evict: &Eviction{l.Process, l.Index}})
 		}
 	}
 	d.seen = next
@@ -334,8 +336,8 @@
 	if pending > 0 && now-d.pendingSince > ChangeTimeout {
 		slowest := ""
 		for _, l := range processes {
-			if l.Checked < pending || !l.Acts.Floor && l.Acts.High != pending {
-				slowest = l.Who.Name
+			if l.Checked < pending || !l.Effective.Floor && l.Effective.High != pending {
+				slowest = l.Process.Name
 			}
 		}
 		all = append(all, Command{From: from, Abandon: &Abandonment{pending, fmt.Sprintf("not agreed within %v: %s has not come to it", ChangeTimeout, slowest)}})
--- a/internal/accord/model_test.go
+++ b/internal/accord/model_test.go
@@ -28,7 +28,7 @@
 	clockTicks int
 	index      uint64
 	table      *Machine
-	driver     *Driver
+	driver     *Monitor
 	processes  [processCount]process
 	evictions  []Command // proposed and not committed yet
 	late       []Command // heartbeats that their senders gave up
@@ -44,7 +44,7 @@
 	m         *Member
 	paused    bool
 	down      bool
-	saved     Kept
+	saved     Saved
 	heartbeat *Command
 	answer    *Answer
 }
@@ -53,19 +53,19 @@
 
 // newModel returns a state in which all apply version 1, which is agreed, and version 2 is proposed.
 func newModel(mutant string, losses, faults, refuses int) *model {
-	w := &model{table: New(), driver: NewDriver(), losses: losses, faults: faults, mutant: mutant, refuses: refuses}
+	w := &model{table: New(), driver: NewMonitor(), losses: losses, faults: faults, mutant: mutant, refuses: refuses}
 	w.table.s.Agreed, w.table.s.LastNumber = Version{1, "n0", json.RawMessage(`"one"`)}, 1
 	if mutant == "evicted before its lease expires" {
 		w.driver.leaseExpiry = 0
 	}
 	for i := range w.processes {
-		m := NewMember(Who{fmt.Sprint("n", i), uint64(i)}, Kept{Agreed: w.table.s.Agreed})
+		m := NewMember(Process{fmt.Sprint("n", i), uint64(i)}, Saved{Agreed: w.table.s.Agreed})
 		w.processes[i].m = m
-		c, _ := m.Beat(0)
-		m.Heard(w.apply(c))
-		m.Did(m.Order(0).Acts)
-		c, _ = m.Beat(0)
-		m.Heard(w.apply(c))
+		c, _ := m.NextHeartbeat(0)
+		m.HandleAnswer(w.apply(c))
+		m.Applied(m.Directive(0).Effective)
+		c, _ = m.NextHeartbeat(0)
+		m.HandleAnswer(w.apply(c))
 		w.mutate(m)
 	}
 	a := w.apply(w.processes[0].m.Propose(json.RawMessage(`"two"`)))
@@ -84,14 +84,14 @@
 func (w *model) apply(c Command) Answer {
 	w.index++
 	switch l := w.table.s.Processes[c.From.key()]; {
-	case w.mutant == "late heartbeats count" && l != nil && c.Beat != nil:
+	case w.mutant == "late heartbeats count" && l != nil && c.Heartbeat != nil:
 		l.Seq = 0
 	case w.mutant == "evicted in spite of a newer heartbeat" && c.Evict != nil:
-		if l := w.table.s.Processes[c.Evict.Who.key()]; l != nil {
-			c.Evict = &Eviction{c.Evict.Who, l.Index}
+		if l := w.table.s.Processes[c.Evict.Process.key()]; l != nil {
+			c.Evict = &Eviction{c.Evict.Process, l.Index}
 		}
 	}
-	a, err := ReadAnswer(w.table.Apply(w.index, 0, c.Text()))
+	a, err := ReadAnswer(w.table.Apply(w.index, 0, c.Encode()))
 	if err != nil {
 		panic(err)
 	}
@@ -108,7 +108,7 @@
 func (w *model) clone() *model {
 	c := *w
 	c.table = w.table.clone()
-	c.driver = &Driver{leaseExpiry: w.driver.leaseExpiry, seen: maps.Clone(w.driver.seen), pending: w.driver.pending, pendingSince: w.driver.pendingSince}
+	c.driver = &Monitor{leaseExpiry: w.driver.leaseExpiry, seen: maps.Clone(w.driver.seen), pending: w.driver.pending, pendingSince: w.driver.pendingSince}
 	for i := range c.processes {
 		m := *w.processes[i].m
 		m.localCordons, m.applyErrors = maps.Clone(m.localCordons), maps.Clone(m.applyErrors)
@@ -123,14 +123,14 @@
 	for i := range w.processes {
 		p := &w.processes[i]
 		p.m.floorReported = p.m.floorReported && w.mutant != "floor left before an answer"
-		if o := p.m.Order(w.now()).Acts; !p.down && !p.paused && o.Floor {
-			p.m.Did(o)
+		if o := p.m.Directive(w.now()).Effective; !p.down && !p.paused && o.Floor {
+			p.m.Applied(o)
 		}
 	}
 	for i := range w.processes {
 		for j := range i {
 			a, b := &w.processes[i], &w.processes[j]
-			if !a.down && !a.paused && !b.down && !b.paused && Contradict(a.m.effective, b.m.effective) {
+			if !a.down && !a.paused && !b.down && !b.paused && Conflict(a.m.effective, b.m.effective) {
 				w.conflict = fmt.Sprintf("n%d applies %v and n%d applies %v", j, b.m.effective, i, a.m.effective)
 			}
 		}
@@ -153,7 +153,7 @@
 		if p.down {
 			if w.clockTicks > 0 {
 				add("start", i, func(w *model, p *process) {
-					p.m = NewMember(Who{fmt.Sprint("n", i), uint64(i + 10)}, p.saved)
+					p.m = NewMember(Process{fmt.Sprint("n", i), uint64(i + 10)}, p.saved)
 					w.mutate(p.m)
 					p.down = false
 					if w.mutant == "no floor after a start" {
@@ -172,7 +172,7 @@
 		}
 		if w.faults > 0 && i == 2 {
 			add("crash", i, func(w *model, p *process) {
-				p.down, p.saved = true, p.m.Keep()
+				p.down, p.saved = true, p.m.Save()
 				if p.heartbeat != nil && p.answer == nil {
 					w.late = append(w.late, *p.heartbeat)
 				}
@@ -180,35 +180,35 @@
 				w.faults--
 			})
 		}
-		o := p.m.Order(w.now())
-		if o.Check != nil {
+		o := p.m.Directive(w.now())
+		if o.ToCheck != nil {
 			add("check", i, func(w *model, p *process) {
 				why := map[bool]string{true: "no"}[i == w.refuses]
 				if w.mutant == "not checked by all" {
 					why = ""
 				}
-				p.m.Checked(p.m.Order(w.now()).Check.N, why)
+				p.m.VersionChecked(p.m.Directive(w.now()).ToCheck.Number, why)
 			})
 		}
-		if o.Acts != p.m.effective {
-			add("act", i, func(w *model, p *process) { p.m.Did(p.m.Order(w.now()).Acts) })
+		if o.Effective != p.m.effective {
+			add("act", i, func(w *model, p *process) { p.m.Applied(p.m.Directive(w.now()).Effective) })
 		}
 		if p.heartbeat == nil {
 			m := *p.m
-			if _, ok := m.Beat(w.now()); ok {
+			if _, ok := m.NextHeartbeat(w.now()); ok {
 				add("heartbeat", i, func(w *model, p *process) {
 					effective := p.m.effective
 					if w.mutant == "reported before it is applied" {
-						p.m.effective = p.m.Order(w.now()).Acts
+						p.m.effective = p.m.Directive(w.now()).Effective
 					}
-					c, _ := p.m.Beat(w.now())
+					c, _ := p.m.NextHeartbeat(w.now())
 					p.m.effective, p.heartbeat = effective, &c
 				})
 			}
 		}
 		if p.heartbeat != nil && p.answer != nil {
 			add("receive", i, func(w *model, p *process) {
-				p.m.Heard(*p.answer)
+				p.m.HandleAnswer(*p.answer)
 				p.heartbeat, p.answer = nil, nil
 				if w.mutant == "lease counted from the answer" {
 					p.m.leaseEnd = w.now() + Lease
@@ -221,7 +221,7 @@
 					w.late = append(w.late, *p.heartbeat)
 				}
 				p.heartbeat, p.answer = nil, nil
-				p.m.Lost()
+				p.m.HeartbeatLost()
 				w.losses--
 			})
 		}
@@ -247,7 +247,7 @@
 	}
 	if len(w.evictions) == 0 {
 		all = append(all, step{"monitor", func(w *model) {
-			w.evictions = w.driver.Look(w.now(), Who{Name: "n0"}, w.table.Lines(), w.table.Pending())
+			w.evictions = w.driver.Check(w.now(), Process{Name: "n0"}, w.table.Processes(), w.table.Pending())
 		}})
 	}
 	return all
@@ -285,48 +285,48 @@
 		}
 	}
 	yes := func(y bool) int { return map[bool]int{true: 1}[y] }
-	acts := func(a Acts) { num(int(a.Low), int(a.High), yes(a.Floor)) }
+	acts := func(a EffectiveVersions) { num(int(a.Low), int(a.High), yes(a.Floor)) }
 	command := func(c *Command, of uint64) {
 		switch {
 		case c == nil:
 			num(-1)
-		case c.Beat != nil:
-			num(int(c.From.Boot), int(of)-int(c.Beat.Seq), int(c.Beat.Checked), len(c.Beat.Refuses), int(c.Beat.KnownVersions[0]), int(c.Beat.KnownVersions[1]))
-			acts(c.Beat.Acts)
+		case c.Heartbeat != nil:
+			num(int(c.From.Boot), int(of)-int(c.Heartbeat.Seq), int(c.Heartbeat.Checked), len(c.Heartbeat.Refuses), int(c.Heartbeat.KnownVersions[0]), int(c.Heartbeat.KnownVersions[1]))
+			acts(c.Heartbeat.Effective)
 		case c.Evict != nil:
-			num(int(c.Evict.Who.Boot), rank(c.Evict.Index))
+			num(int(c.Evict.Process.Boot), rank(c.Evict.Index))
 		}
 	}
-	num(w.clockTicks, w.losses, w.faults, int(w.table.s.Agreed.N), int(w.table.Pending()), len(w.table.s.Phase))
+	num(w.clockTicks, w.losses, w.faults, int(w.table.s.Agreed.Number), int(w.table.Pending()), len(w.table.s.Phase))
 	if w.table.s.Phase == Joint {
 		num(rank(w.table.s.JointSince))
 	}
 	seqs := map[uint64]uint64{}
-	for _, l := range w.table.Lines() {
-		seqs[l.Who.Boot] = l.Seq
-		num(int(l.Who.Boot), rank(l.Index), int(l.Checked))
-		acts(l.Acts)
+	for _, l := range w.table.Processes() {
+		seqs[l.Process.Boot] = l.Seq
+		num(int(l.Process.Boot), rank(l.Index), int(l.Checked))
+		acts(l.Effective)
 	}
 	for i := range w.processes {
 		p := &w.processes[i]
 		m := p.m
-		num(-2, yes(p.down), yes(p.paused), int(m.process.Boot), yes(m.waiting), yes(m.floorReported), int(m.sentAt/tick), int(m.leaseEnd/tick), rank(m.lastIndex), int(m.checked), len(m.refusal), int(m.agreed.N), len(m.phase), int(m.seq-seqs[m.process.Boot]))
+		num(-2, yes(p.down), yes(p.paused), int(m.process.Boot), yes(m.waiting), yes(m.floorReported), int(m.sentAt/tick), int(m.leaseEnd/tick), rank(m.lastIndex), int(m.checked), len(m.refusal), int(m.agreed.Number), len(m.phase), int(m.seq-seqs[m.process.Boot]))
 		if m.pending != nil {
-			num(int(m.pending.N))
+			num(int(m.pending.Number))
 		}
 		acts(m.effective)
-		acts(m.lastSent.Acts)
+		acts(m.lastSent.Effective)
 		num(int(m.lastSent.Checked))
 		if p.down {
-			num(int(p.saved.Agreed.N), yes(p.saved.Pending != nil))
+			num(int(p.saved.Agreed.Number), yes(p.saved.Pending != nil))
 		}
 		command(p.heartbeat, seqs[m.process.Boot])
 		if p.answer != nil {
-			num(rank(p.answer.Index), int(p.answer.Agreed.N), len(p.answer.Phase), yes(p.answer.Pending != nil))
+			num(rank(p.answer.Index), int(p.answer.Agreed.Number), len(p.answer.Phase), yes(p.answer.Pending != nil))
 		}
 	}
-	for _, l := range w.table.Lines() {
-		s, ok := w.driver.seen[l.Who]
+	for _, l := range w.table.Processes() {
+		s, ok := w.driver.seen[l.Process]
 		num(yes(ok), rank(s.index), int(s.firstSeen/tick))
 	}
 	for i := range w.evictions {
@@ -424,9 +424,9 @@
 			}
 		}
 		for i := range w.processes {
-			a := w.processes[i].m.Acts()
-			if a.Floor || a.Low != w.table.s.Agreed.N || a.High != a.Low || w.table.Pending() != 0 {
-				t.Fatalf("n%d applies %v; agreed: %d, pending: %d", i, a, w.table.s.Agreed.N, w.table.Pending())
+			a := w.processes[i].m.Effective()
+			if a.Floor || a.Low != w.table.s.Agreed.Number || a.High != a.Low || w.table.Pending() != 0 {
+				t.Fatalf("n%d applies %v; agreed: %d, pending: %d", i, a, w.table.s.Agreed.Number, w.table.Pending())
 			}
 		}
 	})
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -38,51 +38,51 @@
 	minForHalfCheck      = 4                      // from which on a list that lacks over half of the instances is suspect
 )
 
-// Mark orders lists: a new term begins when discovery has restarted its revisions.
-type Mark struct {
+// ListVersion orders lists: a new term begins when discovery has restarted its revisions.
+type ListVersion struct {
 	Term     int64 `json:"Term"`
 	Revision int64 `json:"Revision"`
 }
 
 // Before reports whether m is older than o.
-func (m Mark) Before(o Mark) bool {
+func (m ListVersion) Before(o ListVersion) bool {
 	return cmp.Or(cmp.Compare(m.Term, o.Term), cmp.Compare(m.Revision, o.Revision)) < 0
 }
 
-func (m Mark) String() string { return fmt.Sprintf("%d.%d", m.Term, m.Revision) }
+func (m ListVersion) String() string { return fmt.Sprintf("%d.%d", m.Term, m.Revision) }
 
-// Watch is the status of a dispatcher's watch on discovery.
-type Watch int
+// WatchStatus is the status of a dispatcher's watch on discovery.
+type WatchStatus int
 
 // Watch statuses.
 const (
-	None    Watch = iota // others watch
-	Trying               // it should watch and does not yet
-	Well                 // it watches
-	Failing              // it should watch and cannot: the next dispatcher takes over
+	NotWatching WatchStatus = iota // others watch
+	Trying                         // it should watch and does not yet
+	Watching                       // it watches
+	Failing                        // it should watch and cannot: the next dispatcher takes over
 )
 
-func (w Watch) String() string {
+func (w WatchStatus) String() string {
 	return [...]string{"told by peers", "trying", "watches", "failing"}[w]
 }
 
 // Peer is a living dispatcher, as the membership reports it.
 type Peer struct {
 	Name, Zone, Settings string
-	Watch                Watch
+	Watch                WatchStatus
 }
 
-// Told is a message about the instance list: a complete list, a change of one, or a heartbeat, which has no instances.
-type Told struct {
-	Source   string              `json:"Source"` // the watcher that it comes from, the root of the tree in which it is forwarded
-	Mark     Mark                `json:"Mark"`
-	Base     Mark                `json:"Base"`  // the version that a change is based on
-	Heard    time.Time           `json:"Heard"` // by the source's clock
-	Age      time.Duration       `json:"Age"`   // time since then; each dispatcher adds its own part
-	Whole    bool                `json:"Whole"`
-	Beat     bool                `json:"Beat"`
-	Response bool                `json:"Answer"` // to a request: it is not forwarded
-	Members  []dispatch.Instance `json:"Members"`
+// Update is a message about the instance list: a complete list, a change of one, or a heartbeat, which has no instances.
+type Update struct {
+	Source     string              `json:"Source"` // the watcher that it comes from, the root of the tree in which it is forwarded
+	Version    ListVersion         `json:"Mark"`
+	Base       ListVersion         `json:"Base"`  // the version that a change is based on
+	ReceivedAt time.Time           `json:"Heard"` // by the source's clock
+	Age        time.Duration       `json:"Age"`   // time since then; each dispatcher adds its own part
+	Complete   bool                `json:"Whole"`
+	Heartbeat  bool                `json:"Beat"`
+	Response   bool                `json:"Answer"` // to a request: it is not forwarded
+	Instances  []dispatch.Instance `json:"Members"`
 }
 
 // Config describes the dispatcher itself.
@@ -98,35 +98,35 @@
 
 // Actions.
 type (
-	// Say sends a message to a peer, which confirms it with Ack.
-	Say struct {
+	// Send sends a message to a peer, which confirms it with Ack.
+	Send struct {
 		To string
-		Told
+		Update
 	}
 	// Ack acknowledges a peer's message.
 	Ack struct {
 		To, Source string
-		Mark       Mark
-	}
-	// Ask requests the complete list from a peer.
-	Ask struct{ To string }
-	// Keep starts or ends the own watch.
-	Keep struct{ Watch bool }
-	// Take applies a list.
-	Take struct{ dispatch.InstanceUpdate }
-	// Show publishes the status of the own watch through the membership.
-	Show struct{ Watch Watch }
-	// Note is a log message.
-	Note struct{ Text, Peer string }
+		Version    ListVersion
+	}
+	// RequestList requests the complete list from a peer.
+	RequestList struct{ To string }
+	// SetWatch starts or ends the own watch.
+	SetWatch struct{ Watch bool }
+	// ApplyList applies a list.
+	ApplyList struct{ dispatch.InstanceUpdate }
+	// ShowStatus publishes the status of the own watch through the membership.
+	ShowStatus struct{ Watch WatchStatus }
+	// LogLine is a log message.
+	LogLine struct{ Text, Peer string }
 )
 
-func (Say) action()  {}
-func (Ack) action()  {}
-func (Ask) action()  {}
-func (Keep) action() {}
-func (Take) action() {}
-func (Show) action() {}
-func (Note) action() {}
+func (Send) action()        {}
+func (Ack) action()         {}
+func (RequestList) action() {}
+func (SetWatch) action()    {}
+func (ApplyList) action()   {}
+func (ShowStatus) action()  {}
+func (LogLine) action()     {}
 
 // State is one dispatcher's view. It is not safe for concurrent use.
 type State struct {
@@ -142,12 +142,12 @@
 
 	table      dispatch.InstanceList
 	hasList    bool // there is a list
-	version    Mark
+	version    ListVersion
 	source     string
 	receivedAt time.Time // by the source
 	validAt    time.Time // when the list was last known to be valid: the time of the last message less its age
 
-	watch          Watch
+	watch          WatchStatus
 	shouldWatch    bool // a watch is on or requested
 	failures       int
 	tryingSince    time.Time // start of the present attempts to watch
@@ -156,22 +156,22 @@
 	olderSince     time.Time // since when the own watch has reported an older list; zero: it does not
 	addressChanged bool
 	lastHeartbeat  time.Time
-	shownStatus    Watch
-
-	heartbeats  map[string]time.Time  // by watcher: time of its last heartbeat
-	expected    map[string]time.Time  // by watcher: since when heartbeats are expected from it
-	forwarded   map[string]Mark       // by source: the last version that was forwarded
-	unacked     map[string]pendingAck // by peer
-	distrusted  map[string]time.Time  // by peer: end of the time in which it is ignored
-	notAsked    map[string]time.Time  // by peer: end of the time in which it is not asked, since it sent a list that lacks over half of the instances
-	suspectList Told                  // the last list that lacks over half of the instances
+	shownStatus    WatchStatus
+
+	heartbeats  map[string]time.Time   // by watcher: time of its last heartbeat
+	expected    map[string]time.Time   // by watcher: since when heartbeats are expected from it
+	forwarded   map[string]ListVersion // by source: the last version that was forwarded
+	unacked     map[string]pendingAck  // by peer
+	distrusted  map[string]time.Time   // by peer: end of the time in which it is ignored
+	notAsked    map[string]time.Time   // by peer: end of the time in which it is not asked, since it sent a list that lacks over half of the instances
+	suspectList Update                 // the last list that lacks over half of the instances
 	requestedAt time.Time
 	correctedAt time.Time // when a watcher with an older list was last sent the newer one
 }
 
 // pendingAck is a message that waits for its acknowledgement.
 type pendingAck struct {
-	Told
+	Update
 	until time.Time
 }
 
@@ -180,10 +180,10 @@
 	c.Watchers, c.FanOut = max(1, c.Watchers), max(2, c.FanOut)
 	s := &State{
 		config: c, rng: rand.New(rand.NewPCG(rank(c.Name, "seed"), uint64(now.UnixNano()))), started: now, peersChanged: now,
-		heartbeats: map[string]time.Time{}, expected: map[string]time.Time{}, forwarded: map[string]Mark{}, unacked: map[string]pendingAck{}, distrusted: map[string]time.Time{},
+		heartbeats: map[string]time.Time{}, expected: map[string]time.Time{}, forwarded: map[string]ListVersion{}, unacked: map[string]pendingAck{}, distrusted: map[string]time.Time{},
 		notAsked: map[string]time.Time{},
 	}
-	s.Living(now, nil)
+	s.SetPeers(now, nil)
 	return s
 }
 
@@ -202,8 +202,8 @@
 	return names
 }
 
-// Did returns the actions since the last call.
-func (s *State) Did() []Action {
+// Actions returns the actions since the last call.
+func (s *State) Actions() []Action {
 	out := s.actions
 	s.actions = nil
 	return out
@@ -211,8 +211,8 @@
 
 func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
 
-// Living sets all other living dispatchers.
-func (s *State) Living(now time.Time, peers []Peer) {
+// SetPeers sets all other living dispatchers.
+func (s *State) SetPeers(now time.Time, peers []Peer) {
 	next := make(map[string]Peer, len(peers))
 	same := len(peers) == len(s.peers)
 	zone := []string{s.config.Name}
@@ -270,52 +270,52 @@
 		s.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	}
 	for _, name := range append(near, far...)[:min(n, len(near)+len(far))] {
-		s.emit(Ask{name})
+		s.emit(RequestList{name})
 	}
 }
 
-// Heard handles an update of the own watch.
-func (s *State) Heard(now time.Time, l dispatch.InstanceUpdate) {
+// WatchUpdate handles an update of the own watch.
+func (s *State) WatchUpdate(now time.Time, l dispatch.InstanceUpdate) {
 	if !s.shouldWatch {
 		return // from a watch that has ended
 	}
-	version := Mark{s.version.Term, l.Revision}
+	version := ListVersion{s.version.Term, l.Revision}
 	if s.hasList && version.Before(s.version) {
 		if s.olderSince.IsZero() {
 			s.olderSince = now
-			s.emit(Note{Text: fmt.Sprintf("discovery reports the older revision %d after %v: not accepted yet", l.Revision, s.version)})
+			s.emit(LogLine{Text: fmt.Sprintf("discovery reports the older revision %d after %v: not accepted yet", l.Revision, s.version)})
 		}
 		if !l.Complete || !s.addressChanged && now.Sub(s.olderSince) < olderListDelay {
 			s.checkFailing(now)
 			return
 		}
-		s.emit(Note{Text: fmt.Sprintf("discovery has restarted its revisions at %d", l.Revision)})
+		s.emit(LogLine{Text: fmt.Sprintf("discovery has restarted its revisions at %d", l.Revision)})
 		version.Term++
 	} else if !s.olderSince.IsZero() && !l.Complete {
 		return // a change of a list that was not accepted
 	}
-	s.addressChanged, s.olderSince, s.failures, s.watch = false, time.Time{}, 0, Well
-	t := Told{Source: s.config.Name, Mark: version, Base: s.version, Heard: now, Whole: l.Complete, Members: l.Instances}
+	s.addressChanged, s.olderSince, s.failures, s.watch = false, time.Time{}, 0, Watching
+	t := Update{Source: s.config.Name, Version: version, Base: s.version, ReceivedAt: now, Complete: l.Complete, Instances: l.Instances}
 	s.applyList(now, t, l)
 	s.forward(now, t)
 	s.lastHeartbeat = now
 	s.showStatus()
 }
 
-// Alive reports that the own watch is working, with or without an update.
-func (s *State) Alive(now time.Time) {
+// WatchAlive reports that the own watch is working, with or without an update.
+func (s *State) WatchAlive(now time.Time) {
 	if s.shouldWatch && s.olderSince.IsZero() && s.hasList {
-		s.watch, s.failures, s.validAt = Well, 0, now
+		s.watch, s.failures, s.validAt = Watching, 0, now
 		s.showStatus()
 	}
 }
 
-// Lost reports that the own watch, or an attempt to start one, has ended.
-func (s *State) Lost(now time.Time) {
+// WatchLost reports that the own watch, or an attempt to start one, has ended.
+func (s *State) WatchLost(now time.Time) {
 	if !s.shouldWatch {
 		return
 	}
-	if s.watch == Well {
+	if s.watch == Watching {
 		s.watch, s.tryingSince = Trying, now
 	}
 	s.failures++
@@ -326,40 +326,40 @@
 
 // checkFailing marks a watcher as failing if it has not been able to watch for long enough.
 func (s *State) checkFailing(now time.Time) {
-	if s.watch == Well {
+	if s.watch == Watching {
 		s.watch, s.tryingSince = Trying, now
 	}
 	if s.watch == Trying && now.Sub(s.tryingSince) >= failingAfter && len(s.watcherOrder) > 1 {
 		s.watch, s.failedAt = Failing, now
-		s.emit(Note{Text: "no watch on discovery: the next dispatcher must take over"})
+		s.emit(LogLine{Text: "no watch on discovery: the next dispatcher must take over"})
 	}
 	s.showStatus()
 }
 
-// Moved reports that discovery has a new address, so that its revisions cannot be compared with earlier ones. A dispatcher that
+// DiscoveryMoved reports that discovery has a new address, so that its revisions cannot be compared with earlier ones. A dispatcher that
 // should not watch stays without a watch: otherwise all of them would connect at once.
-func (s *State) Moved() {
+func (s *State) DiscoveryMoved() {
 	if s.addressChanged = true; !s.shouldWatch {
-		s.emit(Keep{false})
+		s.emit(SetWatch{false})
 	}
 }
 
 func (s *State) showStatus() {
 	if s.watch != s.shownStatus {
 		s.shownStatus = s.watch
-		s.emit(Show{s.watch})
+		s.emit(ShowStatus{s.watch})
 	}
 }
 
 // applyList applies a list that was accepted.
-func (s *State) applyList(now time.Time, t Told, l dispatch.InstanceUpdate) {
+func (s *State) applyList(now time.Time, t Update, l dispatch.InstanceUpdate) {
 	s.table.Update(l)
-	s.hasList, s.version, s.source, s.receivedAt, s.validAt = true, t.Mark, t.Source, t.Heard, now.Add(-t.Age)
-	s.emit(Take{l})
+	s.hasList, s.version, s.source, s.receivedAt, s.validAt = true, t.Version, t.Source, t.ReceivedAt, now.Add(-t.Age)
+	s.emit(ApplyList{l})
 }
 
-// Told handles a peer's message.
-func (s *State) Told(now time.Time, from string, t Told) {
+// HandleUpdate handles a peer's message.
+func (s *State) HandleUpdate(now time.Time, from string, t Update) {
 	if now.Before(s.distrusted[from]) {
 		return
 	}
@@ -368,27 +368,27 @@
 		return
 	}
 	if !t.Response {
-		s.emit(Ack{from, t.Source, t.Mark})
+		s.emit(Ack{from, t.Source, t.Version})
 	}
 	if _, living := s.peers[t.Source]; living && !t.Response { // the source that a response names may have died since
 		s.heartbeats[t.Source] = now
 	}
-	newer := !s.hasList || s.version.Before(t.Mark)
+	newer := !s.hasList || s.version.Before(t.Version)
 	switch {
-	case t.Beat && newer || newer && !t.Whole && (!s.hasList || s.version.Before(t.Base)): // an earlier update was missed
+	case t.Heartbeat && newer || newer && !t.Complete && (!s.hasList || s.version.Before(t.Base)): // an earlier update was missed
 		if now.Sub(s.requestedAt) >= ackTimeout && !now.Before(s.notAsked[from]) {
 			s.requestedAt = now
-			s.emit(Ask{from})
+			s.emit(RequestList{from})
 		}
-		if t.Beat {
+		if t.Heartbeat {
 			s.forward(now, t)
 		}
 		return
-	case newer && t.Whole && s.lacksHalf(t) && !s.confirmed(t):
-		if s.suspectList.Source != t.Source || s.suspectList.Mark != t.Mark {
-			s.emit(Note{Text: fmt.Sprintf("a list %v of %s lacks more than half of the encoders: not accepted until another watcher confirms it", t.Mark, t.Source), Peer: from})
+	case newer && t.Complete && s.lacksHalf(t) && !s.confirmed(t):
+		if s.suspectList.Source != t.Source || s.suspectList.Version != t.Version {
+			s.emit(LogLine{Text: fmt.Sprintf("a list %v of %s lacks more than half of the encoders: not accepted until another watcher confirms it", t.Version, t.Source), Peer: from})
 			for _, name := range s.otherWatchers(t.Source) { // they answer with what their own watches report
-				s.emit(Ask{name})
+				s.emit(RequestList{name})
 			}
 		}
 		s.suspectList, s.notAsked[from] = t, now.Add(distrustTime)
@@ -397,13 +397,13 @@
 		}
 		return
 	case newer:
-		s.addressChanged = s.addressChanged && t.Mark.Term == s.version.Term // in a new term others have accepted the new address's list already
-		s.applyList(now, t, dispatch.InstanceUpdate{Revision: t.Mark.Revision, Complete: t.Whole, Instances: t.Members})
+		s.addressChanged = s.addressChanged && t.Version.Term == s.version.Term // in a new term others have accepted the new address's list already
+		s.applyList(now, t, dispatch.InstanceUpdate{Revision: t.Version.Revision, Complete: t.Complete, Instances: t.Instances})
 		s.showStatus()
-	case t.Beat && t.Mark.Before(s.version) && from == t.Source && now.Sub(s.correctedAt) >= requestInterval:
+	case t.Heartbeat && t.Version.Before(s.version) && from == t.Source && now.Sub(s.correctedAt) >= requestInterval:
 		s.correctedAt = now // a watcher that was suspended, or whose discovery server is behind, gets the newer list from its children
-		s.emit(Say{from, s.completeList(now)})
-	case t.Mark == s.version:
+		s.emit(Send{from, s.completeList(now)})
+	case t.Version == s.version:
 		if at := now.Add(-t.Age); at.After(s.validAt) {
 			s.validAt = at
 		}
@@ -413,36 +413,36 @@
 	}
 }
 
-// Garbage reports that a peer sent an unreadable message.
-func (s *State) Garbage(now time.Time, from string, err error) {
+// UnreadableMessage reports that a peer sent an unreadable message.
+func (s *State) UnreadableMessage(now time.Time, from string, err error) {
 	if !now.Before(s.distrusted[from]) {
 		s.distrust(now, from, err.Error())
 	}
 }
 
 // implausible returns why a message cannot be valid; empty: it can.
-func (s *State) implausible(now time.Time, t Told) string {
+func (s *State) implausible(now time.Time, t Update) string {
 	switch {
-	case t.Source == "" || t.Age < 0 || t.Mark.Term < 0 || t.Mark.Revision < 0:
+	case t.Source == "" || t.Age < 0 || t.Version.Term < 0 || t.Version.Revision < 0:
 		return "message has no valid source, revision or age"
-	case t.Heard.Sub(now) > maxClockAhead:
+	case t.ReceivedAt.Sub(now) > maxClockAhead:
 		return "message has a time in the future"
-	case s.hasList && (t.Mark.Revision-s.version.Revision > maxRevisionJump || t.Mark.Term-s.version.Term > maxRevisionJump):
-		return fmt.Sprintf("revision %v of its list is too far beyond %v", t.Mark, s.version)
-	case t.Whole && len(t.Members) == 0 && s.hasList && len(s.table.Instances()) > 0:
+	case s.hasList && (t.Version.Revision-s.version.Revision > maxRevisionJump || t.Version.Term-s.version.Term > maxRevisionJump):
+		return fmt.Sprintf("revision %v of its list is too far beyond %v", t.Version, s.version)
+	case t.Complete && len(t.Instances) == 0 && s.hasList && len(s.table.Instances()) > 0:
 		return "its list is empty"
 	}
 	return ""
 }
 
 // lacksHalf reports whether a list lacks more than half of the known instances instead of reporting their states.
-func (s *State) lacksHalf(t Told) bool {
+func (s *State) lacksHalf(t Update) bool {
 	known := s.table.Instances()
 	if len(known) < minForHalfCheck {
 		return false
 	}
 	found := 0
-	for _, m := range t.Members {
+	for _, m := range t.Instances {
 		if _, ok := known[m.ID]; ok {
 			found++
 		}
@@ -451,15 +451,15 @@
 }
 
 // confirmed reports whether another watcher reports the same, or whether there is no other.
-func (s *State) confirmed(t Told) bool {
-	alone := len(s.otherWatchers(t.Source)) == 0 && s.watch != Well
-	return alone || s.suspectList.Source != "" && s.suspectList.Source != t.Source && !t.Mark.Before(s.suspectList.Mark)
+func (s *State) confirmed(t Update) bool {
+	alone := len(s.otherWatchers(t.Source)) == 0 && s.watch != Watching
+	return alone || s.suspectList.Source != "" && s.suspectList.Source != t.Source && !t.Version.Before(s.suspectList.Version)
 }
 
 // otherWatchers returns all watchers but one.
 func (s *State) otherWatchers(except string) (names []string) {
 	for _, p := range s.peers {
-		if p.Watch == Well && p.Name != except {
+		if p.Watch == Watching && p.Name != except {
 			names = append(names, p.Name)
 		}
 	}
@@ -472,56 +472,56 @@
 		maps.DeleteFunc(of, func(_ string, until time.Time) bool { return !now.Before(until) })
 	}
 	s.distrusted[peer] = now.Add(distrustTime)
-	s.emit(Note{Text: why + ": ignored for " + distrustTime.String(), Peer: peer})
+	s.emit(LogLine{Text: why + ": ignored for " + distrustTime.String(), Peer: peer})
 }
 
-// Asked handles a peer's request for the complete list.
-func (s *State) Asked(now time.Time, from string) {
+// ListRequested handles a peer's request for the complete list.
+func (s *State) ListRequested(now time.Time, from string) {
 	if s.hasList {
-		s.emit(Say{from, s.completeList(now)})
+		s.emit(Send{from, s.completeList(now)})
 	}
 }
 
-func (s *State) completeList(now time.Time) Told {
-	return Told{Source: s.source, Mark: s.version, Heard: s.receivedAt, Age: max(0, now.Sub(s.validAt)), Whole: true, Response: true, Members: s.table.Snapshot().Instances}
+func (s *State) completeList(now time.Time) Update {
+	return Update{Source: s.source, Version: s.version, ReceivedAt: s.receivedAt, Age: max(0, now.Sub(s.validAt)), Complete: true, Response: true, Instances: s.table.Snapshot().Instances}
 }
 
 // forward forwards a message in its source's tree, each version once.
-func (s *State) forward(now time.Time, t Told) {
+func (s *State) forward(now time.Time, t Update) {
 	if _, known := s.forwarded[t.Source]; !known && len(s.forwarded) >= maxSources {
 		return
 	}
-	if !t.Beat {
-		if last, known := s.forwarded[t.Source]; known && !last.Before(t.Mark) {
+	if !t.Heartbeat {
+		if last, known := s.forwarded[t.Source]; known && !last.Before(t.Version) {
 			return
 		}
-		s.forwarded[t.Source] = t.Mark
+		s.forwarded[t.Source] = t.Version
 	}
 	s.send(now, s.children(t.Source, s.config.Name), t)
 }
 
-func (s *State) send(now time.Time, to []string, t Told) {
+func (s *State) send(now time.Time, to []string, t Update) {
 	for _, name := range to {
-		if before, waiting := s.unacked[name]; !waiting || before.Beat || !t.Beat {
+		if before, waiting := s.unacked[name]; !waiting || before.Heartbeat || !t.Heartbeat {
 			s.unacked[name] = pendingAck{t, now.Add(ackTimeout)}
 		}
-		s.emit(Say{name, t})
+		s.emit(Send{name, t})
 	}
 }
 
-// Acked handles a peer's acknowledgement.
-func (s *State) Acked(from, source string, version Mark) {
-	if w, ok := s.unacked[from]; ok && w.Source == source && !version.Before(w.Mark) {
+// HandleAck handles a peer's acknowledgement.
+func (s *State) HandleAck(from, source string, version ListVersion) {
+	if w, ok := s.unacked[from]; ok && w.Source == source && !version.Before(w.Version) {
 		delete(s.unacked, from)
 	}
 }
 
-// Unreached reports that a peer could not be reached: its children in the tree get the message from here.
-func (s *State) Unreached(now time.Time, to string) {
+// SendFailed reports that a peer could not be reached: its children in the tree get the message from here.
+func (s *State) SendFailed(now time.Time, to string) {
 	w, ok := s.unacked[to]
 	if delete(s.unacked, to); ok {
 		w.Age += now.Sub(w.until.Add(-ackTimeout))
-		s.send(now, s.children(w.Source, to), w.Told)
+		s.send(now, s.children(w.Source, to), w.Update)
 	}
 }
 
@@ -532,9 +532,9 @@
 	if !ok {
 		zone, watched := s.zoneOf(source), map[string]bool{}
 		for _, p := range s.peers {
-			watched[p.Zone] = watched[p.Zone] || p.Watch == Well
+			watched[p.Zone] = watched[p.Zone] || p.Watch == Watching
 		}
-		watched[s.config.Zone] = watched[s.config.Zone] || s.watch == Well
+		watched[s.config.Zone] = watched[s.config.Zone] || s.watch == Watching
 		if s.config.Name != source && (s.config.Zone == zone || !watched[s.config.Zone]) {
 			tree = append(tree, s.config.Name)
 		}
@@ -569,24 +569,24 @@
 func (s *State) Tick(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(s.unacked)) {
 		if !now.Before(s.unacked[name].until) {
-			s.Unreached(now, name)
+			s.SendFailed(now, name)
 		}
 	}
 	if s.watch == Failing && !s.shouldWatch && now.Sub(s.failedAt) >= failureExpiry {
-		s.watch, s.tryingSince = None, now
+		s.watch, s.tryingSince = NotWatching, now
 	}
 	if s.settled(now) {
 		s.updateRole(now)
 	}
 	if s.shouldWatch && !s.retryAt.IsZero() && !now.Before(s.retryAt) {
 		s.retryAt = time.Time{}
-		s.emit(Keep{true})
+		s.emit(SetWatch{true})
 	}
-	if (s.watch == Well || s.shouldWatch && !s.olderSince.IsZero()) && now.Sub(s.lastHeartbeat) >= heartbeatInterval {
+	if (s.watch == Watching || s.shouldWatch && !s.olderSince.IsZero()) && now.Sub(s.lastHeartbeat) >= heartbeatInterval {
 		s.lastHeartbeat = now
-		s.forward(now, Told{Source: s.config.Name, Mark: s.version, Heard: s.receivedAt, Age: max(0, now.Sub(s.validAt)), Beat: true})
+		s.forward(now, Update{Source: s.config.Name, Version: s.version, ReceivedAt: s.receivedAt, Age: max(0, now.Sub(s.validAt)), Heartbeat: true})
 	}
-	if s.watch != Well && (!s.hasList || now.Sub(s.validAt) > watcherTimeout) {
+	if s.watch != Watching && (!s.hasList || now.Sub(s.validAt) > watcherTimeout) {
 		s.requestList(now, 1)
 	}
 	s.showStatus()
@@ -628,13 +628,13 @@
 	switch {
 	case selected && !s.shouldWatch:
 		s.shouldWatch, s.watch, s.tryingSince, s.failures, s.retryAt = true, Trying, now, 0, time.Time{}
-		s.emit(Keep{true})
+		s.emit(SetWatch{true})
 	case !selected && s.shouldWatch:
 		s.shouldWatch, s.retryAt, s.olderSince = false, time.Time{}, time.Time{}
 		if s.watch != Failing {
-			s.watch = None
+			s.watch = NotWatching
 		}
-		s.emit(Keep{false})
+		s.emit(SetWatch{false})
 	case selected && s.watch == Trying:
 		s.checkFailing(now)
 	}
@@ -655,18 +655,18 @@
 
 // View is the state as shown to operators.
 type View struct {
-	Name     string        `json:"name"`
-	Zone     string        `json:"zone"`
-	Watch    string        `json:"watch"`
-	Term     int64         `json:"term"`
-	Revision int64         `json:"revision"`
-	Source   string        `json:"source"`
-	Heard    time.Time     `json:"heard"`
-	Age      time.Duration `json:"age_ns"` // negative: there is no list
-	Encoders int           `json:"encoders"`
-	Tells    []string      `json:"tells"`
-	Doubted  []string      `json:"doubted,omitempty"`
-	Peers    []PeerView    `json:"peers"`
+	Name         string        `json:"name"`
+	Zone         string        `json:"zone"`
+	Watch        string        `json:"watch"`
+	Term         int64         `json:"term"`
+	Revision     int64         `json:"revision"`
+	Source       string        `json:"source"`
+	ReceivedAt   time.Time     `json:"heard"`
+	Age          time.Duration `json:"age_ns"` // negative: there is no list
+	EncoderCount int           `json:"encoders"`
+	SendsTo      []string      `json:"tells"`
+	Distrusted   []string      `json:"doubted,omitempty"`
+	Peers        []PeerView    `json:"peers"`
 }
 
 // PeerView is a peer's state as it reports it.
@@ -680,8 +680,8 @@
 // View returns the state at a time.
 func (s *State) View(now time.Time) View {
 	v := View{
-		Name: s.config.Name, Zone: s.config.Zone, Watch: s.watch.String(), Term: s.version.Term, Revision: s.version.Revision, Source: s.source, Heard: s.receivedAt,
-		Age: -time.Millisecond, Encoders: len(s.table.Instances()), Tells: s.children(cmp.Or(s.source, s.config.Name), s.config.Name),
+		Name: s.config.Name, Zone: s.config.Zone, Watch: s.watch.String(), Term: s.version.Term, Revision: s.version.Revision, Source: s.source, ReceivedAt: s.receivedAt,
+		Age: -time.Millisecond, EncoderCount: len(s.table.Instances()), SendsTo: s.children(cmp.Or(s.source, s.config.Name), s.config.Name),
 	}
 	if s.hasList {
 		v.Age = max(0, now.Sub(s.validAt))
@@ -689,12 +689,12 @@
 	for _, of := range []map[string]time.Time{s.distrusted, s.notAsked} {
 		for name, until := range of {
 			if now.Before(until) {
-				v.Doubted = append(v.Doubted, name)
+				v.Distrusted = append(v.Distrusted, name)
 			}
 		}
 	}
-	slices.Sort(v.Doubted)
-	v.Doubted = slices.Compact(v.Doubted)
+	slices.Sort(v.Distrusted)
+	v.Distrusted = slices.Compact(v.Distrusted)
 	for _, p := range s.peers {
 		v.Peers = append(v.Peers, PeerView{p.Name, p.Zone, p.Watch.String(), p.Settings})
 	}
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -35,8 +35,8 @@
 	name, zone     string
 	stopped, alive bool
 	watch          bool
-	appliedVersion Mark
-	status         Watch
+	appliedVersion ListVersion
+	status         WatchStatus
 	table          dispatch.InstanceList
 	logLines       []string
 }
@@ -73,7 +73,7 @@
 
 func (f *fleet) deliverList(d *node) {
 	if !d.stopped && d.alive {
-		d.Heard(f.now, f.service)
+		d.WatchUpdate(f.now, f.service)
 		f.perform(d)
 	}
 }
@@ -85,30 +85,30 @@
 }
 
 func (f *fleet) perform(d *node) {
-	for _, a := range d.Did() {
+	for _, a := range d.Actions() {
 		switch a := a.(type) {
-		case Say:
-			f.send(d.name, a.To, func(to *node) { to.Told(f.now, d.name, a.Told) })
+		case Send:
+			f.send(d.name, a.To, func(to *node) { to.HandleUpdate(f.now, d.name, a.Update) })
 		case Ack:
-			f.send(d.name, a.To, func(to *node) { to.Acked(d.name, a.Source, a.Mark) })
-		case Ask:
-			f.send(d.name, a.To, func(to *node) { to.Asked(f.now, d.name) })
-		case Keep:
+			f.send(d.name, a.To, func(to *node) { to.HandleAck(d.name, a.Source, a.Version) })
+		case RequestList:
+			f.send(d.name, a.To, func(to *node) { to.ListRequested(f.now, d.name) })
+		case SetWatch:
 			if d.watch = a.Watch; !a.Watch {
 				continue
 			}
 			f.calls++
 			if d.watch = !f.down && !f.cutOff(d.name); d.watch {
-				f.messages = append(f.messages, message{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.Heard(f.now, f.service) }})
+				f.messages = append(f.messages, message{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.WatchUpdate(f.now, f.service) }})
 			} else {
-				f.messages = append(f.messages, message{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.Lost(f.now) }})
+				f.messages = append(f.messages, message{f.now.Add(5 * time.Millisecond), d.name, func(d *node) { d.WatchLost(f.now) }})
 			}
-		case Take:
+		case ApplyList:
 			d.table.Update(a.InstanceUpdate)
 			d.appliedVersion = d.version
-		case Show:
+		case ShowStatus:
 			d.status = a.Watch
-		case Note:
+		case LogLine:
 			d.logLines = append(d.logLines, a.Text)
 		}
 	}
@@ -141,13 +141,13 @@
 						all = append(all, Peer{Name: p.name, Zone: p.zone, Watch: p.status})
 					}
 				}
-				d.Living(f.now, all)
+				d.SetPeers(f.now, all)
 			}
 			if d.watch && f.cutOff(d.name) {
 				d.watch = false
-				d.Lost(f.now)
+				d.WatchLost(f.now)
 			} else if d.watch && int(step)%100 == 0 {
-				d.Alive(f.now)
+				d.WatchAlive(f.now)
 			}
 			d.Tick(f.now)
 			f.perform(d)
@@ -245,7 +245,7 @@
 	for _, d := range f.nodes {
 		if d.watch {
 			d.watch = false
-			d.Lost(f.now)
+			d.WatchLost(f.now)
 		}
 	}
 	before := f.calls
@@ -263,37 +263,37 @@
 	f := newFleet(3, 6, 1)
 	f.run(3 * time.Second)
 	d := f.nodes[0]
-	good := Told{Source: "n1", Mark: Mark{0, 2}, Heard: f.now, Whole: true, Members: f.service.Instances}
-	for i, corrupt := range []func(*Told){
-		func(w *Told) { w.Members = nil },
-		func(w *Told) { w.Heard = f.now.Add(time.Minute) },
-		func(w *Told) { w.Mark.Revision = 1 << 40 },
-		func(w *Told) { w.Source = "" },
+	good := Update{Source: "n1", Version: ListVersion{0, 2}, ReceivedAt: f.now, Complete: true, Instances: f.service.Instances}
+	for i, corrupt := range []func(*Update){
+		func(w *Update) { w.Instances = nil },
+		func(w *Update) { w.ReceivedAt = f.now.Add(time.Minute) },
+		func(w *Update) { w.Version.Revision = 1 << 40 },
+		func(w *Update) { w.Source = "" },
 	} {
 		invalid := good
 		corrupt(&invalid)
 		from := fmt.Sprint("x", i)
-		d.Told(f.now, from, invalid)
-		d.Told(f.now, from, good)
-		require.Equal(t, Mark{0, 1}, d.version, i)
+		d.HandleUpdate(f.now, from, invalid)
+		d.HandleUpdate(f.now, from, good)
+		require.Equal(t, ListVersion{0, 1}, d.version, i)
 		require.Len(t, d.logLines, 0)
 		f.perform(d)
 		require.Len(t, d.logLines, 1, "logged once")
 		d.logLines = nil
 	}
 	half := good
-	half.Members = half.Members[:3]
-	d.Told(f.now, "x8", half)
-	d.Told(f.now, "x8", half)
-	require.Equal(t, Mark{0, 1}, d.version)
+	half.Instances = half.Instances[:3]
+	d.HandleUpdate(f.now, "x8", half)
+	d.HandleUpdate(f.now, "x8", half)
+	require.Equal(t, ListVersion{0, 1}, d.version)
 	f.perform(d)
 	require.Len(t, d.logLines, 1)
 	d.logLines = nil
 	half.Source = "n2"
-	d.Told(f.now, "x8", half)
-	require.Equal(t, Mark{0, 2}, d.version, "another watcher reports it, too")
-	d.Garbage(f.now, "n3", fmt.Errorf("garbage"))
-	d.Garbage(f.now, "n3", fmt.Errorf("garbage"))
+	d.HandleUpdate(f.now, "x8", half)
+	require.Equal(t, ListVersion{0, 2}, d.version, "another watcher reports it, too")
+	d.UnreadableMessage(f.now, "n3", fmt.Errorf("garbage"))
+	d.UnreadableMessage(f.now, "n3", fmt.Errorf("garbage"))
 	f.perform(d)
 	require.Len(t, d.logLines, 1)
 }
@@ -307,11 +307,11 @@
 	f.service.Revision = 2
 	before := f.calls
 	for _, d := range f.nodes {
-		d.Moved()
+		d.DiscoveryMoved()
 		if d.shouldWatch { // its watch ends, and it connects to the new address
-			d.Lost(f.now)
+			d.WatchLost(f.now)
 		} else {
-			require.Contains(t, d.actions, Action(Keep{false}), d.name)
+			require.Contains(t, d.actions, Action(SetWatch{false}), d.name)
 		}
 		f.perform(d)
 	}
--- a/internal/net/accord/server.go
+++ b/internal/net/accord/server.go
@@ -55,7 +55,7 @@
 // Step is a change of what the dispatcher goes by.
 type Step struct {
 	At int64 `json:"at_us"` // Unix
-	accord.Acts
+	accord.EffectiveVersions
 }
 
 // Server is safe for use by several goroutines.
@@ -71,11 +71,11 @@
 	cancel  context.CancelFunc
 	ended   chan struct{}
 	member  *accord.Member
-	driver  *accord.Driver
+	driver  *accord.Monitor
 	texts   map[uint64][]byte // of versions that may be gone by now
 	left    string            // instances as last told
 	heard   bool
-	acting  *accord.Acts // asked for, and not yet done
+	acting  *accord.EffectiveVersions // asked for, and not yet done
 	asked   time.Duration
 	due     time.Duration // when a lease ran out: what is asked for is late since then
 	check   uint64        // looked at just now
@@ -89,7 +89,7 @@
 	beats   int64
 	floors  int64
 	refused int64 // versions of this dispatcher's
-	past    []accord.Past
+	past    []accord.Outcome
 	members int
 	drive   time.Duration
 	first   bool          // the first version is being proposed
@@ -102,18 +102,18 @@
 		return nil, fmt.Errorf("node.name: %w", err)
 	}
 	s := &Server{o: o, log: logger, texts: map[uint64][]byte{}}
-	var kept accord.Kept
+	var kept accord.Saved
 	text, err := os.ReadFile(o.File)
 	if err == nil {
 		err = json.Unmarshal(text, &kept)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) { // the others tell it anew; until then it is on the floor anyway
 		logger.Warn("accord: what was kept is not used", "file", o.File, "err", err)
-		kept = accord.Kept{}
+		kept = accord.Saved{}
 	}
-	s.member = accord.NewMember(accord.Who{Name: o.Name, Boot: rand.Uint64()}, kept)
+	s.member = accord.NewMember(accord.Process{Name: o.Name, Boot: rand.Uint64()}, kept)
 	s.know()
-	s.steps = []Step{{time.Now().UnixMicro(), s.member.Acts()}}
+	s.steps = []Step{{time.Now().UnixMicro(), s.member.Effective()}}
 	return s, nil
 }
 
@@ -121,7 +121,7 @@
 func (s *Server) Start() (low, high []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.member.Acts()
+	a := s.member.Effective()
 	return s.texts[a.Low], s.texts[a.High]
 }
 
@@ -129,7 +129,7 @@
 func (s *Server) LeftOut() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.member.Order(0).Cordons
+	return s.member.Directive(0).Cordons
 }
 
 // Use has it go by rules, speak to the root group at host, and log; it must come before anything else but Start.
@@ -153,7 +153,7 @@
 	}
 	ctx, s.cancel = context.WithCancel(ctx)
 	s.ended = make(chan struct{})
-	s.driver = accord.NewDriver()
+	s.driver = accord.NewMonitor()
 	s.last = replicas.Now()
 	go s.run(ctx, s.ended)
 }
@@ -173,18 +173,18 @@
 // know keeps the texts that may be acted on. The lock is held, or nobody else has the server yet.
 func (s *Server) know() {
 	if len(s.texts) > mostTexts {
-		did := s.member.Acts()
+		did := s.member.Effective()
 		for n := range s.texts {
 			if n != did.Low && n != did.High {
 				delete(s.texts, n)
 			}
 		}
 	}
-	if v := s.member.Agreed(); v.N > 0 {
-		s.texts[v.N] = v.Text
+	if v := s.member.Agreed(); v.Number > 0 {
+		s.texts[v.Number] = v.Text
 	}
 	if v, _ := s.member.Pending(); v != nil {
-		s.texts[v.N] = v.Text
+		s.texts[v.Number] = v.Text
 	}
 }
 
@@ -208,7 +208,7 @@
 	for {
 		s.mu.Lock()
 		now := replicas.Now()
-		again := s.cancel == nil && !s.member.Acts().Floor
+		again := s.cancel == nil && !s.member.Effective().Floor
 		if again {
 			s.act(now)
 		}
@@ -235,19 +235,19 @@
 	s.act(now)
 	s.last = now
 	if s.acting == nil { // else it is not known which of two it goes by, and a beat says that
-		if c, ok := s.member.Beat(now); ok {
+		if c, ok := s.member.NextHeartbeat(now); ok {
 			s.beats++
 			go s.beat(ctx, c)
 		}
 	}
-	o := s.member.Order(now)
-	if o.Check != nil && s.check < o.Check.N {
-		s.check = o.Check.N
-		go s.look(*o.Check)
+	o := s.member.Directive(now)
+	if o.ToCheck != nil && s.check < o.ToCheck.Number {
+		s.check = o.ToCheck.Number
+		go s.look(*o.ToCheck)
 	}
 	s.leave(o.Cordons)
-	leased := s.member.Leased(now)
-	if p, _ := s.member.Pending(); leased && p == nil && s.member.Agreed().N == 0 && !s.first {
+	leased := s.member.HasLease(now)
+	if p, _ := s.member.Pending(); leased && p == nil && s.member.Agreed().Number == 0 && !s.first {
 		s.first = true
 		go func() {
 			s.Propose(ctx, s.rules.Own())
@@ -256,7 +256,7 @@
 			s.mu.Unlock()
 		}()
 	}
-	if id := s.member.Unagreed(); id != "" && leased && now > s.retry {
+	if id := s.member.UnconfirmedCordon(); id != "" && leased && now > s.retry {
 		s.retry = now + againAfter
 		go s.again()
 	}
@@ -269,17 +269,17 @@
 // watch puts those out who are gone, if this dispatcher acts for the root group: one is enough.
 func (s *Server) watch(ctx context.Context) {
 	if _, until, ok := s.host.Lead(replica.Root); !ok || replicas.Now() > until {
-		s.driver = accord.NewDriver()
+		s.driver = accord.NewMonitor()
 		return
 	}
-	var lines []accord.Line
+	var lines []accord.ProcessEntry
 	var pending uint64
 	if !s.host.View(replica.Root, replica.Roots, func(m replica.Machine) {
-		lines, pending = m.(*accord.Machine).Lines(), m.(*accord.Machine).Pending()
+		lines, pending = m.(*accord.Machine).Processes(), m.(*accord.Machine).Pending()
 	}) {
 		return
 	}
-	for _, c := range s.driver.Look(replicas.Now(), accord.Who{Name: s.o.Name}, lines, pending) {
+	for _, c := range s.driver.Check(replicas.Now(), accord.Process{Name: s.o.Name}, lines, pending) {
 		go s.propose(ctx, c, beatPatience)
 	}
 }
@@ -289,14 +289,14 @@
 	if s.acting != nil && now < s.asked+actPatience {
 		return
 	}
-	did, o := s.member.Acts(), s.member.Order(now)
-	if o.Acts == did {
+	did, o := s.member.Effective(), s.member.Directive(now)
+	if o.Effective == did {
 		return
 	}
-	want := o.Acts
+	want := o.Effective
 	s.acting, s.asked, s.due = &want, now, 0
 	if want.Floor && !did.Floor {
-		if s.due = s.member.Until(); now-s.last > pauseGap || s.due == 0 {
+		if s.due = s.member.LeaseEnd(); now-s.last > pauseGap || s.due == 0 {
 			s.due = now // it stood still until now
 		}
 	}
@@ -310,7 +310,7 @@
 	s.rules.Act(low, high, want.Floor, func(err error) { s.done(&want, err) })
 }
 
-func (s *Server) done(a *accord.Acts, err error) {
+func (s *Server) done(a *accord.EffectiveVersions, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.acting != a { // it took so long that it was asked for anew
@@ -318,20 +318,20 @@
 	}
 	s.acting = nil
 	if err != nil {
-		s.member.Cannot(*a, err.Error())
+		s.member.ApplyFailed(*a, err.Error())
 		s.log.Error("accord: this dispatcher cannot go by it", "low", a.Low, "high", a.High, "floor", a.Floor, "err", err)
 		return
 	}
 	if s.due > 0 {
 		s.worst = max(s.worst, replicas.Now()-s.due)
-		if bound := accord.LeaseOver + s.worst; bound > accord.Stated {
-			s.log.Error("accord: the stated bound is passed: this machine is too slow for it", "bound", bound, "stated", accord.Stated)
+		if bound := accord.LeaseExpiry + s.worst; bound > accord.ConflictBound {
+			s.log.Error("accord: the stated bound is passed: this machine is too slow for it", "bound", bound, "stated", accord.ConflictBound)
 		}
 	}
 	if a.Floor {
 		s.floors++
 	}
-	s.member.Did(*a)
+	s.member.Applied(*a)
 	s.steps = append(s.steps, Step{time.Now().UnixMicro(), *a})
 	s.steps = s.steps[max(0, len(s.steps)-mostSteps):]
 	s.log.Info("accord: goes by", "low", a.Low, "high", a.High, "floor", a.Floor)
@@ -352,18 +352,18 @@
 	why := ""
 	if err := s.rules.Check(v.Text); err != nil {
 		why = err.Error()
-		s.log.Warn("accord: version refused", "version", v.N, "by", v.By, "err", err)
+		s.log.Warn("accord: version refused", "version", v.Number, "by", v.By, "err", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.member.Checked(v.N, why)
+	s.member.VersionChecked(v.Number, why)
 }
 
 // propose has a command taken in, and reads its answer.
 func (s *Server) propose(ctx context.Context, c accord.Command, patience time.Duration) (accord.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	result, err := s.host.Propose(ctx, replica.Root, replica.Roots, c.Text())
+	result, err := s.host.Propose(ctx, replica.Root, replica.Roots, c.Encode())
 	if err != nil {
 		return accord.Answer{}, err
 	}
@@ -376,11 +376,11 @@
 	defer s.mu.Unlock()
 	if err != nil {
 		s.lost++
-		s.member.Lost()
+		s.member.HeartbeatLost()
 		return
 	}
-	changed := s.member.Heard(a)
-	if s.member.Leased(replicas.Now()) {
+	changed := s.member.HandleAnswer(a)
+	if s.member.HasLease(replicas.Now()) {
 		s.heard = true
 	}
 	if a.Refused != "" {
@@ -388,7 +388,7 @@
 	}
 	s.know()
 	s.members = a.Members
-	s.outcomes(a.Past)
+	s.outcomes(a.Outcomes)
 	s.act(replicas.Now())
 	if changed {
 		go s.keep()
@@ -396,18 +396,18 @@
 }
 
 // outcomes logs what became of versions.
-func (s *Server) outcomes(past []accord.Past) {
+func (s *Server) outcomes(past []accord.Outcome) {
 	for _, p := range past {
-		known := len(s.past) > 0 && p.N <= s.past[len(s.past)-1].N
+		known := len(s.past) > 0 && p.Number <= s.past[len(s.past)-1].Number
 		switch {
 		case known:
 		case p.Why == "":
-			s.log.Info("accord: version agreed", "version", p.N, "by", p.By)
+			s.log.Info("accord: version agreed", "version", p.Number, "by", p.By)
 		default:
 			if p.By == s.o.Name {
 				s.refused++
 			}
-			s.log.Warn("accord: version refused", "version", p.N, "by", p.By, "why", p.Why)
+			s.log.Warn("accord: version refused", "version", p.Number, "by", p.By, "why", p.Why)
 		}
 	}
 	s.past = past
@@ -418,7 +418,7 @@
 	s.files.Lock()
 	defer s.files.Unlock()
 	s.mu.Lock()
-	k := s.member.Keep()
+	k := s.member.Save()
 	s.mu.Unlock()
 	text, err := json.Marshal(k)
 	if err == nil {
@@ -456,7 +456,7 @@
 	}
 	defer s.ops.Unlock()
 	s.mu.Lock()
-	id := s.member.Unagreed()
+	id := s.member.UnconfirmedCordon()
 	s.mu.Unlock()
 	if id != "" {
 		s.cordon(id, true)
@@ -475,7 +475,7 @@
 	s.mu.Lock()
 	c, err := s.member.Cordon(id, out)
 	if err == nil {
-		s.leave(s.member.Order(replicas.Now()).Cordons)
+		s.leave(s.member.Directive(replicas.Now()).Cordons)
 	}
 	s.mu.Unlock()
 	if err != nil {
@@ -487,8 +487,8 @@
 	}
 	if err == nil {
 		s.mu.Lock()
-		s.member.Cordoned(*c.Cordon, a)
-		s.leave(s.member.Order(replicas.Now()).Cordons)
+		s.member.HandleCordonAnswer(*c.Cordon, a)
+		s.leave(s.member.Directive(replicas.Now()).Cordons)
 		s.mu.Unlock()
 		s.log.Info("accord: cordon agreed", "id", id, "out", out, "index", a.Index)
 		return nil
@@ -527,29 +527,29 @@
 		return err
 	}
 	if a.Pending != nil {
-		s.log.Info("accord: settings proposed", "version", a.Pending.N)
+		s.log.Info("accord: settings proposed", "version", a.Pending.Number)
 	}
 	return nil
 }
 
 // Status is how things stand, for operators.
 type Status struct {
-	Acts    accord.Acts   `json:"acts"`
-	Agreed  uint64        `json:"agreed"`
-	Pending uint64        `json:"pending,omitempty"`
-	Phase   accord.Phase  `json:"phase,omitempty"`
-	Leased  bool          `json:"leased"`
-	Fault   string        `json:"fault,omitempty"` // why this dispatcher cannot go by what is agreed
-	Members int           `json:"members"`
-	Cordons []string      `json:"cordons"`
-	Mine    []string      `json:"not_agreed,omitempty"` // left out here only
-	Bound   float64       `json:"bound_ms"`             // reckoned: for so long two may contradict each other at most
-	Lease   float64       `json:"lease_ms"`
-	Drift   float64       `json:"drift_ms"`
-	Late    float64       `json:"late_ms"` // the worst that this loop was in the last half a minute or whole one
-	Stated  float64       `json:"stated_ms"`
-	Past    []accord.Past `json:"past,omitempty"`
-	Steps   []Step        `json:"steps"`
+	Acts    accord.EffectiveVersions `json:"acts"`
+	Agreed  uint64                   `json:"agreed"`
+	Pending uint64                   `json:"pending,omitempty"`
+	Phase   accord.Phase             `json:"phase,omitempty"`
+	Leased  bool                     `json:"leased"`
+	Fault   string                   `json:"fault,omitempty"` // why this dispatcher cannot go by what is agreed
+	Members int                      `json:"members"`
+	Cordons []string                 `json:"cordons"`
+	Mine    []string                 `json:"not_agreed,omitempty"` // left out here only
+	Bound   float64                  `json:"bound_ms"`             // reckoned: for so long two may contradict each other at most
+	Lease   float64                  `json:"lease_ms"`
+	Drift   float64                  `json:"drift_ms"`
+	Late    float64                  `json:"late_ms"` // the worst that this loop was in the last half a minute or whole one
+	Stated  float64                  `json:"stated_ms"`
+	Past    []accord.Outcome         `json:"past,omitempty"`
+	Steps   []Step                   `json:"steps"`
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
@@ -560,12 +560,12 @@
 	defer s.mu.Unlock()
 	now, late := replicas.Now(), max(s.worst, s.before)
 	v := Status{
-		Acts: s.member.Acts(), Agreed: s.member.Agreed().N, Leased: s.member.Leased(now), Fault: s.member.Fault(), Members: s.members,
-		Cordons: s.member.Order(now).Cordons, Mine: s.member.Keep().Mine, Past: s.past, Steps: append([]Step{}, s.steps...),
-		Bound: ms(accord.LeaseOver + late), Lease: ms(accord.Lease), Drift: ms(accord.LeaseOver - accord.Lease), Late: ms(late), Stated: ms(accord.Stated),
+		Acts: s.member.Effective(), Agreed: s.member.Agreed().Number, Leased: s.member.HasLease(now), Fault: s.member.Fault(), Members: s.members,
+		Cordons: s.member.Directive(now).Cordons, Mine: s.member.Save().LocalCordons, Past: s.past, Steps: append([]Step{}, s.steps...),
+		Bound: ms(accord.LeaseExpiry + late), Lease: ms(accord.Lease), Drift: ms(accord.LeaseExpiry - accord.Lease), Late: ms(late), Stated: ms(accord.ConflictBound),
 	}
 	if p, phase := s.member.Pending(); p != nil {
-		v.Pending, v.Phase = p.N, phase
+		v.Pending, v.Phase = p.Number, phase
 	}
 	return v
 }
--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -75,7 +75,7 @@
 	state  *members.State
 	list   *memberlist.Memberlist // nil: not in force
 	nodes  map[string]*memberlist.Node
-	watch  members.Watch
+	watch  members.WatchStatus
 	cancel context.CancelFunc // nil: closed
 	metas  map[string]shown   // as last read
 
@@ -140,17 +140,17 @@
 
 // Listed takes what the own watch tells.
 func (s *Server) Listed(l dispatch.InstanceUpdate) {
-	s.event(func(m *members.State, now time.Time) { m.Heard(now, l) })
+	s.event(func(m *members.State, now time.Time) { m.WatchUpdate(now, l) })
 }
 
 // Alive takes that the own watch is on.
-func (s *Server) Alive() { s.event(func(m *members.State, now time.Time) { m.Alive(now) }) }
+func (s *Server) Alive() { s.event(func(m *members.State, now time.Time) { m.WatchAlive(now) }) }
 
 // Lost takes the end of the own watch.
-func (s *Server) Lost() { s.event(func(m *members.State, now time.Time) { m.Lost(now) }) }
+func (s *Server) Lost() { s.event(func(m *members.State, now time.Time) { m.WatchLost(now) }) }
 
 // Moved says that the list service is elsewhere from now on.
-func (s *Server) Moved() { s.event(func(m *members.State, _ time.Time) { m.Moved() }) }
+func (s *Server) Moved() { s.event(func(m *members.State, _ time.Time) { m.DiscoveryMoved() }) }
 
 // Retune takes the name of the settings that are in force from now on.
 func (s *Server) Retune(settings string) {
@@ -193,7 +193,7 @@
 		s.event(func(m *members.State, now time.Time) {
 			if now.Sub(looked) >= lookEvery && s.dirty.Swap(false) {
 				looked = now
-				m.Living(now, s.living())
+				m.SetPeers(now, s.living())
 			}
 			m.Tick(now)
 			s.rejoin(now)
@@ -266,9 +266,9 @@
 
 // meta is what a dispatcher shows of itself to all.
 type meta struct {
-	Zone     string        `json:"z"`
-	Settings string        `json:"s,omitempty"`
-	Watch    members.Watch `json:"w,omitempty"`
+	Zone     string              `json:"z"`
+	Settings string              `json:"s,omitempty"`
+	Watch    members.WatchStatus `json:"w,omitempty"`
 }
 
 // shown is a dispatcher's meta, read.
@@ -290,7 +290,7 @@
 			if json.Unmarshal(n.Meta, &read) != nil {
 				continue
 			}
-			watch := min(max(read.Watch, members.None), members.Failing)
+			watch := min(max(read.Watch, members.NotWatching), members.Failing)
 			m = shown{string(n.Meta), members.Peer{Name: n.Name, Zone: read.Zone, Settings: read.Settings, Watch: watch}}
 			s.metas[n.Name] = m
 		}
@@ -303,34 +303,34 @@
 
 // message is what goes between dispatchers: what is told, a confirmation, or neither, which asks for the whole list.
 type message struct {
-	Told   *members.Told `json:"told,omitempty"`
-	Source string        `json:"source,omitempty"`
-	Mark   members.Mark  `json:"mark"`
+	Told   *members.Update     `json:"told,omitempty"`
+	Source string              `json:"source,omitempty"`
+	Mark   members.ListVersion `json:"mark"`
 }
 
 // act does what was decided.
 func (s *Server) act() {
-	for _, a := range s.state.Did() {
+	for _, a := range s.state.Actions() {
 		switch a := a.(type) {
-		case members.Say:
-			if !a.Beat {
+		case members.Send:
+			if !a.Heartbeat {
 				s.counts.passed++
 			}
-			s.send(a.To, message{Told: &a.Told})
+			s.send(a.To, message{Told: &a.Update})
 		case members.Ack:
-			s.send(a.To, message{Source: a.Source, Mark: a.Mark})
-		case members.Ask:
+			s.send(a.To, message{Source: a.Source, Mark: a.Version})
+		case members.RequestList:
 			s.counts.asked++
 			s.send(a.To, message{})
-		case members.Keep:
+		case members.SetWatch:
 			s.lists.Watch(a.Watch)
-		case members.Take:
+		case members.ApplyList:
 			s.lists.Take(a.InstanceUpdate)
-		case members.Show:
+		case members.ShowStatus:
 			s.watch = a.Watch
 			s.log.Info("members: list service", "watch", a.Watch.String())
 			go s.list.UpdateNode(dialWithin)
-		case members.Note:
+		case members.LogLine:
 			if a.Peer != "" {
 				s.log.Warn("members: "+a.Text, "peer", a.Peer)
 			} else {
@@ -352,7 +352,7 @@
 		s.log.Error("members: not sent", "bytes", len(text), "err", err)
 		return
 	}
-	if len(text) <= mostSmall && (m.Told == nil || m.Told.Beat) {
+	if len(text) <= mostSmall && (m.Told == nil || m.Told.Heartbeat) {
 		list.SendBestEffort(node, text)
 		return
 	}
@@ -364,7 +364,7 @@
 	go func() {
 		err := list.SendReliable(node, text)
 		if <-s.sends; err != nil {
-			s.event(func(m *members.State, now time.Time) { m.Unreached(now, to) })
+			s.event(func(m *members.State, now time.Time) { m.SendFailed(now, to) })
 		}
 	}()
 }
@@ -384,14 +384,14 @@
 			s.counts.garbage++
 		case err != nil:
 			s.counts.garbage++
-			state.Garbage(now, from, fmt.Errorf("what it tells cannot be read (%w)", err))
+			state.UnreadableMessage(now, from, fmt.Errorf("what it tells cannot be read (%w)", err))
 		case m.Told != nil:
 			s.counts.told++
-			state.Told(now, from, *m.Told)
+			state.HandleUpdate(now, from, *m.Told)
 		case m.Source != "":
-			state.Acked(from, m.Source, m.Mark)
+			state.HandleAck(from, m.Source, m.Mark)
 		default:
-			state.Asked(now, from)
+			state.ListRequested(now, from)
 		}
 	})
 }
@@ -419,7 +419,7 @@
 	}
 	v := s.state.View(time.Now())
 	return fmt.Sprintf("proxy.members.peers=%d\nproxy.members.watches=%d\nproxy.members.term=%d\nproxy.members.revision=%d\nproxy.members.age_ms=%d\nproxy.members.told=%d\nproxy.members.asked=%d\nproxy.members.passed=%d\nproxy.members.garbage=%d\n",
-		len(v.Peers), map[bool]int{true: 1}[s.watch == members.Well], v.Term, v.Revision, v.Age.Milliseconds(), s.counts.told, s.counts.asked, s.counts.passed, s.counts.garbage)
+		len(v.Peers), map[bool]int{true: 1}[s.watch == members.Watching], v.Term, v.Revision, v.Age.Milliseconds(), s.counts.told, s.counts.asked, s.counts.passed, s.counts.garbage)
 }
 
 // delegate is memberlist's side of a server. Some of its methods are called with memberlist's locks held.
--- a/internal/net/pipelines/pipelines_test.go
+++ b/internal/net/pipelines/pipelines_test.go
@@ -60,7 +60,7 @@
 }
 
 func (j *jobs) Seen(_ context.Context, id string) (uint64, error) {
-	return j.do(promise.Command{Op: promise.OpLook, ID: id}).Index, nil
+	return j.do(promise.Command{Op: promise.OpRead, ID: id}).Index, nil
 }
 
 func (j *jobs) PromiseSeen(_ context.Context, q *promisev1.PromiseRequest, seen uint64) (*promisev1.PromiseResponse, error) {
@@ -74,28 +74,28 @@
 	if j.down != nil && j.down() {
 		return nil, status.Error(codes.Unavailable, "no majority answers: nothing is promised")
 	}
-	a := j.do(promise.Command{Op: promise.OpPromise, ID: q.Id, Seen: seen, Job: &promise.Job{
-		Class: q.Job.Class, Order: q.Job.Order, Payload: q.Job.Payload, Within: time.Duration(q.Job.WithinMs) * time.Millisecond, Keep: time.Hour,
+	a := j.do(promise.Command{Op: promise.OpPromise, ID: q.Id, SeenIndex: seen, Job: &promise.Job{
+		Class: q.Job.Class, Candidates: q.Job.Order, Payload: q.Job.Payload, StartWithin: time.Duration(q.Job.WithinMs) * time.Millisecond, Retention: time.Hour,
 	}})
 	switch {
-	case a.Why == promise.TooLate:
+	case a.Code == promise.TooLate:
 		return nil, status.Error(codes.Aborted, a.Text)
-	case a.Why == promise.Another:
+	case a.Code == promise.IDTaken:
 		return nil, status.Error(codes.AlreadyExists, a.Text)
 	case !a.OK:
 		return nil, status.Error(codes.Internal, a.Text)
 	}
 	if len(q.Job.Order) == 1 && q.Job.Order[0] == nowhere[0] {
 		j.do(promise.Command{Op: promise.OpEnd, ID: q.Id, Index: a.Receipt.Index, Kind: promise.Refused, Reason: "turned away until its time was over"})
-	} else if j.do(promise.Command{Op: promise.OpIntent, ID: q.Id, Index: a.Receipt.Index, Hand: 1, Instance: "s-1"}).OK {
+	} else if j.do(promise.Command{Op: promise.OpIntent, ID: q.Id, Index: a.Receipt.Index, Submission: 1, Instance: "s-1"}).OK {
 		j.ran.Add(1)
-		j.do(promise.Command{Op: promise.OpWord, ID: q.Id, Index: a.Receipt.Index, Hand: 1, Instance: "s-1", Kind: promise.Done, Result: []byte("published")})
+		j.do(promise.Command{Op: promise.OpReport, ID: q.Id, Index: a.Receipt.Index, Submission: 1, Instance: "s-1", Kind: promise.Done, Result: []byte("published")})
 	}
 	return &promisev1.PromiseResponse{}, nil
 }
 
 func (j *jobs) Await(_ context.Context, q *promisev1.AwaitRequest) (*promisev1.AwaitResponse, error) {
-	a := j.do(promise.Command{Op: promise.OpLook, ID: q.Id})
+	a := j.do(promise.Command{Op: promise.OpRead, ID: q.Id})
 	if !a.OK {
 		return nil, status.Error(codes.NotFound, "no such promise is kept")
 	}
--- a/internal/net/promises/booking.go
+++ b/internal/net/promises/booking.go
@@ -34,7 +34,7 @@
 // book has it committed what an instance told, or what this process knows of an attempt, whoever acts by then; nil: too
 // much is under way.
 func (s *Server) book(g uint32, c promise.Command) *booking {
-	key := bookKey{c.ID, c.Index, c.Hand, c.Instance, c.Kind}
+	key := bookKey{c.ID, c.Index, c.Submission, c.Instance, c.Kind}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if b := s.books[key]; b != nil {
@@ -152,7 +152,7 @@
 	if !ok {
 		return c, false, false
 	}
-	c = promise.Command{Op: promise.OpWord, ID: id, Index: index, Hand: k, Instance: n.From}
+	c = promise.Command{Op: promise.OpReport, ID: id, Index: index, Submission: k, Instance: n.From}
 	switch n.State {
 	case dispatch.Done:
 		c.Kind, c.Result = promise.Done, n.Result
@@ -173,7 +173,7 @@
 
 // news is what an instance told, of which a command was made.
 func news(c promise.Command) dispatch.Callback {
-	n := dispatch.Callback{ID: promise.WireID(c.ID, c.Index, c.Hand), From: c.Instance, State: dispatch.Done, Result: c.Result}
+	n := dispatch.Callback{ID: promise.WireID(c.ID, c.Index, c.Submission), From: c.Instance, State: dispatch.Done, Result: c.Result}
 	switch c.Kind {
 	case promise.Failed:
 		n.State = dispatch.Lost
@@ -185,16 +185,16 @@
 
 // proposing follows the sending of an attempt whose intent is about to be proposed, where its job must not run twice. Where it
 // is to be proposed that one never ran it gives what is known of that; nil: nothing.
-func (s *Server) proposing(g uint32, c promise.Command) (over *promise.Sending) {
+func (s *Server) proposing(g uint32, c promise.Command) (over *promise.SendRecord) {
 	switch c.Op {
 	case promise.OpIntent:
 		s.Intents.Add(1)
-		if h := s.hands[inHand{c.ID, c.Hand}]; h != nil && !s.repeats(h.cmd.Class) {
-			h.sends.set(c.N, s.sends.ask(h.cmd.ID, c.Instance, c.Gen, c.Until))
+		if h := s.hands[inHand{c.ID, c.Submission}]; h != nil && !s.repeats(h.cmd.Class) {
+			h.sends.set(c.Attempt, s.sends.ask(h.cmd.ID, c.Instance, c.Gen, c.Deadline))
 		}
-	case promise.OpOver:
-		if h := s.hands[inHand{c.ID, c.Hand}]; h != nil {
-			return h.sends.get(c.N)
+	case promise.OpNeverRan:
+		if h := s.hands[inHand{c.ID, c.Submission}]; h != nil {
+			return h.sends.get(c.Attempt)
 		}
 	case promise.OpEnd:
 		if c.Reason == promise.MayHaveRun {
@@ -223,11 +223,11 @@
 	}
 	s.told = now
 	for _, sending := range s.sends.untold(now, last) {
-		c, ok := sending.NeverSent()
+		c, ok := sending.NeverRanCommand()
 		g := s.group(c.ID)
 		intended, settled := false, !ok
 		if ok { // without a copy here it cannot be known whose intent there is
-			s.host.View(g, replica.Promises, func(m replica.Machine) { intended, settled = m.(*promise.Machine).Intended(&sending) })
+			s.host.View(g, replica.Promises, func(m replica.Machine) { intended, settled = m.(*promise.Machine).HasIntent(&sending) })
 		}
 		switch {
 		case settled:
--- a/internal/net/promises/booking_test.go
+++ b/internal/net/promises/booking_test.go
@@ -28,7 +28,7 @@
 }
 
 func (h *slow) Propose(ctx context.Context, g uint32, machine byte, cmd []byte) ([]byte, error) {
-	if strings.Contains(string(cmd), fmt.Sprintf("%q:%q", "op", promise.OpWord)) {
+	if strings.Contains(string(cmd), fmt.Sprintf("%q:%q", "op", promise.OpReport)) {
 		if h.no.Load() {
 			h.waiting.Add(1)
 			<-ctx.Done()
--- a/internal/net/promises/sendlog.go
+++ b/internal/net/promises/sendlog.go
@@ -41,11 +41,11 @@
 
 // sendLogLine is how far an attempt has come: the last line of one counts.
 type sendLogLine struct {
-	Job      string            `json:"job"`
-	Instance string            `json:"instance"`
-	Gen      uint64            `json:"gen"`
-	Until    time.Duration     `json:"until"`
-	State    promise.SendState `json:"state"`
+	Job      string              `json:"job"`
+	Instance string              `json:"instance"`
+	Gen      uint64              `json:"gen"`
+	Until    time.Duration       `json:"until"`
+	State    promise.IntentState `json:"state"`
 }
 
 // sendLog keeps what this process knows of the attempts of promised jobs, in memory and, while it is open, in a file that
@@ -56,7 +56,7 @@
 	log  *slog.Logger
 
 	mu     sync.Mutex
-	all    *promise.Sendings
+	all    *promise.SendRecords
 	lock   *os.File // held while the file is this process's
 	file   *os.File // nil: closed, or given up after a fault
 	size   int64
@@ -70,7 +70,7 @@
 	if err != nil { // without it nobody could tell whether the machine was off meanwhile
 		dir = ""
 	}
-	return &sendLog{dir: dir, boot: strings.TrimSpace(string(boot)), log: log, all: promise.NewSendings()}
+	return &sendLog{dir: dir, boot: strings.TrimSpace(string(boot)), log: log, all: promise.NewSendRecords()}
 }
 
 // open takes the file over from the process before, once that has let go of it; before that it does nothing.
@@ -114,7 +114,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, sending := range l.all.All() {
-		l.all.Leave(sending.Job, 0)
+		l.all.Abandon(sending.Job, 0)
 	}
 	if l.lock == nil {
 		return
@@ -123,11 +123,11 @@
 		l.file.Close()
 	}
 	l.lock.Close()
-	l.file, l.lock, l.all = nil, nil, promise.NewSendings()
+	l.file, l.lock, l.all = nil, nil, promise.NewSendRecords()
 }
 
 // readBack reads what the process before has left. A file of another start of the machine says nothing.
-func (l *sendLog) readBack() ([]promise.Sending, error) {
+func (l *sendLog) readBack() ([]promise.SendRecord, error) {
 	path := filepath.Join(l.dir, sendLogFile)
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -147,7 +147,7 @@
 }
 
 // parseSendLog reads a send log. One fault anywhere, and nothing of it is believed.
-func parseSendLog(text []byte, boot string) ([]promise.Sending, error) {
+func parseSendLog(text []byte, boot string) ([]promise.SendRecord, error) {
 	lines := bytes.SplitAfter(text, []byte("\n"))
 	var header sendLogHeader
 	if err := parseLine(lines[0], &header); err != nil {
@@ -164,13 +164,13 @@
 		gen           uint64
 	}
 	at := map[attempt]int{}
-	var all []promise.Sending
+	var all []promise.SendRecord
 	for n, line := range lines[1 : len(lines)-1] {
 		var read sendLogLine
 		if err := parseLine(line, &read); err != nil {
 			return nil, fmt.Errorf("%s: line %d: %w", sendLogFile, n+2, err)
 		}
-		sending := promise.Sending{Job: read.Job, Instance: read.Instance, Gen: read.Gen, Until: read.Until, State: read.State}
+		sending := promise.SendRecord{Job: read.Job, Instance: read.Instance, Gen: read.Gen, Deadline: read.Until, State: read.State}
 		key := attempt{read.Job, read.Instance, read.Gen}
 		if i, known := at[key]; known {
 			all[i] = sending
@@ -202,8 +202,8 @@
 	return fmt.Appendf(nil, "%s %s\n", sumOf(text), text)
 }
 
-func lineOf(s *promise.Sending) []byte {
-	return formatLine(sendLogLine{Job: s.Job, Instance: s.Instance, Gen: s.Gen, Until: s.Until, State: s.State})
+func lineOf(s *promise.SendRecord) []byte {
+	return formatLine(sendLogLine{Job: s.Job, Instance: s.Instance, Gen: s.Gen, Until: s.Deadline, State: s.State})
 }
 
 // rewrite puts a file in place that has what counts now.
@@ -232,7 +232,7 @@
 }
 
 // write adds how far an attempt has come.
-func (l *sendLog) write(s *promise.Sending) {
+func (l *sendLog) write(s *promise.SendRecord) {
 	if l.file == nil {
 		return
 	}
@@ -264,10 +264,10 @@
 }
 
 // ask notes that an intent is about to be proposed.
-func (l *sendLog) ask(job, instance string, gen uint64, until time.Duration) *promise.Sending {
+func (l *sendLog) ask(job, instance string, gen uint64, until time.Duration) *promise.SendRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sending, fresh := l.all.Ask(job, instance, gen, until)
+	sending, fresh := l.all.Request(job, instance, gen, until)
 	if fresh {
 		l.write(sending)
 	}
@@ -275,10 +275,10 @@
 }
 
 // begin must be called before an attempt's first byte goes out; false: it must not be sent.
-func (l *sendLog) begin(s *promise.Sending) bool {
+func (l *sendLog) begin(s *promise.SendRecord) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if begun := s.State == promise.Begun; begun || l.broken || !l.all.Begin(s) {
+	if begun := s.State == promise.Started; begun || l.broken || !l.all.Begin(s) {
 		return begun
 	}
 	l.write(s)
@@ -286,36 +286,36 @@
 }
 
 // neverRan notes that an attempt has ended without having run.
-func (l *sendLog) neverRan(s *promise.Sending, mono time.Duration) {
+func (l *sendLog) neverRan(s *promise.SendRecord, mono time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s.State != promise.Unsent {
+	if s.State != promise.NeverSent {
 		l.all.NeverRan(s, mono)
 		l.write(s)
 	}
 }
 
 // committed notes that a group has an attempt's intent.
-func (l *sendLog) committed(s *promise.Sending) {
+func (l *sendLog) committed(s *promise.SendRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all.Committed(s)
 }
 
 // over notes that a group has it that an attempt never ran.
-func (l *sendLog) over(s *promise.Sending) {
+func (l *sendLog) over(s *promise.SendRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all.Over(s)
+	l.all.Confirmed(s)
 }
 
 // leave has nothing more of a hand-in begun.
 func (l *sendLog) leave(job string, of *attempts, mono time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all.Leave(job, mono) // of what was asked for and not begun the file says no less
-	of.each(func(sending *promise.Sending) {
-		if sending.State == promise.Asked { // it was forgotten after its deadline
+	l.all.Abandon(job, mono) // of what was asked for and not begun the file says no less
+	of.each(func(sending *promise.SendRecord) {
+		if sending.State == promise.Requested { // it was forgotten after its deadline
 			l.all.NeverRan(sending, mono)
 		}
 	})
@@ -326,8 +326,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	followed, unsent := 0, 0
-	of.each(func(sending *promise.Sending) {
-		if followed++; sending.State == promise.Unsent {
+	of.each(func(sending *promise.SendRecord) {
+		if followed++; sending.State == promise.NeverSent {
 			unsent++
 		}
 	})
@@ -337,38 +337,38 @@
 // attempts is those of one hand-in whose sending is followed, by their numbers. It is safe for concurrent use.
 type attempts struct{ byNumber sync.Map }
 
-func (a *attempts) set(n int, sending *promise.Sending) { a.byNumber.Store(n, sending) }
+func (a *attempts) set(n int, sending *promise.SendRecord) { a.byNumber.Store(n, sending) }
 
-func (a *attempts) each(f func(*promise.Sending)) {
+func (a *attempts) each(f func(*promise.SendRecord)) {
 	a.byNumber.Range(func(_, sending any) bool {
-		f(sending.(*promise.Sending))
+		f(sending.(*promise.SendRecord))
 		return true
 	})
 }
 
 // get is an attempt; nil: its sending is not followed.
-func (a *attempts) get(n int) *promise.Sending {
+func (a *attempts) get(n int) *promise.SendRecord {
 	sending, _ := a.byNumber.Load(n)
-	known, _ := sending.(*promise.Sending)
+	known, _ := sending.(*promise.SendRecord)
 	return known
 }
 
 // untold is the attempts of which groups are to be told that they never ran: now, or all of them.
-func (l *sendLog) untold(mono time.Duration, all bool) (due []promise.Sending) {
+func (l *sendLog) untold(mono time.Duration, all bool) (due []promise.SendRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all.Expire(unixNow())
 	if all {
 		mono = math.MaxInt64 / 2
 	}
-	for _, sending := range l.all.Untold(mono) {
+	for _, sending := range l.all.DueReports(mono) {
 		due = append(due, *sending)
 	}
 	return due
 }
 
 // drop forgets an attempt.
-func (l *sendLog) drop(s promise.Sending) {
+func (l *sendLog) drop(s promise.SendRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all.Drop(&s)
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -130,8 +130,8 @@
 	return ok && c.Effect == decide.Safe
 }
 
-func clock() promise.Clock {
-	return promise.Clock{Mono: replicas.Now(), Unix: time.Duration(time.Now().UnixNano())}
+func clock() promise.Clocks {
+	return promise.Clocks{Mono: replicas.Now(), Unix: time.Duration(time.Now().UnixNano())}
 }
 
 // post has the loop do something. It never blocks: what waits here is bounded by the jobs in hand.
@@ -158,7 +158,7 @@
 		select {
 		case <-ctx.Done():
 			for g, o := range s.owners {
-				o.Lead(clock(), 0, 0, false)
+				o.SetLease(clock(), 0, 0, false)
 				s.carry(uint32(g), o)
 			}
 			s.tellUnsent(true)
@@ -184,8 +184,8 @@
 			}
 			c := clock()
 			term, until, ok := s.host.Lead(uint32(g))
-			o.Lead(c, term, until, ok)
-			if ok && s.host.View(uint32(g), replica.Promises, func(m replica.Machine) { o.Look(c, m.(*promise.Machine)) }) {
+			o.SetLease(c, term, until, ok)
+			if ok && s.host.View(uint32(g), replica.Promises, func(m replica.Machine) { o.Update(c, m.(*promise.Machine)) }) {
 				acting++
 			}
 			s.carry(uint32(g), o)
@@ -210,32 +210,32 @@
 				if over != nil && err == nil && answer.OK {
 					s.sends.over(over)
 				}
-				s.post(func() { o.Proposed(clock(), a.Seq, answer, err != nil); s.carry(g, o) })
+				s.post(func() { o.ProposalDone(clock(), a.Seq, answer, err != nil); s.carry(g, o) })
 			}()
-		case promise.Book:
+		case promise.Record:
 			s.book(g, a.Command)
-		case promise.Start:
+		case promise.Submit:
 			s.begin(g, a)
-		case promise.Go:
-			if h := s.hands[inHand{a.ID, a.Hand}]; h != nil && h.asks[a.N] != nil {
-				if sending := h.sends.get(a.N); sending != nil {
+		case promise.AllowSend:
+			if h := s.hands[inHand{a.ID, a.Submission}]; h != nil && h.asks[a.Attempt] != nil {
+				if sending := h.sends.get(a.Attempt); sending != nil {
 					s.sends.committed(sending)
 				}
-				s.core.AllowSend(h.asks[a.N], func() bool { return replicas.Now() < a.Until })
-				delete(h.asks, a.N)
+				s.core.AllowSend(h.asks[a.Attempt], func() bool { return replicas.Now() < a.Until })
+				delete(h.asks, a.Attempt)
 			}
-		case promise.Deny:
-			if h := s.hands[inHand{a.ID, a.Hand}]; h != nil && h.asks[a.N] != nil {
-				s.core.DenySend(h.asks[a.N])
-				delete(h.asks, a.N)
+		case promise.DenySend:
+			if h := s.hands[inHand{a.ID, a.Submission}]; h != nil && h.asks[a.Attempt] != nil {
+				s.core.DenySend(h.asks[a.Attempt])
+				delete(h.asks, a.Attempt)
 			}
-		case promise.Leave:
-			if h := s.drop(a.ID, a.Hand); h != nil {
+		case promise.Abandon:
+			if h := s.drop(a.ID, a.Submission); h != nil {
 				s.Left.Add(1)
 				s.core.Abandon(h.cmd)
 			}
-		case promise.Heard:
-			if h := s.drop(a.ID, a.Hand); h != nil {
+		case promise.EndReported:
+			if h := s.drop(a.ID, a.Submission); h != nil {
 				s.core.HandleCallback(dispatch.Callback{ID: h.cmd.ID, From: a.End.By, State: dispatch.Done, Result: a.End.Result})
 				s.core.ClientGone(h.cmd) // other copies have no use any more
 			}
@@ -274,21 +274,21 @@
 func (s *Server) Yield(yes bool) { s.yielded.Store(yes) }
 
 // begin hands a job in.
-func (s *Server) begin(g uint32, a promise.Start) {
+func (s *Server) begin(g uint32, a promise.Submit) {
 	class, ok := (*s.classes.Load())[a.Job.Class]
-	h := &hand{server: s, group: g, id: a.ID, index: a.Index, n: a.Hand, until: time.Duration(time.Now().UnixNano()) + a.Left, asks: map[int]*dispatch.Attempt{}}
-	left := a.Left
+	h := &hand{server: s, group: g, id: a.ID, index: a.Index, n: a.Submission, until: time.Duration(time.Now().UnixNano()) + a.TimeLeft, asks: map[int]*dispatch.Attempt{}}
+	left := a.TimeLeft
 	if ok {
 		left = min(left, class.Deadline)
 	}
 	h.cmd = &dispatch.Command{
-		ID: promise.WireID(a.ID, a.Index, a.Hand), Class: a.Job.Class, Tenant: a.Job.Tenant, Key: keyNumber(a.Job.Key), Work: a.Job.Work, Slots: a.Job.Slots, Candidates: a.Job.Order,
-		Retry: a.Repeat, UntilDeadline: true, Deadline: time.Now().Add(left), Client: h, Gate: h,
+		ID: promise.WireID(a.ID, a.Index, a.Submission), Class: a.Job.Class, Tenant: a.Job.Tenant, Key: keyNumber(a.Job.Key), Work: a.Job.Work, Slots: a.Job.Slots, Candidates: a.Job.Candidates,
+		Retry: a.Retry, UntilDeadline: true, Deadline: time.Now().Add(left), Client: h, Gate: h,
 		Payload: &http1.Request{
 			Method: "POST", Target: cmp.Or(a.Job.Target, "/api"), Body: a.Job.Payload, Header: http1.Header{{Name: "Idempotency-Key", Value: a.ID}},
 		},
 	}
-	s.hands[inHand{a.ID, a.Hand}] = h
+	s.hands[inHand{a.ID, a.Submission}] = h
 	s.core.Submit(h.cmd)
 }
 
@@ -307,7 +307,7 @@
 }
 
 // on has the loop go on with a hand's owner.
-func (h *hand) on(f func(promise.Clock, *promise.Owner)) {
+func (h *hand) on(f func(promise.Clocks, *promise.Owner)) {
 	h.server.post(func() {
 		o := h.server.owners[h.group]
 		f(clock(), o)
@@ -317,19 +317,19 @@
 
 // Answer takes the dispatcher's answer.
 func (h *hand) Answer(a dispatch.Answer) {
-	v := promise.Broken
+	v := promise.MayHaveFailed
 	switch a.Verdict {
 	case dispatch.Served:
 		v = promise.Served
 	case dispatch.Refused:
-		v = promise.TurnedAway
+		v = promise.Rejected
 	case dispatch.Unusable:
-		v = promise.NoUse
+		v = promise.Impossible
 	}
-	h.on(func(c promise.Clock, o *promise.Owner) {
+	h.on(func(c promise.Clocks, o *promise.Owner) {
 		h.server.drop(h.id, h.n)
-		if v == promise.Broken && h.server.sends.allUnsent(&h.sends) { // given up before its first byte
-			v = promise.TurnedAway
+		if v == promise.MayHaveFailed && h.server.sends.allUnsent(&h.sends) { // given up before its first byte
+			v = promise.Rejected
 		}
 		o.Answered(c, h.id, h.index, h.n, v, a.Instance, a.Result, a.RetryAfter, h.until-c.Unix)
 	})
@@ -337,19 +337,19 @@
 
 // HandOver says that a newer process takes over: it has its own.
 func (h *hand) HandOver(bool) {
-	h.on(func(promise.Clock, *promise.Owner) { h.server.drop(h.id, h.n) })
+	h.on(func(promise.Clocks, *promise.Owner) { h.server.drop(h.id, h.n) })
 }
 
 // RequestSend has an attempt wait until its intent is committed.
 func (h *hand) RequestSend(a *dispatch.Attempt) {
 	at, until := time.Now(), a.Deadline
-	h.on(func(c promise.Clock, o *promise.Owner) {
+	h.on(func(c promise.Clocks, o *promise.Owner) {
 		if h.server.hands[inHand{h.id, h.n}] != h {
 			h.server.core.DenySend(a)
 			return
 		}
 		h.asks[a.Index] = a
-		o.Ask(c, h.id, h.n, a.Index, a.Instance, c.Unix+until.Sub(at))
+		o.RequestSend(c, h.id, h.n, a.Index, a.Instance, c.Unix+until.Sub(at))
 	})
 }
 
@@ -361,12 +361,12 @@
 
 // NeverRan says that an attempt has not run.
 func (h *hand) NeverRan(a *dispatch.Attempt) {
-	h.on(func(c promise.Clock, o *promise.Owner) {
+	h.on(func(c promise.Clocks, o *promise.Owner) {
 		delete(h.asks, a.Index)
 		if sending := h.sends.get(a.Index); sending != nil {
 			h.server.sends.neverRan(sending, c.Mono)
 		}
-		o.Over(h.id, h.n, a.Index)
+		o.NeverRan(h.id, h.n, a.Index)
 	})
 }
 
--- a/internal/net/promises/service.go
+++ b/internal/net/promises/service.go
@@ -47,18 +47,18 @@
 
 // fault is the status of what was not done.
 func fault(a promise.Answer) error {
-	code := map[promise.Why]codes.Code{
-		promise.Malformed: codes.InvalidArgument, promise.Full: codes.ResourceExhausted, promise.Another: codes.AlreadyExists,
-		promise.Unknown: codes.NotFound, promise.TooLate: codes.Aborted, promise.Open: codes.FailedPrecondition,
-	}[a.Why]
+	code := map[promise.Code]codes.Code{
+		promise.Malformed: codes.InvalidArgument, promise.TableFull: codes.ResourceExhausted, promise.IDTaken: codes.AlreadyExists,
+		promise.NotFound: codes.NotFound, promise.TooLate: codes.Aborted, promise.NotEnded: codes.FailedPrecondition,
+	}[a.Code]
 	text := a.Text
 	if text == "" {
-		text = map[promise.Why]string{promise.Unknown: "no such promise is kept", promise.Open: "it has not ended"}[a.Why]
+		text = map[promise.Code]string{promise.NotFound: "no such promise is kept", promise.NotEnded: "it has not ended"}[a.Code]
 	}
 	if code == codes.OK {
 		code = codes.Internal
 	}
-	return status.Errorf(code, "%s: %s", a.Why, text)
+	return status.Errorf(code, "%s: %s", a.Code, text)
 }
 
 // Promise answers once a majority has the job on disk.
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a, err := s.ask(ctx, promise.Command{Op: promise.OpPromise, ID: q.Id, Job: j, Seen: seen})
+	a, err := s.ask(ctx, promise.Command{Op: promise.OpPromise, ID: q.Id, Job: j, SeenIndex: seen})
 	if err != nil {
 		return nil, err
 	}
@@ -101,14 +101,14 @@
 		return nil, status.Errorf(codes.InvalidArgument, "there is no class %q", q.Job.Class)
 	}
 	j := &promise.Job{
-		Class: q.Job.Class, Tenant: q.Job.Tenant, Key: q.Job.Key, Payload: q.Job.Payload, Slots: q.Job.Slots, Target: q.Job.Target, Order: q.Job.Order,
-		Work: span(q.Job.WorkUs, time.Microsecond), Within: span(q.Job.WithinMs, time.Millisecond), Keep: span(q.Job.KeepMs, time.Millisecond),
+		Class: q.Job.Class, Tenant: q.Job.Tenant, Key: q.Job.Key, Payload: q.Job.Payload, Slots: q.Job.Slots, Target: q.Job.Target, Candidates: q.Job.Order,
+		Work: span(q.Job.WorkUs, time.Microsecond), StartWithin: span(q.Job.WithinMs, time.Millisecond), Retention: span(q.Job.KeepMs, time.Millisecond),
 	}
-	if j.Within == 0 {
-		j.Within = s.o.Within
+	if j.StartWithin == 0 {
+		j.StartWithin = s.o.Within
 	}
-	if j.Keep == 0 {
-		j.Keep = s.o.Keep
+	if j.Retention == 0 {
+		j.Retention = s.o.Keep
 	}
 	if err := promise.CheckID(q.Id); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
@@ -136,17 +136,17 @@
 	if index > 0 {
 		return index, nil
 	}
-	a, err := s.ask(ctx, promise.Command{Op: promise.OpLook, ID: id})
+	a, err := s.ask(ctx, promise.Command{Op: promise.OpRead, ID: id})
 	return a.Index, err
 }
 
 // span is n units of time; what is beyond all bounds stays so.
 func span(n uint64, unit time.Duration) time.Duration {
-	return time.Duration(min(n, uint64(promise.MaxKeep/unit)+1)) * unit
+	return time.Duration(min(n, uint64(promise.MaxRetention/unit)+1)) * unit
 }
 
 func (s *Server) receipt(r *promise.Receipt) *promisev1.Receipt {
-	return &promisev1.Receipt{Id: r.ID, Group: s.group(r.ID), Index: r.Index, AtUnixUs: r.At.Microseconds(), UntilUnixUs: r.Until.Microseconds()}
+	return &promisev1.Receipt{Id: r.ID, Group: s.group(r.ID), Index: r.Index, AtUnixUs: r.At.Microseconds(), UntilUnixUs: r.StartBy.Microseconds()}
 }
 
 var kinds = map[promise.Kind]promisev1.Kind{
@@ -167,7 +167,7 @@
 	until := time.Now().Add(min(time.Duration(q.WaitMs)*time.Millisecond, mostAwait))
 	for {
 		s.settled(ctx, q.Id, until)
-		a, err := s.ask(ctx, promise.Command{Op: promise.OpLook, ID: q.Id})
+		a, err := s.ask(ctx, promise.Command{Op: promise.OpRead, ID: q.Id})
 		switch {
 		case err != nil:
 			return nil, err
--- a/internal/net/promises/unsent_test.go
+++ b/internal/net/promises/unsent_test.go
@@ -116,7 +116,7 @@
 			m, a := handed(t, s, c, h)
 			m.Gate.RequestSend(a)
 			of(t, c[0].passed, "its intent is committed")
-			asked, _, let := stall(h[0], true, promise.OpOver, promise.OpWord)
+			asked, _, let := stall(h[0], true, promise.OpNeverRan, promise.OpReport)
 			before := name == "lease lost before" || name == "lease lost once begun"
 			if name == "lease lost once begun" {
 				require.True(t, m.Gate.Begin(a))
@@ -149,7 +149,7 @@
 			m, a := handed(t, s, c, h)
 			m.Gate.RequestSend(a)
 			of(t, c[0].passed, "its intent is committed")
-			asked, _, let := stall(h[0], true, promise.OpOver)
+			asked, _, let := stall(h[0], true, promise.OpNeverRan)
 			require.True(t, m.Gate.Begin(a))
 			if v == dispatch.Refused {
 				m.Client.(*hand).until = 0 // its time is over
@@ -187,7 +187,7 @@
 	m, a := handed(t, s, c, h)
 	m.Gate.RequestSend(a)
 	of(t, c[0].passed, "its intent is committed")
-	_, _, let := stall(h[0], true, promise.OpOver)
+	_, _, let := stall(h[0], true, promise.OpNeverRan)
 	defer close(let)
 	m.Gate.NeverRan(a)
 	s[0].Retune(decide.Settings{Classes: []decide.Class{{Effect: decide.Safe, Deadline: 20 * time.Second}}}, wire.Names{Classes: []string{"once"}})
--- a/internal/promise/machine.go
+++ b/internal/promise/machine.go
@@ -28,7 +28,7 @@
 	MaxJobs        = 1 << 14  // jobs in the table, ended ones included
 	MaxBytes       = 64 << 20 // bytes of all payloads, targets, candidates and results
 	MaxStartWithin = 24 * time.Hour
-	MaxKeep        = 7 * 24 * time.Hour
+	MaxRetention   = 7 * 24 * time.Hour
 	MaxForgotten   = 1 << 15 // IDs that were removed and cannot be used again yet
 	maxIntents     = 16      // intents of one job that has not ended; further ones replace the oldest
 )
@@ -43,16 +43,16 @@
 
 // Job describes a job that is promised to be done.
 type Job struct {
-	Class   string        `json:"class"`
-	Tenant  string        `json:"tenant,omitempty"`
-	Key     string        `json:"key,omitempty"`
-	Work    time.Duration `json:"work,omitempty"` // expected run time; 0: unknown
-	Slots   float64       `json:"slots,omitempty"`
-	Target  string        `json:"target,omitempty"` // sent to the encoder
-	Order   []string      `json:"order,omitempty"`  // the only instances that may run it, in order of preference; nil: chosen by class
-	Payload []byte        `json:"payload,omitempty"`
-	Within  time.Duration `json:"within"` // time after the receipt by which it must start
-	Keep    time.Duration `json:"keep"`   // how long its end is kept
+	Class       string        `json:"class"`
+	Tenant      string        `json:"tenant,omitempty"`
+	Key         string        `json:"key,omitempty"`
+	Work        time.Duration `json:"work,omitempty"` // expected run time; 0: unknown
+	Slots       float64       `json:"slots,omitempty"`
+	Target      string        `json:"target,omitempty"` // sent to the encoder
+	Candidates  []string      `json:"order,omitempty"`  // the only instances that may run it, in order of preference; nil: chosen by class
+	Payload     []byte        `json:"payload,omitempty"`
+	StartWithin time.Duration `json:"within"` // time after the receipt by which it must start
+	Retention   time.Duration `json:"keep"`   // how long its end is kept
 }
 
 // Check reports what is invalid in a job.
@@ -64,10 +64,10 @@
 		return fmt.Errorf("a payload has at most %d bytes", MaxPayload)
 	case len(j.Target) > MaxTarget:
 		return fmt.Errorf("a target has at most %d bytes", MaxTarget)
-	case len(j.Order) > MaxCandidates || slices.ContainsFunc(j.Order, func(id string) bool { return id == "" || len(id) > MaxName }):
+	case len(j.Candidates) > MaxCandidates || slices.ContainsFunc(j.Candidates, func(id string) bool { return id == "" || len(id) > MaxName }):
 		return fmt.Errorf("an order has at most %d names", MaxCandidates)
-	case j.Within <= 0 || j.Within > MaxStartWithin || j.Keep <= 0 || j.Keep > MaxKeep:
-		return fmt.Errorf("it is to be done within %v and kept for up to %v", MaxStartWithin, MaxKeep)
+	case j.StartWithin <= 0 || j.StartWithin > MaxStartWithin || j.Retention <= 0 || j.Retention > MaxRetention:
+		return fmt.Errorf("it is to be done within %v and kept for up to %v", MaxStartWithin, MaxRetention)
 	case j.Work < 0 || !(j.Slots >= 0):
 		return fmt.Errorf("work and slots are not negative")
 	}
@@ -95,10 +95,10 @@
 
 // Receipt confirms that a job is promised. An ID keeps the same receipt for as long as its job is stored.
 type Receipt struct {
-	ID    string        `json:"id"`
-	Index uint64        `json:"index"` // of the commit
-	At    time.Duration `json:"at"`    // Unix time of the commit
-	Until time.Duration `json:"until"` // Unix time after which the job is not started
+	ID      string        `json:"id"`
+	Index   uint64        `json:"index"` // of the commit
+	At      time.Duration `json:"at"`    // Unix time of the commit
+	StartBy time.Duration `json:"until"` // Unix time after which the job is not started
 }
 
 // Kind says how a promise ended.
@@ -122,12 +122,12 @@
 
 // Intent records that an attempt may be sent or has been sent.
 type Intent struct {
-	Gen      uint64        `json:"gen"`
-	Hand     int           `json:"hand"`
-	N        int           `json:"n"`
-	Instance string        `json:"instance"`
-	Until    time.Duration `json:"until"`          // Unix time of the attempt's deadline
-	Lost     string        `json:"lost,omitempty"` // why the attempt will not give a result
+	Gen        uint64        `json:"gen"`
+	Submission int           `json:"hand"`
+	Attempt    int           `json:"n"`
+	Instance   string        `json:"instance"`
+	Deadline   time.Duration `json:"until"`          // Unix time of the attempt's deadline
+	Failure    string        `json:"lost,omitempty"` // why the attempt will not give a result
 }
 
 // Entry is the table's record of one job.
@@ -143,7 +143,7 @@
 
 func (e *Entry) bytes() int {
 	n := len(e.Job.Payload) + len(e.Job.Target)
-	for _, id := range e.Job.Order {
+	for _, id := range e.Job.Candidates {
 		n += len(id)
 	}
 	if e.End != nil {
@@ -152,7 +152,7 @@
 	return n
 }
 
-func (e *Entry) expires() time.Duration { return e.End.At + e.Job.Keep }
+func (e *Entry) expires() time.Duration { return e.End.At + e.Job.Retention }
 
 // Op is the operation of a command.
 type Op string
@@ -162,29 +162,29 @@
 	OpPromise       Op = "promise"
 	OpTakeOwnership Op = "own"    // an owner with a newer generation takes over
 	OpIntent        Op = "intent" // by the owner
-	OpOver          Op = "over"   // by the owner: an attempt never ran
+	OpNeverRan      Op = "over"   // by the owner: an attempt never ran
 	OpEnd           Op = "end"    // by the owner: the job failed or was refused
-	OpWord          Op = "word"   // a report by an instance, proposed by any dispatcher that received it
+	OpReport        Op = "word"   // a report by an instance, proposed by any dispatcher that received it
 	OpForget        Op = "forget"
-	OpLook          Op = "look" // a read in the order of the log; changes nothing
+	OpRead          Op = "look" // a read in the order of the log; changes nothing
 )
 
 // Command is an entry of the replicated log.
 type Command struct {
-	V        int           `json:"v"`
-	Op       Op            `json:"op"`
-	Gen      uint64        `json:"gen,omitempty"` // of the owner that proposes it
-	ID       string        `json:"id,omitempty"`
-	Index    uint64        `json:"index,omitempty"` // of the receipt
-	Seen     uint64        `json:"seen,omitempty"`  // for OpPromise: the group's index when the proposal was made
-	Job      *Job          `json:"job,omitempty"`
-	Hand     int           `json:"hand,omitempty"`
-	N        int           `json:"n,omitempty"`
-	Instance string        `json:"instance,omitempty"`
-	Until    time.Duration `json:"until,omitempty"`
-	Kind     Kind          `json:"kind,omitempty"`
-	Reason   string        `json:"reason,omitempty"`
-	Result   []byte        `json:"result,omitempty"`
+	V          int           `json:"v"`
+	Op         Op            `json:"op"`
+	Gen        uint64        `json:"gen,omitempty"` // of the owner that proposes it
+	ID         string        `json:"id,omitempty"`
+	Index      uint64        `json:"index,omitempty"` // of the receipt
+	SeenIndex  uint64        `json:"seen,omitempty"`  // for OpPromise: the group's index when the proposal was made
+	Job        *Job          `json:"job,omitempty"`
+	Submission int           `json:"hand,omitempty"`
+	Attempt    int           `json:"n,omitempty"`
+	Instance   string        `json:"instance,omitempty"`
+	Deadline   time.Duration `json:"until,omitempty"`
+	Kind       Kind          `json:"kind,omitempty"`
+	Reason     string        `json:"reason,omitempty"`
+	Result     []byte        `json:"result,omitempty"`
 }
 
 // Bytes encodes the command.
@@ -198,25 +198,25 @@
 type Answer struct {
 	OK      bool     `json:"ok"`
 	Index   uint64   `json:"index"`         // of the command
-	Why     Why      `json:"why,omitempty"` // set if the command was not done
+	Code    Code     `json:"why,omitempty"` // set if the command was not done
 	Text    string   `json:"text,omitempty"`
 	Receipt *Receipt `json:"receipt,omitempty"`
 	End     *End     `json:"end,omitempty"`
 }
 
-// Why is a status code.
-type Why string
+// Code is a status code.
+type Code string
 
 // Status codes.
 const (
-	Malformed    Why = "malformed"
-	Full         Why = "full"    // the table is full
-	Another      Why = "another" // the ID belongs to another job
-	Unknown      Why = "unknown" // there is no such receipt
-	StaleOwner   Why = "stale"   // the owner has been replaced
-	AlreadyEnded Why = "ended"   // the job has ended already
-	Open         Why = "open"    // the job has not ended
-	TooLate      Why = "late"    // the proposal was delayed for too long, or the ID was removed recently
+	Malformed    Code = "malformed"
+	TableFull    Code = "full"    // the table is full
+	IDTaken      Code = "another" // the ID belongs to another job
+	NotFound     Code = "unknown" // there is no such receipt
+	StaleOwner   Code = "stale"   // the owner has been replaced
+	AlreadyEnded Code = "ended"   // the job has ended already
+	NotEnded     Code = "open"    // the job has not ended
+	TooLate      Code = "late"    // the proposal was delayed for too long, or the ID was removed recently
 )
 
 // ReadAnswer decodes a result of Apply.
@@ -271,7 +271,7 @@
 	m.index = index
 	m.expire(at)
 	var c Command
-	a := Answer{Why: Malformed}
+	a := Answer{Code: Malformed}
 	if err := json.Unmarshal(cmd, &c); err != nil {
 		a.Text = "it cannot be read"
 	} else if c.V != Version {
@@ -285,15 +285,15 @@
 }
 
 // readPrefix is the prefix of an encoded read command, see [Command.Bytes].
-var readPrefix = fmt.Appendf(nil, `{"v":%d,"op":%q`, Version, OpLook)
+var readPrefix = fmt.Appendf(nil, `{"v":%d,"op":%q`, Version, OpRead)
 
 // Read answers a read command without the log.
 func (m *Machine) Read(cmd []byte) (result []byte, ok bool) {
 	var c Command
-	if !bytes.HasPrefix(cmd, readPrefix) || json.Unmarshal(cmd, &c) != nil || c.Op != OpLook {
+	if !bytes.HasPrefix(cmd, readPrefix) || json.Unmarshal(cmd, &c) != nil || c.Op != OpRead {
 		return nil, false
 	}
-	a := Answer{Why: Unknown}
+	a := Answer{Code: NotFound}
 	if e := m.jobs[c.ID]; e != nil {
 		a = e.answer()
 	}
@@ -327,60 +327,62 @@
 		return m.promise(index, at, c)
 	case OpTakeOwnership:
 		if c.Gen <= m.owner {
-			return Answer{OK: c.Gen == m.owner, Why: StaleOwner}
+			return Answer{OK: c.Gen == m.owner, Code: StaleOwner}
 		}
 		m.owner = c.Gen
 		return Answer{OK: true}
 	}
 	e := m.jobs[c.ID]
-	if e == nil || c.Index != e.Index && slices.Contains([]Op{OpIntent, OpOver, OpEnd, OpWord}, c.Op) {
-		return Answer{Why: Unknown}
+	if e == nil || c.Index != e.Index && slices.Contains([]Op{OpIntent, OpNeverRan, OpEnd, OpReport}, c.Op) {
+		return Answer{Code: NotFound}
 	}
 	switch c.Op {
-	case OpLook:
+	case OpRead:
 		return e.answer()
 	case OpForget:
 		if e.End == nil {
-			return Answer{Why: Open, Receipt: &e.Receipt}
+			return Answer{Code: NotEnded, Receipt: &e.Receipt}
 		}
 		if len(m.forgottenOrder) >= MaxForgotten {
-			return Answer{Why: Full, Text: "too many were forgotten of late: it goes by itself when its retention ends"}
+			return Answer{Code: TableFull, Text: "too many were forgotten of late: it goes by itself when its retention ends"}
 		}
 		heap.Remove(&m.ended, slices.Index(m.ended, e))
 		m.forget(e)
 		return Answer{OK: true}
-	case OpWord:
+	case OpReport:
 		return m.report(at, e, c)
-	case OpIntent, OpOver, OpEnd:
+	case OpIntent, OpNeverRan, OpEnd:
 		if c.Gen != m.owner && !m.faults.IgnoreGeneration {
-			return Answer{Why: StaleOwner}
+			return Answer{Code: StaleOwner}
 		}
 	default:
-		return Answer{Why: Malformed, Text: "no such command"}
+		return Answer{Code: Malformed, Text: "no such command"}
 	}
 	if e.End != nil && !m.faults.AllowSecondEnd {
-		return Answer{Why: AlreadyEnded, End: e.End}
+		return Answer{Code: AlreadyEnded, End: e.End}
 	}
 	switch c.Op {
 	case OpIntent:
 		if len(c.Instance) > MaxName {
-			return Answer{Why: Malformed, Text: "an instance's name is too long"}
+			return Answer{Code: Malformed, Text: "an instance's name is too long"}
 		}
 		for _, in := range e.Intents { // committed before, but the proposer did not learn of it
-			if in.Gen == c.Gen && in.Hand == c.Hand && in.N == c.N && in.Instance == c.Instance {
+			if in.Gen == c.Gen && in.Submission == c.Submission && in.Attempt == c.Attempt && in.Instance == c.Instance {
 				return Answer{OK: true}
 			}
 		}
 		if len(e.Intents) == maxIntents {
 			e.Intents, e.MayHaveRun = slices.Delete(e.Intents, 0, 1), true
 		}
-		e.Intents = append(e.Intents, Intent{Gen: c.Gen, Hand: c.Hand, N: c.N, Instance: c.Instance, Until: c.Until})
-		e.LastSubmission = max(e.LastSubmission, c.Hand)
-	case OpOver:
-		e.Intents = slices.DeleteFunc(e.Intents, func(in Intent) bool { return in.Gen == c.Gen && in.Hand == c.Hand && in.N == c.N })
+		e.Intents = append(e.Intents, Intent{Gen: c.Gen, Submission: c.Submission, Attempt: c.Attempt, Instance: c.Instance, Deadline: c.Deadline})
+		e.LastSubmission = max(e.LastSubmission, c.Submission)
+	case OpNeverRan:
+		e.Intents = slices.DeleteFunc(e.Intents, func(in Intent) bool {
+			return in.Gen == c.Gen && in.Submission == c.Submission && in.Attempt == c.Attempt
+		})
 	case OpEnd:
 		if c.Kind != Failed && c.Kind != Refused {
-			return Answer{Why: Malformed, Text: "an owner ends what failed or is refused"}
+			return Answer{Code: Malformed, Text: "an owner ends what failed or is refused"}
 		}
 		end := &End{Kind: c.Kind, Reason: c.Reason, At: at}
 		if end.Kind == Refused && (len(e.Intents) > 0 || e.MayHaveRun) { // by this table's knowledge it may have run
@@ -393,31 +395,31 @@
 
 func (e *Entry) answer() Answer {
 	if e.End == nil {
-		return Answer{OK: true, Why: Open, Receipt: &e.Receipt}
+		return Answer{OK: true, Code: NotEnded, Receipt: &e.Receipt}
 	}
 	return Answer{OK: true, Receipt: &e.Receipt, End: e.End}
 }
 
 func (m *Machine) promise(index uint64, at time.Duration, c *Command) Answer {
 	if c.Job == nil {
-		return Answer{Why: Malformed, Text: "without a job"}
+		return Answer{Code: Malformed, Text: "without a job"}
 	}
 	if err := cmp.Or(CheckID(c.ID), c.Job.Check()); err != nil {
-		return Answer{Why: Malformed, Text: err.Error()}
+		return Answer{Code: Malformed, Text: err.Error()}
 	}
 	digest := c.Job.digest()
 	if e := m.jobs[c.ID]; e != nil {
 		if e.Digest != digest {
-			return Answer{Why: Another, Text: "the id is another job's"}
+			return Answer{Code: IDTaken, Text: "the id is another job's"}
 		}
 		return Answer{OK: true, Receipt: &e.Receipt}
 	}
-	if dropped, ok := m.forgotten[c.ID]; c.Seen+MaxProposalLag < index || ok && c.Seen < dropped {
-		return Answer{Why: TooLate, Text: "it was under way for too long, or the id was forgotten a moment ago"}
+	if dropped, ok := m.forgotten[c.ID]; c.SeenIndex+MaxProposalLag < index || ok && c.SeenIndex < dropped {
+		return Answer{Code: TooLate, Text: "it was under way for too long, or the id was forgotten a moment ago"}
 	}
-	e := &Entry{Receipt: Receipt{ID: c.ID, Index: index, At: at, Until: at + c.Job.Within}, Job: *c.Job, Digest: digest}
+	e := &Entry{Receipt: Receipt{ID: c.ID, Index: index, At: at, StartBy: at + c.Job.StartWithin}, Job: *c.Job, Digest: digest}
 	if len(m.jobs) >= MaxJobs || m.bytes+e.bytes() > MaxBytes {
-		return Answer{Why: Full, Text: fmt.Sprintf("the group holds %d promises and %d bytes of them", len(m.jobs), m.bytes)}
+		return Answer{Code: TableFull, Text: fmt.Sprintf("the group holds %d promises and %d bytes of them", len(m.jobs), m.bytes)}
 	}
 	m.jobs[c.ID] = e
 	m.openJobs = append(m.openJobs, e)
@@ -428,11 +430,11 @@
 // report applies an instance's report on an attempt. It counts whoever the owner is now.
 func (m *Machine) report(at time.Duration, e *Entry, c *Command) Answer {
 	if e.End != nil && !m.faults.AllowSecondEnd {
-		return Answer{Why: AlreadyEnded, End: e.End}
+		return Answer{Code: AlreadyEnded, End: e.End}
 	}
-	i := slices.IndexFunc(e.Intents, func(in Intent) bool { return in.Hand == c.Hand && in.Instance == c.Instance })
+	i := slices.IndexFunc(e.Intents, func(in Intent) bool { return in.Submission == c.Submission && in.Instance == c.Instance })
 	if i < 0 {
-		return Answer{Why: Unknown, Text: "no such attempt was to be sent"}
+		return Answer{Code: NotFound, Text: "no such attempt was to be sent"}
 	}
 	switch c.Kind {
 	case Done:
@@ -442,11 +444,11 @@
 		}
 		m.end(e, end)
 	case Failed:
-		e.Intents[i].Lost = truncate(cmp.Or(c.Reason, "it failed"))
+		e.Intents[i].Failure = truncate(cmp.Or(c.Reason, "it failed"))
 	case Refused: // returned without having been started
 		e.Intents = slices.Delete(e.Intents, i, i+1)
 	default:
-		return Answer{Why: Malformed, Text: "word of no known kind"}
+		return Answer{Code: Malformed, Text: "word of no known kind"}
 	}
 	return Answer{OK: true, Receipt: &e.Receipt}
 }
@@ -478,9 +480,9 @@
 // Entry returns the record of a job, which must not be modified, or nil if there is none.
 func (m *Machine) Entry(id string) *Entry { return m.jobs[id] }
 
-// Open calls f with each job that has not ended, in the order of the receipts and starting at index from, until f
+// EachOpen calls f with each job that has not ended, in the order of the receipts and starting at index from, until f
 // returns false.
-func (m *Machine) Open(from uint64, f func(*Entry) bool) {
+func (m *Machine) EachOpen(from uint64, f func(*Entry) bool) {
 	at, _ := slices.BinarySearchFunc(m.openJobs, from, func(e *Entry, from uint64) int { return cmp.Compare(e.Index, from) })
 	for _, e := range m.openJobs[at:] {
 		if e.End == nil && !f(e) {
--- a/internal/promise/machine_test.go
+++ b/internal/promise/machine_test.go
@@ -28,9 +28,9 @@
 		for index := uint64(1); index < 30; index++ {
 			at += time.Duration(rapid.IntRange(0, 3).Draw(t, "later")) * time.Second
 			c := Command{
-				Op: rapid.SampledFrom([]Op{OpPromise, OpPromise, OpTakeOwnership, OpIntent, OpIntent, OpOver, OpEnd, OpWord, OpWord, OpForget, OpLook, "other"}).Draw(t, "op"),
-				ID: rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(t, "id"), Hand: rapid.IntRange(1, 2).Draw(t, "hand"),
-				Gen: gen - uint64(rapid.IntRange(0, 1).Draw(t, "stale")), N: rapid.IntRange(0, 1).Draw(t, "n"), Instance: "s-1",
+				Op: rapid.SampledFrom([]Op{OpPromise, OpPromise, OpTakeOwnership, OpIntent, OpIntent, OpNeverRan, OpEnd, OpReport, OpReport, OpForget, OpRead, "other"}).Draw(t, "op"),
+				ID: rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(t, "id"), Submission: rapid.IntRange(1, 2).Draw(t, "hand"),
+				Gen: gen - uint64(rapid.IntRange(0, 1).Draw(t, "stale")), Attempt: rapid.IntRange(0, 1).Draw(t, "n"), Instance: "s-1",
 				Index: rapid.SampledFrom([]uint64{0, 1, 2}).Draw(t, "receipt"),
 				Kind:  rapid.SampledFrom([]Kind{Done, Failed, Refused}).Draw(t, "kind"), Reason: "for some reason", Result: []byte("result"),
 			}
@@ -39,8 +39,8 @@
 			}
 			switch c.Op {
 			case OpPromise:
-				c.Seen = index - 1 - min(index-1, rapid.SampledFrom([]uint64{0, 0, 1, 20}).Draw(t, "under way"))
-				c.Job = &Job{Class: "c", Payload: []byte("payload"), Within: time.Hour, Keep: 10 * time.Second}
+				c.SeenIndex = index - 1 - min(index-1, rapid.SampledFrom([]uint64{0, 0, 1, 20}).Draw(t, "under way"))
+				c.Job = &Job{Class: "c", Payload: []byte("payload"), StartWithin: time.Hour, Retention: 10 * time.Second}
 			case OpTakeOwnership:
 				gen++
 				c.Gen = gen
@@ -94,12 +94,12 @@
 
 func TestTableIsBounded(t *testing.T) {
 	m := New()
-	job := &Job{Class: "c", Payload: make([]byte, MaxPayload), Within: time.Hour, Keep: time.Minute}
+	job := &Job{Class: "c", Payload: make([]byte, MaxPayload), StartWithin: time.Hour, Retention: time.Minute}
 	n := 0
 	for ; ; n++ {
 		a := apply(m, uint64(n+1), 0, Command{Op: OpPromise, ID: fmt.Sprint("j", n), Job: job})
 		if !a.OK {
-			require.Equal(t, Full, a.Why)
+			require.Equal(t, TableFull, a.Code)
 			require.Contains(t, a.Text, "promises")
 			break
 		}
@@ -110,33 +110,33 @@
 	require.True(t, apply(m, 5002, 0, Command{Op: OpEnd, ID: "j0", Index: 1, Gen: 7, Kind: Refused, Reason: strings.Repeat("x", 9999)}).OK)
 	require.Len(t, m.Entry("j0").End.Reason, MaxReason)
 	require.True(t, apply(m, 5003, 0, Command{Op: OpPromise, ID: "fits", Job: job}).OK, "what has ended leaves its payload's room")
-	require.Equal(t, Unknown, apply(m, 5004, time.Minute, Command{Op: OpLook, ID: "j0"}).Why, "its retention is over")
-	require.Equal(t, TooLate, apply(m, 5005, time.Minute, Command{Op: OpPromise, ID: "j0", Job: job, Seen: 5003}).Why, "it may double the one before")
-	require.True(t, apply(m, 5006, time.Minute, Command{Op: OpPromise, ID: "j0", Job: &Job{Class: "c", Within: 1, Keep: 1}, Seen: 5005}).OK)
+	require.Equal(t, NotFound, apply(m, 5004, time.Minute, Command{Op: OpRead, ID: "j0"}).Code, "its retention is over")
+	require.Equal(t, TooLate, apply(m, 5005, time.Minute, Command{Op: OpPromise, ID: "j0", Job: job, SeenIndex: 5003}).Code, "it may double the one before")
+	require.True(t, apply(m, 5006, time.Minute, Command{Op: OpPromise, ID: "j0", Job: &Job{Class: "c", StartWithin: 1, Retention: 1}, SeenIndex: 5005}).OK)
 	for _, garbage := range []string{"", "{", "null", `{"v":9}`, `{"v":1,"op":"promise","id":"a b"}`, `{"v":1,"op":"promise","id":"x","job":{}}`} {
 		a, err := ReadAnswer(m.Apply(6000, time.Minute, []byte(garbage)))
 		require.NoError(t, err)
-		require.Contains(t, []Why{Malformed, Unknown}, a.Why, garbage)
+		require.Contains(t, []Code{Malformed, NotFound}, a.Code, garbage)
 	}
 }
 
 // at returns readings of both clocks n milliseconds after the start.
-func at(n int) Clock {
-	return Clock{Mono: time.Duration(n) * time.Millisecond, Unix: time.Duration(n) * time.Millisecond}
+func at(n int) Clocks {
+	return Clocks{Mono: time.Duration(n) * time.Millisecond, Unix: time.Duration(n) * time.Millisecond}
 }
 
 // ownedTable returns a table with one job and an owner that gets the lease of a term until a time.
-func ownedTable(t *testing.T, term uint64, until time.Duration) (m *Machine, o *Owner, take func(Clock) Start) {
+func ownedTable(t *testing.T, term uint64, until time.Duration) (m *Machine, o *Owner, take func(Clocks) Submit) {
 	m, o = New(), NewOwner(func(string) bool { return false })
-	apply(m, 1, 0, Command{Op: OpPromise, ID: "j", Job: &Job{Class: "c", Within: time.Second, Keep: time.Hour}})
-	take = func(c Clock) Start {
-		o.Look(c, m)
+	apply(m, 1, 0, Command{Op: OpPromise, ID: "j", Job: &Job{Class: "c", StartWithin: time.Second, Retention: time.Hour}})
+	take = func(c Clocks) Submit {
+		o.Update(c, m)
 		own := o.Actions()[0].(Propose)
-		o.Proposed(c, own.Seq, apply(m, 2, 0, own.Command), false)
-		o.Look(c, m)
-		return o.Actions()[0].(Start)
+		o.ProposalDone(c, own.Seq, apply(m, 2, 0, own.Command), false)
+		o.Update(c, m)
+		return o.Actions()[0].(Submit)
 	}
-	o.Lead(at(0), term, until, true)
+	o.SetLease(at(0), term, until, true)
 	return m, o, take
 }
 
@@ -144,14 +144,14 @@
 func TestLeaseRegainedInSameTerm(t *testing.T) {
 	m, o, take := ownedTable(t, 3, 500*time.Millisecond)
 	first := take(at(0))
-	o.Answered(at(400), "j", 1, first.Hand, TurnedAway, "", nil, 0, 0)
+	o.Answered(at(400), "j", 1, first.Submission, Rejected, "", nil, 0, 0)
 	late := o.Actions()[0].(Propose)
 	require.Equal(t, OpEnd, late.Op)
-	o.Look(at(490), m)
-	require.Equal(t, []Action{Leave{"j", first.Hand}}, o.Actions())
-	o.Lead(at(600), 3, time.Second, true)
-	require.Greater(t, take(at(600)).Hand, first.Hand, "the dispatcher may still have the first")
-	require.Equal(t, StaleOwner, apply(m, 9, 0, late.Command).Why)
+	o.Update(at(490), m)
+	require.Equal(t, []Action{Abandon{"j", first.Submission}}, o.Actions())
+	o.SetLease(at(600), 3, time.Second, true)
+	require.Greater(t, take(at(600)).Submission, first.Submission, "the dispatcher may still have the first")
+	require.Equal(t, StaleOwner, apply(m, 9, 0, late.Command).Code)
 }
 
 // Guards against a job that stays submitted while nobody runs it: the dispatcher's answer came near the end of a lease that was
@@ -159,12 +159,12 @@
 func TestAnswerNearExpiryOfRenewedLeaseCounts(t *testing.T) {
 	m, o, take := ownedTable(t, 3, 500*time.Millisecond)
 	first := take(at(0))
-	o.Answered(at(490), "j", 1, first.Hand, TurnedAway, "", nil, 0, 30*time.Second)
-	o.Lead(at(491), 3, time.Minute, true)
-	o.Look(at(700), m)
+	o.Answered(at(490), "j", 1, first.Submission, Rejected, "", nil, 0, 30*time.Second)
+	o.SetLease(at(491), 3, time.Minute, true)
+	o.Update(at(700), m)
 	again := o.Actions()
 	require.NotEmpty(t, again)
-	require.Greater(t, again[0].(Start).Hand, first.Hand)
+	require.Greater(t, again[0].(Submit).Submission, first.Submission)
 }
 
 // Guards against an intent that stays though its attempt never ran, when that was reported near the end of a lease that was then
@@ -172,12 +172,12 @@
 func TestNeverRanNearExpiryOfRenewedLeaseIsReported(t *testing.T) {
 	m, o, take := ownedTable(t, 3, 500*time.Millisecond)
 	first := take(at(0))
-	o.Ask(at(100), "j", first.Hand, 1, "s-1", time.Minute)
+	o.RequestSend(at(100), "j", first.Submission, 1, "s-1", time.Minute)
 	intent := o.Actions()[0].(Propose)
-	o.Proposed(at(200), intent.Seq, apply(m, 3, 0, intent.Command), false)
-	require.IsType(t, Go{}, o.Actions()[0])
-	o.Over("j", first.Hand, 1)
-	o.Lead(at(491), 3, time.Minute, true)
+	o.ProposalDone(at(200), intent.Seq, apply(m, 3, 0, intent.Command), false)
+	require.IsType(t, AllowSend{}, o.Actions()[0])
+	o.NeverRan("j", first.Submission, 1)
+	o.SetLease(at(491), 3, time.Minute, true)
 	over := o.Actions()
 	require.NotEmpty(t, over)
 	require.True(t, apply(m, 4, 0, over[0].(Propose).Command).OK)
--- a/internal/promise/model.go
+++ b/internal/promise/model.go
@@ -34,7 +34,7 @@
 	crashes         int
 	runs            []attempt
 	callbackAcked   map[attempt]bool // whether a run's callback has been acknowledged after its commit
-	reportedUnsent  []Sending        // attempts that were reported to the group as never sent
+	reportedUnsent  []SendRecord     // attempts that were reported to the group as never sent
 	firstEnd        *End
 	ignoreLease     bool // senders ignore the lease
 	violation       string
@@ -58,15 +58,15 @@
 	state        int
 	sendUntil    time.Duration
 
-	records   *Sendings         // survive a restart of the process
-	record    *Sending          // of the last attempt
+	records   *SendRecords      // survive a restart of the process
+	record    *SendRecord       // of the last attempt
 	abandoned *abandonedAttempt // an abandoned attempt that still waits for its connection
 }
 
 type abandonedAttempt struct {
 	attempt
 	sendUntil time.Duration
-	record    *Sending
+	record    *SendRecord
 }
 
 const (
@@ -84,15 +84,15 @@
 
 type message struct {
 	dispatcher int
-	seq        uint64   // 0: a report, of an instance's callback or of an attempt that was never sent
-	answer     *attempt // the attempt whose callback is acknowledged once this is committed
-	unsent     *Sending // the attempt that this reports as never sent
+	seq        uint64      // 0: a report, of an instance's callback or of an attempt that was never sent
+	answer     *attempt    // the attempt whose callback is acknowledged once this is committed
+	unsent     *SendRecord // the attempt that this reports as never sent
 	cmd        string
 }
 
-func (w *model) clock(d int) Clock {
+func (w *model) clock(d int) Clocks {
 	behind := time.Duration(d) * drift
-	return Clock{Mono: time.Duration(w.now)*tick + tick - behind, Unix: time.Duration(w.now) * tick}
+	return Clocks{Mono: time.Duration(w.now)*tick + tick - behind, Unix: time.Duration(w.now) * tick}
 }
 
 func (m *Machine) clone() *Machine {
@@ -123,8 +123,8 @@
 }
 
 // clone also returns the copy's record of the same attempt.
-func (s *Sendings) clone(of *Sending) (*Sendings, *Sending) {
-	c := NewSendings()
+func (s *SendRecords) clone(of *SendRecord) (*SendRecords, *SendRecord) {
+	c := NewSendRecords()
 	c.faults = s.faults
 	for _, record := range s.All() {
 		c.add(record)
@@ -173,7 +173,7 @@
 		}
 		num(int(m.owner), e.LastSubmission, len(e.Intents))
 		for _, in := range e.Intents {
-			num(int(in.Gen), in.Hand, in.N, int(in.Until))
+			num(int(in.Gen), in.Submission, in.Attempt, int(in.Deadline))
 			b = append(b, in.Instance...)
 		}
 		if e.End != nil {
@@ -203,7 +203,7 @@
 			num(d.abandoned.submission, d.abandoned.n, int(d.abandoned.sendUntil))
 		}
 		known := d.records.All()
-		slices.SortFunc(known, func(a, b Sending) int {
+		slices.SortFunc(known, func(a, b SendRecord) int {
 			return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Gen, b.Gen))
 		})
 		for _, k := range known {
@@ -267,7 +267,7 @@
 		w.checkReports()
 	}
 	if msg.answer != nil {
-		w.callbackAcked[*msg.answer] = a.OK || a.Why == AlreadyEnded
+		w.callbackAcked[*msg.answer] = a.OK || a.Code == AlreadyEnded
 	}
 	return a
 }
@@ -275,7 +275,7 @@
 // checkReports checks that no attempt ran that was reported as never sent.
 func (w *model) checkReports() {
 	for _, a := range w.runs {
-		if slices.ContainsFunc(w.reportedUnsent, func(s Sending) bool { return s.Job == WireID(jobID, 1, a.submission) && s.Instance == a.instance }) {
+		if slices.ContainsFunc(w.reportedUnsent, func(s SendRecord) bool { return s.Job == WireID(jobID, 1, a.submission) && s.Instance == a.instance }) {
 			w.violate("reported as never sent, but it ran")
 		}
 	}
@@ -295,7 +295,7 @@
 
 func (w *model) commitAll() {
 	for _, msg := range w.messages {
-		w.dispatchers[msg.dispatcher].owner.Proposed(w.clock(msg.dispatcher), msg.seq, w.commit(msg), false)
+		w.dispatchers[msg.dispatcher].owner.ProposalDone(w.clock(msg.dispatcher), msg.seq, w.commit(msg), false)
 	}
 	w.messages = nil
 }
@@ -307,8 +307,8 @@
 		d.table.Apply(uint64(d.applied+1), w.log[d.applied].at, []byte(w.log[d.applied].cmd))
 	}
 	c := w.clock(i)
-	d.owner.Lead(c, d.term, d.leaseEnd, d.term > 0 && (c.Mono < d.leaseEnd || w.ignoreLease))
-	d.owner.Look(c, d.table)
+	d.owner.SetLease(c, d.term, d.leaseEnd, d.term > 0 && (c.Mono < d.leaseEnd || w.ignoreLease))
+	d.owner.Update(c, d.table)
 	w.perform(i)
 }
 
@@ -319,22 +319,22 @@
 		switch a := a.(type) {
 		case Propose:
 			if a.Op == OpIntent && !d.owner.mayRetry("") {
-				d.record, _ = d.records.Ask(d.wireID(), a.Instance, a.Gen, a.Until)
+				d.record, _ = d.records.Request(d.wireID(), a.Instance, a.Gen, a.Deadline)
 			}
 			w.messages = append(w.messages, message{dispatcher: i, seq: a.Seq, cmd: string(a.Command.Bytes())})
-		case Book:
+		case Record:
 			w.messages = append(w.messages, message{dispatcher: i, cmd: string(a.Command.Bytes())})
-		case Start:
-			d.submission, d.attempts, d.state, d.record = a.Hand, 0, none, nil
-		case Go:
-			if d.submission == a.Hand && d.state == requested && d.attempts == a.N {
+		case Submit:
+			d.submission, d.attempts, d.state, d.record = a.Submission, 0, none, nil
+		case AllowSend:
+			if d.submission == a.Submission && d.state == requested && d.attempts == a.Attempt {
 				d.state, d.sendUntil = allowed, a.Until
 			}
-		case Deny:
-			if d.submission == a.Hand && d.state == requested && d.attempts == a.N {
+		case DenySend:
+			if d.submission == a.Submission && d.state == requested && d.attempts == a.Attempt {
 				d.neverRan(w.clock(i))
 			}
-		case Leave, Heard:
+		case Abandon, EndReported:
 			d.abandon(w.clock(i))
 		}
 	}
@@ -344,9 +344,9 @@
 func (d *dispatcher) wireID() string { return WireID(jobID, 1, d.submission) }
 
 // abandon stops all further sends of the current submission.
-func (d *dispatcher) abandon(c Clock) {
+func (d *dispatcher) abandon(c Clocks) {
 	if d.submission > 0 {
-		d.records.Leave(d.wireID(), c.Mono)
+		d.records.Abandon(d.wireID(), c.Mono)
 	}
 	if d.state == allowed && d.records.faults.SendAbandoned { // without the fault it never starts
 		d.abandoned = &abandonedAttempt{attempt{submission: d.submission, n: d.attempts, instance: d.instance}, d.sendUntil, d.record}
@@ -355,7 +355,7 @@
 }
 
 // neverRan ends the last attempt as one that has not run.
-func (d *dispatcher) neverRan(c Clock) {
+func (d *dispatcher) neverRan(c Clocks) {
 	d.state = none
 	if d.record != nil {
 		d.records.NeverRan(d.record, c.Mono)
@@ -411,7 +411,7 @@
 				w.crashes++
 				mayRetry := w.dispatchers[i].owner.mayRetry
 				faults := w.dispatchers[i].owner.faults
-				records := NewSendings()
+				records := NewSendRecords()
 				records.faults = w.dispatchers[i].records.faults
 				for _, record := range w.dispatchers[i].records.All() {
 					records.Restore(record)
@@ -425,8 +425,8 @@
 			})
 		}
 		for _, record := range d.records.All() {
-			if c, ok := record.NeverSent(); ok && record.State == Unsent && !w.inFlight(c) {
-				if intended, _ := d.table.Intended(&record); intended {
+			if c, ok := record.NeverRanCommand(); ok && record.State == NeverSent && !w.inFlight(c) {
+				if intended, _ := d.table.HasIntent(&record); intended {
 					try(func(w *model) {
 						w.messages = append(w.messages, message{dispatcher: i, unsent: &record, cmd: string(c.Bytes())})
 					})
@@ -450,30 +450,30 @@
 				try(func(w *model) {
 					d := &w.dispatchers[i]
 					d.attempts, d.state, d.instance = d.attempts+1, requested, fmt.Sprint("s-", instance)
-					d.owner.Ask(w.clock(i), jobID, d.submission, d.attempts, d.instance, w.clock(i).Unix+tick)
+					d.owner.RequestSend(w.clock(i), jobID, d.submission, d.attempts, d.instance, w.clock(i).Unix+tick)
 					w.perform(i)
 				})
 			}
-			try(func(w *model) { w.answer(i, TurnedAway, left) })
-			try(func(w *model) { w.answer(i, NoUse, left) })
+			try(func(w *model) { w.answer(i, Rejected, left) })
+			try(func(w *model) { w.answer(i, Impossible, left) })
 		case allowed:
 			if w.clock(i).Mono < d.sendUntil || w.ignoreLease {
 				try(func(w *model) { w.begin(i) })
 			}
 			try(func(w *model) { w.neverRan(i) }) // the instance is full, or it is too late
-			try(func(w *model) { w.answer(i, Broken, left) })
+			try(func(w *model) { w.answer(i, MayHaveFailed, left) })
 		case started:
 			try(func(w *model) { w.send(i) })
 			try(func(w *model) { w.neverRan(i) }) // its connection has broken
 		case sent:
 			try(func(w *model) { w.answer(i, Served, left) })
-			try(func(w *model) { w.answer(i, Broken, left) })
+			try(func(w *model) { w.answer(i, MayHaveFailed, left) })
 		}
 	}
 	for _, a := range w.runs { // callbacks may reach any dispatcher, also one that has nothing to do with the job
 		if !w.callbackAcked[a] && !slices.ContainsFunc(w.messages, func(msg message) bool { return msg.answer != nil && *msg.answer == a }) {
 			try(func(w *model) {
-				report := Command{Op: OpWord, ID: jobID, Index: 1, Hand: a.submission, Instance: a.instance, Kind: Done}
+				report := Command{Op: OpReport, ID: jobID, Index: 1, Submission: a.submission, Instance: a.instance, Kind: Done}
 				callback := message{dispatcher: 1 - a.dispatcher, answer: &a, cmd: string(report.Bytes())}
 				if limit.ackFirst {
 					w.callbackAcked[a], callback.answer = true, nil
@@ -488,7 +488,7 @@
 			out(w)
 			a := w.commit(msg)
 			if msg.seq > 0 {
-				w.dispatchers[msg.dispatcher].owner.Proposed(w.clock(msg.dispatcher), msg.seq, a, false)
+				w.dispatchers[msg.dispatcher].owner.ProposalDone(w.clock(msg.dispatcher), msg.seq, a, false)
 				w.perform(msg.dispatcher)
 			}
 		})
@@ -499,7 +499,7 @@
 						w.commit(msg)
 					}
 					out(w)
-					w.dispatchers[msg.dispatcher].owner.Proposed(w.clock(msg.dispatcher), msg.seq, Answer{}, true)
+					w.dispatchers[msg.dispatcher].owner.ProposalDone(w.clock(msg.dispatcher), msg.seq, Answer{}, true)
 					w.perform(msg.dispatcher)
 				})
 			}
@@ -512,8 +512,8 @@
 	d := &w.dispatchers[i]
 	submission, record := d.submission, d.record
 	d.abandon(w.clock(i))
-	if v == Broken && record != nil && record.State == Unsent { // cancelled before its first byte
-		v = TurnedAway
+	if v == MayHaveFailed && record != nil && record.State == NeverSent { // cancelled before its first byte
+		v = Rejected
 	}
 	d.owner.Answered(w.clock(i), jobID, 1, submission, v, d.instance, nil, 0, left)
 	w.perform(i)
@@ -533,7 +533,7 @@
 func (w *model) neverRan(i int) {
 	d := &w.dispatchers[i]
 	d.neverRan(w.clock(i))
-	d.owner.Over(jobID, d.submission, d.attempts)
+	d.owner.NeverRan(jobID, d.submission, d.attempts)
 	w.perform(i)
 }
 
@@ -557,10 +557,10 @@
 	for i := range w.dispatchers {
 		w.dispatchers[i].table, w.dispatchers[i].owner = w.table.clone(), NewOwner(class)
 		w.dispatchers[i].owner.faults, w.dispatchers[i].owner.scanInterval = o, 0
-		w.dispatchers[i].records = NewSendings()
+		w.dispatchers[i].records = NewSendRecords()
 		w.dispatchers[i].records.faults = s
 	}
-	w.commit(message{cmd: string(Command{Op: OpPromise, ID: jobID, Job: &Job{Class: "c", Within: jobTicks * tick, Keep: time.Hour}}.Bytes())})
+	w.commit(message{cmd: string(Command{Op: OpPromise, ID: jobID, Job: &Job{Class: "c", StartWithin: jobTicks * tick, Retention: time.Hour}}.Bytes())})
 	w.grant(0) // the first dispatcher holds the job: the change of owner follows
 	w.commitAll()
 	w.update(0, true)
@@ -589,15 +589,15 @@
 type Exploration struct {
 	Name          string // of the rule that is disabled; empty: none
 	States, Depth int
-	Broken        string // the first violated rule; empty: none
-	Missed        string // the rule whose violation is expected
+	Violation     string // the first violated rule; empty: none
+	Expected      string // the rule whose violation is expected
 }
 
 // Explore searches all states within depth steps of one in which a dispatcher has the lease and holds a job. The job's class
 // allows retries of jobs that may have run, or does not.
 func Explore(mayRetry bool, depth int) Exploration {
 	states, reached, violation := explore(mayRetry, Faults{}, OwnerFaults{}, SendRecordFaults{}, limits{depth: depth, ticks: 9, grants: 3, attempts: 2, unknownOutcomes: 1, crashes: 1, states: 1 << 30})
-	return Exploration{States: states, Depth: reached, Broken: violation}
+	return Exploration{States: states, Depth: reached, Violation: violation}
 }
 
 // Mutants disables one rule after another, each of which must lead to the expected violation.
--- a/internal/promise/model_test.go
+++ b/internal/promise/model_test.go
@@ -13,13 +13,13 @@
 	for _, repeats := range []bool{false, true} {
 		x := Explore(repeats, *depthFlag)
 		t.Logf("model: repeats=%v states=%d depth=%d", repeats, x.States, x.Depth)
-		require.Empty(t, x.Broken)
+		require.Empty(t, x.Violation)
 	}
 }
 
 func TestMutantsAreCaught(t *testing.T) {
 	for _, m := range Mutants() {
-		t.Logf("mutant: %s: %q after %d states and %d steps", m.Name, m.Broken, m.States, m.Depth)
-		require.Equal(t, m.Missed, m.Broken, m.Name)
+		t.Logf("mutant: %s: %q after %d states and %d steps", m.Name, m.Violation, m.States, m.Depth)
+		require.Equal(t, m.Expected, m.Violation, m.Name)
 	}
 }
--- a/internal/promise/owner.go
+++ b/internal/promise/owner.go
@@ -26,8 +26,8 @@
 // MayHaveRun is the reason of a job's end as failed if it must not run twice and its outcome is unknown.
 const MayHaveRun = "may have run: whoever sent it is gone, and nothing was heard of it"
 
-// Clock holds the readings of a dispatcher's two clocks.
-type Clock struct {
+// Clocks holds the readings of a dispatcher's two clocks.
+type Clocks struct {
 	Mono time.Duration // since the start of the process; for leases
 	Unix time.Duration // for the times of jobs
 }
@@ -37,10 +37,10 @@
 
 // Verdicts.
 const (
-	Served     Verdict = iota
-	TurnedAway         // a retry is safe
-	Broken             // it may have run
-	NoUse              // no instance can run it
+	Served        Verdict = iota
+	Rejected              // a retry is safe
+	MayHaveFailed         // it may have run
+	Impossible            // no instance can run it
 )
 
 // Action is something that the owner's caller must do.
@@ -53,48 +53,48 @@
 		Seq uint64
 		Command
 	}
-	// Start submits a job to the dispatcher, with the time in which it must start.
-	Start struct {
-		ID     string
-		Index  uint64
-		Hand   int
-		Job    Job
-		Left   time.Duration
-		Repeat bool
+	// Submit submits a job to the dispatcher, with the time in which it must start.
+	Submit struct {
+		ID         string
+		Index      uint64
+		Submission int
+		Job        Job
+		TimeLeft   time.Duration
+		Retry      bool
 	}
-	// Go sends an attempt that waited for its intent, unless the lease clock has passed Until.
-	Go struct {
-		ID      string
-		Hand, N int
-		Until   time.Duration
+	// AllowSend sends an attempt that waited for its intent, unless the lease clock has passed Until.
+	AllowSend struct {
+		ID                  string
+		Submission, Attempt int
+		Until               time.Duration
 	}
-	// Deny ends an attempt that waited for its intent without sending it.
-	Deny struct {
-		ID      string
-		Hand, N int
+	// DenySend ends an attempt that waited for its intent without sending it.
+	DenySend struct {
+		ID                  string
+		Submission, Attempt int
 	}
-	// Leave makes the dispatcher forget a submission. No message is sent because of it, and no cancellation.
-	Leave struct {
-		ID   string
-		Hand int
+	// Abandon makes the dispatcher forget a submission. No message is sent because of it, and no cancellation.
+	Abandon struct {
+		ID         string
+		Submission int
 	}
-	// Book commits that an instance has done a job. Unlike Propose it is continued after the lease has ended.
-	Book struct{ Command }
-	// Heard gives the dispatcher an end that was reported to another dispatcher.
-	Heard struct {
-		ID   string
-		Hand int
-		End  End
+	// Record commits that an instance has done a job. Unlike Propose it is continued after the lease has ended.
+	Record struct{ Command }
+	// EndReported gives the dispatcher an end that was reported to another dispatcher.
+	EndReported struct {
+		ID         string
+		Submission int
+		End        End
 	}
 )
 
-func (Propose) action() {}
-func (Start) action()   {}
-func (Go) action()      {}
-func (Deny) action()    {}
-func (Leave) action()   {}
-func (Book) action()    {}
-func (Heard) action()   {}
+func (Propose) action()     {}
+func (Submit) action()      {}
+func (AllowSend) action()   {}
+func (DenySend) action()    {}
+func (Abandon) action()     {}
+func (Record) action()      {}
+func (EndReported) action() {}
 
 // Owner is the logic of the dispatcher that holds a group's lease and so acts for its promises. It is not safe for
 // concurrent use.
@@ -172,12 +172,12 @@
 func (o *Owner) Submitted() int { return len(o.submitted) }
 
 // HasLease reports whether the owner holds the lease at a time.
-func (o *Owner) HasLease(c Clock) bool {
+func (o *Owner) HasLease(c Clocks) bool {
 	return o.term > 0 && (c.Mono < o.leaseEnd-LeaseMargin || o.faults.NoLease)
 }
 
-// Lead sets the present state of the lease; ok is false if there is none.
-func (o *Owner) Lead(c Clock, term uint64, until time.Duration, ok bool) {
+// SetLease sets the present state of the lease; ok is false if there is none.
+func (o *Owner) SetLease(c Clocks, term uint64, until time.Duration, ok bool) {
 	if !ok || term != o.term {
 		o.resign()
 	}
@@ -194,9 +194,9 @@
 	for _, id := range slices.Sorted(maps.Keys(o.submitted)) {
 		s := o.submitted[id]
 		for _, n := range slices.Sorted(maps.Keys(s.pendingSends)) {
-			o.emit(Deny{id, s.number, n})
+			o.emit(DenySend{id, s.number, n})
 		}
-		o.emit(Leave{id, s.number})
+		o.emit(Abandon{id, s.number})
 		o.baseSubmission = max(o.baseSubmission, s.number)
 	}
 	for _, l := range o.resubmits {
@@ -226,9 +226,9 @@
 	return o.seq
 }
 
-// Look examines the local copy of the table. It must be called after each change and about every 50 ms. The copy may be behind:
+// Update examines the local copy of the table. It must be called after each change and about every 50 ms. The copy may be behind:
 // nothing that is decided by it is sent before the group has committed it.
-func (o *Owner) Look(c Clock, m *Machine) {
+func (o *Owner) Update(c Clocks, m *Machine) {
 	if !o.HasLease(c) {
 		if o.term > 0 {
 			o.resign()
@@ -253,12 +253,12 @@
 			continue
 		}
 		for _, n := range slices.Sorted(maps.Keys(s.pendingSends)) {
-			o.emit(Deny{id, s.number, n})
+			o.emit(DenySend{id, s.number, n})
 		}
 		if e != nil && e.End.Kind == Done && s.endCommand == nil {
-			o.emit(Heard{id, s.number, *e.End})
+			o.emit(EndReported{id, s.number, *e.End})
 		} else {
-			o.emit(Leave{id, s.number})
+			o.emit(Abandon{id, s.number})
 		}
 		o.forget(id)
 	}
@@ -269,7 +269,7 @@
 	if c.Mono >= o.nextScan {
 		from, o.nextScan = 0, c.Mono+o.scanInterval
 	}
-	m.Open(from, func(e *Entry) bool {
+	m.EachOpen(from, func(e *Entry) bool {
 		if o.lastSeen = max(o.lastSeen, e.Index); o.submitted[e.ID] == nil {
 			o.consider(c, e)
 		}
@@ -283,10 +283,10 @@
 }
 
 // retryProposals repeats proposals with an unknown outcome and makes those that were postponed.
-func (o *Owner) retryProposals(c Clock, m *Machine) {
+func (o *Owner) retryProposals(c Clocks, m *Machine) {
 	for _, id := range slices.Sorted(maps.Keys(o.submitted)) {
 		s := o.submitted[id]
-		if s.endCommand != nil && s.endCommand.Op == OpLook && c.Mono >= s.retryAt { // the result could not be recorded
+		if s.endCommand != nil && s.endCommand.Op == OpRead && c.Mono >= s.retryAt { // the result could not be recorded
 			o.forget(id)
 			continue
 		}
@@ -303,16 +303,16 @@
 }
 
 // consider decides what to do with a job that is not submitted.
-func (o *Owner) consider(c Clock, e *Entry) {
+func (o *Owner) consider(c Clocks, e *Entry) {
 	due := func(at time.Duration) bool { return c.Unix >= at }
 	mayRetry := o.mayRetry(e.Job.Class)
 	var deadline time.Duration
 	failure := ""
 	for _, in := range e.Intents {
-		if in.Lost == "" {
-			deadline = max(deadline, in.Until+callbackGrace)
+		if in.Failure == "" {
+			deadline = max(deadline, in.Deadline+callbackGrace)
 		} else {
-			failure = in.Lost
+			failure = in.Failure
 		}
 	}
 	switch next := o.resubmits[e.ID]; {
@@ -322,7 +322,7 @@
 		} else if due(deadline) {
 			o.end(e, Failed, MayHaveRun)
 		}
-	case due(e.Until):
+	case due(e.StartBy):
 		if len(e.Intents) > 0 {
 			o.end(e, Failed, cmp.Or(failure, MayHaveRun))
 		} else {
@@ -333,7 +333,7 @@
 		n := max(e.LastSubmission, next.number, o.baseSubmission) + 1
 		o.resubmits[e.ID] = resubmitState{number: n, backoff: next.backoff}
 		o.submitted[e.ID] = &submission{number: n, index: e.Index, class: e.Job.Class, mayHaveRun: len(e.Intents) > 0, pendingSends: map[int]pendingSend{}, instances: map[string]bool{}}
-		o.emit(Start{ID: e.ID, Index: e.Index, Hand: n, Job: e.Job, Left: e.Until - c.Unix, Repeat: len(e.Intents) > 0})
+		o.emit(Submit{ID: e.ID, Index: e.Index, Submission: n, Job: e.Job, TimeLeft: e.StartBy - c.Unix, Retry: len(e.Intents) > 0})
 	}
 }
 
@@ -352,36 +352,36 @@
 
 // refusalTooEarly reports whether a job that must not run twice would be refused before the table knows that its attempts never ran:
 // it would then end as one that may have run. The owner waits for that as long as for a callback.
-func (o *Owner) refusalTooEarly(c Clock, s *submission, e *Entry) bool {
+func (o *Owner) refusalTooEarly(c Clocks, s *submission, e *Entry) bool {
 	return s.endCommand.Kind == Refused && e != nil && !o.mayRetry(s.class) &&
-		slices.ContainsFunc(e.Intents, func(in Intent) bool { return c.Unix < in.Until+callbackGrace })
+		slices.ContainsFunc(e.Intents, func(in Intent) bool { return c.Unix < in.Deadline+callbackGrace })
 }
 
-// Ask requests permission to send an attempt. until is the attempt's deadline in Unix time.
-func (o *Owner) Ask(c Clock, id string, n, attempt int, instance string, until time.Duration) {
+// RequestSend requests permission to send an attempt. until is the attempt's deadline in Unix time.
+func (o *Owner) RequestSend(c Clocks, id string, n, attempt int, instance string, until time.Duration) {
 	s := o.submitted[id]
 	if s == nil || s.number != n || s.endCommand != nil || !o.HasLease(c) {
-		o.emit(Deny{id, n, attempt})
+		o.emit(DenySend{id, n, attempt})
 		return
 	}
 	once := !o.mayRetry(s.class)
 	if mustNotRepeat, requested := s.instances[instance]; mustNotRepeat || requested && once { // reports on two attempts at one instance could not be told apart
-		o.emit(Deny{id, n, attempt})
-		o.emit(Leave{id, n})
+		o.emit(DenySend{id, n, attempt})
+		o.emit(Abandon{id, n})
 		o.resubmit(c, id, n, 0)
 		return
 	}
 	s.instances[instance] = once
-	a := pendingSend{Command: Command{Op: OpIntent, ID: id, Index: s.index, Hand: n, N: attempt, Instance: instance, Until: until}}
+	a := pendingSend{Command: Command{Op: OpIntent, ID: id, Index: s.index, Submission: n, Attempt: attempt, Instance: instance, Deadline: until}}
 	if o.faults.SendFirst {
-		o.emit(Go{id, n, attempt, o.leaseEnd - LeaseMargin})
+		o.emit(AllowSend{id, n, attempt, o.leaseEnd - LeaseMargin})
 	}
 	a.seq = o.propose(a.Command, proposal{id: id, submission: n, attempt: attempt})
 	s.pendingSends[attempt] = a
 }
 
-// Proposed handles the outcome of a proposal; failed: the outcome is unknown.
-func (o *Owner) Proposed(c Clock, seq uint64, a Answer, failed bool) {
+// ProposalDone handles the outcome of a proposal; failed: the outcome is unknown.
+func (o *Owner) ProposalDone(c Clocks, seq uint64, a Answer, failed bool) {
 	p, ok := o.proposals[seq]
 	if !ok {
 		return // from an earlier lease
@@ -411,32 +411,32 @@
 			s.pendingSends[p.attempt] = send
 		case failed || !a.OK || !o.HasLease(c):
 			delete(s.pendingSends, p.attempt)
-			o.emit(Deny{p.id, p.submission, p.attempt})
+			o.emit(DenySend{p.id, p.submission, p.attempt})
 		default:
 			delete(s.pendingSends, p.attempt)
 			if !o.faults.SendFirst {
-				o.emit(Go{p.id, p.submission, p.attempt, o.leaseEnd - LeaseMargin})
+				o.emit(AllowSend{p.id, p.submission, p.attempt, o.leaseEnd - LeaseMargin})
 			}
 		}
 	}
 }
 
-// Over reports that an attempt ended without having run. It is accepted also close to the known end of the lease: the lease may
+// NeverRan reports that an attempt ended without having run. It is accepted also close to the known end of the lease: the lease may
 // have been renewed, and if it is lost, commands of its generation are refused.
-func (o *Owner) Over(id string, n, attempt int) {
+func (o *Owner) NeverRan(id string, n, attempt int) {
 	s := o.submitted[id]
 	if s == nil || s.number != n {
 		return
 	}
 	delete(s.pendingSends, attempt)
-	o.propose(Command{Op: OpOver, ID: id, Index: s.index, Hand: n, N: attempt}, proposal{id: id, submission: n, attempt: attempt})
+	o.propose(Command{Op: OpNeverRan, ID: id, Index: s.index, Submission: n, Attempt: attempt}, proposal{id: id, submission: n, attempt: attempt})
 }
 
 // Answered handles the dispatcher's only answer to a submission. It is accepted also close to the known end of the lease, like a
 // report that an attempt never ran. left is the time in which the job may still start.
-func (o *Owner) Answered(c Clock, id string, index uint64, n int, v Verdict, by string, result []byte, after, left time.Duration) {
+func (o *Owner) Answered(c Clocks, id string, index uint64, n int, v Verdict, by string, result []byte, after, left time.Duration) {
 	if v == Served { // valid whoever the owner is
-		o.emit(Book{Command{Op: OpWord, ID: id, Index: index, Hand: n, Instance: by, Kind: Done, Result: result}})
+		o.emit(Record{Command{Op: OpReport, ID: id, Index: index, Submission: n, Instance: by, Kind: Done, Result: result}})
 	}
 	s := o.submitted[id]
 	if s == nil || s.number != n || s.endCommand != nil {
@@ -444,15 +444,15 @@
 	}
 	switch {
 	case v == Served:
-		s.endCommand, s.endProposal = &Command{Op: OpLook}, 1 // nothing else may end it here
+		s.endCommand, s.endProposal = &Command{Op: OpRead}, 1 // nothing else may end it here
 		s.retryAt = c.Mono + recordTimeout
-	case v == NoUse && s.mayHaveRun:
+	case v == Impossible && s.mayHaveRun:
 		o.finish(id, s, Failed, "no encoder can do it as it stands, though one may have")
-	case v == NoUse:
+	case v == Impossible:
 		o.finish(id, s, Refused, "no encoder can do it as it stands")
-	case v == Broken && !o.mayRetry(s.class):
+	case v == MayHaveFailed && !o.mayRetry(s.class):
 		o.finish(id, s, Failed, "it failed, or may have run")
-	case left <= 0 && (v == Broken || s.mayHaveRun):
+	case left <= 0 && (v == MayHaveFailed || s.mayHaveRun):
 		o.finish(id, s, Failed, "it failed until its time was over")
 	case left <= 0:
 		o.finish(id, s, Refused, "turned away until its time was over")
@@ -462,7 +462,7 @@
 }
 
 // resubmit schedules another submission of a job after a delay of at least after.
-func (o *Owner) resubmit(c Clock, id string, n int, after time.Duration) {
+func (o *Owner) resubmit(c Clocks, id string, n int, after time.Duration) {
 	next := o.resubmits[id]
 	next.backoff = min(max(minResubmitDelay, 2*next.backoff), maxResubmitDelay)
 	next.at, next.number = c.Mono+max(after, next.backoff), n
--- a/internal/prove/promise.go
+++ b/internal/prove/promise.go
@@ -56,13 +56,13 @@
 	for _, repeats := range []bool{false, true} {
 		x := promise.Explore(repeats, promiseDepth)
 		say("model: a change of owner in all orders, a job that repeats: %v: %d states, %d steps deep", repeats, x.States, x.Depth)
-		check(x.Broken == "", "model: %s", x.Broken)
+		check(x.Violation == "", "model: %s", x.Violation)
 		states += x.States
 	}
 	for _, m := range promise.Mutants() {
-		say("mutant: %s: %q after %d states and %d steps", m.Name, m.Broken, m.States, m.Depth)
-		check(m.Broken == m.Missed, "mutant %q is not caught", m.Name)
-		if m.Broken == m.Missed {
+		say("mutant: %s: %q after %d states and %d steps", m.Name, m.Violation, m.States, m.Depth)
+		check(m.Violation == m.Expected, "mutant %q is not caught", m.Name)
+		if m.Violation == m.Expected {
 			caught++
 		}
 	}
--- a/internal/rig/accord_test.go
+++ b/internal/rig/accord_test.go
@@ -105,7 +105,7 @@
 // What one went by while it stood still counts for nothing: still is from when until when, by daemon.
 func contradiction(steps map[int][]accord.Step, still map[int][2]time.Time) (worst time.Duration) {
 	type span struct {
-		decisions.Acts
+		decisions.EffectiveVersions
 		from, to int64
 	}
 	spans := map[int][]span{}
@@ -116,9 +116,9 @@
 			if i+1 < len(all) {
 				to = all[i+1].At
 			}
-			one := []span{{s.Acts, s.At, to}}
+			one := []span{{s.EffectiveVersions, s.At, to}}
 			if q, ok := still[n]; ok {
-				one = []span{{s.Acts, s.At, min(to, q[0].UnixMicro())}, {s.Acts, max(s.At, q[1].UnixMicro()), to}}
+				one = []span{{s.EffectiveVersions, s.At, min(to, q[0].UnixMicro())}, {s.EffectiveVersions, max(s.At, q[1].UnixMicro()), to}}
 			}
 			spans[n] = append(spans[n], one...)
 		}
@@ -133,7 +133,7 @@
 			for _, x := range mine {
 				for _, y := range others {
 					from, to := max(x.from, y.from), min(x.to, y.to)
-					if from >= to || !decisions.Contradict(x.Acts, y.Acts) {
+					if from >= to || !decisions.Conflict(x.EffectiveVersions, y.EffectiveVersions) {
 						continue
 					}
 					if from != end {
@@ -212,8 +212,8 @@
 	for n := range daemons {
 		bound = max(bound, w.accord(n).Bound)
 	}
-	w.Logf("contradiction_ms_max=%.1f bound_ms=%.0f stated_ms=%d", float64(worst.Microseconds())/1000, bound, decisions.Stated.Milliseconds())
-	require.Less(w, worst, decisions.Stated)
+	w.Logf("contradiction_ms_max=%.1f bound_ms=%.0f stated_ms=%d", float64(worst.Microseconds())/1000, bound, decisions.ConflictBound.Milliseconds())
+	require.Less(w, worst, decisions.ConflictBound)
 }
 
 // A daemon's next process takes over while one instance is left out and a version is agreed that its file does not have:
@@ -258,7 +258,7 @@
 	w.asks(0)
 	w.await("it is refused", func() bool {
 		past := w.accord(4).Past
-		return len(past) > 0 && past[len(past)-1].N == 2
+		return len(past) > 0 && past[len(past)-1].Number == 2
 	})
 	why := w.accord(4).Past
 	require.Contains(t, why[len(why)-1].Why, "n2: ")
--- a/internal/rig/members_test.go
+++ b/internal/rig/members_test.go
@@ -27,7 +27,7 @@
 // watchers are the daemons of a zone that watch, by their own word.
 func (w *town) watchers(zone string) (all []int) {
 	for n := range w.Daemons {
-		if w.Zone(n) == zone && w.view(n).Watch == members.Well.String() {
+		if w.Zone(n) == zone && w.view(n).Watch == members.Watching.String() {
 			all = append(all, n)
 		}
 	}
@@ -222,7 +222,7 @@
 			}
 		}
 	}
-	w.await("it is not listened to", func() bool { return slices.Contains(w.view(0).Doubted, "stranger") })
+	w.await("it is not listened to", func() bool { return slices.Contains(w.view(0).Distrusted, "stranger") })
 	w.drain(0)
 	w.leaves(1, all(town8)...)
 	require.EqualValues(t, 3, w.Daemon(0).Figure("known_encoders"))
--- a/internal/rig/unsent_test.go
+++ b/internal/rig/unsent_test.go
@@ -194,7 +194,7 @@
 	for _, e := range w.Host.Encoders() { // as the list does not tell
 		e.Look(func(m *encoder.Encoder) { m.Drain(time.Now()) })
 	}
-	w.passes(first, promise.OpOver, func() { w.off(first, true) })
+	w.passes(first, promise.OpNeverRan, func() { w.off(first, true) })
 	w.promise("j", "publish", 5*time.Millisecond, 20*time.Second, (first+1)%five)
 	w.await("that it never ran is lost", func() bool { return strings.Contains(w.net.Timeline(), "Cut:true") })
 	w.crash(first)
@@ -276,7 +276,7 @@
 			w.promise("j", "publish", time.Second, 20*time.Second, via)
 			w.started("j")
 			if c.proposed {
-				w.passes(via, promise.OpWord, func() { w.off(via, true) })
+				w.passes(via, promise.OpReport, func() { w.off(via, true) })
 			} else {
 				w.off(via, true)
 			}
