--- a/decide/api.go
+++ b/decide/api.go
@@ -2,7 +2,7 @@
 // Policies. It does no input or output and reads no clock: the caller passes events and the time to
 // [Dispatcher.Handle] and carries out the actions that it returns.
 //
-// This file has the package's interface; the decisions are in decide.go and look.go.
+// This file has the package's interface; the decisions are in decide.go and placement.go.
 package decide
 
 import (
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,4 +1,4 @@
-// The decision logic is in this file and look.go. Settings, events and actions are in api.go, the state is in
+// The decision logic is in this file and placement.go. Settings, events and actions are in api.go, the state is in
 // state.go, and what is learned from events in estimate.go.
 
 package decide
--- a/internal/demo/promised.go
+++ b/internal/demo/promised.go
@@ -16,8 +16,8 @@
 	"caperrelay/internal/load"
 	"caperrelay/internal/net/pipelines"
 	"caperrelay/internal/rerun"
-	"caperrelay/internal/rerun/plant"
 	"caperrelay/internal/rerun/policy"
+	"caperrelay/internal/rerun/workersim"
 	"caperrelay/internal/rig"
 	pipelinev1 "caperrelay/proto/winglb/pipeline/v1"
 )
@@ -55,14 +55,14 @@
 		return p, err
 	}
 	defer r.Close()
-	var workers []plant.Worker
+	var workers []workersim.Worker
 	for i := range 4 {
-		workers = append(workers, plant.Worker{ID: fmt.Sprint("s-", i+1), Zone: []string{"a", "b"}[i%2], Kind: "m2"})
+		workers = append(workers, workersim.Worker{ID: fmt.Sprint("s-", i+1), Zone: []string{"a", "b"}[i%2], Kind: "m2"})
 	}
-	w := plant.New(workers)
+	w := workersim.New(workers)
 	defer w.Close()
-	anew := make(chan plant.Run, 16)
-	w.WorkTime = func(run plant.Run) time.Duration {
+	anew := make(chan workersim.Run, 16)
+	w.WorkTime = func(run workersim.Run) time.Duration {
 		if run.Stage == "encode" && run.Generation > 1 {
 			select {
 			case anew <- run:
@@ -72,14 +72,14 @@
 		}
 		return 100 * time.Millisecond
 	}
-	w.OutcomeOf = func(run plant.Run) pipelines.Outcome {
+	w.OutcomeOf = func(run workersim.Run) pipelines.Outcome {
 		if run.Stage == "package" && run.Inputs[0].Generation == 1 {
 			return pipelines.Outcome{Outcome: policy.BadInput, Input: "encode", Text: "frame 1204 cannot be read"}
 		}
 		return pipelines.Outcome{}
 	}
 	file := filepath.Join(dir, "reruns.toml")
-	if err := errors.Join(os.WriteFile(file, []byte(plant.LecturePolicy("demo", "")), 0o600), w.Attach(r, file)); err != nil {
+	if err := errors.Join(os.WriteFile(file, []byte(workersim.LecturePolicy("demo", "")), 0o600), w.Attach(r, file)); err != nil {
 		return p, err
 	}
 	if err := r.StartAll(ctx); err != nil {
--- a/internal/prove/rerun.go
+++ b/internal/prove/rerun.go
@@ -23,8 +23,8 @@
 	"caperrelay/internal/load"
 	"caperrelay/internal/net/pipelines"
 	"caperrelay/internal/rerun"
-	"caperrelay/internal/rerun/plant"
 	"caperrelay/internal/rerun/policy"
+	"caperrelay/internal/rerun/workersim"
 	"caperrelay/internal/rig"
 	pipelinev1 "caperrelay/proto/winglb/pipeline/v1"
 )
@@ -75,12 +75,12 @@
 type spoiler struct {
 	mu   sync.Mutex
 	bad  map[string]bool // output@generation
-	made map[string]plant.Worker
+	made map[string]workersim.Worker
 }
 
 func at(key string, gen int64) string { return fmt.Sprint(key, "@", gen) }
 
-func (s *spoiler) decide(r plant.Run) pipelines.Outcome {
+func (s *spoiler) decide(r workersim.Run) pipelines.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, in := range r.Inputs {
@@ -117,13 +117,13 @@
 		return f, err
 	}
 	defer r.Close()
-	var workers []plant.Worker
+	var workers []workersim.Worker
 	for i := range 16 {
-		workers = append(workers, plant.Worker{ID: fmt.Sprint("s-", i+1), Zone: []string{"a", "b"}[i%2], Kind: "m2", Cell: i / 2 % 4})
+		workers = append(workers, workersim.Worker{ID: fmt.Sprint("s-", i+1), Zone: []string{"a", "b"}[i%2], Kind: "m2", Cell: i / 2 % 4})
 	}
-	p := plant.New(workers)
+	p := workersim.New(workers)
 	defer p.Close()
-	s := &spoiler{bad: map[string]bool{}, made: map[string]plant.Worker{}}
+	s := &spoiler{bad: map[string]bool{}, made: map[string]workersim.Worker{}}
 	p.OutcomeOf = s.decide
 	text := rerunPolicy(plain)
 	file := filepath.Join(dir, "reruns.toml")
@@ -272,7 +272,7 @@
 }
 
 // rerunCount counts what workers were asked to do, by their own word.
-func rerunCount(progress io.Writer, f *rerunFigures, runs []plant.Run, s *spoiler, explained map[string]rerun.Explained, text string) error {
+func rerunCount(progress io.Writer, f *rerunFigures, runs []workersim.Run, s *spoiler, explained map[string]rerun.Explained, text string) error {
 	site := policy.Site{Classes: map[string]policy.Class{"preview": {}, "publish": {Once: true}}, Zones: []string{"a", "b"}}
 	pol, err := policy.Parse("reruns.toml", []byte(text), site)
 	if err != nil {
@@ -306,10 +306,10 @@
 			stages[r.Told.Run][r.Stage]++
 		}
 	}
-	last := map[string]plant.Run{} // of each output, the run of its newest generation that reached a worker
+	last := map[string]workersim.Run{} // of each output, the run of its newest generation that reached a worker
 	lied, named := map[string]bool{}, map[string]bool{}
 	why := map[string]int{}
-	slices.SortStableFunc(runs, func(a, b plant.Run) int {
+	slices.SortStableFunc(runs, func(a, b workersim.Run) int {
 		return cmp.Or(cmp.Compare(a.Output, b.Output), cmp.Compare(a.Generation, b.Generation), a.Began.Compare(b.Began))
 	})
 	for _, r := range runs {
--- a/internal/prove/rerun_persons.go
+++ b/internal/prove/rerun_persons.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"caperrelay/internal/rerun"
-	"caperrelay/internal/rerun/plant"
 	"caperrelay/internal/rerun/policy"
+	"caperrelay/internal/rerun/workersim"
 	pipelinev1 "caperrelay/proto/winglb/pipeline/v1"
 )
 
@@ -24,8 +24,8 @@
 }
 
 // kind is the list that a pipeline belongs to. runs are those of the stage that it stopped at.
-func (k *personKinds) kind(a *pipelinev1.Answer, runs []plant.Run) (list *[]string, name string) {
-	ended := slices.ContainsFunc(runs, func(r plant.Run) bool { return !r.Ended.IsZero() })
+func (k *personKinds) kind(a *pipelinev1.Answer, runs []workersim.Run) (list *[]string, name string) {
+	ended := slices.ContainsFunc(runs, func(r workersim.Run) bool { return !r.Ended.IsZero() })
 	switch policy.Cause(a.Cause) {
 	case "", policy.BadInput, policy.OutputLost: // not for what became of the stage's own run
 		if ended {
@@ -42,13 +42,13 @@
 }
 
 // count sorts the pipelines that need a person, and tells of each.
-func (k *personKinds) count(progress io.Writer, runs []plant.Run, answers map[string]*pipelinev1.Answer, explained map[string]rerun.Explained) {
+func (k *personKinds) count(progress io.Writer, runs []workersim.Run, answers map[string]*pipelinev1.Answer, explained map[string]rerun.Explained) {
 	for _, id := range slices.Sorted(maps.Keys(answers)) {
 		a := answers[id]
 		if rerun.Kind(a.Kind) != rerun.NeedsPerson {
 			continue
 		}
-		var its []plant.Run
+		var its []workersim.Run
 		for _, r := range runs {
 			if r.Told.Run == id && r.Stage == a.Stage {
 				its = append(its, r)
@@ -61,7 +61,7 @@
 }
 
 // personStory tells when the stage's runs came to workers, and when it was given up.
-func personStory(runs []plant.Run, e rerun.Explained) string {
+func personStory(runs []workersim.Run, e rerun.Explained) string {
 	var s strings.Builder
 	for _, r := range runs {
 		fmt.Fprintf(&s, "; it came to %s by n%d after %v, answered: %v", r.Worker.ID, r.Daemon, r.Began.Sub(time.Unix(0, int64(e.Began))).Round(time.Millisecond), !r.Ended.IsZero())
--- a/internal/prove/rerun_persons_test.go
+++ b/internal/prove/rerun_persons_test.go
@@ -9,14 +9,14 @@
 
 	"caperrelay/internal/net/pipelines"
 	"caperrelay/internal/rerun"
-	"caperrelay/internal/rerun/plant"
 	"caperrelay/internal/rerun/policy"
+	"caperrelay/internal/rerun/workersim"
 	pipelinev1 "caperrelay/proto/winglb/pipeline/v1"
 )
 
 // stageRun is one at a worker, done or not.
-func stageRun(run, stage string, done bool) plant.Run {
-	r := plant.Run{Worker: plant.Worker{ID: "s-1"}, Told: pipelines.Told{Run: run, Stage: stage}, Began: time.Unix(1, 0)}
+func stageRun(run, stage string, done bool) workersim.Run {
+	r := workersim.Run{Worker: workersim.Worker{ID: "s-1"}, Told: pipelines.Told{Run: run, Stage: stage}, Began: time.Unix(1, 0)}
 	if done {
 		r.Ended = r.Began.Add(time.Second)
 	}
@@ -32,7 +32,7 @@
 		"run0": person(policy.Late), "run1": person(policy.MayHaveRun), "run2": person(policy.Late), "run3": person(policy.BadInput),
 		"run4": person(policy.BadInput), "run5": {Kind: string(rerun.Done)}, "run6": person(policy.RanFailed), "run7": person(""),
 	}
-	runs := []plant.Run{
+	runs := []workersim.Run{
 		stageRun("run0", "package", true),
 		stageRun("run1", "publish", true),
 		stageRun("run2", "publish", false),
--- a/internal/rerun/plant/address_test.go
+++ b/internal/rerun/workersim/address_test.go
@@ -1,4 +1,4 @@
-package plant
+package workersim
 
 import (
 	"net"
--- a/internal/rerun/plant/cluster.go
+++ b/internal/rerun/workersim/cluster.go
@@ -1,6 +1,6 @@
-// Package plant simulates the workers of pipeline stages on loopback: they read the inputs in a job's body, know which
+// Package workersim simulates the workers of pipeline stages on loopback: they read the inputs in a job's body, know which
 // outputs are bad, and report that in their results. It is used by tests and measurements.
-package plant
+package workersim
 
 import (
 	"bytes"
--- a/internal/rerun/plant/cluster_test.go
+++ b/internal/rerun/workersim/cluster_test.go
@@ -1,4 +1,4 @@
-package plant_test
+package workersim_test
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"caperrelay/internal/full"
 	"caperrelay/internal/load"
 	"caperrelay/internal/net/pipelines"
-	"caperrelay/internal/rerun/plant"
 	"caperrelay/internal/rerun/policy"
+	"caperrelay/internal/rerun/workersim"
 	"caperrelay/internal/rig"
 	"caperrelay/internal/standin/link"
 	pipelinev1 "caperrelay/proto/winglb/pipeline/v1"
@@ -47,15 +47,15 @@
 type testCluster struct {
 	*testing.T
 	*rig.Rig
-	*plant.Cluster
+	*workersim.Cluster
 	net     *link.Net
 	clients []pipelinev1.PipelinesClient
-	heldRun chan plant.Run // the run that is held
+	heldRun chan workersim.Run // the run that is held
 	release chan struct{}
 }
 
 func openCluster(t *testing.T, step string) *testCluster {
-	s := &testCluster{T: t, net: link.New(1), heldRun: make(chan plant.Run, 1), release: make(chan struct{})}
+	s := &testCluster{T: t, net: link.New(1), heldRun: make(chan workersim.Run, 1), release: make(chan struct{})}
 	t.Cleanup(s.net.Close)
 	dir := t.TempDir()
 	var err error
@@ -70,14 +70,14 @@
 	})
 	require.NoError(t, err)
 	t.Cleanup(s.Rig.Close)
-	var workers []plant.Worker
+	var workers []workersim.Worker
 	for i := range 4 {
-		workers = append(workers, plant.Worker{ID: fmt.Sprint("s-", i+1), Zone: []string{"a", "b"}[i%2], Kind: "m2", Cell: i / 2})
+		workers = append(workers, workersim.Worker{ID: fmt.Sprint("s-", i+1), Zone: []string{"a", "b"}[i%2], Kind: "m2", Cell: i / 2})
 	}
-	s.Cluster = plant.New(workers)
+	s.Cluster = workersim.New(workers)
 	t.Cleanup(s.Cluster.Close)
 	var once sync.Once
-	s.WorkTime = func(run plant.Run) time.Duration {
+	s.WorkTime = func(run workersim.Run) time.Duration {
 		if fmt.Sprint(run.Stage, "@", run.Generation) == step {
 			once.Do(func() {
 				s.heldRun <- run
@@ -89,14 +89,14 @@
 		}
 		return 20 * time.Millisecond
 	}
-	s.OutcomeOf = func(run plant.Run) pipelines.Outcome {
+	s.OutcomeOf = func(run workersim.Run) pipelines.Outcome {
 		if run.Stage == "package" && run.Inputs[0].Generation == 1 {
 			return pipelines.Outcome{Outcome: policy.BadInput, Input: "encode"}
 		}
 		return pipelines.Outcome{Text: "ok"}
 	}
 	file := filepath.Join(dir, "reruns.toml")
-	require.NoError(t, os.WriteFile(file, []byte(plant.LecturePolicy("3", "")), 0o600))
+	require.NoError(t, os.WriteFile(file, []byte(workersim.LecturePolicy("3", "")), 0o600))
 	require.NoError(t, s.Attach(s.Rig, file))
 	ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
 	defer cancel()
@@ -130,7 +130,7 @@
 }
 
 // awaitHeldRun waits for the run of the configured step, and returns it with the daemon that leads the lecture's group.
-func (s *testCluster) awaitHeldRun() (run plant.Run, leader int) {
+func (s *testCluster) awaitHeldRun() (run workersim.Run, leader int) {
 	s.Helper()
 	select {
 	case run = <-s.heldRun:
--- a/internal/rig/pipelines_test.go
+++ b/internal/rig/pipelines_test.go
@@ -16,8 +16,8 @@
 
 	"caperrelay/internal/load"
 	"caperrelay/internal/net/pipelines"
-	"caperrelay/internal/rerun/plant"
 	"caperrelay/internal/rerun/policy"
+	"caperrelay/internal/rerun/workersim"
 	"caperrelay/internal/rig"
 	pipelinev1 "caperrelay/proto/winglb/pipeline/v1"
 )
@@ -37,23 +37,23 @@
 	})
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
-	var workers []plant.Worker
+	var workers []workersim.Worker
 	for i := range 4 {
-		workers = append(workers, plant.Worker{ID: fmt.Sprint("s-", i+1), Zone: []string{"a", "b"}[i%2], Kind: "m2", Cell: i / 2})
+		workers = append(workers, workersim.Worker{ID: fmt.Sprint("s-", i+1), Zone: []string{"a", "b"}[i%2], Kind: "m2", Cell: i / 2})
 	}
-	p := plant.New(workers)
+	p := workersim.New(workers)
 	t.Cleanup(p.Close)
 	var mu sync.Mutex
-	bad := plant.Worker{} // where the first rendition was made
-	again := make(chan plant.Worker, 16)
-	p.WorkTime = func(run plant.Run) time.Duration {
+	bad := workersim.Worker{} // where the first rendition was made
+	again := make(chan workersim.Worker, 16)
+	p.WorkTime = func(run workersim.Run) time.Duration {
 		if run.Stage == "encode" && run.Generation > 1 {
 			again <- run.Worker
 			return time.Second
 		}
 		return 20 * time.Millisecond
 	}
-	p.OutcomeOf = func(run plant.Run) pipelines.Outcome {
+	p.OutcomeOf = func(run workersim.Run) pipelines.Outcome {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
@@ -65,7 +65,7 @@
 		return pipelines.Outcome{Text: "ok"}
 	}
 	file := filepath.Join(dir, "reruns.toml")
-	require.NoError(t, os.WriteFile(file, []byte(plant.LecturePolicy("1", "asset")), 0o600))
+	require.NoError(t, os.WriteFile(file, []byte(workersim.LecturePolicy("1", "asset")), 0o600))
 	require.NoError(t, p.Attach(r, file))
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -97,7 +97,7 @@
 			return err
 		})
 	}
-	anew := plant.Worker{}
+	anew := workersim.Worker{}
 	select {
 	case anew = <-again:
 	case <-ctx.Done():
