--- a/internal/gang/coordinator.go
+++ b/internal/gang/coordinator.go
@@ -20,212 +20,212 @@
 		Group uint32
 		Command
 	}
-	// Tell tells a dispatcher; what it says is told by Said.
-	Tell struct {
+	// Send tells a dispatcher; what it says is told by Said.
+	Send struct {
 		To string
-		Word
+		Message
 	}
-	// Look asks for a view; it is told by Viewed.
-	Look struct{}
+	// FetchView asks for a view; it is told by Viewed.
+	FetchView struct{}
 )
 
 func (Propose) action() {}
-func (Tell) action()    {}
-func (Look) action()    {}
+func (Send) action()    {}
+func (FetchView) action()    {}
 
 const (
-	prepareFor  = 600 * time.Millisecond // that a round waits for rivals to be decided
-	askRival    = 10 * time.Millisecond  // between two tries to get room that a rival may give up
-	again       = 50 * time.Millisecond  // after a command that reached nobody
-	viewFor     = 100 * time.Millisecond // that a view counts as true
-	watchFor    = 500 * time.Millisecond // and for gangs that only wait for their start
-	tellEvery   = 15 * time.Millisecond  // around the start
-	tellSlow    = 250 * time.Millisecond // of members that run
-	orphanFor   = 3 * time.Second        // that a hold may be undecided before its home is asked
-	silentFor   = 60 * time.Millisecond  // around the start, after which a dispatcher's members are called off by another
-	livesFor    = 1500 * time.Millisecond
-	searchEvery = 25 * time.Millisecond // for an earlier start of some gang
-	leastGain   = 150 * time.Millisecond
-	backEvery   = 100 * time.Millisecond
-	hearFor     = 300 * time.Millisecond // that dispatchers are asked by whoever coordinates now before what they do not say may have run
-	lostFor     = 5 * time.Second        // after its hold's end, that a member without word counts as dead
+	prepareTimeout  = 600 * time.Millisecond // that a round waits for rivals to be decided
+	rivalRetry    = 10 * time.Millisecond  // between two tries to get room that a rival may give up
+	proposeRetry       = 50 * time.Millisecond  // after a command that reached nobody
+	viewTTL     = 100 * time.Millisecond // that a view counts as true
+	heldViewTTL    = 500 * time.Millisecond // and for gangs that only wait for their start
+	messageInterval   = 15 * time.Millisecond  // around the start
+	runningInterval    = 250 * time.Millisecond // of members that run
+	orphanTimeout   = 3 * time.Second        // that a hold may be undecided before its home is asked
+	silenceTimeout   = 60 * time.Millisecond  // around the start, after which a dispatcher's members are called off by another
+	livenessTimeout    = 1500 * time.Millisecond
+	searchInterval = 25 * time.Millisecond // for an earlier start of some gang
+	minGain   = 150 * time.Millisecond
+	cancelInterval   = 100 * time.Millisecond
+	settleWait     = 300 * time.Millisecond // that dispatchers are asked by whoever coordinates now before what they do not say may have run
+	lostTimeout     = 5 * time.Second        // after its hold's end, that a member without word counts as dead
 )
 
 // Coordinator acts for the gangs of the homes that this daemon leads. All that matters is in the homes' logs: another
 // may take over at any moment, and two may act at once. It is not safe for more than one goroutine.
 type Coordinator struct {
-	out      []Action
-	flying   map[string]Propose       // under way, by key
-	asked    map[string]time.Duration // by key: not to be proposed again before
-	told     map[string]time.Duration // by dispatcher, gang and kind: when last
+	actions      []Action
+	proposed   map[string]Propose       // under way, by key
+	notBefore    map[string]time.Duration // by key: not to be proposed again before
+	lastSent     map[string]time.Duration // by dispatcher, gang and kind: when last
 	clock    string                   // the own one's name
 	clocks   map[string]*Clock        // by their names
-	whose    map[string]string        // a dispatcher's clock
-	goes     map[string]string        // by gang and round: the clock that its plan goes by
-	heard    map[string]heard         // of dispatchers
+	clockOf    map[string]string        // a dispatcher's clock
+	planClocks     map[string]string        // by gang and round: the clock that its plan goes by
+	dispatchers    map[string]dispatcherInfo         // of dispatchers
 	armed    map[string]map[int]bool  // by gang and round: members whose dispatchers are ready
-	ran      map[string]map[int]bool  // and those that know that all run
-	free     map[string]map[int]bool  // and groups in which its room is free
-	known    map[string]map[int]Fate  // and what the home has been told of them
-	began    map[string]time.Duration
-	offs     map[string]time.Duration // by gang and round: since when its members are called off from here
+	confirmed      map[string]map[int]bool  // and those that know that all run
+	freeGroups     map[string]map[int]bool  // and groups in which its room is free
+	reported    map[string]map[int]MemberStatus  // and what the home has been told of them
+	roundStarted    map[string]time.Duration
+	calledOffSince     map[string]time.Duration // by gang and round: since when its members are called off from here
 	homes    map[string]uint32        // of the gangs that are known here
-	seen     map[string]time.Duration // undecided holds, by gang and round: since when
+	undecidedSince     map[string]time.Duration // undecided holds, by gang and round: since when
 	view     View
-	looked   time.Duration
-	searched time.Duration // for an earlier start of a held gang
-	looks    bool
+	viewTime   time.Duration
+	searchTime time.Duration // for an earlier start of a held gang
+	fetchingView    bool
 	Stats    Stats
 }
 
 // Stats counts what a coordinator did.
 type Stats struct {
-	Wounds, Stalls uint64
-	Jumps          uint64        // of clocks that were put to another time, and processes that came anew
-	WorstError     time.Duration // of a clock that was gone by
+	Wounds, Unanswered uint64
+	ClockJumps          uint64        // of clocks that were put to another time, and processes that came anew
+	MaxClockError     time.Duration // of a clock that was gone by
 }
 
 // NewCoordinator returns one that has nothing in hand. Its clock has a name that no other has, no former process either.
 func NewCoordinator(clock string) *Coordinator {
 	return &Coordinator{
-		clock: clock, whose: map[string]string{}, goes: map[string]string{},
-		flying: map[string]Propose{}, asked: map[string]time.Duration{}, told: map[string]time.Duration{}, clocks: map[string]*Clock{}, heard: map[string]heard{},
-		armed: map[string]map[int]bool{}, ran: map[string]map[int]bool{}, free: map[string]map[int]bool{}, known: map[string]map[int]Fate{}, began: map[string]time.Duration{}, offs: map[string]time.Duration{}, homes: map[string]uint32{}, seen: map[string]time.Duration{},
+		clock: clock, clockOf: map[string]string{}, planClocks: map[string]string{},
+		proposed: map[string]Propose{}, notBefore: map[string]time.Duration{}, lastSent: map[string]time.Duration{}, clocks: map[string]*Clock{}, dispatchers: map[string]dispatcherInfo{},
+		armed: map[string]map[int]bool{}, confirmed: map[string]map[int]bool{}, freeGroups: map[string]map[int]bool{}, reported: map[string]map[int]MemberStatus{}, roundStarted: map[string]time.Duration{}, calledOffSince: map[string]time.Duration{}, homes: map[string]uint32{}, undecidedSince: map[string]time.Duration{},
 	}
 }
 
-// Did takes the actions that have come up.
-func (c *Coordinator) Did() []Action {
-	out := c.out
-	c.out = nil
+// TakeActions takes the actions that have come up.
+func (c *Coordinator) TakeActions() []Action {
+	out := c.actions
+	c.actions = nil
 	return out
 }
 
 func (c *Coordinator) propose(now time.Duration, group uint32, cmd Command) {
-	key := fmt.Sprint(group, "/", cmd.Op, "/", cmd.Gang, "/", cmd.Round, "/", cmd.Group, "/", cmd.Member, "/", cmd.Fate, "/", cmd.By)
+	key := fmt.Sprint(group, "/", cmd.Op, "/", cmd.Gang, "/", cmd.Round, "/", cmd.Group, "/", cmd.Member, "/", cmd.MemberStatus, "/", cmd.By)
 	switch {
-	case cmd.Standing != nil:
-		key += cmd.Standing.Gang + "/" + fmt.Sprint(cmd.Standing.Round)
-	case cmd.Told != nil:
-		key += fmt.Sprint(*cmd.Told)
+	case cmd.RoundHolds != nil:
+		key += cmd.RoundHolds.Gang + "/" + fmt.Sprint(cmd.RoundHolds.Round)
+	case cmd.Confirmed != nil:
+		key += fmt.Sprint(*cmd.Confirmed)
 	}
-	if _, flies := c.flying[key]; flies || now < c.asked[key] {
+	if _, flies := c.proposed[key]; flies || now < c.notBefore[key] {
 		return
 	}
 	p := Propose{key, group, cmd}
-	c.flying[key] = p
-	c.out = append(c.out, p)
+	c.proposed[key] = p
+	c.actions = append(c.actions, p)
 }
 
-// Answered takes a command's result; ok is false where it is not known to have been taken.
-func (c *Coordinator) Answered(now time.Duration, key string, r Result, ok bool) {
-	p, flies := c.flying[key]
+// HandleResult takes a command's result; ok is false where it is not known to have been taken.
+func (c *Coordinator) HandleResult(now time.Duration, key string, r Result, ok bool) {
+	p, flies := c.proposed[key]
 	if !flies {
 		return
 	}
-	delete(c.flying, key)
+	delete(c.proposed, key)
 	if !ok {
-		c.asked[key] = now + again
-		c.Stats.Stalls++
+		c.notBefore[key] = now + proposeRetry
+		c.Stats.Unanswered++
 		return
 	}
 	switch p.Op {
 	case "commit", "undo", "end", "lapse":
 		if p.By == "" { // else the home knows the gang no more
-			c.propose(now, p.Command.Group, Command{Op: "told", Gang: p.Gang, Told: &Due{p.Group, p.Round, p.Op}})
+			c.propose(now, p.Command.Group, Command{Op: "told", Gang: p.Gang, Confirmed: &Notice{p.Group, p.Round, p.Op}})
 		}
 	case "prepare":
-		c.prepared(now, p, r)
+		c.handlePrepared(now, p, r)
 	case "ready":
-		if c.asked[key] = now + 2*askRival; r.OK {
-			mark(c.free, fmt.Sprint(p.Gang, "/", p.Round), int(p.Group))
+		if c.notBefore[key] = now + 2*rivalRetry; r.OK {
+			mark(c.freeGroups, fmt.Sprint(p.Gang, "/", p.Round), int(p.Group))
 		}
 	case "ask":
-		if e := r.Entry; r.Gone || e != nil && (e.Plan == nil || e.Plan.Round != p.Round) && (e.Old == nil || e.Old.Round != p.Round) {
+		if e := r.Entry; r.NotFound || e != nil && (e.Plan == nil || e.Plan.Round != p.Round) && (e.Previous == nil || e.Previous.Round != p.Round) {
 			c.propose(now, p.Command.Group, Command{Op: "undo", Gang: p.Gang, Round: p.Round, By: "its home"})
 		}
-		c.asked[key] = now + orphanFor
+		c.notBefore[key] = now + orphanTimeout
 	case "report":
 		id := fmt.Sprint(p.Gang, "/", p.Round)
-		if c.known[id] == nil {
-			c.known[id] = map[int]Fate{}
+		if c.reported[id] == nil {
+			c.reported[id] = map[int]MemberStatus{}
 		}
-		c.known[id][p.Member] = p.Fate
+		c.reported[id][p.Member] = p.MemberStatus
 	}
 }
 
-func (c *Coordinator) prepared(now time.Duration, p Propose, r Result) {
-	s := p.Standing
+func (c *Coordinator) handlePrepared(now time.Duration, p Propose, r Result) {
+	s := p.RoundHolds
 	switch {
 	case r.OK:
-		c.propose(now, s.Home, Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: p.Group, At: c.when(now, s.Gang, s.Round)})
-	case len(r.With) > 0 && now-c.began[s.Gang] < prepareFor:
-		for _, o := range r.With { // the older goes first; a younger waits for it, so that no two wait for each other
-			if older(s.Age, s.Gang, o.Age, o.Gang) {
+		c.propose(now, s.Home, Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: p.Group, At: c.planTime(now, s.Gang, s.Round)})
+	case len(r.Rivals) > 0 && now-c.roundStarted[s.Gang] < prepareTimeout:
+		for _, o := range r.Rivals { // the older goes first; a younger waits for it, so that no two wait for each other
+			if older(s.SubmittedAt, s.Gang, o.SubmittedAt, o.Gang) {
 				c.Stats.Wounds++
-				c.propose(now, o.Home, Command{Op: "wound", Gang: o.Gang, Round: o.Round, By: s.Gang, Age: s.Age})
+				c.propose(now, o.Home, Command{Op: "wound", Gang: o.Gang, Round: o.Round, By: s.Gang, SubmittedAt: s.SubmittedAt})
 			}
 		}
-		c.asked[p.Key] = now + askRival
+		c.notBefore[p.Key] = now + rivalRetry
 	default:
-		c.looked = 0
-		c.propose(now, s.Home, Command{Op: "abort", Gang: s.Gang, Round: s.Round, Why: r.Err})
+		c.viewTime = 0
+		c.propose(now, s.Home, Command{Op: "abort", Gang: s.Gang, Round: s.Round, Reason: r.Err})
 	}
 }
 
-// Viewed takes what a planner needs.
-func (c *Coordinator) Viewed(now time.Duration, v View) {
-	c.view, c.looked, c.looks = v, now, false
+// SetView takes what a planner needs.
+func (c *Coordinator) SetView(now time.Duration, v View) {
+	c.view, c.viewTime, c.fetchingView = v, now, false
 }
 
-// Said takes what a dispatcher said to a word that was sent at a time.
-func (c *Coordinator) Said(now, sent time.Duration, to string, w Word, s Said, home uint32) {
-	k := c.measured(now, sent, to, s)
-	c.heard[to] = heard{now, s.Site}
-	if w.Kind == Back {
+// HandleReply takes what a dispatcher said to a word that was sent at a time.
+func (c *Coordinator) HandleReply(now, sent time.Duration, to string, w Message, s Reply, home uint32) {
+	k := c.measureClock(now, sent, to, s)
+	c.dispatchers[to] = dispatcherInfo{now, s.Site}
+	if w.Kind == CancelElsewhere {
 		return
 	}
 	id := fmt.Sprint(w.Gang, "/", w.Round)
-	for _, t := range s.Parts {
+	for _, t := range s.Members {
 		switch {
-		case w.Kind == Arm && t.Armed && w.At > 0 && k.still(now, w):
+		case w.Kind == Arm && t.Armed && w.At > 0 && k.sameStart(now, w):
 			mark(c.armed, id, t.Member)
-		case w.Kind == Arm && t.Fate != Unknown:
-			c.propose(now, home, Command{Op: "drop", Gang: w.Gang, Round: w.Round, Why: fmt.Sprintf("member %d: %s: %s", t.Member, to, t.Why)})
+		case w.Kind == Arm && t.Status != Unknown:
+			c.propose(now, home, Command{Op: "drop", Gang: w.Gang, Round: w.Round, Reason: fmt.Sprintf("member %d: %s: %s", t.Member, to, t.Reason)})
 		}
 		if w.Kind == Arm {
 			continue
 		}
-		if t.Running {
-			mark(c.ran, id, t.Member)
+		if t.AllRunning {
+			mark(c.confirmed, id, t.Member)
 		}
-		if t.Fate != c.known[id][t.Member] {
-			c.propose(now, home, Command{Op: "report", Gang: w.Gang, Round: w.Round, Member: t.Member, Fate: t.Fate, Why: t.Why, At: c.when(now, w.Gang, w.Round)})
+		if t.Status != c.reported[id][t.Member] {
+			c.propose(now, home, Command{Op: "report", Gang: w.Gang, Round: w.Round, Member: t.Member, MemberStatus: t.Status, Reason: t.Reason, At: c.planTime(now, w.Gang, w.Round)})
 		}
 	}
 }
 
-// measured takes what an answer says of a dispatcher's clock. Where it was put to another time, whoever was ready may be so
+// measureClock takes what an answer says of a dispatcher's clock. Where it was put to another time, whoever was ready may be so
 // for another start than the others: all are asked again.
-func (c *Coordinator) measured(now, sent time.Duration, to string, s Said) *Clock {
+func (c *Coordinator) measureClock(now, sent time.Duration, to string, s Reply) *Clock {
 	name := cmp.Or(s.Clock, to)
-	before, known := c.whose[to]
-	c.whose[to] = name
+	before, known := c.clockOf[to]
+	c.clockOf[to] = name
 	k := c.clocks[name]
 	if k == nil {
-		maps.DeleteFunc(c.clocks, func(_ string, k *Clock) bool { return now-k.at > forgetIn })
+		maps.DeleteFunc(c.clocks, func(_ string, k *Clock) bool { return now-k.measuredAt > clockRetention })
 		k = &Clock{}
 		c.clocks[name] = k
 	}
-	if jumped := k.Measured(sent, s.Now, now); jumped || known && before != name {
-		c.Stats.Jumps++
+	if jumped := k.Measure(sent, s.Now, now); jumped || known && before != name {
+		c.Stats.ClockJumps++
 		clear(c.armed)
 	}
 	return k
 }
 
-// time is now by the clock that a plan goes by, and by how much that may be wrong; false: that clock is not known.
-func (c *Coordinator) time(now time.Duration, clock string) (t, err time.Duration, ok bool) {
+// timeBy is now by the clock that a plan goes by, and by how much that may be wrong; false: that clock is not known.
+func (c *Coordinator) timeBy(now time.Duration, clock string) (t, err time.Duration, ok bool) {
 	if clock == "" || clock == c.clock {
 		return now, 0, true
 	}
@@ -236,16 +236,16 @@
 	return now, 0, false
 }
 
-// Ahead is how far a clock is ahead of the own one, as far as it is known.
-func (c *Coordinator) Ahead(now time.Duration, clock string) time.Duration {
-	t, _, _ := c.time(now, clock)
+// ClockOffset is how far a clock is ahead of the own one, as far as it is known.
+func (c *Coordinator) ClockOffset(now time.Duration, clock string) time.Duration {
+	t, _, _ := c.timeBy(now, clock)
 	return t - now
 }
 
-// when is now by the clock that a gang's plan goes by; 0: it is not known.
-func (c *Coordinator) when(now time.Duration, gang string, round uint64) time.Duration {
-	if clock, known := c.goes[fmt.Sprint(gang, "/", round)]; known {
-		if t, _, ok := c.time(now, clock); ok {
+// planTime is now by the clock that a gang's plan goes by; 0: it is not known.
+func (c *Coordinator) planTime(now time.Duration, gang string, round uint64) time.Duration {
+	if clock, known := c.planClocks[fmt.Sprint(gang, "/", round)]; known {
+		if t, _, ok := c.timeBy(now, clock); ok {
 			return t
 		}
 	}
@@ -263,45 +263,45 @@
 func (c *Coordinator) Step(now time.Duration, group uint32, m *Machine, encoders []Encoder) {
 	all := slices.Collect(maps.Values(m.Gangs))
 	slices.SortFunc(all, func(a, b *Entry) int {
-		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Spec.ID, b.Spec.ID))
+		return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	for _, e := range all {
 		c.homes[e.Spec.ID] = group
-		for _, d := range e.Due {
+		for _, d := range e.Unconfirmed {
 			// The gang's home goes along, to be told of it.
 			c.propose(now, d.Group, Command{Op: d.Op, Gang: e.Spec.ID, Round: d.Round, Group: group})
 		}
 		t, ok := now, true // by the clock that its plan goes by
 		if e.Plan != nil {
-			c.goes[fmt.Sprint(e.Spec.ID, "/", e.Plan.Round)] = e.Plan.Clock
-			t, _, ok = c.time(now, e.Plan.Clock)
+			c.planClocks[fmt.Sprint(e.Spec.ID, "/", e.Plan.Round)] = e.Plan.Clock
+			t, _, ok = c.timeBy(now, e.Plan.Clock)
 		}
 		switch e.State {
 		case Waiting:
-			c.waiting(now, group, e, encoders)
+			c.stepWaiting(now, group, e, encoders)
 		case Preparing:
-			c.preparing(now, t, group, e)
+			c.stepPreparing(now, t, group, e)
 		case Held:
 			if !ok { // whoever planned it is gone, and nobody here ever measured its clock
-				c.propose(now, group, Command{Op: "drop", Gang: e.Spec.ID, Round: e.Plan.Round, Why: "the clock that its start goes by is not known"})
+				c.propose(now, group, Command{Op: "drop", Gang: e.Spec.ID, Round: e.Plan.Round, Reason: "the clock that its start goes by is not known"})
 				continue
 			}
-			c.held(now, t, group, e, encoders)
-		case Going:
-			if c.tell(now, e, Go, tellEvery); t > e.Plan.Start+Within {
+			c.stepHeld(now, t, group, e, encoders)
+		case Starting:
+			if c.sendMessages(now, e, Go, messageInterval); t > e.Plan.Start+StartTimeout {
 				c.propose(now, group, Command{Op: "off", Gang: e.Spec.ID, Round: e.Plan.Round, At: t})
 			}
-		case Off:
-			c.tell(now, e, No, tellEvery)
+		case StartFailed:
+			c.sendMessages(now, e, CallOff, messageInterval)
 			id := fmt.Sprint(e.Spec.ID, "/", e.Plan.Round)
-			if _, known := c.offs[id]; !known {
-				c.offs[id] = now
+			if _, known := c.calledOffSince[id]; !known {
+				c.calledOffSince[id] = now
 			}
-			if c.takeBack(now, e); t >= e.Plan.Start+SettleAt && now-c.offs[id] >= hearFor {
+			if c.cancelElsewhere(now, e); t >= e.Plan.Start+SettleDelay && now-c.calledOffSince[id] >= settleWait {
 				c.propose(now, group, Command{Op: "settle", Gang: e.Spec.ID, Round: e.Plan.Round, At: t})
 			}
 		case Running:
-			c.running(now, t, group, e)
+			c.stepRunning(now, t, group, e)
 		}
 	}
 	for id, home := range c.homes {
@@ -309,82 +309,82 @@
 			c.forget(id)
 		}
 	}
-	c.orphans(now, group, m)
+	c.checkOrphans(now, group, m)
 }
 
 func (c *Coordinator) forget(gang string) {
-	delete(c.began, gang)
+	delete(c.roundStarted, gang)
 	delete(c.homes, gang)
-	for _, m := range []map[string]map[int]bool{c.armed, c.ran, c.free} {
+	for _, m := range []map[string]map[int]bool{c.armed, c.confirmed, c.freeGroups} {
 		maps.DeleteFunc(m, func(id string, _ map[int]bool) bool { return strings.HasPrefix(id, gang+"/") })
 	}
-	maps.DeleteFunc(c.offs, func(id string, _ time.Duration) bool { return strings.HasPrefix(id, gang+"/") })
-	maps.DeleteFunc(c.goes, func(id, _ string) bool { return strings.HasPrefix(id, gang+"/") })
-	maps.DeleteFunc(c.known, func(id string, _ map[int]Fate) bool { return strings.HasPrefix(id, gang+"/") })
-	for _, m := range []map[string]time.Duration{c.told, c.asked} {
-		if len(m) > mostHolds {
+	maps.DeleteFunc(c.calledOffSince, func(id string, _ time.Duration) bool { return strings.HasPrefix(id, gang+"/") })
+	maps.DeleteFunc(c.planClocks, func(id, _ string) bool { return strings.HasPrefix(id, gang+"/") })
+	maps.DeleteFunc(c.reported, func(id string, _ map[int]MemberStatus) bool { return strings.HasPrefix(id, gang+"/") })
+	for _, m := range []map[string]time.Duration{c.lastSent, c.notBefore} {
+		if len(m) > maxHolds {
 			clear(m)
 		}
 	}
 }
 
-// fresh tells whether there is a view to plan by, and asks for one if not.
-func (c *Coordinator) fresh(now, within time.Duration) bool {
-	if c.looked > 0 && now-c.looked <= within {
+// haveView tells whether there is a view to plan by, and asks for one if not.
+func (c *Coordinator) haveView(now, within time.Duration) bool {
+	if c.viewTime > 0 && now-c.viewTime <= within {
 		return true
 	}
-	if !c.looks {
-		c.looks = true
-		c.out = append(c.out, Look{})
+	if !c.fetchingView {
+		c.fetchingView = true
+		c.actions = append(c.actions, FetchView{})
 	}
 	return false
 }
 
-func (c *Coordinator) waiting(now time.Duration, group uint32, e *Entry, encoders []Encoder) {
+func (c *Coordinator) stepWaiting(now time.Duration, group uint32, e *Entry, encoders []Encoder) {
 	id := e.Spec.ID
 	if now > e.Spec.LatestStart-Lead {
 		c.propose(now, group, Command{Op: "refuse", Gang: id})
 		return
 	}
-	if now < e.Retry || !c.fresh(now, viewFor) {
+	if now < e.Retry || !c.haveView(now, viewTTL) {
 		return
 	}
 	v := c.view
 	v.Now, v.Encoders = now, encoders
-	p, why := Find(v, e, nil)
+	p, why := FindPlan(v, e, nil)
 	if p == nil {
-		c.propose(now, group, Command{Op: "wait", Gang: id, For: 200 * time.Millisecond, Why: why})
+		c.propose(now, group, Command{Op: "wait", Gang: id, RetryAfter: 200 * time.Millisecond, Reason: why})
 		return
 	}
-	c.plan(now, group, e, p)
+	c.proposePlan(now, group, e, p)
 }
 
-// plan proposes a plan. What it takes is left alone by the plans that follow.
-func (c *Coordinator) plan(now time.Duration, group uint32, e *Entry, p *Plan) {
-	c.began[e.Spec.ID] = now
+// proposePlan proposes a plan. What it takes is left alone by the plans that follow.
+func (c *Coordinator) proposePlan(now time.Duration, group uint32, e *Entry, p *Plan) {
+	c.roundStarted[e.Spec.ID] = now
 	t := now
 	if p.Clock = c.clock; e.Plan != nil { // a move keeps the start, and so what it goes by
 		p.Clock = e.Plan.Clock
-		t, _, _ = c.time(now, p.Clock)
+		t, _, _ = c.timeBy(now, p.Clock)
 	}
-	c.view.Standing = append(slices.Clone(c.view.Standing), Standing{Gang: e.Spec.ID, Round: p.Round, Home: group, Age: e.Age, Holds: p.Holds})
+	c.view.RoundHolds = append(slices.Clone(c.view.RoundHolds), RoundHolds{Gang: e.Spec.ID, Round: p.Round, Home: group, SubmittedAt: e.SubmittedAt, Holds: p.Holds})
 	c.propose(now, group, Command{Op: "plan", Gang: e.Spec.ID, Round: p.Round, Plan: p, At: t})
 }
 
-func (c *Coordinator) preparing(now, t time.Duration, group uint32, e *Entry) {
-	if _, known := c.began[e.Spec.ID]; !known { // another coordinator's
-		c.began[e.Spec.ID] = now
+func (c *Coordinator) stepPreparing(now, t time.Duration, group uint32, e *Entry) {
+	if _, known := c.roundStarted[e.Spec.ID]; !known { // another coordinator's
+		c.roundStarted[e.Spec.ID] = now
 	}
-	if t > e.Plan.Start-voteBy || now-c.began[e.Spec.ID] > prepareFor+again {
-		c.propose(now, group, Command{Op: "abort", Gang: e.Spec.ID, Round: e.Plan.Round, Why: "its holds took too long"})
+	if t > e.Plan.Start-voteMargin || now-c.roundStarted[e.Spec.ID] > prepareTimeout+proposeRetry {
+		c.propose(now, group, Command{Op: "abort", Gang: e.Spec.ID, Round: e.Plan.Round, Reason: "its holds took too long"})
 		return
 	}
 	for _, g := range e.Plan.groups() {
 		if _, voted := search(e.Votes, g); voted {
 			continue
 		}
-		c.propose(now, g, Command{Op: "prepare", Standing: &Standing{
-			Gang: e.Spec.ID, Round: e.Plan.Round, Home: group, Age: e.Age, Clock: e.Plan.Clock, Holds: e.Plan.Of(g),
+		c.propose(now, g, Command{Op: "prepare", RoundHolds: &RoundHolds{
+			Gang: e.Spec.ID, Round: e.Plan.Round, Home: group, SubmittedAt: e.SubmittedAt, Clock: e.Plan.Clock, Holds: e.Plan.HoldsIn(g),
 		}})
 	}
 }
@@ -395,19 +395,19 @@
 		if x.ID != p.Encoders[i] {
 			continue
 		}
-		return !x.Out && x.Warm <= p.Start && slices.ContainsFunc(p.Holds, func(h Hold) bool { return h.Resource == x.Account() && h.Gen == x.Gen })
+		return !x.Excluded && x.WarmAt <= p.Start && slices.ContainsFunc(p.Holds, func(h Hold) bool { return h.Resource == x.Account() && h.Gen == x.Gen })
 	}
 	return false
 }
 
-func (c *Coordinator) held(now, t time.Duration, group uint32, e *Entry, encoders []Encoder) {
+func (c *Coordinator) stepHeld(now, t time.Duration, group uint32, e *Entry, encoders []Encoder) {
 	id, p := e.Spec.ID, e.Plan
-	if _, known := c.began[id]; !known {
-		c.began[e.Spec.ID] = now
+	if _, known := c.roundStarted[id]; !known {
+		c.roundStarted[e.Spec.ID] = now
 	}
 	recalled := ""
-	if t < p.Start-ArmAhead && c.fresh(now, watchFor) {
-		recalled = c.recalled(e)
+	if t < p.Start-ArmLead && c.haveView(now, heldViewTTL) {
+		recalled = c.recallReason(e)
 	}
 	for i := range e.Spec.Members {
 		why := recalled
@@ -415,11 +415,11 @@
 			continue
 		}
 		why = cmp.Or(why, fmt.Sprintf("member %d: %s cannot be used", i, p.Encoders[i]))
-		if t > p.Start-voteBy-again {
-			c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Why: why})
+		if t > p.Start-voteMargin-proposeRetry {
+			c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Reason: why})
 			return
 		}
-		if !c.fresh(now, viewFor) {
+		if !c.haveView(now, viewTTL) {
 			return
 		}
 		v := c.view
@@ -428,24 +428,24 @@
 		if recalled != "" {
 			keep = &Plan{Start: p.Start, Encoders: make([]string, len(p.Encoders))}
 		}
-		moved, _ := Find(v, e, keep)
+		moved, _ := FindPlan(v, e, keep)
 		if moved == nil {
-			c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Why: why + ", and there is no room elsewhere"})
+			c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Reason: why + ", and there is no room elsewhere"})
 			return
 		}
-		c.plan(now, group, e, moved)
+		c.proposePlan(now, group, e, moved)
 		return
 	}
-	if c.sends(now, t, group, e, encoders) || c.sooner(now, t, group, e, encoders) || t < p.Start-ArmAhead {
+	if c.replaceSelfAsStarter(now, t, group, e, encoders) || c.planSooner(now, t, group, e, encoders) || t < p.Start-ArmLead {
 		return
 	}
-	armed, free := len(c.armed[fmt.Sprint(id, "/", p.Round)]) == len(e.Spec.Members), c.free[fmt.Sprint(id, "/", p.Round)]
-	if t > p.Start-GoBy {
+	armed, free := len(c.armed[fmt.Sprint(id, "/", p.Round)]) == len(e.Spec.Members), c.freeGroups[fmt.Sprint(id, "/", p.Round)]
+	if t > p.Start-GoMargin {
 		why := "not all dispatchers were ready"
 		if armed {
 			why = "what has its room before it had not ended"
 		}
-		c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Why: why})
+		c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Reason: why})
 		return
 	}
 	for _, g := range p.groups() {
@@ -457,179 +457,179 @@
 		c.propose(now, group, Command{Op: "go", Gang: id, Round: p.Round, Armed: p.Starters, At: t})
 		return
 	}
-	c.tell(now, e, Arm, tellEvery)
+	c.sendMessages(now, e, Arm, messageInterval)
 }
 
-// sends has another dispatcher send what whoever coordinates by now would: the home may have changed hands since.
-func (c *Coordinator) sends(now, t time.Duration, group uint32, e *Entry, encoders []Encoder) bool {
+// replaceSelfAsStarter has another dispatcher send what whoever coordinates by now would: the home may have changed hands since.
+func (c *Coordinator) replaceSelfAsStarter(now, t time.Duration, group uint32, e *Entry, encoders []Encoder) bool {
 	self, p := c.view.Self, e.Plan
-	if !slices.Contains(p.Starters, self) || t < p.Start-2*ArmAhead || t > p.Start-ArmAhead || !c.fresh(now, viewFor) {
+	if !slices.Contains(p.Starters, self) || t < p.Start-2*ArmLead || t > p.Start-ArmLead || !c.haveView(now, viewTTL) {
 		return false
 	}
 	v := c.view
 	v.Now, v.Encoders = now, encoders
-	next, _ := Find(v, e, p)
+	next, _ := FindPlan(v, e, p)
 	if next == nil || slices.Contains(next.Starters, self) {
 		return false
 	}
-	c.plan(now, group, e, next)
+	c.proposePlan(now, group, e, next)
 	return true
 }
 
-// sooner has a gang start earlier where room has come free since it was planned: what ends is known only once it has. Its
+// planSooner has a gang start earlier where room has come free since it was planned: what ends is known only once it has. Its
 // holds stay in force until the earlier ones stand.
-func (c *Coordinator) sooner(now, t time.Duration, group uint32, e *Entry, encoders []Encoder) bool {
+func (c *Coordinator) planSooner(now, t time.Duration, group uint32, e *Entry, encoders []Encoder) bool {
 	key := e.Spec.ID + "/sooner"
-	if t > e.Plan.Start-2*Lead || now < c.asked[key] || now < c.searched+searchEvery || !c.fresh(now, viewFor) {
+	if t > e.Plan.Start-2*Lead || now < c.notBefore[key] || now < c.searchTime+searchInterval || !c.haveView(now, viewTTL) {
 		return false
 	}
-	c.searched, c.asked[key] = now, now+watchFor
+	c.searchTime, c.notBefore[key] = now, now+heldViewTTL
 	v := c.view
 	v.Now, v.Encoders = t, encoders
-	next, _ := Find(v, e, nil)
-	if next == nil || next.Start > e.Plan.Start-leastGain {
+	next, _ := FindPlan(v, e, nil)
+	if next == nil || next.Start > e.Plan.Start-minGain {
 		return false
 	}
-	c.plan(now, group, e, next)
+	c.proposePlan(now, group, e, next)
 	return true
 }
 
-// recalled tells whether a partner lends too little by now for what the gang holds and older ones do: the younger give way.
-func (c *Coordinator) recalled(e *Entry) string {
-	k := keeper{Resources: c.view.Accounts}
+// recallReason tells whether a partner lends too little by now for what the gang holds and older ones do: the younger give way.
+func (c *Coordinator) recallReason(e *Entry) string {
+	k := accounts{Resources: c.view.Accounts}
 	var lent []Hold
 	for _, h := range e.Plan.Holds {
-		if r, known := k.Resources[h.Resource]; known && strings.HasPrefix(h.Resource, Lender("")) && r.Gen != h.Gen {
+		if r, known := k.Resources[h.Resource]; known && strings.HasPrefix(h.Resource, PartnerAccount("")) && r.Gen != h.Gen {
 			lent = append(lent, h)
 		}
 	}
 	if lent == nil {
 		return ""
 	}
-	for _, s := range c.view.Standing {
-		if s.Committed && s.Gang != e.Spec.ID && older(s.Age, s.Gang, e.Age, e.Spec.ID) {
-			k.Standing = append(k.Standing, s)
+	for _, s := range c.view.RoundHolds {
+		if s.Committed && s.Gang != e.Spec.ID && older(s.SubmittedAt, s.Gang, e.SubmittedAt, e.Spec.ID) {
+			k.RoundHolds = append(k.RoundHolds, s)
 		}
 	}
-	k.Standing = append(k.Standing, Standing{Gang: e.Spec.ID, Holds: lent})
-	slices.SortStableFunc(k.Standing, func(a, b Standing) int { return cmp.Compare(a.Gang, b.Gang) })
-	if h, fits := k.fits(k.Standing, lent); !fits {
+	k.RoundHolds = append(k.RoundHolds, RoundHolds{Gang: e.Spec.ID, Holds: lent})
+	slices.SortStableFunc(k.RoundHolds, func(a, b RoundHolds) int { return cmp.Compare(a.Gang, b.Gang) })
+	if h, fits := k.fits(k.RoundHolds, lent); !fits {
 		return h.Resource + " lends less"
 	}
 	return ""
 }
 
-func (c *Coordinator) running(now, t time.Duration, group uint32, e *Entry) {
-	every := tellEvery
-	if len(c.ran[fmt.Sprint(e.Spec.ID, "/", e.Plan.Round)]) == len(e.Spec.Members) {
-		every = tellSlow
-		for i, f := range e.Fates {
-			if f == Began && t > e.Plan.Start+e.Spec.Members[i].Work-tellSlow {
-				every = 2 * tellEvery // others wait for its room
+func (c *Coordinator) stepRunning(now, t time.Duration, group uint32, e *Entry) {
+	every := messageInterval
+	if len(c.confirmed[fmt.Sprint(e.Spec.ID, "/", e.Plan.Round)]) == len(e.Spec.Members) {
+		every = runningInterval
+		for i, f := range e.MemberStatuses {
+			if f == Began && t > e.Plan.Start+e.Spec.Members[i].Work-runningInterval {
+				every = 2 * messageInterval // others wait for its room
 			}
 		}
 	}
 	kind := Run
-	if e.Stops() {
-		kind, every = No, 2*tellEvery
+	if e.ShouldStop() {
+		kind, every = CallOff, 2*messageInterval
 	}
-	c.tell(now, e, kind, every)
-	if kind == No {
-		c.takeBack(now, e)
+	c.sendMessages(now, e, kind, every)
+	if kind == CallOff {
+		c.cancelElsewhere(now, e)
 	}
-	for i, f := range e.Fates {
-		if f == Began && t > e.Plan.Start+length(e.Spec.Members[i])+lostFor {
-			c.propose(now, group, Command{Op: "report", Gang: e.Spec.ID, Round: e.Plan.Round, Member: i, Fate: Died, Why: "no word of it", At: t})
+	for i, f := range e.MemberStatuses {
+		if f == Began && t > e.Plan.Start+holdDuration(e.Spec.Members[i])+lostTimeout {
+			c.propose(now, group, Command{Op: "report", Gang: e.Spec.ID, Round: e.Plan.Round, Member: i, MemberStatus: Died, Reason: "no word of it", At: t})
 		}
 	}
 }
 
-// tell tells the dispatchers of a gang's members, each every so often.
-func (c *Coordinator) tell(now time.Duration, e *Entry, kind Kind, every time.Duration) {
+// sendMessages tells the dispatchers of a gang's members, each every so often.
+func (c *Coordinator) sendMessages(now time.Duration, e *Entry, kind MessageKind, every time.Duration) {
 	p := e.Plan
-	to := map[string][]Part{}
+	to := map[string][]Assignment{}
 	for i, name := range p.Starters {
-		t := Part{Member: i, Encoder: p.Encoders[i]}
+		t := Assignment{Member: i, Encoder: p.Encoders[i]}
 		if kind == Arm {
 			t.Spec = e.Spec.Members[i]
 		}
-		if i < len(e.Fates) && e.Fates[i] != Unknown && e.Fates[i] != Began {
+		if i < len(e.MemberStatuses) && e.MemberStatuses[i] != Unknown && e.MemberStatuses[i] != Began {
 			continue
 		}
 		to[name] = append(to[name], t)
 	}
 	for _, name := range slices.Sorted(maps.Keys(to)) {
 		key := fmt.Sprint(name, "/", e.Spec.ID, "/", p.Round, "/", kind)
-		if last, was := c.told[key]; was && now-last < every {
+		if last, was := c.lastSent[key]; was && now-last < every {
 			continue
 		}
-		c.told[key] = now
-		w := Word{Kind: kind, Gang: e.Spec.ID, Round: p.Round, Skew: e.Spec.Skew, Parts: to[name]}
+		c.lastSent[key] = now
+		w := Message{Kind: kind, Gang: e.Spec.ID, Round: p.Round, Skew: e.Spec.Skew, Assignments: to[name]}
 		offset, err, ok := time.Duration(0), time.Duration(0), false
-		if k := c.clocks[c.whose[name]]; k != nil {
+		if k := c.clocks[c.clockOf[name]]; k != nil {
 			offset, err, ok = k.Offset(now)
 		}
-		t, wrong, known := c.time(now, p.Clock)
+		t, wrong, known := c.timeBy(now, p.Clock)
 		if err += wrong; ok && known && err <= e.Spec.Skew/4 { // else it is asked for its clock alone: such a word arms nobody
-			w.At, w.Err, w.offset = p.Start+offset+now-t, err, offset
-			c.Stats.WorstError = max(c.Stats.WorstError, err)
+			w.At, w.ClockError, w.offset = p.Start+offset+now-t, err, offset
+			c.Stats.MaxClockError = max(c.Stats.MaxClockError, err)
 		} else if kind == Arm {
-			w.Parts = nil
+			w.Assignments = nil
 		}
-		c.out = append(c.out, Tell{name, w})
+		c.actions = append(c.actions, Send{name, w})
 	}
 }
 
-// takeBack has other dispatchers call off what silent ones may have sent.
-func (c *Coordinator) takeBack(now time.Duration, e *Entry) {
+// cancelElsewhere has other dispatchers call off what silent ones may have sent.
+func (c *Coordinator) cancelElsewhere(now time.Duration, e *Entry) {
 	for i, name := range e.Plan.Starters {
-		if f := e.Fates[i]; f != Unknown && f != Began || now-c.heard[name].at < silentFor {
+		if f := e.MemberStatuses[i]; f != Unknown && f != Began || now-c.dispatchers[name].lastReply < silenceTimeout {
 			continue
 		}
-		for _, other := range slices.Sorted(maps.Keys(c.heard)) {
-			key := fmt.Sprint(other, "/", Key(e.Spec.ID, e.Plan.Round, i), "/", Back)
-			if other == name || now-c.heard[other].at > livesFor || now-c.told[key] < backEvery {
+		for _, other := range slices.Sorted(maps.Keys(c.dispatchers)) {
+			key := fmt.Sprint(other, "/", Key(e.Spec.ID, e.Plan.Round, i), "/", CancelElsewhere)
+			if other == name || now-c.dispatchers[other].lastReply > livenessTimeout || now-c.lastSent[key] < cancelInterval {
 				continue
 			}
-			c.told[key] = now
-			c.out = append(c.out, Tell{other, Word{Kind: Back, Gang: e.Spec.ID, Round: e.Plan.Round, Parts: []Part{{Member: i, Encoder: e.Plan.Encoders[i]}}}})
+			c.lastSent[key] = now
+			c.actions = append(c.actions, Send{other, Message{Kind: CancelElsewhere, Gang: e.Spec.ID, Round: e.Plan.Round, Assignments: []Assignment{{Member: i, Encoder: e.Plan.Encoders[i]}}}})
 			break
 		}
 	}
 }
 
-// heard is when a dispatcher last said anything, and where it stands.
-type heard struct {
-	at   time.Duration
+// dispatcherInfo is when a dispatcher last said anything, and where it stands.
+type dispatcherInfo struct {
+	lastReply   time.Duration
 	site string
 }
 
-// Lives is the dispatchers that were heard of lately.
-func (c *Coordinator) Lives(now time.Duration) (all []Dispatcher) {
-	for _, name := range slices.Sorted(maps.Keys(c.heard)) {
-		if h := c.heard[name]; now-h.at < livesFor {
+// LiveDispatchers is the dispatchers that were heard of lately.
+func (c *Coordinator) LiveDispatchers(now time.Duration) (all []Dispatcher) {
+	for _, name := range slices.Sorted(maps.Keys(c.dispatchers)) {
+		if h := c.dispatchers[name]; now-h.lastReply < livenessTimeout {
 			all = append(all, Dispatcher{name, h.site})
 		}
 	}
 	return all
 }
 
-// orphans asks the homes of holds that have been undecided for long: word of what was decided may never have been sent,
+// checkOrphans asks the homes of holds that have been undecided for long: word of what was decided may never have been sent,
 // where a home forgot it first.
-func (c *Coordinator) orphans(now time.Duration, group uint32, m *Machine) {
-	for _, s := range m.Standing {
+func (c *Coordinator) checkOrphans(now time.Duration, group uint32, m *Machine) {
+	for _, s := range m.RoundHolds {
 		id := fmt.Sprint(group, "/", s.Gang, "/", s.Round)
 		if s.Committed {
-			delete(c.seen, id)
+			delete(c.undecidedSince, id)
 			continue
 		}
-		if _, known := c.seen[id]; !known {
-			if len(c.seen) > mostHolds {
-				clear(c.seen)
+		if _, known := c.undecidedSince[id]; !known {
+			if len(c.undecidedSince) > maxHolds {
+				clear(c.undecidedSince)
 			}
-			c.seen[id] = now
+			c.undecidedSince[id] = now
 		}
-		if now-c.seen[id] > orphanFor {
+		if now-c.undecidedSince[id] > orphanTimeout {
 			c.propose(now, s.Home, Command{Op: "ask", Gang: s.Gang, Round: s.Round, Group: group})
 		}
 	}
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -15,38 +15,38 @@
 
 // Bounds of what is asked for.
 const (
-	MostMembers  = 16
-	LeastMembers = 2
-	MostPayload  = 64 << 10 // bytes of all members' payloads
-	mostName     = 128      // bytes of an id, site, kind, class or key
-	mostSlots    = 1 << 10
-	mostWork     = 24 * time.Hour
-	mostWindow   = 7 * 24 * time.Hour
-	mostGangs    = 4096 // of one home, those that are over included
-	mostHolds    = 4096 // of one group
-	keepOver     = 10 * time.Minute
-	usualSkew    = 250 * time.Millisecond
+	MaxMembers  = 16
+	MinMembers = 2
+	MaxPayload  = 64 << 10 // bytes of all members' payloads
+	maxNameLen     = 128      // bytes of an id, site, kind, class or key
+	maxSlots    = 1 << 10
+	maxWork     = 24 * time.Hour
+	maxWindow   = 7 * 24 * time.Hour
+	maxGangs    = 4096 // of one home, those that are over included
+	maxHolds    = 4096 // of one group
+	endedRetention     = 10 * time.Minute
+	defaultSkew    = 250 * time.Millisecond
 )
 
 // Times of a start. All are after or before the start that was committed, by the clock of whoever goes by them, whose
 // error is stated and part of the skew.
 const (
 	Lead     = 700 * time.Millisecond // from a plan to its start at least: holds, arming and the word to go must fit
-	GoBy     = 150 * time.Millisecond // before the start: without the word of all by then, nothing starts
-	Within   = 350 * time.Millisecond // after the start: by then all have started, or all are called off
-	OffAt    = 450 * time.Millisecond // after the start: a member that has not heard by then that all run is given up
-	SettleAt = time.Second            // after the start: what is not known by then may have run
-	ArmAhead = 600 * time.Millisecond // before the start: dispatchers are told of their members
-	voteBy   = 400 * time.Millisecond // before the start: holds that are not complete by then are given up
+	GoMargin     = 150 * time.Millisecond // before the start: without the word of all by then, nothing starts
+	StartTimeout   = 350 * time.Millisecond // after the start: by then all have started, or all are called off
+	ConfirmTimeout    = 450 * time.Millisecond // after the start: a member that has not heard by then that all run is given up
+	SettleDelay = time.Second            // after the start: what is not known by then may have run
+	ArmLead = 600 * time.Millisecond // before the start: dispatchers are told of their members
+	voteMargin   = 400 * time.Millisecond // before the start: holds that are not complete by then are given up
 )
 
-// After is what follows when a member dies once all have started.
-type After string
+// DeathPolicy is what follows when a member dies once all have started.
+type DeathPolicy string
 
 // The ways.
 const (
-	GoOn    After = "go_on"    // the others run on
-	StopAll After = "stop_all" // the others are called off
+	ContinueOthers    DeathPolicy = "go_on"    // the others run on
+	StopAll DeathPolicy = "stop_all" // the others are called off
 )
 
 // Member is one job of a gang.
@@ -69,39 +69,39 @@
 	NotBefore   time.Duration `json:"not_before"`
 	LatestStart time.Duration `json:"latest_start"`
 	Skew        time.Duration `json:"skew"` // between the first member's start and the last one's
-	After       After         `json:"after"`
+	OnDeath       DeathPolicy         `json:"after"`
 }
 
-// Check returns the gang with what is not said set, or what is wrong with it.
-func (s Spec) Check(now time.Duration) (Spec, error) {
-	s.Skew, s.After = cmp.Or(s.Skew, usualSkew), cmp.Or(s.After, GoOn)
+// Validate returns the gang with what is not said set, or what is wrong with it.
+func (s Spec) Validate(now time.Duration) (Spec, error) {
+	s.Skew, s.OnDeath = cmp.Or(s.Skew, defaultSkew), cmp.Or(s.OnDeath, ContinueOthers)
 	size := 0
 	for i, m := range s.Members {
 		size += len(m.Payload)
 		switch {
-		case m.Slots < 1 || m.Slots > mostSlots:
-			return s, fmt.Errorf("member %d: %d slots: from 1 to %d", i, m.Slots, mostSlots)
-		case m.Work <= 0 || m.Work > mostWork:
-			return s, fmt.Errorf("member %d: work of %v: above 0, to %v", i, m.Work, mostWork)
+		case m.Slots < 1 || m.Slots > maxSlots:
+			return s, fmt.Errorf("member %d: %d slots: from 1 to %d", i, m.Slots, maxSlots)
+		case m.Work <= 0 || m.Work > maxWork:
+			return s, fmt.Errorf("member %d: work of %v: above 0, to %v", i, m.Work, maxWork)
 		case m.Class == "":
 			return s, fmt.Errorf("member %d: no class", i)
-		case max(len(m.Site), len(m.Kind), len(m.Class)) > mostName:
-			return s, fmt.Errorf("member %d: a name of over %d bytes", i, mostName)
+		case max(len(m.Site), len(m.Kind), len(m.Class)) > maxNameLen:
+			return s, fmt.Errorf("member %d: a name of over %d bytes", i, maxNameLen)
 		}
 	}
 	switch {
-	case s.ID == "" || len(s.ID) > mostName:
-		return s, fmt.Errorf("id %q: from 1 to %d bytes", s.ID, mostName)
-	case len(s.Members) < LeastMembers || len(s.Members) > MostMembers:
-		return s, fmt.Errorf("%d members: from %d to %d", len(s.Members), LeastMembers, MostMembers)
-	case size > MostPayload:
-		return s, fmt.Errorf("payloads of %d bytes: at most %d in all", size, MostPayload)
-	case s.Skew < 10*time.Millisecond || s.Skew > Within:
-		return s, fmt.Errorf("skew of %v: from 10ms to %v", s.Skew, Within)
-	case s.After != GoOn && s.After != StopAll:
-		return s, fmt.Errorf("after %q: go_on or stop_all", s.After)
-	case s.LatestStart < s.NotBefore || s.LatestStart > now+mostWindow:
-		return s, fmt.Errorf("latest start: not before the earliest, and within %v", mostWindow)
+	case s.ID == "" || len(s.ID) > maxNameLen:
+		return s, fmt.Errorf("id %q: from 1 to %d bytes", s.ID, maxNameLen)
+	case len(s.Members) < MinMembers || len(s.Members) > MaxMembers:
+		return s, fmt.Errorf("%d members: from %d to %d", len(s.Members), MinMembers, MaxMembers)
+	case size > MaxPayload:
+		return s, fmt.Errorf("payloads of %d bytes: at most %d in all", size, MaxPayload)
+	case s.Skew < 10*time.Millisecond || s.Skew > StartTimeout:
+		return s, fmt.Errorf("skew of %v: from 10ms to %v", s.Skew, StartTimeout)
+	case s.OnDeath != ContinueOthers && s.OnDeath != StopAll:
+		return s, fmt.Errorf("after %q: go_on or stop_all", s.OnDeath)
+	case s.LatestStart < s.NotBefore || s.LatestStart > now+maxWindow:
+		return s, fmt.Errorf("latest start: not before the earliest, and within %v", maxWindow)
 	case s.LatestStart < now+Lead:
 		return s, fmt.Errorf("latest start: at least %v ahead", Lead)
 	}
@@ -118,9 +118,9 @@
 	Until    time.Duration `json:"until"`
 }
 
-// length is for how long a member's slots are held at first: its work, and until its end is known to the accounts, before
+// holdDuration is for how long a member's slots are held at first: its work, and until its end is known to the accounts, before
 // the word to go of whoever is next. What is late keeps them.
-func length(m Member) time.Duration { return m.Work + m.Work/50 + GoBy + 150*time.Millisecond }
+func holdDuration(m Member) time.Duration { return m.Work + m.Work/50 + GoMargin + 150*time.Millisecond }
 
 // Plan is where and when a gang is to run.
 type Plan struct {
@@ -132,8 +132,8 @@
 	Holds    []Hold        `json:"holds"`
 }
 
-// holds tells whether each member has its slots. Those that are alike at one encoder have one hold.
-func (p *Plan) holds(members []Member) bool {
+// coversMembers tells whether each member has its slots. Those that are alike at one encoder have one hold.
+func (p *Plan) coversMembers(members []Member) bool {
 	missing := map[string]int{}
 	for i, m := range members {
 		missing[Encoder{ID: p.Encoders[i]}.Account()] += m.Slots
@@ -161,8 +161,8 @@
 	return all
 }
 
-// Of is the plan's part in a group.
-func (p *Plan) Of(group uint32) (holds []Hold) {
+// HoldsIn is the plan's part in a group.
+func (p *Plan) HoldsIn(group uint32) (holds []Hold) {
 	for _, h := range p.Holds {
 		if h.Group == group {
 			holds = append(holds, h)
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -29,29 +29,29 @@
 	os.Exit(m.Run())
 }
 
-const unix = 1_700_000_000 * time.Second
+const epoch = 1_700_000_000 * time.Second
 
-// world is groups with their logs, coordinators that come and go, dispatchers with clocks of their own, encoders, and a
+// simulation is groups with their logs, coordinators that come and go, dispatchers with clocks of their own, encoders, and a
 // network with faults, in virtual time. Daemon i leads group i and those whose daemons are down.
-type world struct {
+type simulation struct {
 	t require.TestingT
 	*rand.Rand
 	now     time.Duration
 	groups  []*Machine
 	daemons []*daemon
-	enc     []Encoder
-	lenders map[string]LenderAt
-	mail    []post
+	encoders     []Encoder
+	lenders map[string]AccountLocation
+	events    []event
 	loss    float64
-	cut     map[[2]int]bool // from one daemon to another
-	runs    map[string]*run // by key
+	cutLinks     map[[2]int]bool // from one daemon to another
+	runs    map[string]*jobRun // by key
 	sent    map[string]int  // by gang and member: how often
 	killed  map[string]bool // gangs a dispatcher of which died around the start: nobody can call its members off
 	stats   map[string]int
-	skew    time.Duration
+	worstSkew    time.Duration
 	specs   map[string]Spec
-	late    time.Duration // by which members run longer than they said, at most
-	cap     int           // of slots lent, checked by what runs; 0: it is not
+	maxOverrun    time.Duration // by which members run longer than they said, at most
+	lentCap     int           // of slots lent, checked by what runs; 0: it is not
 }
 
 type daemon struct {
@@ -65,7 +65,7 @@
 	clock  string
 }
 
-type run struct {
+type jobRun struct {
 	gang      string
 	round     uint64
 	member    int
@@ -74,18 +74,18 @@
 	slots     int
 }
 
-type post struct {
+type event struct {
 	at time.Duration
 	do func()
 }
 
 func (d *daemon) time(now time.Duration) time.Duration {
-	return now + d.offset + time.Duration(float64(now-unix)*d.rate)
+	return now + d.offset + time.Duration(float64(now-epoch)*d.rate)
 }
 
-func newWorld(t require.TestingT, seed uint64, groups, daemons, encoders int) *world {
-	w := &world{
-		t: t, Rand: rand.New(rand.NewPCG(seed, 7)), now: unix, lenders: map[string]LenderAt{}, cut: map[[2]int]bool{}, runs: map[string]*run{},
+func newSimulation(t require.TestingT, seed uint64, groups, daemons, encoders int) *simulation {
+	w := &simulation{
+		t: t, Rand: rand.New(rand.NewPCG(seed, 7)), now: epoch, lenders: map[string]AccountLocation{}, cutLinks: map[[2]int]bool{}, runs: map[string]*jobRun{},
 		sent: map[string]int{}, killed: map[string]bool{}, stats: map[string]int{}, specs: map[string]Spec{},
 	}
 	for range groups {
@@ -94,58 +94,58 @@
 	for n := range daemons {
 		d := &daemon{n: n, name: fmt.Sprint("n", n), rate: (w.Float64() - 0.5) * 1e-4}
 		w.daemons = append(w.daemons, d)
-		w.boot(d)
+		w.startProcess(d)
 	}
 	for i := range encoders {
 		e := Encoder{ID: fmt.Sprint("s-", i), Site: []string{"a", "b"}[i%2], Kind: "m2", Slots: 4, Gen: 1, Group: uint32(i % groups), Partner: []string{"", "tuk"}[i%2]}
-		w.enc = append(w.enc, e)
-		w.do(e.Group, Command{Op: "set", Resource: &Resource{ID: e.Account(), Slots: e.Slots, Gen: 1}})
+		w.encoders = append(w.encoders, e)
+		w.apply(e.Group, Command{Op: "set", Resource: &Resource{ID: e.Account(), Slots: e.Slots, Gen: 1}})
 	}
 	w.lend(6, 1)
 	return w
 }
 
-func (w *world) lend(slots int, gen uint64) {
+func (w *simulation) lend(slots int, gen uint64) {
 	g := uint32(len(w.groups) - 1)
-	w.lenders["tuk"] = LenderAt{g}
-	w.do(g, Command{Op: "set", Resource: &Resource{ID: Lender("tuk"), Slots: slots, Gen: gen}})
+	w.lenders["tuk"] = AccountLocation{g}
+	w.apply(g, Command{Op: "set", Resource: &Resource{ID: PartnerAccount("tuk"), Slots: slots, Gen: gen}})
 }
 
-// boot starts a daemon's process, whose clock goes on from the wall's: that was stepped by up to a fifth of a second.
-func (w *world) boot(d *daemon) {
+// startProcess starts a daemon's process, whose clock goes on from the wall's: that was stepped by up to a fifth of a second.
+func (w *simulation) startProcess(d *daemon) {
 	w.stats["boots"]++
 	d.clock, d.offset = fmt.Sprint(d.name, "/", w.stats["boots"]), time.Duration(w.Int64N(int64(400*ms)))-200*ms
 	d.up, d.Coordinator, d.Starter = true, NewCoordinator(d.clock), NewStarter()
 }
 
-// do applies a command: what a group's majority does at once.
-func (w *world) do(group uint32, c Command) Result { return w.doBy(w.now, group, c) }
+// apply applies a command: what a group's majority does at once.
+func (w *simulation) apply(group uint32, c Command) Result { return w.applyAt(w.now, group, c) }
 
-// doBy applies one that is given its time by a daemon's clock.
-func (w *world) doBy(at time.Duration, group uint32, c Command) Result {
+// applyAt applies one that is given its time by a daemon's clock.
+func (w *simulation) applyAt(at time.Duration, group uint32, c Command) Result {
 	m := w.groups[group]
 	had := false
 	if c.Op == "prepare" {
-		_, had = m.find(c.Standing.Gang, c.Standing.Round)
+		_, had = m.find(c.RoundHolds.Gang, c.RoundHolds.Round)
 	}
 	r, err := Decode(m.Apply(0, at, c.Encode()))
 	require.NoError(w.t, err)
 	if c.Op == "prepare" && r.OK && !had {
-		w.sums(m, c.Standing.Gang, c.Standing.Round)
+		w.checkAccounts(m, c.RoundHolds.Gang, c.RoundHolds.Round)
 	}
 	return r
 }
 
-// sums checks the accounts that a gang has just got room of, at each moment at which anything begins to be held.
-func (w *world) sums(m *Machine, gang string, round uint64) {
-	for _, mine := range m.Standing {
+// checkAccounts checks the accounts that a gang has just got room of, at each moment at which anything begins to be held.
+func (w *simulation) checkAccounts(m *Machine, gang string, round uint64) {
+	for _, mine := range m.RoundHolds {
 		for _, h := range mine.Holds {
-			for _, o := range m.Standing {
+			for _, o := range m.RoundHolds {
 				for _, at := range o.Holds {
 					if mine.Gang != gang || mine.Round != round || at.Resource != h.Resource || at.From < h.From || at.From >= h.Until {
 						continue
 					}
-					if n := m.Used(h.Resource, at.From); n > m.Resources[h.Resource].Slots {
+					if n := m.UsedSlots(h.Resource, at.From); n > m.Resources[h.Resource].Slots {
 						w.t.Errorf("%s: %d of %d slots", h.Resource, n, m.Resources[h.Resource].Slots)
 						w.t.FailNow()
 					}
@@ -155,14 +155,14 @@
 	}
 }
 
-func (w *world) post(after time.Duration, do func()) {
-	w.mail = append(w.mail, post{w.now + after, do})
+func (w *simulation) schedule(after time.Duration, do func()) {
+	w.events = append(w.events, event{w.now + after, do})
 }
 
 // send is a message from one daemon to another.
-func (w *world) send(from, to *daemon, do func()) {
-	if from == to || w.Float64() >= w.loss && !w.cut[[2]int{from.n, to.n}] {
-		w.post(time.Duration(1+w.IntN(8))*ms, func() {
+func (w *simulation) send(from, to *daemon, do func()) {
+	if from == to || w.Float64() >= w.loss && !w.cutLinks[[2]int{from.n, to.n}] {
+		w.schedule(time.Duration(1+w.IntN(8))*ms, func() {
 			if to.up {
 				do()
 			}
@@ -170,7 +170,7 @@
 	}
 }
 
-func (w *world) leader(group int) *daemon {
+func (w *simulation) leader(group int) *daemon {
 	for i := range w.daemons {
 		if d := w.daemons[(group+i)%len(w.daemons)]; d.up {
 			return d
@@ -179,49 +179,49 @@
 	return nil
 }
 
-func (w *world) act(d *daemon) {
+func (w *simulation) runActions(d *daemon) {
 	c := d.Coordinator
-	for _, a := range c.Did() {
+	for _, a := range c.TakeActions() {
 		switch a := a.(type) {
 		case Propose:
 			lost := w.Float64() < w.loss // the word, or the answer
-			w.post(time.Duration(1+w.IntN(6))*ms, func() {
+			w.schedule(time.Duration(1+w.IntN(6))*ms, func() {
 				if lost && w.IntN(2) == 0 {
-					w.post(200*ms, func() { c.Answered(d.time(w.now), a.Key, Result{}, false) })
+					w.schedule(200*ms, func() { c.HandleResult(d.time(w.now), a.Key, Result{}, false) })
 					return
 				}
-				r := w.doBy(d.time(w.now), a.Group, a.Command)
-				w.post(time.Duration(1+w.IntN(6))*ms, func() { c.Answered(d.time(w.now), a.Key, r, !lost) })
+				r := w.applyAt(d.time(w.now), a.Group, a.Command)
+				w.schedule(time.Duration(1+w.IntN(6))*ms, func() { c.HandleResult(d.time(w.now), a.Key, r, !lost) })
 			})
-		case Look:
-			v := View{Self: d.name, Lenders: w.lenders, Accounts: map[string]Resource{}}
+		case FetchView:
+			v := View{Self: d.name, PartnerAccounts: w.lenders, Accounts: map[string]Resource{}}
 			for _, m := range w.groups {
 				maps.Copy(v.Accounts, m.Resources)
-				text, _ := json.Marshal(m.Standing)
-				var s []Standing
+				text, _ := json.Marshal(m.RoundHolds)
+				var s []RoundHolds
 				json.Unmarshal(text, &s)
-				v.Standing = append(v.Standing, s...)
+				v.RoundHolds = append(v.RoundHolds, s...)
 			}
 			for _, o := range w.daemons {
 				if o.up {
 					v.Starters = append(v.Starters, Dispatcher{o.name, []string{"a", "b"}[o.n%2]})
 				}
 			}
-			w.post(3*ms, func() { c.Viewed(d.time(w.now), v) })
-		case Tell:
+			w.schedule(3*ms, func() { c.SetView(d.time(w.now), v) })
+		case Send:
 			to, sent := w.daemons[slices.IndexFunc(w.daemons, func(o *daemon) bool { return o.name == a.To })], d.time(w.now)
 			home := w.home(a.Gang)
 			w.send(d, to, func() {
-				said := to.Starter.Word(to.time(w.now), a.Word)
+				said := to.Starter.Handle(to.time(w.now), a.Message)
 				said.Clock = to.clock
-				w.begin(to)
-				w.send(to, d, func() { c.Said(d.time(w.now), sent, a.To, a.Word, said, home) })
+				w.runStarterActions(to)
+				w.send(to, d, func() { c.HandleReply(d.time(w.now), sent, a.To, a.Message, said, home) })
 			})
 		}
 	}
 }
 
-func (w *world) home(gang string) uint32 {
+func (w *simulation) home(gang string) uint32 {
 	for g, m := range w.groups {
 		if m.Gangs[gang] != nil {
 			return uint32(g)
@@ -230,70 +230,70 @@
 	return 0
 }
 
-// begin has encoders take what a dispatcher sends, and drop what it gives up.
-func (w *world) begin(d *daemon) {
+// runStarterActions has encoders take what a dispatcher sends, and drop what it gives up.
+func (w *simulation) runStarterActions(d *daemon) {
 	s := d.Starter
-	for _, a := range s.Did() {
-		var p run
-		if a.Do != Launch {
-			w.post(ms, func() {
+	for _, a := range s.TakeActions() {
+		var p jobRun
+		if a.Kind != Launch {
+			w.schedule(ms, func() {
 				if r := w.runs[a.Key]; r != nil {
 					r.until = min(r.until, w.now)
 				}
 			})
 			continue
 		}
-		part := s.parts[a.Key]
-		p = run{gang: part.gang, round: part.round, member: part.Member, encoder: a.Encoder, slots: a.Member.Slots}
-		i := slices.IndexFunc(w.enc, func(e Encoder) bool { return e.ID == a.Encoder })
-		w.post(2*ms, func() {
+		part := s.members[a.Key]
+		p = jobRun{gang: part.gang, round: part.round, member: part.Member, encoder: a.Encoder, slots: a.Member.Slots}
+		i := slices.IndexFunc(w.encoders, func(e Encoder) bool { return e.ID == a.Encoder })
+		w.schedule(2*ms, func() {
 			used := 0
 			for _, r := range w.runs {
 				if r.encoder == p.encoder && r.until > w.now {
 					used += r.slots
 				}
 			}
-			require.LessOrEqual(w.t, used, w.enc[i].Slots)
-			if w.enc[i].Out || used+p.slots > w.enc[i].Slots {
+			require.LessOrEqual(w.t, used, w.encoders[i].Slots)
+			if w.encoders[i].Excluded || used+p.slots > w.encoders[i].Slots {
 				w.stats["refused"]++
-				w.post(2*ms, func() { s.Over(d.time(w.now), a.Key, NeverRan, "refused") })
+				w.schedule(2*ms, func() { s.MemberEnded(d.time(w.now), a.Key, NeverRan, "refused") })
 				return
 			}
 			work := a.Member.Work
-			if w.late > 0 && w.IntN(3) == 0 {
-				work += time.Duration(w.Int64N(int64(w.late)))
+			if w.maxOverrun > 0 && w.IntN(3) == 0 {
+				work += time.Duration(w.Int64N(int64(w.maxOverrun)))
 			}
 			p.at, p.until = w.now, w.now+work
 			w.runs[a.Key] = &p
 			w.sent[fmt.Sprint(p.gang, "/", p.member)]++
-			w.post(2*ms, func() { s.Began(d.time(w.now), a.Key) })
-			w.post(work+2*ms, func() { s.Over(d.time(w.now), a.Key, Done, "") })
+			w.schedule(2*ms, func() { s.MemberStarted(d.time(w.now), a.Key) })
+			w.schedule(work+2*ms, func() { s.MemberEnded(d.time(w.now), a.Key, Done, "") })
 		})
 	}
 }
 
-func (w *world) run(long time.Duration) {
+func (w *simulation) run(long time.Duration) {
 	for end := w.now + long; w.now < end; w.now += 5 * ms {
-		due := w.mail
-		w.mail = nil
-		slices.SortStableFunc(due, func(a, b post) int { return int(a.at - b.at) })
+		due := w.events
+		w.events = nil
+		slices.SortStableFunc(due, func(a, b event) int { return int(a.at - b.at) })
 		for _, p := range due {
 			if p.at <= w.now {
 				p.do()
 			} else {
-				w.mail = append(w.mail, p)
+				w.events = append(w.events, p)
 			}
 		}
 		for g, m := range w.groups {
 			if d := w.leader(g); d != nil {
-				d.Coordinator.Step(d.time(w.now), uint32(g), m, w.enc)
-				w.act(d)
+				d.Coordinator.Step(d.time(w.now), uint32(g), m, w.encoders)
+				w.runActions(d)
 			}
 		}
 		for _, d := range w.daemons {
 			if d.up {
 				d.Starter.Tick(d.time(w.now))
-				w.begin(d)
+				w.runStarterActions(d)
 			}
 		}
 		w.check()
@@ -301,10 +301,10 @@
 }
 
 // lent is the slots of partners' encoders that are in use.
-func (w *world) lent() (n int) {
+func (w *simulation) lent() (n int) {
 	for _, r := range w.runs {
-		i := slices.IndexFunc(w.enc, func(e Encoder) bool { return e.ID == r.encoder })
-		if w.enc[i].Partner != "" && r.at <= w.now && r.until > w.now {
+		i := slices.IndexFunc(w.encoders, func(e Encoder) bool { return e.ID == r.encoder })
+		if w.encoders[i].Partner != "" && r.at <= w.now && r.until > w.now {
 			n += r.slots
 		}
 	}
@@ -313,12 +313,12 @@
 
 // check looks for starts by halves: half a second and what clocks may be off after the first member's start, all run, or
 // have been done, or none does.
-func (w *world) check() {
-	if n := w.lent(); w.cap > 0 && n > w.cap {
-		w.t.Errorf("%d slots are used, and %d are lent", n, w.cap)
+func (w *simulation) check() {
+	if n := w.lent(); w.lentCap > 0 && n > w.lentCap {
+		w.t.Errorf("%d slots are used, and %d are lent", n, w.lentCap)
 		w.t.FailNow()
 	}
-	first := map[string]*run{}
+	first := map[string]*jobRun{}
 	for _, r := range w.runs {
 		id := fmt.Sprint(r.gang, "/", r.round)
 		if f := first[id]; f == nil || r.at < f.at {
@@ -338,7 +338,7 @@
 		}
 		switch all := len(w.specs[f.gang].Members); {
 		case n == all:
-			w.skew = max(w.skew, last-f.at)
+			w.worstSkew = max(w.worstSkew, last-f.at)
 			if last-f.at > w.specs[f.gang].Skew {
 				w.t.Errorf("%s: members start %v apart", f.gang, last-f.at)
 			}
@@ -359,14 +359,14 @@
 	}
 }
 
-func (w *world) submit(id string, window time.Duration, members ...Member) {
+func (w *simulation) submit(id string, window time.Duration, members ...Member) {
 	s := Spec{ID: id, Members: members, NotBefore: w.now, LatestStart: w.now + window}
-	r := w.do(uint32(len(id)+int(id[len(id)-1]))%uint32(len(w.groups)), Command{Op: "submit", Spec: &s})
+	r := w.apply(uint32(len(id)+int(id[len(id)-1]))%uint32(len(w.groups)), Command{Op: "submit", Spec: &s})
 	require.True(w.t, r.OK, r.Err)
 	w.specs[id] = r.Entry.Spec
 }
 
-func (w *world) entries() (all []*Entry) {
+func (w *simulation) entries() (all []*Entry) {
 	for _, m := range w.groups {
 		for _, e := range m.Gangs {
 			all = append(all, e)
@@ -375,9 +375,9 @@
 	return all
 }
 
-func (w *world) open() (n int) {
+func (w *simulation) open() (n int) {
 	for _, e := range w.entries() {
-		if e.State != Ended || len(e.Due) > 0 {
+		if e.State != Ended || len(e.Unconfirmed) > 0 {
 			n++
 		}
 	}
@@ -386,10 +386,10 @@
 
 // Whatever is lost, cut, killed, drained or lent less: no account is passed, no gang runs by halves beyond half a second,
 // members that must not run twice do not, and every gang ends, with nothing left held.
-func TestTogetherOrNotAtAll(t *testing.T) {
+func TestAllMembersStartTogetherOrNone(t *testing.T) {
 	total, worst := map[string]int{}, time.Duration(0)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.Uint64().Draw(t, "seed"), 3, 4, 6)
+		w := newSimulation(t, rapid.Uint64().Draw(t, "seed"), 3, 4, 6)
 		w.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
 		trouble := rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(t, "trouble")
 		gen := uint64(1)
@@ -412,29 +412,29 @@
 							w.killed[e.Spec.ID] = true
 						}
 					}
-					w.boot(d)
+					w.startProcess(d)
 				case 1, 2:
-					w.cut[[2]int{d.n, w.IntN(4)}] = true
+					w.cutLinks[[2]int{d.n, w.IntN(4)}] = true
 				case 3:
-					w.cut = map[[2]int]bool{}
+					w.cutLinks = map[[2]int]bool{}
 				case 4:
-					x := &w.enc[w.IntN(len(w.enc))]
-					if x.Out = !x.Out; w.IntN(3) == 0 {
+					x := &w.encoders[w.IntN(len(w.encoders))]
+					if x.Excluded = !x.Excluded; w.IntN(3) == 0 {
 						gen++
 						w.lend(3+w.IntN(4), gen)
 					}
 				}
 			}
 		}
-		w.loss, w.cut = 0, map[[2]int]bool{}
+		w.loss, w.cutLinks = 0, map[[2]int]bool{}
 		for range 60 {
 			if w.run(500 * ms); w.open() == 0 {
 				break
 			}
 		}
 		for _, e := range w.entries() {
-			if e.State != Ended || len(e.Due) > 0 {
-				t.Fatalf("%s: %s, due %v: %s", e.Spec.ID, e.State, e.Due, e.Why)
+			if e.State != Ended || len(e.Unconfirmed) > 0 {
+				t.Fatalf("%s: %s, due %v: %s", e.Spec.ID, e.State, e.Unconfirmed, e.Reason)
 			}
 			total[e.Verdict]++
 			total["moves"] += e.Moves
@@ -446,13 +446,13 @@
 			}
 		}
 		for g, m := range w.groups {
-			m.past(w.now)
-			require.Empty(t, m.Standing, g)
+			m.expire(w.now)
+			require.Empty(t, m.RoundHolds, g)
 		}
 		for k, n := range w.stats {
 			total[k] += n
 		}
-		worst = max(worst, w.skew)
+		worst = max(worst, w.worstSkew)
 	})
 	t.Log(total, "worst skew", worst)
 	for _, what := range []string{Completed, NotStarted, "moves", "refused"} {
@@ -462,13 +462,13 @@
 
 // A committed hold whose members are late goes on until its gang has ended; one that was never committed ends with its
 // time; and what a partner lends is bounded by slot-hours of each day, over midnight too.
-func TestHoldsOfWhatIsLate(t *testing.T) {
+func TestHoldsOfLateMembers(t *testing.T) {
 	m := New()
-	midnight := day(unix) + 24*time.Hour
+	midnight := startOfDay(epoch) + 24*time.Hour
 	at := midnight - time.Hour
-	m.apply(at, Command{Op: "set", Resource: &Resource{ID: "p/tuk", Slots: 4, Hours: 3, Gen: 1}})
+	m.apply(at, Command{Op: "set", Resource: &Resource{ID: "p/tuk", Slots: 4, SlotHours: 3, Gen: 1}})
 	prepare := func(at time.Duration, gang string, slots int, from, until time.Duration) Result {
-		return m.apply(at, Command{Op: "prepare", Standing: &Standing{Gang: gang, Round: 1, Holds: []Hold{{"p/tuk", 0, 1, slots, from, until}}}})
+		return m.apply(at, Command{Op: "prepare", RoundHolds: &RoundHolds{Gang: gang, Round: 1, Holds: []Hold{{"p/tuk", 0, 1, slots, from, until}}}})
 	}
 	require.True(t, prepare(at, "a", 2, midnight-30*time.Minute, midnight+time.Hour).OK, "one slot-hour, then two")
 	require.True(t, prepare(at, "b", 2, midnight+90*time.Minute, midnight+2*time.Hour).OK, "and one more")
@@ -477,18 +477,18 @@
 	m.apply(at, Command{Op: "commit", Gang: "a", Round: 1})
 	late := midnight + 100*time.Minute // a's members still run
 	require.True(t, prepare(late, "d", 3, late+time.Millisecond, late+time.Minute).Full)
-	require.Equal(t, 4, m.Used("p/tuk", late+time.Millisecond), "a and b")
+	require.Equal(t, 4, m.UsedSlots("p/tuk", late+time.Millisecond), "a and b")
 	m.apply(midnight+3*time.Hour, Command{Op: "end", Gang: "a", Round: 1})
-	require.Equal(t, 0, m.Used("p/tuk", midnight+3*time.Hour))
+	require.Equal(t, 0, m.UsedSlots("p/tuk", midnight+3*time.Hour))
 }
 
 // Members run longer than they said by up to a second, with clocks 400 ms apart: nothing starts on room that is not free
 // yet, so what a partner lends is not passed by what runs either, and all gangs start.
-func TestLateMembersPassNoCap(t *testing.T) {
+func TestLateMembersStayWithinPartnerLimit(t *testing.T) {
 	waits := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.Uint64().Draw(t, "seed"), 3, 4, 6)
-		w.late, w.cap = time.Second, 6
+		w := newSimulation(t, rapid.Uint64().Draw(t, "seed"), 3, 4, 6)
+		w.maxOverrun, w.lentCap = time.Second, 6
 		for i := range 9 {
 			var members []Member
 			for j := range 2 + w.IntN(2) {
@@ -502,7 +502,7 @@
 			}
 		}
 		for _, e := range w.entries() {
-			require.Equal(t, Completed, e.Verdict, "%s: %s", e.Spec.ID, e.Why)
+			require.Equal(t, Completed, e.Verdict, "%s: %s", e.Spec.ID, e.Reason)
 			waits += e.Plans
 		}
 	})
@@ -511,20 +511,20 @@
 
 // Guards against a gang never starting because two of its members, alike in work, have one hold at an encoder that has room
 // for both.
-func TestMembersAtOneEncoder(t *testing.T) {
-	w := newWorld(t, 3, 1, 4, 2)
+func TestEqualMembersAtOneEncoder(t *testing.T) {
+	w := newSimulation(t, 3, 1, 4, 2)
 	one := Member{Slots: 1, Work: 500 * ms, Class: "live"}
 	w.submit("g0", 10*time.Second, one, one, one)
 	w.run(12 * time.Second)
 	e := w.groups[0].Gangs["g0"]
-	require.Equal(t, Completed, e.Verdict, "%s, %d plans: %s", e.State, e.Plans, e.Why)
+	require.Equal(t, Completed, e.Verdict, "%s, %d plans: %s", e.State, e.Plans, e.Reason)
 	require.Equal(t, []string{"s-0", "s-0", "s-0"}, e.Plan.Encoders)
 }
 
 // Guards against members being cut short, and their gang being dead after its start, because the dispatcher that sent one
 // began anew while that ran: the process after it had the encoder drop what it did not know.
-func TestGangOutlivesADispatcherOfItsMembers(t *testing.T) {
-	w := newWorld(t, 3, 1, 4, 2)
+func TestGangSurvivesDispatcherRestart(t *testing.T) {
+	w := newSimulation(t, 3, 1, 4, 2)
 	one := Member{Slots: 1, Work: 4 * time.Second, Class: "live"}
 	w.submit("g0", 10*time.Second, one, one)
 	e := w.groups[0].Gangs["g0"]
@@ -536,11 +536,11 @@
 	require.Equal(t, Running, e.State)
 	w.run(500 * ms)
 	d := w.daemons[slices.IndexFunc(w.daemons, func(d *daemon) bool { return d.name == e.Plan.Starters[0] })]
-	w.boot(d)
+	w.startProcess(d)
 	w.run(4 * time.Second)
 	for i, name := range e.Plan.Starters { // their encoder tells whoever has that address now
 		if name == d.name {
-			d.Over(d.time(w.now), Key("g0", e.Plan.Round, i), Done, "")
+			d.MemberEnded(d.time(w.now), Key("g0", e.Plan.Round, i), Done, "")
 		}
 	}
 	w.run(time.Second)
--- a/internal/gang/home.go
+++ b/internal/gang/home.go
@@ -16,27 +16,27 @@
 	Waiting   State = "waiting"   // for a plan
 	Preparing State = "preparing" // holds are asked for; with an Old plan, in which one stands, a move
 	Held      State = "held"      // all holds stand
-	Going     State = "going"     // the start is committed
-	Off       State = "off"       // the start has failed: members are called off
+	Starting     State = "going"     // the start is committed
+	StartFailed       State = "off"       // the start has failed: members are called off
 	Running   State = "running"   // all have started
 	Ended     State = "ended"
 )
 
-// Fate is what is known of a member.
-type Fate string
+// MemberStatus is what is known of a member.
+type MemberStatus string
 
 // The fates. All but "" and Began are a member's last in a round.
 const (
-	Unknown  Fate = ""
-	Began    Fate = "began"
-	NeverRan Fate = "never_ran" // refused, or not sent
-	MayRun   Fate = "may_have_run"
-	Done     Fate = "done"
-	Died     Fate = "died"
+	Unknown  MemberStatus = ""
+	Began    MemberStatus = "began"
+	NeverRan MemberStatus = "never_ran" // refused, or not sent
+	MayHaveRun   MemberStatus = "may_have_run"
+	Done     MemberStatus = "done"
+	Died     MemberStatus = "died"
 )
 
-// Due is word that a group has not confirmed.
-type Due struct {
+// Notice is word that a group has not confirmed.
+type Notice struct {
 	Group uint32 `json:"group"`
 	Round uint64 `json:"round"`
 	Op    string `json:"op"` // commit, undo, end or lapse
@@ -45,23 +45,23 @@
 // Entry is a gang at its home.
 type Entry struct {
 	Spec    Spec          `json:"spec"`
-	Age     time.Duration `json:"age"` // when it was submitted; whoever is older goes first
+	SubmittedAt     time.Duration `json:"age"` // when it was submitted; whoever is older goes first
 	State   State         `json:"state"`
 	Round   uint64        `json:"round"` // of planning, the last one
 	Plan    *Plan         `json:"plan,omitempty"`
-	Old     *Plan         `json:"old,omitempty"`
+	Previous     *Plan         `json:"old,omitempty"`
 	Votes   []uint32      `json:"votes,omitempty"`
-	Fates   []Fate        `json:"fates,omitempty"`
-	Due     []Due         `json:"due,omitempty"`
+	MemberStatuses   []MemberStatus        `json:"fates,omitempty"`
+	Unconfirmed     []Notice         `json:"due,omitempty"`
 	Retry   time.Duration `json:"retry,omitempty"` // not to be planned before
-	Why     string        `json:"why,omitempty"`   // of the last turn for the worse
+	Reason     string        `json:"why,omitempty"`   // of the last turn for the worse
 	Verdict string        `json:"verdict,omitempty"`
-	MayRun  []int         `json:"may_have_run,omitempty"` // members of a gang that did not start
+	MayHaveRun  []int         `json:"may_have_run,omitempty"` // members of a gang that did not start
 	Dead    []int         `json:"dead,omitempty"`         // members that died after the start was committed
-	Decided time.Duration `json:"decided,omitempty"`      // when its holds first stood
+	HeldAt time.Duration `json:"decided,omitempty"`      // when its holds first stood
 	Moves   int           `json:"moves,omitempty"`
 	Plans   int           `json:"plans,omitempty"` // begun
-	Over    time.Duration `json:"over,omitempty"`
+	EndedAt    time.Duration `json:"over,omitempty"`
 }
 
 // The verdicts.
@@ -81,85 +81,85 @@
 	if e := m.Gangs[spec.ID]; e != nil { // it is asked again
 		return Result{OK: true, Entry: e}
 	}
-	spec, err := spec.Check(at)
+	spec, err := spec.Validate(at)
 	if err != nil {
 		return Result{Err: err.Error()}
 	}
-	if len(m.Gangs) >= mostGangs {
-		maps.DeleteFunc(m.Gangs, func(_ string, e *Entry) bool { return e.State == Ended && len(e.Due) == 0 && e.Over < at-keepOver })
-		if len(m.Gangs) >= mostGangs {
+	if len(m.Gangs) >= maxGangs {
+		maps.DeleteFunc(m.Gangs, func(_ string, e *Entry) bool { return e.State == Ended && len(e.Unconfirmed) == 0 && e.EndedAt < at-endedRetention })
+		if len(m.Gangs) >= maxGangs {
 			return Result{Full: true, Err: "too many gangs"}
 		}
 	}
-	e := &Entry{Spec: spec, Age: at, State: Waiting}
+	e := &Entry{Spec: spec, SubmittedAt: at, State: Waiting}
 	m.Gangs[spec.ID] = e
 	return Result{OK: true, Entry: e}
 }
 
-// step has a gang take a command; a command for another round, or out of its time, changes nothing.
-func (m *home) step(at time.Duration, c Command) Result {
+// applyToGang has a gang take a command; a command for another round, or out of its time, changes nothing.
+func (m *home) applyToGang(at time.Duration, c Command) Result {
 	e := m.Gangs[c.Gang]
 	if e == nil {
-		return Result{Err: "no such gang", Gone: true}
+		return Result{Err: "no such gang", NotFound: true}
 	}
-	said := e.take(at, c)
+	said := e.apply(at, c)
 	if said != "" {
 		return Result{Err: said, Entry: e}
 	}
 	return Result{OK: true, Entry: e}
 }
 
-func (e *Entry) take(at time.Duration, c Command) string {
+func (e *Entry) apply(at time.Duration, c Command) string {
 	now := e.Plan != nil && e.Plan.Round == c.Round
 	when := cmp.Or(c.At, at) // the log's time may be any dispatcher's, a start's is one's alone
 	switch c.Op {
 	case "plan":
-		return e.planned(when, c.Plan)
+		return e.setPlan(when, c.Plan)
 	case "vote":
 		if e.State != Preparing || !now {
 			return "another round"
 		}
-		return e.vote(at, when, c.Group)
+		return e.addVote(at, when, c.Group)
 	case "abort":
 		if e.State != Preparing || !now {
 			return "another round"
 		}
-		e.abort(at, c.Why)
+		e.abortRound(at, c.Reason)
 	case "wound": // an older gang wants what this one has not got yet
 		if e.State != Preparing || !now {
 			return "too late"
-		} else if !older(c.Age, c.By, e.Age, e.Spec.ID) {
+		} else if !older(c.SubmittedAt, c.By, e.SubmittedAt, e.Spec.ID) {
 			return "it is not older"
 		}
-		e.abort(at, "gave way to "+c.By)
+		e.abortRound(at, "gave way to "+c.By)
 	case "drop":
 		if e.State != Held || !now {
 			return "too late"
 		}
-		e.release(at, c.Why)
+		e.releaseHolds(at, c.Reason)
 	case "go":
 		switch {
 		case e.State != Held || !now:
 			return "too late"
-		case when > e.Plan.Start-GoBy:
-			e.release(at, "the word to go came too late")
+		case when > e.Plan.Start-GoMargin:
+			e.releaseHolds(at, "the word to go came too late")
 			return "too late"
 		case len(c.Armed) != len(e.Spec.Members):
 			return "not all are armed"
 		}
-		e.State, e.Fates = Going, make([]Fate, len(e.Spec.Members))
+		e.State, e.MemberStatuses = Starting, make([]MemberStatus, len(e.Spec.Members))
 	case "report":
-		if !now || c.Member < 0 || c.Member >= len(e.Fates) {
+		if !now || c.Member < 0 || c.Member >= len(e.MemberStatuses) {
 			return "another round"
 		}
-		return e.report(at, when, c.Member, c.Fate, c.Why)
+		return e.report(at, when, c.Member, c.MemberStatus, c.Reason)
 	case "off":
-		if e.State != Going || !now || when <= e.Plan.Start+Within {
+		if e.State != Starting || !now || when <= e.Plan.Start+StartTimeout {
 			return "not yet, or too late"
 		}
-		e.off("not all had started in time")
+		e.failStart("not all had started in time")
 	case "settle":
-		if e.State != Off || !now || when < e.Plan.Start+SettleAt {
+		if e.State != StartFailed || !now || when < e.Plan.Start+SettleDelay {
 			return "not yet"
 		}
 		e.settle(at)
@@ -167,15 +167,15 @@
 		return e.cancel(at)
 	case "ask":
 	case "told":
-		e.Due = slices.DeleteFunc(e.Due, func(d Due) bool { return d == *c.Told })
+		e.Unconfirmed = slices.DeleteFunc(e.Unconfirmed, func(d Notice) bool { return d == *c.Confirmed })
 	case "refuse":
 		if e.State != Waiting || at <= e.Spec.LatestStart-Lead {
 			return "its window is open"
 		}
-		e.end(at, NotStarted, cmp.Or(e.Why, "no room in its window"))
+		e.end(at, NotStarted, cmp.Or(e.Reason, "no room in its window"))
 	case "wait":
 		if e.State == Waiting {
-			e.Retry, e.Why = at+min(c.For, time.Second), c.Why
+			e.Retry, e.Reason = at+min(c.RetryAfter, time.Second), c.Reason
 		}
 	default:
 		return "unknown: " + c.Op
@@ -187,33 +187,33 @@
 	return age < than || age == than && id < other
 }
 
-func (e *Entry) planned(at time.Duration, p *Plan) string {
+func (e *Entry) setPlan(at time.Duration, p *Plan) string {
 	n := len(e.Spec.Members)
 	switch move := e.State == Held; {
 	case p == nil || p.Round != e.Round+1 || e.State != Waiting && !move:
 		return "another round"
-	case len(p.Encoders) != n || len(p.Starters) != n || len(p.Holds) > 2*n || !p.holds(e.Spec.Members):
+	case len(p.Encoders) != n || len(p.Starters) != n || len(p.Holds) > 2*n || !p.coversMembers(e.Spec.Members):
 		return "not a plan"
 	case move && (p.Start > e.Plan.Start || p.Clock != e.Plan.Clock):
 		return "a move keeps the start, or comes sooner"
-	case p.Start < e.Spec.NotBefore || p.Start > e.Spec.LatestStart || at > p.Start-voteBy:
+	case p.Start < e.Spec.NotBefore || p.Start > e.Spec.LatestStart || at > p.Start-voteMargin:
 		return "out of its window"
 	case move:
-		e.Old = e.Plan
+		e.Previous = e.Plan
 	}
-	e.State, e.Round, e.Plan, e.Votes, e.Fates = Preparing, p.Round, p, nil, nil
+	e.State, e.Round, e.Plan, e.Votes, e.MemberStatuses = Preparing, p.Round, p, nil, nil
 	e.Plans++
 	return ""
 }
 
-// vote takes a group's yes. The last one decides, here and at no other place, that the holds stand.
-func (e *Entry) vote(at, when time.Duration, group uint32) string {
+// addVote takes a group's yes. The last one decides, here and at no other place, that the holds stand.
+func (e *Entry) addVote(at, when time.Duration, group uint32) string {
 	all := e.Plan.groups()
 	if _, asked := search(all, group); !asked {
 		return "it was not asked"
 	}
-	if when > e.Plan.Start-voteBy {
-		e.abort(at, "its holds came too late")
+	if when > e.Plan.Start-voteMargin {
+		e.abortRound(at, "its holds came too late")
 		return "too late"
 	}
 	if i, have := search(e.Votes, group); !have {
@@ -222,66 +222,66 @@
 	if len(e.Votes) < len(all) {
 		return ""
 	}
-	e.State, e.Decided = Held, cmp.Or(e.Decided, at)
+	e.State, e.HeldAt = Held, cmp.Or(e.HeldAt, at)
 	for _, g := range all {
-		e.due(g, e.Plan.Round, "commit")
+		e.addNotice(g, e.Plan.Round, "commit")
 	}
-	for _, g := range e.Old.groups() {
+	for _, g := range e.Previous.groups() {
 		if _, again := search(all, g); !again {
-			e.due(g, e.Old.Round, "end")
+			e.addNotice(g, e.Previous.Round, "end")
 		}
 	}
-	if e.Old != nil && e.Old.Start == e.Plan.Start {
+	if e.Previous != nil && e.Previous.Start == e.Plan.Start {
 		e.Moves++
 	}
-	e.Old = nil
+	e.Previous = nil
 	return ""
 }
 
-// due has a group be told; word that it overtakes need not be.
-func (e *Entry) due(group uint32, round uint64, op string) {
-	e.Due = slices.DeleteFunc(e.Due, func(d Due) bool {
+// addNotice has a group be told; word that it overtakes need not be.
+func (e *Entry) addNotice(group uint32, round uint64, op string) {
+	e.Unconfirmed = slices.DeleteFunc(e.Unconfirmed, func(d Notice) bool {
 		return d.Group == group && d.Op != "lapse" && (op != "commit" && op != "undo" && d.Round <= round || d.Round == round)
 	})
-	e.Due = append(e.Due, Due{group, round, op})
+	e.Unconfirmed = append(e.Unconfirmed, Notice{group, round, op})
 }
 
-// backoff is for how long a gang waits after a round in vain.
-func (e *Entry) backoff(at time.Duration) time.Duration {
+// retryTime is for how long a gang waits after a round in vain.
+func (e *Entry) retryTime(at time.Duration) time.Duration {
 	return at + min(20*time.Millisecond<<min(e.Plans, 5), 500*time.Millisecond)
 }
 
-// abort gives a round up whose holds never stood.
-func (e *Entry) abort(at time.Duration, why string) {
+// abortRound gives a round up whose holds never stood.
+func (e *Entry) abortRound(at time.Duration, why string) {
 	for _, g := range e.Plan.groups() {
-		e.due(g, e.Plan.Round, "undo")
+		e.addNotice(g, e.Plan.Round, "undo")
 	}
-	e.Why, e.Retry = why, e.backoff(at)
-	if e.Plan, e.Old, e.Votes = e.Old, nil, nil; e.Plan != nil {
+	e.Reason, e.Retry = why, e.retryTime(at)
+	if e.Plan, e.Previous, e.Votes = e.Previous, nil, nil; e.Plan != nil {
 		e.State = Held
 		return
 	}
 	e.State = Waiting
 }
 
-// over is how holds are given up: at once where it is known of all members that they do not run, or have been called off.
-func (e *Entry) over() string {
-	if slices.ContainsFunc(e.Fates, func(f Fate) bool { return f == Unknown || f == Began || f == Died }) {
+// releaseOp is how holds are given up: at once where it is known of all members that they do not run, or have been called off.
+func (e *Entry) releaseOp() string {
+	if slices.ContainsFunc(e.MemberStatuses, func(f MemberStatus) bool { return f == Unknown || f == Began || f == Died }) {
 		return "lapse"
 	}
 	return "end"
 }
 
-// release gives up holds that stood; nothing runs, as far as it is known.
-func (e *Entry) release(at time.Duration, why string) {
+// releaseHolds gives up holds that stood; nothing runs, as far as it is known.
+func (e *Entry) releaseHolds(at time.Duration, why string) {
 	for _, g := range e.Plan.groups() {
-		e.due(g, e.Plan.Round, e.over())
+		e.addNotice(g, e.Plan.Round, e.releaseOp())
 	}
-	e.State, e.Plan, e.Votes, e.Why, e.Retry = Waiting, nil, nil, why, at
+	e.State, e.Plan, e.Votes, e.Reason, e.Retry = Waiting, nil, nil, why, at
 }
 
-func (e *Entry) report(at, when time.Duration, member int, f Fate, why string) string {
-	had := e.Fates[member]
+func (e *Entry) report(at, when time.Duration, member int, f MemberStatus, why string) string {
+	had := e.MemberStatuses[member]
 	if had == f {
 		return ""
 	}
@@ -289,73 +289,73 @@
 		return "it has ended"
 	}
 	switch e.State {
-	case Going:
+	case Starting:
 		switch f {
 		case Began, Done: // a short one may be done before the last has begun
-			if when > e.Plan.Start+Within {
-				e.off("not all had started in time")
+			if when > e.Plan.Start+StartTimeout {
+				e.failStart("not all had started in time")
 				return "too late"
 			}
-			e.Fates[member] = f
-			if !slices.Contains(e.Fates, Unknown) {
+			e.MemberStatuses[member] = f
+			if !slices.Contains(e.MemberStatuses, Unknown) {
 				e.State = Running
-				e.finish(at)
+				e.endIfAllEnded(at)
 			}
-		case NeverRan, MayRun, Died:
-			if e.Fates[member] = f; f == Died {
-				e.Fates[member] = MayRun
+		case NeverRan, MayHaveRun, Died:
+			if e.MemberStatuses[member] = f; f == Died {
+				e.MemberStatuses[member] = MayHaveRun
 			}
-			e.off(fmt.Sprintf("member %d at %s did not start: %s", member, e.Plan.Encoders[member], why[:min(len(why), mostName)]))
+			e.failStart(fmt.Sprintf("member %d at %s did not start: %s", member, e.Plan.Encoders[member], why[:min(len(why), maxNameLen)]))
 		}
-	case Off:
+	case StartFailed:
 		if f == Died {
-			f = MayRun
+			f = MayHaveRun
 		}
-		e.Fates[member] = f
-		if !slices.ContainsFunc(e.Fates, func(f Fate) bool { return f == Unknown || f == Began }) && when >= e.Plan.Start {
+		e.MemberStatuses[member] = f
+		if !slices.ContainsFunc(e.MemberStatuses, func(f MemberStatus) bool { return f == Unknown || f == Began }) && when >= e.Plan.Start {
 			e.settle(at)
 		}
 	case Running:
 		switch f {
-		case Died, MayRun, NeverRan:
-			e.Fates[member] = Died
+		case Died, MayHaveRun, NeverRan:
+			e.MemberStatuses[member] = Died
 			e.Dead = append(e.Dead, member)
 		case Done:
-			e.Fates[member] = Done
+			e.MemberStatuses[member] = Done
 		}
-		e.finish(at)
+		e.endIfAllEnded(at)
 	default:
 		return "too late"
 	}
 	return ""
 }
 
-func (e *Entry) off(why string) { e.State, e.Why = Off, why }
+func (e *Entry) failStart(why string) { e.State, e.Reason = StartFailed, why }
 
 // settle ends a start that has failed: the gang is planned anew unless a member may have run that must not run twice.
 func (e *Entry) settle(at time.Duration) {
-	for i, f := range e.Fates {
+	for i, f := range e.MemberStatuses {
 		if f != NeverRan {
-			e.MayRun = append(e.MayRun, i)
+			e.MayHaveRun = append(e.MayHaveRun, i)
 		}
 	}
-	for _, i := range e.MayRun {
+	for _, i := range e.MayHaveRun {
 		if e.Spec.Members[i].Once {
-			e.end(at, NotStarted, e.Why)
+			e.end(at, NotStarted, e.Reason)
 			return
 		}
 	}
-	e.MayRun = nil
-	e.release(at, e.Why)
-	e.Fates = nil
+	e.MayHaveRun = nil
+	e.releaseHolds(at, e.Reason)
+	e.MemberStatuses = nil
 	if e.Verdict == Cancelled {
 		e.end(at, Cancelled, "")
 	}
 }
 
-// finish ends a gang whose members all have, or which ends with the first death.
-func (e *Entry) finish(at time.Duration) {
-	open := slices.ContainsFunc(e.Fates, func(f Fate) bool { return f == Began })
+// endIfAllEnded ends a gang whose members all have, or which ends with the first death.
+func (e *Entry) endIfAllEnded(at time.Duration) {
+	open := slices.ContainsFunc(e.MemberStatuses, func(f MemberStatus) bool { return f == Began })
 	if open {
 		return
 	}
@@ -366,20 +366,20 @@
 	e.end(at, cmp.Or(e.Verdict, verdict), "")
 }
 
-// Stops tells whether what runs is to be called off.
-func (e *Entry) Stops() bool {
-	return e.State == Running && (e.Verdict == Cancelled || len(e.Dead) > 0 && e.Spec.After == StopAll)
+// ShouldStop tells whether what runs is to be called off.
+func (e *Entry) ShouldStop() bool {
+	return e.State == Running && (e.Verdict == Cancelled || len(e.Dead) > 0 && e.Spec.OnDeath == StopAll)
 }
 
 func (e *Entry) end(at time.Duration, verdict, why string) {
-	for _, p := range []*Plan{e.Old, e.Plan} {
+	for _, p := range []*Plan{e.Previous, e.Plan} {
 		for _, g := range p.groups() {
-			e.due(g, p.Round, e.over())
+			e.addNotice(g, p.Round, e.releaseOp())
 		}
 	}
-	e.State, e.Verdict, e.Over, e.Old, e.Votes = Ended, verdict, at, nil, nil
-	if e.Why = cmp.Or(why, e.Why); verdict == Completed {
-		e.Why = ""
+	e.State, e.Verdict, e.EndedAt, e.Previous, e.Votes = Ended, verdict, at, nil, nil
+	if e.Reason = cmp.Or(why, e.Reason); verdict == Completed {
+		e.Reason = ""
 	}
 	for i := range e.Spec.Members {
 		e.Spec.Members[i].Payload = nil // nobody needs it any more
@@ -389,19 +389,19 @@
 func (e *Entry) cancel(at time.Duration) string {
 	switch e.State {
 	case Preparing:
-		old := e.Old
-		if e.abort(at, "cancelled"); old != nil {
-			e.release(at, "cancelled")
+		old := e.Previous
+		if e.abortRound(at, "cancelled"); old != nil {
+			e.releaseHolds(at, "cancelled")
 		}
 		e.end(at, Cancelled, "")
 	case Waiting, Held:
 		e.end(at, Cancelled, "")
-	case Going:
+	case Starting:
 		e.Verdict = Cancelled
-		e.off("cancelled")
+		e.failStart("cancelled")
 	case Running:
 		e.Verdict = Cancelled
-	case Off:
+	case StartFailed:
 		e.Verdict = Cancelled
 	}
 	return ""
--- a/internal/gang/machine.go
+++ b/internal/gang/machine.go
@@ -22,17 +22,17 @@
 	Group    uint32        `json:"group,omitempty"`
 	Spec     *Spec         `json:"spec,omitempty"`
 	Plan     *Plan         `json:"plan,omitempty"`
-	Standing *Standing     `json:"standing,omitempty"`
+	RoundHolds *RoundHolds     `json:"standing,omitempty"`
 	Resource *Resource     `json:"resource,omitempty"`
-	Told     *Due          `json:"told,omitempty"`
+	Confirmed     *Notice          `json:"told,omitempty"`
 	Member   int           `json:"member,omitempty"`
-	Fate     Fate          `json:"fate,omitempty"`
+	MemberStatus     MemberStatus          `json:"fate,omitempty"`
 	Armed    []string      `json:"armed,omitempty"` // dispatchers, by member
 	By       string        `json:"by,omitempty"`
-	Age      time.Duration `json:"age,omitempty"`
+	SubmittedAt      time.Duration `json:"age,omitempty"`
 	At       time.Duration `json:"at,omitempty"` // by the clock that the gang's plan goes by; 0: the log's time is taken
-	For      time.Duration `json:"for,omitempty"`
-	Why      string        `json:"why,omitempty"`
+	RetryAfter      time.Duration `json:"for,omitempty"`
+	Reason      string        `json:"why,omitempty"`
 }
 
 // Encode is the command as it is proposed.
@@ -47,7 +47,7 @@
 	Gang  string        `json:"gang"`
 	Round uint64        `json:"round"`
 	Home  uint32        `json:"home"`
-	Age   time.Duration `json:"age"`
+	SubmittedAt   time.Duration `json:"age"`
 }
 
 // Result is what became of a command.
@@ -56,12 +56,12 @@
 	Err       string     `json:"err,omitempty"`
 	Full      bool       `json:"full,omitempty"`
 	Stale     bool       `json:"stale,omitempty"`
-	Gone      bool       `json:"gone,omitempty"` // there is no such gang
+	NotFound      bool       `json:"gone,omitempty"` // there is no such gang
 	Gen       uint64     `json:"gen,omitempty"`
-	With      []Rival    `json:"with,omitempty"` // who is in the way and undecided
+	Rivals      []Rival    `json:"with,omitempty"` // who is in the way and undecided
 	Entry     *Entry     `json:"entry,omitempty"`
 	Resources []Resource `json:"resources,omitempty"`
-	Standing  []Standing `json:"standing,omitempty"`
+	RoundHolds  []RoundHolds `json:"standing,omitempty"`
 }
 
 // Decode reads a result.
@@ -73,13 +73,13 @@
 // Machine is a group's part of gangs: it is a replica's machine.
 type Machine struct {
 	home
-	keeper
+	accounts
 	At time.Duration
 }
 
 // New returns a group that has nothing.
 func New() *Machine {
-	return &Machine{home: home{map[string]*Entry{}}, keeper: keeper{map[string]Resource{}, nil, map[string]over{}}}
+	return &Machine{home: home{map[string]*Entry{}}, accounts: accounts{map[string]Resource{}, nil, map[string]endedRound{}}}
 }
 
 // Apply takes a command. What it does not know it refuses.
@@ -94,11 +94,11 @@
 	return out
 }
 
-// Do takes a command as it stands: it is Apply without the text.
-func (m *Machine) Do(at time.Duration, c Command) Result { return m.apply(at, c) }
+// ApplyCommand takes a command as it stands: it is Apply without the text.
+func (m *Machine) ApplyCommand(at time.Duration, c Command) Result { return m.apply(at, c) }
 
 func (m *Machine) apply(at time.Duration, c Command) Result {
-	m.past(at)
+	m.expire(at)
 	switch c.Op {
 	case "submit":
 		if c.Spec == nil {
@@ -111,101 +111,101 @@
 		}
 		return m.set(*c.Resource)
 	case "prepare":
-		if c.Standing == nil {
+		if c.RoundHolds == nil {
 			return Result{Err: "no holds"}
 		}
-		return m.prepare(at, *c.Standing)
+		return m.prepare(at, *c.RoundHolds)
 	case "ready":
 		return m.ready(c.Gang, c.Round)
 	case "commit":
 		return m.commit(at, c.Gang, c.Round)
 	case "undo":
-		return m.keeper.abort(at, c.Gang, c.Round)
+		return m.accounts.abort(at, c.Gang, c.Round)
 	case "end":
-		return m.keeper.end(at, c.Gang, c.Round)
+		return m.accounts.end(at, c.Gang, c.Round)
 	case "lapse":
-		return m.lapse(at, c.Gang, c.Round)
+		return m.keepUntilExpiry(at, c.Gang, c.Round)
 	case "look":
-		return m.Look()
+		return m.Query()
 	case "told":
-		if c.Told == nil {
+		if c.Confirmed == nil {
 			return Result{Err: "nothing"}
 		}
 	}
-	return m.step(at, c)
+	return m.applyToGang(at, c)
 }
 
 // state is what a snapshot holds.
 type state struct {
 	V      int           `json:"v"`
 	Home   home          `json:"home"`
-	Keeper keeper        `json:"keeper"`
+	Accounts accounts        `json:"keeper"`
 	At     time.Duration `json:"at"`
 }
 
 // Snapshot is all of it.
 func (m *Machine) Snapshot() ([]byte, error) {
-	return json.Marshal(state{version, m.home, m.keeper, m.At})
+	return json.Marshal(state{version, m.home, m.accounts, m.At})
 }
 
 // Restore takes a snapshot.
 func (m *Machine) Restore(text []byte) error {
-	s := state{Home: home{map[string]*Entry{}}, Keeper: keeper{map[string]Resource{}, nil, map[string]over{}}}
+	s := state{Home: home{map[string]*Entry{}}, Accounts: accounts{map[string]Resource{}, nil, map[string]endedRound{}}}
 	if err := json.Unmarshal(text, &s); err != nil {
 		return fmt.Errorf("gangs: %w", err)
 	}
 	if s.V != version {
 		return fmt.Errorf("gangs: a snapshot of version %d", s.V)
 	}
-	m.home, m.keeper, m.At = s.Home, s.Keeper, s.At
+	m.home, m.accounts, m.At = s.Home, s.Accounts, s.At
 	return nil
 }
 
-// Look is what a planner needs of the group.
-func (m *Machine) Look() Result {
-	r := Result{OK: true, Standing: slices.Clone(m.Standing)}
+// Query is what a planner needs of the group.
+func (m *Machine) Query() Result {
+	r := Result{OK: true, RoundHolds: slices.Clone(m.RoundHolds)}
 	for _, id := range slices.Sorted(maps.Keys(m.Resources)) {
 		r.Resources = append(r.Resources, m.Resources[id])
 	}
 	return r
 }
 
-// Open is the gangs that have not ended, or of which groups are still to be told, and what is held here, for a
+// OpenGangs is the gangs that have not ended, or of which groups are still to be told, and what is held here, for a
 // coordinator to go by while the machine goes on.
-func (m *Machine) Open() *Machine {
-	c := &Machine{home: home{map[string]*Entry{}}, keeper: keeper{nil, slices.Clone(m.Standing), nil}, At: m.At}
+func (m *Machine) OpenGangs() *Machine {
+	c := &Machine{home: home{map[string]*Entry{}}, accounts: accounts{nil, slices.Clone(m.RoundHolds), nil}, At: m.At}
 	for id, e := range m.Gangs {
-		if e.State == Ended && len(e.Due) == 0 {
+		if e.State == Ended && len(e.Unconfirmed) == 0 {
 			continue
 		}
 		o := *e
-		o.Votes, o.Fates, o.Due = slices.Clone(e.Votes), slices.Clone(e.Fates), slices.Clone(e.Due)
+		o.Votes, o.MemberStatuses, o.Unconfirmed = slices.Clone(e.Votes), slices.Clone(e.MemberStatuses), slices.Clone(e.Unconfirmed)
 		c.Gangs[id] = &o
 	}
 	return c
 }
 
-// Taken is room of an encoder that a gang has.
-type Taken struct {
+// Reservation is room of an encoder that a gang has.
+type Reservation struct {
 	Gang string `json:"gang"`
 	Hold
 }
 
-// Taken is what gangs have of encoders here until a moment, for dispatchers to leave alone; at most so much.
-func (m *Machine) Taken(until time.Duration, most int) (all []Taken) {
-	for _, s := range m.Standing {
+// Reservations is what gangs have of encoders here until a moment, for dispatchers to leave alone; at most so much.
+func (m *Machine) Reservations(until time.Duration, most int) (all []Reservation) {
+	for _, s := range m.RoundHolds {
 		for _, h := range s.Holds {
 			if h.From < until && len(all) < most && strings.HasPrefix(h.Resource, Encoder{}.Account()) {
-				all = append(all, Taken{s.Gang, h})
+				all = append(all, Reservation{s.Gang, h})
 			}
 		}
 	}
 	return all
 }
 
-// Used is the slots that are held of a resource at a moment; of a gang's rounds only one will count, the larger is taken.
-func (m *Machine) Used(resource string, at time.Duration) int {
-	return int(used(m.Standing, resource, func(h Hold) float64 {
+// UsedSlots is the slots that are held of a resource at a moment; of a gang's rounds only one will count, the larger is taken.
+func (m *Machine) UsedSlots(resource string, at time.Duration) int {
+	return int(sumUsed(m.RoundHolds, resource, func(h Hold) float64 {
 		if h.From <= at && at < h.Until {
 			return float64(h.Slots)
 		}
@@ -217,4 +217,4 @@
 func (m *Machine) Entries() map[string]*Entry { return m.Gangs }
 
 // Holding is what is held here, to be read only.
-func (m *Machine) Holding() []Standing { return m.Standing }
+func (m *Machine) Holding() []RoundHolds { return m.RoundHolds }
--- a/internal/gang/many_test.go
+++ b/internal/gang/many_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// longestWait is the stated bound: whoever is the oldest of all that are undecided has its holds by then, where there is
+// maxWait is the stated bound: whoever is the oldest of all that are undecided has its holds by then, where there is
 // room in its window and nobody fails. It is a pause after a round in vain, one round, and the word of both.
-const longestWait = 500*ms + prepareFor + 200*ms
+const maxWait = 500*ms + prepareTimeout + 200*ms
 
 // Forty gangs that all want slots of both sites are asked for at once, and as many one after the other while those run:
 // each is done, and none waits beyond the bound from when it is the oldest.
-func TestOldestIsDecidedInTime(t *testing.T) {
-	w := newWorld(t, 1, 3, 4, 6)
+func TestOldestGangIsHeldWithinBound(t *testing.T) {
+	w := newSimulation(t, 1, 3, 4, 6)
 	asked := 0
 	ask := func() {
 		members := []Member{{Site: "a"}, {Site: "b"}, {}}[:2+asked%2]
@@ -35,43 +35,43 @@
 		if w.run(25 * ms); n%10 == 0 && asked < 60 {
 			ask()
 		}
-		all := slices.DeleteFunc(w.entries(), func(e *Entry) bool { return e.Decided > 0 || e.State == Ended })
+		all := slices.DeleteFunc(w.entries(), func(e *Entry) bool { return e.HeldAt > 0 || e.State == Ended })
 		if len(all) == 0 {
 			oldest = ""
 			continue
 		}
-		e := slices.MinFunc(all, func(a, b *Entry) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Spec.ID, b.Spec.ID)) })
+		e := slices.MinFunc(all, func(a, b *Entry) int { return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID)) })
 		if e.Spec.ID != oldest {
 			oldest, since = e.Spec.ID, w.now
 		}
 		worst = max(worst, w.now-since)
-		require.LessOrEqual(t, w.now-since, longestWait, "%s: %s: %s", e.Spec.ID, e.State, e.Why)
+		require.LessOrEqual(t, w.now-since, maxWait, "%s: %s: %s", e.Spec.ID, e.State, e.Reason)
 	}
 	for _, e := range w.entries() {
-		require.Equal(t, Completed, e.Verdict, "%s: %s", e.Spec.ID, e.Why)
+		require.Equal(t, Completed, e.Verdict, "%s: %s", e.Spec.ID, e.Reason)
 	}
-	t.Log("all done after", w.now-unix, "the oldest waits at most", worst)
+	t.Log("all done after", w.now-epoch, "the oldest waits at most", worst)
 }
 
 // A round is told that its room is free once all that began before it has ended, also where that should be over; where a
 // partner has come to lend less, of two that start together the older goes.
-func TestRoomThatIsFree(t *testing.T) {
-	m, at := New(), unix+10*time.Second
+func TestReadyChecksThatSlotsAreFree(t *testing.T) {
+	m, at := New(), epoch+10*time.Second
 	lend := func(slots int, gen uint64) {
-		m.apply(unix, Command{Op: "set", Resource: &Resource{ID: "p/tuk", Slots: slots, Gen: gen}})
+		m.apply(epoch, Command{Op: "set", Resource: &Resource{ID: "p/tuk", Slots: slots, Gen: gen}})
 	}
 	hold := func(gang string, age time.Duration, slots int, from, until time.Duration) {
-		require.True(t, m.apply(unix, Command{Op: "prepare", Standing: &Standing{Gang: gang, Round: 1, Age: age, Holds: []Hold{{"p/tuk", 0, 1, slots, from, until}}}}).OK)
-		require.True(t, m.apply(unix, Command{Op: "commit", Gang: gang, Round: 1}).OK)
+		require.True(t, m.apply(epoch, Command{Op: "prepare", RoundHolds: &RoundHolds{Gang: gang, Round: 1, SubmittedAt: age, Holds: []Hold{{"p/tuk", 0, 1, slots, from, until}}}}).OK)
+		require.True(t, m.apply(epoch, Command{Op: "commit", Gang: gang, Round: 1}).OK)
 	}
-	ready := func(gang string) bool { return m.apply(unix, Command{Op: "ready", Gang: gang, Round: 1}).OK }
+	ready := func(gang string) bool { return m.apply(epoch, Command{Op: "ready", Gang: gang, Round: 1}).OK }
 	lend(4, 1)
 	hold("before", 1, 3, at-time.Second, at)
 	hold("older", 2, 2, at, at+time.Second)
 	hold("younger", 3, 2, at, at+time.Second)
 	require.True(t, ready("before"))
 	require.False(t, ready("older"), "3 of 4 are in use until they are not")
-	m.apply(unix, Command{Op: "end", Gang: "before", Round: 1})
+	m.apply(epoch, Command{Op: "end", Gang: "before", Round: 1})
 	require.True(t, ready("older"))
 	require.True(t, ready("younger"))
 	lend(3, 2)
--- a/internal/gang/orders/orders.go
+++ b/internal/gang/orders/orders.go
@@ -18,18 +18,18 @@
 // or again and again.
 type model struct {
 	groups [2]*gang.Machine
-	mail   []letter // sorted: all that was ever sent, or could have been
+	messages   []message // sorted: all that was ever sent, or could have been
 }
 
-type letter struct {
+type message struct {
 	to   uint32
 	c    gang.Command
 	text string
 }
 
 const (
-	unix  = 1_700_000_000 * time.Second
-	start = unix + 10*time.Second
+	epoch  = 1_700_000_000 * time.Second
+	start = epoch + 10*time.Second
 	slots = 4
 )
 
@@ -37,12 +37,12 @@
 
 func account(group uint32) string { return gang.Encoder{ID: fmt.Sprint("s-", group)}.Account() }
 
-func first() *model {
+func initialModel() *model {
 	m := &model{groups: [2]*gang.Machine{gang.New(), gang.New()}}
 	for g := range uint32(2) {
-		m.groups[g].Do(unix, gang.Command{Op: "set", Resource: &gang.Resource{ID: account(g), Slots: slots, Gen: 1}})
+		m.groups[g].ApplyCommand(epoch, gang.Command{Op: "set", Resource: &gang.Resource{ID: account(g), Slots: slots, Gen: 1}})
 		one := gang.Member{Slots: 3, Work: time.Second, Class: "live"}
-		m.groups[g].Do(unix+time.Duration(g), gang.Command{Op: "submit", Spec: &gang.Spec{ID: gangs[g], Members: []gang.Member{one, one}, LatestStart: start}})
+		m.groups[g].ApplyCommand(epoch+time.Duration(g), gang.Command{Op: "submit", Spec: &gang.Spec{ID: gangs[g], Members: []gang.Member{one, one}, LatestStart: start}})
 	}
 	return m
 }
@@ -53,21 +53,21 @@
 		text, _ := g.Snapshot()
 		s.Write(text)
 	}
-	for _, l := range m.mail {
+	for _, l := range m.messages {
 		s.WriteString(l.text)
 	}
 	return s.String()
 }
 
 func (m *model) clone() *model {
-	n := &model{groups: [2]*gang.Machine{gang.New(), gang.New()}, mail: m.mail}
+	n := &model{groups: [2]*gang.Machine{gang.New(), gang.New()}, messages: m.messages}
 	for i, g := range m.groups {
 		c := n.groups[i]
-		c.At, c.Resources, c.Standing = g.At, g.Resources, slices.Clone(g.Standing)
-		maps.Copy(c.Over, g.Over)
+		c.At, c.Resources, c.RoundHolds = g.At, g.Resources, slices.Clone(g.RoundHolds)
+		maps.Copy(c.EndedRounds, g.EndedRounds)
 		for id, e := range g.Gangs {
 			o := *e
-			o.Votes, o.Due, o.Fates = slices.Clone(e.Votes), slices.Clone(e.Due), slices.Clone(e.Fates)
+			o.Votes, o.Unconfirmed, o.MemberStatuses = slices.Clone(e.Votes), slices.Clone(e.Unconfirmed), slices.Clone(e.MemberStatuses)
 			c.Gangs[id] = &o
 		}
 	}
@@ -75,10 +75,10 @@
 }
 
 func (m *model) send(to uint32, c gang.Command) {
-	l := letter{to, c, fmt.Sprint(to, string(c.Encode()))}
-	i, have := slices.BinarySearchFunc(m.mail, l, func(a, b letter) int { return strings.Compare(a.text, b.text) })
+	l := message{to, c, fmt.Sprint(to, string(c.Encode()))}
+	i, have := slices.BinarySearchFunc(m.messages, l, func(a, b message) int { return strings.Compare(a.text, b.text) })
 	if !have {
-		m.mail = slices.Insert(slices.Clone(m.mail), i, l)
+		m.messages = slices.Insert(slices.Clone(m.messages), i, l)
 	}
 }
 
@@ -96,18 +96,18 @@
 // The mutants.
 const (
 	Sound       Mutant = ""
-	Expires     Mutant = "a hold expires alone"
-	CommitByOne Mutant = "commit by one"
-	NotSummed   Mutant = "the cap is not summed"
-	Uncompared  Mutant = "the generation is not compared"
-	Unmoved     Mutant = "a group that is moved forgets what it holds"
+	HoldExpires     Mutant = "a hold expires alone"
+	CommitOnOneVote Mutant = "commit by one"
+	SlotsNotSummed   Mutant = "the cap is not summed"
+	EndedRoundsForgotten  Mutant = "the generation is not compared"
+	RestoreLosesHolds     Mutant = "a group that is moved forgets what it holds"
 )
 
 // Mutants are all that must be found.
-var Mutants = []Mutant{Expires, CommitByOne, NotSummed, Uncompared, Unmoved}
+var Mutants = []Mutant{HoldExpires, CommitOnOneVote, SlotsNotSummed, EndedRoundsForgotten, RestoreLosesHolds}
 
-// sends has all coordinators send what they may.
-func (m *model) sends() *model {
+// sendAllowed has all coordinators send what they may.
+func (m *model) sendAllowed() *model {
 	for g := range uint32(2) {
 		id, e := gangs[g], m.groups[g].Gangs[gangs[g]]
 		if e.State == gang.Waiting && e.Round < 2 {
@@ -115,7 +115,7 @@
 		}
 		if e.State == gang.Preparing {
 			for to := range uint32(2) {
-				m.send(to, gang.Command{Op: "prepare", Standing: &gang.Standing{Gang: id, Round: e.Plan.Round, Home: g, Age: e.Age, Holds: e.Plan.Of(to)}})
+				m.send(to, gang.Command{Op: "prepare", RoundHolds: &gang.RoundHolds{Gang: id, Round: e.Plan.Round, Home: g, SubmittedAt: e.SubmittedAt, Holds: e.Plan.HoldsIn(to)}})
 			}
 			m.send(g, gang.Command{Op: "abort", Gang: id, Round: e.Plan.Round}) // a wound does the same
 		}
@@ -123,7 +123,7 @@
 			m.send(g, gang.Command{Op: "drop", Gang: id, Round: e.Plan.Round})
 			m.send(g, gang.Command{Op: "go", Gang: id, Round: e.Plan.Round, Armed: e.Plan.Starters})
 		}
-		for _, d := range e.Due {
+		for _, d := range e.Unconfirmed {
 			m.send(d.Group, gang.Command{Op: d.Op, Gang: id, Round: d.Round, Group: g})
 		}
 	}
@@ -132,16 +132,16 @@
 
 // next is all states that may follow.
 func (m *model) next(bug Mutant) (all []*model) {
-	for _, l := range m.mail {
+	for _, l := range m.messages {
 		n := m.clone()
 		n.deliver(l, bug)
-		all = append(all, n.sends())
+		all = append(all, n.sendAllowed())
 	}
 	for g := range m.groups {
-		for i, s := range m.groups[g].Standing {
-			if bug == Expires && !s.Committed {
+		for i, s := range m.groups[g].RoundHolds {
+			if bug == HoldExpires && !s.Committed {
 				n := m.clone()
-				n.groups[g].Standing = slices.Delete(n.groups[g].Standing, i, i+1)
+				n.groups[g].RoundHolds = slices.Delete(n.groups[g].RoundHolds, i, i+1)
 				all = append(all, n)
 			}
 		}
@@ -150,47 +150,47 @@
 }
 
 // deliver has a group take a letter. What it answers sends the next one.
-func (m *model) deliver(l letter, bug Mutant) {
+func (m *model) deliver(l message, bug Mutant) {
 	g := m.groups[l.to]
-	hidden := []gang.Standing(nil)
+	hidden := []gang.RoundHolds(nil)
 	if l.c.Op == "prepare" {
 		switch bug {
-		case NotSummed:
-			hidden, g.Standing = g.Standing, nil
-		case Uncompared:
-			clear(g.Over)
+		case SlotsNotSummed:
+			hidden, g.RoundHolds = g.RoundHolds, nil
+		case EndedRoundsForgotten:
+			clear(g.EndedRounds)
 		}
 	}
-	r := g.Do(unix+1, l.c)
+	r := g.ApplyCommand(epoch+1, l.c)
 	if hidden != nil {
-		g.Standing = append(hidden, g.Standing...)
-		slices.SortFunc(g.Standing, func(a, b gang.Standing) int { return strings.Compare(a.Gang, b.Gang) })
+		g.RoundHolds = append(hidden, g.RoundHolds...)
+		slices.SortFunc(g.RoundHolds, func(a, b gang.RoundHolds) int { return strings.Compare(a.Gang, b.Gang) })
 	}
 	switch l.c.Op {
 	case "prepare":
-		if s := l.c.Standing; r.OK {
+		if s := l.c.RoundHolds; r.OK {
 			m.send(s.Home, gang.Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: l.to})
-			if bug == CommitByOne {
+			if bug == CommitOnOneVote {
 				m.send(s.Home, gang.Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: 1 - l.to})
 			}
 		}
 	case "commit", "undo", "end":
-		m.send(l.c.Group, gang.Command{Op: "told", Gang: l.c.Gang, Told: &gang.Due{Group: l.to, Round: l.c.Round, Op: l.c.Op}})
+		m.send(l.c.Group, gang.Command{Op: "told", Gang: l.c.Gang, Confirmed: &gang.Notice{Group: l.to, Round: l.c.Round, Op: l.c.Op}})
 	}
 }
 
-// wrong is what must never be.
-func (m *model) wrong() string {
+// violation is what must never be.
+func (m *model) violation() string {
 	for n, k := range m.groups {
 		g := uint32(n)
-		if n := k.Used(account(g), start); n > slots {
+		if n := k.UsedSlots(account(g), start); n > slots {
 			return fmt.Sprintf("s-%d: %d of %d slots are held", g, n, slots)
 		}
-		for _, s := range k.Standing {
+		for _, s := range k.RoundHolds {
 			e := m.groups[s.Home].Gangs[s.Gang]
 			inForce := e.Plan != nil && e.Plan.Round == s.Round && e.State != gang.Waiting
-			told := !slices.ContainsFunc(e.Due, func(d gang.Due) bool { return d.Group == g })
-			switch firm := e.State == gang.Held || e.State == gang.Going; {
+			told := !slices.ContainsFunc(e.Unconfirmed, func(d gang.Notice) bool { return d.Group == g })
+			switch firm := e.State == gang.Held || e.State == gang.Starting; {
 			case s.Committed && !(inForce && firm) && told:
 				return fmt.Sprintf("%s round %d is committed at %d, and at its home it is %s", s.Gang, s.Round, g, e.State)
 			case !s.Committed && !inForce && told:
@@ -200,11 +200,11 @@
 	}
 	for g, k := range m.groups {
 		e := k.Gangs[gangs[g]]
-		if e.State != gang.Held && e.State != gang.Going {
+		if e.State != gang.Held && e.State != gang.Starting {
 			continue
 		}
 		for to, k := range m.groups {
-			if !slices.ContainsFunc(k.Standing, func(s gang.Standing) bool { return s.Gang == gangs[g] && s.Round == e.Plan.Round }) {
+			if !slices.ContainsFunc(k.RoundHolds, func(s gang.RoundHolds) bool { return s.Gang == gangs[g] && s.Round == e.Plan.Round }) {
 				return fmt.Sprintf("%s round %d is to start, and nothing is held at %d", gangs[g], e.Plan.Round, to)
 			}
 		}
@@ -212,8 +212,8 @@
 	return ""
 }
 
-// move is a group's copy on another machine: made from a snapshot, it must be the same to the letter.
-func (m *model) move(bug Mutant) string {
+// checkRestore is a group's copy on another machine: made from a snapshot, it must be the same to the letter.
+func (m *model) checkRestore(bug Mutant) string {
 	for g, k := range m.groups {
 		text, err := k.Snapshot()
 		if err != nil {
@@ -223,8 +223,8 @@
 		if err := moved.Restore(text); err != nil {
 			return err.Error()
 		}
-		if bug == Unmoved {
-			moved.Standing = nil
+		if bug == RestoreLosesHolds {
+			moved.RoundHolds = nil
 		}
 		if again, _ := moved.Snapshot(); string(again) != string(text) {
 			return fmt.Sprintf("group %d is another once it was moved", g)
@@ -233,16 +233,16 @@
 	return ""
 }
 
-// Seen is what a check has gone through.
-type Seen struct {
+// Exploration is what a check has gone through.
+type Exploration struct {
 	Fault         string // the first; empty: none
 	States, Going int    // all, and those in which a gang is about to start
 }
 
 // Explore visits all states within a depth of commands, until the first fault.
-func Explore(bug Mutant, depth int) (s Seen) {
+func Explore(bug Mutant, depth int) (s Exploration) {
 	seen := map[[32]byte]bool{}
-	level := []*model{first().sends()}
+	level := []*model{initialModel().sendAllowed()}
 	for range depth {
 		var next []*model
 		for _, m := range level {
@@ -253,13 +253,13 @@
 				}
 				seen[key] = true
 				s.States = len(seen)
-				if s.Fault = n.wrong(); s.Fault == "" {
-					s.Fault = n.move(bug)
+				if s.Fault = n.violation(); s.Fault == "" {
+					s.Fault = n.checkRestore(bug)
 				}
 				if s.Fault != "" {
 					return s
 				}
-				if n.groups[0].Gangs["a"].State == gang.Going || n.groups[1].Gangs["b"].State == gang.Going {
+				if n.groups[0].Gangs["a"].State == gang.Starting || n.groups[1].Gangs["b"].State == gang.Starting {
 					s.Going++
 				}
 				next = append(next, n)
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -31,17 +31,17 @@
 )
 
 const (
-	busy      = 8 * time.Millisecond // between steps while a gang is under way
-	idle      = 100 * time.Millisecond
-	pingEvery = 400 * time.Millisecond
-	sayWithin = 300 * time.Millisecond // a dispatcher to another
-	askWithin = 2 * time.Second        // a group
-	mostAsked = 256                    // commands and words under way
-	looking   = 100 * time.Millisecond // between two looks at a gang that is awaited, where its home has no copy here
-	awaitMost = 30 * time.Second
-	heldAhead = time.Minute // that dispatchers tell each other of what is held: no job of another kind runs for longer
-	mostHeld  = 1024        // that one tells
-	mostText  = 512 << 10
+	activeInterval      = 8 * time.Millisecond // between steps while a gang is under way
+	idleInterval      = 100 * time.Millisecond
+	pingInterval = 400 * time.Millisecond
+	messageTimeout = 300 * time.Millisecond // a dispatcher to another
+	proposeTimeout = 2 * time.Second        // a group
+	maxOutstanding = 256                    // commands and words under way
+	awaitInterval   = 100 * time.Millisecond // between two looks at a gang that is awaited, where its home has no copy here
+	maxAwait = 30 * time.Second
+	reservationHorizon = time.Minute // that dispatchers tell each other of what is held: no job of another kind runs for longer
+	maxReservations  = 1024        // that one tells
+	maxMessageSize  = 512 << 10
 )
 
 // Partner lends slots at its sites.
@@ -80,61 +80,61 @@
 type Server struct {
 	gangv1.UnimplementedGangsServer
 	gangv1.UnimplementedPeersServer
-	o     Options
+	options     Options
 	host  replicas.Host
 	core  Core
 	log   *slog.Logger
-	clock string // its name: of this process alone
-	began time.Duration
-	in    chan func()
-	room  chan struct{} // for what is under way
+	clockName string // its name: of this process alone
+	clockBase time.Duration
+	inbox    chan func()
+	outstanding  chan struct{} // for what is under way
 	peers map[string]gangv1.PeersClient
 	conns []*grpc.ClientConn
 
 	// Members start in time whatever the groups' disks do: they have a loop of their own.
-	starts  sync.Mutex // of s and sent; nothing is waited for under it
-	s       *gang.Starter
+	startsMu  sync.Mutex // of s and sent; nothing is waited for under it
+	starter       *gang.Starter
 	sent    map[string]*dispatch.Command
-	stirred chan struct{} // that loop has something to look at
+	starterChanged chan struct{} // that loop has something to look at
 
 	// The coordinating loop's own.
-	c       *gang.Coordinator
+	coordinator       *gang.Coordinator
 	homes   map[string]uint32 // of gangs that are coordinated here
-	pinged  time.Duration
-	leads   []uint32
-	held    map[string][]gang.Taken // by dispatcher: what its groups hold
-	spans   map[string]string       // by encoder: what the loop was told
-	set     map[string]uint64       // accounts that were set from here: generations
+	pingTime  time.Duration
+	ledGroups   []uint32
+	reservations    map[string][]gang.Reservation // by dispatcher: what its groups hold
+	appliedReservations   map[string]string       // by encoder: what the loop was told
+	setGenerations     map[string]uint64       // accounts that were set from here: generations
 	active  bool
-	ends    context.CancelFunc
+	cancel    context.CancelFunc
 	stopped chan struct{}
 	mu      sync.Mutex // of ends and stopped
 
-	tables sync.Mutex // of what follows
-	table  dispatch.InstanceList
-	out    map[string]bool // left out by hand
+	listMu sync.Mutex // of what follows
+	instances  dispatch.InstanceList
+	cordoned    map[string]bool // left out by hand
 
-	errors  atomic.Int64
-	figures atomic.Pointer[string]
-	once    atomic.Pointer[map[string]bool]
+	overruns  atomic.Int64
+	counters atomic.Pointer[string]
+	onceClasses    atomic.Pointer[map[string]bool]
 }
 
 // New returns a server that does nothing before Open.
 func New(o Options, host replicas.Host, core Core, logger *slog.Logger) (*Server, error) {
 	clock := fmt.Sprintf("%s/%08x", o.Name, rand.Uint32())
 	s := &Server{
-		o: o, host: host, core: core, log: logger, clock: clock, began: time.Duration(time.Now().UnixNano()) + o.Ahead - replicas.Now(), in: make(chan func(), 1024), room: make(chan struct{}, mostAsked),
-		peers: map[string]gangv1.PeersClient{}, c: gang.NewCoordinator(clock), s: gang.NewStarter(), out: map[string]bool{},
-		sent: map[string]*dispatch.Command{}, stirred: make(chan struct{}, 1), homes: map[string]uint32{}, set: map[string]uint64{},
-		held: map[string][]gang.Taken{}, spans: map[string]string{},
+		options: o, host: host, core: core, log: logger, clockName: clock, clockBase: time.Duration(time.Now().UnixNano()) + o.Ahead - replicas.Now(), inbox: make(chan func(), 1024), outstanding: make(chan struct{}, maxOutstanding),
+		peers: map[string]gangv1.PeersClient{}, coordinator: gang.NewCoordinator(clock), starter: gang.NewStarter(), cordoned: map[string]bool{},
+		sent: map[string]*dispatch.Command{}, starterChanged: make(chan struct{}, 1), homes: map[string]uint32{}, setGenerations: map[string]uint64{},
+		reservations: map[string][]gang.Reservation{}, appliedReservations: map[string]string{},
 	}
-	s.once.Store(&o.Once)
+	s.onceClasses.Store(&o.Once)
 	for name, at := range o.Peers {
 		creds := insecure.NewCredentials()
 		if o.Keys != nil {
 			creds = o.Keys(name)
 		}
-		conn, err := grpc.NewClient("passthrough:///"+at, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostText)))
+		conn, err := grpc.NewClient("passthrough:///"+at, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)))
 		if err != nil {
 			return nil, fmt.Errorf("gangs: peer %s: %w", name, err)
 		}
@@ -153,10 +153,10 @@
 func (s *Server) Open(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ends != nil {
+	if s.cancel != nil {
 		return
 	}
-	ctx, s.ends = context.WithCancel(ctx)
+	ctx, s.cancel = context.WithCancel(ctx)
 	s.stopped = make(chan struct{})
 	go func(stopped chan struct{}) {
 		defer close(stopped)
@@ -171,28 +171,28 @@
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ends != nil {
-		s.ends()
+	if s.cancel != nil {
+		s.cancel()
 		<-s.stopped
-		s.ends = nil
+		s.cancel = nil
 	}
 }
 
 // now is Unix time by a clock that goes on steadily, also while the machine is suspended. A step of the wall clock counts
 // from the next process on.
-func (s *Server) now() time.Duration { return s.began + replicas.Now() }
+func (s *Server) now() time.Duration { return s.clockBase + replicas.Now() }
 
 // post has the loop do something. A loop that is far behind is waited for: it asks for a result once, and takes what has none
 // for under way. It must not be called from there.
 func (s *Server) post(ctx context.Context, do func()) {
 	select {
-	case s.in <- do:
+	case s.inbox <- do:
 		return
 	default:
-		s.errors.Add(1)
+		s.overruns.Add(1)
 	}
 	select {
-	case s.in <- do:
+	case s.inbox <- do:
 	case <-ctx.Done():
 	}
 }
@@ -201,28 +201,28 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		wait := idle
+		wait := idleInterval
 		if s.active {
-			wait = busy
+			wait = activeInterval
 		}
 		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
-		case do := <-s.in:
+		case do := <-s.inbox:
 			do()
 		case <-timer.C:
 			s.step(ctx)
 		}
 		for more := true; more; {
 			select {
-			case do := <-s.in:
+			case do := <-s.inbox:
 				do()
 			default:
 				more = false
 			}
 		}
-		s.act(ctx)
+		s.runActions(ctx)
 	}
 }
 
@@ -231,65 +231,65 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		s.starts.Lock()
-		wait := idle
-		if at, some := s.s.Next(); some {
+		s.startsMu.Lock()
+		wait := idleInterval
+		if at, some := s.starter.NextDue(); some {
 			wait = max(0, min(wait, at-s.now()))
 		}
-		s.starts.Unlock()
+		s.startsMu.Unlock()
 		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.stirred:
+		case <-s.starterChanged:
 		case <-timer.C:
 		}
-		s.starts.Lock()
-		s.s.Tick(s.now())
-		acts := s.s.Did()
-		s.starts.Unlock()
-		s.start(acts)
+		s.startsMu.Lock()
+		s.starter.Tick(s.now())
+		acts := s.starter.TakeActions()
+		s.startsMu.Unlock()
+		s.runStarterActions(acts)
 	}
 }
 
-// tellStarts has the starter take what is told once, however far its loop is behind.
-func (s *Server) tellStarts(do func()) {
-	s.starts.Lock()
+// updateStarter has the starter take what is told once, however far its loop is behind.
+func (s *Server) updateStarter(do func()) {
+	s.startsMu.Lock()
 	do()
-	s.starts.Unlock()
+	s.startsMu.Unlock()
 	select {
-	case s.stirred <- struct{}{}:
+	case s.starterChanged <- struct{}{}:
 	default: // it will look anyway
 	}
 }
 
-// word has the own starter take a word.
-func (s *Server) word(w gang.Word) gang.Said {
-	s.starts.Lock()
-	said := s.s.Word(s.now(), w)
-	s.starts.Unlock()
-	s.tellStarts(func() {})
-	said.Now, said.Clock, said.Site = s.now(), s.clock, s.o.Site
+// handleMessage has the own starter take a word.
+func (s *Server) handleMessage(w gang.Message) gang.Reply {
+	s.startsMu.Lock()
+	said := s.starter.Handle(s.now(), w)
+	s.startsMu.Unlock()
+	s.updateStarter(func() {})
+	said.Now, said.Clock, said.Site = s.now(), s.clockName, s.options.Site
 	return said
 }
 
-// group is the one that keeps a key's account, or a gang's home.
-func (s *Server) group(key string) uint32 { return replica.GroupOf(key, s.host.Groups()) }
+// groupOf is the one that keeps a key's account, or a gang's home.
+func (s *Server) groupOf(key string) uint32 { return replica.GroupOf(key, s.host.Groups()) }
 
-func (s *Server) home(id string) uint32 { return s.group("gang/" + id) }
+func (s *Server) homeOf(id string) uint32 { return s.groupOf("gang/" + id) }
 
 // encoders is the list in the planner's terms.
 func (s *Server) encoders() (all []gang.Encoder) {
-	s.tables.Lock()
-	defer s.tables.Unlock()
-	for _, m := range s.table.Instances() {
-		e := gang.Encoder{ID: m.ID, Site: m.Zone, Kind: m.Kind, Out: m.State != decide.Ready || s.out[m.ID], Slots: int(s.o.Slots[m.Kind]), Gen: 1}
+	s.listMu.Lock()
+	defer s.listMu.Unlock()
+	for _, m := range s.instances.Instances() {
+		e := gang.Encoder{ID: m.ID, Site: m.Zone, Kind: m.Kind, Excluded: m.State != decide.Ready || s.cordoned[m.ID], Slots: int(s.options.Slots[m.Kind]), Gen: 1}
 		if !m.Started.IsZero() {
 			e.Gen = uint64(m.Started.UnixMicro())
-			e.Warm = time.Duration(m.Started.Add(s.o.Cold).UnixNano())
+			e.WarmAt = time.Duration(m.Started.Add(s.options.Cold).UnixNano())
 		}
-		e.Group = s.group(e.Account())
-		for _, p := range s.o.Partners {
+		e.Group = s.groupOf(e.Account())
+		for _, p := range s.options.Partners {
 			for _, site := range p.Sites {
 				if site == m.Zone {
 					e.Partner = p.Name
@@ -304,15 +304,15 @@
 func (s *Server) step(ctx context.Context) {
 	now := s.now()
 	all := s.encoders()
-	if now-s.pinged > pingEvery {
-		s.pinged = now
-		s.tell(ctx, s.o.Name, gang.Word{}, 0)
+	if now-s.pingTime > pingInterval {
+		s.pingTime = now
+		s.sendMessage(ctx, s.options.Name, gang.Message{}, 0)
 		for name := range s.peers {
-			s.tell(ctx, name, gang.Word{}, 0)
+			s.sendMessage(ctx, name, gang.Message{}, 0)
 		}
 	}
-	s.hold(now, all)
-	s.active, s.leads = false, nil
+	s.applyReservations(now, all)
+	s.active, s.ledGroups = false, nil
 	states := map[string]int{}
 	homes := map[string]uint32{}
 	for g := range s.host.Groups() {
@@ -326,8 +326,8 @@
 			if !ours {
 				return
 			}
-			s.accounts(ctx, g, k, all)
-			open = k.Open()
+			s.setAccounts(ctx, g, k, all)
+			open = k.OpenGangs()
 			for _, e := range k.Entries() {
 				states[string(e.State)]++
 				if e.State == gang.Ended {
@@ -338,38 +338,38 @@
 		if open == nil {
 			continue
 		}
-		s.leads = append(s.leads, g)
-		s.c.Step(now, g, open, all)
+		s.ledGroups = append(s.ledGroups, g)
+		s.coordinator.Step(now, g, open, all)
 		for id := range open.Entries() {
 			homes[id], s.active = g, true
 		}
 	}
 	s.homes = homes
-	s.tellFigures(states)
+	s.updateCounters(states)
 }
 
-// taken is what is held at the groups that are led from here.
-func (s *Server) taken(now time.Duration) (all []gang.Taken) {
-	for _, g := range s.leads {
+// ownReservations is what is held at the groups that are led from here.
+func (s *Server) ownReservations(now time.Duration) (all []gang.Reservation) {
+	for _, g := range s.ledGroups {
 		s.host.View(g, replica.Gangs, func(m replica.Machine) {
 			if k, ours := m.(*gang.Machine); ours {
-				all = append(all, k.Taken(now+heldAhead, mostHeld-len(all))...)
+				all = append(all, k.Reservations(now+reservationHorizon, maxReservations-len(all))...)
 			}
 		})
 	}
 	return all
 }
 
-// accounts opens those of the groups that are led from here.
-func (s *Server) accounts(ctx context.Context, g uint32, k *gang.Machine, all []gang.Encoder) {
+// setAccounts opens those of the groups that are led from here.
+func (s *Server) setAccounts(ctx context.Context, g uint32, k *gang.Machine, all []gang.Encoder) {
 	set := func(r gang.Resource) {
-		if have, known := k.Resources[r.ID]; known && have.Gen >= r.Gen || s.set[r.ID] >= r.Gen {
+		if have, known := k.Resources[r.ID]; known && have.Gen >= r.Gen || s.setGenerations[r.ID] >= r.Gen {
 			return
 		}
-		s.set[r.ID] = r.Gen
+		s.setGenerations[r.ID] = r.Gen
 		s.propose(ctx, g, gang.Command{Op: "set", Resource: &r}, func(_ gang.Result, ok bool) {
 			if !ok {
-				delete(s.set, r.ID)
+				delete(s.setGenerations, r.ID)
 			}
 		})
 	}
@@ -380,16 +380,16 @@
 			set(gang.Resource{ID: e.Account(), Slots: e.Slots, Gen: e.Gen})
 		}
 	}
-	for _, p := range s.o.Partners {
-		id := gang.Lender(p.Name)
-		if s.group(id) != g || theirs[p.Name] == 0 {
+	for _, p := range s.options.Partners {
+		id := gang.PartnerAccount(p.Name)
+		if s.groupOf(id) != g || theirs[p.Name] == 0 {
 			continue
 		}
 		now, known := k.Resources[id]
 		if !known {
-			now = gang.Resource{ID: id, Most: p.Slots, Share: p.Share, Hours: p.Hours}
+			now = gang.Resource{ID: id, MaxSlots: p.Slots, Share: p.Share, SlotHours: p.Hours}
 		}
-		if next := now.Lent(theirs[p.Name]); !known || next.Slots != now.Slots {
+		if next := now.ForEncoderSlots(theirs[p.Name]); !known || next.Slots != now.Slots {
 			next.Gen++
 			set(next)
 		}
@@ -399,21 +399,21 @@
 // propose has a group take a command; done is called from the loop.
 func (s *Server) propose(ctx context.Context, g uint32, c gang.Command, done func(gang.Result, bool)) {
 	select {
-	case s.room <- struct{}{}:
+	case s.outstanding <- struct{}{}:
 	default:
 		done(gang.Result{}, false)
 		return
 	}
 	go func() {
-		r, err := s.ask(ctx, g, c)
-		<-s.room
+		r, err := s.apply(ctx, g, c)
+		<-s.outstanding
 		s.post(context.Background(), func() { done(r, err == nil) }) // at most as many wait as there is room for, and one look
 	}()
 }
 
-// ask has a group take a command.
-func (s *Server) ask(ctx context.Context, g uint32, c gang.Command) (gang.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+// apply has a group take a command.
+func (s *Server) apply(ctx context.Context, g uint32, c gang.Command) (gang.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	text, err := s.host.Propose(ctx, g, replica.Gangs, c.Encode())
 	if err != nil {
@@ -422,57 +422,57 @@
 	return gang.Decode(text)
 }
 
-// act does what the coordinator wants.
-func (s *Server) act(ctx context.Context) {
-	for _, a := range s.c.Did() {
+// runActions does what the coordinator wants.
+func (s *Server) runActions(ctx context.Context) {
+	for _, a := range s.coordinator.TakeActions() {
 		switch a := a.(type) {
 		case gang.Propose:
-			s.propose(ctx, a.Group, a.Command, func(r gang.Result, ok bool) { s.c.Answered(s.now(), a.Key, r, ok) })
-		case gang.Look:
-			s.look(ctx)
-		case gang.Tell:
-			s.tell(ctx, a.To, a.Word, s.homes[a.Gang])
+			s.propose(ctx, a.Group, a.Command, func(r gang.Result, ok bool) { s.coordinator.HandleResult(s.now(), a.Key, r, ok) })
+		case gang.FetchView:
+			s.fetchView(ctx)
+		case gang.Send:
+			s.sendMessage(ctx, a.To, a.Message, s.homes[a.Gang])
 		}
 	}
 }
 
-// look gathers what all groups hold.
-func (s *Server) look(ctx context.Context) {
-	v := gang.View{Self: s.o.Name, Lenders: map[string]gang.LenderAt{}, Accounts: map[string]gang.Resource{}}
-	for _, p := range s.o.Partners {
-		v.Lenders[p.Name] = gang.LenderAt{Group: s.group(gang.Lender(p.Name))}
+// fetchView gathers what all groups hold.
+func (s *Server) fetchView(ctx context.Context) {
+	v := gang.View{Self: s.options.Name, PartnerAccounts: map[string]gang.AccountLocation{}, Accounts: map[string]gang.Resource{}}
+	for _, p := range s.options.Partners {
+		v.PartnerAccounts[p.Name] = gang.AccountLocation{Group: s.groupOf(gang.PartnerAccount(p.Name))}
 	}
-	v.Starters = s.c.Lives(s.now())
+	v.Starters = s.coordinator.LiveDispatchers(s.now())
 	go func() {
 		for g := range s.host.Groups() {
 			var r gang.Result
 			took := s.host.View(g, replica.Gangs, func(m replica.Machine) {
 				if k, ours := m.(*gang.Machine); ours {
-					r = k.Look()
+					r = k.Query()
 				}
 			})
 			if !took {
 				var err error
-				if r, err = s.ask(ctx, g, gang.Command{Op: "look"}); err != nil {
+				if r, err = s.apply(ctx, g, gang.Command{Op: "look"}); err != nil {
 					continue // its encoders are not known, and nothing is planned there
 				}
 			}
 			for _, x := range r.Resources {
 				v.Accounts[x.ID] = x
 			}
-			v.Standing = append(v.Standing, r.Standing...)
+			v.RoundHolds = append(v.RoundHolds, r.RoundHolds...)
 		}
-		s.post(context.Background(), func() { s.c.Viewed(s.now(), v) })
+		s.post(context.Background(), func() { s.coordinator.SetView(s.now(), v) })
 	}()
 }
 
-// tell tells a dispatcher a word, perhaps this one.
-func (s *Server) tell(ctx context.Context, to string, w gang.Word, home uint32) {
+// sendMessage tells a dispatcher a word, perhaps this one.
+func (s *Server) sendMessage(ctx context.Context, to string, w gang.Message, home uint32) {
 	sent := s.now()
-	if to == s.o.Name {
-		said := s.word(w)
-		s.held[to] = s.taken(sent)
-		s.c.Said(s.now(), sent, to, w, said, home)
+	if to == s.options.Name {
+		said := s.handleMessage(w)
+		s.reservations[to] = s.ownReservations(sent)
+		s.coordinator.HandleReply(s.now(), sent, to, w, said, home)
 		return
 	}
 	peer := s.peers[to]
@@ -480,45 +480,45 @@
 		return
 	}
 	select {
-	case s.room <- struct{}{}:
+	case s.outstanding <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, sayWithin)
+		ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 		defer cancel()
 		text, _ := json.Marshal(w) // plain data: it cannot fail
 		sent := s.now()
 		r, err := peer.Tell(ctx, &gangv1.TellRequest{Word: text})
 		came := s.now()
-		<-s.room
-		var said gang.Said
+		<-s.outstanding
+		var said gang.Reply
 		if err != nil || json.Unmarshal(r.GetSaid(), &said) != nil {
 			return
 		}
 		s.post(ctx, func() { // it is told again
 			if w.Kind == "" {
-				s.held[to] = said.Held
+				s.reservations[to] = said.Reservations
 			}
-			s.c.Said(came, sent, to, w, said, home)
+			s.coordinator.HandleReply(came, sent, to, w, said, home)
 		})
 	}()
 }
 
 // Tell takes another dispatcher's word.
 func (s *Server) Tell(ctx context.Context, q *gangv1.TellRequest) (*gangv1.TellResponse, error) {
-	var w gang.Word
-	if len(q.GetWord()) > mostText || json.Unmarshal(q.GetWord(), &w) != nil {
+	var w gang.Message
+	if len(q.GetWord()) > maxMessageSize || json.Unmarshal(q.GetWord(), &w) != nil {
 		return nil, status.Error(codes.InvalidArgument, "not a word")
 	}
-	said := s.word(w)
+	said := s.handleMessage(w)
 	if w.Kind == "" { // asked for the clock alone
-		answer := make(chan []gang.Taken, 1)
-		s.post(ctx, func() { answer <- s.taken(s.now()) })
+		answer := make(chan []gang.Reservation, 1)
+		s.post(ctx, func() { answer <- s.ownReservations(s.now()) })
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case said.Held = <-answer:
+		case said.Reservations = <-answer:
 		}
 		said.Now = s.now()
 	}
@@ -526,10 +526,10 @@
 	return &gangv1.TellResponse{Said: text}, nil
 }
 
-// start sends and calls off members.
-func (s *Server) start(acts []gang.Act) {
+// runStarterActions sends and calls off members.
+func (s *Server) runStarterActions(acts []gang.StarterAction) {
 	for _, a := range acts {
-		switch a.Do {
+		switch a.Kind {
 		case gang.Launch:
 			m := a.Member
 			cmd := &dispatch.Command{
@@ -540,19 +540,19 @@
 				}},
 			}
 			cmd.Client = &client{s, a.Key}
-			s.starts.Lock()
+			s.startsMu.Lock()
 			s.sent[a.Key] = cmd
-			s.starts.Unlock()
+			s.startsMu.Unlock()
 			s.core.Submit(cmd)
-		case gang.GiveUp:
-			s.starts.Lock()
+		case gang.CancelSent:
+			s.startsMu.Lock()
 			cmd := s.sent[a.Key]
 			delete(s.sent, a.Key)
-			s.starts.Unlock()
+			s.startsMu.Unlock()
 			if cmd != nil {
 				s.core.ClientGone(cmd)
 			}
-		case gang.TakeBack:
+		case gang.CancelJob:
 			s.core.CancelJob(a.Encoder, a.Key)
 		}
 	}
@@ -566,14 +566,14 @@
 
 // Started says that its encoder has it, and runs it where encoders tell.
 func (c *client) Started(_ string, runs bool) {
-	if runs || !c.o.TellsStart {
-		c.tellStarts(func() { c.s.Began(c.now(), c.key) })
+	if runs || !c.options.TellsStart {
+		c.updateStarter(func() { c.starter.MemberStarted(c.now(), c.key) })
 	}
 }
 
 // Answer takes its end.
 func (c *client) Answer(a dispatch.Answer) {
-	fate, why := gang.MayRun, "failed"
+	fate, why := gang.MayHaveRun, "failed"
 	switch a.Verdict {
 	case dispatch.Served:
 		fate, why = gang.Done, ""
@@ -582,26 +582,26 @@
 	case dispatch.Unusable:
 		fate, why = gang.NeverRan, "no encoder can do it as it stands"
 	}
-	c.tellStarts(func() {
+	c.updateStarter(func() {
 		delete(c.sent, c.key)
-		c.s.Over(c.now(), c.key, fate, why)
+		c.starter.MemberEnded(c.now(), c.key, fate, why)
 	})
 }
 
 // HandOver says that another process has it: what becomes of it is not known here.
 func (c *client) HandOver(bool) {
-	c.tellStarts(func() {
+	c.updateStarter(func() {
 		delete(c.sent, c.key)
-		c.s.Over(c.now(), c.key, gang.MayRun, "it changed hands")
+		c.starter.MemberEnded(c.now(), c.key, gang.MayHaveRun, "it changed hands")
 	})
 }
 
 // Stray takes a call of an encoder that matches nothing in the loop's hand: a process before this one may have sent the member.
 func (s *Server) Stray(n dispatch.Callback) bool {
-	s.starts.Lock()
-	_, ours := s.s.Of(n.ID)
-	s.starts.Unlock()
-	fate, why := gang.MayRun, "failed"
+	s.startsMu.Lock()
+	_, ours := s.starter.GangOf(n.ID)
+	s.startsMu.Unlock()
+	fate, why := gang.MayHaveRun, "failed"
 	switch n.State {
 	case dispatch.Done:
 		fate, why = gang.Done, ""
@@ -610,7 +610,7 @@
 		return ours
 	}
 	if ours {
-		s.tellStarts(func() { s.s.Over(s.now(), n.ID, fate, why) })
+		s.updateStarter(func() { s.starter.MemberEnded(s.now(), n.ID, fate, why) })
 	}
 	return ours
 }
@@ -619,13 +619,13 @@
 func (s *Server) Submit(ctx context.Context, q *gangv1.SubmitRequest) (*gangv1.Gang, error) {
 	us := func(n uint64) time.Duration { return time.Duration(min(n, 1<<53)) * time.Microsecond }
 	spec := gang.Spec{
-		ID: q.GetId(), NotBefore: us(q.GetNotBeforeUs()), LatestStart: us(q.GetLatestStartUs()), Skew: us(q.GetSkewUs()), After: gang.After(q.GetAfter()),
+		ID: q.GetId(), NotBefore: us(q.GetNotBeforeUs()), LatestStart: us(q.GetLatestStartUs()), Skew: us(q.GetSkewUs()), OnDeath: gang.DeathPolicy(q.GetAfter()),
 	}
 	if strings.ContainsAny(spec.ID, "/?#% \r\n") { // it becomes part of jobs' ids
 		return nil, status.Error(codes.InvalidArgument, "id: letters, digits and -_. only")
 	}
 	for i, m := range q.GetMembers() {
-		once, known := (*s.once.Load())[m.GetClass()]
+		once, known := (*s.onceClasses.Load())[m.GetClass()]
 		if !known {
 			return nil, status.Errorf(codes.InvalidArgument, "member %d: class %q is not known", i, m.GetClass())
 		}
@@ -634,58 +634,58 @@
 			Once: once, Target: m.GetTarget(), Payload: m.GetPayload(),
 		})
 	}
-	if _, err := spec.Check(s.now()); err != nil {
+	if _, err := spec.Validate(s.now()); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	return s.answer(ctx, spec.ID, gang.Command{Op: "submit", Spec: &spec})
+	return s.applyToGang(ctx, spec.ID, gang.Command{Op: "submit", Spec: &spec})
 }
 
 // Cancel calls one off.
 func (s *Server) Cancel(ctx context.Context, q *gangv1.CancelRequest) (*gangv1.Gang, error) {
-	return s.answer(ctx, q.GetId(), gang.Command{Op: "cancel", Gang: q.GetId()})
+	return s.applyToGang(ctx, q.GetId(), gang.Command{Op: "cancel", Gang: q.GetId()})
 }
 
-func (s *Server) answer(ctx context.Context, id string, c gang.Command) (*gangv1.Gang, error) {
-	r, err := s.ask(ctx, s.home(id), c)
+func (s *Server) applyToGang(ctx context.Context, id string, c gang.Command) (*gangv1.Gang, error) {
+	r, err := s.apply(ctx, s.homeOf(id), c)
 	switch {
 	case errors.Is(err, context.Canceled):
 		return nil, status.Error(codes.Canceled, err.Error())
 	case err != nil: // a submission may be repeated: the same id is the same gang
 		return nil, status.Error(codes.Unavailable, err.Error())
-	case r.Gone:
+	case r.NotFound:
 		return nil, status.Error(codes.NotFound, r.Err)
 	case r.Full:
 		return nil, status.Error(codes.ResourceExhausted, r.Err)
 	case r.Entry == nil:
 		return nil, status.Error(codes.InvalidArgument, r.Err)
 	}
-	return told(r.Entry), nil
+	return toProto(r.Entry), nil
 }
 
-// told is a gang as callers are told of it.
-func told(e *gang.Entry) *gangv1.Gang {
-	g := &gangv1.Gang{Id: e.Spec.ID, State: string(e.State), Verdict: e.Verdict, Why: e.Why, Plans: uint32(e.Plans), Moves: uint32(e.Moves)}
+// toProto is a gang as callers are told of it.
+func toProto(e *gang.Entry) *gangv1.Gang {
+	g := &gangv1.Gang{Id: e.Spec.ID, State: string(e.State), Verdict: e.Verdict, Why: e.Reason, Plans: uint32(e.Plans), Moves: uint32(e.Moves)}
 	if e.Plan != nil {
 		g.StartUs, g.Encoders = uint64(e.Plan.Start/time.Microsecond), e.Plan.Encoders
 	}
-	for _, i := range e.MayRun {
+	for _, i := range e.MayHaveRun {
 		g.MayHaveRun = append(g.MayHaveRun, uint32(i))
 	}
 	for _, i := range e.Dead {
 		g.Dead = append(g.Dead, uint32(i))
 	}
-	if e.Decided > 0 {
-		g.WaitedUs = uint64((e.Decided - e.Age) / time.Microsecond)
+	if e.HeldAt > 0 {
+		g.WaitedUs = uint64((e.HeldAt - e.SubmittedAt) / time.Microsecond)
 	}
 	return g
 }
 
 // Await waits for another state.
 func (s *Server) Await(ctx context.Context, q *gangv1.AwaitRequest) (*gangv1.Gang, error) {
-	every := time.NewTicker(looking)
+	every := time.NewTicker(awaitInterval)
 	defer every.Stop()
-	for until := time.Now().Add(awaitMost); ; {
-		g, err := s.answer(ctx, q.GetId(), gang.Command{Op: "ask", Gang: q.GetId()})
+	for until := time.Now().Add(maxAwait); ; {
+		g, err := s.applyToGang(ctx, q.GetId(), gang.Command{Op: "ask", Gang: q.GetId()})
 		if err != nil && status.Code(err) != codes.Unavailable {
 			return nil, err
 		}
@@ -703,10 +703,10 @@
 
 // Lend changes what a partner lends.
 func (s *Server) Lend(ctx context.Context, q *gangv1.LendRequest) (*gangv1.LendResponse, error) {
-	id := gang.Lender(q.GetPartner())
-	g := s.group(id)
+	id := gang.PartnerAccount(q.GetPartner())
+	g := s.groupOf(id)
 	for range 3 {
-		r, err := s.ask(ctx, g, gang.Command{Op: "look"})
+		r, err := s.apply(ctx, g, gang.Command{Op: "look"})
 		if err != nil {
 			return nil, status.Error(codes.Unavailable, err.Error())
 		}
@@ -716,7 +716,7 @@
 				slots += e.Slots
 			}
 		}
-		next := gang.Resource{ID: id, Most: int(q.GetSlots()), Share: q.GetShare(), Hours: q.GetHours()}.Lent(slots)
+		next := gang.Resource{ID: id, MaxSlots: int(q.GetSlots()), Share: q.GetShare(), SlotHours: q.GetHours()}.ForEncoderSlots(slots)
 		for _, x := range r.Resources {
 			if x.ID == id {
 				next.Gen = x.Gen + 1
@@ -725,7 +725,7 @@
 		if next.Gen == 0 {
 			return nil, status.Errorf(codes.NotFound, "%q lends nothing", q.GetPartner())
 		}
-		if r, err = s.ask(ctx, g, gang.Command{Op: "set", Resource: &next}); err == nil && r.OK {
+		if r, err = s.apply(ctx, g, gang.Command{Op: "set", Resource: &next}); err == nil && r.OK {
 			return &gangv1.LendResponse{}, nil
 		}
 	}
@@ -733,46 +733,46 @@
 }
 
 // Retune takes which classes there are, and whether a job of each must not run twice.
-func (s *Server) Retune(once map[string]bool) { s.once.Store(&once) }
+func (s *Server) Retune(once map[string]bool) { s.onceClasses.Store(&once) }
 
 // Listed takes the name table's news.
 func (s *Server) Listed(l dispatch.InstanceUpdate) {
-	s.tables.Lock()
-	defer s.tables.Unlock()
-	s.table.Update(l)
+	s.listMu.Lock()
+	defer s.listMu.Unlock()
+	s.instances.Update(l)
 }
 
 // Cordoned takes all that are left out by hand.
 func (s *Server) Cordoned(ids []string) {
-	s.tables.Lock()
-	defer s.tables.Unlock()
-	clear(s.out)
+	s.listMu.Lock()
+	defer s.listMu.Unlock()
+	clear(s.cordoned)
 	for _, id := range ids {
-		s.out[id] = true
+		s.cordoned[id] = true
 	}
 }
 
-func (s *Server) tellFigures(states map[string]int) {
+func (s *Server) updateCounters(states map[string]int) {
 	var b strings.Builder
-	for _, name := range []gang.State{gang.Waiting, gang.Preparing, gang.Held, gang.Going, gang.Off, gang.Running, gang.Ended} {
+	for _, name := range []gang.State{gang.Waiting, gang.Preparing, gang.Held, gang.Starting, gang.StartFailed, gang.Running, gang.Ended} {
 		fmt.Fprintf(&b, "proxy.gangs.%s=%d\n", name, states[string(name)])
 	}
 	for _, name := range []string{gang.Completed, gang.NotStarted, gang.DeadAfter, gang.Cancelled} {
 		fmt.Fprintf(&b, "proxy.gangs.%s=%d\n", name, states[name])
 	}
-	s.starts.Lock()
-	t := s.s.Stats
-	s.starts.Unlock()
-	fmt.Fprintf(&b, "proxy.gangs.members_sent=%d\nproxy.gangs.members_late=%d\nproxy.gangs.members_called_off=%d\nproxy.gangs.members_left_alone=%d\n", t.Launched, t.Late, t.GivenUp, t.Alone)
+	s.startsMu.Lock()
+	t := s.starter.Stats
+	s.startsMu.Unlock()
+	fmt.Fprintf(&b, "proxy.gangs.members_sent=%d\nproxy.gangs.members_late=%d\nproxy.gangs.members_called_off=%d\nproxy.gangs.members_left_alone=%d\n", t.Launched, t.Late, t.CalledOff, t.Unconfirmed)
 	fmt.Fprintf(&b, "proxy.gangs.wounds=%d\nproxy.gangs.clock_error_us=%d\nproxy.gangs.clock_jumps=%d\nproxy.gangs.clock_off_ms=%d\nproxy.gangs.overruns=%d\n",
-		s.c.Stats.Wounds, s.c.Stats.WorstError.Microseconds(), s.c.Stats.Jumps+t.Jumps, (s.now() - s.o.Ahead - time.Duration(time.Now().UnixNano())).Milliseconds(), s.errors.Load())
+		s.coordinator.Stats.Wounds, s.coordinator.Stats.MaxClockError.Microseconds(), s.coordinator.Stats.ClockJumps+t.ClockJumps, (s.now() - s.options.Ahead - time.Duration(time.Now().UnixNano())).Milliseconds(), s.overruns.Load())
 	text := b.String()
-	s.figures.Store(&text)
+	s.counters.Store(&text)
 }
 
 // Figures is what operators go by.
 func (s *Server) Figures() string {
-	if text := s.figures.Load(); text != nil {
+	if text := s.counters.Load(); text != nil {
 		return *text
 	}
 	return ""
--- a/internal/net/gangs/gangs_test.go
+++ b/internal/net/gangs/gangs_test.go
@@ -22,19 +22,19 @@
 	"caperrelay/internal/replica"
 )
 
-// shared is one host as several daemons see it: each leads some groups.
-type shared struct {
+// sharedHost is one host as several daemons see it: each leads some groups.
+type sharedHost struct {
 	*replicas.Alone
 	n, of uint32
 }
 
-func (h shared) Lead(g uint32) (uint64, time.Duration, bool) {
+func (h sharedHost) Lead(g uint32) (uint64, time.Duration, bool) {
 	term, until, ok := h.Alone.Lead(g)
 	return term, until, ok && g%h.of == h.n
 }
 
-// encoders is a loop that runs all at once but what it is to refuse.
-type encoders struct {
+// fakeLoop is a loop that runs all at once but what it is to refuse.
+type fakeLoop struct {
 	mu     sync.Mutex
 	refuse string
 	begun  map[string]time.Time
@@ -42,7 +42,7 @@
 	held   map[string]int // by encoder: spans that the loop was told of at one time, at most
 }
 
-func (e *encoders) Submit(c *dispatch.Command) {
+func (e *fakeLoop) Submit(c *dispatch.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c.Candidates[0] == e.refuse {
@@ -61,7 +61,7 @@
 	})
 }
 
-func (e *encoders) ClientGone(c *dispatch.Command) {
+func (e *fakeLoop) ClientGone(c *dispatch.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended[c.ID] == "" {
@@ -69,9 +69,9 @@
 	}
 }
 
-func (e *encoders) CancelJob(string, string) {}
+func (e *fakeLoop) CancelJob(string, string) {}
 
-func (e *encoders) SetReservations(id string, _ float64, spans []decide.Reservation) {
+func (e *fakeLoop) SetReservations(id string, _ float64, spans []decide.Reservation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.held[id] = max(e.held[id], len(spans))
@@ -82,7 +82,7 @@
 func TestGangsOverSockets(t *testing.T) {
 	const n = 3
 	alone := replicas.NewAlone(3, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
-	run := &encoders{begun: map[string]time.Time{}, ended: map[string]string{}, held: map[string]int{}}
+	run := &fakeLoop{begun: map[string]time.Time{}, ended: map[string]string{}, held: map[string]int{}}
 	var listeners []net.Listener
 	sites := map[string]string{}
 	for i := range n {
@@ -106,7 +106,7 @@
 				o.Peers[fmt.Sprint("n", j)] = l.Addr().String()
 			}
 		}
-		s, err := New(o, shared{alone, uint32(i), n}, run, slog.New(slog.DiscardHandler))
+		s, err := New(o, sharedHost{alone, uint32(i), n}, run, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 		g := grpc.NewServer()
 		s.Register(g)
@@ -153,43 +153,43 @@
 
 // Guards against a member's end, which the loop tells once, being dropped where the loop of starts is behind: the gang would
 // be dead after its start.
-func TestMembersEndIsKeptWhileStartsAreBehind(t *testing.T) {
+func TestMemberEndIsKeptWhileStarterLoopIsBehind(t *testing.T) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
-	s, err := New(Options{Name: "n1", TellsStart: true}, host, &encoders{}, slog.New(slog.DiscardHandler))
+	s, err := New(Options{Name: "n1", TellsStart: true}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	start, key := s.now()+time.Hour, gang.Key("g", 1, 0)
-	part := []gang.Part{{Encoder: "s-0", Spec: gang.Member{Class: "live", Slots: 1, Work: time.Second}}}
-	for _, kind := range []gang.Kind{gang.Arm, gang.Go} {
-		s.s.Word(start-time.Second, gang.Word{Kind: kind, Gang: "g", Round: 1, At: start, Skew: 250 * time.Millisecond, Parts: part})
+	part := []gang.Assignment{{Encoder: "s-0", Spec: gang.Member{Class: "live", Slots: 1, Work: time.Second}}}
+	for _, kind := range []gang.MessageKind{gang.Arm, gang.Go} {
+		s.starter.Handle(start-time.Second, gang.Message{Kind: kind, Gang: "g", Round: 1, At: start, Skew: 250 * time.Millisecond, Assignments: part})
 	}
-	s.s.Tick(start) // it is sent
+	s.starter.Tick(start) // it is sent
 	for range 4096 {
-		s.tellStarts(func() {}) // nobody takes them
+		s.updateStarter(func() {}) // nobody takes them
 	}
 	c := &client{s, key}
 	c.Started("s-0", true)
 	c.Answer(dispatch.Answer{Verdict: dispatch.Served})
-	said := s.s.Word(start+time.Second/10, gang.Word{Kind: gang.Run, Gang: "g", Round: 1, Parts: part})
-	require.Equal(t, gang.Done, said.Parts[0].Fate)
+	said := s.starter.Handle(start+time.Second/10, gang.Message{Kind: gang.Run, Gang: "g", Round: 1, Assignments: part})
+	require.Equal(t, gang.Done, said.Members[0].Status)
 }
 
 // Guards against the result of a proposal being dropped by a loop that is far behind: the coordinator counts it as under way
 // for ever, and proposes it no more.
-func TestResultsWaitForALoopThatIsBehind(t *testing.T) {
+func TestResultsWaitForSlowLoop(t *testing.T) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
-	s, err := New(Options{Name: "n1"}, host, &encoders{}, slog.New(slog.DiscardHandler))
+	s, err := New(Options{Name: "n1"}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	for range cap(s.in) {
-		s.in <- func() {}
+	for range cap(s.inbox) {
+		s.inbox <- func() {}
 	}
-	asked, told := s.errors.Load(), false
+	asked, told := s.overruns.Load(), false
 	s.propose(t.Context(), 0, gang.Command{Op: "look"}, func(gang.Result, bool) { told = true })
-	for s.errors.Load() == asked { // until it finds the loop behind
+	for s.overruns.Load() == asked { // until it finds the loop behind
 		runtime.Gosched()
 	}
 	for !told {
 		select {
-		case do := <-s.in:
+		case do := <-s.inbox:
 			do()
 		case <-time.After(5 * time.Second):
 			t.Fatal("it is told nothing")
@@ -198,20 +198,20 @@
 }
 
 // Guards against an encoder's word of a member being lost that a process before this one has sent.
-func TestWordOfAMemberThatAnotherProcessSent(t *testing.T) {
+func TestCallbackOfMemberSentByEarlierProcess(t *testing.T) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
-	s, err := New(Options{Name: "n1"}, host, &encoders{}, slog.New(slog.DiscardHandler))
+	s, err := New(Options{Name: "n1"}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	run := gang.Word{Kind: gang.Run, Gang: "g", Round: 1, Parts: []gang.Part{{Encoder: "s-0"}}}
-	require.Equal(t, gang.Began, s.word(run).Parts[0].Fate)
-	require.Empty(t, s.s.Did(), "its encoder goes on with it")
+	run := gang.Message{Kind: gang.Run, Gang: "g", Round: 1, Assignments: []gang.Assignment{{Encoder: "s-0"}}}
+	require.Equal(t, gang.Began, s.handleMessage(run).Members[0].Status)
+	require.Empty(t, s.starter.TakeActions(), "its encoder goes on with it")
 	require.False(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 2, 0), From: "s-0", State: dispatch.Done}))
 	require.True(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Running}))
-	require.Equal(t, gang.Began, s.word(run).Parts[0].Fate)
+	require.Equal(t, gang.Began, s.handleMessage(run).Members[0].Status)
 	require.True(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Done}))
-	require.Equal(t, gang.Done, s.word(run).Parts[0].Fate)
+	require.Equal(t, gang.Done, s.handleMessage(run).Members[0].Status)
 	run.Kind = gang.Go // what is not known to run is taken back as before
 	run.Gang = "h"
-	require.Equal(t, gang.MayRun, s.word(run).Parts[0].Fate)
-	require.Len(t, s.s.Did(), 1)
+	require.Equal(t, gang.MayHaveRun, s.handleMessage(run).Members[0].Status)
+	require.Len(t, s.starter.TakeActions(), 1)
 }
