--- a/internal/gang/coordinator.go
+++ b/internal/gang/coordinator.go
@@ -9,83 +9,84 @@
 	"time"
 )
 
-// Action is something that a coordinator wants done.
+// Action is an action that a coordinator requests.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Propose has a group take a command; the result is told by Answered.
+	// Propose proposes a command to a group; HandleResult takes the result.
 	Propose struct {
 		Key   string
 		Group uint32
 		Command
 	}
-	// Send tells a dispatcher; what it says is told by Said.
+	// Send sends a message to a dispatcher; HandleReply takes the reply.
 	Send struct {
 		To string
 		Message
 	}
-	// FetchView asks for a view; it is told by Viewed.
+	// FetchView requests a view of all groups; SetView takes it.
 	FetchView struct{}
 )
 
-func (Propose) action() {}
-func (Send) action()    {}
-func (FetchView) action()    {}
+func (Propose) action()   {}
+func (Send) action()      {}
+func (FetchView) action() {}
 
 const (
-	prepareTimeout  = 600 * time.Millisecond // that a round waits for rivals to be decided
-	rivalRetry    = 10 * time.Millisecond  // between two tries to get room that a rival may give up
-	proposeRetry       = 50 * time.Millisecond  // after a command that reached nobody
-	viewTTL     = 100 * time.Millisecond // that a view counts as true
-	heldViewTTL    = 500 * time.Millisecond // and for gangs that only wait for their start
-	messageInterval   = 15 * time.Millisecond  // around the start
-	runningInterval    = 250 * time.Millisecond // of members that run
-	orphanTimeout   = 3 * time.Second        // that a hold may be undecided before its home is asked
-	silenceTimeout   = 60 * time.Millisecond  // around the start, after which a dispatcher's members are called off by another
-	livenessTimeout    = 1500 * time.Millisecond
-	searchInterval = 25 * time.Millisecond // for an earlier start of some gang
-	minGain   = 150 * time.Millisecond
-	cancelInterval   = 100 * time.Millisecond
-	settleWait     = 300 * time.Millisecond // that dispatchers are asked by whoever coordinates now before what they do not say may have run
-	lostTimeout     = 5 * time.Second        // after its hold's end, that a member without word counts as dead
+	prepareTimeout  = 600 * time.Millisecond // for which a round waits until its rivals are decided
+	rivalRetry      = 10 * time.Millisecond  // between two attempts to prepare holds that a rival may release
+	proposeRetry    = 50 * time.Millisecond  // after a command without an answer
+	viewTTL         = 100 * time.Millisecond // for which a view counts as current
+	heldViewTTL     = 500 * time.Millisecond // the same for gangs that only wait for their start
+	messageInterval = 15 * time.Millisecond  // between messages around the start
+	runningInterval = 250 * time.Millisecond // between messages while members run
+	orphanTimeout   = 3 * time.Second        // after which an undecided hold's home is queried
+	silenceTimeout  = 60 * time.Millisecond  // of a dispatcher around the start, after which another one cancels its members
+	livenessTimeout = 1500 * time.Millisecond
+	searchInterval  = 25 * time.Millisecond // between searches for an earlier start of any held gang
+	minGain         = 150 * time.Millisecond
+	cancelInterval  = 100 * time.Millisecond
+	settleWait      = 300 * time.Millisecond // for which a new coordinator queries dispatchers before members of unknown status count as may-have-run
+	lostTimeout     = 5 * time.Second        // from the end of its hold, after which a member without a report counts as dead
 )
 
-// Coordinator acts for the gangs of the homes that this daemon leads. All that matters is in the homes' logs: another
-// may take over at any moment, and two may act at once. It is not safe for more than one goroutine.
+// Coordinator drives the gangs whose homes this daemon leads. All durable state is in the homes' logs: another
+// coordinator may take over at any time, and two may act at once. It must not be used concurrently.
 type Coordinator struct {
-	actions      []Action
-	proposed   map[string]Propose       // under way, by key
-	notBefore    map[string]time.Duration // by key: not to be proposed again before
-	lastSent     map[string]time.Duration // by dispatcher, gang and kind: when last
-	clock    string                   // the own one's name
-	clocks   map[string]*Clock        // by their names
-	clockOf    map[string]string        // a dispatcher's clock
-	planClocks     map[string]string        // by gang and round: the clock that its plan goes by
-	dispatchers    map[string]dispatcherInfo         // of dispatchers
-	armed    map[string]map[int]bool  // by gang and round: members whose dispatchers are ready
-	confirmed      map[string]map[int]bool  // and those that know that all run
-	freeGroups     map[string]map[int]bool  // and groups in which its room is free
-	reported    map[string]map[int]MemberStatus  // and what the home has been told of them
-	roundStarted    map[string]time.Duration
-	calledOffSince     map[string]time.Duration // by gang and round: since when its members are called off from here
-	homes    map[string]uint32        // of the gangs that are known here
-	undecidedSince     map[string]time.Duration // undecided holds, by gang and round: since when
-	view     View
-	viewTime   time.Duration
-	searchTime time.Duration // for an earlier start of a held gang
-	fetchingView    bool
-	Stats    Stats
+	actions        []Action
+	proposed       map[string]Propose              // proposals without a result yet, by key
+	notBefore      map[string]time.Duration        // by key: when it may be proposed again
+	lastSent       map[string]time.Duration        // by dispatcher, gang and kind of message
+	clock          string                          // name of the local clock
+	clocks         map[string]*Clock               // by name of the clock
+	clockOf        map[string]string               // by dispatcher: name of its clock
+	planClocks     map[string]string               // by gang and round: name of the clock of its plan
+	dispatchers    map[string]dispatcherInfo       // by name
+	armed          map[string]map[int]bool         // by gang and round: members whose dispatchers are ready
+	confirmed      map[string]map[int]bool         // by gang and round: members whose dispatchers know that all run
+	freeGroups     map[string]map[int]bool         // by gang and round: groups in which its slots are free
+	reported       map[string]map[int]MemberStatus // by gang and round: statuses that the home has received
+	roundStarted   map[string]time.Duration
+	calledOffSince map[string]time.Duration // by gang and round: when this coordinator began to call its members off
+	homes          map[string]uint32        // of the gangs known here
+	undecidedSince map[string]time.Duration // uncommitted holds, by group, gang and round
+	view           View
+	viewTime       time.Duration
+	searchTime     time.Duration // last search for an earlier start of a held gang
+	fetchingView   bool
+	Stats          Stats
 }
 
-// Stats counts what a coordinator did.
+// Stats counts a coordinator's events.
 type Stats struct {
 	Wounds, Unanswered uint64
-	ClockJumps          uint64        // of clocks that were put to another time, and processes that came anew
-	MaxClockError     time.Duration // of a clock that was gone by
+	ClockJumps         uint64        // steps of clocks and restarts of processes
+	MaxClockError      time.Duration // of the clocks used for a start
 }
 
-// NewCoordinator returns one that has nothing in hand. Its clock has a name that no other has, no former process either.
+// NewCoordinator returns a coordinator without gangs. The name of its clock must be unique, also among earlier
+// processes.
 func NewCoordinator(clock string) *Coordinator {
 	return &Coordinator{
 		clock: clock, clockOf: map[string]string{}, planClocks: map[string]string{},
@@ -94,7 +95,7 @@
 	}
 }
 
-// TakeActions takes the actions that have come up.
+// TakeActions returns the pending actions and clears them.
 func (c *Coordinator) TakeActions() []Action {
 	out := c.actions
 	c.actions = nil
@@ -117,7 +118,7 @@
 	c.actions = append(c.actions, p)
 }
 
-// HandleResult takes a command's result; ok is false where it is not known to have been taken.
+// HandleResult takes a proposal's result. ok is false if the command may not have been applied.
 func (c *Coordinator) HandleResult(now time.Duration, key string, r Result, ok bool) {
 	p, flies := c.proposed[key]
 	if !flies {
@@ -131,7 +132,7 @@
 	}
 	switch p.Op {
 	case "commit", "undo", "end", "lapse":
-		if p.By == "" { // else the home knows the gang no more
+		if p.By == "" { // otherwise the home no longer has the gang
 			c.propose(now, p.Command.Group, Command{Op: "told", Gang: p.Gang, Confirmed: &Notice{p.Group, p.Round, p.Op}})
 		}
 	case "prepare":
@@ -160,7 +161,7 @@
 	case r.OK:
 		c.propose(now, s.Home, Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: p.Group, At: c.planTime(now, s.Gang, s.Round)})
 	case len(r.Rivals) > 0 && now-c.roundStarted[s.Gang] < prepareTimeout:
-		for _, o := range r.Rivals { // the older goes first; a younger waits for it, so that no two wait for each other
+		for _, o := range r.Rivals { // older gangs take precedence and younger ones wait, so no two wait for each other
 			if older(s.SubmittedAt, s.Gang, o.SubmittedAt, o.Gang) {
 				c.Stats.Wounds++
 				c.propose(now, o.Home, Command{Op: "wound", Gang: o.Gang, Round: o.Round, By: s.Gang, SubmittedAt: s.SubmittedAt})
@@ -173,12 +174,12 @@
 	}
 }
 
-// SetView takes what a planner needs.
+// SetView takes a fetched view.
 func (c *Coordinator) SetView(now time.Duration, v View) {
 	c.view, c.viewTime, c.fetchingView = v, now, false
 }
 
-// HandleReply takes what a dispatcher said to a word that was sent at a time.
+// HandleReply processes a dispatcher's reply to a message. sent is when the message was sent.
 func (c *Coordinator) HandleReply(now, sent time.Duration, to string, w Message, s Reply, home uint32) {
 	k := c.measureClock(now, sent, to, s)
 	c.dispatchers[to] = dispatcherInfo{now, s.Site}
@@ -205,8 +206,8 @@
 	}
 }
 
-// measureClock takes what an answer says of a dispatcher's clock. Where it was put to another time, whoever was ready may be so
-// for another start than the others: all are asked again.
+// measureClock updates a dispatcher's clock from a reply. After a step of the clock, dispatchers may be armed for
+// different start times, so all are armed again.
 func (c *Coordinator) measureClock(now, sent time.Duration, to string, s Reply) *Clock {
 	name := cmp.Or(s.Clock, to)
 	before, known := c.clockOf[to]
@@ -224,7 +225,7 @@
 	return k
 }
 
-// timeBy is now by the clock that a plan goes by, and by how much that may be wrong; false: that clock is not known.
+// timeBy returns the current time by a plan's clock and its maximum error, and false if that clock is not known.
 func (c *Coordinator) timeBy(now time.Duration, clock string) (t, err time.Duration, ok bool) {
 	if clock == "" || clock == c.clock {
 		return now, 0, true
@@ -236,13 +237,13 @@
 	return now, 0, false
 }
 
-// ClockOffset is how far a clock is ahead of the own one, as far as it is known.
+// ClockOffset returns how far a clock is ahead of the local one, or 0 if that is not known.
 func (c *Coordinator) ClockOffset(now time.Duration, clock string) time.Duration {
 	t, _, _ := c.timeBy(now, clock)
 	return t - now
 }
 
-// planTime is now by the clock that a gang's plan goes by; 0: it is not known.
+// planTime returns the current time by the clock of a gang's plan, or 0 if that is not known.
 func (c *Coordinator) planTime(now time.Duration, gang string, round uint64) time.Duration {
 	if clock, known := c.planClocks[fmt.Sprint(gang, "/", round)]; known {
 		if t, _, ok := c.timeBy(now, clock); ok {
@@ -259,7 +260,7 @@
 	m[id][n] = true
 }
 
-// Step does what is to be done for the gangs of a home, and for holds that its accounts have of others.
+// Step advances the gangs of a home and checks the uncommitted holds in the group's accounts.
 func (c *Coordinator) Step(now time.Duration, group uint32, m *Machine, encoders []Encoder) {
 	all := slices.Collect(maps.Values(m.Gangs))
 	slices.SortFunc(all, func(a, b *Entry) int {
@@ -268,10 +269,10 @@
 	for _, e := range all {
 		c.homes[e.Spec.ID] = group
 		for _, d := range e.Unconfirmed {
-			// The gang's home goes along, to be told of it.
+			// The command names the gang's home, which receives the confirmation.
 			c.propose(now, d.Group, Command{Op: d.Op, Gang: e.Spec.ID, Round: d.Round, Group: group})
 		}
-		t, ok := now, true // by the clock that its plan goes by
+		t, ok := now, true // by the plan's clock
 		if e.Plan != nil {
 			c.planClocks[fmt.Sprint(e.Spec.ID, "/", e.Plan.Round)] = e.Plan.Clock
 			t, _, ok = c.timeBy(now, e.Plan.Clock)
@@ -282,7 +283,7 @@
 		case Preparing:
 			c.stepPreparing(now, t, group, e)
 		case Held:
-			if !ok { // whoever planned it is gone, and nobody here ever measured its clock
+			if !ok { // the planner is gone, and its clock was never measured here
 				c.propose(now, group, Command{Op: "drop", Gang: e.Spec.ID, Round: e.Plan.Round, Reason: "the clock that its start goes by is not known"})
 				continue
 			}
@@ -328,7 +329,7 @@
 	}
 }
 
-// haveView tells whether there is a view to plan by, and asks for one if not.
+// haveView reports whether the view is recent enough, and requests a new one if not.
 func (c *Coordinator) haveView(now, within time.Duration) bool {
 	if c.viewTime > 0 && now-c.viewTime <= within {
 		return true
@@ -359,11 +360,11 @@
 	c.proposePlan(now, group, e, p)
 }
 
-// proposePlan proposes a plan. What it takes is left alone by the plans that follow.
+// proposePlan proposes a plan and adds its holds to the view, so that later plans leave them alone.
 func (c *Coordinator) proposePlan(now time.Duration, group uint32, e *Entry, p *Plan) {
 	c.roundStarted[e.Spec.ID] = now
 	t := now
-	if p.Clock = c.clock; e.Plan != nil { // a move keeps the start, and so what it goes by
+	if p.Clock = c.clock; e.Plan != nil { // a move keeps the start and therefore the clock
 		p.Clock = e.Plan.Clock
 		t, _, _ = c.timeBy(now, p.Clock)
 	}
@@ -372,7 +373,7 @@
 }
 
 func (c *Coordinator) stepPreparing(now, t time.Duration, group uint32, e *Entry) {
-	if _, known := c.roundStarted[e.Spec.ID]; !known { // another coordinator's
+	if _, known := c.roundStarted[e.Spec.ID]; !known { // started by another coordinator
 		c.roundStarted[e.Spec.ID] = now
 	}
 	if t > e.Plan.Start-voteMargin || now-c.roundStarted[e.Spec.ID] > prepareTimeout+proposeRetry {
@@ -389,7 +390,7 @@
 	}
 }
 
-// usable tells of a plan's member whether its encoder may still take it.
+// usable reports whether the encoder of a plan's member can still run it.
 func usable(p *Plan, i int, encoders []Encoder) bool {
 	for _, x := range encoders {
 		if x.ID != p.Encoders[i] {
@@ -460,7 +461,8 @@
 	c.sendMessages(now, e, Arm, messageInterval)
 }
 
-// replaceSelfAsStarter has another dispatcher send what whoever coordinates by now would: the home may have changed hands since.
+// replaceSelfAsStarter moves members that this dispatcher is to send to another one. The home's leader may have
+// changed since the gang was planned, and one crash should not take both roles.
 func (c *Coordinator) replaceSelfAsStarter(now, t time.Duration, group uint32, e *Entry, encoders []Encoder) bool {
 	self, p := c.view.Self, e.Plan
 	if !slices.Contains(p.Starters, self) || t < p.Start-2*ArmLead || t > p.Start-ArmLead || !c.haveView(now, viewTTL) {
@@ -476,8 +478,8 @@
 	return true
 }
 
-// planSooner has a gang start earlier where room has come free since it was planned: what ends is known only once it has. Its
-// holds stay in force until the earlier ones stand.
+// planSooner plans an earlier start if slots have become free since the gang was planned: jobs may end before their
+// holds do. The present holds stay in force until the new ones are committed.
 func (c *Coordinator) planSooner(now, t time.Duration, group uint32, e *Entry, encoders []Encoder) bool {
 	key := e.Spec.ID + "/sooner"
 	if t > e.Plan.Start-2*Lead || now < c.notBefore[key] || now < c.searchTime+searchInterval || !c.haveView(now, viewTTL) {
@@ -494,7 +496,8 @@
 	return true
 }
 
-// recallReason tells whether a partner lends too little by now for what the gang holds and older ones do: the younger give way.
+// recallReason returns a reason to move the gang if a partner now lends too little for its holds and those of older
+// gangs, else "". Younger gangs give way.
 func (c *Coordinator) recallReason(e *Entry) string {
 	k := accounts{Resources: c.view.Accounts}
 	var lent []Hold
@@ -525,7 +528,7 @@
 		every = runningInterval
 		for i, f := range e.MemberStatuses {
 			if f == Began && t > e.Plan.Start+e.Spec.Members[i].Work-runningInterval {
-				every = 2 * messageInterval // others wait for its room
+				every = 2 * messageInterval // other gangs wait for its slots
 			}
 		}
 	}
@@ -544,7 +547,7 @@
 	}
 }
 
-// sendMessages tells the dispatchers of a gang's members, each every so often.
+// sendMessages sends a message to each dispatcher of the gang's members, at most once per interval.
 func (c *Coordinator) sendMessages(now time.Duration, e *Entry, kind MessageKind, every time.Duration) {
 	p := e.Plan
 	to := map[string][]Assignment{}
@@ -570,7 +573,7 @@
 			offset, err, ok = k.Offset(now)
 		}
 		t, wrong, known := c.timeBy(now, p.Clock)
-		if err += wrong; ok && known && err <= e.Spec.Skew/4 { // else it is asked for its clock alone: such a word arms nobody
+		if err += wrong; ok && known && err <= e.Spec.Skew/4 { // otherwise the message only measures the clock and arms no member
 			w.At, w.ClockError, w.offset = p.Start+offset+now-t, err, offset
 			c.Stats.MaxClockError = max(c.Stats.MaxClockError, err)
 		} else if kind == Arm {
@@ -580,7 +583,7 @@
 	}
 }
 
-// cancelElsewhere has other dispatchers call off what silent ones may have sent.
+// cancelElsewhere has other dispatchers cancel members whose dispatchers do not answer.
 func (c *Coordinator) cancelElsewhere(now time.Duration, e *Entry) {
 	for i, name := range e.Plan.Starters {
 		if f := e.MemberStatuses[i]; f != Unknown && f != Began || now-c.dispatchers[name].lastReply < silenceTimeout {
@@ -598,13 +601,13 @@
 	}
 }
 
-// dispatcherInfo is when a dispatcher last said anything, and where it stands.
+// dispatcherInfo is a dispatcher's site and the time of its last reply.
 type dispatcherInfo struct {
-	lastReply   time.Duration
-	site string
+	lastReply time.Duration
+	site      string
 }
 
-// LiveDispatchers is the dispatchers that were heard of lately.
+// LiveDispatchers returns the dispatchers that have replied recently.
 func (c *Coordinator) LiveDispatchers(now time.Duration) (all []Dispatcher) {
 	for _, name := range slices.Sorted(maps.Keys(c.dispatchers)) {
 		if h := c.dispatchers[name]; now-h.lastReply < livenessTimeout {
@@ -614,8 +617,8 @@
 	return all
 }
 
-// checkOrphans asks the homes of holds that have been undecided for long: word of what was decided may never have been sent,
-// where a home forgot it first.
+// checkOrphans queries the homes of holds that have been uncommitted for long. The decision on them may never have
+// been sent if the home removed the gang first.
 func (c *Coordinator) checkOrphans(now time.Duration, group uint32, m *Machine) {
 	for _, s := range m.RoundHolds {
 		id := fmt.Sprint(group, "/", s.Gang, "/", s.Round)
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,10 +1,11 @@
-// Package gang decides about jobs whose members run at several encoders and start together, or not at all. It has no
-// I/O and no clock: it is driven by events, each with its time, and returns what is to be done.
+// Package gang plans and runs gangs: jobs whose members run at several encoders and either all start together or not
+// at all. It does no I/O and reads no clock: callers pass in events with their times, and carry out the actions that
+// it returns.
 //
-// A [Machine] is the part of a replicated group: the slots of its encoders, what partners lend, and the gangs whose home
-// it is. Holds over several groups are a two-phase commitment whose decision is a command in the log of the gang's home,
-// so that it outlives whoever coordinated it. A [Coordinator] acts for the gangs of a home, a [Starter] for the members
-// that one dispatcher sends. docs/gangs-design.md weighs the choices.
+// A [Machine] is one group's replicated state machine: the slot accounts of the group's encoders and partners, and the
+// gangs whose home the group is. Holds that span several groups are made by a two-phase commit. Its decision is a
+// command in the log of the gang's home, so that it survives the coordinator. A [Coordinator] drives the gangs of a
+// home; a [Starter] starts the members that one dispatcher sends. docs/gangs-design.md discusses the choices.
 package gang
 
 import (
@@ -13,66 +14,66 @@
 	"time"
 )
 
-// Bounds of what is asked for.
+// Limits of gangs and accounts.
 const (
-	MaxMembers  = 16
-	MinMembers = 2
-	MaxPayload  = 64 << 10 // bytes of all members' payloads
-	maxNameLen     = 128      // bytes of an id, site, kind, class or key
-	maxSlots    = 1 << 10
-	maxWork     = 24 * time.Hour
-	maxWindow   = 7 * 24 * time.Hour
-	maxGangs    = 4096 // of one home, those that are over included
-	maxHolds    = 4096 // of one group
-	endedRetention     = 10 * time.Minute
+	MaxMembers     = 16
+	MinMembers     = 2
+	MaxPayload     = 64 << 10 // bytes, all members' payloads together
+	maxNameLen     = 128      // bytes of an ID, site, kind, class or key
+	maxSlots       = 1 << 10
+	maxWork        = 24 * time.Hour
+	maxWindow      = 7 * 24 * time.Hour
+	maxGangs       = 4096 // per home, including ended ones
+	maxHolds       = 4096 // per group
+	endedRetention = 10 * time.Minute
 	defaultSkew    = 250 * time.Millisecond
 )
 
-// Times of a start. All are after or before the start that was committed, by the clock of whoever goes by them, whose
-// error is stated and part of the skew.
+// Times relative to the committed start, by the clock of the process that checks them. The error of that clock is
+// known and counts as part of the skew.
 const (
-	Lead     = 700 * time.Millisecond // from a plan to its start at least: holds, arming and the word to go must fit
-	GoMargin     = 150 * time.Millisecond // before the start: without the word of all by then, nothing starts
-	StartTimeout   = 350 * time.Millisecond // after the start: by then all have started, or all are called off
-	ConfirmTimeout    = 450 * time.Millisecond // after the start: a member that has not heard by then that all run is given up
-	SettleDelay = time.Second            // after the start: what is not known by then may have run
-	ArmLead = 600 * time.Millisecond // before the start: dispatchers are told of their members
-	voteMargin   = 400 * time.Millisecond // before the start: holds that are not complete by then are given up
+	Lead           = 700 * time.Millisecond // minimum time from plan to start: leaves room for holds, arming and the go message
+	GoMargin       = 150 * time.Millisecond // before the start: latest commit of the start; otherwise the gang does not start
+	StartTimeout   = 350 * time.Millisecond // after the start: unless all members have started by then, all are called off
+	ConfirmTimeout = 450 * time.Millisecond // after the start: a member whose dispatcher has not learned by then that all run is cancelled
+	SettleDelay    = time.Second            // after the start: members whose status is unknown by then count as may-have-run
+	ArmLead        = 600 * time.Millisecond // before the start: dispatchers receive their members
+	voteMargin     = 400 * time.Millisecond // before the start: a round without all votes by then is aborted
 )
 
-// DeathPolicy is what follows when a member dies once all have started.
+// DeathPolicy is what happens to the other members when one dies after all have started.
 type DeathPolicy string
 
-// The ways.
+// The death policies.
 const (
-	ContinueOthers    DeathPolicy = "go_on"    // the others run on
-	StopAll DeathPolicy = "stop_all" // the others are called off
+	ContinueOthers DeathPolicy = "go_on"    // the others go on
+	StopAll        DeathPolicy = "stop_all" // the others are cancelled
 )
 
 // Member is one job of a gang.
 type Member struct {
-	Site    string        `json:"site,omitempty"` // where its footage lies; empty: anywhere
-	Kind    string        `json:"kind,omitempty"` // empty: any
+	Site    string        `json:"site,omitempty"` // where its input is stored; empty: any site
+	Kind    string        `json:"kind,omitempty"` // of encoder; empty: any
 	Slots   int           `json:"slots"`
-	Work    time.Duration `json:"work"` // for which its slots are held
+	Work    time.Duration `json:"work"` // how long its slots are held
 	Key     uint64        `json:"key,omitempty"`
 	Class   string        `json:"class"`
-	Once    bool          `json:"once,omitempty"`   // it must not run twice
+	Once    bool          `json:"once,omitempty"`   // must not run twice
 	Target  string        `json:"target,omitempty"` // of its HTTP request
 	Payload []byte        `json:"payload,omitempty"`
 }
 
-// Spec is a gang as it is asked for. Times are Unix time.
+// Spec is a gang as the client requests it. Times are Unix time.
 type Spec struct {
 	ID          string        `json:"id"`
 	Members     []Member      `json:"members"`
 	NotBefore   time.Duration `json:"not_before"`
 	LatestStart time.Duration `json:"latest_start"`
-	Skew        time.Duration `json:"skew"` // between the first member's start and the last one's
-	OnDeath       DeathPolicy         `json:"after"`
+	Skew        time.Duration `json:"skew"` // maximum between the starts of the first and the last member
+	OnDeath     DeathPolicy   `json:"after"`
 }
 
-// Validate returns the gang with what is not said set, or what is wrong with it.
+// Validate returns the spec with defaults filled in, or an error.
 func (s Spec) Validate(now time.Duration) (Spec, error) {
 	s.Skew, s.OnDeath = cmp.Or(s.Skew, defaultSkew), cmp.Or(s.OnDeath, ContinueOthers)
 	size := 0
@@ -108,31 +109,33 @@
 	return s, nil
 }
 
-// Hold is room that a gang has, or wants, of an encoder or of what a partner lends.
+// Hold reserves slots of an encoder or of a partner's share for a gang.
 type Hold struct {
 	Resource string        `json:"resource"`
 	Group    uint32        `json:"group"` // that keeps the account
-	Gen      uint64        `json:"gen"`   // of the resource as the planner saw it
+	Gen      uint64        `json:"gen"`   // generation of the resource that the planner saw
 	Slots    int           `json:"slots"`
 	From     time.Duration `json:"from"`
 	Until    time.Duration `json:"until"`
 }
 
-// holdDuration is for how long a member's slots are held at first: its work, and until its end is known to the accounts, before
-// the word to go of whoever is next. What is late keeps them.
-func holdDuration(m Member) time.Duration { return m.Work + m.Work/50 + GoMargin + 150*time.Millisecond }
+// holdDuration returns how long a member's slots are held at first: its work plus the time until the accounts know of
+// its end, which must come before the next gang's go deadline. Holds of late members are extended.
+func holdDuration(m Member) time.Duration {
+	return m.Work + m.Work/50 + GoMargin + 150*time.Millisecond
+}
 
-// Plan is where and when a gang is to run.
+// Plan says where and when a gang is to run.
 type Plan struct {
 	Round    uint64        `json:"round"`
 	Start    time.Duration `json:"start"`
-	Clock    string        `json:"clock,omitempty"` // by which the start and the holds go: the planner's
+	Clock    string        `json:"clock,omitempty"` // the planner's clock, by which the start and the holds are meant
 	Encoders []string      `json:"encoders"`        // by member
 	Starters []string      `json:"starters"`        // by member: the dispatcher that sends it
 	Holds    []Hold        `json:"holds"`
 }
 
-// coversMembers tells whether each member has its slots. Those that are alike at one encoder have one hold.
+// coversMembers reports whether the holds cover each member's slots. Equal holds at one encoder are merged into one.
 func (p *Plan) coversMembers(members []Member) bool {
 	missing := map[string]int{}
 	for i, m := range members {
@@ -149,7 +152,7 @@
 	return true
 }
 
-// groups are those that keep an account for the plan, in their order.
+// groups returns the sorted numbers of the groups that keep an account for the plan.
 func (p *Plan) groups() (all []uint32) {
 	if p != nil {
 		for _, h := range p.Holds {
@@ -161,7 +164,7 @@
 	return all
 }
 
-// HoldsIn is the plan's part in a group.
+// HoldsIn returns the plan's holds in a group.
 func (p *Plan) HoldsIn(group uint32) (holds []Hold) {
 	for _, h := range p.Holds {
 		if h.Group == group {
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -36,22 +36,22 @@
 type simulation struct {
 	t require.TestingT
 	*rand.Rand
-	now     time.Duration
-	groups  []*Machine
-	daemons []*daemon
-	encoders     []Encoder
-	lenders map[string]AccountLocation
-	events    []event
-	loss    float64
-	cutLinks     map[[2]int]bool // from one daemon to another
-	runs    map[string]*jobRun // by key
-	sent    map[string]int  // by gang and member: how often
-	killed  map[string]bool // gangs a dispatcher of which died around the start: nobody can call its members off
-	stats   map[string]int
-	worstSkew    time.Duration
-	specs   map[string]Spec
-	maxOverrun    time.Duration // by which members run longer than they said, at most
-	lentCap     int           // of slots lent, checked by what runs; 0: it is not
+	now        time.Duration
+	groups     []*Machine
+	daemons    []*daemon
+	encoders   []Encoder
+	lenders    map[string]AccountLocation
+	events     []event
+	loss       float64
+	cutLinks   map[[2]int]bool    // from one daemon to another
+	runs       map[string]*jobRun // by key
+	sent       map[string]int     // by gang and member: how often
+	killed     map[string]bool    // gangs a dispatcher of which died around the start: nobody can call its members off
+	stats      map[string]int
+	worstSkew  time.Duration
+	specs      map[string]Spec
+	maxOverrun time.Duration // by which members run longer than they said, at most
+	lentCap    int           // of slots lent, checked by what runs; 0: it is not
 }
 
 type daemon struct {
--- a/internal/gang/home.go
+++ b/internal/gang/home.go
@@ -8,60 +8,60 @@
 	"time"
 )
 
-// State is how far a gang is.
+// State is the state of a gang.
 type State string
 
 // The states.
 const (
-	Waiting   State = "waiting"   // for a plan
-	Preparing State = "preparing" // holds are asked for; with an Old plan, in which one stands, a move
-	Held      State = "held"      // all holds stand
-	Starting     State = "going"     // the start is committed
-	StartFailed       State = "off"       // the start has failed: members are called off
-	Running   State = "running"   // all have started
-	Ended     State = "ended"
+	Waiting     State = "waiting"   // for a plan
+	Preparing   State = "preparing" // holds are being requested; with a Previous plan that is still in force, a move
+	Held        State = "held"      // all holds are committed
+	Starting    State = "going"     // the start is committed
+	StartFailed State = "off"       // members are being called off
+	Running     State = "running"   // all members have started
+	Ended       State = "ended"
 )
 
-// MemberStatus is what is known of a member.
+// MemberStatus is what is known about a member.
 type MemberStatus string
 
-// The fates. All but "" and Began are a member's last in a round.
+// The statuses. All but Unknown and Began are final within a round.
 const (
-	Unknown  MemberStatus = ""
-	Began    MemberStatus = "began"
-	NeverRan MemberStatus = "never_ran" // refused, or not sent
-	MayHaveRun   MemberStatus = "may_have_run"
-	Done     MemberStatus = "done"
-	Died     MemberStatus = "died"
+	Unknown    MemberStatus = ""
+	Began      MemberStatus = "began"
+	NeverRan   MemberStatus = "never_ran" // refused, or not sent
+	MayHaveRun MemberStatus = "may_have_run"
+	Done       MemberStatus = "done"
+	Died       MemberStatus = "died"
 )
 
-// Notice is word that a group has not confirmed.
+// Notice is a decision that a group has not confirmed yet.
 type Notice struct {
 	Group uint32 `json:"group"`
 	Round uint64 `json:"round"`
 	Op    string `json:"op"` // commit, undo, end or lapse
 }
 
-// Entry is a gang at its home.
+// Entry is a gang as its home stores it.
 type Entry struct {
-	Spec    Spec          `json:"spec"`
-	SubmittedAt     time.Duration `json:"age"` // when it was submitted; whoever is older goes first
-	State   State         `json:"state"`
-	Round   uint64        `json:"round"` // of planning, the last one
-	Plan    *Plan         `json:"plan,omitempty"`
-	Previous     *Plan         `json:"old,omitempty"`
-	Votes   []uint32      `json:"votes,omitempty"`
-	MemberStatuses   []MemberStatus        `json:"fates,omitempty"`
-	Unconfirmed     []Notice         `json:"due,omitempty"`
-	Retry   time.Duration `json:"retry,omitempty"` // not to be planned before
-	Reason     string        `json:"why,omitempty"`   // of the last turn for the worse
-	Verdict string        `json:"verdict,omitempty"`
-	MayHaveRun  []int         `json:"may_have_run,omitempty"` // members of a gang that did not start
-	Dead    []int         `json:"dead,omitempty"`         // members that died after the start was committed
-	HeldAt time.Duration `json:"decided,omitempty"`      // when its holds first stood
-	Moves   int           `json:"moves,omitempty"`
-	Plans   int           `json:"plans,omitempty"` // begun
-	EndedAt    time.Duration `json:"over,omitempty"`
+	Spec           Spec           `json:"spec"`
+	SubmittedAt    time.Duration  `json:"age"` // older gangs take precedence
+	State          State          `json:"state"`
+	Round          uint64         `json:"round"` // the last planning round
+	Plan           *Plan          `json:"plan,omitempty"`
+	Previous       *Plan          `json:"old,omitempty"`
+	Votes          []uint32       `json:"votes,omitempty"`
+	MemberStatuses []MemberStatus `json:"fates,omitempty"`
+	Unconfirmed    []Notice       `json:"due,omitempty"`
+	Retry          time.Duration  `json:"retry,omitempty"` // time before which it is not planned again
+	Reason         string         `json:"why,omitempty"`   // for the last setback
+	Verdict        string         `json:"verdict,omitempty"`
+	MayHaveRun     []int          `json:"may_have_run,omitempty"` // members of a gang that did not start
+	Dead           []int          `json:"dead,omitempty"`         // members that died after the start was committed
+	HeldAt         time.Duration  `json:"decided,omitempty"`      // when all its holds were first committed
+	Moves          int            `json:"moves,omitempty"`
+	Plans          int            `json:"plans,omitempty"` // planning rounds begun
+	EndedAt        time.Duration  `json:"over,omitempty"`
 }
 
 // The verdicts.
@@ -72,13 +72,13 @@
 	Cancelled  = "cancelled"
 )
 
-// home is the gangs whose home a group is.
+// home is the part of the state machine with the gangs whose home the group is.
 type home struct {
 	Gangs map[string]*Entry `json:"gangs"`
 }
 
 func (m *home) submit(at time.Duration, spec Spec) Result {
-	if e := m.Gangs[spec.ID]; e != nil { // it is asked again
+	if e := m.Gangs[spec.ID]; e != nil { // submitted again
 		return Result{OK: true, Entry: e}
 	}
 	spec, err := spec.Validate(at)
@@ -86,7 +86,9 @@
 		return Result{Err: err.Error()}
 	}
 	if len(m.Gangs) >= maxGangs {
-		maps.DeleteFunc(m.Gangs, func(_ string, e *Entry) bool { return e.State == Ended && len(e.Unconfirmed) == 0 && e.EndedAt < at-endedRetention })
+		maps.DeleteFunc(m.Gangs, func(_ string, e *Entry) bool {
+			return e.State == Ended && len(e.Unconfirmed) == 0 && e.EndedAt < at-endedRetention
+		})
 		if len(m.Gangs) >= maxGangs {
 			return Result{Full: true, Err: "too many gangs"}
 		}
@@ -96,7 +98,8 @@
 	return Result{OK: true, Entry: e}
 }
 
-// applyToGang has a gang take a command; a command for another round, or out of its time, changes nothing.
+// applyToGang applies a command to its gang. A command of another round, or one that the state does not allow, changes
+// nothing.
 func (m *home) applyToGang(at time.Duration, c Command) Result {
 	e := m.Gangs[c.Gang]
 	if e == nil {
@@ -111,7 +114,7 @@
 
 func (e *Entry) apply(at time.Duration, c Command) string {
 	now := e.Plan != nil && e.Plan.Round == c.Round
-	when := cmp.Or(c.At, at) // the log's time may be any dispatcher's, a start's is one's alone
+	when := cmp.Or(c.At, at) // the log's time may come from any dispatcher's clock; a start goes by one clock only
 	switch c.Op {
 	case "plan":
 		return e.setPlan(when, c.Plan)
@@ -125,7 +128,7 @@
 			return "another round"
 		}
 		e.abortRound(at, c.Reason)
-	case "wound": // an older gang wants what this one has not got yet
+	case "wound": // an older gang needs slots for which this one is still preparing
 		if e.State != Preparing || !now {
 			return "too late"
 		} else if !older(c.SubmittedAt, c.By, e.SubmittedAt, e.Spec.ID) {
@@ -206,7 +209,8 @@
 	return ""
 }
 
-// addVote takes a group's yes. The last one decides, here and at no other place, that the holds stand.
+// addVote records that a group has prepared the holds. The last vote commits the round; this is the only place where
+// that is decided.
 func (e *Entry) addVote(at, when time.Duration, group uint32) string {
 	all := e.Plan.groups()
 	if _, asked := search(all, group); !asked {
@@ -238,7 +242,7 @@
 	return ""
 }
 
-// addNotice has a group be told; word that it overtakes need not be.
+// addNotice queues a notice for a group and drops queued notices that it supersedes.
 func (e *Entry) addNotice(group uint32, round uint64, op string) {
 	e.Unconfirmed = slices.DeleteFunc(e.Unconfirmed, func(d Notice) bool {
 		return d.Group == group && d.Op != "lapse" && (op != "commit" && op != "undo" && d.Round <= round || d.Round == round)
@@ -246,12 +250,12 @@
 	e.Unconfirmed = append(e.Unconfirmed, Notice{group, round, op})
 }
 
-// retryTime is for how long a gang waits after a round in vain.
+// retryTime returns when a gang may be planned again after a failed round.
 func (e *Entry) retryTime(at time.Duration) time.Duration {
 	return at + min(20*time.Millisecond<<min(e.Plans, 5), 500*time.Millisecond)
 }
 
-// abortRound gives a round up whose holds never stood.
+// abortRound abandons a round whose holds were not all prepared.
 func (e *Entry) abortRound(at time.Duration, why string) {
 	for _, g := range e.Plan.groups() {
 		e.addNotice(g, e.Plan.Round, "undo")
@@ -264,7 +268,8 @@
 	e.State = Waiting
 }
 
-// releaseOp is how holds are given up: at once where it is known of all members that they do not run, or have been called off.
+// releaseOp returns how holds are released: at once ("end") if every member is known not to run or has been called
+// off, else at their expiry ("lapse").
 func (e *Entry) releaseOp() string {
 	if slices.ContainsFunc(e.MemberStatuses, func(f MemberStatus) bool { return f == Unknown || f == Began || f == Died }) {
 		return "lapse"
@@ -272,7 +277,7 @@
 	return "end"
 }
 
-// releaseHolds gives up holds that stood; nothing runs, as far as it is known.
+// releaseHolds gives up committed holds of a gang of which, as far as known, nothing runs.
 func (e *Entry) releaseHolds(at time.Duration, why string) {
 	for _, g := range e.Plan.groups() {
 		e.addNotice(g, e.Plan.Round, e.releaseOp())
@@ -291,7 +296,7 @@
 	switch e.State {
 	case Starting:
 		switch f {
-		case Began, Done: // a short one may be done before the last has begun
+		case Began, Done: // a short member may be done before the last one begins
 			if when > e.Plan.Start+StartTimeout {
 				e.failStart("not all had started in time")
 				return "too late"
@@ -332,7 +337,7 @@
 
 func (e *Entry) failStart(why string) { e.State, e.Reason = StartFailed, why }
 
-// settle ends a start that has failed: the gang is planned anew unless a member may have run that must not run twice.
+// settle finishes a failed start. The gang is planned again unless a member may have run that must not run twice.
 func (e *Entry) settle(at time.Duration) {
 	for i, f := range e.MemberStatuses {
 		if f != NeverRan {
@@ -353,7 +358,7 @@
 	}
 }
 
-// endIfAllEnded ends a gang whose members all have, or which ends with the first death.
+// endIfAllEnded ends a gang of which no member runs any more.
 func (e *Entry) endIfAllEnded(at time.Duration) {
 	open := slices.ContainsFunc(e.MemberStatuses, func(f MemberStatus) bool { return f == Began })
 	if open {
@@ -366,7 +371,7 @@
 	e.end(at, cmp.Or(e.Verdict, verdict), "")
 }
 
-// ShouldStop tells whether what runs is to be called off.
+// ShouldStop reports whether the running members are to be cancelled.
 func (e *Entry) ShouldStop() bool {
 	return e.State == Running && (e.Verdict == Cancelled || len(e.Dead) > 0 && e.Spec.OnDeath == StopAll)
 }
@@ -382,7 +387,7 @@
 		e.Reason = ""
 	}
 	for i := range e.Spec.Members {
-		e.Spec.Members[i].Payload = nil // nobody needs it any more
+		e.Spec.Members[i].Payload = nil // no longer needed
 	}
 }
 
--- a/internal/gang/keeper.go
+++ b/internal/gang/keeper.go
@@ -12,19 +12,19 @@
 
 func insert(a []uint32, i int, x uint32) []uint32 { return slices.Insert(a, i, x) }
 
-// Resource is an account: an encoder's slots, or what a partner lends.
+// Resource is an account of an encoder's slots or of the slots that a partner lends.
 type Resource struct {
-	ID    string  `json:"id"`
-	Slots int     `json:"slots"`           // at once
-	MaxSlots  int     `json:"most,omitempty"`  // of a partner, as it said; Slots is what follows from that and Share. 0: no bound
-	Share float64 `json:"share,omitempty"` // of its encoders' slots; 0: no bound
-	SlotHours float64 `json:"hours,omitempty"` // slot-hours in a day of UTC; 0: no bound
-	Gen   uint64  `json:"gen"`             // a hold for another is refused; it only grows
+	ID        string  `json:"id"`
+	Slots     int     `json:"slots"`           // at one time
+	MaxSlots  int     `json:"most,omitempty"`  // the limit that the partner set; Slots is the result of this and Share. 0: unlimited
+	Share     float64 `json:"share,omitempty"` // of the slots of the partner's encoders; 0: unlimited
+	SlotHours float64 `json:"hours,omitempty"` // slot-hours per UTC day; 0: unlimited
+	Gen       uint64  `json:"gen"`             // generation: only grows, and holds for another one are refused
 }
 
 const unbounded = 1 << 20 // slots
 
-// ForEncoderSlots is what a partner lends whose encoders have so many slots.
+// ForEncoderSlots returns the resource with Slots set for a partner whose encoders have that many slots.
 func (r Resource) ForEncoderSlots(slots int) Resource {
 	if r.Slots = cmp.Or(r.MaxSlots, unbounded); r.Share > 0 {
 		r.Slots = min(r.Slots, int(r.Share*float64(slots)))
@@ -32,25 +32,26 @@
 	return r
 }
 
-// RoundHolds is what a gang has of this group's accounts in one round of planning.
+// RoundHolds is a gang's holds in this group's accounts in one planning round.
 type RoundHolds struct {
-	Gang      string        `json:"gang"`
-	Round     uint64        `json:"round"`
-	Home      uint32        `json:"home"`
-	SubmittedAt       time.Duration `json:"age"`             // when the gang was submitted
-	Clock     string        `json:"clock,omitempty"` // by which its holds go
-	Holds     []Hold        `json:"holds"`
-	Committed bool          `json:"committed,omitempty"`
-	// UntilExpiry: its gang is done with it, and a member may run on that nobody hears of: it stays until its time is over.
+	Gang        string        `json:"gang"`
+	Round       uint64        `json:"round"`
+	Home        uint32        `json:"home"`
+	SubmittedAt time.Duration `json:"age"`             // of the gang
+	Clock       string        `json:"clock,omitempty"` // the clock by which the holds are meant
+	Holds       []Hold        `json:"holds"`
+	Committed   bool          `json:"committed,omitempty"`
+	// UntilExpiry is set if the gang has released the holds while a member may still run unobserved: they stay until
+	// their time is up.
 	UntilExpiry bool `json:"lapses,omitempty"`
 }
 
-// accounts is the accounts of a group. A hold stays until the gang's home says otherwise, or its time is past: nothing
-// here lets go of one that may be committed.
+// accounts is the part of the state machine with the group's accounts. A hold stays until the gang's home releases it
+// or its time is up; no hold that may be committed is dropped here.
 type accounts struct {
-	Resources map[string]Resource `json:"resources"`
-	RoundHolds  []RoundHolds          `json:"standing"` // by gang and round
-	EndedRounds      map[string]endedRound     `json:"over"`     // rounds that are over, lest one of their messages come late
+	Resources   map[string]Resource   `json:"resources"`
+	RoundHolds  []RoundHolds          `json:"standing"` // sorted by gang and round
+	EndedRounds map[string]endedRound `json:"over"`     // by gang, to refuse late messages of ended rounds
 }
 
 type endedRound struct {
@@ -64,8 +65,8 @@
 	})
 }
 
-// expire drops holds that were never committed and whose time is over, and forgets old rounds. What was committed stays
-// until its gang has ended, lest a job that is late run beside others that were given its slots.
+// expire drops uncommitted holds whose time is up, and old ended rounds. Committed holds are extended until the gang
+// ends: otherwise a late job would share its slots with the next one.
 func (k *accounts) expire(at time.Duration) {
 	k.RoundHolds = slices.DeleteFunc(k.RoundHolds, func(s RoundHolds) bool {
 		grace := time.Duration(0)
@@ -78,7 +79,7 @@
 		if !s.Committed || s.UntilExpiry || !slices.ContainsFunc(s.Holds, func(h Hold) bool { return h.Until <= at }) {
 			continue
 		}
-		holds := slices.Clone(s.Holds) // others may read the old ones
+		holds := slices.Clone(s.Holds) // others may read the old slice
 		for j := range holds {
 			holds[j].Until = max(holds[j].Until, at+holdExtension)
 		}
@@ -89,14 +90,15 @@
 	}
 }
 
-// maxClockDifference is by how much dispatchers' clocks may differ before a hold that its home may yet decide on is dropped.
+// maxClockDifference is the assumed maximum difference of dispatchers' clocks: uncommitted holds are dropped this long
+// after their time, as their home may still decide on them.
 const maxClockDifference = time.Minute
 
-// holdExtension is for how long a hold goes on at a time that should be over.
+// holdExtension is how far the hold of a late member is extended at a time.
 const holdExtension = Lead
 
-// set opens or changes an account. What is held stays, also beyond a lower bound: a partner that lends less recalls
-// nothing by itself, the gangs' homes do.
+// set opens or changes an account. Holds stay even beyond a lowered limit: it is the gangs' homes that release them
+// when a partner lends less.
 func (k *accounts) set(r Resource) Result {
 	before, known := k.Resources[r.ID]
 	switch {
@@ -111,7 +113,8 @@
 	return Result{OK: true}
 }
 
-// prepare takes holds, all or none. Those of the gang's other rounds count once with them, whichever is larger.
+// prepare makes all holds of a round or none. The gang's holds of other rounds are not added to them; the larger ones
+// count.
 func (k *accounts) prepare(at time.Duration, s RoundHolds) Result {
 	i, have := k.find(s.Gang, s.Round)
 	switch {
@@ -138,7 +141,7 @@
 	if h, fits := k.fits(with, s.Holds); !fits {
 		res := Result{Full: true, Err: h.Resource + " is full"}
 		firm := slices.DeleteFunc(slices.Clone(with), func(o RoundHolds) bool { return !o.Committed && o.Gang != s.Gang })
-		if _, fits := k.fits(firm, s.Holds); fits { // only such are in the way that may yet give way
+		if _, fits := k.fits(firm, s.Holds); fits { // only gangs that can still give way are in the way
 			for _, o := range with {
 				if !o.Committed && o.Gang != s.Gang && overlap(o.Holds, s.Holds) {
 					res.Rivals = append(res.Rivals, Rival{o.Gang, o.Round, o.Home, o.SubmittedAt})
@@ -162,7 +165,8 @@
 	return false
 }
 
-// fits tells whether no account that the holds touch is passed at any time of theirs, and if one is, for which hold.
+// fits reports whether no account of the holds is overdrawn at any time during them; otherwise it returns the hold
+// that fails.
 func (k *accounts) fits(all []RoundHolds, holds []Hold) (Hold, bool) {
 	for _, h := range holds {
 		r := k.Resources[h.Resource]
@@ -200,7 +204,7 @@
 
 func startOfDay(t time.Duration) time.Duration { return t - t%(24*time.Hour) }
 
-// sumUsed sums up what gangs have of a resource; of a gang with several rounds only one will count, the larger is taken.
+// sumUsed sums up a resource's use by all gangs. Only one of a gang's rounds will take effect, so its largest counts.
 func sumUsed(all []RoundHolds, resource string, of func(Hold) float64) (sum float64) {
 	for i := 0; i < len(all); {
 		most := 0.0
@@ -211,7 +215,7 @@
 					n += of(h)
 				}
 			}
-			if all[i].UntilExpiry { // beside what the gang has got since
+			if all[i].UntilExpiry { // in addition to the gang's newer holds
 				sum += n
 				continue
 			}
@@ -222,29 +226,29 @@
 	return sum
 }
 
-// commit makes a round's holds firm; those of the gang's earlier rounds are over with it.
+// commit commits a round's holds and ends the gang's earlier rounds.
 func (k *accounts) commit(at time.Duration, gang string, round uint64) Result {
 	i, have := k.find(gang, round)
 	if !have {
 		if k.EndedRounds[gang].Round >= round {
-			return Result{OK: true} // and released since
+			return Result{OK: true} // already released again
 		}
-		return Result{Err: "there is no such hold"} // its time is past
+		return Result{Err: "there is no such hold"} // expired
 	}
 	k.RoundHolds[i].Committed = true
 	k.end(at, gang, round-1)
 	return Result{OK: true}
 }
 
-// ready tells whether a round that is about to start finds its room free. Accounts go by what was planned; what began
-// before and has not ended counts here until it has, whatever it said, and so does what its home has yet to decide on.
+// ready reports whether the slots of a round that is about to start are really free. Accounts go by planned times;
+// here earlier holds that have not ended, or whose home has not decided yet, count even if their planned time is over.
 func (k *accounts) ready(gang string, round uint64) Result {
 	i, have := k.find(gang, round)
 	if !have {
 		return Result{Err: "there is no such hold"}
 	}
 	mine := k.RoundHolds[i]
-	// Where a partner lends less than was held, younger ones that start with this one give way.
+	// If a partner now lends less than was held, younger gangs that start at the same time or later give way.
 	all := slices.DeleteFunc(slices.Clone(k.RoundHolds), func(s RoundHolds) bool {
 		return s.Gang != gang && older(mine.SubmittedAt, gang, s.SubmittedAt, s.Gang) && s.Holds[0].From >= mine.Holds[0].From
 	})
@@ -272,7 +276,7 @@
 	return Result{OK: true}
 }
 
-// abort drops a round's holds that were not committed.
+// abort drops a round's uncommitted holds.
 func (k *accounts) abort(at time.Duration, gang string, round uint64) Result {
 	i, have := k.find(gang, round)
 	switch {
@@ -281,14 +285,14 @@
 	case have:
 		k.RoundHolds = slices.Delete(k.RoundHolds, i, i+1)
 	}
-	// An earlier round may be in force, in a move: it stays. But nothing of this one, which may come late, is taken.
+	// During a move, the earlier round is still in force and stays. Late messages of this round must be refused.
 	if k.EndedRounds[gang].Round < round {
 		k.EndedRounds[gang] = endedRound{round, at}
 	}
 	return Result{OK: true}
 }
 
-// end drops all of a gang's holds up to a round: its home has so decided after it committed them.
+// end drops a gang's holds up to a round, as decided by its home after their commit.
 func (k *accounts) end(at time.Duration, gang string, round uint64) Result {
 	k.RoundHolds = slices.DeleteFunc(k.RoundHolds, func(s RoundHolds) bool { return s.Gang == gang && s.Round <= round && !s.UntilExpiry })
 	if k.EndedRounds[gang].Round < round {
@@ -297,7 +301,8 @@
 	return Result{OK: true}
 }
 
-// keepUntilExpiry is end, but for holds of a round that members may go on to use, though nobody hears of them.
+// keepUntilExpiry is like end, but a round's committed holds stay until they expire, since members may still run
+// unobserved.
 func (k *accounts) keepUntilExpiry(at time.Duration, gang string, round uint64) Result {
 	if i, have := k.find(gang, round); have && k.RoundHolds[i].Committed {
 		k.RoundHolds[i].UntilExpiry = true
--- a/internal/gang/machine.go
+++ b/internal/gang/machine.go
@@ -12,77 +12,77 @@
 
 const version = 1
 
-// Command is what a group is asked to apply.
+// Command is a command to a group's state machine.
 type Command struct {
 	V    int    `json:"v"`
 	Op   string `json:"op"`
 	Gang string `json:"gang,omitempty"`
 
-	Round    uint64        `json:"round,omitempty"`
-	Group    uint32        `json:"group,omitempty"`
-	Spec     *Spec         `json:"spec,omitempty"`
-	Plan     *Plan         `json:"plan,omitempty"`
-	RoundHolds *RoundHolds     `json:"standing,omitempty"`
-	Resource *Resource     `json:"resource,omitempty"`
-	Confirmed     *Notice          `json:"told,omitempty"`
-	Member   int           `json:"member,omitempty"`
-	MemberStatus     MemberStatus          `json:"fate,omitempty"`
-	Armed    []string      `json:"armed,omitempty"` // dispatchers, by member
-	By       string        `json:"by,omitempty"`
-	SubmittedAt      time.Duration `json:"age,omitempty"`
-	At       time.Duration `json:"at,omitempty"` // by the clock that the gang's plan goes by; 0: the log's time is taken
-	RetryAfter      time.Duration `json:"for,omitempty"`
-	Reason      string        `json:"why,omitempty"`
-}
-
-// Encode is the command as it is proposed.
+	Round        uint64        `json:"round,omitempty"`
+	Group        uint32        `json:"group,omitempty"`
+	Spec         *Spec         `json:"spec,omitempty"`
+	Plan         *Plan         `json:"plan,omitempty"`
+	RoundHolds   *RoundHolds   `json:"standing,omitempty"`
+	Resource     *Resource     `json:"resource,omitempty"`
+	Confirmed    *Notice       `json:"told,omitempty"`
+	Member       int           `json:"member,omitempty"`
+	MemberStatus MemberStatus  `json:"fate,omitempty"`
+	Armed        []string      `json:"armed,omitempty"` // dispatchers, by member
+	By           string        `json:"by,omitempty"`
+	SubmittedAt  time.Duration `json:"age,omitempty"`
+	At           time.Duration `json:"at,omitempty"` // by the clock of the gang's plan; 0: the log entry's time is used
+	RetryAfter   time.Duration `json:"for,omitempty"`
+	Reason       string        `json:"why,omitempty"`
+}
+
+// Encode returns the command's encoding for the log.
 func (c Command) Encode() []byte {
 	c.V = version
-	text, _ := json.Marshal(c) // plain data: it cannot fail
+	text, _ := json.Marshal(c) // cannot fail for plain data
 	return text
 }
 
-// Rival is an undecided gang that is in the way.
+// Rival is an undecided gang whose holds are in the way of others.
 type Rival struct {
-	Gang  string        `json:"gang"`
-	Round uint64        `json:"round"`
-	Home  uint32        `json:"home"`
-	SubmittedAt   time.Duration `json:"age"`
+	Gang        string        `json:"gang"`
+	Round       uint64        `json:"round"`
+	Home        uint32        `json:"home"`
+	SubmittedAt time.Duration `json:"age"`
 }
 
-// Result is what became of a command.
+// Result is the result of a command.
 type Result struct {
-	OK        bool       `json:"ok"`
-	Err       string     `json:"err,omitempty"`
-	Full      bool       `json:"full,omitempty"`
-	Stale     bool       `json:"stale,omitempty"`
-	NotFound      bool       `json:"gone,omitempty"` // there is no such gang
-	Gen       uint64     `json:"gen,omitempty"`
-	Rivals      []Rival    `json:"with,omitempty"` // who is in the way and undecided
-	Entry     *Entry     `json:"entry,omitempty"`
-	Resources []Resource `json:"resources,omitempty"`
-	RoundHolds  []RoundHolds `json:"standing,omitempty"`
-}
-
-// Decode reads a result.
+	OK         bool         `json:"ok"`
+	Err        string       `json:"err,omitempty"`
+	Full       bool         `json:"full,omitempty"`
+	Stale      bool         `json:"stale,omitempty"`
+	NotFound   bool         `json:"gone,omitempty"` // no such gang
+	Gen        uint64       `json:"gen,omitempty"`
+	Rivals     []Rival      `json:"with,omitempty"` // undecided gangs in the way
+	Entry      *Entry       `json:"entry,omitempty"`
+	Resources  []Resource   `json:"resources,omitempty"`
+	RoundHolds []RoundHolds `json:"standing,omitempty"`
+}
+
+// Decode decodes a result.
 func Decode(text []byte) (r Result, err error) {
 	err = json.Unmarshal(text, &r)
 	return r, err
 }
 
-// Machine is a group's part of gangs: it is a replica's machine.
+// Machine is a group's state machine for gangs, one of the machines that a replica runs.
 type Machine struct {
 	home
 	accounts
 	At time.Duration
 }
 
-// New returns a group that has nothing.
+// New returns a machine without gangs and accounts.
 func New() *Machine {
 	return &Machine{home: home{map[string]*Entry{}}, accounts: accounts{map[string]Resource{}, nil, map[string]endedRound{}}}
 }
 
-// Apply takes a command. What it does not know it refuses.
+// Apply applies an encoded command. Unknown commands are refused.
 func (m *Machine) Apply(_ uint64, at time.Duration, text []byte) []byte {
 	var c Command
 	r := Result{Err: "not a command"}
@@ -94,7 +94,7 @@
 	return out
 }
 
-// ApplyCommand takes a command as it stands: it is Apply without the text.
+// ApplyCommand applies a command that is not encoded.
 func (m *Machine) ApplyCommand(at time.Duration, c Command) Result { return m.apply(at, c) }
 
 func (m *Machine) apply(at time.Duration, c Command) Result {
@@ -135,20 +135,19 @@
 	return m.applyToGang(at, c)
 }
 
-// state is what a snapshot holds.
+// state is the content of a snapshot.
 type state struct {
-	V      int           `json:"v"`
-	Home   home          `json:"home"`
-	Accounts accounts        `json:"keeper"`
-	At     time.Duration `json:"at"`
+	V        int           `json:"v"`
+	Home     home          `json:"home"`
+	Accounts accounts      `json:"keeper"`
+	At       time.Duration `json:"at"`
 }
 
-// Snapshot is all of it.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return json.Marshal(state{version, m.home, m.accounts, m.At})
 }
 
-// Restore takes a snapshot.
+// Restore replaces the machine's state with a snapshot's.
 func (m *Machine) Restore(text []byte) error {
 	s := state{Home: home{map[string]*Entry{}}, Accounts: accounts{map[string]Resource{}, nil, map[string]endedRound{}}}
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -161,7 +160,7 @@
 	return nil
 }
 
-// Query is what a planner needs of the group.
+// Query returns the group's accounts and holds for a planner.
 func (m *Machine) Query() Result {
 	r := Result{OK: true, RoundHolds: slices.Clone(m.RoundHolds)}
 	for _, id := range slices.Sorted(maps.Keys(m.Resources)) {
@@ -170,8 +169,8 @@
 	return r
 }
 
-// OpenGangs is the gangs that have not ended, or of which groups are still to be told, and what is held here, for a
-// coordinator to go by while the machine goes on.
+// OpenGangs returns a copy with the gangs that have not ended or have unconfirmed notices, and with the group's holds.
+// A coordinator can use it while the machine continues.
 func (m *Machine) OpenGangs() *Machine {
 	c := &Machine{home: home{map[string]*Entry{}}, accounts: accounts{nil, slices.Clone(m.RoundHolds), nil}, At: m.At}
 	for id, e := range m.Gangs {
@@ -185,13 +184,14 @@
 	return c
 }
 
-// Reservation is room of an encoder that a gang has.
+// Reservation is a gang's hold of an encoder's slots.
 type Reservation struct {
 	Gang string `json:"gang"`
 	Hold
 }
 
-// Reservations is what gangs have of encoders here until a moment, for dispatchers to leave alone; at most so much.
+// Reservations returns up to most holds of encoders that begin before until. Dispatchers keep other jobs off these
+// slots.
 func (m *Machine) Reservations(until time.Duration, most int) (all []Reservation) {
 	for _, s := range m.RoundHolds {
 		for _, h := range s.Holds {
@@ -203,7 +203,8 @@
 	return all
 }
 
-// UsedSlots is the slots that are held of a resource at a moment; of a gang's rounds only one will count, the larger is taken.
+// UsedSlots returns the slots of a resource that are held at a time. Only one of a gang's rounds will take effect, so
+// its largest counts.
 func (m *Machine) UsedSlots(resource string, at time.Duration) int {
 	return int(sumUsed(m.RoundHolds, resource, func(h Hold) float64 {
 		if h.From <= at && at < h.Until {
@@ -213,8 +214,8 @@
 	}))
 }
 
-// Entries is the gangs whose home this is, to be read only.
+// Entries returns the gangs whose home this group is. Callers must not modify them.
 func (m *Machine) Entries() map[string]*Entry { return m.Gangs }
 
-// Holding is what is held here, to be read only.
+// Holding returns the holds in this group. Callers must not modify them.
 func (m *Machine) Holding() []RoundHolds { return m.RoundHolds }
--- a/internal/gang/many_test.go
+++ b/internal/gang/many_test.go
@@ -40,7 +40,9 @@
 			oldest = ""
 			continue
 		}
-		e := slices.MinFunc(all, func(a, b *Entry) int { return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID)) })
+		e := slices.MinFunc(all, func(a, b *Entry) int {
+			return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
+		})
 		if e.Spec.ID != oldest {
 			oldest, since = e.Spec.ID, w.now
 		}
--- a/internal/gang/plan.go
+++ b/internal/gang/plan.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// Encoder is one as the planner sees it.
+// Encoder is an encoder as the planner sees it.
 type Encoder struct {
 	ID, Site, Kind string
 	Partner        string // that lends it; empty: the deployment's own
 	Slots          int
 	Gen            uint64
 	Group          uint32        // that keeps its account
-	WarmAt           time.Duration // from when on it is
-	Excluded            bool          // draining, gone, or left out by hand
+	WarmAt         time.Duration // when it has warmed up
+	Excluded       bool          // draining, gone or cordoned
 }
 
-// Account is the resource of an encoder.
+// Account returns the name of the encoder's resource.
 func (e Encoder) Account() string { return "e/" + e.ID }
 
-// PartnerAccount is the resource of what a partner lends.
+// PartnerAccount returns the name of a partner's resource.
 func PartnerAccount(partner string) string { return "p/" + partner }
 
-// View is what a plan is made of.
+// View is the input of a plan.
 type View struct {
-	Now      time.Duration
-	Encoders []Encoder
-	PartnerAccounts  map[string]AccountLocation // by partner; one that is not here lends without a bound
-	Accounts map[string]Resource // as their groups told
-	RoundHolds []RoundHolds          // of all groups, likewise
-	Starters []Dispatcher
-	Self     string // who plans: it sends members only where no other does, so that one death is not both
+	Now             time.Duration
+	Encoders        []Encoder
+	PartnerAccounts map[string]AccountLocation // by partner; one that is missing lends without limit
+	Accounts        map[string]Resource        // as reported by their groups
+	RoundHolds      []RoundHolds               // of all groups, as reported by them
+	Starters        []Dispatcher
+	Self            string // the planning dispatcher: it sends members only if no other can, so that one crash does not take both roles
 }
 
-// AccountLocation is where a partner's account is kept.
+// AccountLocation is the group that keeps a partner's account.
 type AccountLocation struct{ Group uint32 }
 
-// Dispatcher can send members.
+// Dispatcher is a dispatcher that can send members.
 type Dispatcher struct{ Name, Site string }
 
 const (
-	maxStarts = 128  // tried for one plan
-	maxSearchSteps  = 4000 // of a search for one start
+	maxStarts      = 128  // tried per plan
+	maxSearchSteps = 4000 // per start
 )
 
-// FindPlan makes a plan: the soonest start at which all members have room, each at a warm encoder of its site and kind.
-// keep is a plan whose start and encoders stand, but for those that cannot be used any more; nil: none.
+// FindPlan returns a plan with the earliest start at which all members have room, each at a warm encoder of its site
+// and kind; or nil and the reason why there is none. If keep is not nil, the plan has keep's start and, where they can
+// still be used, its encoders.
 func FindPlan(v View, e *Entry, keep *Plan) (*Plan, string) {
 	s := e.Spec
 	if len(v.Starters) == 0 {
@@ -60,13 +61,13 @@
 		}
 		f.order = append(f.order, i)
 	}
-	// Who has the least choice is placed first.
+	// The members with the fewest eligible encoders are placed first.
 	slices.SortStableFunc(f.order, func(a, b int) int {
 		return cmp.Or(cmp.Compare(len(f.eligible(a)), len(f.eligible(b))), cmp.Compare(s.Members[b].Slots, s.Members[a].Slots))
 	})
 	f.accounts = accounts{Resources: v.Accounts}
 	for _, o := range v.RoundHolds {
-		if o.Gang != s.ID { // what the gang has itself is its own to use again
+		if o.Gang != s.ID { // the gang can use its own holds again
 			f.accounts.RoundHolds = append(f.accounts.RoundHolds, o)
 		}
 	}
@@ -105,19 +106,19 @@
 	return nil, "no room in its window"
 }
 
-// planSearch is one search.
+// planSearch is the state of one search for a plan.
 type planSearch struct {
 	View
-	spec  Spec
-	accounts     accounts
-	keep  *Plan
-	order []int
-	steps int
-	holds []Hold
-	plan  Plan
+	spec     Spec
+	accounts accounts
+	keep     *Plan
+	order    []int
+	steps    int
+	holds    []Hold
+	plan     Plan
 }
 
-// eligible is the encoders at which a member may run at all.
+// eligible returns the encoders that can run a member, regardless of time and load.
 func (f *planSearch) eligible(i int) (all []Encoder) {
 	m := f.spec.Members[i]
 	for _, x := range f.Encoders {
@@ -139,7 +140,7 @@
 	return &f.plan
 }
 
-// place finds room for the members from one on in their order, going back where it must.
+// place finds room for the members from the n-th in the search order on, with backtracking.
 func (f *planSearch) place(n int) bool {
 	if n == len(f.order) {
 		return true
@@ -156,7 +157,7 @@
 		}
 		return 1
 	}
-	// Where it was, then where least is left over: large members find whole encoders.
+	// First the encoder of the plan to keep, then best fit: this leaves whole encoders to large members.
 	slices.SortStableFunc(all, func(a, b Encoder) int {
 		return cmp.Or(cmp.Compare(kept(a), kept(b)), cmp.Compare(a.Slots, b.Slots), cmp.Compare(a.ID, b.ID))
 	})
@@ -187,7 +188,7 @@
 	return false
 }
 
-// starter is the dispatcher that is to send a member: one of the encoder's site, each in its turn.
+// starter returns the dispatcher that is to send a member, preferably one at the encoder's site, in rotation.
 func (f *planSearch) starter(i int, x Encoder) string {
 	var best []Dispatcher
 	least := 4
@@ -209,7 +210,7 @@
 	return best[i%len(best)].Name
 }
 
-// mergeHolds has one hold for what is held alike, so that a gang has no more than it must.
+// mergeHolds merges holds that differ in their slots only, to keep the number of holds small.
 func mergeHolds(holds []Hold) (all []Hold) {
 	for _, h := range holds {
 		if i := slices.IndexFunc(all, func(o Hold) bool {
--- a/internal/gang/start.go
+++ b/internal/gang/start.go
@@ -8,132 +8,133 @@
 	"time"
 )
 
-// MessageKind is what a coordinator tells a dispatcher of members.
+// MessageKind is the kind of a message from a coordinator to a dispatcher.
 type MessageKind string
 
-// The kinds.
+// The kinds of messages.
 const (
-	Arm MessageKind = "arm" // be ready to start them
-	Go  MessageKind = "go"  // the start is committed
-	Run MessageKind = "run" // all have started
-	CallOff  MessageKind = "no"  // call them off
-	// CancelElsewhere is told to another dispatcher than the one that may have sent them, which is silent: have the encoders drop them.
+	Arm     MessageKind = "arm" // prepare to start the members
+	Go      MessageKind = "go"  // the start is committed
+	Run     MessageKind = "run" // all members have started
+	CallOff MessageKind = "no"  // cancel the members
+	// CancelElsewhere goes to a different dispatcher if the one that may have sent the members does not answer: it has
+	// the encoders drop them.
 	CancelElsewhere MessageKind = "back"
 )
 
-// StarterActionKind is what a starter wants done with a member.
+// StarterActionKind is the kind of a starter's action on a member.
 type StarterActionKind int
 
-// The doings.
+// The kinds of actions.
 const (
-	Launch   StarterActionKind = iota // send it
-	CancelSent                // end what was sent from here
-	CancelJob              // have its encoder drop what another process may have sent
+	Launch     StarterActionKind = iota // send the member
+	CancelSent                          // cancel a member that this dispatcher has sent
+	CancelJob                           // have the encoder drop a member that another process may have sent
 )
 
-// Message is what a coordinator tells a dispatcher. It is answered by a [Said], and repeated until that says what is wanted.
+// Message is a coordinator's message to a dispatcher. It is answered by a [Reply], and repeated until the reply
+// confirms it.
 type Message struct {
-	Kind  MessageKind          `json:"kind"`
-	Gang  string        `json:"gang"`
-	Round uint64        `json:"round"`
-	At    time.Duration `json:"at"`            // of the start, by the clock of whoever is told
-	ClockError   time.Duration `json:"err,omitempty"` // by how much that may be wrong
-	Skew  time.Duration `json:"skew"`
-	Assignments []Assignment        `json:"parts"`
-
-	offset time.Duration // of the clock, as At was reckoned
+	Kind        MessageKind   `json:"kind"`
+	Gang        string        `json:"gang"`
+	Round       uint64        `json:"round"`
+	At          time.Duration `json:"at"`            // the start, by the receiver's clock
+	ClockError  time.Duration `json:"err,omitempty"` // maximum error of At
+	Skew        time.Duration `json:"skew"`
+	Assignments []Assignment  `json:"parts"`
+
+	offset time.Duration // of the receiver's clock that At was computed with
 }
 
-// Assignment is one member that a dispatcher is to send.
+// Assignment is a member that a dispatcher is to send.
 type Assignment struct {
 	Member  int    `json:"member"`
 	Encoder string `json:"encoder"`
-	Spec    Member `json:"spec"` // in a word to arm only
+	Spec    Member `json:"spec"` // only in arm messages
 }
 
-// Reply is what a dispatcher says of the members that it was told of.
+// Reply is a dispatcher's reply to a message, with the status of the members in it.
 type Reply struct {
-	Now   time.Duration `json:"now"`             // by its clock
-	Clock string        `json:"clock,omitempty"` // which that is: each process has one of its own
-	Site  string        `json:"site"`
-	Reservations  []Reservation       `json:"held,omitempty"` // of the groups that it leads, where it was asked nothing else
-	Members []MemberReply    `json:"parts"`
+	Now          time.Duration `json:"now"`             // by its clock
+	Clock        string        `json:"clock,omitempty"` // name of its clock, unique to the process
+	Site         string        `json:"site"`
+	Reservations []Reservation `json:"held,omitempty"` // in the groups that it leads; only in replies to messages without a kind
+	Members      []MemberReply `json:"parts"`
 }
 
-// MemberReply is of one member.
+// MemberReply is the status of one member.
 type MemberReply struct {
-	Member  int    `json:"member"`
-	Armed   bool   `json:"armed,omitempty"`   // ready to start
-	AllRunning bool   `json:"running,omitempty"` // it knows that all have started
-	Status    MemberStatus   `json:"fate,omitempty"`
-	Reason     string `json:"why,omitempty"`
-	Late    int64  `json:"late,omitempty"` // microseconds after the start at which it was sent
+	Member     int          `json:"member"`
+	Armed      bool         `json:"armed,omitempty"`   // ready to start
+	AllRunning bool         `json:"running,omitempty"` // the dispatcher knows that all members have started
+	Status     MemberStatus `json:"fate,omitempty"`
+	Reason     string       `json:"why,omitempty"`
+	Late       int64        `json:"late,omitempty"` // microseconds from the planned start until it was sent
 }
 
-// StarterAction is something that a starter wants done.
+// StarterAction is an action that a starter requests.
 type StarterAction struct {
-	Key     string // of the member in this round: its job's correlation id
-	Kind      StarterActionKind
+	Key     string // the job's correlation ID, unique to member and round
+	Kind    StarterActionKind
 	Encoder string
 	Member  Member
 }
 
-// A member that is given up is dropped by its encoder, which is told some times more: word of it may be lost, or overtake
-// the job.
+// The encoder of a cancelled member is told several times to drop it: a message may be lost or overtake the job.
 const (
-	dropRepeats = 3
+	dropRepeats  = 3
 	dropInterval = 40 * time.Millisecond
 )
 
-// maxStarterMembers bounds the members in a starter's hand.
+// maxStarterMembers is the maximum number of members that a starter keeps.
 const maxStarterMembers = 4096
 
-// Starter starts the members that a dispatcher sends. Its time is Unix time by the dispatcher's clock, which must go on
-// steadily. It is not safe for more than one goroutine.
+// Starter starts the members that one dispatcher sends. Its times are Unix times by the dispatcher's clock, which must
+// be monotonic. It must not be used concurrently.
 type Starter struct {
 	members map[string]*starterMember
-	actions   []StarterAction
-	Stats StarterStats
+	actions []StarterAction
+	Stats   StarterStats
 }
 
-// StarterStats counts what it did.
+// StarterStats counts a starter's events.
 type StarterStats struct{ Armed, Launched, Late, CalledOff, Unconfirmed, ClockJumps uint64 }
 
 type starterMember struct {
 	Assignment
-	gang    string
-	round   uint64
+	gang              string
+	round             uint64
 	start, clockError time.Duration
-	skew    time.Duration
-	goReceived   bool
-	sent    bool
-	sentAt  time.Duration
-	allRunning bool
-	status    MemberStatus
-	reason     string
-	changedAt time.Duration
-	dropsLeft   int // that its encoder is still to be told to drop it
+	skew              time.Duration
+	goReceived        bool
+	sent              bool
+	sentAt            time.Duration
+	allRunning        bool
+	status            MemberStatus
+	reason            string
+	changedAt         time.Duration
+	dropsLeft         int // how often its encoder is still to be told to drop it
 }
 
-// ended tells whether nothing more can become of a member.
+// ended reports whether the member's status is final.
 func (p *starterMember) ended() bool { return p.status != Unknown && p.status != Began }
 
-// NewStarter returns one that has nothing in hand.
+// NewStarter returns a starter without members.
 func NewStarter() *Starter { return &Starter{members: map[string]*starterMember{}} }
 
-// Key is a member's in a round.
+// Key returns the ID of a member's job in a round.
 func Key(gang string, round uint64, member int) string {
 	return fmt.Sprintf("gang-%s-%d-%d", gang, round, member)
 }
 
-// TakeActions takes the acts that have come up.
+// TakeActions returns the pending actions and clears them.
 func (s *Starter) TakeActions() []StarterAction {
 	out := s.actions
 	s.actions = nil
 	return out
 }
 
-// Handle takes a word and answers it.
+// Handle processes a message and returns the reply.
 func (s *Starter) Handle(now time.Duration, w Message) Reply {
 	s.Tick(now)
 	said := Reply{Now: now}
@@ -147,7 +148,7 @@
 		p := s.members[key]
 		if p == nil {
 			if p = cmp.Or(s.arm(now, w, t), s.adopt(now, w, t)); p == nil {
-				if w.Kind != Arm { // a process before this one may have sent it
+				if w.Kind != Arm { // an earlier process may have sent it
 					s.actions = append(s.actions, StarterAction{Key: key, Kind: CancelJob, Encoder: t.Encoder})
 				}
 				said.Members = append(said.Members, MemberReply{Member: t.Member, Status: s.unknownStatus(w), Reason: "not known here"})
@@ -158,7 +159,7 @@
 		switch {
 		case p.ended():
 		case w.Kind == Arm && !p.goReceived:
-			p.start, p.clockError = w.At, w.ClockError // whoever coordinates now measures by its own clock
+			p.start, p.clockError = w.At, w.ClockError // by the current coordinator's measurement of the clock
 		case w.Kind == Go && !p.sent && w.At > 0 && (w.At-p.start).Abs() > w.ClockError+p.clockError:
 			s.Stats.ClockJumps++
 			p.status, p.reason, p.changedAt = NeverRan, "its dispatcher's clock was put to another time", now
@@ -175,7 +176,7 @@
 	return said
 }
 
-// arm is a member that is told of for the first time; nil: it is too late, or there are too many.
+// arm returns a new member to be started, or nil if it is too late or there are too many.
 func (s *Starter) arm(now time.Duration, w Message, t Assignment) *starterMember {
 	if w.Kind != Arm || w.At <= now || w.Skew <= 0 {
 		return nil
@@ -190,7 +191,8 @@
 	return &starterMember{Assignment: t, gang: w.Gang, round: w.Round, start: w.At, clockError: w.ClockError, skew: w.Skew, changedAt: now}
 }
 
-// adopt is a member that runs, and was sent by a process before this one; nil: it is not known to run, or there are too many.
+// adopt returns a running member that an earlier process has sent, or nil if it is not known to run or there are too
+// many.
 func (s *Starter) adopt(now time.Duration, w Message, t Assignment) *starterMember {
 	if w.Kind != Run || len(s.members) >= maxStarterMembers {
 		return nil
@@ -198,8 +200,8 @@
 	return &starterMember{Assignment: t, gang: w.Gang, round: w.Round, start: now, sentAt: now, sent: true, allRunning: true, status: Began, changedAt: now}
 }
 
-// unknownStatus is what is to be thought of a member that is not in hand: one that was to go may have been sent by a process
-// before this one.
+// unknownStatus returns the status of a member that the starter does not have. Unless it was just to be armed, an
+// earlier process may have sent it.
 func (s *Starter) unknownStatus(w Message) MemberStatus {
 	if w.Kind == Arm {
 		return NeverRan
@@ -207,7 +209,7 @@
 	return MayHaveRun
 }
 
-// callOff calls a member off.
+// callOff cancels a member.
 func (s *Starter) callOff(now time.Duration, p *starterMember) {
 	if p.ended() {
 		return
@@ -221,7 +223,7 @@
 	s.actions = append(s.actions, StarterAction{Key: Key(p.gang, p.round, p.Member), Kind: CancelSent, Encoder: p.Encoder, Member: p.Spec})
 }
 
-// Tick does what is due.
+// Tick performs all actions that are due.
 func (s *Starter) Tick(now time.Duration) {
 	var due []string
 	for key, p := range s.members {
@@ -236,7 +238,7 @@
 	slices.Sort(due)
 	for _, key := range due {
 		switch p := s.members[key]; {
-		case !p.sent && (!p.goReceived || now > p.start+p.skew/4): // never told to go, or it slept over its start
+		case !p.sent && (!p.goReceived || now > p.start+p.skew/4): // the go message did not arrive, or this process was suspended during the start
 			if p.goReceived {
 				s.Stats.Late++
 			}
@@ -245,7 +247,7 @@
 			p.sent, p.sentAt, p.changedAt = true, now, now
 			s.Stats.Launched++
 			s.actions = append(s.actions, StarterAction{Key: key, Kind: Launch, Encoder: p.Encoder, Member: p.Spec})
-		case now >= p.start+ConfirmTimeout: // not a word that all run: whoever could tell it may be cut off
+		case now >= p.start+ConfirmTimeout: // no confirmation that all run: the coordinator may be unreachable
 			s.Stats.Unconfirmed++
 			p.reason = "no word that all run"
 			s.callOff(now, p)
@@ -253,7 +255,7 @@
 	}
 }
 
-// NextDue is when something is due; false: nothing is.
+// NextDue returns when the next action is due, and false if there is none.
 func (s *Starter) NextDue() (at time.Duration, some bool) {
 	for _, p := range s.members {
 		due := p.start
@@ -273,8 +275,8 @@
 	return at, some
 }
 
-// MemberStarted says that a member's encoder runs it. One that began late is given up: half of the skew is for clocks, whose
-// error is a quarter of it at most, two of them apart.
+// MemberStarted records that a member's encoder has begun to run it. A member that began too late is cancelled. Half
+// of the skew is reserved for the two clocks involved, each of which may be wrong by a quarter of it.
 func (s *Starter) MemberStarted(now time.Duration, key string) {
 	switch p := s.members[key]; {
 	case p == nil || !p.sent || p.status != Unknown:
@@ -287,7 +289,7 @@
 	}
 }
 
-// GangOf is the gang of a member in hand.
+// GangOf returns the gang of a member that the starter has.
 func (s *Starter) GangOf(key string) (gang string, ok bool) {
 	p := s.members[key]
 	if p == nil {
@@ -296,7 +298,7 @@
 	return p.gang, true
 }
 
-// MemberEnded says how a member that was sent has ended: done, never run, or neither is known.
+// MemberEnded records how a member that was sent has ended: Done, NeverRan, or MayHaveRun if neither is known.
 func (s *Starter) MemberEnded(now time.Duration, key string, f MemberStatus, why string) {
 	p := s.members[key]
 	if p == nil || !p.sent || p.ended() {
@@ -308,21 +310,21 @@
 	p.status, p.reason, p.changedAt = f, why, now
 }
 
-// Clock measures how far another's clock is ahead of the own one, from questions and answers: half of the quickest
-// one's time is the error. An old measure counts for less: clocks run apart.
+// Clock estimates how far another process's clock is ahead of the local one, from the times of messages and replies.
+// The maximum error is half of the shortest round trip, and grows with the measurement's age, since clocks drift.
 type Clock struct {
 	offset, maxErr time.Duration
-	measuredAt          time.Duration
-	measured        bool
+	measuredAt     time.Duration
+	measured       bool
 }
 
 const (
-	maxDrift    = 200.0 / 1e6 // of two clocks, at most
+	maxDrift       = 200.0 / 1e6 // maximum between two clocks
 	clockRetention = time.Minute
 )
 
-// Measure takes a question that was sent, answered by the other's clock, and whose answer has come. It tells whether
-// one of the clocks was put to another time since the last one: then the old measure is worth nothing, however good it was.
+// Measure takes the local times at which a message was sent and its reply arrived, and the other clock's time in the
+// reply. It reports whether one of the clocks was stepped since the last measurement, which is then discarded.
 func (c *Clock) Measure(sent, theirs, came time.Duration) (jumped bool) {
 	offset, err := theirs-sent-(came-sent)/2, (came-sent)/2+time.Microsecond
 	had, was, ok := c.Offset(came)
@@ -333,7 +335,7 @@
 	return jumped
 }
 
-// Offset is how far the other's clock is ahead, and by how much that may be wrong; false: it was never measured.
+// Offset returns how far the other clock is ahead and the maximum error, and false if there is no recent measurement.
 func (c *Clock) Offset(now time.Duration) (offset, err time.Duration, ok bool) {
 	if !c.measured || now-c.measuredAt > clockRetention {
 		return 0, 0, false
@@ -341,7 +343,7 @@
 	return c.offset, c.maxErr + time.Duration(maxDrift*float64(now-c.measuredAt)), true
 }
 
-// sameStart tells whether the start that a word named is the same by what is known of the clock now.
+// sameStart reports whether the message's start time is still correct by the current measurement of the clock.
 func (c *Clock) sameStart(now time.Duration, w Message) bool {
 	offset, err, ok := c.Offset(now)
 	return ok && (offset-w.offset).Abs() <= err+w.ClockError
