--- a/internal/gang/keeper.go
+++ b/internal/gang/accounts.go
@@ -116,9 +116,9 @@
 // prepare makes all holds of a round or none. The gang's holds of other rounds are not added to them; the larger ones
 // count.
 func (k *accounts) prepare(at time.Duration, s RoundHolds) Result {
-	i, have := k.find(s.Gang, s.Round)
+	i, found := k.find(s.Gang, s.Round)
 	switch {
-	case have:
+	case found:
 		return Result{OK: true}
 	case k.EndedRounds[s.Gang].Round >= s.Round:
 		return Result{Err: "the round is over"}
@@ -137,12 +137,12 @@
 		}
 	}
 	s.Committed = false
-	with := slices.Insert(slices.Clone(k.RoundHolds), i, s)
-	if h, fits := k.fits(with, s.Holds); !fits {
+	combined := slices.Insert(slices.Clone(k.RoundHolds), i, s)
+	if h, fits := k.fits(combined, s.Holds); !fits {
 		res := Result{Full: true, Err: h.Resource + " is full"}
-		firm := slices.DeleteFunc(slices.Clone(with), func(o RoundHolds) bool { return !o.Committed && o.Gang != s.Gang })
-		if _, fits := k.fits(firm, s.Holds); fits { // only gangs that can still give way are in the way
-			for _, o := range with {
+		committed := slices.DeleteFunc(slices.Clone(combined), func(o RoundHolds) bool { return !o.Committed && o.Gang != s.Gang })
+		if _, fits := k.fits(committed, s.Holds); fits { // only gangs that can still give way are in the way
+			for _, o := range combined {
 				if !o.Committed && o.Gang != s.Gang && overlap(o.Holds, s.Holds) {
 					res.Rivals = append(res.Rivals, Rival{o.Gang, o.Round, o.Home, o.SubmittedAt})
 				}
@@ -150,7 +150,7 @@
 		}
 		return res
 	}
-	k.RoundHolds = with
+	k.RoundHolds = combined
 	return Result{OK: true}
 }
 
@@ -205,31 +205,31 @@
 func startOfDay(t time.Duration) time.Duration { return t - t%(24*time.Hour) }
 
 // sumUsed sums up a resource's use by all gangs. Only one of a gang's rounds will take effect, so its largest counts.
-func sumUsed(all []RoundHolds, resource string, of func(Hold) float64) (sum float64) {
+func sumUsed(all []RoundHolds, resource string, amount func(Hold) float64) (sum float64) {
 	for i := 0; i < len(all); {
-		most := 0.0
+		largest := 0.0
 		for gang := all[i].Gang; i < len(all) && all[i].Gang == gang; i++ {
 			n := 0.0
 			for _, h := range all[i].Holds {
 				if h.Resource == resource {
-					n += of(h)
+					n += amount(h)
 				}
 			}
 			if all[i].UntilExpiry { // in addition to the gang's newer holds
 				sum += n
 				continue
 			}
-			most = max(most, n)
+			largest = max(largest, n)
 		}
-		sum += most
+		sum += largest
 	}
 	return sum
 }
 
 // commit commits a round's holds and ends the gang's earlier rounds.
 func (k *accounts) commit(at time.Duration, gang string, round uint64) Result {
-	i, have := k.find(gang, round)
-	if !have {
+	i, found := k.find(gang, round)
+	if !found {
 		if k.EndedRounds[gang].Round >= round {
 			return Result{OK: true} // already released again
 		}
@@ -243,16 +243,16 @@
 // ready reports whether the slots of a round that is about to start are really free. Accounts go by planned times;
 // here earlier holds that have not ended, or whose home has not decided yet, count even if their planned time is over.
 func (k *accounts) ready(gang string, round uint64) Result {
-	i, have := k.find(gang, round)
-	if !have {
+	i, found := k.find(gang, round)
+	if !found {
 		return Result{Err: "there is no such hold"}
 	}
-	mine := k.RoundHolds[i]
+	own := k.RoundHolds[i]
 	// If a partner now lends less than was held, younger gangs that start at the same time or later give way.
 	all := slices.DeleteFunc(slices.Clone(k.RoundHolds), func(s RoundHolds) bool {
-		return s.Gang != gang && older(mine.SubmittedAt, gang, s.SubmittedAt, s.Gang) && s.Holds[0].From >= mine.Holds[0].From
+		return s.Gang != gang && older(own.SubmittedAt, gang, s.SubmittedAt, s.Gang) && s.Holds[0].From >= own.Holds[0].From
 	})
-	for _, h := range mine.Holds {
+	for _, h := range own.Holds {
 		n := sumUsed(all, h.Resource, func(o Hold) float64 {
 			if o.From <= h.From && o.Until > h.From {
 				return float64(o.Slots)
@@ -278,11 +278,11 @@
 
 // abort drops a round's uncommitted holds.
 func (k *accounts) abort(at time.Duration, gang string, round uint64) Result {
-	i, have := k.find(gang, round)
+	i, found := k.find(gang, round)
 	switch {
-	case have && k.RoundHolds[i].Committed:
+	case found && k.RoundHolds[i].Committed:
 		return Result{Err: "it is committed"}
-	case have:
+	case found:
 		k.RoundHolds = slices.Delete(k.RoundHolds, i, i+1)
 	}
 	// During a move, the earlier round is still in force and stays. Late messages of this round must be refused.
@@ -304,7 +304,7 @@
 // keepUntilExpiry is like end, but a round's committed holds stay until they expire, since members may still run
 // unobserved.
 func (k *accounts) keepUntilExpiry(at time.Duration, gang string, round uint64) Result {
-	if i, have := k.find(gang, round); have && k.RoundHolds[i].Committed {
+	if i, found := k.find(gang, round); found && k.RoundHolds[i].Committed {
 		k.RoundHolds[i].UntilExpiry = true
 	}
 	return k.end(at, gang, round)
--- a/internal/gang/many_test.go
+++ b/internal/gang/contention_test.go
@@ -10,32 +10,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// maxWait is the stated bound: whoever is the oldest of all that are undecided has its holds by then, where there is
-// room in its window and nobody fails. It is a pause after a round in vain, one round, and the word of both.
+// maxWait is the stated limit: the oldest undecided gang has its holds within this time if there is room in its window
+// and nothing fails. It is the sum of the pause after a failed round, one round, and the messages of both.
 const maxWait = 500*ms + prepareTimeout + 200*ms
 
-// Forty gangs that all want slots of both sites are asked for at once, and as many one after the other while those run:
-// each is done, and none waits beyond the bound from when it is the oldest.
+// Forty gangs that need slots of both sites are submitted at once, and twenty more one by one while those run. All are
+// completed, and none waits for longer than the limit once it is the oldest.
 func TestOldestGangIsHeldWithinBound(t *testing.T) {
-	w := newSimulation(t, 1, 3, 4, 6)
+	sim := newSimulation(t, 1, 3, 4, 6)
 	asked := 0
 	ask := func() {
 		members := []Member{{Site: "a"}, {Site: "b"}, {}}[:2+asked%2]
 		for i := range members {
-			members[i].Kind, members[i].Class, members[i].Slots, members[i].Work = "m2", "live", 1+w.IntN(3), time.Duration(400+w.IntN(800))*ms
+			members[i].Kind, members[i].Class, members[i].Slots, members[i].Work = "m2", "live", 1+sim.IntN(3), time.Duration(400+sim.IntN(800))*ms
 		}
-		w.submit(fmt.Sprint("g", asked), 10*time.Minute, members...)
+		sim.submit(fmt.Sprint("g", asked), 10*time.Minute, members...)
 		asked++
 	}
 	for range 40 {
 		ask()
 	}
-	oldest, since, worst := "", w.now, time.Duration(0)
-	for n := 0; w.open() > 0 && n < 4000; n++ {
-		if w.run(25 * ms); n%10 == 0 && asked < 60 {
+	oldest, since, worst := "", sim.now, time.Duration(0)
+	for n := 0; sim.open() > 0 && n < 4000; n++ {
+		if sim.run(25 * ms); n%10 == 0 && asked < 60 {
 			ask()
 		}
-		all := slices.DeleteFunc(w.entries(), func(e *Entry) bool { return e.HeldAt > 0 || e.State == Ended })
+		all := slices.DeleteFunc(sim.entries(), func(e *Entry) bool { return e.HeldAt > 0 || e.State == Ended })
 		if len(all) == 0 {
 			oldest = ""
 			continue
@@ -44,19 +44,19 @@
 			return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 		})
 		if e.Spec.ID != oldest {
-			oldest, since = e.Spec.ID, w.now
+			oldest, since = e.Spec.ID, sim.now
 		}
-		worst = max(worst, w.now-since)
-		require.LessOrEqual(t, w.now-since, maxWait, "%s: %s: %s", e.Spec.ID, e.State, e.Reason)
+		worst = max(worst, sim.now-since)
+		require.LessOrEqual(t, sim.now-since, maxWait, "%s: %s: %s", e.Spec.ID, e.State, e.Reason)
 	}
-	for _, e := range w.entries() {
+	for _, e := range sim.entries() {
 		require.Equal(t, Completed, e.Verdict, "%s: %s", e.Spec.ID, e.Reason)
 	}
-	t.Log("all done after", w.now-epoch, "the oldest waits at most", worst)
+	t.Log("all done after", sim.now-epoch, "the oldest waits at most", worst)
 }
 
-// A round is told that its room is free once all that began before it has ended, also where that should be over; where a
-// partner has come to lend less, of two that start together the older goes.
+// ready succeeds once all earlier holds have ended, even if their planned time is over. If a partner now lends less,
+// the older of two gangs that start at the same time is ready and the younger is not.
 func TestReadyChecksThatSlotsAreFree(t *testing.T) {
 	m, at := New(), epoch+10*time.Second
 	lend := func(slots int, gen uint64) {
--- a/internal/gang/coordinator.go
+++ b/internal/gang/coordinator.go
@@ -110,7 +110,7 @@
 	case cmd.Confirmed != nil:
 		key += fmt.Sprint(*cmd.Confirmed)
 	}
-	if _, flies := c.proposed[key]; flies || now < c.notBefore[key] {
+	if _, pending := c.proposed[key]; pending || now < c.notBefore[key] {
 		return
 	}
 	p := Propose{key, group, cmd}
@@ -120,8 +120,8 @@
 
 // HandleResult takes a proposal's result. ok is false if the command may not have been applied.
 func (c *Coordinator) HandleResult(now time.Duration, key string, r Result, ok bool) {
-	p, flies := c.proposed[key]
-	if !flies {
+	p, pending := c.proposed[key]
+	if !pending {
 		return
 	}
 	delete(c.proposed, key)
@@ -180,28 +180,28 @@
 }
 
 // HandleReply processes a dispatcher's reply to a message. sent is when the message was sent.
-func (c *Coordinator) HandleReply(now, sent time.Duration, to string, w Message, s Reply, home uint32) {
+func (c *Coordinator) HandleReply(now, sent time.Duration, to string, msg Message, s Reply, home uint32) {
 	k := c.measureClock(now, sent, to, s)
 	c.dispatchers[to] = dispatcherInfo{now, s.Site}
-	if w.Kind == CancelElsewhere {
+	if msg.Kind == CancelElsewhere {
 		return
 	}
-	id := fmt.Sprint(w.Gang, "/", w.Round)
+	id := fmt.Sprint(msg.Gang, "/", msg.Round)
 	for _, t := range s.Members {
 		switch {
-		case w.Kind == Arm && t.Armed && w.At > 0 && k.sameStart(now, w):
+		case msg.Kind == Arm && t.Armed && msg.At > 0 && k.sameStart(now, msg):
 			mark(c.armed, id, t.Member)
-		case w.Kind == Arm && t.Status != Unknown:
-			c.propose(now, home, Command{Op: "drop", Gang: w.Gang, Round: w.Round, Reason: fmt.Sprintf("member %d: %s: %s", t.Member, to, t.Reason)})
+		case msg.Kind == Arm && t.Status != Unknown:
+			c.propose(now, home, Command{Op: "drop", Gang: msg.Gang, Round: msg.Round, Reason: fmt.Sprintf("member %d: %s: %s", t.Member, to, t.Reason)})
 		}
-		if w.Kind == Arm {
+		if msg.Kind == Arm {
 			continue
 		}
 		if t.AllRunning {
 			mark(c.confirmed, id, t.Member)
 		}
 		if t.Status != c.reported[id][t.Member] {
-			c.propose(now, home, Command{Op: "report", Gang: w.Gang, Round: w.Round, Member: t.Member, MemberStatus: t.Status, Reason: t.Reason, At: c.planTime(now, w.Gang, w.Round)})
+			c.propose(now, home, Command{Op: "report", Gang: msg.Gang, Round: msg.Round, Member: t.Member, MemberStatus: t.Status, Reason: t.Reason, At: c.planTime(now, msg.Gang, msg.Round)})
 		}
 	}
 }
@@ -218,7 +218,7 @@
 		k = &Clock{}
 		c.clocks[name] = k
 	}
-	if jumped := k.Measure(sent, s.Now, now); jumped || known && before != name {
+	if stepped := k.Measure(sent, s.Now, now); stepped || known && before != name {
 		c.Stats.ClockJumps++
 		clear(c.armed)
 	}
@@ -563,23 +563,23 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(to)) {
 		key := fmt.Sprint(name, "/", e.Spec.ID, "/", p.Round, "/", kind)
-		if last, was := c.lastSent[key]; was && now-last < every {
+		if last, sentBefore := c.lastSent[key]; sentBefore && now-last < every {
 			continue
 		}
 		c.lastSent[key] = now
-		w := Message{Kind: kind, Gang: e.Spec.ID, Round: p.Round, Skew: e.Spec.Skew, Assignments: to[name]}
+		msg := Message{Kind: kind, Gang: e.Spec.ID, Round: p.Round, Skew: e.Spec.Skew, Assignments: to[name]}
 		offset, err, ok := time.Duration(0), time.Duration(0), false
 		if k := c.clocks[c.clockOf[name]]; k != nil {
 			offset, err, ok = k.Offset(now)
 		}
-		t, wrong, known := c.timeBy(now, p.Clock)
-		if err += wrong; ok && known && err <= e.Spec.Skew/4 { // otherwise the message only measures the clock and arms no member
-			w.At, w.ClockError, w.offset = p.Start+offset+now-t, err, offset
+		t, planErr, known := c.timeBy(now, p.Clock)
+		if err += planErr; ok && known && err <= e.Spec.Skew/4 { // otherwise the message only measures the clock and arms no member
+			msg.At, msg.ClockError, msg.offset = p.Start+offset+now-t, err, offset
 			c.Stats.MaxClockError = max(c.Stats.MaxClockError, err)
 		} else if kind == Arm {
-			w.Assignments = nil
+			msg.Assignments = nil
 		}
-		c.actions = append(c.actions, Send{name, w})
+		c.actions = append(c.actions, Send{name, msg})
 	}
 }
 
--- a/internal/gang/home.go
+++ b/internal/gang/home.go
@@ -105,44 +105,44 @@
 	if e == nil {
 		return Result{Err: "no such gang", NotFound: true}
 	}
-	said := e.apply(at, c)
-	if said != "" {
-		return Result{Err: said, Entry: e}
+	refusal := e.apply(at, c)
+	if refusal != "" {
+		return Result{Err: refusal, Entry: e}
 	}
 	return Result{OK: true, Entry: e}
 }
 
 func (e *Entry) apply(at time.Duration, c Command) string {
-	now := e.Plan != nil && e.Plan.Round == c.Round
+	current := e.Plan != nil && e.Plan.Round == c.Round
 	when := cmp.Or(c.At, at) // the log's time may come from any dispatcher's clock; a start goes by one clock only
 	switch c.Op {
 	case "plan":
 		return e.setPlan(when, c.Plan)
 	case "vote":
-		if e.State != Preparing || !now {
+		if e.State != Preparing || !current {
 			return "another round"
 		}
 		return e.addVote(at, when, c.Group)
 	case "abort":
-		if e.State != Preparing || !now {
+		if e.State != Preparing || !current {
 			return "another round"
 		}
 		e.abortRound(at, c.Reason)
 	case "wound": // an older gang needs slots for which this one is still preparing
-		if e.State != Preparing || !now {
+		if e.State != Preparing || !current {
 			return "too late"
 		} else if !older(c.SubmittedAt, c.By, e.SubmittedAt, e.Spec.ID) {
 			return "it is not older"
 		}
 		e.abortRound(at, "gave way to "+c.By)
 	case "drop":
-		if e.State != Held || !now {
+		if e.State != Held || !current {
 			return "too late"
 		}
 		e.releaseHolds(at, c.Reason)
 	case "go":
 		switch {
-		case e.State != Held || !now:
+		case e.State != Held || !current:
 			return "too late"
 		case when > e.Plan.Start-GoMargin:
 			e.releaseHolds(at, "the word to go came too late")
@@ -152,17 +152,17 @@
 		}
 		e.State, e.MemberStatuses = Starting, make([]MemberStatus, len(e.Spec.Members))
 	case "report":
-		if !now || c.Member < 0 || c.Member >= len(e.MemberStatuses) {
+		if !current || c.Member < 0 || c.Member >= len(e.MemberStatuses) {
 			return "another round"
 		}
 		return e.report(at, when, c.Member, c.MemberStatus, c.Reason)
 	case "off":
-		if e.State != Starting || !now || when <= e.Plan.Start+StartTimeout {
+		if e.State != Starting || !current || when <= e.Plan.Start+StartTimeout {
 			return "not yet, or too late"
 		}
 		e.failStart("not all had started in time")
 	case "settle":
-		if e.State != StartFailed || !now || when < e.Plan.Start+SettleDelay {
+		if e.State != StartFailed || !current || when < e.Plan.Start+SettleDelay {
 			return "not yet"
 		}
 		e.settle(at)
@@ -220,7 +220,7 @@
 		e.abortRound(at, "its holds came too late")
 		return "too late"
 	}
-	if i, have := search(e.Votes, group); !have {
+	if i, found := search(e.Votes, group); !found {
 		e.Votes = insert(e.Votes, i, group)
 	}
 	if len(e.Votes) < len(all) {
@@ -286,11 +286,11 @@
 }
 
 func (e *Entry) report(at, when time.Duration, member int, f MemberStatus, why string) string {
-	had := e.MemberStatuses[member]
-	if had == f {
+	before := e.MemberStatuses[member]
+	if before == f {
 		return ""
 	}
-	if had != Unknown && had != Began {
+	if before != Unknown && before != Began {
 		return "it has ended"
 	}
 	switch e.State {
@@ -360,8 +360,8 @@
 
 // endIfAllEnded ends a gang of which no member runs any more.
 func (e *Entry) endIfAllEnded(at time.Duration) {
-	open := slices.ContainsFunc(e.MemberStatuses, func(f MemberStatus) bool { return f == Began })
-	if open {
+	running := slices.ContainsFunc(e.MemberStatuses, func(f MemberStatus) bool { return f == Began })
+	if running {
 		return
 	}
 	verdict := Completed
@@ -394,8 +394,8 @@
 func (e *Entry) cancel(at time.Duration) string {
 	switch e.State {
 	case Preparing:
-		old := e.Previous
-		if e.abortRound(at, "cancelled"); old != nil {
+		previous := e.Previous
+		if e.abortRound(at, "cancelled"); previous != nil {
 			e.releaseHolds(at, "cancelled")
 		}
 		e.end(at, Cancelled, "")
--- a/internal/gang/machine.go
+++ b/internal/gang/machine.go
@@ -154,7 +154,7 @@
 		return fmt.Errorf("gangs: %w", err)
 	}
 	if s.V != version {
-		return fmt.Errorf("gangs: a snapshot of version %d", s.V)
+		return fmt.Errorf("gangs: unsupported snapshot version %d", s.V)
 	}
 	m.home, m.accounts, m.At = s.Home, s.Accounts, s.At
 	return nil
@@ -190,12 +190,12 @@
 	Hold
 }
 
-// Reservations returns up to most holds of encoders that begin before until. Dispatchers keep other jobs off these
+// Reservations returns up to limit holds of encoders that begin before until. Dispatchers keep other jobs off these
 // slots.
-func (m *Machine) Reservations(until time.Duration, most int) (all []Reservation) {
+func (m *Machine) Reservations(until time.Duration, limit int) (all []Reservation) {
 	for _, s := range m.RoundHolds {
 		for _, h := range s.Holds {
-			if h.From < until && len(all) < most && strings.HasPrefix(h.Resource, Encoder{}.Account()) {
+			if h.From < until && len(all) < limit && strings.HasPrefix(h.Resource, Encoder{}.Account()) {
 				all = append(all, Reservation{s.Gang, h})
 			}
 		}
--- a/internal/gang/orders/orders.go
+++ b/internal/gang/orders/orders.go
@@ -1,5 +1,5 @@
-// Package orders checks the commitment of gangs in all orders of its commands, to a stated depth. What a group does is the
-// program itself; who coordinates is any number of processes that come, go and act at once.
+// Package orders model-checks the commit protocol of gangs: it tries all orders of commands up to a given depth. The
+// groups are the real state machines; any number of coordinators may come, go and act at once.
 package orders
 
 import (
@@ -13,12 +13,12 @@
 	"caperrelay/internal/gang"
 )
 
-// model is two gangs that each want two encoders whole at one time. Gang a's home and encoder s-0's account are group
-// 0, b's and s-1's group 1. Each command that a home's state ever allowed may come at any later time, in any order, never,
-// or again and again.
+// model has two gangs that each need more than half of two encoders at the same time, so that only one of them fits.
+// Group 0 is the home of gang a and keeps the account of encoder s-0, group 1 that of gang b and s-1. Each command
+// that some state of a home has allowed can be delivered at any later time, in any order, never, or repeatedly.
 type model struct {
-	groups [2]*gang.Machine
-	messages   []message // sorted: all that was ever sent, or could have been
+	groups   [2]*gang.Machine
+	messages []message // sorted by text: all that were ever sent or could have been
 }
 
 type message struct {
@@ -28,7 +28,7 @@
 }
 
 const (
-	epoch  = 1_700_000_000 * time.Second
+	epoch = 1_700_000_000 * time.Second
 	start = epoch + 10*time.Second
 	slots = 4
 )
@@ -90,23 +90,23 @@
 	return p
 }
 
-// Mutant is a fault of the program, for the check to find.
+// Mutant is a fault to be injected, which the check must find.
 type Mutant string
 
 // The mutants.
 const (
-	Sound       Mutant = ""
-	HoldExpires     Mutant = "a hold expires alone"
-	CommitOnOneVote Mutant = "commit by one"
-	SlotsNotSummed   Mutant = "the cap is not summed"
-	EndedRoundsForgotten  Mutant = "the generation is not compared"
-	RestoreLosesHolds     Mutant = "a group that is moved forgets what it holds"
+	Sound                Mutant = ""
+	HoldExpires          Mutant = "an uncommitted hold expires"
+	CommitOnOneVote      Mutant = "one vote commits"
+	SlotsNotSummed       Mutant = "slots are not summed over gangs"
+	EndedRoundsForgotten Mutant = "ended rounds are forgotten"
+	RestoreLosesHolds    Mutant = "a restored group has lost its holds"
 )
 
-// Mutants are all that must be found.
+// Mutants are the faults that the check must find.
 var Mutants = []Mutant{HoldExpires, CommitOnOneVote, SlotsNotSummed, EndedRoundsForgotten, RestoreLosesHolds}
 
-// sendAllowed has all coordinators send what they may.
+// sendAllowed adds all messages that a coordinator may send in this state.
 func (m *model) sendAllowed() *model {
 	for g := range uint32(2) {
 		id, e := gangs[g], m.groups[g].Gangs[gangs[g]]
@@ -117,7 +117,7 @@
 			for to := range uint32(2) {
 				m.send(to, gang.Command{Op: "prepare", RoundHolds: &gang.RoundHolds{Gang: id, Round: e.Plan.Round, Home: g, SubmittedAt: e.SubmittedAt, Holds: e.Plan.HoldsIn(to)}})
 			}
-			m.send(g, gang.Command{Op: "abort", Gang: id, Round: e.Plan.Round}) // a wound does the same
+			m.send(g, gang.Command{Op: "abort", Gang: id, Round: e.Plan.Round}) // a wound has the same effect
 		}
 		if e.State == gang.Held {
 			m.send(g, gang.Command{Op: "drop", Gang: id, Round: e.Plan.Round})
@@ -130,7 +130,7 @@
 	return m
 }
 
-// next is all states that may follow.
+// next returns all successor states.
 func (m *model) next(bug Mutant) (all []*model) {
 	for _, l := range m.messages {
 		n := m.clone()
@@ -149,7 +149,7 @@
 	return all
 }
 
-// deliver has a group take a letter. What it answers sends the next one.
+// deliver applies a message's command to a group and sends the messages that follow from the result.
 func (m *model) deliver(l message, bug Mutant) {
 	g := m.groups[l.to]
 	hidden := []gang.RoundHolds(nil)
@@ -179,7 +179,7 @@
 	}
 }
 
-// violation is what must never be.
+// violation returns which invariant the state violates, or "".
 func (m *model) violation() string {
 	for n, k := range m.groups {
 		g := uint32(n)
@@ -192,9 +192,9 @@
 			told := !slices.ContainsFunc(e.Unconfirmed, func(d gang.Notice) bool { return d.Group == g })
 			switch firm := e.State == gang.Held || e.State == gang.Starting; {
 			case s.Committed && !(inForce && firm) && told:
-				return fmt.Sprintf("%s round %d is committed at %d, and at its home it is %s", s.Gang, s.Round, g, e.State)
+				return fmt.Sprintf("%s round %d is committed in group %d, but %s at its home", s.Gang, s.Round, g, e.State)
 			case !s.Committed && !inForce && told:
-				return fmt.Sprintf("%s round %d is held at %d, its home is done with it, and nobody will say so", s.Gang, s.Round, g)
+				return fmt.Sprintf("%s round %d is held in group %d, its home has released it, and no notice of that is pending", s.Gang, s.Round, g)
 			}
 		}
 	}
@@ -205,14 +205,14 @@
 		}
 		for to, k := range m.groups {
 			if !slices.ContainsFunc(k.RoundHolds, func(s gang.RoundHolds) bool { return s.Gang == gangs[g] && s.Round == e.Plan.Round }) {
-				return fmt.Sprintf("%s round %d is to start, and nothing is held at %d", gangs[g], e.Plan.Round, to)
+				return fmt.Sprintf("%s round %d is to start, but holds nothing in group %d", gangs[g], e.Plan.Round, to)
 			}
 		}
 	}
 	return ""
 }
 
-// checkRestore is a group's copy on another machine: made from a snapshot, it must be the same to the letter.
+// checkRestore moves each group to another machine by a snapshot, which must reproduce it byte for byte.
 func (m *model) checkRestore(bug Mutant) string {
 	for g, k := range m.groups {
 		text, err := k.Snapshot()
@@ -227,19 +227,19 @@
 			moved.RoundHolds = nil
 		}
 		if again, _ := moved.Snapshot(); string(again) != string(text) {
-			return fmt.Sprintf("group %d is another once it was moved", g)
+			return fmt.Sprintf("group %d differs after it was restored", g)
 		}
 	}
 	return ""
 }
 
-// Exploration is what a check has gone through.
+// Exploration is the result of a check.
 type Exploration struct {
-	Fault         string // the first; empty: none
-	States, Going int    // all, and those in which a gang is about to start
+	Fault         string // the first violation; empty: none
+	States, Going int    // all states, and those with a gang whose start is committed
 }
 
-// Explore visits all states within a depth of commands, until the first fault.
+// Explore visits all states within a depth of commands and stops at the first violation.
 func Explore(bug Mutant, depth int) (s Exploration) {
 	seen := map[[32]byte]bool{}
 	level := []*model{initialModel().sendAllowed()}
--- a/internal/gang/orders/orders_test.go
+++ b/internal/gang/orders/orders_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-var depth = flag.Int("gang.depth", 9, "commands that the check goes")
+var depth = flag.Int("gang.depth", 9, "depth of the check, in commands")
 
-// Each state within a depth, with messages in any order, late, twice and lost, whoever coordinates and wherever a group's
-// copies are moved: no account is passed, what is to start is held everywhere, and no group commits or keeps what its
-// gang's home has not. Faults put in are found, each by its name.
+// Checks all states within a depth. Messages come in any order, late, twice or never, with any number of coordinators,
+// and groups move between machines. No account may be overdrawn, a gang that is about to start must hold its slots in
+// all groups, and no group may commit or keep holds that the gang's home has not. Each injected fault must be found.
 func TestCommitmentInEveryOrder(t *testing.T) {
 	s := Explore(Sound, *depth)
 	t.Logf("depth %d: %d states, in %d a gang is about to start", *depth, s.States, s.Going)
--- a/internal/gang/plan.go
+++ b/internal/gang/plan.go
@@ -151,7 +151,7 @@
 	i := f.order[n]
 	m := f.spec.Members[i]
 	all := f.eligible(i)
-	kept := func(x Encoder) int {
+	keepRank := func(x Encoder) int {
 		if f.keep != nil && f.keep.Encoders[i] == x.ID {
 			return 0
 		}
@@ -159,23 +159,23 @@
 	}
 	// First the encoder of the plan to keep, then best fit: this leaves whole encoders to large members.
 	slices.SortStableFunc(all, func(a, b Encoder) int {
-		return cmp.Or(cmp.Compare(kept(a), kept(b)), cmp.Compare(a.Slots, b.Slots), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(keepRank(a), keepRank(b)), cmp.Compare(a.Slots, b.Slots), cmp.Compare(a.ID, b.ID))
 	})
 	for _, x := range all {
 		if x.WarmAt > f.plan.Start {
 			continue
 		}
-		had := len(f.holds)
+		numHolds := len(f.holds)
 		h := Hold{Resource: x.Account(), Group: x.Group, Gen: x.Gen, Slots: m.Slots, From: f.plan.Start, Until: f.plan.Start + holdDuration(m)}
 		f.holds = append(f.holds, h)
 		if at, lends := f.PartnerAccounts[x.Partner]; lends && x.Partner != "" {
 			h.Resource, h.Group, h.Gen = PartnerAccount(x.Partner), at.Group, f.Accounts[PartnerAccount(x.Partner)].Gen
 			f.holds = append(f.holds, h)
 		}
-		mine := RoundHolds{Gang: f.spec.ID, Holds: f.holds}
+		own := RoundHolds{Gang: f.spec.ID, Holds: f.holds}
 		j, _ := f.accounts.find(f.spec.ID, 0)
-		f.accounts.RoundHolds = slices.Insert(f.accounts.RoundHolds, j, mine)
-		_, fits := f.accounts.fits(f.accounts.RoundHolds, f.holds[had:])
+		f.accounts.RoundHolds = slices.Insert(f.accounts.RoundHolds, j, own)
+		_, fits := f.accounts.fits(f.accounts.RoundHolds, f.holds[numHolds:])
 		f.accounts.RoundHolds = slices.Delete(f.accounts.RoundHolds, j, j+1)
 		if fits {
 			f.plan.Encoders[i], f.plan.Starters[i] = x.ID, f.starter(i, x)
@@ -183,7 +183,7 @@
 				return true
 			}
 		}
-		f.holds = f.holds[:had]
+		f.holds = f.holds[:numHolds]
 	}
 	return false
 }
@@ -191,19 +191,19 @@
 // starter returns the dispatcher that is to send a member, preferably one at the encoder's site, in rotation.
 func (f *planSearch) starter(i int, x Encoder) string {
 	var best []Dispatcher
-	least := 4
+	nearest := 4
 	for _, d := range f.Starters {
-		far := 0
+		distance := 0
 		if d.Site != x.Site {
-			far = 1
+			distance = 1
 		}
 		if d.Name == f.Self {
-			far += 2
+			distance += 2
 		}
-		if far < least {
-			best, least = nil, far
+		if distance < nearest {
+			best, nearest = nil, distance
 		}
-		if far == least {
+		if distance == nearest {
 			best = append(best, d)
 		}
 	}
--- a/internal/gang/start.go
+++ b/internal/gang/starter.go
@@ -135,50 +135,50 @@
 }
 
 // Handle processes a message and returns the reply.
-func (s *Starter) Handle(now time.Duration, w Message) Reply {
+func (s *Starter) Handle(now time.Duration, msg Message) Reply {
 	s.Tick(now)
-	said := Reply{Now: now}
-	for _, t := range w.Assignments[:min(len(w.Assignments), MaxMembers)] {
-		key := Key(w.Gang, w.Round, t.Member)
-		if w.Kind == CancelElsewhere {
+	reply := Reply{Now: now}
+	for _, t := range msg.Assignments[:min(len(msg.Assignments), MaxMembers)] {
+		key := Key(msg.Gang, msg.Round, t.Member)
+		if msg.Kind == CancelElsewhere {
 			s.actions = append(s.actions, StarterAction{Key: key, Kind: CancelJob, Encoder: t.Encoder})
-			said.Members = append(said.Members, MemberReply{Member: t.Member})
+			reply.Members = append(reply.Members, MemberReply{Member: t.Member})
 			continue
 		}
 		p := s.members[key]
 		if p == nil {
-			if p = cmp.Or(s.arm(now, w, t), s.adopt(now, w, t)); p == nil {
-				if w.Kind != Arm { // an earlier process may have sent it
+			if p = cmp.Or(s.arm(now, msg, t), s.adopt(now, msg, t)); p == nil {
+				if msg.Kind != Arm { // an earlier process may have sent it
 					s.actions = append(s.actions, StarterAction{Key: key, Kind: CancelJob, Encoder: t.Encoder})
 				}
-				said.Members = append(said.Members, MemberReply{Member: t.Member, Status: s.unknownStatus(w), Reason: "not known here"})
+				reply.Members = append(reply.Members, MemberReply{Member: t.Member, Status: s.unknownStatus(msg), Reason: "not known here"})
 				continue
 			}
 			s.members[key] = p
 		}
 		switch {
 		case p.ended():
-		case w.Kind == Arm && !p.goReceived:
-			p.start, p.clockError = w.At, w.ClockError // by the current coordinator's measurement of the clock
-		case w.Kind == Go && !p.sent && w.At > 0 && (w.At-p.start).Abs() > w.ClockError+p.clockError:
+		case msg.Kind == Arm && !p.goReceived:
+			p.start, p.clockError = msg.At, msg.ClockError // by the current coordinator's measurement of the clock
+		case msg.Kind == Go && !p.sent && msg.At > 0 && (msg.At-p.start).Abs() > msg.ClockError+p.clockError:
 			s.Stats.ClockJumps++
 			p.status, p.reason, p.changedAt = NeverRan, "its dispatcher's clock was put to another time", now
-		case w.Kind == Go && !p.goReceived && now < p.start:
+		case msg.Kind == Go && !p.goReceived && now < p.start:
 			p.goReceived = true
-		case w.Kind == Run && p.sent:
+		case msg.Kind == Run && p.sent:
 			p.allRunning = true
-		case w.Kind == CallOff:
+		case msg.Kind == CallOff:
 			s.callOff(now, p)
 		}
-		said.Members = append(said.Members, MemberReply{t.Member, !p.ended() && !p.sent, p.allRunning, p.status, p.reason, (p.sentAt - p.start).Microseconds()})
+		reply.Members = append(reply.Members, MemberReply{t.Member, !p.ended() && !p.sent, p.allRunning, p.status, p.reason, (p.sentAt - p.start).Microseconds()})
 	}
 	s.Tick(now)
-	return said
+	return reply
 }
 
 // arm returns a new member to be started, or nil if it is too late or there are too many.
-func (s *Starter) arm(now time.Duration, w Message, t Assignment) *starterMember {
-	if w.Kind != Arm || w.At <= now || w.Skew <= 0 {
+func (s *Starter) arm(now time.Duration, msg Message, t Assignment) *starterMember {
+	if msg.Kind != Arm || msg.At <= now || msg.Skew <= 0 {
 		return nil
 	}
 	if len(s.members) >= maxStarterMembers {
@@ -188,22 +188,22 @@
 		}
 	}
 	s.Stats.Armed++
-	return &starterMember{Assignment: t, gang: w.Gang, round: w.Round, start: w.At, clockError: w.ClockError, skew: w.Skew, changedAt: now}
+	return &starterMember{Assignment: t, gang: msg.Gang, round: msg.Round, start: msg.At, clockError: msg.ClockError, skew: msg.Skew, changedAt: now}
 }
 
 // adopt returns a running member that an earlier process has sent, or nil if it is not known to run or there are too
 // many.
-func (s *Starter) adopt(now time.Duration, w Message, t Assignment) *starterMember {
-	if w.Kind != Run || len(s.members) >= maxStarterMembers {
+func (s *Starter) adopt(now time.Duration, msg Message, t Assignment) *starterMember {
+	if msg.Kind != Run || len(s.members) >= maxStarterMembers {
 		return nil
 	}
-	return &starterMember{Assignment: t, gang: w.Gang, round: w.Round, start: now, sentAt: now, sent: true, allRunning: true, status: Began, changedAt: now}
+	return &starterMember{Assignment: t, gang: msg.Gang, round: msg.Round, start: now, sentAt: now, sent: true, allRunning: true, status: Began, changedAt: now}
 }
 
 // unknownStatus returns the status of a member that the starter does not have. Unless it was just to be armed, an
 // earlier process may have sent it.
-func (s *Starter) unknownStatus(w Message) MemberStatus {
-	if w.Kind == Arm {
+func (s *Starter) unknownStatus(msg Message) MemberStatus {
+	if msg.Kind == Arm {
 		return NeverRan
 	}
 	return MayHaveRun
@@ -256,7 +256,7 @@
 }
 
 // NextDue returns when the next action is due, and false if there is none.
-func (s *Starter) NextDue() (at time.Duration, some bool) {
+func (s *Starter) NextDue() (at time.Duration, found bool) {
 	for _, p := range s.members {
 		due := p.start
 		switch {
@@ -268,11 +268,11 @@
 		if p.sent && p.dropsLeft == 0 {
 			due += ConfirmTimeout
 		}
-		if !some || due < at {
-			at, some = due, true
+		if !found || due < at {
+			at, found = due, true
 		}
 	}
-	return at, some
+	return at, found
 }
 
 // MemberStarted records that a member's encoder has begun to run it. A member that began too late is cancelled. Half
@@ -325,14 +325,14 @@
 
 // Measure takes the local times at which a message was sent and its reply arrived, and the other clock's time in the
 // reply. It reports whether one of the clocks was stepped since the last measurement, which is then discarded.
-func (c *Clock) Measure(sent, theirs, came time.Duration) (jumped bool) {
-	offset, err := theirs-sent-(came-sent)/2, (came-sent)/2+time.Microsecond
-	had, was, ok := c.Offset(came)
-	if jumped = ok && (offset-had).Abs() > err+was; ok && !jumped && was < err {
+func (c *Clock) Measure(sent, remote, received time.Duration) (stepped bool) {
+	offset, err := remote-sent-(received-sent)/2, (received-sent)/2+time.Microsecond
+	before, beforeErr, ok := c.Offset(received)
+	if stepped = ok && (offset-before).Abs() > err+beforeErr; ok && !stepped && beforeErr < err {
 		return false
 	}
-	*c = Clock{offset, err, came, true}
-	return jumped
+	*c = Clock{offset, err, received, true}
+	return stepped
 }
 
 // Offset returns how far the other clock is ahead and the maximum error, and false if there is no recent measurement.
@@ -344,7 +344,7 @@
 }
 
 // sameStart reports whether the message's start time is still correct by the current measurement of the clock.
-func (c *Clock) sameStart(now time.Duration, w Message) bool {
+func (c *Clock) sameStart(now time.Duration, msg Message) bool {
 	offset, err, ok := c.Offset(now)
-	return ok && (offset-w.offset).Abs() <= err+w.ClockError
+	return ok && (offset-msg.offset).Abs() <= err+msg.ClockError
 }
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -1,5 +1,5 @@
-// Package gangs takes gangs from callers and has their members start: the sockets, clocks and goroutines around
-// caperrelay/internal/gang, on the groups that a replicas.Host keeps.
+// Package gangs is the gang service: the connections, clocks and goroutines around package caperrelay/internal/gang,
+// which uses the replicated groups of a replicas.Host.
 package gangs
 
 import (
@@ -31,95 +31,95 @@
 )
 
 const (
-	activeInterval      = 8 * time.Millisecond // between steps while a gang is under way
-	idleInterval      = 100 * time.Millisecond
-	pingInterval = 400 * time.Millisecond
-	messageTimeout = 300 * time.Millisecond // a dispatcher to another
-	proposeTimeout = 2 * time.Second        // a group
-	maxOutstanding = 256                    // commands and words under way
-	awaitInterval   = 100 * time.Millisecond // between two looks at a gang that is awaited, where its home has no copy here
-	maxAwait = 30 * time.Second
-	reservationHorizon = time.Minute // that dispatchers tell each other of what is held: no job of another kind runs for longer
-	maxReservations  = 1024        // that one tells
-	maxMessageSize  = 512 << 10
+	activeInterval     = 8 * time.Millisecond // between steps while gangs are open
+	idleInterval       = 100 * time.Millisecond
+	pingInterval       = 400 * time.Millisecond
+	messageTimeout     = 300 * time.Millisecond // of a message to another dispatcher
+	proposeTimeout     = 2 * time.Second        // of a command to a group
+	maxOutstanding     = 256                    // commands and messages without an answer
+	awaitInterval      = 100 * time.Millisecond // between queries about an awaited gang
+	maxAwait           = 30 * time.Second
+	reservationHorizon = time.Minute // how far ahead dispatchers report holds to each other: no other job runs for longer
+	maxReservations    = 1024        // that one dispatcher reports
+	maxMessageSize     = 512 << 10
 )
 
-// Partner lends slots at its sites.
+// Partner is a partner that lends slots of the encoders at its sites.
 type Partner struct {
 	Name  string
 	Sites []string
-	Slots int     // at once; 0: no bound
-	Share float64 // of its encoders' slots; 0: no bound
-	Hours float64 // slot-hours in a day of UTC; 0: no bound
+	Slots int     // at one time; 0: unlimited
+	Share float64 // of its encoders' slots; 0: unlimited
+	Hours float64 // slot-hours per UTC day; 0: unlimited
 }
 
-// Options of a server.
+// Options are the options of a server.
 type Options struct {
 	Name, Site string
-	Peers      map[string]string // the other dispatchers' control addresses, by name
+	Peers      map[string]string // control addresses of the other dispatchers, by name
 	Slots      map[string]float64
 	Partners   []Partner
 	Keys       func(peer string) credentials.TransportCredentials // nil: plain text
-	Cold       time.Duration                                      // of an encoder, until it is warm
-	Once       map[string]bool                                    // classes: whether a job must not run twice
-	TellsStart bool                                               // encoders tell when a job begins to run
-	Ahead      time.Duration                                      // put to the clock, for trials of clocks that are apart
+	Cold       time.Duration                                      // how long an encoder takes to warm up
+	Once       map[string]bool                                    // by class: whether a job must not run twice
+	TellsStart bool                                               // encoders report when a job begins to run
+	Ahead      time.Duration                                      // added to the clock, to test clocks that differ
 }
 
 // Core is the dispatcher's loop.
 type Core interface {
 	Submit(*dispatch.Command)
 	ClientGone(*dispatch.Command)
-	// CancelJob has an encoder drop what another dispatcher sent.
+	// CancelJob has an encoder drop a job that another dispatcher sent.
 	CancelJob(instance, id string)
-	// SetReservations says what is held of an encoder.
+	// SetReservations sets an encoder's slots and the reservations on them.
 	SetReservations(id string, slots float64, spans []decide.Reservation)
 }
 
-// Server is a dispatcher's part in gangs.
+// Server is a dispatcher's part of the gang service.
 type Server struct {
 	gangv1.UnimplementedGangsServer
 	gangv1.UnimplementedPeersServer
 	options     Options
-	host  replicas.Host
-	core  Core
-	log   *slog.Logger
-	clockName string // its name: of this process alone
-	clockBase time.Duration
-	inbox    chan func()
-	outstanding  chan struct{} // for what is under way
-	peers map[string]gangv1.PeersClient
-	conns []*grpc.ClientConn
-
-	// Members start in time whatever the groups' disks do: they have a loop of their own.
-	startsMu  sync.Mutex // of s and sent; nothing is waited for under it
-	starter       *gang.Starter
-	sent    map[string]*dispatch.Command
-	starterChanged chan struct{} // that loop has something to look at
-
-	// The coordinating loop's own.
-	coordinator       *gang.Coordinator
-	homes   map[string]uint32 // of gangs that are coordinated here
-	pingTime  time.Duration
-	ledGroups   []uint32
-	reservations    map[string][]gang.Reservation // by dispatcher: what its groups hold
-	appliedReservations   map[string]string       // by encoder: what the loop was told
-	setGenerations     map[string]uint64       // accounts that were set from here: generations
-	active  bool
-	cancel    context.CancelFunc
-	stopped chan struct{}
-	mu      sync.Mutex // of ends and stopped
-
-	listMu sync.Mutex // of what follows
-	instances  dispatch.InstanceList
-	cordoned    map[string]bool // left out by hand
-
-	overruns  atomic.Int64
-	counters atomic.Pointer[string]
-	onceClasses    atomic.Pointer[map[string]bool]
-}
-
-// New returns a server that does nothing before Open.
+	host        replicas.Host
+	core        Core
+	log         *slog.Logger
+	clockName   string // unique to this process
+	clockBase   time.Duration
+	inbox       chan func()
+	outstanding chan struct{} // semaphore for commands and messages without an answer
+	peers       map[string]gangv1.PeersClient
+	conns       []*grpc.ClientConn
+
+	// The starter has a goroutine of its own, so that members start in time even if the groups' disks are slow.
+	startsMu       sync.Mutex // guards starter and sent; must not be held while waiting
+	starter        *gang.Starter
+	sent           map[string]*dispatch.Command
+	starterChanged chan struct{} // wakes the starter's goroutine
+
+	// Used by the coordinator's loop only.
+	coordinator         *gang.Coordinator
+	homes               map[string]uint32 // gangs coordinated here, and their home groups
+	pingTime            time.Duration
+	ledGroups           []uint32
+	reservations        map[string][]gang.Reservation // by dispatcher: holds in the groups that it leads
+	appliedReservations map[string]string             // by encoder: the reservations that the dispatcher's loop has, as text
+	setGenerations      map[string]uint64             // by account: the generation proposed from here
+	active              bool
+	cancel              context.CancelFunc
+	stopped             chan struct{}
+	mu                  sync.Mutex // guards cancel and stopped
+
+	listMu    sync.Mutex // guards the fields below
+	instances dispatch.InstanceList
+	cordoned  map[string]bool // instance IDs
+
+	overruns    atomic.Int64
+	counters    atomic.Pointer[string]
+	onceClasses atomic.Pointer[map[string]bool]
+}
+
+// New returns a server, which is inactive until Open.
 func New(o Options, host replicas.Host, core Core, logger *slog.Logger) (*Server, error) {
 	clock := fmt.Sprintf("%s/%08x", o.Name, rand.Uint32())
 	s := &Server{
@@ -143,13 +143,13 @@
 	return s, nil
 }
 
-// Register has a listener serve gangs.
+// Register registers the gang services with a gRPC server.
 func (s *Server) Register(r grpc.ServiceRegistrar) {
 	gangv1.RegisterGangsServer(r, s)
 	gangv1.RegisterPeersServer(r, s)
 }
 
-// Open begins.
+// Open starts the server's goroutines.
 func (s *Server) Open(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,14 +160,14 @@
 	s.stopped = make(chan struct{})
 	go func(stopped chan struct{}) {
 		defer close(stopped)
-		var both sync.WaitGroup
-		both.Go(func() { s.run(ctx) })
-		both.Go(func() { s.runStarts(ctx) })
-		both.Wait()
+		var loops sync.WaitGroup
+		loops.Go(func() { s.run(ctx) })
+		loops.Go(func() { s.runStarts(ctx) })
+		loops.Wait()
 	}(s.stopped)
 }
 
-// Close ends: another process goes on.
+// Close stops the server's goroutines, since another process takes over.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,12 +178,13 @@
 	}
 }
 
-// now is Unix time by a clock that goes on steadily, also while the machine is suspended. A step of the wall clock counts
-// from the next process on.
+// now returns Unix time by a monotonic clock that also runs while the machine is suspended. A step of the system clock
+// takes effect in the next process only.
 func (s *Server) now() time.Duration { return s.clockBase + replicas.Now() }
 
-// post has the loop do something. A loop that is far behind is waited for: it asks for a result once, and takes what has none
-// for under way. It must not be called from there.
+// post runs a function in the coordinator's loop. If the loop is behind, post blocks: the coordinator proposes a
+// command once and considers it outstanding until its result arrives, so results must not be dropped. It must not be
+// called from the loop.
 func (s *Server) post(ctx context.Context, do func()) {
 	select {
 	case s.inbox <- do:
@@ -226,14 +227,14 @@
 	}
 }
 
-// runStarts sends and calls off members when it is time.
+// runStarts runs the starter: it sends and cancels members when due.
 func (s *Server) runStarts(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		s.startsMu.Lock()
 		wait := idleInterval
-		if at, some := s.starter.NextDue(); some {
+		if at, found := s.starter.NextDue(); found {
 			wait = max(0, min(wait, at-s.now()))
 		}
 		s.startsMu.Unlock()
@@ -252,33 +253,34 @@
 	}
 }
 
-// updateStarter has the starter take what is told once, however far its loop is behind.
+// updateStarter updates the starter at once, however far its goroutine is behind, since some events are reported only
+// once.
 func (s *Server) updateStarter(do func()) {
 	s.startsMu.Lock()
 	do()
 	s.startsMu.Unlock()
 	select {
 	case s.starterChanged <- struct{}{}:
-	default: // it will look anyway
+	default: // already woken
 	}
 }
 
-// handleMessage has the own starter take a word.
-func (s *Server) handleMessage(w gang.Message) gang.Reply {
+// handleMessage has the local starter process a message.
+func (s *Server) handleMessage(msg gang.Message) gang.Reply {
 	s.startsMu.Lock()
-	said := s.starter.Handle(s.now(), w)
+	reply := s.starter.Handle(s.now(), msg)
 	s.startsMu.Unlock()
 	s.updateStarter(func() {})
-	said.Now, said.Clock, said.Site = s.now(), s.clockName, s.options.Site
-	return said
+	reply.Now, reply.Clock, reply.Site = s.now(), s.clockName, s.options.Site
+	return reply
 }
 
-// groupOf is the one that keeps a key's account, or a gang's home.
+// groupOf returns the group that keeps a key's account or is a gang's home.
 func (s *Server) groupOf(key string) uint32 { return replica.GroupOf(key, s.host.Groups()) }
 
 func (s *Server) homeOf(id string) uint32 { return s.groupOf("gang/" + id) }
 
-// encoders is the list in the planner's terms.
+// encoders returns the instance list as the planner sees it.
 func (s *Server) encoders() (all []gang.Encoder) {
 	s.listMu.Lock()
 	defer s.listMu.Unlock()
@@ -348,7 +350,7 @@
 	s.updateCounters(states)
 }
 
-// ownReservations is what is held at the groups that are led from here.
+// ownReservations returns the holds in the groups that this dispatcher leads.
 func (s *Server) ownReservations(now time.Duration) (all []gang.Reservation) {
 	for _, g := range s.ledGroups {
 		s.host.View(g, replica.Gangs, func(m replica.Machine) {
@@ -360,7 +362,7 @@
 	return all
 }
 
-// setAccounts opens those of the groups that are led from here.
+// setAccounts opens or updates the accounts of a group that this dispatcher leads.
 func (s *Server) setAccounts(ctx context.Context, g uint32, k *gang.Machine, all []gang.Encoder) {
 	set := func(r gang.Resource) {
 		if have, known := k.Resources[r.ID]; known && have.Gen >= r.Gen || s.setGenerations[r.ID] >= r.Gen {
@@ -373,30 +375,30 @@
 			}
 		})
 	}
-	theirs := map[string]int{}
+	partnerSlots := map[string]int{}
 	for _, e := range all {
-		theirs[e.Partner] += e.Slots
+		partnerSlots[e.Partner] += e.Slots
 		if e.Group == g {
 			set(gang.Resource{ID: e.Account(), Slots: e.Slots, Gen: e.Gen})
 		}
 	}
 	for _, p := range s.options.Partners {
 		id := gang.PartnerAccount(p.Name)
-		if s.groupOf(id) != g || theirs[p.Name] == 0 {
+		if s.groupOf(id) != g || partnerSlots[p.Name] == 0 {
 			continue
 		}
 		now, known := k.Resources[id]
 		if !known {
 			now = gang.Resource{ID: id, MaxSlots: p.Slots, Share: p.Share, SlotHours: p.Hours}
 		}
-		if next := now.ForEncoderSlots(theirs[p.Name]); !known || next.Slots != now.Slots {
+		if next := now.ForEncoderSlots(partnerSlots[p.Name]); !known || next.Slots != now.Slots {
 			next.Gen++
 			set(next)
 		}
 	}
 }
 
-// propose has a group take a command; done is called from the loop.
+// propose proposes a command to a group; done is called in the coordinator's loop.
 func (s *Server) propose(ctx context.Context, g uint32, c gang.Command, done func(gang.Result, bool)) {
 	select {
 	case s.outstanding <- struct{}{}:
@@ -407,11 +409,11 @@
 	go func() {
 		r, err := s.apply(ctx, g, c)
 		<-s.outstanding
-		s.post(context.Background(), func() { done(r, err == nil) }) // at most as many wait as there is room for, and one look
+		s.post(context.Background(), func() { done(r, err == nil) }) // not dropped: the number of waiting results is limited by outstanding
 	}()
 }
 
-// apply has a group take a command.
+// apply has a group apply a command and returns the result.
 func (s *Server) apply(ctx context.Context, g uint32, c gang.Command) (gang.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -422,7 +424,7 @@
 	return gang.Decode(text)
 }
 
-// runActions does what the coordinator wants.
+// runActions carries out the coordinator's actions.
 func (s *Server) runActions(ctx context.Context) {
 	for _, a := range s.coordinator.TakeActions() {
 		switch a := a.(type) {
@@ -436,7 +438,7 @@
 	}
 }
 
-// fetchView gathers what all groups hold.
+// fetchView queries all groups for their accounts and holds.
 func (s *Server) fetchView(ctx context.Context) {
 	v := gang.View{Self: s.options.Name, PartnerAccounts: map[string]gang.AccountLocation{}, Accounts: map[string]gang.Resource{}}
 	for _, p := range s.options.Partners {
@@ -446,15 +448,15 @@
 	go func() {
 		for g := range s.host.Groups() {
 			var r gang.Result
-			took := s.host.View(g, replica.Gangs, func(m replica.Machine) {
+			local := s.host.View(g, replica.Gangs, func(m replica.Machine) {
 				if k, ours := m.(*gang.Machine); ours {
 					r = k.Query()
 				}
 			})
-			if !took {
+			if !local {
 				var err error
 				if r, err = s.apply(ctx, g, gang.Command{Op: "look"}); err != nil {
-					continue // its encoders are not known, and nothing is planned there
+					continue // its accounts stay unknown, so nothing is planned at its encoders
 				}
 			}
 			for _, x := range r.Resources {
@@ -466,13 +468,13 @@
 	}()
 }
 
-// sendMessage tells a dispatcher a word, perhaps this one.
-func (s *Server) sendMessage(ctx context.Context, to string, w gang.Message, home uint32) {
+// sendMessage sends a message to a dispatcher, possibly this one.
+func (s *Server) sendMessage(ctx context.Context, to string, msg gang.Message, home uint32) {
 	sent := s.now()
 	if to == s.options.Name {
-		said := s.handleMessage(w)
+		reply := s.handleMessage(msg)
 		s.reservations[to] = s.ownReservations(sent)
-		s.coordinator.HandleReply(s.now(), sent, to, w, said, home)
+		s.coordinator.HandleReply(s.now(), sent, to, msg, reply, home)
 		return
 	}
 	peer := s.peers[to]
@@ -487,46 +489,46 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 		defer cancel()
-		text, _ := json.Marshal(w) // plain data: it cannot fail
+		text, _ := json.Marshal(msg) // cannot fail for plain data
 		sent := s.now()
 		r, err := peer.Tell(ctx, &gangv1.TellRequest{Word: text})
-		came := s.now()
+		received := s.now()
 		<-s.outstanding
-		var said gang.Reply
-		if err != nil || json.Unmarshal(r.GetSaid(), &said) != nil {
+		var reply gang.Reply
+		if err != nil || json.Unmarshal(r.GetSaid(), &reply) != nil {
 			return
 		}
-		s.post(ctx, func() { // it is told again
-			if w.Kind == "" {
-				s.reservations[to] = said.Reservations
+		s.post(ctx, func() { // may be dropped: the message is repeated
+			if msg.Kind == "" {
+				s.reservations[to] = reply.Reservations
 			}
-			s.coordinator.HandleReply(came, sent, to, w, said, home)
+			s.coordinator.HandleReply(received, sent, to, msg, reply, home)
 		})
 	}()
 }
 
-// Tell takes another dispatcher's word.
+// Tell handles a message from another dispatcher.
 func (s *Server) Tell(ctx context.Context, q *gangv1.TellRequest) (*gangv1.TellResponse, error) {
-	var w gang.Message
-	if len(q.GetWord()) > maxMessageSize || json.Unmarshal(q.GetWord(), &w) != nil {
+	var msg gang.Message
+	if len(q.GetWord()) > maxMessageSize || json.Unmarshal(q.GetWord(), &msg) != nil {
 		return nil, status.Error(codes.InvalidArgument, "not a word")
 	}
-	said := s.handleMessage(w)
-	if w.Kind == "" { // asked for the clock alone
+	reply := s.handleMessage(msg)
+	if msg.Kind == "" { // asks for the clock and the holds only
 		answer := make(chan []gang.Reservation, 1)
 		s.post(ctx, func() { answer <- s.ownReservations(s.now()) })
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case said.Reservations = <-answer:
+		case reply.Reservations = <-answer:
 		}
-		said.Now = s.now()
+		reply.Now = s.now()
 	}
-	text, _ := json.Marshal(said)
+	text, _ := json.Marshal(reply)
 	return &gangv1.TellResponse{Said: text}, nil
 }
 
-// runStarterActions sends and calls off members.
+// runStarterActions sends and cancels members.
 func (s *Server) runStarterActions(acts []gang.StarterAction) {
 	for _, a := range acts {
 		switch a.Kind {
@@ -558,20 +560,20 @@
 	}
 }
 
-// client is a member as the loop knows it.
+// client is the client of a member's command in the dispatcher's loop.
 type client struct {
 	*Server
 	key string
 }
 
-// Started says that its encoder has it, and runs it where encoders tell.
+// Started records that an encoder has the member; it counts as running unless encoders report that separately.
 func (c *client) Started(_ string, runs bool) {
 	if runs || !c.options.TellsStart {
 		c.updateStarter(func() { c.starter.MemberStarted(c.now(), c.key) })
 	}
 }
 
-// Answer takes its end.
+// Answer records the member's end.
 func (c *client) Answer(a dispatch.Answer) {
 	fate, why := gang.MayHaveRun, "failed"
 	switch a.Verdict {
@@ -588,7 +590,7 @@
 	})
 }
 
-// HandOver says that another process has it: what becomes of it is not known here.
+// HandOver records that another process has taken the member over: its outcome is unknown here.
 func (c *client) HandOver(bool) {
 	c.updateStarter(func() {
 		delete(c.sent, c.key)
@@ -596,7 +598,8 @@
 	})
 }
 
-// Stray takes a call of an encoder that matches nothing in the loop's hand: a process before this one may have sent the member.
+// Stray handles a callback that matches no attempt of the dispatcher's loop: an earlier process may have sent the
+// member. It reports whether the member is known here.
 func (s *Server) Stray(n dispatch.Callback) bool {
 	s.startsMu.Lock()
 	_, ours := s.starter.GangOf(n.ID)
@@ -615,13 +618,13 @@
 	return ours
 }
 
-// Submit takes a gang.
+// Submit submits a gang.
 func (s *Server) Submit(ctx context.Context, q *gangv1.SubmitRequest) (*gangv1.Gang, error) {
 	us := func(n uint64) time.Duration { return time.Duration(min(n, 1<<53)) * time.Microsecond }
 	spec := gang.Spec{
 		ID: q.GetId(), NotBefore: us(q.GetNotBeforeUs()), LatestStart: us(q.GetLatestStartUs()), Skew: us(q.GetSkewUs()), OnDeath: gang.DeathPolicy(q.GetAfter()),
 	}
-	if strings.ContainsAny(spec.ID, "/?#% \r\n") { // it becomes part of jobs' ids
+	if strings.ContainsAny(spec.ID, "/?#% \r\n") { // the ID becomes part of job IDs
 		return nil, status.Error(codes.InvalidArgument, "id: letters, digits and -_. only")
 	}
 	for i, m := range q.GetMembers() {
@@ -640,7 +643,7 @@
 	return s.applyToGang(ctx, spec.ID, gang.Command{Op: "submit", Spec: &spec})
 }
 
-// Cancel calls one off.
+// Cancel cancels a gang.
 func (s *Server) Cancel(ctx context.Context, q *gangv1.CancelRequest) (*gangv1.Gang, error) {
 	return s.applyToGang(ctx, q.GetId(), gang.Command{Op: "cancel", Gang: q.GetId()})
 }
@@ -650,7 +653,7 @@
 	switch {
 	case errors.Is(err, context.Canceled):
 		return nil, status.Error(codes.Canceled, err.Error())
-	case err != nil: // a submission may be repeated: the same id is the same gang
+	case err != nil: // the client may repeat a submission: the same ID means the same gang
 		return nil, status.Error(codes.Unavailable, err.Error())
 	case r.NotFound:
 		return nil, status.Error(codes.NotFound, r.Err)
@@ -662,7 +665,7 @@
 	return toProto(r.Entry), nil
 }
 
-// toProto is a gang as callers are told of it.
+// toProto returns a gang's status for clients.
 func toProto(e *gang.Entry) *gangv1.Gang {
 	g := &gangv1.Gang{Id: e.Spec.ID, State: string(e.State), Verdict: e.Verdict, Why: e.Reason, Plans: uint32(e.Plans), Moves: uint32(e.Moves)}
 	if e.Plan != nil {
@@ -680,10 +683,10 @@
 	return g
 }
 
-// Await waits for another state.
+// Await waits until a gang has ended or its state differs from the one that the client has seen.
 func (s *Server) Await(ctx context.Context, q *gangv1.AwaitRequest) (*gangv1.Gang, error) {
-	every := time.NewTicker(awaitInterval)
-	defer every.Stop()
+	ticker := time.NewTicker(awaitInterval)
+	defer ticker.Stop()
 	for until := time.Now().Add(maxAwait); ; {
 		g, err := s.applyToGang(ctx, q.GetId(), gang.Command{Op: "ask", Gang: q.GetId()})
 		if err != nil && status.Code(err) != codes.Unavailable {
@@ -696,12 +699,12 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-every.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// Lend changes what a partner lends.
+// Lend changes how much a partner lends.
 func (s *Server) Lend(ctx context.Context, q *gangv1.LendRequest) (*gangv1.LendResponse, error) {
 	id := gang.PartnerAccount(q.GetPartner())
 	g := s.groupOf(id)
@@ -732,17 +735,17 @@
 	return nil, status.Error(codes.Aborted, "others change it as well")
 }
 
-// Retune takes which classes there are, and whether a job of each must not run twice.
+// Retune sets the classes, and for each whether a job must not run twice.
 func (s *Server) Retune(once map[string]bool) { s.onceClasses.Store(&once) }
 
-// Listed takes the name table's news.
+// Listed updates the instance list.
 func (s *Server) Listed(l dispatch.InstanceUpdate) {
 	s.listMu.Lock()
 	defer s.listMu.Unlock()
 	s.instances.Update(l)
 }
 
-// Cordoned takes all that are left out by hand.
+// Cordoned sets the cordoned instances.
 func (s *Server) Cordoned(ids []string) {
 	s.listMu.Lock()
 	defer s.listMu.Unlock()
@@ -770,7 +773,7 @@
 	s.counters.Store(&text)
 }
 
-// Figures is what operators go by.
+// Figures returns the operators' counters.
 func (s *Server) Figures() string {
 	if text := s.counters.Load(); text != nil {
 		return *text
--- a/internal/net/gangs/gangs_test.go
+++ b/internal/net/gangs/gangs_test.go
@@ -22,7 +22,7 @@
 	"caperrelay/internal/replica"
 )
 
-// sharedHost is one host as several daemons see it: each leads some groups.
+// sharedHost is one host as seen by several daemons, each of which leads some of the groups.
 type sharedHost struct {
 	*replicas.Alone
 	n, of uint32
@@ -33,13 +33,13 @@
 	return term, until, ok && g%h.of == h.n
 }
 
-// fakeLoop is a loop that runs all at once but what it is to refuse.
+// fakeLoop runs all members at once, except at an encoder that refuses.
 type fakeLoop struct {
 	mu     sync.Mutex
 	refuse string
 	begun  map[string]time.Time
 	ended  map[string]string
-	held   map[string]int // by encoder: spans that the loop was told of at one time, at most
+	held   map[string]int // by encoder: maximum number of reservations set at one time
 }
 
 func (e *fakeLoop) Submit(c *dispatch.Command) {
@@ -77,8 +77,9 @@
 	e.held[id] = max(e.held[id], len(spans))
 }
 
-// Three daemons on sockets: a gang over two sites starts together; one whose member is refused has the other called off
-// within 500 ms; and a partner that lends too little has nothing planned.
+// Three daemons with real connections: a gang over two sites starts together; when a member of another gang is
+// refused, the other member is called off within 500 ms; and a gang that needs more than a partner lends is not
+// planned.
 func TestGangsOverSockets(t *testing.T) {
 	const n = 3
 	alone := replicas.NewAlone(3, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
@@ -151,8 +152,8 @@
 	require.Equal(t, "no room in its window", g.GetWhy())
 }
 
-// Guards against a member's end, which the loop tells once, being dropped where the loop of starts is behind: the gang would
-// be dead after its start.
+// A member's end, which the dispatcher's loop reports only once, was dropped if the starter's goroutine was behind,
+// and the gang counted as dead after its start.
 func TestMemberEndIsKeptWhileStarterLoopIsBehind(t *testing.T) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
 	s, err := New(Options{Name: "n1", TellsStart: true}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
@@ -162,9 +163,9 @@
 	for _, kind := range []gang.MessageKind{gang.Arm, gang.Go} {
 		s.starter.Handle(start-time.Second, gang.Message{Kind: kind, Gang: "g", Round: 1, At: start, Skew: 250 * time.Millisecond, Assignments: part})
 	}
-	s.starter.Tick(start) // it is sent
+	s.starter.Tick(start) // sends the member
 	for range 4096 {
-		s.updateStarter(func() {}) // nobody takes them
+		s.updateStarter(func() {}) // no goroutine receives the wakeups
 	}
 	c := &client{s, key}
 	c.Started("s-0", true)
@@ -173,8 +174,8 @@
 	require.Equal(t, gang.Done, said.Members[0].Status)
 }
 
-// Guards against the result of a proposal being dropped by a loop that is far behind: the coordinator counts it as under way
-// for ever, and proposes it no more.
+// A slow loop dropped the result of a proposal, so the coordinator considered the command outstanding forever and
+// never proposed it again.
 func TestResultsWaitForSlowLoop(t *testing.T) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
 	s, err := New(Options{Name: "n1"}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
@@ -184,7 +185,7 @@
 	}
 	asked, told := s.overruns.Load(), false
 	s.propose(t.Context(), 0, gang.Command{Op: "look"}, func(gang.Result, bool) { told = true })
-	for s.overruns.Load() == asked { // until it finds the loop behind
+	for s.overruns.Load() == asked { // until propose has found the inbox full
 		runtime.Gosched()
 	}
 	for !told {
@@ -197,7 +198,7 @@
 	}
 }
 
-// Guards against an encoder's word of a member being lost that a process before this one has sent.
+// A callback about a member that an earlier process had sent was lost.
 func TestCallbackOfMemberSentByEarlierProcess(t *testing.T) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
 	s, err := New(Options{Name: "n1"}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
@@ -210,7 +211,7 @@
 	require.Equal(t, gang.Began, s.handleMessage(run).Members[0].Status)
 	require.True(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Done}))
 	require.Equal(t, gang.Done, s.handleMessage(run).Members[0].Status)
-	run.Kind = gang.Go // what is not known to run is taken back as before
+	run.Kind = gang.Go // a member that is not known to run is still dropped
 	run.Gang = "h"
 	require.Equal(t, gang.MayHaveRun, s.handleMessage(run).Members[0].Status)
 	require.Len(t, s.starter.TakeActions(), 1)
