--- a/internal/gang/accounts.go
+++ b/internal/gang/accounts.go
@@ -59,23 +59,23 @@
 	At    time.Duration `json:"at"`
 }
 
-func (k *accounts) find(gang string, round uint64) (int, bool) {
-	return slices.BinarySearchFunc(k.RoundHolds, RoundHolds{Gang: gang, Round: round}, func(a, b RoundHolds) int {
+func (a *accounts) find(gang string, round uint64) (int, bool) {
+	return slices.BinarySearchFunc(a.RoundHolds, RoundHolds{Gang: gang, Round: round}, func(a, b RoundHolds) int {
 		return cmp.Or(cmp.Compare(a.Gang, b.Gang), cmp.Compare(a.Round, b.Round))
 	})
 }
 
 // expire drops uncommitted holds whose time is up, and old ended rounds. Committed holds are extended until the gang
 // ends: otherwise a late job would share its slots with the next one.
-func (k *accounts) expire(at time.Duration) {
-	k.RoundHolds = slices.DeleteFunc(k.RoundHolds, func(s RoundHolds) bool {
+func (a *accounts) expire(at time.Duration) {
+	a.RoundHolds = slices.DeleteFunc(a.RoundHolds, func(s RoundHolds) bool {
 		grace := time.Duration(0)
 		if !s.Committed {
 			grace = maxClockDifference
 		}
 		return (!s.Committed || s.UntilExpiry) && !slices.ContainsFunc(s.Holds, func(h Hold) bool { return h.Until > at-grace })
 	})
-	for i, s := range k.RoundHolds {
+	for i, s := range a.RoundHolds {
 		if !s.Committed || s.UntilExpiry || !slices.ContainsFunc(s.Holds, func(h Hold) bool { return h.Until <= at }) {
 			continue
 		}
@@ -83,10 +83,10 @@
 		for j := range holds {
 			holds[j].Until = max(holds[j].Until, at+holdExtension)
 		}
-		k.RoundHolds[i].Holds = holds
+		a.RoundHolds[i].Holds = holds
 	}
-	if len(k.EndedRounds) > maxHolds {
-		maps.DeleteFunc(k.EndedRounds, func(_ string, o endedRound) bool { return o.At < at-endedRetention })
+	if len(a.EndedRounds) > maxHolds {
+		maps.DeleteFunc(a.EndedRounds, func(_ string, o endedRound) bool { return o.At < at-endedRetention })
 	}
 }
 
@@ -99,36 +99,36 @@
 
 // set opens or changes an account. Holds stay even beyond a lowered limit: it is the gangs' homes that release them
 // when a partner lends less.
-func (k *accounts) set(r Resource) Result {
-	before, known := k.Resources[r.ID]
+func (a *accounts) set(r Resource) Result {
+	before, known := a.Resources[r.ID]
 	switch {
 	case r.ID == "" || len(r.ID) > 2*maxNameLen || r.Slots < 0 || r.Slots > unbounded || !(r.SlotHours >= 0):
 		return Result{Err: "not a resource"}
 	case known && r.Gen < before.Gen:
 		return Result{Err: "an older one", Gen: before.Gen}
-	case !known && len(k.Resources) >= maxHolds:
+	case !known && len(a.Resources) >= maxHolds:
 		return Result{Err: "too many resources"}
 	}
-	k.Resources[r.ID] = r
+	a.Resources[r.ID] = r
 	return Result{OK: true}
 }
 
 // prepare makes all holds of a round or none. The gang's holds of other rounds are not added to them; the larger ones
 // count.
-func (k *accounts) prepare(at time.Duration, s RoundHolds) Result {
-	i, found := k.find(s.Gang, s.Round)
+func (a *accounts) prepare(at time.Duration, s RoundHolds) Result {
+	i, found := a.find(s.Gang, s.Round)
 	switch {
 	case found:
 		return Result{OK: true}
-	case k.EndedRounds[s.Gang].Round >= s.Round:
+	case a.EndedRounds[s.Gang].Round >= s.Round:
 		return Result{Err: "the round is over"}
 	case len(s.Holds) == 0 || len(s.Holds) > 2*MaxMembers:
 		return Result{Err: "no holds, or too many"}
-	case len(k.RoundHolds) >= maxHolds:
+	case len(a.RoundHolds) >= maxHolds:
 		return Result{Full: true, Err: "too many holds"}
 	}
 	for _, h := range s.Holds {
-		r, known := k.Resources[h.Resource]
+		r, known := a.Resources[h.Resource]
 		switch {
 		case !known || r.Gen != h.Gen:
 			return Result{Stale: true, Err: fmt.Sprintf("%s is not what it was", h.Resource), Gen: r.Gen}
@@ -137,11 +137,11 @@
 		}
 	}
 	s.Committed = false
-	combined := slices.Insert(slices.Clone(k.RoundHolds), i, s)
-	if h, fits := k.fits(combined, s.Holds); !fits {
+	combined := slices.Insert(slices.Clone(a.RoundHolds), i, s)
+	if h, fits := a.fits(combined, s.Holds); !fits {
 		res := Result{Full: true, Err: h.Resource + " is full"}
 		committed := slices.DeleteFunc(slices.Clone(combined), func(o RoundHolds) bool { return !o.Committed && o.Gang != s.Gang })
-		if _, fits := k.fits(committed, s.Holds); fits { // only gangs that can still give way are in the way
+		if _, fits := a.fits(committed, s.Holds); fits { // only gangs that can still give way are in the way
 			for _, o := range combined {
 				if !o.Committed && o.Gang != s.Gang && overlap(o.Holds, s.Holds) {
 					res.Rivals = append(res.Rivals, Rival{o.Gang, o.Round, o.Home, o.SubmittedAt})
@@ -150,7 +150,7 @@
 		}
 		return res
 	}
-	k.RoundHolds = combined
+	a.RoundHolds = combined
 	return Result{OK: true}
 }
 
@@ -167,9 +167,9 @@
 
 // fits reports whether no account of the holds is overdrawn at any time during them; otherwise it returns the hold
 // that fails.
-func (k *accounts) fits(all []RoundHolds, holds []Hold) (Hold, bool) {
+func (a *accounts) fits(all []RoundHolds, holds []Hold) (Hold, bool) {
 	for _, h := range holds {
-		r := k.Resources[h.Resource]
+		r := a.Resources[h.Resource]
 		at := []time.Duration{h.From}
 		for _, s := range all {
 			for _, o := range s.Holds {
@@ -227,29 +227,29 @@
 }
 
 // commit commits a round's holds and ends the gang's earlier rounds.
-func (k *accounts) commit(at time.Duration, gang string, round uint64) Result {
-	i, found := k.find(gang, round)
+func (a *accounts) commit(at time.Duration, gang string, round uint64) Result {
+	i, found := a.find(gang, round)
 	if !found {
-		if k.EndedRounds[gang].Round >= round {
+		if a.EndedRounds[gang].Round >= round {
 			return Result{OK: true} // already released again
 		}
 		return Result{Err: "there is no such hold"} // expired
 	}
-	k.RoundHolds[i].Committed = true
-	k.end(at, gang, round-1)
+	a.RoundHolds[i].Committed = true
+	a.end(at, gang, round-1)
 	return Result{OK: true}
 }
 
 // ready reports whether the slots of a round that is about to start are really free. Accounts go by planned times;
 // here earlier holds that have not ended, or whose home has not decided yet, count even if their planned time is over.
-func (k *accounts) ready(gang string, round uint64) Result {
-	i, found := k.find(gang, round)
+func (a *accounts) ready(gang string, round uint64) Result {
+	i, found := a.find(gang, round)
 	if !found {
 		return Result{Err: "there is no such hold"}
 	}
-	own := k.RoundHolds[i]
+	own := a.RoundHolds[i]
 	// If a partner now lends less than was held, younger gangs that start at the same time or later give way.
-	all := slices.DeleteFunc(slices.Clone(k.RoundHolds), func(s RoundHolds) bool {
+	all := slices.DeleteFunc(slices.Clone(a.RoundHolds), func(s RoundHolds) bool {
 		return s.Gang != gang && older(own.SubmittedAt, gang, s.SubmittedAt, s.Gang) && s.Holds[0].From >= own.Holds[0].From
 	})
 	for _, h := range own.Holds {
@@ -269,7 +269,7 @@
 				}
 			}
 		}
-		if n > float64(k.Resources[h.Resource].Slots) {
+		if n > float64(a.Resources[h.Resource].Slots) {
 			return Result{Full: true, Err: "what " + h.Resource + " has before it has not ended"}
 		}
 	}
@@ -277,35 +277,35 @@
 }
 
 // abort drops a round's uncommitted holds.
-func (k *accounts) abort(at time.Duration, gang string, round uint64) Result {
-	i, found := k.find(gang, round)
+func (a *accounts) abort(at time.Duration, gang string, round uint64) Result {
+	i, found := a.find(gang, round)
 	switch {
-	case found && k.RoundHolds[i].Committed:
+	case found && a.RoundHolds[i].Committed:
 		return Result{Err: "it is committed"}
 	case found:
-		k.RoundHolds = slices.Delete(k.RoundHolds, i, i+1)
+		a.RoundHolds = slices.Delete(a.RoundHolds, i, i+1)
 	}
 	// During a move, the earlier round is still in force and stays. Late messages of this round must be refused.
-	if k.EndedRounds[gang].Round < round {
-		k.EndedRounds[gang] = endedRound{round, at}
+	if a.EndedRounds[gang].Round < round {
+		a.EndedRounds[gang] = endedRound{round, at}
 	}
 	return Result{OK: true}
 }
 
 // end drops a gang's holds up to a round, as decided by its home after their commit.
-func (k *accounts) end(at time.Duration, gang string, round uint64) Result {
-	k.RoundHolds = slices.DeleteFunc(k.RoundHolds, func(s RoundHolds) bool { return s.Gang == gang && s.Round <= round && !s.UntilExpiry })
-	if k.EndedRounds[gang].Round < round {
-		k.EndedRounds[gang] = endedRound{round, at}
+func (a *accounts) end(at time.Duration, gang string, round uint64) Result {
+	a.RoundHolds = slices.DeleteFunc(a.RoundHolds, func(s RoundHolds) bool { return s.Gang == gang && s.Round <= round && !s.UntilExpiry })
+	if a.EndedRounds[gang].Round < round {
+		a.EndedRounds[gang] = endedRound{round, at}
 	}
 	return Result{OK: true}
 }
 
 // keepUntilExpiry is like end, but a round's committed holds stay until they expire, since members may still run
 // unobserved.
-func (k *accounts) keepUntilExpiry(at time.Duration, gang string, round uint64) Result {
-	if i, found := k.find(gang, round); found && k.RoundHolds[i].Committed {
-		k.RoundHolds[i].UntilExpiry = true
+func (a *accounts) keepUntilExpiry(at time.Duration, gang string, round uint64) Result {
+	if i, found := a.find(gang, round); found && a.RoundHolds[i].Committed {
+		a.RoundHolds[i].UntilExpiry = true
 	}
-	return k.end(at, gang, round)
+	return a.end(at, gang, round)
 }
--- a/internal/gang/clock_test.go
+++ b/internal/gang/clock_test.go
@@ -43,17 +43,17 @@
 }
 
 // measure has a coordinator measure a dispatcher's clock that is ahead of its own.
-func measure(c *Coordinator, now time.Duration, who, clock string, ahead, trip time.Duration) {
-	c.HandleReply(now, now-trip, who, Message{}, Reply{Now: now - trip/2 + ahead, Clock: clock}, 0)
+func measure(c *Coordinator, now time.Duration, dispatcher, clock string, ahead, trip time.Duration) {
+	c.HandleReply(now, now-trip, dispatcher, Message{}, Reply{Now: now - trip/2 + ahead, Clock: clock}, 0)
 }
 
 // Start times go by the planner's clock: two coordinators whose clocks differ by 200 ms give a dispatcher the same
 // start. A coordinator that never measured the planner's clock has the gang planned again.
 func TestStartUsesPlannersClock(t *testing.T) {
 	m, encoders, start := heldGang(t)
-	planner, next, stranger := NewCoordinator("n0/1"), NewCoordinator("n3/1"), NewCoordinator("n4/1")
+	planner, next, uninformed := NewCoordinator("n0/1"), NewCoordinator("n3/1"), NewCoordinator("n4/1")
 	at := start - 400*ms // by the planner's clock; n1's is 50 ms ahead, n2's 80 ms behind, n3's 200 ms ahead
-	named := map[string]Message{}
+	received := map[string]Message{}
 	for _, c := range []*Coordinator{planner, next} {
 		now, own := at, time.Duration(0)
 		if c == next {
@@ -65,18 +65,18 @@
 		c.Step(now+own, 0, m, encoders)
 		armMessages := messages(c, Arm)
 		require.Len(t, armMessages, 2)
-		for who, msg := range armMessages {
+		for dispatcher, msg := range armMessages {
 			require.Len(t, msg.Assignments, 1)
-			if before, found := named[who]; found {
-				require.LessOrEqual(t, (msg.At - before.At).Abs(), msg.ClockError+before.ClockError, who)
+			if before, found := received[dispatcher]; found {
+				require.LessOrEqual(t, (msg.At - before.At).Abs(), msg.ClockError+before.ClockError, dispatcher)
 			}
-			named[who] = msg
+			received[dispatcher] = msg
 		}
 	}
-	require.InDelta(t, start+50*ms, named["n1"].At, float64(named["n1"].ClockError))
-	require.InDelta(t, start-80*ms, named["n2"].At, float64(named["n2"].ClockError))
-	stranger.Step(at, 0, m, encoders)
-	require.Contains(t, stranger.TakeActions(), Propose{"0/drop/g/1/0/0//", 0, Command{Op: "drop", Gang: "g", Round: 1, Reason: "the clock that its start goes by is not known"}})
+	require.InDelta(t, start+50*ms, received["n1"].At, float64(received["n1"].ClockError))
+	require.InDelta(t, start-80*ms, received["n2"].At, float64(received["n2"].ClockError))
+	uninformed.Step(at, 0, m, encoders)
+	require.Contains(t, uninformed.TakeActions(), Propose{"0/drop/g/1/0/0//", 0, Command{Op: "drop", Gang: "g", Round: 1, Reason: "the clock that its start goes by is not known"}})
 }
 
 // A dispatcher restarts with its clock stepped by 200 ms, and the new measurement is less exact than the old one. The
@@ -86,12 +86,12 @@
 	for _, clock := range []string{"n1/2", "n1/1"} {
 		c := NewCoordinator("n0/1")
 		now := start - 500*ms
-		for _, who := range []string{"n1", "n2"} {
-			measure(c, now, who, who+"/1", 0, ms)
+		for _, dispatcher := range []string{"n1", "n2"} {
+			measure(c, now, dispatcher, dispatcher+"/1", 0, ms)
 		}
 		c.Step(now, 0, m, encoders)
-		for who, msg := range messages(c, Arm) {
-			c.HandleReply(now+ms, now, who, msg, Reply{Now: now, Clock: who + "/1", Members: []MemberReply{{Member: msg.Assignments[0].Member, Armed: true}}}, 0)
+		for dispatcher, msg := range messages(c, Arm) {
+			c.HandleReply(now+ms, now, dispatcher, msg, Reply{Now: now, Clock: dispatcher + "/1", Members: []MemberReply{{Member: msg.Assignments[0].Member, Armed: true}}}, 0)
 		}
 		require.Len(t, c.armed["g/1"], 2)
 		measure(c, now+20*ms, "n1", clock, 200*ms, 30*ms)
@@ -112,19 +112,19 @@
 // A starter that receives a go message with a different start than it was armed for does not start: a clock was
 // stepped in between.
 func TestGoWithDifferentStart(t *testing.T) {
-	for _, by := range []time.Duration{0, 4 * ms, 40 * ms, -200 * ms} {
+	for _, shift := range []time.Duration{0, 4 * ms, 40 * ms, -200 * ms} {
 		s := NewStarter()
 		msg := Message{Kind: Arm, Gang: "g", Round: 1, At: epoch + 500*ms, ClockError: 3 * ms, Skew: 250 * ms, Assignments: []Assignment{{Member: 1, Encoder: "s-1"}}}
 		require.True(t, s.Handle(epoch, msg).Members[0].Armed)
-		msg.Kind, msg.At = Go, msg.At+by
-		said := s.Handle(epoch+10*ms, msg).Members[0]
+		msg.Kind, msg.At = Go, msg.At+shift
+		reply := s.Handle(epoch+10*ms, msg).Members[0]
 		s.Tick(epoch + 500*ms)
-		if by.Abs() <= 6*ms {
-			require.Equal(t, Unknown, said.Status)
+		if shift.Abs() <= 6*ms {
+			require.Equal(t, Unknown, reply.Status)
 			require.Len(t, s.TakeActions(), 1)
 			continue
 		}
-		require.Equal(t, NeverRan, said.Status)
+		require.Equal(t, NeverRan, reply.Status)
 		require.Empty(t, s.TakeActions())
 	}
 }
@@ -132,7 +132,7 @@
 // A new leader of a home that takes over late ended gangs as not started, with members that may have run, before it
 // had asked the dispatchers, which knew that no member was sent.
 func TestNewLeaderQueriesDispatchersBeforeSettling(t *testing.T) {
-	for _, off := range []bool{false, true} { // whether the previous leader had called the gang off
+	for _, calledOff := range []bool{false, true} { // whether the previous leader had called the gang off
 		m, encoders, start := heldGang(t)
 		for i := range m.Gangs["g"].Spec.Members {
 			m.Gangs["g"].Spec.Members[i].Once = true
@@ -142,7 +142,7 @@
 			starters[name].Handle(start-500*ms, Message{Kind: Arm, Gang: "g", Round: 1, At: start, Skew: 250 * ms, Assignments: []Assignment{{Member: i}}})
 		}
 		require.True(t, m.apply(start-200*ms, Command{Op: "go", Gang: "g", Round: 1, Armed: []string{"n1", "n2"}, At: start - 200*ms}).OK)
-		if off { // its go message was lost
+		if calledOff { // its go message was lost
 			require.True(t, m.apply(start+400*ms, Command{Op: "off", Gang: "g", Round: 1, At: start + 400*ms}).OK)
 		}
 		next := NewCoordinator("n3/1")
@@ -160,8 +160,8 @@
 				case Propose:
 					next.HandleResult(now, a.Key, m.apply(now, a.Command), true)
 				case Send:
-					sent, said := now, starters[a.To].Handle(now, a.Message)
-					later = append(later, func() { next.HandleReply(now, sent, a.To, a.Message, said, 0) })
+					sent, reply := now, starters[a.To].Handle(now, a.Message)
+					later = append(later, func() { next.HandleReply(now, sent, a.To, a.Message, reply, 0) })
 				}
 			}
 			for _, do := range due {
@@ -170,7 +170,7 @@
 			now += 10 * ms
 		}
 		e := m.Gangs["g"]
-		require.Empty(t, e.MayHaveRun, "off %v: %s %s: %s", off, e.State, e.Verdict, e.Reason)
-		require.Equal(t, Waiting, e.State, "it is planned anew")
+		require.Empty(t, e.MayHaveRun, "off %v: %s %s: %s", calledOff, e.State, e.Verdict, e.Reason)
+		require.Equal(t, Waiting, e.State, "it is planned again")
 	}
 }
--- a/internal/gang/contention_test.go
+++ b/internal/gang/contention_test.go
@@ -18,22 +18,22 @@
 // completed, and none waits for longer than the limit once it is the oldest.
 func TestOldestGangIsHeldWithinBound(t *testing.T) {
 	sim := newSimulation(t, 1, 3, 4, 6)
-	asked := 0
-	ask := func() {
-		members := []Member{{Site: "a"}, {Site: "b"}, {}}[:2+asked%2]
+	submitted := 0
+	submit := func() {
+		members := []Member{{Site: "a"}, {Site: "b"}, {}}[:2+submitted%2]
 		for i := range members {
 			members[i].Kind, members[i].Class, members[i].Slots, members[i].Work = "m2", "live", 1+sim.IntN(3), time.Duration(400+sim.IntN(800))*ms
 		}
-		sim.submit(fmt.Sprint("g", asked), 10*time.Minute, members...)
-		asked++
+		sim.submit(fmt.Sprint("g", submitted), 10*time.Minute, members...)
+		submitted++
 	}
 	for range 40 {
-		ask()
+		submit()
 	}
 	oldest, since, worst := "", sim.now, time.Duration(0)
 	for n := 0; sim.open() > 0 && n < 4000; n++ {
-		if sim.run(25 * ms); n%10 == 0 && asked < 60 {
-			ask()
+		if sim.run(25 * ms); n%10 == 0 && submitted < 60 {
+			submit()
 		}
 		all := slices.DeleteFunc(sim.entries(), func(e *Entry) bool { return e.HeldAt > 0 || e.State == Ended })
 		if len(all) == 0 {
@@ -62,8 +62,8 @@
 	lend := func(slots int, gen uint64) {
 		m.apply(epoch, Command{Op: "set", Resource: &Resource{ID: "p/tuk", Slots: slots, Gen: gen}})
 	}
-	hold := func(gang string, age time.Duration, slots int, from, until time.Duration) {
-		require.True(t, m.apply(epoch, Command{Op: "prepare", RoundHolds: &RoundHolds{Gang: gang, Round: 1, SubmittedAt: age, Holds: []Hold{{"p/tuk", 0, 1, slots, from, until}}}}).OK)
+	hold := func(gang string, submittedAt time.Duration, slots int, from, until time.Duration) {
+		require.True(t, m.apply(epoch, Command{Op: "prepare", RoundHolds: &RoundHolds{Gang: gang, Round: 1, SubmittedAt: submittedAt, Holds: []Hold{{"p/tuk", 0, 1, slots, from, until}}}}).OK)
 		require.True(t, m.apply(epoch, Command{Op: "commit", Gang: gang, Round: 1}).OK)
 	}
 	ready := func(gang string) bool { return m.apply(epoch, Command{Op: "ready", Gang: gang, Round: 1}).OK }
@@ -72,12 +72,12 @@
 	hold("older", 2, 2, at, at+time.Second)
 	hold("younger", 3, 2, at, at+time.Second)
 	require.True(t, ready("before"))
-	require.False(t, ready("older"), "3 of 4 are in use until they are not")
+	require.False(t, ready("older"), "3 of 4 slots are still in use")
 	m.apply(epoch, Command{Op: "end", Gang: "before", Round: 1})
 	require.True(t, ready("older"))
 	require.True(t, ready("younger"))
 	lend(3, 2)
 	require.True(t, ready("older"))
-	require.False(t, ready("younger"), "it gives way")
+	require.False(t, ready("younger"), "the younger gang gives way")
 	require.False(t, ready("nobody"))
 }
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -36,22 +36,22 @@
 type simulation struct {
 	t require.TestingT
 	*rand.Rand
-	now        time.Duration
-	groups     []*Machine
-	daemons    []*daemon
-	encoders   []Encoder
-	lenders    map[string]AccountLocation
-	events     []event
-	loss       float64
-	cutLinks   map[[2]int]bool    // from one daemon to another
-	runs       map[string]*jobRun // by job ID
-	sent       map[string]int     // number of starts by gang and member
-	killed     map[string]bool    // gangs of which a dispatcher died around the start, so that its members cannot be called off
-	stats      map[string]int
-	worstSkew  time.Duration
-	specs      map[string]Spec
-	maxOverrun time.Duration // maximum time that members run beyond their stated work
-	lentCap    int           // limit for slots lent by partners, checked against running members; 0: not checked
+	now             time.Duration
+	groups          []*Machine
+	daemons         []*daemon
+	encoders        []Encoder
+	partnerAccounts map[string]AccountLocation
+	events          []event
+	loss            float64
+	cutLinks        map[[2]int]bool    // from one daemon to another
+	runs            map[string]*jobRun // by job ID
+	sent            map[string]int     // number of starts by gang and member
+	killed          map[string]bool    // gangs of which a dispatcher died around the start, so that its members cannot be called off
+	stats           map[string]int
+	worstSkew       time.Duration
+	specs           map[string]Spec
+	maxOverrun      time.Duration // maximum time that members run beyond their stated work
+	cap             int           // limit for slots lent by partners, checked against running members; 0: not checked
 }
 
 type daemon struct {
@@ -85,7 +85,7 @@
 
 func newSimulation(t require.TestingT, seed uint64, groups, daemons, encoders int) *simulation {
 	sim := &simulation{
-		t: t, Rand: rand.New(rand.NewPCG(seed, 7)), now: epoch, lenders: map[string]AccountLocation{}, cutLinks: map[[2]int]bool{}, runs: map[string]*jobRun{},
+		t: t, Rand: rand.New(rand.NewPCG(seed, 7)), now: epoch, partnerAccounts: map[string]AccountLocation{}, cutLinks: map[[2]int]bool{}, runs: map[string]*jobRun{},
 		sent: map[string]int{}, killed: map[string]bool{}, stats: map[string]int{}, specs: map[string]Spec{},
 	}
 	for range groups {
@@ -107,7 +107,7 @@
 
 func (sim *simulation) lend(slots int, gen uint64) {
 	g := uint32(len(sim.groups) - 1)
-	sim.lenders["tuk"] = AccountLocation{g}
+	sim.partnerAccounts["tuk"] = AccountLocation{g}
 	sim.apply(g, Command{Op: "set", Resource: &Resource{ID: PartnerAccount("tuk"), Slots: slots, Gen: gen}})
 }
 
@@ -124,13 +124,13 @@
 // applyAt applies a command with the time of a daemon's clock.
 func (sim *simulation) applyAt(at time.Duration, group uint32, c Command) Result {
 	m := sim.groups[group]
-	had := false
+	existed := false
 	if c.Op == "prepare" {
-		_, had = m.find(c.RoundHolds.Gang, c.RoundHolds.Round)
+		_, existed = m.find(c.RoundHolds.Gang, c.RoundHolds.Round)
 	}
 	r, err := Decode(m.Apply(0, at, c.Encode()))
 	require.NoError(sim.t, err)
-	if c.Op == "prepare" && r.OK && !had {
+	if c.Op == "prepare" && r.OK && !existed {
 		sim.checkAccounts(m, c.RoundHolds.Gang, c.RoundHolds.Round)
 	}
 	return r
@@ -138,11 +138,11 @@
 
 // checkAccounts checks that the accounts of a gang's new holds are not overdrawn, each time that a hold begins.
 func (sim *simulation) checkAccounts(m *Machine, gang string, round uint64) {
-	for _, mine := range m.RoundHolds {
-		for _, h := range mine.Holds {
+	for _, own := range m.RoundHolds {
+		for _, h := range own.Holds {
 			for _, o := range m.RoundHolds {
 				for _, at := range o.Holds {
-					if mine.Gang != gang || mine.Round != round || at.Resource != h.Resource || at.From < h.From || at.From >= h.Until {
+					if own.Gang != gang || own.Round != round || at.Resource != h.Resource || at.From < h.From || at.From >= h.Until {
 						continue
 					}
 					if n := m.UsedSlots(h.Resource, at.From); n > m.Resources[h.Resource].Slots {
@@ -194,7 +194,7 @@
 				sim.schedule(time.Duration(1+sim.IntN(6))*ms, func() { c.HandleResult(d.time(sim.now), a.Key, r, !lost) })
 			})
 		case FetchView:
-			v := View{Self: d.name, PartnerAccounts: sim.lenders, Accounts: map[string]Resource{}}
+			v := View{Self: d.name, PartnerAccounts: sim.partnerAccounts, Accounts: map[string]Resource{}}
 			for _, m := range sim.groups {
 				maps.Copy(v.Accounts, m.Resources)
 				text, _ := json.Marshal(m.RoundHolds)
@@ -212,10 +212,10 @@
 			to, sent := sim.daemons[slices.IndexFunc(sim.daemons, func(o *daemon) bool { return o.name == a.To })], d.time(sim.now)
 			home := sim.home(a.Gang)
 			sim.send(d, to, func() {
-				said := to.Starter.Handle(to.time(sim.now), a.Message)
-				said.Clock = to.clock
+				reply := to.Starter.Handle(to.time(sim.now), a.Message)
+				reply.Clock = to.clock
 				sim.runStarterActions(to)
-				sim.send(to, d, func() { c.HandleReply(d.time(sim.now), sent, a.To, a.Message, said, home) })
+				sim.send(to, d, func() { c.HandleReply(d.time(sim.now), sent, a.To, a.Message, reply, home) })
 			})
 		}
 	}
@@ -243,8 +243,8 @@
 			})
 			continue
 		}
-		part := s.members[a.Key]
-		p = jobRun{gang: part.gang, round: part.round, member: part.Member, encoder: a.Encoder, slots: a.Member.Slots}
+		member := s.members[a.Key]
+		p = jobRun{gang: member.gang, round: member.round, member: member.Member, encoder: a.Encoder, slots: a.Member.Slots}
 		i := slices.IndexFunc(sim.encoders, func(e Encoder) bool { return e.ID == a.Encoder })
 		sim.schedule(2*ms, func() {
 			used := 0
@@ -272,8 +272,8 @@
 	}
 }
 
-func (sim *simulation) run(long time.Duration) {
-	for end := sim.now + long; sim.now < end; sim.now += 5 * ms {
+func (sim *simulation) run(duration time.Duration) {
+	for end := sim.now + duration; sim.now < end; sim.now += 5 * ms {
 		due := sim.events
 		sim.events = nil
 		slices.SortStableFunc(due, func(a, b event) int { return int(a.at - b.at) })
@@ -314,8 +314,8 @@
 // check fails if a gang has started only in part: 560 ms after the first member's start (500 ms and the error of
 // clocks), either all members run or have ended, or none runs.
 func (sim *simulation) check() {
-	if n := sim.lent(); sim.lentCap > 0 && n > sim.lentCap {
-		sim.t.Errorf("%d slots are used, and %d are lent", n, sim.lentCap)
+	if n := sim.lent(); sim.cap > 0 && n > sim.cap {
+		sim.t.Errorf("%d slots are used, and %d are lent", n, sim.cap)
 		sim.t.FailNow()
 	}
 	first := map[string]*jobRun{}
@@ -435,7 +435,7 @@
 		}
 		for _, e := range sim.entries() {
 			if e.State != Ended || len(e.Unconfirmed) > 0 {
-				t.Fatalf("%s: %s, due %v: %s", e.Spec.ID, e.State, e.Unconfirmed, e.Reason)
+				t.Fatalf("%s: %s, unconfirmed %v: %s", e.Spec.ID, e.State, e.Unconfirmed, e.Reason)
 			}
 			total[e.Verdict]++
 			total["moves"] += e.Moves
@@ -486,10 +486,10 @@
 // Members run up to a second longer than stated, with clocks up to 400 ms apart: no gang starts on slots that are
 // still in use, so running members do not exceed what a partner lends, and all gangs start.
 func TestLateMembersStayWithinPartnerLimit(t *testing.T) {
-	waits := 0
+	planCount := 0
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, rapid.Uint64().Draw(t, "seed"), 3, 4, 6)
-		sim.maxOverrun, sim.lentCap = time.Second, 6
+		sim.maxOverrun, sim.cap = time.Second, 6
 		for i := range 9 {
 			var members []Member
 			for j := range 2 + sim.IntN(2) {
@@ -504,10 +504,10 @@
 		}
 		for _, e := range sim.entries() {
 			require.Equal(t, Completed, e.Verdict, "%s: %s", e.Spec.ID, e.Reason)
-			waits += e.Plans
+			planCount += e.Plans
 		}
 	})
-	t.Log("plans made:", waits)
+	t.Log("plans made:", planCount)
 }
 
 // A gang never started if two members with equal work shared a merged hold at one encoder, although it had room for
--- a/internal/gang/home.go
+++ b/internal/gang/home.go
@@ -285,9 +285,9 @@
 	e.State, e.Plan, e.Votes, e.Reason, e.Retry = Waiting, nil, nil, why, at
 }
 
-func (e *Entry) report(at, when time.Duration, member int, f MemberStatus, why string) string {
+func (e *Entry) report(at, when time.Duration, member int, status MemberStatus, why string) string {
 	before := e.MemberStatuses[member]
-	if before == f {
+	if before == status {
 		return ""
 	}
 	if before != Unknown && before != Began {
@@ -295,33 +295,33 @@
 	}
 	switch e.State {
 	case Starting:
-		switch f {
+		switch status {
 		case Began, Done: // a short member may be done before the last one begins
 			if when > e.Plan.Start+StartTimeout {
 				e.failStart("not all had started in time")
 				return "too late"
 			}
-			e.MemberStatuses[member] = f
+			e.MemberStatuses[member] = status
 			if !slices.Contains(e.MemberStatuses, Unknown) {
 				e.State = Running
 				e.endIfAllEnded(at)
 			}
 		case NeverRan, MayHaveRun, Died:
-			if e.MemberStatuses[member] = f; f == Died {
+			if e.MemberStatuses[member] = status; status == Died {
 				e.MemberStatuses[member] = MayHaveRun
 			}
 			e.failStart(fmt.Sprintf("member %d at %s did not start: %s", member, e.Plan.Encoders[member], why[:min(len(why), maxNameLen)]))
 		}
 	case StartFailed:
-		if f == Died {
-			f = MayHaveRun
+		if status == Died {
+			status = MayHaveRun
 		}
-		e.MemberStatuses[member] = f
-		if !slices.ContainsFunc(e.MemberStatuses, func(f MemberStatus) bool { return f == Unknown || f == Began }) && when >= e.Plan.Start {
+		e.MemberStatuses[member] = status
+		if !slices.ContainsFunc(e.MemberStatuses, func(status MemberStatus) bool { return status == Unknown || status == Began }) && when >= e.Plan.Start {
 			e.settle(at)
 		}
 	case Running:
-		switch f {
+		switch status {
 		case Died, MayHaveRun, NeverRan:
 			e.MemberStatuses[member] = Died
 			e.Dead = append(e.Dead, member)
--- a/internal/gang/orders/orders.go
+++ b/internal/gang/orders/orders.go
@@ -53,8 +53,8 @@
 		text, _ := g.Snapshot()
 		s.Write(text)
 	}
-	for _, l := range m.messages {
-		s.WriteString(l.text)
+	for _, msg := range m.messages {
+		s.WriteString(msg.text)
 	}
 	return s.String()
 }
@@ -75,10 +75,10 @@
 }
 
 func (m *model) send(to uint32, c gang.Command) {
-	l := message{to, c, fmt.Sprint(to, string(c.Encode()))}
-	i, have := slices.BinarySearchFunc(m.messages, l, func(a, b message) int { return strings.Compare(a.text, b.text) })
-	if !have {
-		m.messages = slices.Insert(slices.Clone(m.messages), i, l)
+	msg := message{to, c, fmt.Sprint(to, string(c.Encode()))}
+	i, found := slices.BinarySearchFunc(m.messages, msg, func(a, b message) int { return strings.Compare(a.text, b.text) })
+	if !found {
+		m.messages = slices.Insert(slices.Clone(m.messages), i, msg)
 	}
 }
 
@@ -131,15 +131,15 @@
 }
 
 // next returns all successor states.
-func (m *model) next(bug Mutant) (all []*model) {
-	for _, l := range m.messages {
+func (m *model) next(mutant Mutant) (all []*model) {
+	for _, msg := range m.messages {
 		n := m.clone()
-		n.deliver(l, bug)
+		n.deliver(msg, mutant)
 		all = append(all, n.sendAllowed())
 	}
 	for g := range m.groups {
 		for i, s := range m.groups[g].RoundHolds {
-			if bug == HoldExpires && !s.Committed {
+			if mutant == HoldExpires && !s.Committed {
 				n := m.clone()
 				n.groups[g].RoundHolds = slices.Delete(n.groups[g].RoundHolds, i, i+1)
 				all = append(all, n)
@@ -150,32 +150,32 @@
 }
 
 // deliver applies a message's command to a group and sends the messages that follow from the result.
-func (m *model) deliver(l message, bug Mutant) {
-	g := m.groups[l.to]
+func (m *model) deliver(msg message, mutant Mutant) {
+	g := m.groups[msg.to]
 	hidden := []gang.RoundHolds(nil)
-	if l.c.Op == "prepare" {
-		switch bug {
+	if msg.c.Op == "prepare" {
+		switch mutant {
 		case SlotsNotSummed:
 			hidden, g.RoundHolds = g.RoundHolds, nil
 		case EndedRoundsForgotten:
 			clear(g.EndedRounds)
 		}
 	}
-	r := g.ApplyCommand(epoch+1, l.c)
+	r := g.ApplyCommand(epoch+1, msg.c)
 	if hidden != nil {
 		g.RoundHolds = append(hidden, g.RoundHolds...)
 		slices.SortFunc(g.RoundHolds, func(a, b gang.RoundHolds) int { return strings.Compare(a.Gang, b.Gang) })
 	}
-	switch l.c.Op {
+	switch msg.c.Op {
 	case "prepare":
-		if s := l.c.RoundHolds; r.OK {
-			m.send(s.Home, gang.Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: l.to})
-			if bug == CommitOnOneVote {
-				m.send(s.Home, gang.Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: 1 - l.to})
+		if s := msg.c.RoundHolds; r.OK {
+			m.send(s.Home, gang.Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: msg.to})
+			if mutant == CommitOnOneVote {
+				m.send(s.Home, gang.Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: 1 - msg.to})
 			}
 		}
 	case "commit", "undo", "end":
-		m.send(l.c.Group, gang.Command{Op: "told", Gang: l.c.Gang, Confirmed: &gang.Notice{Group: l.to, Round: l.c.Round, Op: l.c.Op}})
+		m.send(msg.c.Group, gang.Command{Op: "told", Gang: msg.c.Gang, Confirmed: &gang.Notice{Group: msg.to, Round: msg.c.Round, Op: msg.c.Op}})
 	}
 }
 
@@ -189,11 +189,11 @@
 		for _, s := range k.RoundHolds {
 			e := m.groups[s.Home].Gangs[s.Gang]
 			inForce := e.Plan != nil && e.Plan.Round == s.Round && e.State != gang.Waiting
-			told := !slices.ContainsFunc(e.Unconfirmed, func(d gang.Notice) bool { return d.Group == g })
-			switch firm := e.State == gang.Held || e.State == gang.Starting; {
-			case s.Committed && !(inForce && firm) && told:
+			notified := !slices.ContainsFunc(e.Unconfirmed, func(d gang.Notice) bool { return d.Group == g })
+			switch committed := e.State == gang.Held || e.State == gang.Starting; {
+			case s.Committed && !(inForce && committed) && notified:
 				return fmt.Sprintf("%s round %d is committed in group %d, but %s at its home", s.Gang, s.Round, g, e.State)
-			case !s.Committed && !inForce && told:
+			case !s.Committed && !inForce && notified:
 				return fmt.Sprintf("%s round %d is held in group %d, its home has released it, and no notice of that is pending", s.Gang, s.Round, g)
 			}
 		}
@@ -213,20 +213,20 @@
 }
 
 // checkRestore moves each group to another machine by a snapshot, which must reproduce it byte for byte.
-func (m *model) checkRestore(bug Mutant) string {
+func (m *model) checkRestore(mutant Mutant) string {
 	for g, k := range m.groups {
 		text, err := k.Snapshot()
 		if err != nil {
 			return err.Error()
 		}
-		moved := gang.New()
-		if err := moved.Restore(text); err != nil {
+		restored := gang.New()
+		if err := restored.Restore(text); err != nil {
 			return err.Error()
 		}
-		if bug == RestoreLosesHolds {
-			moved.RoundHolds = nil
+		if mutant == RestoreLosesHolds {
+			restored.RoundHolds = nil
 		}
-		if again, _ := moved.Snapshot(); string(again) != string(text) {
+		if second, _ := restored.Snapshot(); string(second) != string(text) {
 			return fmt.Sprintf("group %d differs after it was restored", g)
 		}
 	}
@@ -240,13 +240,13 @@
 }
 
 // Explore visits all states within a depth of commands and stops at the first violation.
-func Explore(bug Mutant, depth int) (s Exploration) {
+func Explore(mutant Mutant, depth int) (s Exploration) {
 	seen := map[[32]byte]bool{}
 	level := []*model{initialModel().sendAllowed()}
 	for range depth {
 		var next []*model
 		for _, m := range level {
-			for _, n := range m.next(bug) {
+			for _, n := range m.next(mutant) {
 				key := sha256.Sum256([]byte(n.key()))
 				if seen[key] {
 					continue
@@ -254,7 +254,7 @@
 				seen[key] = true
 				s.States = len(seen)
 				if s.Fault = n.violation(); s.Fault == "" {
-					s.Fault = n.checkRestore(bug)
+					s.Fault = n.checkRestore(mutant)
 				}
 				if s.Fault != "" {
 					return s
--- a/internal/gang/orders/orders_test.go
+++ b/internal/gang/orders/orders_test.go
@@ -17,9 +17,9 @@
 	t.Logf("depth %d: %d states, in %d a gang is about to start", *depth, s.States, s.Going)
 	require.Empty(t, s.Fault)
 	require.NotZero(t, s.Going)
-	for _, bug := range Mutants {
-		s := Explore(bug, *depth)
-		t.Logf("%s: %s, after %d states", bug, s.Fault, s.States)
-		require.NotEmpty(t, s.Fault, bug)
+	for _, mutant := range Mutants {
+		s := Explore(mutant, *depth)
+		t.Logf("%s: %s, after %d states", mutant, s.Fault, s.States)
+		require.NotEmpty(t, s.Fault, mutant)
 	}
 }
--- a/internal/gang/starter.go
+++ b/internal/gang/starter.go
@@ -299,15 +299,15 @@
 }
 
 // MemberEnded records how a member that was sent has ended: Done, NeverRan, or MayHaveRun if neither is known.
-func (s *Starter) MemberEnded(now time.Duration, key string, f MemberStatus, why string) {
+func (s *Starter) MemberEnded(now time.Duration, key string, status MemberStatus, reason string) {
 	p := s.members[key]
 	if p == nil || !p.sent || p.ended() {
 		return
 	}
-	if p.status == Began && f != Done {
-		f = Died
+	if p.status == Began && status != Done {
+		status = Died
 	}
-	p.status, p.reason, p.changedAt = f, why, now
+	p.status, p.reason, p.changedAt = status, reason, now
 }
 
 // Clock estimates how far another process's clock is ahead of the local one, from the times of messages and replies.
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -92,7 +92,7 @@
 	conns       []*grpc.ClientConn
 
 	// The starter has a goroutine of its own, so that members start in time even if the groups' disks are slow.
-	startsMu       sync.Mutex // guards starter and sent; must not be held while waiting
+	starterMu      sync.Mutex // guards starter and sent; must not be held while waiting
 	starter        *gang.Starter
 	sent           map[string]*dispatch.Command
 	starterChanged chan struct{} // wakes the starter's goroutine
@@ -162,7 +162,7 @@
 		defer close(stopped)
 		var loops sync.WaitGroup
 		loops.Go(func() { s.run(ctx) })
-		loops.Go(func() { s.runStarts(ctx) })
+		loops.Go(func() { s.runStarter(ctx) })
 		loops.Wait()
 	}(s.stopped)
 }
@@ -227,17 +227,17 @@
 	}
 }
 
-// runStarts runs the starter: it sends and cancels members when due.
-func (s *Server) runStarts(ctx context.Context) {
+// runStarter runs the starter: it sends and cancels members when due.
+func (s *Server) runStarter(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		s.startsMu.Lock()
+		s.starterMu.Lock()
 		wait := idleInterval
 		if at, found := s.starter.NextDue(); found {
 			wait = max(0, min(wait, at-s.now()))
 		}
-		s.startsMu.Unlock()
+		s.starterMu.Unlock()
 		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
@@ -245,20 +245,20 @@
 		case <-s.starterChanged:
 		case <-timer.C:
 		}
-		s.startsMu.Lock()
+		s.starterMu.Lock()
 		s.starter.Tick(s.now())
-		acts := s.starter.TakeActions()
-		s.startsMu.Unlock()
-		s.runStarterActions(acts)
+		actions := s.starter.TakeActions()
+		s.starterMu.Unlock()
+		s.runStarterActions(actions)
 	}
 }
 
 // updateStarter updates the starter at once, however far its goroutine is behind, since some events are reported only
 // once.
 func (s *Server) updateStarter(do func()) {
-	s.startsMu.Lock()
+	s.starterMu.Lock()
 	do()
-	s.startsMu.Unlock()
+	s.starterMu.Unlock()
 	select {
 	case s.starterChanged <- struct{}{}:
 	default: // already woken
@@ -267,9 +267,9 @@
 
 // handleMessage has the local starter process a message.
 func (s *Server) handleMessage(msg gang.Message) gang.Reply {
-	s.startsMu.Lock()
+	s.starterMu.Lock()
 	reply := s.starter.Handle(s.now(), msg)
-	s.startsMu.Unlock()
+	s.starterMu.Unlock()
 	s.updateStarter(func() {})
 	reply.Now, reply.Clock, reply.Site = s.now(), s.clockName, s.options.Site
 	return reply
@@ -324,13 +324,13 @@
 		}
 		var open *gang.Machine
 		s.host.View(g, replica.Gangs, func(m replica.Machine) {
-			k, ours := m.(*gang.Machine)
+			machine, ours := m.(*gang.Machine)
 			if !ours {
 				return
 			}
-			s.setAccounts(ctx, g, k, all)
-			open = k.OpenGangs()
-			for _, e := range k.Entries() {
+			s.setAccounts(ctx, g, machine, all)
+			open = machine.OpenGangs()
+			for _, e := range machine.Entries() {
 				states[string(e.State)]++
 				if e.State == gang.Ended {
 					states[e.Verdict]++
@@ -354,8 +354,8 @@
 func (s *Server) ownReservations(now time.Duration) (all []gang.Reservation) {
 	for _, g := range s.ledGroups {
 		s.host.View(g, replica.Gangs, func(m replica.Machine) {
-			if k, ours := m.(*gang.Machine); ours {
-				all = append(all, k.Reservations(now+reservationHorizon, maxReservations-len(all))...)
+			if machine, ours := m.(*gang.Machine); ours {
+				all = append(all, machine.Reservations(now+reservationHorizon, maxReservations-len(all))...)
 			}
 		})
 	}
@@ -363,9 +363,9 @@
 }
 
 // setAccounts opens or updates the accounts of a group that this dispatcher leads.
-func (s *Server) setAccounts(ctx context.Context, g uint32, k *gang.Machine, all []gang.Encoder) {
+func (s *Server) setAccounts(ctx context.Context, g uint32, machine *gang.Machine, all []gang.Encoder) {
 	set := func(r gang.Resource) {
-		if have, known := k.Resources[r.ID]; known && have.Gen >= r.Gen || s.setGenerations[r.ID] >= r.Gen {
+		if existing, known := machine.Resources[r.ID]; known && existing.Gen >= r.Gen || s.setGenerations[r.ID] >= r.Gen {
 			return
 		}
 		s.setGenerations[r.ID] = r.Gen
@@ -387,11 +387,11 @@
 		if s.groupOf(id) != g || partnerSlots[p.Name] == 0 {
 			continue
 		}
-		now, known := k.Resources[id]
+		current, known := machine.Resources[id]
 		if !known {
-			now = gang.Resource{ID: id, MaxSlots: p.Slots, Share: p.Share, SlotHours: p.Hours}
+			current = gang.Resource{ID: id, MaxSlots: p.Slots, Share: p.Share, SlotHours: p.Hours}
 		}
-		if next := now.ForEncoderSlots(partnerSlots[p.Name]); !known || next.Slots != now.Slots {
+		if next := current.ForEncoderSlots(partnerSlots[p.Name]); !known || next.Slots != current.Slots {
 			next.Gen++
 			set(next)
 		}
@@ -409,7 +409,7 @@
 	go func() {
 		r, err := s.apply(ctx, g, c)
 		<-s.outstanding
-		s.post(context.Background(), func() { done(r, err == nil) }) // not dropped: the number of waiting results is limited by outstanding
+		s.post(context.Background(), func() { done(r, err == nil) }) // not dropped: at most maxOutstanding results and one view can wait
 	}()
 }
 
@@ -449,8 +449,8 @@
 		for g := range s.host.Groups() {
 			var r gang.Result
 			local := s.host.View(g, replica.Gangs, func(m replica.Machine) {
-				if k, ours := m.(*gang.Machine); ours {
-					r = k.Query()
+				if machine, ours := m.(*gang.Machine); ours {
+					r = machine.Query()
 				}
 			})
 			if !local {
@@ -529,8 +529,8 @@
 }
 
 // runStarterActions sends and cancels members.
-func (s *Server) runStarterActions(acts []gang.StarterAction) {
-	for _, a := range acts {
+func (s *Server) runStarterActions(actions []gang.StarterAction) {
+	for _, a := range actions {
 		switch a.Kind {
 		case gang.Launch:
 			m := a.Member
@@ -542,15 +542,15 @@
 				}},
 			}
 			cmd.Client = &client{s, a.Key}
-			s.startsMu.Lock()
+			s.starterMu.Lock()
 			s.sent[a.Key] = cmd
-			s.startsMu.Unlock()
+			s.starterMu.Unlock()
 			s.core.Submit(cmd)
 		case gang.CancelSent:
-			s.startsMu.Lock()
+			s.starterMu.Lock()
 			cmd := s.sent[a.Key]
 			delete(s.sent, a.Key)
-			s.startsMu.Unlock()
+			s.starterMu.Unlock()
 			if cmd != nil {
 				s.core.ClientGone(cmd)
 			}
@@ -601,9 +601,9 @@
 // Stray handles a callback that matches no attempt of the dispatcher's loop: an earlier process may have sent the
 // member. It reports whether the member is known here.
 func (s *Server) Stray(n dispatch.Callback) bool {
-	s.startsMu.Lock()
+	s.starterMu.Lock()
 	_, ours := s.starter.GangOf(n.ID)
-	s.startsMu.Unlock()
+	s.starterMu.Unlock()
 	fate, why := gang.MayHaveRun, "failed"
 	switch n.State {
 	case dispatch.Done:
@@ -763,9 +763,9 @@
 	for _, name := range []string{gang.Completed, gang.NotStarted, gang.DeadAfter, gang.Cancelled} {
 		fmt.Fprintf(&b, "proxy.gangs.%s=%d\n", name, states[name])
 	}
-	s.startsMu.Lock()
+	s.starterMu.Lock()
 	t := s.starter.Stats
-	s.startsMu.Unlock()
+	s.starterMu.Unlock()
 	fmt.Fprintf(&b, "proxy.gangs.members_sent=%d\nproxy.gangs.members_late=%d\nproxy.gangs.members_called_off=%d\nproxy.gangs.members_left_alone=%d\n", t.Launched, t.Late, t.CalledOff, t.Unconfirmed)
 	fmt.Fprintf(&b, "proxy.gangs.wounds=%d\nproxy.gangs.clock_error_us=%d\nproxy.gangs.clock_jumps=%d\nproxy.gangs.clock_off_ms=%d\nproxy.gangs.overruns=%d\n",
 		s.coordinator.Stats.Wounds, s.coordinator.Stats.MaxClockError.Microseconds(), s.coordinator.Stats.ClockJumps+t.ClockJumps, (s.now() - s.options.Ahead - time.Duration(time.Now().UnixNano())).Milliseconds(), s.overruns.Load())
--- a/internal/net/gangs/gangs_test.go
+++ b/internal/net/gangs/gangs_test.go
@@ -25,21 +25,21 @@
 // sharedHost is one host as seen by several daemons, each of which leads some of the groups.
 type sharedHost struct {
 	*replicas.Alone
-	n, of uint32
+	index, count uint32
 }
 
 func (h sharedHost) Lead(g uint32) (uint64, time.Duration, bool) {
 	term, until, ok := h.Alone.Lead(g)
-	return term, until, ok && g%h.of == h.n
+	return term, until, ok && g%h.count == h.index
 }
 
-// fakeLoop runs all members at once, except at an encoder that refuses.
+// fakeLoop runs all members immediately, except at an encoder that refuses.
 type fakeLoop struct {
-	mu     sync.Mutex
-	refuse string
-	begun  map[string]time.Time
-	ended  map[string]string
-	held   map[string]int // by encoder: maximum number of reservations set at one time
+	mu              sync.Mutex
+	refuse          string
+	begun           map[string]time.Time
+	ended           map[string]string
+	maxReservations map[string]int // by encoder: maximum number of reservations set at one time
 }
 
 func (e *fakeLoop) Submit(c *dispatch.Command) {
@@ -65,7 +65,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended[c.ID] == "" {
-		e.ended[c.ID] = "given up"
+		e.ended[c.ID] = "cancelled"
 	}
 }
 
@@ -74,7 +74,7 @@
 func (e *fakeLoop) SetReservations(id string, _ float64, spans []decide.Reservation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.held[id] = max(e.held[id], len(spans))
+	e.maxReservations[id] = max(e.maxReservations[id], len(spans))
 }
 
 // Three daemons with real connections: a gang over two sites starts together; when a member of another gang is
@@ -82,8 +82,8 @@
 // planned.
 func TestGangsOverSockets(t *testing.T) {
 	const n = 3
-	alone := replicas.NewAlone(3, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
-	run := &fakeLoop{begun: map[string]time.Time{}, ended: map[string]string{}, held: map[string]int{}}
+	host := replicas.NewAlone(3, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
+	loop := &fakeLoop{begun: map[string]time.Time{}, ended: map[string]string{}, maxReservations: map[string]int{}}
 	var listeners []net.Listener
 	sites := map[string]string{}
 	for i := range n {
@@ -107,7 +107,7 @@
 				o.Peers[fmt.Sprint("n", j)] = l.Addr().String()
 			}
 		}
-		s, err := New(o, sharedHost{alone, uint32(i), n}, run, slog.New(slog.DiscardHandler))
+		s, err := New(o, sharedHost{host, uint32(i), n}, loop, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 		g := grpc.NewServer()
 		s.Register(g)
@@ -129,21 +129,21 @@
 	}
 	g := submit("one", 3)
 	require.Equal(t, gang.Completed, g.GetVerdict(), g)
-	run.mu.Lock()
-	require.Len(t, run.begun, 2)
-	require.Less(t, run.begun["gang-one-1-0"].Sub(run.begun["gang-one-1-1"]).Abs(), 250*time.Millisecond)
-	require.Equal(t, 1, run.held[g.GetEncoders()[0]], "the loops were not told of the hold")
-	run.refuse = g.GetEncoders()[1]
-	clear(run.begun)
-	run.mu.Unlock()
+	loop.mu.Lock()
+	require.Len(t, loop.begun, 2)
+	require.Less(t, loop.begun["gang-one-1-0"].Sub(loop.begun["gang-one-1-1"]).Abs(), 250*time.Millisecond)
+	require.Equal(t, 1, loop.maxReservations[g.GetEncoders()[0]], "the loops did not get the reservation")
+	loop.refuse = g.GetEncoders()[1]
+	clear(loop.begun)
+	loop.mu.Unlock()
 
 	g = submit("two", 1)
 	require.Equal(t, gang.NotStarted, g.GetVerdict(), g)
 	require.Equal(t, []uint32{0}, g.GetMayHaveRun(), g)
-	run.mu.Lock()
-	require.Len(t, run.begun, 1)
-	require.Equal(t, "given up", run.ended["gang-two-1-0"])
-	run.mu.Unlock()
+	loop.mu.Lock()
+	require.Len(t, loop.begun, 1)
+	require.Equal(t, "cancelled", loop.ended["gang-two-1-0"])
+	loop.mu.Unlock()
 
 	_, err := client.Lend(ctx, &gangv1.LendRequest{Partner: "tuk", Slots: 2})
 	require.NoError(t, err)
@@ -159,9 +159,9 @@
 	s, err := New(Options{Name: "n1", TellsStart: true}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	start, key := s.now()+time.Hour, gang.Key("g", 1, 0)
-	part := []gang.Assignment{{Encoder: "s-0", Spec: gang.Member{Class: "live", Slots: 1, Work: time.Second}}}
+	assignments := []gang.Assignment{{Encoder: "s-0", Spec: gang.Member{Class: "live", Slots: 1, Work: time.Second}}}
 	for _, kind := range []gang.MessageKind{gang.Arm, gang.Go} {
-		s.starter.Handle(start-time.Second, gang.Message{Kind: kind, Gang: "g", Round: 1, At: start, Skew: 250 * time.Millisecond, Assignments: part})
+		s.starter.Handle(start-time.Second, gang.Message{Kind: kind, Gang: "g", Round: 1, At: start, Skew: 250 * time.Millisecond, Assignments: assignments})
 	}
 	s.starter.Tick(start) // sends the member
 	for range 4096 {
@@ -170,8 +170,8 @@
 	c := &client{s, key}
 	c.Started("s-0", true)
 	c.Answer(dispatch.Answer{Verdict: dispatch.Served})
-	said := s.starter.Handle(start+time.Second/10, gang.Message{Kind: gang.Run, Gang: "g", Round: 1, Assignments: part})
-	require.Equal(t, gang.Done, said.Members[0].Status)
+	reply := s.starter.Handle(start+time.Second/10, gang.Message{Kind: gang.Run, Gang: "g", Round: 1, Assignments: assignments})
+	require.Equal(t, gang.Done, reply.Members[0].Status)
 }
 
 // A slow loop dropped the result of a proposal, so the coordinator considered the command outstanding forever and
@@ -183,17 +183,17 @@
 	for range cap(s.inbox) {
 		s.inbox <- func() {}
 	}
-	asked, told := s.overruns.Load(), false
-	s.propose(t.Context(), 0, gang.Command{Op: "look"}, func(gang.Result, bool) { told = true })
-	for s.overruns.Load() == asked { // until propose has found the inbox full
+	overruns, done := s.overruns.Load(), false
+	s.propose(t.Context(), 0, gang.Command{Op: "look"}, func(gang.Result, bool) { done = true })
+	for s.overruns.Load() == overruns { // until propose has found the inbox full
 		runtime.Gosched()
 	}
-	for !told {
+	for !done {
 		select {
 		case do := <-s.inbox:
 			do()
 		case <-time.After(5 * time.Second):
-			t.Fatal("it is told nothing")
+			t.Fatal("no result of the proposal")
 		}
 	}
 }
@@ -205,7 +205,7 @@
 	require.NoError(t, err)
 	run := gang.Message{Kind: gang.Run, Gang: "g", Round: 1, Assignments: []gang.Assignment{{Encoder: "s-0"}}}
 	require.Equal(t, gang.Began, s.handleMessage(run).Members[0].Status)
-	require.Empty(t, s.starter.TakeActions(), "its encoder goes on with it")
+	require.Empty(t, s.starter.TakeActions(), "the encoder must keep running it")
 	require.False(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 2, 0), From: "s-0", State: dispatch.Done}))
 	require.True(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Running}))
 	require.Equal(t, gang.Began, s.handleMessage(run).Members[0].Status)
--- a/internal/net/gangs/reservations.go
+++ b/internal/net/gangs/reservations.go
@@ -14,13 +14,13 @@
 // loop already counts as its own commands.
 func (s *Server) applyReservations(now time.Duration, all []gang.Encoder) {
 	ownSlots := map[string]int{}
-	s.startsMu.Lock()
+	s.starterMu.Lock()
 	for key, cmd := range s.sent {
 		if t, ok := s.starter.GangOf(key); ok {
 			ownSlots[t+"/"+gang.Encoder{ID: cmd.Candidates[0]}.Account()] += int(cmd.Slots)
 		}
 	}
-	s.startsMu.Unlock()
+	s.starterMu.Unlock()
 	byResource := map[string][]decide.Reservation{}
 	counted := map[gang.Reservation]bool{} // two dispatchers may both report a group as theirs
 	for _, held := range s.reservations {
