--- a/internal/gang/coordinator.go
+++ b/internal/gang/coordinator.go
@@ -352,9 +352,9 @@
 	}
 	v := c.view
 	v.Now, v.Encoders = now, encoders
-	p, why := FindPlan(v, e, nil)
+	p, reason := FindPlan(v, e, nil)
 	if p == nil {
-		c.propose(now, group, Command{Op: "wait", Gang: id, RetryAfter: 200 * time.Millisecond, Reason: why})
+		c.propose(now, group, Command{Op: "wait", Gang: id, RetryAfter: 200 * time.Millisecond, Reason: reason})
 		return
 	}
 	c.proposePlan(now, group, e, p)
@@ -411,13 +411,13 @@
 		recalled = c.recallReason(e)
 	}
 	for i := range e.Spec.Members {
-		why := recalled
-		if why == "" && usable(p, i, encoders) {
+		reason := recalled
+		if reason == "" && usable(p, i, encoders) {
 			continue
 		}
-		why = cmp.Or(why, fmt.Sprintf("member %d: %s cannot be used", i, p.Encoders[i]))
+		reason = cmp.Or(reason, fmt.Sprintf("member %d: %s cannot be used", i, p.Encoders[i]))
 		if t > p.Start-voteMargin-proposeRetry {
-			c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Reason: why})
+			c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Reason: reason})
 			return
 		}
 		if !c.haveView(now, viewTTL) {
@@ -431,7 +431,7 @@
 		}
 		moved, _ := FindPlan(v, e, keep)
 		if moved == nil {
-			c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Reason: why + ", and there is no room elsewhere"})
+			c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Reason: reason + ", and there is no room elsewhere"})
 			return
 		}
 		c.proposePlan(now, group, e, moved)
@@ -442,11 +442,11 @@
 	}
 	armed, free := len(c.armed[fmt.Sprint(id, "/", p.Round)]) == len(e.Spec.Members), c.freeGroups[fmt.Sprint(id, "/", p.Round)]
 	if t > p.Start-GoMargin {
-		why := "not all dispatchers were ready"
+		reason := "not all dispatchers were ready"
 		if armed {
-			why = "what has its room before it had not ended"
+			reason = "what has its room before it had not ended"
 		}
-		c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Reason: why})
+		c.propose(now, group, Command{Op: "drop", Gang: id, Round: p.Round, Reason: reason})
 		return
 	}
 	for _, g := range p.groups() {
--- a/internal/gang/home.go
+++ b/internal/gang/home.go
@@ -256,11 +256,11 @@
 }
 
 // abortRound abandons a round whose holds were not all prepared.
-func (e *Entry) abortRound(at time.Duration, why string) {
+func (e *Entry) abortRound(at time.Duration, reason string) {
 	for _, g := range e.Plan.groups() {
 		e.addNotice(g, e.Plan.Round, "undo")
 	}
-	e.Reason, e.Retry = why, e.retryTime(at)
+	e.Reason, e.Retry = reason, e.retryTime(at)
 	if e.Plan, e.Previous, e.Votes = e.Previous, nil, nil; e.Plan != nil {
 		e.State = Held
 		return
@@ -278,14 +278,14 @@
 }
 
 // releaseHolds gives up committed holds of a gang of which, as far as known, nothing runs.
-func (e *Entry) releaseHolds(at time.Duration, why string) {
+func (e *Entry) releaseHolds(at time.Duration, reason string) {
 	for _, g := range e.Plan.groups() {
 		e.addNotice(g, e.Plan.Round, e.releaseOp())
 	}
-	e.State, e.Plan, e.Votes, e.Reason, e.Retry = Waiting, nil, nil, why, at
+	e.State, e.Plan, e.Votes, e.Reason, e.Retry = Waiting, nil, nil, reason, at
 }
 
-func (e *Entry) report(at, when time.Duration, member int, status MemberStatus, why string) string {
+func (e *Entry) report(at, when time.Duration, member int, status MemberStatus, reason string) string {
 	before := e.MemberStatuses[member]
 	if before == status {
 		return ""
@@ -310,7 +310,7 @@
 			if e.MemberStatuses[member] = status; status == Died {
 				e.MemberStatuses[member] = MayHaveRun
 			}
-			e.failStart(fmt.Sprintf("member %d at %s did not start: %s", member, e.Plan.Encoders[member], why[:min(len(why), maxNameLen)]))
+			e.failStart(fmt.Sprintf("member %d at %s did not start: %s", member, e.Plan.Encoders[member], reason[:min(len(reason), maxNameLen)]))
 		}
 	case StartFailed:
 		if status == Died {
@@ -335,7 +335,7 @@
 	return ""
 }
 
-func (e *Entry) failStart(why string) { e.State, e.Reason = StartFailed, why }
+func (e *Entry) failStart(reason string) { e.State, e.Reason = StartFailed, reason }
 
 // settle finishes a failed start. The gang is planned again unless a member may have run that must not run twice.
 func (e *Entry) settle(at time.Duration) {
@@ -376,14 +376,14 @@
 	return e.State == Running && (e.Verdict == Cancelled || len(e.Dead) > 0 && e.Spec.OnDeath == StopAll)
 }
 
-func (e *Entry) end(at time.Duration, verdict, why string) {
+func (e *Entry) end(at time.Duration, verdict, reason string) {
 	for _, p := range []*Plan{e.Previous, e.Plan} {
 		for _, g := range p.groups() {
 			e.addNotice(g, p.Round, e.releaseOp())
 		}
 	}
 	e.State, e.Verdict, e.EndedAt, e.Previous, e.Votes = Ended, verdict, at, nil, nil
-	if e.Reason = cmp.Or(why, e.Reason); verdict == Completed {
+	if e.Reason = cmp.Or(reason, e.Reason); verdict == Completed {
 		e.Reason = ""
 	}
 	for i := range e.Spec.Members {
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -575,18 +575,18 @@
 
 // Answer records the member's end.
 func (c *client) Answer(a dispatch.Answer) {
-	fate, why := gang.MayHaveRun, "failed"
+	memberStatus, reason := gang.MayHaveRun, "failed"
 	switch a.Verdict {
 	case dispatch.Served:
-		fate, why = gang.Done, ""
+		memberStatus, reason = gang.Done, ""
 	case dispatch.Refused:
-		fate, why = gang.NeverRan, "refused"
+		memberStatus, reason = gang.NeverRan, "refused"
 	case dispatch.Unusable:
-		fate, why = gang.NeverRan, "no encoder can do it as it stands"
+		memberStatus, reason = gang.NeverRan, "no encoder can do it as it stands"
 	}
 	c.updateStarter(func() {
 		delete(c.sent, c.key)
-		c.starter.MemberEnded(c.now(), c.key, fate, why)
+		c.starter.MemberEnded(c.now(), c.key, memberStatus, reason)
 	})
 }
 
@@ -604,16 +604,16 @@
 	s.starterMu.Lock()
 	_, ours := s.starter.GangOf(n.ID)
 	s.starterMu.Unlock()
-	fate, why := gang.MayHaveRun, "failed"
+	memberStatus, reason := gang.MayHaveRun, "failed"
 	switch n.State {
 	case dispatch.Done:
-		fate, why = gang.Done, ""
+		memberStatus, reason = gang.Done, ""
 	case dispatch.Errored, dispatch.Lost, dispatch.Returned:
 	default:
 		return ours
 	}
 	if ours {
-		s.updateStarter(func() { s.starter.MemberEnded(s.now(), n.ID, fate, why) })
+		s.updateStarter(func() { s.starter.MemberEnded(s.now(), n.ID, memberStatus, reason) })
 	}
 	return ours
 }
