--- a/internal/gang/orders/orders.go
+++ b/internal/gang/orders/orders.go
@@ -1,5 +1,5 @@
-// Package orders checks the commitment of gangs in all orders of its commands, to a stated depth. What a group does is the
-// program itself; who coordinates is any number of processes that come, go and act at once.
+// Package orders model-checks the commit protocol of gangs: it tries all orders of commands up to a given depth. The
+// groups are the real state machines; any number of coordinators may come, go and act at once.
 package orders
 
 import (
@@ -13,23 +13,23 @@
 	"caperrelay/internal/gang"
 )
 
-// model is two gangs that each want two encoders whole at one time. Gang a's home and encoder s-0's account are group
-// 0, b's and s-1's group 1. Each command that a home's state ever allowed may come at any later time, in any order, never,
-// or again and again.
+// model has two gangs that each need more than half of two encoders at the same time, so that only one of them fits.
+// Group 0 is the home of gang a and keeps the account of encoder s-0, group 1 that of gang b and s-1. Each command
+// that some state of a home has allowed can be delivered at any later time, in any order, never, or repeatedly.
 type model struct {
-	groups [2]*gang.Machine
-	mail   []letter // sorted: all that was ever sent, or could have been
+	groups   [2]*gang.Machine
+	messages []message // sorted by text: all that were ever sent or could have been
 }
 
-type letter struct {
+type message struct {
 	to   uint32
 	c    gang.Command
 	text string
 }
 
 const (
-	unix  = 1_700_000_000 * time.Second
-	start = unix + 10*time.Second
+	epoch = 1_700_000_000 * time.Second
+	start = epoch + 10*time.Second
 	slots = 4
 )
 
@@ -37,12 +37,12 @@
 
 func account(group uint32) string { return gang.Encoder{ID: fmt.Sprint("s-", group)}.Account() }
 
-func first() *model {
+func initialModel() *model {
 	m := &model{groups: [2]*gang.Machine{gang.New(), gang.New()}}
 	for g := range uint32(2) {
-		m.groups[g].Do(unix, gang.Command{Op: "set", Resource: &gang.Resource{ID: account(g), Slots: slots, Gen: 1}})
+		m.groups[g].ApplyCommand(epoch, gang.Command{Op: "set", Resource: &gang.Resource{ID: account(g), Slots: slots, Gen: 1}})
 		one := gang.Member{Slots: 3, Work: time.Second, Class: "live"}
-		m.groups[g].Do(unix+time.Duration(g), gang.Command{Op: "submit", Spec: &gang.Spec{ID: gangs[g], Members: []gang.Member{one, one}, LatestStart: start}})
+		m.groups[g].ApplyCommand(epoch+time.Duration(g), gang.Command{Op: "submit", Spec: &gang.Spec{ID: gangs[g], Members: []gang.Member{one, one}, LatestStart: start}})
 	}
 	return m
 }
@@ -53,21 +53,21 @@
 		text, _ := g.Snapshot()
 		s.Write(text)
 	}
-	for _, l := range m.mail {
-		s.WriteString(l.text)
+	for _, msg := range m.messages {
+		s.WriteString(msg.text)
 	}
 	return s.String()
 }
 
 func (m *model) clone() *model {
-	n := &model{groups: [2]*gang.Machine{gang.New(), gang.New()}, mail: m.mail}
+	n := &model{groups: [2]*gang.Machine{gang.New(), gang.New()}, messages: m.messages}
 	for i, g := range m.groups {
 		c := n.groups[i]
-		c.At, c.Resources, c.Standing = g.At, g.Resources, slices.Clone(g.Standing)
-		maps.Copy(c.Over, g.Over)
+		c.At, c.Resources, c.RoundHolds = g.At, g.Resources, slices.Clone(g.RoundHolds)
+		maps.Copy(c.EndedRounds, g.EndedRounds)
 		for id, e := range g.Gangs {
 			o := *e
-			o.Votes, o.Due, o.Fates = slices.Clone(e.Votes), slices.Clone(e.Due), slices.Clone(e.Fates)
+			o.Votes, o.Unconfirmed, o.MemberStatuses = slices.Clone(e.Votes), slices.Clone(e.Unconfirmed), slices.Clone(e.MemberStatuses)
 			c.Gangs[id] = &o
 		}
 	}
@@ -75,10 +75,10 @@
 }
 
 func (m *model) send(to uint32, c gang.Command) {
-	l := letter{to, c, fmt.Sprint(to, string(c.Encode()))}
-	i, have := slices.BinarySearchFunc(m.mail, l, func(a, b letter) int { return strings.Compare(a.text, b.text) })
-	if !have {
-		m.mail = slices.Insert(slices.Clone(m.mail), i, l)
+	msg := message{to, c, fmt.Sprint(to, string(c.Encode()))}
+	i, found := slices.BinarySearchFunc(m.messages, msg, func(a, b message) int { return strings.Compare(a.text, b.text) })
+	if !found {
+		m.messages = slices.Insert(slices.Clone(m.messages), i, msg)
 	}
 }
 
@@ -90,24 +90,24 @@
 	return p
 }
 
-// Mutant is a fault of the program, for the check to find.
+// Mutant is a fault to be injected, which the check must find.
 type Mutant string
 
 // The mutants.
 const (
-	Sound       Mutant = ""
-	Expires     Mutant = "a hold expires alone"
-	CommitByOne Mutant = "commit by one"
-	NotSummed   Mutant = "the cap is not summed"
-	Uncompared  Mutant = "the generation is not compared"
-	Unmoved     Mutant = "a group that is moved forgets what it holds"
+	Sound                Mutant = ""
+	HoldExpires          Mutant = "an uncommitted hold expires"
+	CommitOnOneVote      Mutant = "one vote commits"
+	SlotsNotSummed       Mutant = "slots are not summed over gangs"
+	EndedRoundsForgotten Mutant = "ended rounds are forgotten"
+	RestoreLosesHolds    Mutant = "a restored group has lost its holds"
 )
 
-// Mutants are all that must be found.
-var Mutants = []Mutant{Expires, CommitByOne, NotSummed, Uncompared, Unmoved}
+// Mutants are the faults that the check must find.
+var Mutants = []Mutant{HoldExpires, CommitOnOneVote, SlotsNotSummed, EndedRoundsForgotten, RestoreLosesHolds}
 
-// sends has all coordinators send what they may.
-func (m *model) sends() *model {
+// sendAllowed adds all messages that a coordinator may send in this state.
+func (m *model) sendAllowed() *model {
 	for g := range uint32(2) {
 		id, e := gangs[g], m.groups[g].Gangs[gangs[g]]
 		if e.State == gang.Waiting && e.Round < 2 {
@@ -115,33 +115,33 @@
 		}
 		if e.State == gang.Preparing {
 			for to := range uint32(2) {
-				m.send(to, gang.Command{Op: "prepare", Standing: &gang.Standing{Gang: id, Round: e.Plan.Round, Home: g, Age: e.Age, Holds: e.Plan.Of(to)}})
+				m.send(to, gang.Command{Op: "prepare", RoundHolds: &gang.RoundHolds{Gang: id, Round: e.Plan.Round, Home: g, SubmittedAt: e.SubmittedAt, Holds: e.Plan.HoldsIn(to)}})
 			}
-			m.send(g, gang.Command{Op: "abort", Gang: id, Round: e.Plan.Round}) // a wound does the same
+			m.send(g, gang.Command{Op: "abort", Gang: id, Round: e.Plan.Round}) // a wound has the same effect
 		}
 		if e.State == gang.Held {
 			m.send(g, gang.Command{Op: "drop", Gang: id, Round: e.Plan.Round})
 			m.send(g, gang.Command{Op: "go", Gang: id, Round: e.Plan.Round, Armed: e.Plan.Starters})
 		}
-		for _, d := range e.Due {
+		for _, d := range e.Unconfirmed {
 			m.send(d.Group, gang.Command{Op: d.Op, Gang: id, Round: d.Round, Group: g})
 		}
 	}
 	return m
 }
 
-// next is all states that may follow.
-func (m *model) next(bug Mutant) (all []*model) {
-	for _, l := range m.mail {
+// next returns all successor states.
+func (m *model) next(mutant Mutant) (all []*model) {
+	for _, msg := range m.messages {
 		n := m.clone()
-		n.deliver(l, bug)
-		all = append(all, n.sends())
+		n.deliver(msg, mutant)
+		all = append(all, n.sendAllowed())
 	}
 	for g := range m.groups {
-		for i, s := range m.groups[g].Standing {
-			if bug == Expires && !s.Committed {
+		for i, s := range m.groups[g].RoundHolds {
+			if mutant == HoldExpires && !s.Committed {
 				n := m.clone()
-				n.groups[g].Standing = slices.Delete(n.groups[g].Standing, i, i+1)
+				n.groups[g].RoundHolds = slices.Delete(n.groups[g].RoundHolds, i, i+1)
 				all = append(all, n)
 			}
 		}
@@ -149,117 +149,117 @@
 	return all
 }
 
-// deliver has a group take a letter. What it answers sends the next one.
-func (m *model) deliver(l letter, bug Mutant) {
-	g := m.groups[l.to]
-	hidden := []gang.Standing(nil)
-	if l.c.Op == "prepare" {
-		switch bug {
-		case NotSummed:
-			hidden, g.Standing = g.Standing, nil
-		case Uncompared:
-			clear(g.Over)
+// deliver applies a message's command to a group and sends the messages that follow from the result.
+func (m *model) deliver(msg message, mutant Mutant) {
+	g := m.groups[msg.to]
+	hidden := []gang.RoundHolds(nil)
+	if msg.c.Op == "prepare" {
+		switch mutant {
+		case SlotsNotSummed:
+			hidden, g.RoundHolds = g.RoundHolds, nil
+		case EndedRoundsForgotten:
+			clear(g.EndedRounds)
 		}
 	}
-	r := g.Do(unix+1, l.c)
+	r := g.ApplyCommand(epoch+1, msg.c)
 	if hidden != nil {
-		g.Standing = append(hidden, g.Standing...)
-		slices.SortFunc(g.Standing, func(a, b gang.Standing) int { return strings.Compare(a.Gang, b.Gang) })
+		g.RoundHolds = append(hidden, g.RoundHolds...)
+		slices.SortFunc(g.RoundHolds, func(a, b gang.RoundHolds) int { return strings.Compare(a.Gang, b.Gang) })
 	}
-	switch l.c.Op {
+	switch msg.c.Op {
 	case "prepare":
-		if s := l.c.Standing; r.OK {
-			m.send(s.Home, gang.Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: l.to})
-			if bug == CommitByOne {
-				m.send(s.Home, gang.Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: 1 - l.to})
+		if s := msg.c.RoundHolds; r.OK {
+			m.send(s.Home, gang.Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: msg.to})
+			if mutant == CommitOnOneVote {
+				m.send(s.Home, gang.Command{Op: "vote", Gang: s.Gang, Round: s.Round, Group: 1 - msg.to})
 			}
 		}
 	case "commit", "undo", "end":
-		m.send(l.c.Group, gang.Command{Op: "told", Gang: l.c.Gang, Told: &gang.Due{Group: l.to, Round: l.c.Round, Op: l.c.Op}})
+		m.send(msg.c.Group, gang.Command{Op: "told", Gang: msg.c.Gang, Confirmed: &gang.Notice{Group: msg.to, Round: msg.c.Round, Op: msg.c.Op}})
 	}
 }
 
-// wrong is what must never be.
-func (m *model) wrong() string {
+// violation returns which invariant the state violates, or "".
+func (m *model) violation() string {
 	for n, k := range m.groups {
 		g := uint32(n)
-		if n := k.Used(account(g), start); n > slots {
+		if n := k.UsedSlots(account(g), start); n > slots {
 			return fmt.Sprintf("s-%d: %d of %d slots are held", g, n, slots)
 		}
-		for _, s := range k.Standing {
+		for _, s := range k.RoundHolds {
 			e := m.groups[s.Home].Gangs[s.Gang]
 			inForce := e.Plan != nil && e.Plan.Round == s.Round && e.State != gang.Waiting
-			told := !slices.ContainsFunc(e.Due, func(d gang.Due) bool { return d.Group == g })
-			switch firm := e.State == gang.Held || e.State == gang.Going; {
-			case s.Committed && !(inForce && firm) && told:
-				return fmt.Sprintf("%s round %d is committed at %d, and at its home it is %s", s.Gang, s.Round, g, e.State)
-			case !s.Committed && !inForce && told:
-				return fmt.Sprintf("%s round %d is held at %d, its home is done with it, and nobody will say so", s.Gang, s.Round, g)
+			notified := !slices.ContainsFunc(e.Unconfirmed, func(d gang.Notice) bool { return d.Group == g })
+			switch committed := e.State == gang.Held || e.State == gang.Starting; {
+			case s.Committed && !(inForce && committed) && notified:
+				return fmt.Sprintf("%s round %d is committed in group %d, but %s at its home", s.Gang, s.Round, g, e.State)
+			case !s.Committed && !inForce && notified:
+				return fmt.Sprintf("%s round %d is held in group %d, its home has released it, and no notice of that is pending", s.Gang, s.Round, g)
 			}
 		}
 	}
 	for g, k := range m.groups {
 		e := k.Gangs[gangs[g]]
-		if e.State != gang.Held && e.State != gang.Going {
+		if e.State != gang.Held && e.State != gang.Starting {
 			continue
 		}
 		for to, k := range m.groups {
-			if !slices.ContainsFunc(k.Standing, func(s gang.Standing) bool { return s.Gang == gangs[g] && s.Round == e.Plan.Round }) {
-				return fmt.Sprintf("%s round %d is to start, and nothing is held at %d", gangs[g], e.Plan.Round, to)
+			if !slices.ContainsFunc(k.RoundHolds, func(s gang.RoundHolds) bool { return s.Gang == gangs[g] && s.Round == e.Plan.Round }) {
+				return fmt.Sprintf("%s round %d is to start, but holds nothing in group %d", gangs[g], e.Plan.Round, to)
 			}
 		}
 	}
 	return ""
 }
 
-// move is a group's copy on another machine: made from a snapshot, it must be the same to the letter.
-func (m *model) move(bug Mutant) string {
+// checkRestore moves each group to another machine by a snapshot, which must reproduce it byte for byte.
+func (m *model) checkRestore(mutant Mutant) string {
 	for g, k := range m.groups {
 		text, err := k.Snapshot()
 		if err != nil {
 			return err.Error()
 		}
-		moved := gang.New()
-		if err := moved.Restore(text); err != nil {
+		restored := gang.New()
+		if err := restored.Restore(text); err != nil {
 			return err.Error()
 		}
-		if bug == Unmoved {
-			moved.Standing = nil
+		if mutant == RestoreLosesHolds {
+			restored.RoundHolds = nil
 		}
-		if again, _ := moved.Snapshot(); string(again) != string(text) {
-			return fmt.Sprintf("group %d is another once it was moved", g)
+		if second, _ := restored.Snapshot(); string(second) != string(text) {
+			return fmt.Sprintf("group %d differs after it was restored", g)
 		}
 	}
 	return ""
 }
 
-// Seen is what a check has gone through.
-type Seen struct {
-	Fault         string // the first; empty: none
-	States, Going int    // all, and those in which a gang is about to start
+// Exploration is the result of a check.
+type Exploration struct {
+	Fault         string // the first violation; empty: none
+	States, Going int    // all states, and those with a gang whose start is committed
 }
 
-// Explore visits all states within a depth of commands, until the first fault.
-func Explore(bug Mutant, depth int) (s Seen) {
+// Explore visits all states within a depth of commands and stops at the first violation.
+func Explore(mutant Mutant, depth int) (s Exploration) {
 	seen := map[[32]byte]bool{}
-	level := []*model{first().sends()}
+	level := []*model{initialModel().sendAllowed()}
 	for range depth {
 		var next []*model
 		for _, m := range level {
-			for _, n := range m.next(bug) {
+			for _, n := range m.next(mutant) {
 				key := sha256.Sum256([]byte(n.key()))
 				if seen[key] {
 					continue
 				}
 				seen[key] = true
 				s.States = len(seen)
-				if s.Fault = n.wrong(); s.Fault == "" {
-					s.Fault = n.move(bug)
+				if s.Fault = n.violation(); s.Fault == "" {
+					s.Fault = n.checkRestore(mutant)
 				}
 				if s.Fault != "" {
 					return s
 				}
-				if n.groups[0].Gangs["a"].State == gang.Going || n.groups[1].Gangs["b"].State == gang.Going {
+				if n.groups[0].Gangs["a"].State == gang.Starting || n.groups[1].Gangs["b"].State == gang.Starting {
 					s.Going++
 				}
 				next = append(next, n)
--- a/internal/net/gangs/gangs_test.go
+++ b/internal/net/gangs/gangs_test.go
@@ -22,27 +22,27 @@
 	"caperrelay/internal/replica"
 )
 
-// shared is one host as several daemons see it: each leads some groups.
-type shared struct {
+// sharedHost is one host as seen by several daemons, each of which leads some of the groups.
+type sharedHost struct {
 	*replicas.Alone
-	n, of uint32
+	index, count uint32
 }
 
-func (h shared) Lead(g uint32) (uint64, time.Duration, bool) {
+func (h sharedHost) Lead(g uint32) (uint64, time.Duration, bool) {
 	term, until, ok := h.Alone.Lead(g)
-	return term, until, ok && g%h.of == h.n
+	return term, until, ok && g%h.count == h.index
 }
 
-// encoders is a loop that runs all at once but what it is to refuse.
-type encoders struct {
-	mu     sync.Mutex
-	refuse string
-	begun  map[string]time.Time
-	ended  map[string]string
-	held   map[string]int // by encoder: spans that the loop was told of at one time, at most
+// fakeLoop runs all members immediately, except at an encoder that refuses.
+type fakeLoop struct {
+	mu              sync.Mutex
+	refuse          string
+	begun           map[string]time.Time
+	ended           map[string]string
+	maxReservations map[string]int // by encoder: maximum number of reservations set at one time
 }
 
-func (e *encoders) Submit(c *dispatch.Command) {
+func (e *fakeLoop) Submit(c *dispatch.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c.Candidates[0] == e.refuse {
@@ -61,28 +61,29 @@
 	})
 }
 
-func (e *encoders) ClientGone(c *dispatch.Command) {
+func (e *fakeLoop) ClientGone(c *dispatch.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended[c.ID] == "" {
-		e.ended[c.ID] = "given up"
+		e.ended[c.ID] = "cancelled"
 	}
 }
 
-func (e *encoders) CancelJob(string, string) {}
+func (e *fakeLoop) CancelJob(string, string) {}
 
-func (e *encoders) SetReservations(id string, _ float64, spans []decide.Reservation) {
+func (e *fakeLoop) SetReservations(id string, _ float64, spans []decide.Reservation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.held[id] = max(e.held[id], len(spans))
+	e.maxReservations[id] = max(e.maxReservations[id], len(spans))
 }
 
-// Three daemons on sockets: a gang over two sites starts together; one whose member is refused has the other called off
-// within 500 ms; and a partner that lends too little has nothing planned.
+// Three daemons with real connections: a gang over two sites starts together; when a member of another gang is
+// refused, the other member is called off within 500 ms; and a gang that needs more than a partner lends is not
+// planned.
 func TestGangsOverSockets(t *testing.T) {
 	const n = 3
-	alone := replicas.NewAlone(3, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
-	run := &encoders{begun: map[string]time.Time{}, ended: map[string]string{}, held: map[string]int{}}
+	host := replicas.NewAlone(3, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
+	loop := &fakeLoop{begun: map[string]time.Time{}, ended: map[string]string{}, maxReservations: map[string]int{}}
 	var listeners []net.Listener
 	sites := map[string]string{}
 	for i := range n {
@@ -106,7 +107,7 @@
 				o.Peers[fmt.Sprint("n", j)] = l.Addr().String()
 			}
 		}
-		s, err := New(o, shared{alone, uint32(i), n}, run, slog.New(slog.DiscardHandler))
+		s, err := New(o, sharedHost{host, uint32(i), n}, loop, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 		g := grpc.NewServer()
 		s.Register(g)
@@ -128,21 +129,21 @@
 	}
 	g := submit("one", 3)
 	require.Equal(t, gang.Completed, g.GetVerdict(), g)
-	run.mu.Lock()
-	require.Len(t, run.begun, 2)
-	require.Less(t, run.begun["gang-one-1-0"].Sub(run.begun["gang-one-1-1"]).Abs(), 250*time.Millisecond)
-	require.Equal(t, 1, run.held[g.GetEncoders()[0]], "the loops were not told of the hold")
-	run.refuse = g.GetEncoders()[1]
-	clear(run.begun)
-	run.mu.Unlock()
+	loop.mu.Lock()
+	require.Len(t, loop.begun, 2)
+	require.Less(t, loop.begun["gang-one-1-0"].Sub(loop.begun["gang-one-1-1"]).Abs(), 250*time.Millisecond)
+	require.Equal(t, 1, loop.maxReservations[g.GetEncoders()[0]], "the loops did not get the reservation")
+	loop.refuse = g.GetEncoders()[1]
+	clear(loop.begun)
+	loop.mu.Unlock()
 
 	g = submit("two", 1)
 	require.Equal(t, gang.NotStarted, g.GetVerdict(), g)
 	require.Equal(t, []uint32{0}, g.GetMayHaveRun(), g)
-	run.mu.Lock()
-	require.Len(t, run.begun, 1)
-	require.Equal(t, "given up", run.ended["gang-two-1-0"])
-	run.mu.Unlock()
+	loop.mu.Lock()
+	require.Len(t, loop.begun, 1)
+	require.Equal(t, "cancelled", loop.ended["gang-two-1-0"])
+	loop.mu.Unlock()
 
 	_, err := client.Lend(ctx, &gangv1.LendRequest{Partner: "tuk", Slots: 2})
 	require.NoError(t, err)
@@ -151,67 +152,67 @@
 	require.Equal(t, "no room in its window", g.GetWhy())
 }
 
-// Guards against a member's end, which the loop tells once, being dropped where the loop of starts is behind: the gang would
-// be dead after its start.
-func TestMembersEndIsKeptWhileStartsAreBehind(t *testing.T) {
+// A member's end, which the dispatcher's loop reports only once, was dropped if the starter's goroutine was behind,
+// and the gang counted as dead after its start.
+func TestMemberEndIsKeptWhileStarterLoopIsBehind(t *testing.T) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
-	s, err := New(Options{Name: "n1", TellsStart: true}, host, &encoders{}, slog.New(slog.DiscardHandler))
+	s, err := New(Options{Name: "n1", TellsStart: true}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	start, key := s.now()+time.Hour, gang.Key("g", 1, 0)
-	part := []gang.Part{{Encoder: "s-0", Spec: gang.Member{Class: "live", Slots: 1, Work: time.Second}}}
-	for _, kind := range []gang.Kind{gang.Arm, gang.Go} {
-		s.s.Word(start-time.Second, gang.Word{Kind: kind, Gang: "g", Round: 1, At: start, Skew: 250 * time.Millisecond, Parts: part})
+	assignments := []gang.Assignment{{Encoder: "s-0", Spec: gang.Member{Class: "live", Slots: 1, Work: time.Second}}}
+	for _, kind := range []gang.MessageKind{gang.Arm, gang.Go} {
+		s.starter.Handle(start-time.Second, gang.Message{Kind: kind, Gang: "g", Round: 1, At: start, Skew: 250 * time.Millisecond, Assignments: assignments})
 	}
-	s.s.Tick(start) // it is sent
+	s.starter.Tick(start) // sends the member
 	for range 4096 {
-		s.tellStarts(func() {}) // nobody takes them
+		s.updateStarter(func() {}) // no goroutine receives the wakeups
 	}
 	c := &client{s, key}
 	c.Started("s-0", true)
 	c.Answer(dispatch.Answer{Verdict: dispatch.Served})
-	said := s.s.Word(start+time.Second/10, gang.Word{Kind: gang.Run, Gang: "g", Round: 1, Parts: part})
-	require.Equal(t, gang.Done, said.Parts[0].Fate)
+	reply := s.starter.Handle(start+time.Second/10, gang.Message{Kind: gang.Run, Gang: "g", Round: 1, Assignments: assignments})
+	require.Equal(t, gang.Done, reply.Members[0].Status)
 }
 
-// Guards against the result of a proposal being dropped by a loop that is far behind: the coordinator counts it as under way
-// for ever, and proposes it no more.
-func TestResultsWaitForALoopThatIsBehind(t *testing.T) {
+// A slow loop dropped the result of a proposal, so the coordinator considered the command outstanding forever and
+// never proposed it again.
+func TestResultsWaitForSlowLoop(t *testing.T) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
-	s, err := New(Options{Name: "n1"}, host, &encoders{}, slog.New(slog.DiscardHandler))
+	s, err := New(Options{Name: "n1"}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	for range cap(s.in) {
-		s.in <- func() {}
+	for range cap(s.inbox) {
+		s.inbox <- func() {}
 	}
-	asked, told := s.errors.Load(), false
-	s.propose(t.Context(), 0, gang.Command{Op: "look"}, func(gang.Result, bool) { told = true })
-	for s.errors.Load() == asked { // until it finds the loop behind
+	overruns, done := s.overruns.Load(), false
+	s.propose(t.Context(), 0, gang.Command{Op: "look"}, func(gang.Result, bool) { done = true })
+	for s.overruns.Load() == overruns { // until propose has found the inbox full
 		runtime.Gosched()
 	}
-	for !told {
+	for !done {
 		select {
-		case do := <-s.in:
+		case do := <-s.inbox:
 			do()
 		case <-time.After(5 * time.Second):
-			t.Fatal("it is told nothing")
+			t.Fatal("no result of the proposal")
 		}
 	}
 }
 
-// Guards against an encoder's word of a member being lost that a process before this one has sent.
-func TestWordOfAMemberThatAnotherProcessSent(t *testing.T) {
+// A callback about a member that an earlier process had sent was lost.
+func TestCallbackOfMemberSentByEarlierProcess(t *testing.T) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
-	s, err := New(Options{Name: "n1"}, host, &encoders{}, slog.New(slog.DiscardHandler))
+	s, err := New(Options{Name: "n1"}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	run := gang.Word{Kind: gang.Run, Gang: "g", Round: 1, Parts: []gang.Part{{Encoder: "s-0"}}}
-	require.Equal(t, gang.Began, s.word(run).Parts[0].Fate)
-	require.Empty(t, s.s.Did(), "its encoder goes on with it")
+	run := gang.Message{Kind: gang.Run, Gang: "g", Round: 1, Assignments: []gang.Assignment{{Encoder: "s-0"}}}
+	require.Equal(t, gang.Began, s.handleMessage(run).Members[0].Status)
+	require.Empty(t, s.starter.TakeActions(), "the encoder must keep running it")
 	require.False(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 2, 0), From: "s-0", State: dispatch.Done}))
 	require.True(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Running}))
-	require.Equal(t, gang.Began, s.word(run).Parts[0].Fate)
+	require.Equal(t, gang.Began, s.handleMessage(run).Members[0].Status)
 	require.True(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Done}))
-	require.Equal(t, gang.Done, s.word(run).Parts[0].Fate)
-	run.Kind = gang.Go // what is not known to run is taken back as before
+	require.Equal(t, gang.Done, s.handleMessage(run).Members[0].Status)
+	run.Kind = gang.Go // a member that is not known to run is still dropped
 	run.Gang = "h"
-	require.Equal(t, gang.MayRun, s.word(run).Parts[0].Fate)
-	require.Len(t, s.s.Did(), 1)
+	require.Equal(t, gang.MayHaveRun, s.handleMessage(run).Members[0].Status)
+	require.Len(t, s.starter.TakeActions(), 1)
 }
