--- a/internal/full/gangs.go
+++ b/internal/full/gangs.go
@@ -19,8 +19,8 @@
 
 // gangsPart has jobs taken whose members start together. host keeps them, and they come in at the control listener.
 func gangsPart(f *siteconf.File, host replicas.Host, register func(func(grpc.ServiceRegistrar))) (program.NewPart, error) {
-	o := gangs.Options{Name: f.Node.Name, Site: f.Node.Zone, Peers: map[string]string{}, Slots: f.Slots(), Cold: time.Duration(f.Rules.Cold), TellsStart: f.Site.TellsStart, Once: map[string]bool{}}
-	o.Ahead = time.Duration(f.Gangs.Clock)
+	o := gangs.Options{Name: f.Node.Name, Site: f.Node.Zone, Peers: map[string]string{}, Slots: f.Slots(), WarmUp: time.Duration(f.Rules.Cold), TellsStart: f.Site.TellsStart, OnceClasses: map[string]bool{}}
+	o.ClockOffset = time.Duration(f.Gangs.Clock)
 	for name, at := range f.Promises.Peers {
 		o.Peers[name] = at
 	}
@@ -28,7 +28,7 @@
 		o.Peers[name] = at
 	}
 	for _, c := range f.Classes {
-		o.Once[c.Name] = c.Effect == "once"
+		o.OnceClasses[c.Name] = c.Effect == "once"
 	}
 	for _, p := range f.Gangs.Partners {
 		o.Partners = append(o.Partners, gangs.Partner{Name: p.Name, Sites: p.Sites, Slots: p.Slots, Share: float64(p.Share), Hours: p.Hours})
@@ -38,7 +38,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("control.tls: %w", err)
 		}
-		o.Keys = func(name string) credentials.TransportCredentials { return credentials.NewTLS(pair.ClientConfig(name)) }
+		o.Credentials = func(name string) credentials.TransportCredentials { return credentials.NewTLS(pair.ClientConfig(name)) }
 	}
 	return func(core program.Core) (program.Part, error) {
 		s, err := gangs.New(o, host, core.Loop, core.Log)
@@ -46,7 +46,7 @@
 			return nil, err
 		}
 		register(s.Register)
-		core.Loop.OnUnmatchedCallback(s.Stray)
+		core.Loop.OnUnmatchedCallback(s.HandleUnmatchedCallback)
 		return &ganging{s}, nil
 	}, nil
 }
@@ -74,7 +74,7 @@
 			once[name] = c.Settings.Classes[i].Effect != decide.Safe
 		}
 	}
-	p.Retune(once)
+	p.SetClasses(once)
 }
 
 // Quiet: others coordinate and tell members; what was sent from here is in the loop's hands.
--- a/internal/gang/accounts.go
+++ b/internal/gang/accounts.go
@@ -95,7 +95,7 @@
 const maxClockDifference = time.Minute
 
 // holdExtension is how far the hold of a late member is extended at a time.
-const holdExtension = Lead
+const holdExtension = MinLead
 
 // set opens or changes an account. Holds stay even beyond a lowered limit: it is the gangs' homes that release them
 // when a partner lends less.
--- a/internal/gang/coordinator.go
+++ b/internal/gang/coordinator.go
@@ -343,7 +343,7 @@
 
 func (c *Coordinator) stepWaiting(now time.Duration, group uint32, e *Entry, encoders []Encoder) {
 	id := e.Spec.ID
-	if now > e.Spec.LatestStart-Lead {
+	if now > e.Spec.LatestStart-MinLead {
 		c.propose(now, group, Command{Op: "refuse", Gang: id})
 		return
 	}
@@ -482,7 +482,7 @@
 // holds do. The present holds stay in force until the new ones are committed.
 func (c *Coordinator) planSooner(now, t time.Duration, group uint32, e *Entry, encoders []Encoder) bool {
 	key := e.Spec.ID + "/sooner"
-	if t > e.Plan.Start-2*Lead || now < c.notBefore[key] || now < c.searchTime+searchInterval || !c.haveView(now, viewTTL) {
+	if t > e.Plan.Start-2*MinLead || now < c.notBefore[key] || now < c.searchTime+searchInterval || !c.haveView(now, viewTTL) {
 		return false
 	}
 	c.searchTime, c.notBefore[key] = now, now+heldViewTTL
@@ -590,7 +590,7 @@
 			continue
 		}
 		for _, other := range slices.Sorted(maps.Keys(c.dispatchers)) {
-			key := fmt.Sprint(other, "/", Key(e.Spec.ID, e.Plan.Round, i), "/", CancelElsewhere)
+			key := fmt.Sprint(other, "/", JobID(e.Spec.ID, e.Plan.Round, i), "/", CancelElsewhere)
 			if other == name || now-c.dispatchers[other].lastReply > livenessTimeout || now-c.lastSent[key] < cancelInterval {
 				continue
 			}
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -32,7 +32,7 @@
 // Times relative to the committed start, by the clock of the process that checks them. The error of that clock is
 // known and counts as part of the skew.
 const (
-	Lead           = 700 * time.Millisecond // minimum time from plan to start: leaves room for holds, arming and the go message
+	MinLead        = 700 * time.Millisecond // minimum time from plan to start: leaves room for holds, arming and the go message
 	GoMargin       = 150 * time.Millisecond // before the start: latest commit of the start; otherwise the gang does not start
 	StartTimeout   = 350 * time.Millisecond // after the start: unless all members have started by then, all are called off
 	ConfirmTimeout = 450 * time.Millisecond // after the start: a member whose dispatcher has not learned by then that all run is cancelled
@@ -103,8 +103,8 @@
 		return s, fmt.Errorf("after %q: go_on or stop_all", s.OnDeath)
 	case s.LatestStart < s.NotBefore || s.LatestStart > now+maxWindow:
 		return s, fmt.Errorf("latest start: not before the earliest, and within %v", maxWindow)
-	case s.LatestStart < now+Lead:
-		return s, fmt.Errorf("latest start: at least %v ahead", Lead)
+	case s.LatestStart < now+MinLead:
+		return s, fmt.Errorf("latest start: at least %v ahead", MinLead)
 	}
 	return s, nil
 }
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -541,7 +541,7 @@
 	sim.run(4 * time.Second)
 	for i, name := range e.Plan.Starters { // the encoder reports to the process that now has the address
 		if name == d.name {
-			d.MemberEnded(d.time(sim.now), Key("g0", e.Plan.Round, i), Done, "")
+			d.MemberEnded(d.time(sim.now), JobID("g0", e.Plan.Round, i), Done, "")
 		}
 	}
 	sim.run(time.Second)
--- a/internal/gang/home.go
+++ b/internal/gang/home.go
@@ -66,10 +66,10 @@
 
 // The verdicts.
 const (
-	Completed  = "done"
-	NotStarted = "not_started"
-	DeadAfter  = "dead_after_start" // all started, and some died
-	Cancelled  = "cancelled"
+	Completed      = "done"
+	NotStarted     = "not_started"
+	DiedAfterStart = "dead_after_start" // all started, and some died
+	Cancelled      = "cancelled"
 )
 
 // home is the part of the state machine with the gangs whose home the group is.
@@ -172,7 +172,7 @@
 	case "told":
 		e.Unconfirmed = slices.DeleteFunc(e.Unconfirmed, func(d Notice) bool { return d == *c.Confirmed })
 	case "refuse":
-		if e.State != Waiting || at <= e.Spec.LatestStart-Lead {
+		if e.State != Waiting || at <= e.Spec.LatestStart-MinLead {
 			return "its window is open"
 		}
 		e.end(at, NotStarted, cmp.Or(e.Reason, "no room in its window"))
@@ -366,7 +366,7 @@
 	}
 	verdict := Completed
 	if len(e.Dead) > 0 {
-		verdict = DeadAfter
+		verdict = DiedAfterStart
 	}
 	e.end(at, cmp.Or(e.Verdict, verdict), "")
 }
--- a/internal/gang/orders/orders.go
+++ b/internal/gang/orders/orders.go
@@ -95,7 +95,7 @@
 
 // The mutants.
 const (
-	Sound                Mutant = ""
+	NoFault              Mutant = ""
 	HoldExpires          Mutant = "an uncommitted hold expires"
 	CommitOnOneVote      Mutant = "one vote commits"
 	SlotsNotSummed       Mutant = "slots are not summed over gangs"
@@ -235,8 +235,8 @@
 
 // Exploration is the result of a check.
 type Exploration struct {
-	Fault         string // the first violation; empty: none
-	States, Going int    // all states, and those with a gang whose start is committed
+	Violation        string // the first violation; empty: none
+	States, Starting int    // all states, and those with a gang whose start is committed
 }
 
 // Explore visits all states within a depth of commands and stops at the first violation.
@@ -253,14 +253,14 @@
 				}
 				seen[key] = true
 				s.States = len(seen)
-				if s.Fault = n.violation(); s.Fault == "" {
-					s.Fault = n.checkRestore(mutant)
+				if s.Violation = n.violation(); s.Violation == "" {
+					s.Violation = n.checkRestore(mutant)
 				}
-				if s.Fault != "" {
+				if s.Violation != "" {
 					return s
 				}
 				if n.groups[0].Gangs["a"].State == gang.Starting || n.groups[1].Gangs["b"].State == gang.Starting {
-					s.Going++
+					s.Starting++
 				}
 				next = append(next, n)
 			}
--- a/internal/gang/orders/orders_test.go
+++ b/internal/gang/orders/orders_test.go
@@ -13,13 +13,13 @@
 // and groups move between machines. No account may be overdrawn, a gang that is about to start must hold its slots in
 // all groups, and no group may commit or keep holds that the gang's home has not. Each injected fault must be found.
 func TestCommitmentInEveryOrder(t *testing.T) {
-	s := Explore(Sound, *depth)
-	t.Logf("depth %d: %d states, in %d a gang is about to start", *depth, s.States, s.Going)
-	require.Empty(t, s.Fault)
-	require.NotZero(t, s.Going)
+	s := Explore(NoFault, *depth)
+	t.Logf("depth %d: %d states, in %d a gang is about to start", *depth, s.States, s.Starting)
+	require.Empty(t, s.Violation)
+	require.NotZero(t, s.Starting)
 	for _, mutant := range Mutants {
 		s := Explore(mutant, *depth)
-		t.Logf("%s: %s, after %d states", mutant, s.Fault, s.States)
-		require.NotEmpty(t, s.Fault, mutant)
+		t.Logf("%s: %s, after %d states", mutant, s.Violation, s.States)
+		require.NotEmpty(t, s.Violation, mutant)
 	}
 }
--- a/internal/gang/plan.go
+++ b/internal/gang/plan.go
@@ -74,7 +74,7 @@
 	slices.SortFunc(f.accounts.RoundHolds, func(a, b RoundHolds) int {
 		return cmp.Or(cmp.Compare(a.Gang, b.Gang), cmp.Compare(a.Round, b.Round), cmp.Compare(a.Home, b.Home))
 	})
-	starts := []time.Duration{max(v.Now+Lead, s.NotBefore)}
+	starts := []time.Duration{max(v.Now+MinLead, s.NotBefore)}
 	if keep != nil {
 		starts = []time.Duration{keep.Start}
 		f.keep = keep
--- a/internal/gang/restart_test.go
+++ b/internal/gang/restart_test.go
@@ -38,7 +38,7 @@
 // The gang must not end as dead after its start.
 func TestAcknowledgedEndOfAMember(t *testing.T) {
 	sim, e, d := runUntil(t, Running)
-	sim.run(sim.runs[Key("g0", e.Plan.Round, 0)].until - sim.now - 5*ms)
+	sim.run(sim.runs[JobID("g0", e.Plan.Round, 0)].until - sim.now - 5*ms)
 	sim.startProcess(d) // the dispatcher that sent the member takes the report of its end and is gone
 	sim.run(20 * time.Second)
 	require.Equal(t, Completed, e.Verdict, "dead: %v", e.Dead)
--- a/internal/gang/starter.go
+++ b/internal/gang/starter.go
@@ -122,8 +122,8 @@
 // NewStarter returns a starter without members.
 func NewStarter() *Starter { return &Starter{members: map[string]*starterMember{}} }
 
-// Key returns the ID of a member's job in a round.
-func Key(gang string, round uint64, member int) string {
+// JobID returns the ID of a member's job in a round.
+func JobID(gang string, round uint64, member int) string {
 	return fmt.Sprintf("gang-%s-%d-%d", gang, round, member)
 }
 
@@ -139,7 +139,7 @@
 	s.Tick(now)
 	reply := Reply{Now: now}
 	for _, t := range msg.Assignments[:min(len(msg.Assignments), MaxMembers)] {
-		key := Key(msg.Gang, msg.Round, t.Member)
+		key := JobID(msg.Gang, msg.Round, t.Member)
 		if msg.Kind == CancelElsewhere {
 			s.actions = append(s.actions, StarterAction{Key: key, Kind: CancelJob, Encoder: t.Encoder})
 			reply.Members = append(reply.Members, MemberReply{Member: t.Member})
@@ -220,7 +220,7 @@
 	}
 	s.Stats.CalledOff++
 	p.status, p.dropsLeft = MayHaveRun, dropRepeats
-	s.actions = append(s.actions, StarterAction{Key: Key(p.gang, p.round, p.Member), Kind: CancelSent, Encoder: p.Encoder, Member: p.Spec})
+	s.actions = append(s.actions, StarterAction{Key: JobID(p.gang, p.round, p.Member), Kind: CancelSent, Encoder: p.Encoder, Member: p.Spec})
 }
 
 // Tick performs all actions that are due.
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -55,15 +55,15 @@
 
 // Options are the options of a server.
 type Options struct {
-	Name, Site string
-	Peers      map[string]string // control addresses of the other dispatchers, by name
-	Slots      map[string]float64
-	Partners   []Partner
-	Keys       func(peer string) credentials.TransportCredentials // nil: plain text
-	Cold       time.Duration                                      // how long an encoder takes to warm up
-	Once       map[string]bool                                    // by class: whether a job must not run twice
-	TellsStart bool                                               // encoders report when a job begins to run
-	Ahead      time.Duration                                      // added to the clock, to test clocks that differ
+	Name, Site  string
+	Peers       map[string]string // control addresses of the other dispatchers, by name
+	Slots       map[string]float64
+	Partners    []Partner
+	Credentials func(peer string) credentials.TransportCredentials // nil: plain text
+	WarmUp      time.Duration                                      // how long an encoder takes to warm up
+	OnceClasses map[string]bool                                    // by class: whether a job must not run twice
+	TellsStart  bool                                               // encoders report when a job begins to run
+	ClockOffset time.Duration                                      // added to the clock, to test clocks that differ
 }
 
 // Core is the dispatcher's loop.
@@ -123,16 +123,16 @@
 func New(o Options, host replicas.Host, core Core, logger *slog.Logger) (*Server, error) {
 	clock := fmt.Sprintf("%s/%08x", o.Name, rand.Uint32())
 	s := &Server{
-		options: o, host: host, core: core, log: logger, clockName: clock, clockBase: time.Duration(time.Now().UnixNano()) + o.Ahead - replicas.Now(), inbox: make(chan func(), 1024), outstanding: make(chan struct{}, maxOutstanding),
+		options: o, host: host, core: core, log: logger, clockName: clock, clockBase: time.Duration(time.Now().UnixNano()) + o.ClockOffset - replicas.Now(), inbox: make(chan func(), 1024), outstanding: make(chan struct{}, maxOutstanding),
 		peers: map[string]gangv1.PeersClient{}, coordinator: gang.NewCoordinator(clock), starter: gang.NewStarter(), cordoned: map[string]bool{},
 		sent: map[string]*dispatch.Command{}, starterChanged: make(chan struct{}, 1), homes: map[string]uint32{}, setGenerations: map[string]uint64{},
 		reservations: map[string][]gang.Reservation{}, appliedReservations: map[string]string{},
 	}
-	s.onceClasses.Store(&o.Once)
+	s.onceClasses.Store(&o.OnceClasses)
 	for name, at := range o.Peers {
 		creds := insecure.NewCredentials()
-		if o.Keys != nil {
-			creds = o.Keys(name)
+		if o.Credentials != nil {
+			creds = o.Credentials(name)
 		}
 		conn, err := grpc.NewClient("passthrough:///"+at, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)))
 		if err != nil {
@@ -288,7 +288,7 @@
 		e := gang.Encoder{ID: m.ID, Site: m.Zone, Kind: m.Kind, Excluded: m.State != decide.Ready || s.cordoned[m.ID], Slots: int(s.options.Slots[m.Kind]), Gen: 1}
 		if !m.Started.IsZero() {
 			e.Gen = uint64(m.Started.UnixMicro())
-			e.WarmAt = time.Duration(m.Started.Add(s.options.Cold).UnixNano())
+			e.WarmAt = time.Duration(m.Started.Add(s.options.WarmUp).UnixNano())
 		}
 		e.Group = s.groupOf(e.Account())
 		for _, p := range s.options.Partners {
@@ -598,9 +598,9 @@
 	})
 }
 
-// Stray handles a callback that matches no attempt of the dispatcher's loop: an earlier process may have sent the
+// HandleUnmatchedCallback handles a callback that matches no attempt of the dispatcher's loop: an earlier process may have sent the
 // member. It reports whether the member is known here.
-func (s *Server) Stray(n dispatch.Callback) bool {
+func (s *Server) HandleUnmatchedCallback(n dispatch.Callback) bool {
 	s.starterMu.Lock()
 	_, ours := s.starter.GangOf(n.ID)
 	s.starterMu.Unlock()
@@ -735,8 +735,8 @@
 	return nil, status.Error(codes.Aborted, "others change it as well")
 }
 
-// Retune sets the classes, and for each whether a job must not run twice.
-func (s *Server) Retune(once map[string]bool) { s.onceClasses.Store(&once) }
+// SetClasses sets the classes, and for each whether a job must not run twice.
+func (s *Server) SetClasses(once map[string]bool) { s.onceClasses.Store(&once) }
 
 // Listed updates the instance list.
 func (s *Server) Listed(l dispatch.InstanceUpdate) {
@@ -760,7 +760,7 @@
 	for _, name := range []gang.State{gang.Waiting, gang.Preparing, gang.Held, gang.Starting, gang.StartFailed, gang.Running, gang.Ended} {
 		fmt.Fprintf(&b, "proxy.gangs.%s=%d\n", name, states[string(name)])
 	}
-	for _, name := range []string{gang.Completed, gang.NotStarted, gang.DeadAfter, gang.Cancelled} {
+	for _, name := range []string{gang.Completed, gang.NotStarted, gang.DiedAfterStart, gang.Cancelled} {
 		fmt.Fprintf(&b, "proxy.gangs.%s=%d\n", name, states[name])
 	}
 	s.starterMu.Lock()
@@ -768,7 +768,7 @@
 	s.starterMu.Unlock()
 	fmt.Fprintf(&b, "proxy.gangs.members_sent=%d\nproxy.gangs.members_late=%d\nproxy.gangs.members_called_off=%d\nproxy.gangs.members_left_alone=%d\n", t.Launched, t.Late, t.CalledOff, t.Unconfirmed)
 	fmt.Fprintf(&b, "proxy.gangs.wounds=%d\nproxy.gangs.clock_error_us=%d\nproxy.gangs.clock_jumps=%d\nproxy.gangs.clock_off_ms=%d\nproxy.gangs.overruns=%d\n",
-		s.coordinator.Stats.Wounds, s.coordinator.Stats.MaxClockError.Microseconds(), s.coordinator.Stats.ClockJumps+t.ClockJumps, (s.now() - s.options.Ahead - time.Duration(time.Now().UnixNano())).Milliseconds(), s.overruns.Load())
+		s.coordinator.Stats.Wounds, s.coordinator.Stats.MaxClockError.Microseconds(), s.coordinator.Stats.ClockJumps+t.ClockJumps, (s.now() - s.options.ClockOffset - time.Duration(time.Now().UnixNano())).Milliseconds(), s.overruns.Load())
 	text := b.String()
 	s.counters.Store(&text)
 }
--- a/internal/net/gangs/gangs_test.go
+++ b/internal/net/gangs/gangs_test.go
@@ -100,7 +100,7 @@
 	var client gangv1.GangsClient
 	for i := range n {
 		name := fmt.Sprint("n", i)
-		o := Options{Name: name, Site: sites[name], Slots: map[string]float64{"m2": 4}, Once: map[string]bool{"live": true}, Peers: map[string]string{}, TellsStart: true,
+		o := Options{Name: name, Site: sites[name], Slots: map[string]float64{"m2": 4}, OnceClasses: map[string]bool{"live": true}, Peers: map[string]string{}, TellsStart: true,
 			Partners: []Partner{{Name: "tuk", Sites: []string{"b"}, Slots: 3}}}
 		for j, l := range listeners {
 			if j != i {
@@ -158,7 +158,7 @@
 	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
 	s, err := New(Options{Name: "n1", TellsStart: true}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	start, key := s.now()+time.Hour, gang.Key("g", 1, 0)
+	start, key := s.now()+time.Hour, gang.JobID("g", 1, 0)
 	assignments := []gang.Assignment{{Encoder: "s-0", Spec: gang.Member{Class: "live", Slots: 1, Work: time.Second}}}
 	for _, kind := range []gang.MessageKind{gang.Arm, gang.Go} {
 		s.starter.Handle(start-time.Second, gang.Message{Kind: kind, Gang: "g", Round: 1, At: start, Skew: 250 * time.Millisecond, Assignments: assignments})
@@ -206,10 +206,10 @@
 	run := gang.Message{Kind: gang.Run, Gang: "g", Round: 1, Assignments: []gang.Assignment{{Encoder: "s-0"}}}
 	require.Equal(t, gang.Began, s.handleMessage(run).Members[0].Status)
 	require.Empty(t, s.starter.TakeActions(), "the encoder must keep running it")
-	require.False(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 2, 0), From: "s-0", State: dispatch.Done}))
-	require.True(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Running}))
+	require.False(t, s.HandleUnmatchedCallback(dispatch.Callback{ID: gang.JobID("g", 2, 0), From: "s-0", State: dispatch.Done}))
+	require.True(t, s.HandleUnmatchedCallback(dispatch.Callback{ID: gang.JobID("g", 1, 0), From: "s-0", State: dispatch.Running}))
 	require.Equal(t, gang.Began, s.handleMessage(run).Members[0].Status)
-	require.True(t, s.Stray(dispatch.Callback{ID: gang.Key("g", 1, 0), From: "s-0", State: dispatch.Done}))
+	require.True(t, s.HandleUnmatchedCallback(dispatch.Callback{ID: gang.JobID("g", 1, 0), From: "s-0", State: dispatch.Done}))
 	require.Equal(t, gang.Done, s.handleMessage(run).Members[0].Status)
 	run.Kind = gang.Go // a member that is not known to run is still dropped
 	run.Gang = "h"
--- a/internal/prove/gang.go
+++ b/internal/prove/gang.go
@@ -140,13 +140,13 @@
 
 // model checks the commitment in all orders of its commands, and that faults put in are found.
 func (s *stage) model() {
-	m := orders.Explore(orders.Sound, gangDepth)
-	s.say("model: all orders of %d commands: %d states, in %d a gang is about to start; fault: %q", gangDepth, m.States, m.Going, m.Fault)
-	s.check(m.Fault == "" && m.Going > 0, "model: %s", m.Fault)
+	m := orders.Explore(orders.NoFault, gangDepth)
+	s.say("model: all orders of %d commands: %d states, in %d a gang is about to start; fault: %q", gangDepth, m.States, m.Starting, m.Violation)
+	s.check(m.Violation == "" && m.Starting > 0, "model: %s", m.Violation)
 	for _, bug := range orders.Mutants {
 		m := orders.Explore(bug, gangDepth)
-		s.say("mutant %q: found after %d states: %s", bug, m.States, m.Fault)
-		s.check(m.Fault != "", "the mutant %q was not found", bug)
+		s.say("mutant %q: found after %d states: %s", bug, m.States, m.Violation)
+		s.check(m.Violation != "", "the mutant %q was not found", bug)
 	}
 }
 
@@ -290,14 +290,14 @@
 // run asks for a gang and waits for its end; alone, its members are sent at one time to dispatchers of their sites.
 func (s *stage) run(ctx context.Context, w *wanted) {
 	if w.alone {
-		time.Sleep(gang.Lead)
+		time.Sleep(gang.MinLead)
 		var all sync.WaitGroup
 		for i, site := range w.sites {
 			n := (i/2)*2 + map[string]int{"b": 1}[site]
 			all.Go(func() {
 				q, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.Daemon(n%gangDaemons).Listen+w.target(i), strings.NewReader("work"))
 				if err == nil {
-					s.post(q, gang.Key(w.id, 1, i), w.class(), w.works[i], 3*time.Second)
+					s.post(q, gang.JobID(w.id, 1, i), w.class(), w.works[i], 3*time.Second)
 				}
 			})
 		}
@@ -469,7 +469,7 @@
 			gangs--
 		}
 		for n, r := range rounds[w.id] {
-			runs := w.end.GetVerdict() == gang.Completed || w.end.GetVerdict() == gang.DeadAfter
+			runs := w.end.GetVerdict() == gang.Completed || w.end.GetVerdict() == gang.DiedAfterStart
 			first, last := slices.MinFunc(r.began, time.Time.Compare), slices.MaxFunc(r.began, time.Time.Compare)
 			over := slices.MaxFunc(r.ended, time.Time.Compare)
 			all := r.ran() == len(w.sites)
@@ -519,7 +519,7 @@
 				say("told no %v after its latest start: %v", w.ended.Sub(w.latest), w.end)
 			}
 		default:
-			if began++; v == gang.DeadAfter {
+			if began++; v == gang.DiedAfterStart {
 				dead++
 			}
 		}
--- a/internal/rig/gangs_test.go
+++ b/internal/rig/gangs_test.go
@@ -246,7 +246,7 @@
 		cut(false)
 		for _, id := range again {
 			g := w.end(id)
-			require.Contains(t, []string{gang.Completed, gang.DeadAfter}, g.Verdict, g)
+			require.Contains(t, []string{gang.Completed, gang.DiedAfterStart}, g.Verdict, g)
 			t.Log(i, g)
 		}
 		for _, id := range once {
