--- a/internal/net/replicas/now.go
+++ b/internal/net/replicas/clock.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// began is when the clock of leases did.
-var began = boottime()
+// clockStart is when the clock of leases did.
+var clockStart = boottime()
 
 // boottime goes on while the machine is suspended, which Go's own monotonic time does not: a lease must not.
 func boottime() time.Duration {
@@ -19,4 +19,4 @@
 }
 
 // Now is the clock of leases, since the process began.
-func Now() time.Duration { return boottime() - began }
+func Now() time.Duration { return boottime() - clockStart }
--- a/internal/net/replicas/cost_test.go
+++ b/internal/net/replicas/cost_test.go
@@ -17,8 +17,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// led waits until each group has been led.
-func (w *town) led() {
+// awaitLeaders waits until each group has been led.
+func (w *cluster) awaitLeaders() {
 	w.Helper()
 	seen := map[uint32]bool{}
 	w.await("all groups are led", func() bool {
@@ -33,8 +33,8 @@
 	})
 }
 
-// calm is which part of the replicas takes no ticks.
-func (w *town) calm() float64 {
+// hibernatingShare is which part of the replicas takes no ticks.
+func (w *cluster) hibernatingShare() float64 {
 	n, all := 0, 0
 	for _, s := range w.hosts {
 		for _, g := range s.Standing().Groups {
@@ -50,15 +50,15 @@
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range []uint32{10, 100, 1000} {
 		b.Run(fmt.Sprint("groups=", groups), func(b *testing.B) {
-			w := newTown(b, 10, groups)
-			w.led()
+			w := newCluster(b, 10, groups)
+			w.awaitLeaders()
 			const settle, over = 10 * time.Second, 5 * time.Second
 			<-time.After(settle)
 			for b.Loop() {
 				before, writes := cpu(b), w.writes()
 				<-time.After(over)
 				b.ReportMetric(100*float64(cpu(b)-before)/float64(over)/10, "%core/daemon")
-				b.ReportMetric(100*w.calm(), "%calm")
+				b.ReportMetric(100*w.hibernatingShare(), "%calm")
 				b.ReportMetric(float64(w.writes()-writes)/over.Seconds()/10, "writes/s/daemon")
 			}
 		})
@@ -69,8 +69,8 @@
 func BenchmarkCommit(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint("callers=", callers), func(b *testing.B) {
-			w := newTown(b, 3, 16)
-			w.led()
+			w := newCluster(b, 3, 16)
+			w.awaitLeaders()
 			writes, n := w.writes(), 0
 			began := time.Now()
 			for b.Loop() {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (w *town) writes() (n int64) {
+func (w *cluster) writes() (n int64) {
 	for _, s := range w.hosts {
 		s.mu.Lock()
 		n += s.store.writes.Load()
--- /dev/null
+++ b/internal/net/replicas/link.go
@@ -0,0 +1,451 @@
+package replicas
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/backoff"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/protobuf/proto"
+
+	replicav1 "caperrelay/proto/winglb/replica/v1"
+
+	"caperrelay/internal/replica"
+)
+
+const (
+	maxQueuedMessages = 4096 // of groups, that wait for a line
+	maxQueuedBytes    = 128 << 20
+	maxForwards       = 1024      // proposals under way on a line
+	maxQueuedAnswers  = 1024      // that wait for the other's line
+	chunkSize         = 256 << 10 // of a message, and of what is told at once
+	maxAssembledBytes = 80 << 20  // bytes of one message in pieces
+	silenceTimeout    = 3 * time.Second
+	connectTimeout    = time.Second
+	redialMinDelay    = 50 * time.Millisecond
+	redialMaxDelay    = time.Second
+)
+
+// link is to another daemon: what waits to be told, and the stream on which it is.
+type link struct {
+	server        *Server
+	name, address string
+	sendReady     chan struct{}
+	receivedAt    atomic.Int64 // when the other last confirmed
+
+	mu           sync.Mutex
+	messages     []queuedMessage
+	queuedBytes  int
+	heartbeat    *replicav1.Beat
+	ack          *replicav1.Pair
+	hibernations []*replicav1.Calm
+	bootstrap    *replicav1.Found
+	proposals    []*replicav1.Proposal
+	lastNumber   uint64
+	forwards     map[uint64]forward
+	up           bool
+}
+
+// forward is a proposal that was passed on.
+type forward struct {
+	group uint32
+	done  func([]byte, error)
+}
+
+type queuedMessage struct {
+	group uint32
+	m     *pb.Message
+	size  int
+}
+
+func newLink(s *Server, name, at string) *link {
+	return &link{server: s, name: name, address: at, sendReady: make(chan struct{}, 1), forwards: map[uint64]forward{}}
+}
+
+func (l *link) notifySender() {
+	select {
+	case l.sendReady <- struct{}{}:
+	default:
+	}
+}
+
+// send queues a group's message; the library makes up for one that is dropped.
+func (l *link) send(group uint32, m *pb.Message) {
+	size := proto.Size(m)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.up || len(l.messages) >= maxQueuedMessages || l.queuedBytes+size > maxQueuedBytes {
+		l.server.counters.dropped++
+		return
+	}
+	l.messages = append(l.messages, queuedMessage{group, m, size})
+	l.queuedBytes += size
+	l.notifySender()
+}
+
+// sendHeartbeat has the latest one told.
+func (l *link) sendHeartbeat(b *replicav1.Beat, p replica.HeartbeatAck) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if o := l.heartbeat; o != nil && (o.Full && !b.Full || o.Led && !b.Led) { // what only the one before tells is not to be lost
+		b = proto.Clone(b).(*replicav1.Beat)
+		if !b.Full {
+			b.Full, b.Known = o.Full, o.Known
+		}
+		if !b.Led {
+			b.Led, b.Leads = o.Led, o.Leads
+		}
+	}
+	l.heartbeat, l.ack = b, &replicav1.Pair{Boot: p.Boot, Number: p.Number, Epoch: p.Epoch}
+	l.notifySender()
+}
+
+// clearQueue drops what a node would have told that is no more.
+func (l *link) clearQueue() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.messages, l.queuedBytes, l.hibernations, l.heartbeat, l.ack = nil, 0, nil, nil, nil
+}
+
+// sendHibernation tells of a group's calm; the one who asks asks again.
+func (l *link) sendHibernation(c replica.Hibernation) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.up && len(l.hibernations) < maxQueuedMessages {
+		l.hibernations = append(l.hibernations, &replicav1.Calm{Group: c.Group, Term: c.Term, Index: c.Index, Epoch: c.Epoch})
+		l.notifySender()
+	}
+}
+
+func (l *link) sendBootstrap(f *replicav1.Found) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.bootstrap = f
+	l.notifySender()
+}
+
+// propose passes a command on.
+func (l *link) propose(group uint32, at time.Duration, cmd []byte, done func([]byte, error)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	switch {
+	case !l.up:
+		done(nil, replica.ErrNoLeader)
+	case len(l.forwards) >= maxForwards:
+		done(nil, replica.ErrDropped)
+	default:
+		l.lastNumber++
+		l.forwards[l.lastNumber] = forward{group, done}
+		l.proposals = append(l.proposals, &replicav1.Proposal{Number: l.lastNumber, Group: group, Unix: int64(at), Command: cmd})
+		l.notifySender()
+	}
+}
+
+// next is what is to be told now; nil: nothing. Messages that are too large for one come in pieces of their own.
+func (l *link) next() (all []*replicav1.ToPeer, err error) {
+	l.mu.Lock()
+	packets, size := l.messages, 0
+	l.messages, l.queuedBytes = nil, 0
+	out := &replicav1.ToPeer{Beat: l.heartbeat, Pair: l.ack, Found: l.bootstrap}
+	proposals, calms := l.proposals, l.hibernations
+	l.heartbeat, l.ack, l.bootstrap, l.proposals, l.hibernations = nil, nil, nil, nil, nil
+	l.mu.Unlock()
+	flush := func(more int) {
+		if size > 0 && size+more > chunkSize || out.Chunk != nil {
+			all = append(all, out)
+			out, size = &replicav1.ToPeer{}, 0
+		}
+	}
+	for _, p := range packets {
+		text, err := proto.Marshal(p.m)
+		if err != nil {
+			return nil, err
+		}
+		flush(len(text))
+		for len(text) > chunkSize {
+			out.Chunk = &replicav1.Chunk{Group: p.group, Part: text[:chunkSize]}
+			text = text[chunkSize:]
+			flush(0)
+			if len(text) <= chunkSize {
+				out.Chunk = &replicav1.Chunk{Group: p.group, Part: text, Last: true}
+				flush(0)
+				text = nil
+			}
+		}
+		if text != nil {
+			out.Packets = append(out.Packets, &replicav1.Packet{Group: p.group, Message: text})
+			size += len(text)
+		}
+	}
+	for _, p := range proposals {
+		flush(len(p.Command))
+		out.Proposals = append(out.Proposals, p)
+		size += len(p.Command)
+	}
+	out.Calms = calms // after what they stand on
+	if out.Beat != nil || out.Found != nil || len(out.Packets) > 0 || len(out.Proposals) > 0 || len(calms) > 0 {
+		all = append(all, out)
+	}
+	return all, nil
+}
+
+// run calls the other again and again.
+func (l *link) run(ctx context.Context) {
+	for wait := redialMinDelay; ctx.Err() == nil; wait = min(redialMaxDelay, 2*wait) {
+		began := time.Now()
+		err := l.call(ctx)
+		l.down()
+		if time.Since(began) > redialMaxDelay {
+			wait = redialMinDelay
+		}
+		l.server.log.Debug("replicas: line lost", "peer", l.name, "at", l.address, "err", err)
+		t := time.NewTimer(wait)
+		select {
+		case <-ctx.Done():
+			t.Stop()
+		case <-t.C:
+		}
+	}
+	l.down()
+}
+
+// down gives up what was passed on: the other may have taken it in.
+func (l *link) down() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.up, l.messages, l.queuedBytes, l.hibernations = false, nil, 0, nil
+	never := map[uint64]bool{}
+	for _, p := range l.proposals { // it has not left
+		never[p.Number] = true
+	}
+	l.proposals = nil
+	for n, f := range l.forwards {
+		delete(l.forwards, n)
+		if never[n] {
+			f.done(nil, replica.ErrNoLeader)
+		} else {
+			f.done(nil, replica.ErrUnknown)
+		}
+	}
+}
+
+// abandonForwards gives up what was passed on for groups that the other does not lead: it may have taken it in.
+func (l *link) abandonForwards(leads func(group uint32) bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	known := map[uint32]bool{}
+	for n, f := range l.forwards {
+		yes, ok := known[f.group]
+		if !ok {
+			yes = leads(f.group)
+			known[f.group] = yes
+		}
+		if !yes {
+			delete(l.forwards, n)
+			f.done(nil, replica.ErrUnknown)
+		}
+	}
+}
+
+// call is one stream's life.
+func (l *link) call(ctx context.Context) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	creds := insecure.NewCredentials()
+	if l.server.opts.Dial != nil {
+		creds = l.server.opts.Dial(l.name)
+	}
+	conn, err := grpc.NewClient("passthrough:///"+l.address, grpc.WithTransportCredentials(creds), grpc.WithConnectParams(grpc.ConnectParams{
+		Backoff: backoff.Config{BaseDelay: redialMinDelay, Multiplier: 2, Jitter: 0.2, MaxDelay: redialMaxDelay}, MinConnectTimeout: connectTimeout,
+	}))
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	stream, err := replicav1.NewReplicasClient(conn).Exchange(ctx)
+	if err != nil {
+		return err
+	}
+	hello := &replicav1.ToPeer{Hello: &replicav1.Hello{Version: version, Name: l.server.opts.Self.Name, Address: l.server.opts.Address}}
+	if err := stream.Send(hello); err != nil {
+		return err
+	}
+	l.receivedAt.Store(int64(Now()))
+	lost := make(chan error, 1)
+	go func() {
+		for {
+			m, err := stream.Recv()
+			if err != nil {
+				lost <- err
+				return
+			}
+			l.receivedAt.Store(int64(Now()))
+			l.markUp()
+			l.handleAnswers(m)
+		}
+	}()
+	// A stream that takes nothing blocks Send: another goroutine looks at whether the other still confirms.
+	go func() {
+		every := time.NewTicker(silenceTimeout / 4)
+		defer every.Stop()
+		for {
+			select {
+			case <-ctx.Done():
+				return
+			case <-every.C:
+				if Now()-time.Duration(l.receivedAt.Load()) > silenceTimeout {
+					cancel()
+					return
+				}
+			}
+		}
+	}()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case err := <-lost:
+			return err
+		case <-l.sendReady:
+		}
+		all, err := l.next()
+		if err != nil {
+			return err
+		}
+		for _, m := range all {
+			m.Table = l.server.table.Load()
+			if err := stream.Send(m); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+func (l *link) markUp() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.up = true
+}
+
+func (l *link) handleAnswers(m *replicav1.FromPeer) {
+	for _, a := range m.GetAnswers() {
+		l.mu.Lock()
+		f, ok := l.forwards[a.GetNumber()]
+		delete(l.forwards, a.GetNumber())
+		l.mu.Unlock()
+		if ok {
+			f.done(a.GetResult(), errorFromFault(a.GetFault()))
+		}
+	}
+}
+
+// inbound is another daemon's line to this one.
+type inbound struct {
+	server    *Server
+	name      string
+	answers   chan *replicav1.Answer
+	assembled []byte
+}
+
+// sendAnswers confirms and answers.
+func (e *inbound) sendAnswers(ctx context.Context, stream grpc.BidiStreamingServer[replicav1.ToPeer, replicav1.FromPeer], heard chan struct{}) error {
+	for {
+		m := &replicav1.FromPeer{}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case a := <-e.answers:
+			m.Answers = append(m.Answers, a)
+		case <-heard:
+		}
+		if err := stream.Send(m); err != nil {
+			return err
+		}
+	}
+}
+
+// receive has the loop take what the other tells.
+func (e *inbound) receive(ctx context.Context, m *replicav1.ToPeer) error {
+	s := e.server
+	type one struct {
+		group uint32
+		m     *pb.Message
+	}
+	var all []one
+	for _, p := range m.GetPackets() {
+		r, err := parseMessage(p.GetMessage())
+		if err != nil {
+			return fmt.Errorf("a message of group %d cannot be read: %w", p.GetGroup(), err)
+		}
+		all = append(all, one{p.GetGroup(), r})
+	}
+	if c := m.GetChunk(); c != nil {
+		if len(e.assembled)+len(c.GetPart()) > maxAssembledBytes {
+			return fmt.Errorf("a message of more than %d bytes", maxAssembledBytes)
+		}
+		if e.assembled = append(e.assembled, c.GetPart()...); c.GetLast() {
+			r, err := parseMessage(e.assembled)
+			if e.assembled = nil; err != nil {
+				return fmt.Errorf("a message of group %d cannot be read: %w", c.GetGroup(), err)
+			}
+			all = append(all, one{c.GetGroup(), r})
+		}
+	}
+	if b, f := m.GetBeat(), m.GetFound(); b != nil || f != nil || len(all) > 0 || len(m.GetCalms()) > 0 {
+		s.enqueue(ctx, func(now time.Duration) {
+			if f != nil && f.GetMember().GetName() == e.name {
+				s.handleBootstrap(f)
+			}
+			if s.node == nil {
+				return
+			}
+			if m.GetTable() != s.table.Load() {
+				if b != nil {
+					s.answerOtherTable(e.name)
+				}
+				return
+			}
+			if b != nil && b.GetMember().GetName() == e.name {
+				s.node.HandleHeartbeat(now, heartbeatFromProto(b))
+				if p := m.GetPair(); p != nil {
+					s.node.HandleHeartbeatAck(e.name, replica.HeartbeatAck{Boot: p.GetBoot(), Number: p.GetNumber(), Epoch: p.GetEpoch()})
+				}
+			}
+			for _, p := range all {
+				s.node.Step(now, p.group, p.m)
+			}
+			for _, c := range m.GetCalms() {
+				s.node.HandleHibernation(now, e.name, replica.Hibernation{Group: c.GetGroup(), Term: c.GetTerm(), Index: c.GetIndex(), Epoch: c.GetEpoch()})
+			}
+		})
+	}
+	for _, p := range m.GetProposals() {
+		if m.GetTable() != s.table.Load() {
+			select {
+			case e.answers <- &replicav1.Answer{Number: p.GetNumber(), Fault: replicav1.Fault_FAULT_NO_LEADER}:
+			default:
+			}
+			continue
+		}
+		s.enqueue(ctx, func(now time.Duration) {
+			s.proposeOrForward(now, p.GetGroup(), time.Duration(p.GetUnix()), p.GetCommand(), false, func(result []byte, err error) {
+				a := &replicav1.Answer{Number: p.GetNumber(), Result: result}
+				if err != nil {
+					if a.Fault = faults[err]; a.Fault == replicav1.Fault_FAULT_NONE {
+						a.Fault = replicav1.Fault_FAULT_UNKNOWN
+					}
+				}
+				select {
+				case e.answers <- a:
+				default: // it does not read: it will take the line for lost
+				}
+			})
+		})
+	}
+	return nil
+}
--- a/internal/net/replicas/alone.go
+++ b/internal/net/replicas/memoryhost.go
@@ -25,8 +25,8 @@
 	Changed() <-chan struct{}
 }
 
-// aloneLease is how long one that has nobody to lose its lease to says that it has it.
-const aloneLease = time.Second
+// memoryLease is how long one that has nobody to lose its lease to says that it has it.
+const memoryLease = time.Second
 
 // Alone is a host with one copy of each group, in memory: for tests, and what replication is measured against.
 type Alone struct {
@@ -87,7 +87,7 @@
 
 // Lead says yes.
 func (a *Alone) Lead(group uint32) (uint64, time.Duration, bool) {
-	return 1, Now() + aloneLease, group < a.Groups()
+	return 1, Now() + memoryLease, group < a.Groups()
 }
 
 // Changed tells of what was applied.
--- a/internal/net/replicas/server.go
+++ b/internal/net/replicas/server.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	version    = 1
-	mostInbox  = 4096 // events that wait for the loop
-	mostPass   = 512  // of them in one pass
-	tickEach   = replica.Tick / 2
-	foundEach  = 200 * time.Millisecond
-	openEach   = 100 * time.Millisecond // while an older process has the store
-	mostDaemon = 1024
-	retryFirst = 5 * time.Millisecond // a proposal, while there is no leader
-	retryMost  = 100 * time.Millisecond
-	mostName   = 128
+	version           = 1
+	maxQueuedEvents   = 4096 // events that wait for the loop
+	maxEventsPerPass  = 512  // of them in one pass
+	tickInterval      = replica.Tick / 2
+	bootstrapInterval = 200 * time.Millisecond
+	openRetryInterval = 100 * time.Millisecond // while an older process has the store
+	maxPeers          = 1024
+	retryMinDelay     = 5 * time.Millisecond // a proposal, while there is no leader
+	retryMaxDelay     = 100 * time.Millisecond
+	maxNameLength     = 128
 )
 
 // Options of a host.
@@ -47,7 +47,7 @@
 	// Repair is how often a lost majority is to have been given up, and Survivors who are left then: replica.Repair.
 	Repair    uint32
 	Survivors []string
-	Gone      time.Duration // after which a daemon's replicas are moved; 0: replica.GoneAfter
+	Gone      time.Duration // after which a daemon's replicas are moved; 0: replica.RelocateTimeout
 	// Machines makes a group's.
 	Machines func(group uint32) replica.Mux
 	// Dial has the keys; nil: plain text.
@@ -57,32 +57,32 @@
 // Server is a host whose groups are held by several daemons. It is safe for use by several goroutines.
 type Server struct {
 	replicav1.UnimplementedReplicasServer
-	o       Options
-	log     *slog.Logger
-	inbox   chan func(now time.Duration)
-	saved   chan saved
-	changed chan struct{}
-	table   atomic.Uint64 // its ID; 0: not yet active
-
-	mu      sync.Mutex // held by the loop for a pass
-	cancel  context.CancelFunc
-	lines   context.Context // of the lines to others; nil: not open
-	ended   chan struct{}
-	store   *store
-	founder *replica.Founder
-	node    *replica.Node // nil: nothing is held yet
-	saving  bool
-	peers   map[string]*line
-	waits   map[uint64]func([]byte, error)
-	fault   string // why the store takes nothing
-	refused string // why the last store was put aside
-	counts  struct{ proposed, forwarded, read, retired, dropped int64 }
+	opts      Options
+	log       *slog.Logger
+	events    chan func(now time.Duration)
+	writeDone chan writeResult
+	changed   chan struct{}
+	table     atomic.Uint64 // its ID; 0: not yet active
+
+	mu           sync.Mutex // held by the loop for a pass
+	cancel       context.CancelFunc
+	linkCtx      context.Context // of the lines to others; nil: not open
+	stopped      chan struct{}
+	store        *store
+	bootstrapper *replica.Bootstrapper
+	node         *replica.Node // nil: nothing is held yet
+	writing      bool
+	peers        map[string]*link
+	proposals    map[uint64]func([]byte, error)
+	fault        string // why the store takes nothing
+	refused      string // why the last store was put aside
+	counters     struct{ proposed, forwarded, read, retired, dropped int64 }
 }
 
 var _ Host = (*Server)(nil)
 
-// saved is the end of a write.
-type saved struct {
+// writeResult is the end of a write.
+type writeResult struct {
 	number uint64 // 0: the table
 	err    error
 }
@@ -93,12 +93,12 @@
 	for name := range o.Peers {
 		names = append(names, name)
 	}
-	if a, b := replica.Collide(names); a != "" {
+	if a, b := replica.NameCollision(names); a != "" {
 		return nil, fmt.Errorf("replicas: %q and %q may not be names among the same daemons: give one another", a, b)
 	}
 	return &Server{
-		o: o, log: logger, inbox: make(chan func(time.Duration), mostInbox), saved: make(chan saved, 1), changed: make(chan struct{}, 1),
-		peers: map[string]*line{}, waits: map[uint64]func([]byte, error){},
+		opts: o, log: logger, events: make(chan func(time.Duration), maxQueuedEvents), writeDone: make(chan writeResult, 1), changed: make(chan struct{}, 1),
+		peers: map[string]*link{}, proposals: map[uint64]func([]byte, error){},
 	}, nil
 }
 
@@ -116,14 +116,14 @@
 		return
 	}
 	ctx, s.cancel = context.WithCancel(ctx)
-	s.ended = make(chan struct{})
-	go s.run(ctx, s.ended)
+	s.stopped = make(chan struct{})
+	go s.run(ctx, s.stopped)
 }
 
 // Close ends it. The store is free once it has returned.
 func (s *Server) Close() {
 	s.mu.Lock()
-	cancel, ended := s.cancel, s.ended
+	cancel, ended := s.cancel, s.stopped
 	s.cancel = nil
 	s.mu.Unlock()
 	if cancel != nil {
@@ -138,17 +138,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.node != nil {
-		s.node.Yield(Now())
+		s.node.StepDown(Now())
 	}
 }
 
 // Groups is their number, as the file says.
-func (s *Server) Groups() uint32 { return s.o.Groups }
+func (s *Server) Groups() uint32 { return s.opts.Groups }
 
 // Changed tells of changes.
 func (s *Server) Changed() <-chan struct{} { return s.changed }
 
-func (s *Server) change() {
+func (s *Server) notifyChanged() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
@@ -176,15 +176,15 @@
 	if s.node == nil {
 		return 0, 0, false
 	}
-	return s.node.Lead(Now(), group)
+	return s.node.Lease(Now(), group)
 }
 
 // Propose has a command taken in, by whichever daemon acts for the group. It tries until the context ends while nobody
 // does.
 func (s *Server) Propose(ctx context.Context, group uint32, machine byte, cmd []byte) ([]byte, error) {
 	cmd = append([]byte{machine}, cmd...)
-	at := wall()
-	for wait := retryFirst; ; wait = min(retryMost, 2*wait) {
+	at := wallClock()
+	for wait := retryMinDelay; ; wait = min(retryMaxDelay, 2*wait) {
 		result, err := s.propose(ctx, group, at, cmd)
 		if err == nil || !errors.Is(err, replica.ErrNoLeader) {
 			return result, err
@@ -203,10 +203,10 @@
 func (s *Server) propose(ctx context.Context, group uint32, at time.Duration, cmd []byte) ([]byte, error) {
 	done := make(chan answer, 1)
 	f := func(now time.Duration) {
-		s.take(now, group, at, cmd, true, func(r []byte, err error) { done <- answer{r, err} })
+		s.proposeOrForward(now, group, at, cmd, true, func(r []byte, err error) { done <- answer{r, err} })
 	}
 	select {
-	case s.inbox <- f:
+	case s.events <- f:
 	case <-ctx.Done():
 		return nil, replica.ErrNoLeader
 	}
@@ -223,9 +223,9 @@
 	err    error
 }
 
-// take proposes, or passes on to who leads. done is called once, from the loop or a line; it must not block.
-func (s *Server) take(now time.Duration, group uint32, at time.Duration, cmd []byte, pass bool, done func([]byte, error)) {
-	if group >= s.o.Groups {
+// proposeOrForward proposes, or passes on to who leads. done is called once, from the loop or a line; it must not block.
+func (s *Server) proposeOrForward(now time.Duration, group uint32, at time.Duration, cmd []byte, pass bool, done func([]byte, error)) {
+	if group >= s.opts.Groups {
 		done(nil, replica.ErrNoGroup)
 		return
 	}
@@ -235,18 +235,18 @@
 	}
 	// The clock is read again after the state: this process may have stood still in between.
 	if result, until, ok := s.node.Read(now, group, cmd); ok && Now() < until {
-		s.counts.read++
+		s.counters.read++
 		done(result, nil)
 		return
 	}
 	ref, err := s.node.Propose(now, group, at, cmd)
 	switch {
 	case err == nil:
-		s.counts.proposed++
-		s.waits[ref] = done
+		s.counters.proposed++
+		s.proposals[ref] = done
 	case errors.Is(err, replica.ErrNoLeader) && pass:
 		if l := s.peers[s.node.Leader(group)]; l != nil {
-			s.counts.forwarded++
+			s.counters.forwarded++
 			l.propose(group, at, cmd, done)
 			return
 		}
@@ -256,10 +256,10 @@
 	}
 }
 
-// event has the loop do something; false: it has ended, or ctx has.
-func (s *Server) event(ctx context.Context, f func(now time.Duration)) bool {
+// enqueue has the loop do something; false: it has ended, or ctx has.
+func (s *Server) enqueue(ctx context.Context, f func(now time.Duration)) bool {
 	select {
-	case s.inbox <- f:
+	case s.events <- f:
 		return true
 	case <-ctx.Done():
 		return false
@@ -269,8 +269,8 @@
 // run is the loop.
 func (s *Server) run(ctx context.Context, ended chan struct{}) {
 	defer close(ended)
-	for !s.open() {
-		t := time.NewTimer(openEach)
+	for !s.openStore() {
+		t := time.NewTimer(openRetryInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -279,25 +279,25 @@
 		}
 	}
 	s.mu.Lock()
-	s.lines = ctx
-	for name, at := range s.o.Peers {
-		s.meet(ctx, name, at)
+	s.linkCtx = ctx
+	for name, at := range s.opts.Peers {
+		s.connect(ctx, name, at)
 	}
 	s.mu.Unlock()
-	every := time.NewTicker(tickEach)
+	every := time.NewTicker(tickInterval)
 	defer every.Stop()
-	told := Now() - foundEach
+	told := Now() - bootstrapInterval
 	for {
 		var first func(time.Duration)
-		var end *saved
+		var end *writeResult
 		ticked := false
 		select {
 		case <-ctx.Done():
-			s.shut()
+			s.shutDown()
 			return
-		case f := <-s.inbox:
+		case f := <-s.events:
 			first = f
-		case e := <-s.saved:
+		case e := <-s.writeDone:
 			end = &e
 		case <-every.C:
 			ticked = true
@@ -307,49 +307,49 @@
 		if first != nil {
 			first(now)
 		}
-		for range mostPass {
-			if len(s.inbox) == 0 {
+		for range maxEventsPerPass {
+			if len(s.events) == 0 {
 				break
 			}
-			(<-s.inbox)(now)
+			(<-s.events)(now)
 		}
 		if end != nil {
-			s.save(now, *end)
+			s.finishWrite(now, *end)
 		}
 		if s.node != nil {
 			s.node.Tick(now)
 		}
-		if now-told >= foundEach {
+		if now-told >= bootstrapInterval {
 			told = now
-			s.tell()
+			s.sendBootstrap()
 		}
 		if ticked {
-			s.strand()
+			s.abandonForwards()
 		}
-		s.work(now)
+		s.doWork(now)
 		s.mu.Unlock()
 	}
 }
 
-// open reads the store; false: it is not free, or cannot be read now.
-func (s *Server) open() bool {
-	st, groups, refused, err := openStore(s.o.Dir, s.o.Self)
+// openStore reads the store; false: it is not free, or cannot be read now.
+func (s *Server) openStore() bool {
+	st, groups, refused, err := openStore(s.opts.Dir, s.opts.Self)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
 		if text := err.Error(); text != s.fault {
 			s.fault = text
-			s.log.Warn("replicas: store not open", "dir", s.o.Dir, "err", err)
+			s.log.Warn("replicas: store not open", "dir", s.opts.Dir, "err", err)
 		}
 		return false
 	}
 	if refused != "" {
-		s.counts.retired++
+		s.counters.retired++
 		s.refused = refused
 		s.log.Error("replicas: the store cannot be vouched for; this daemon is a new member from now on", "why", refused)
 	}
 	s.fault, s.store = "", st
-	if t := st.meta.Table; t != nil && st.meta.Active && s.o.Repair > t.Generation {
+	if t := st.meta.Table; t != nil && st.meta.Active && s.opts.Repair > t.Generation {
 		if groups, err = s.repair(groups); err != nil {
 			s.fault = err.Error()
 			s.log.Error("replicas: not repaired", "err", err)
@@ -358,29 +358,29 @@
 		st = s.store
 	}
 	var names []string
-	for name := range s.o.Peers {
+	for name := range s.opts.Peers {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	s.founder = replica.NewFounder(st.meta.Member, names, s.o.Groups, s.o.Copies, st.meta.Table, st.meta.Active)
-	s.keep(s.founder.Begin())
-	s.begin(groups)
+	s.bootstrapper = replica.NewBootstrapper(st.meta.Member, names, s.opts.Groups, s.opts.Copies, st.meta.Table, st.meta.Active)
+	s.storeTable(s.bootstrapper.Start())
+	s.startNode(groups)
 	return true
 }
 
 // repair gives up a majority that is lost.
 func (s *Server) repair(groups map[uint32]replica.Stored) (map[uint32]replica.Stored, error) {
-	if !slices.Contains(s.o.Survivors, s.o.Self.Name) {
+	if !slices.Contains(s.opts.Survivors, s.opts.Self.Name) {
 		s.store.close()
-		if err := putAside(s.o.Dir); err != nil {
+		if err := setAside(s.opts.Dir); err != nil {
 			return nil, err
 		}
-		st, err := makeStore(s.o.Dir, s.o.Self)
+		st, err := createStore(s.opts.Dir, s.opts.Self)
 		s.store, s.refused = st, "this daemon is none of the survivors"
 		return nil, err
 	}
-	t := s.store.meta.Table.Repaired(s.o.Repair)
-	w, err := replica.Repair(replica.Config{Self: s.store.meta.Member, Table: t, Machines: s.o.Machines}, groups, s.o.Survivors, s.store.last.written+1)
+	t := s.store.meta.Table.Repaired(s.opts.Repair)
+	w, err := replica.Repair(replica.Config{Self: s.store.meta.Member, Table: t, Machines: s.opts.Machines}, groups, s.opts.Survivors, s.store.lastBatch.written+1)
 	if err != nil {
 		return nil, err
 	}
@@ -388,158 +388,158 @@
 		return nil, err
 	}
 	s.store.meta.Table = &t
-	if err := s.store.update(); err != nil {
+	if err := s.store.writeMeta(); err != nil {
 		return nil, err
 	}
 	for _, p := range w.Groups {
 		if delete(groups, p.Group); !p.Drop {
-			groups[p.Group] = replica.Stored{Hard: p.Hard, Snapshot: p.Snapshot}
+			groups[p.Group] = replica.Stored{HardState: p.HardState, Snapshot: p.Snapshot}
 		}
 	}
 	s.log.Warn("replicas: a lost majority is given up", "generation", t.Generation, "groups", len(w.Groups))
 	return groups, nil
 }
 
-// keep has a table last.
-func (s *Server) keep(t *replica.Table) {
+// storeTable has a table last.
+func (s *Server) storeTable(t *replica.Table) {
 	if t == nil || s.store == nil {
 		return
 	}
 	s.store.meta.Table = t
-	if err := s.store.update(); err != nil {
-		s.fail(err)
+	if err := s.store.writeMeta(); err != nil {
+		s.storeFailed(err)
 		return
 	}
-	s.founder.Stored()
+	s.bootstrapper.TableStored()
 }
 
-// begin makes the node, once all know what they begin with.
-func (s *Server) begin(groups map[uint32]replica.Stored) {
-	t, ok := s.founder.Active()
+// startNode makes the node, once all know what they begin with.
+func (s *Server) startNode(groups map[uint32]replica.Stored) {
+	t, ok := s.bootstrapper.Active()
 	if !ok || s.node != nil || s.fault != "" {
 		return
 	}
 	fresh := s.store.meta.Starts == 1
 	if !s.store.meta.Active {
 		s.store.meta.Active = true
-		if err := s.store.update(); err != nil {
-			s.fail(err)
+		if err := s.store.writeMeta(); err != nil {
+			s.storeFailed(err)
 			return
 		}
 	}
 	node, err := replica.New(replica.Config{
-		Self: s.store.meta.Member, Table: t, Boot: uint64(rand.Uint32()), Machines: s.o.Machines, Gone: s.o.Gone,
-		Written: s.store.last.written, Known: s.store.meta.Known, New: fresh,
+		Self: s.store.meta.Member, Table: t, Boot: uint64(rand.Uint32()), Machines: s.opts.Machines, RelocateAfter: s.opts.Gone,
+		Written: s.store.lastBatch.written, Known: s.store.meta.Known, NewStore: fresh,
 	}, Now(), groups)
 	if err != nil {
 		s.fault = err.Error()
 		s.log.Error("replicas: not begun", "err", err)
 		return
 	}
-	if t.Groups != s.o.Groups {
-		s.log.Warn("replicas: the number of groups cannot be changed", "file", s.o.Groups, "groups", t.Groups)
+	if t.Groups != s.opts.Groups {
+		s.log.Warn("replicas: the number of groups cannot be changed", "file", s.opts.Groups, "groups", t.Groups)
 	}
 	for name := range s.peers {
-		node.Meet(name)
+		node.AddPeer(name)
 	}
 	s.node = node
-	s.table.Store(t.Mark())
-	s.change()
+	s.table.Store(t.Fingerprint())
+	s.notifyChanged()
 	s.log.Info("replicas: held", "groups", len(node.Status()), "incarnation", fmt.Sprintf("%08x", s.store.meta.Member.Incarnation))
 }
 
-// strand gives up what was passed on to daemons that lead no more: one that stands still does not say so, and who waits
+// abandonForwards gives up what was passed on to daemons that lead no more: one that stands still does not say so, and who waits
 // for it could long have asked its successor.
-func (s *Server) strand() {
+func (s *Server) abandonForwards() {
 	if s.node == nil {
 		return
 	}
 	for name, l := range s.peers {
-		l.strand(func(group uint32) bool { return s.node.Leader(group) == name })
+		l.abandonForwards(func(group uint32) bool { return s.node.Leader(group) == name })
 	}
 }
 
-// tell tells those who have not begun.
-func (s *Server) tell() {
-	if s.founder == nil || s.node != nil || s.store == nil {
+// sendBootstrap tells those who have not begun.
+func (s *Server) sendBootstrap() {
+	if s.bootstrapper == nil || s.node != nil || s.store == nil {
 		return
 	}
 	for _, l := range s.peers {
-		l.found(foundOut(s.founder.Tell()))
+		l.sendBootstrap(bootstrapToProto(s.bootstrapper.Message()))
 	}
 }
 
-// founding takes what one tells who may not have begun.
-func (s *Server) founding(f *replicav1.Found) {
-	if s.founder == nil || s.store == nil || s.fault != "" {
+// handleBootstrap takes what one tells who may not have begun.
+func (s *Server) handleBootstrap(f *replicav1.Found) {
+	if s.bootstrapper == nil || s.store == nil || s.fault != "" {
 		return
 	}
-	in := foundIn(f)
-	if s.founder.Outdated(in) {
+	in := bootstrapFromProto(f)
+	if s.bootstrapper.Outdated(in) {
 		s.retire("the record was repaired without this daemon")
 		return
 	}
-	t, conflict := s.founder.Heard(in)
+	t, conflict := s.bootstrapper.Receive(in)
 	if conflict != "" && s.fault == "" {
 		s.log.Error("replicas: " + conflict)
 	}
-	s.keep(t)
+	s.storeTable(t)
 	if l := s.peers[in.Member.Name]; l != nil && s.node != nil && (!in.Active || in.Table != nil && in.Table.Generation < s.store.meta.Table.Generation) {
-		l.found(foundOut(s.founder.Tell()))
+		l.sendBootstrap(bootstrapToProto(s.bootstrapper.Message()))
 	}
-	s.begin(nil)
+	s.startNode(nil)
 }
 
-// stranger answers one who speaks of another record, or of this one as before a repair.
-func (s *Server) stranger(name string) {
+// answerOtherTable answers one who speaks of another record, or of this one as before a repair.
+func (s *Server) answerOtherTable(name string) {
 	if l := s.peers[name]; l != nil && s.node != nil {
-		l.found(foundOut(s.founder.Tell()))
+		l.sendBootstrap(bootstrapToProto(s.bootstrapper.Message()))
 	}
 }
 
-// meet begins the line to another daemon.
-func (s *Server) meet(ctx context.Context, name, address string) {
-	if s.peers[name] != nil || name == s.o.Self.Name || len(s.peers) >= mostDaemon {
+// connect begins the line to another daemon.
+func (s *Server) connect(ctx context.Context, name, address string) {
+	if s.peers[name] != nil || name == s.opts.Self.Name || len(s.peers) >= maxPeers {
 		return
 	}
-	at := cmp.Or(s.o.Through[name], s.o.Peers[name], address)
+	at := cmp.Or(s.opts.Through[name], s.opts.Peers[name], address)
 	if at == "" {
 		return
 	}
-	l := newLine(s, name, at)
+	l := newLink(s, name, at)
 	s.peers[name] = l
 	if s.node != nil {
-		s.node.Meet(name)
+		s.node.AddPeer(name)
 	}
 	go l.run(ctx)
 }
 
-// work does what the node has come up with.
-func (s *Server) work(now time.Duration) {
+// doWork does what the node has come up with.
+func (s *Server) doWork(now time.Duration) {
 	if s.node == nil {
 		return
 	}
-	w := s.node.Did(now)
-	var told *replica.Beat
+	w := s.node.TakeWork(now)
+	var told *replica.DaemonHeartbeat
 	var beat *replicav1.Beat
 	for _, m := range w.Sends {
 		l := s.peers[m.To]
 		switch {
 		case l == nil:
-		case m.Beat != nil:
-			if m.Beat != told {
-				told, beat = m.Beat, beatOut(m.Beat)
+		case m.Heartbeat != nil:
+			if m.Heartbeat != told {
+				told, beat = m.Heartbeat, heartbeatToProto(m.Heartbeat)
 			}
-			l.beat(beat, m.Pair)
-		case m.Calm != nil:
-			l.calm(*m.Calm)
+			l.sendHeartbeat(beat, m.Ack)
+		case m.Hibernation != nil:
+			l.sendHibernation(*m.Hibernation)
 		default:
 			l.send(m.Group, m.Raft)
 		}
 	}
 	for _, r := range w.Results {
-		if done := s.waits[r.Ref]; done != nil {
-			delete(s.waits, r.Ref)
+		if done := s.proposals[r.Ref]; done != nil {
+			delete(s.proposals, r.Ref)
 			done(r.Result, r.Err)
 		}
 	}
@@ -547,7 +547,7 @@
 		s.log.Error("replicas: " + n)
 	}
 	if w.Changed {
-		s.change()
+		s.notifyChanged()
 	}
 	if w.Retire != "" {
 		s.retire(w.Retire)
@@ -555,18 +555,18 @@
 	}
 	if w.Write != nil {
 		st := s.store
-		s.saving = true
+		s.writing = true
 		go func() { // one at a time: the node gives no other before this one's end
-			s.saved <- saved{w.Write.Number, st.save(w.Write)}
+			s.writeDone <- writeResult{w.Write.Number, st.save(w.Write)}
 		}()
 	}
 }
 
-// save takes the end of a write.
-func (s *Server) save(now time.Duration, e saved) {
-	s.saving = false
+// finishWrite takes the end of a write.
+func (s *Server) finishWrite(now time.Duration, e writeResult) {
+	s.writing = false
 	if e.err != nil {
-		s.fail(e.err)
+		s.storeFailed(e.err)
 		return
 	}
 	if s.node != nil {
@@ -574,37 +574,37 @@
 	}
 }
 
-// fail takes that the disk may not have taken what it was given: nothing is confirmed from here until the next start.
-func (s *Server) fail(err error) {
+// storeFailed takes that the disk may not have taken what it was given: nothing is confirmed from here until the next start.
+func (s *Server) storeFailed(err error) {
 	s.fault = err.Error()
-	s.store.doubt(err)
+	s.store.markSuspect(err)
 	s.log.Error("replicas: the store takes no more; this daemon neither votes nor acts until it is started anew", "err", err)
 	if s.node != nil {
-		s.node.Failed(err)
+		s.node.WriteFailed(err)
 	}
 }
 
 // retire has this daemon begin anew as another member.
 func (s *Server) retire(why string) {
 	s.log.Error("replicas: the store cannot be vouched for; this daemon is a new member from now on", "why", why)
-	if s.saving {
-		<-s.saved
-		s.saving = false
+	if s.writing {
+		<-s.writeDone
+		s.writing = false
 	}
 	s.store.close()
 	for _, l := range s.peers {
-		l.forget()
+		l.clearQueue()
 	}
-	s.node, s.founder, s.store = nil, nil, nil
+	s.node, s.bootstrapper, s.store = nil, nil, nil
 	s.table.Store(0)
-	s.counts.retired++
+	s.counters.retired++
 	s.refused = why
-	if err := putAside(s.o.Dir); err != nil {
+	if err := setAside(s.opts.Dir); err != nil {
 		s.fault = err.Error()
 		s.log.Error("replicas: the store is not put aside", "err", err)
 		return
 	}
-	st, err := makeStore(s.o.Dir, s.o.Self)
+	st, err := createStore(s.opts.Dir, s.opts.Self)
 	if err != nil {
 		s.fault = err.Error()
 		s.log.Error("replicas: no new store", "err", err)
@@ -612,31 +612,31 @@
 	}
 	s.store = st
 	// Others have begun, so it waits for their table and never founds one.
-	s.founder = replica.NewFounder(st.meta.Member, []string{""}, s.o.Groups, s.o.Copies, nil, false)
+	s.bootstrapper = replica.NewBootstrapper(st.meta.Member, []string{""}, s.opts.Groups, s.opts.Copies, nil, false)
 }
 
-// shut ends the loop.
-func (s *Server) shut() {
+// shutDown ends the loop.
+func (s *Server) shutDown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.saving {
-		<-s.saved
-		s.saving = false
+	if s.writing {
+		<-s.writeDone
+		s.writing = false
 	}
-	for ref, done := range s.waits {
-		delete(s.waits, ref)
+	for ref, done := range s.proposals {
+		delete(s.proposals, ref)
 		done(nil, replica.ErrUnknown)
 	}
-	for len(s.inbox) > 0 {
-		(<-s.inbox)(Now())
+	for len(s.events) > 0 {
+		(<-s.events)(Now())
 	}
 	if s.store != nil {
 		s.store.close()
 	}
-	s.node, s.founder, s.store, s.lines = nil, nil, nil, nil
+	s.node, s.bootstrapper, s.store, s.linkCtx = nil, nil, nil, nil
 	clear(s.peers)
 	s.table.Store(0)
-	s.change()
+	s.notifyChanged()
 }
 
 // Exchange takes another daemon's line.
@@ -647,25 +647,25 @@
 	}
 	hello := first.GetHello()
 	switch {
-	case hello == nil || hello.Name == "" || len(hello.Name) > mostName:
+	case hello == nil || hello.Name == "" || len(hello.Name) > maxNameLength:
 		return status.Error(codes.InvalidArgument, "the first message must have a hello")
 	case hello.Version != version:
 		return status.Errorf(codes.FailedPrecondition, "version %d of the protocol is not spoken here, %d is", hello.Version, version)
 	}
-	life := s.heldFor(hello)
+	life := s.linkContext(hello)
 	if life == nil {
 		return status.Error(codes.Unavailable, "no replicas are held by this process")
 	}
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	in := &ear{s: s, name: hello.Name, out: make(chan *replicav1.Answer, mostAnswers)}
+	in := &inbound{server: s, name: hello.Name, answers: make(chan *replicav1.Answer, maxQueuedAnswers)}
 	ends := make(chan error, 2)
 	heard := make(chan struct{}, 1)
-	go func() { ends <- in.answer(ctx, stream, heard) }()
+	go func() { ends <- in.sendAnswers(ctx, stream, heard) }()
 	go func() {
 		err := error(nil)
 		for m := first; err == nil; {
-			if err = in.take(ctx, m); err == nil {
+			if err = in.receive(ctx, m); err == nil {
 				select {
 				case heard <- struct{}{}:
 				default:
@@ -683,16 +683,16 @@
 	}
 }
 
-// heldFor is for how long this process has the store, nil: it has not. It learns the address of a caller that the file
+// linkContext is for how long this process has the store, nil: it has not. It learns the address of a caller that the file
 // lacks.
-func (s *Server) heldFor(h *replicav1.Hello) context.Context {
+func (s *Server) linkContext(h *replicav1.Hello) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.store == nil || s.lines == nil {
+	if s.store == nil || s.linkCtx == nil {
 		return nil
 	}
-	s.meet(s.lines, h.GetName(), h.GetAddress())
-	return s.lines
+	s.connect(s.linkCtx, h.GetName(), h.GetAddress())
+	return s.linkCtx
 }
 
 // Standing is how things stand, for operators.
@@ -709,14 +709,14 @@
 func (s *Server) Standing() (v Standing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v.Fault, v.Refused, v.Member = s.fault, s.refused, s.o.Self
+	v.Fault, v.Refused, v.Member = s.fault, s.refused, s.opts.Self
 	if s.store != nil {
 		v.Member = s.store.meta.Member
 	}
 	if s.node != nil {
 		v.Table, v.Groups = fmt.Sprintf("%016x", s.table.Load()), s.node.Status()
-	} else if s.founder != nil {
-		v.Missing = s.founder.Missing()
+	} else if s.bootstrapper != nil {
+		v.Missing = s.bootstrapper.Missing()
 	}
 	return v
 }
@@ -727,7 +727,7 @@
 	defer s.mu.Unlock()
 	groups, leads, halted, written, faulty := 0, 0, 0, uint64(0), 0
 	if s.node != nil {
-		groups, leads, halted, written = s.node.Counts(Now())
+		groups, leads, halted, written = s.node.Counters(Now())
 	}
 	if s.fault != "" {
 		faulty = 1
@@ -737,5 +737,5 @@
 		writes = s.store.writes.Load()
 	}
 	return fmt.Sprintf("proxy.replicas.groups=%d\nproxy.replicas.leads=%d\nproxy.replicas.halted=%d\nproxy.replicas.written=%d\nproxy.replicas.writes=%d\nproxy.replicas.fault=%d\nproxy.replicas.retired=%d\nproxy.replicas.proposed=%d\nproxy.replicas.forwarded=%d\nproxy.replicas.read=%d\n",
-		groups, leads, halted, written, writes, faulty, s.counts.retired, s.counts.proposed, s.counts.forwarded, s.counts.read)
+		groups, leads, halted, written, writes, faulty, s.counters.retired, s.counters.proposed, s.counters.forwarded, s.counters.read)
 }
--- a/internal/net/replicas/server_test.go
+++ b/internal/net/replicas/server_test.go
@@ -21,38 +21,41 @@
 	"caperrelay/internal/replica"
 )
 
-// list is a machine that keeps what it is told.
-type list struct {
+// recordingMachine is a machine that keeps what it is told.
+type recordingMachine struct {
 	Lines []string `json:"Lines"`
 }
 
-func (l *list) Apply(_ uint64, _ time.Duration, cmd []byte) []byte {
+func (l *recordingMachine) Apply(_ uint64, _ time.Duration, cmd []byte) []byte {
 	l.Lines = append(l.Lines, string(cmd))
 	return fmt.Append(nil, len(l.Lines))
 }
-func (l *list) Snapshot() ([]byte, error) { return json.Marshal(l) }
-func (l *list) Restore(text []byte) error { *l = list{}; return json.Unmarshal(text, l) }
+func (l *recordingMachine) Snapshot() ([]byte, error) { return json.Marshal(l) }
+func (l *recordingMachine) Restore(text []byte) error {
+	*l = recordingMachine{}
+	return json.Unmarshal(text, l)
+}
 
-func (l *list) Read(cmd []byte) ([]byte, bool) {
+func (l *recordingMachine) Read(cmd []byte) ([]byte, bool) {
 	return fmt.Append(nil, len(l.Lines)), string(cmd) == "?"
 }
 
-// town is daemons in one process, each with a listener and a folder.
-type town struct {
+// cluster is daemons in one process, each with a listener and a folder.
+type cluster struct {
 	testing.TB
-	groups uint32
-	hosts  []*Server
-	repair func(*Options)
-	at     []net.Listener
-	dirs   []string
+	groups    uint32
+	hosts     []*Server
+	repair    func(*Options)
+	listeners []net.Listener
+	dirs      []string
 }
 
-func newTown(t testing.TB, n int, groups uint32) *town {
-	w := &town{TB: t, groups: groups, hosts: make([]*Server, n)}
+func newCluster(t testing.TB, n int, groups uint32) *cluster {
+	w := &cluster{TB: t, groups: groups, hosts: make([]*Server, n)}
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		w.at = append(w.at, l)
+		w.listeners = append(w.listeners, l)
 		w.dirs = append(w.dirs, t.TempDir())
 	}
 	for i := range n {
@@ -63,10 +66,10 @@
 }
 
 // serve has a listener pass calls on to whichever host is open behind it.
-func (w *town) serve(i int) {
+func (w *cluster) serve(i int) {
 	g := grpc.NewServer()
 	peers := map[string]string{}
-	for j, l := range w.at {
+	for j, l := range w.listeners {
 		if j != i {
 			peers[fmt.Sprint("n", j)] = l.Addr().String()
 		}
@@ -74,7 +77,7 @@
 	self := replica.Member{Name: fmt.Sprint("n", i), Machine: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i)}
 	o := Options{
 		Self: self, Dir: w.dirs[i], Peers: peers, Groups: w.groups, Copies: 3,
-		Machines: func(uint32) replica.Mux { return replica.Mux{0: &list{}} },
+		Machines: func(uint32) replica.Mux { return replica.Mux{0: &recordingMachine{}} },
 	}
 	if w.repair != nil {
 		w.repair(&o)
@@ -83,23 +86,23 @@
 	require.NoError(w, err)
 	s.Register(g)
 	w.hosts[i] = s
-	go g.Serve(w.at[i])
+	go g.Serve(w.listeners[i])
 	w.Cleanup(g.Stop)
 }
 
-func (w *town) open(i int) {
+func (w *cluster) open(i int) {
 	w.hosts[i].Open(context.Background())
 	w.Cleanup(w.hosts[i].Close)
 }
 
 // await looks again and again until something holds.
-func (w *town) await(what string, holds func() bool) {
+func (w *cluster) await(what string, holds func() bool) {
 	w.Helper()
 	require.Eventually(w, holds, 40*time.Second, 10*time.Millisecond, what)
 }
 
 // propose tells a command until it is known to be taken in; it may be there twice.
-func (w *town) propose(i int, group uint32, cmd string) {
+func (w *cluster) propose(i int, group uint32, cmd string) {
 	w.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
@@ -110,14 +113,14 @@
 	require.NoError(w, err)
 }
 
-func (w *town) lines(i int, group uint32) (out []string) {
-	w.hosts[i].View(group, 0, func(m replica.Machine) { out = slices.Clone(m.(*list).Lines) })
+func (w *cluster) lines(i int, group uint32) (out []string) {
+	w.hosts[i].View(group, 0, func(m replica.Machine) { out = slices.Clone(m.(*recordingMachine).Lines) })
 	return slices.Compact(out)
 }
 
 // Three daemons found their groups; a command told to any is taken in by all, and by who was away.
 func TestCommandsReachAll(t *testing.T) {
-	w := newTown(t, 3, 4)
+	w := newCluster(t, 3, 4)
 	for i := range 3 {
 		w.propose(i, 1, fmt.Sprint("c", i))
 	}
@@ -134,8 +137,8 @@
 
 // One byte of a store's file is not what it was. Wherever it is, its daemon never speaks by that store again unless
 // every record of it is as it was written, and comes back as another member, who learns all of it.
-func TestFlippedBit(t *testing.T) {
-	w := newTown(t, 3, 2)
+func TestBitFlipMakesNewMember(t *testing.T) {
+	w := newCluster(t, 3, 2)
 	for i := range 20 {
 		w.propose(0, 1, fmt.Sprint("told-", i))
 	}
@@ -176,15 +179,15 @@
 }
 
 // A store that is empty, cut off, another daemon's, or an old copy: none is spoken by.
-func TestStoresThatAreRefused(t *testing.T) {
+func TestUnusableStoresAreRefused(t *testing.T) {
 	self := replica.Member{Name: "n1", Machine: "m", Zone: "z"}
 	whole := func(dir string) []byte {
 		s, _, refused, err := openStore(dir, self)
 		require.NoError(t, err)
 		require.Empty(t, refused)
-		begun, _ := replica.Begin(replica.Table{Groups: 1, Copies: 1, Members: []replica.Member{s.meta.Member}}, 0, s.meta.Member)
+		begun, _ := replica.InitialState(replica.Table{Groups: 1, Copies: 1, Members: []replica.Member{s.meta.Member}}, 0, s.meta.Member)
 		for i := range 50 {
-			require.NoError(t, s.save(&replica.Write{Number: uint64(i + 1), Groups: []replica.GroupWrite{{Group: 0, Hard: begun.Hard, Snapshot: begun.Snapshot}}}))
+			require.NoError(t, s.save(&replica.Write{Number: uint64(i + 1), Groups: []replica.GroupWrite{{Group: 0, HardState: begun.HardState, Snapshot: begun.Snapshot}}}))
 		}
 		s.close()
 		text, err := os.ReadFile(filepath.Join(dir, storeFile))
@@ -194,7 +197,7 @@
 	for what, spoil := range map[string]func(dir string, text []byte) []byte{
 		"empty":     func(string, []byte) []byte { return []byte("x") },
 		"cut off":   func(_ string, text []byte) []byte { return text[:8192] },
-		"doubtful":  func(dir string, text []byte) []byte { (&store{dir: dir}).doubt(os.ErrInvalid); return text },
+		"doubtful":  func(dir string, text []byte) []byte { (&store{dir: dir}).markSuspect(os.ErrInvalid); return text },
 		"another's": func(_ string, text []byte) []byte { return text },
 	} {
 		t.Run(what, func(t *testing.T) {
@@ -203,7 +206,7 @@
 			first, _, refused, err := openStore(dir, self)
 			require.NoError(t, err)
 			require.Empty(t, refused, "it is whole")
-			require.EqualValues(t, 50, first.last.written)
+			require.EqualValues(t, 50, first.lastBatch.written)
 			first.close()
 			require.NoError(t, os.WriteFile(filepath.Join(dir, storeFile), spoil(dir, text), 0o600))
 			who := self
@@ -224,14 +227,14 @@
 	require.NoError(t, err)
 	defer s.close()
 	_, _, _, err = openStore(dir, self)
-	require.ErrorIs(t, err, errTaken, "a process that takes over waits")
+	require.ErrorIs(t, err, errLocked, "a process that takes over waits")
 	require.True(t, strings.Contains(err.Error(), "another process"))
 }
 
 // Two of three daemons are lost, and the third goes on alone with all that was told. Then the lost ones come back, with
 // their disks: together they are the old majority, but nobody listens to them, and they come to the record anew.
-func TestRepairFencesTheOld(t *testing.T) {
-	w := newTown(t, 3, 3)
+func TestRepairFencesOldMajority(t *testing.T) {
+	w := newCluster(t, 3, 3)
 	for i := range 6 {
 		w.propose(i%3, 1+uint32(i%2), fmt.Sprint("c", i))
 	}
@@ -241,10 +244,10 @@
 		old[fmt.Sprint(w.hosts[i].Standing().Member)] = true
 		w.hosts[i].Close()
 	}
-	w.at[0].Close()
-	at, err := net.Listen("tcp", w.at[0].Addr().String())
+	w.listeners[0].Close()
+	at, err := net.Listen("tcp", w.listeners[0].Addr().String())
 	require.NoError(t, err)
-	w.at[0] = at
+	w.listeners[0] = at
 	w.repair = func(o *Options) { o.Repair, o.Survivors = 1, []string{"n0"} }
 	w.serve(0)
 	w.open(0)
@@ -280,8 +283,8 @@
 }
 
 // A disk fails under a daemon: it confirms nothing more, the others go on, and at its next start it is somebody else.
-func TestDiskThatFails(t *testing.T) {
-	w := newTown(t, 3, 2)
+func TestFailingDisk(t *testing.T) {
+	w := newCluster(t, 3, 2)
 	w.propose(0, 1, "c0")
 	w.await("n2 has it", func() bool { return len(w.lines(2, 1)) == 1 })
 	before := w.hosts[2].Standing().Member
@@ -305,9 +308,9 @@
 
 // The leader stands still with what was passed on to it, though its connections live: who waits is not held up until
 // the leader wakes.
-func TestPassedOnToOneThatStandsStill(t *testing.T) {
-	w := newTown(t, 3, 2)
-	w.led()
+func TestForwardToStalledLeader(t *testing.T) {
+	w := newCluster(t, 3, 2)
+	w.awaitLeaders()
 	leader := slices.IndexFunc(w.hosts, func(s *Server) bool { _, _, ok := s.Lead(1); return ok })
 	other := (leader + 1) % 3
 	w.propose(other, 1, "before")
@@ -318,9 +321,9 @@
 }
 
 // What only reads is answered by who acts, without a command, also where it was passed on; it sees all that was confirmed.
-func TestReadsCostNoCommand(t *testing.T) {
-	w := newTown(t, 3, 2)
-	w.led()
+func TestReadsDoNotUseLog(t *testing.T) {
+	w := newCluster(t, 3, 2)
+	w.awaitLeaders()
 	for n := 1; n <= 20; n++ {
 		w.propose(n%3, 1, fmt.Sprint("c", n))
 		at := (n + 1) % 3
@@ -336,9 +339,9 @@
 }
 
 // A daemon that is about to end hands over while it is still there.
-func TestYieldHandsOver(t *testing.T) {
-	w := newTown(t, 3, 4)
-	w.led()
+func TestStepDownTransfersLeadership(t *testing.T) {
+	w := newCluster(t, 3, 4)
+	w.awaitLeaders()
 	for i := range w.hosts {
 		w.propose(i, 1, "before")
 	}
--- a/internal/net/replicas/store.go
+++ b/internal/net/replicas/store.go
@@ -28,20 +28,20 @@
 const (
 	storeFile   = "replicas.db"
 	refusedFile = "replicas.db.refused" // the last that could not be vouched for, for people
-	doubtFile   = "doubt"               // says that the store was told to take what it may not have taken
-	lockWithin  = 50 * time.Millisecond
+	suspectFile = "doubt"               // says that the store was told to take what it may not have taken
+	lockTimeout = 50 * time.Millisecond
 )
 
 var (
-	errTaken   = errors.New("another process has the store")
-	errDamaged = errors.New("the store is damaged")
-	sums       = crc32.MakeTable(crc32.Castagnoli)
-	metaBucket = []byte("meta")
-	metaKey    = []byte("meta")
-	batchKey   = []byte("batch")
-	groupsKey  = []byte("groups")
-	hardKey    = []byte("h")
-	snapKey    = []byte("s")
+	errLocked    = errors.New("another process has the store")
+	errDamaged   = errors.New("the store is damaged")
+	crcTable     = crc32.MakeTable(crc32.Castagnoli)
+	metaBucket   = []byte("meta")
+	metaKey      = []byte("meta")
+	batchKey     = []byte("batch")
+	groupsBucket = []byte("groups")
+	hardKey      = []byte("h")
+	snapKey      = []byte("s")
 )
 
 // meta is what a store holds but for groups.
@@ -53,8 +53,8 @@
 	Known  map[uint64]uint64 `json:"known,omitempty"`
 }
 
-// batch is what changes with every one: its number and, so that one which is missing is missed, how many groups there are.
-type batch struct {
+// batchInfo is what changes with every one: its number and, so that one which is missing is missed, how many groups there are.
+type batchInfo struct {
 	written uint64
 	groups  uint32
 }
@@ -62,10 +62,10 @@
 // store is what lasts: a bbolt file, each of whose records bears a checksum over its key and itself. bbolt's own
 // checksums are of its two roots only.
 type store struct {
-	db   *bbolt.DB
-	dir  string
-	meta meta
-	last batch
+	db        *bbolt.DB
+	dir       string
+	meta      meta
+	lastBatch batchInfo
 	// writes counts batches; each is two calls of fdatasync.
 	writes atomic.Int64
 }
@@ -77,7 +77,7 @@
 		return nil, nil, "", err
 	}
 	path := filepath.Join(dir, storeFile)
-	if text, err := os.ReadFile(filepath.Join(dir, doubtFile)); err == nil {
+	if text, err := os.ReadFile(filepath.Join(dir, suspectFile)); err == nil {
 		refused = cmp.Or(string(text), "a write of it failed")
 	} else if _, err := os.Stat(path); err == nil {
 		s, groups, err = readStore(dir, self)
@@ -93,21 +93,21 @@
 		return nil, nil, "", err
 	}
 	if refused != "" {
-		if err := putAside(dir); err != nil {
+		if err := setAside(dir); err != nil {
 			return nil, nil, refused, err
 		}
 	}
-	s, err = makeStore(dir, self)
+	s, err = createStore(dir, self)
 	return s, nil, refused, err
 }
 
-// putAside has the next opening make a new store.
-func putAside(dir string) error {
+// setAside has the next opening make a new store.
+func setAside(dir string) error {
 	err := os.Rename(filepath.Join(dir, storeFile), filepath.Join(dir, refusedFile))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	if err := os.Remove(filepath.Join(dir, doubtFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.Remove(filepath.Join(dir, suspectFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
 	return syncDir(dir)
@@ -122,29 +122,29 @@
 	return d.Sync()
 }
 
-// open opens the file. bbolt reckons which pages are free, rather than believe a record without a checksum; it does so
+// openDB opens the file. bbolt reckons which pages are free, rather than believe a record without a checksum; it does so
 // on a goroutine of its own, so a file must have been read before, read-only, where its panics can be caught.
-func open(dir string, readOnly bool) (*bbolt.DB, error) {
+func openDB(dir string, readOnly bool) (*bbolt.DB, error) {
 	db, err := bbolt.Open(filepath.Join(dir, storeFile), 0o600, &bbolt.Options{
-		Timeout: lockWithin, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20, ReadOnly: readOnly,
+		Timeout: lockTimeout, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20, ReadOnly: readOnly,
 	})
 	if errors.Is(err, bolterrors.ErrTimeout) || errors.Is(err, syscall.EAGAIN) {
-		return nil, errTaken
+		return nil, errLocked
 	}
 	return db, err
 }
 
-// makeStore makes an empty one, with an incarnation of its own. It is made under another name first: half a store is
+// createStore makes an empty one, with an incarnation of its own. It is made under another name first: half a store is
 // none.
-func makeStore(dir string, self replica.Member) (*store, error) {
+func createStore(dir string, self replica.Member) (*store, error) {
 	self.Incarnation = rand.Uint32N(math.MaxUint32) + 1
-	db, err := open(dir, false)
+	db, err := openDB(dir, false)
 	if err != nil {
 		return nil, err
 	}
 	s := &store{db: db, dir: dir, meta: meta{Member: self, Starts: 1}}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		if _, err := tx.CreateBucketIfNotExists(groupsKey); err != nil {
+		if _, err := tx.CreateBucketIfNotExists(groupsBucket); err != nil {
 			return err
 		}
 		return s.putMeta(tx)
@@ -167,9 +167,9 @@
 			s, groups, err = nil, nil, fmt.Errorf("%w: %v", errDamaged, r)
 		}
 	}()
-	db, err := open(dir, true)
+	db, err := openDB(dir, true)
 	switch {
-	case errors.Is(err, errTaken) || errors.Is(err, os.ErrPermission):
+	case errors.Is(err, errLocked) || errors.Is(err, os.ErrPermission):
 		return nil, nil, err
 	case err != nil:
 		return nil, nil, fmt.Errorf("%w: %w", errDamaged, err)
@@ -181,29 +181,29 @@
 			return cmp.Or(err, fmt.Errorf("it should have %d bytes", tx.Size()))
 		}
 		b := tx.Bucket(metaBucket)
-		if b == nil || tx.Bucket(groupsKey) == nil {
+		if b == nil || tx.Bucket(groupsBucket) == nil {
 			return errors.New("it lacks its own records")
 		}
-		text, err := unseal(metaKey, b.Get(metaKey))
+		text, err := verifyChecksum(metaKey, b.Get(metaKey))
 		if err != nil {
 			return err
 		}
 		if err := json.Unmarshal(text, &s.meta); err != nil {
 			return err
 		}
-		if text, err = unseal(batchKey, b.Get(batchKey)); err != nil || len(text) != 12 {
+		if text, err = verifyChecksum(batchKey, b.Get(batchKey)); err != nil || len(text) != 12 {
 			return fmt.Errorf("its last batch: %w", cmp.Or(err, errors.New("it is cut off")))
 		}
-		s.last = batch{binary.BigEndian.Uint64(text), binary.BigEndian.Uint32(text[8:])}
-		err = tx.Bucket(groupsKey).ForEachBucket(func(k []byte) error {
-			g, err := readGroup(k, tx.Bucket(groupsKey).Bucket(k))
+		s.lastBatch = batchInfo{binary.BigEndian.Uint64(text), binary.BigEndian.Uint32(text[8:])}
+		err = tx.Bucket(groupsBucket).ForEachBucket(func(k []byte) error {
+			g, err := readGroup(k, tx.Bucket(groupsBucket).Bucket(k))
 			if err == nil {
 				groups[binary.BigEndian.Uint32(k)] = g
 			}
 			return err
 		})
-		if err == nil && len(groups) != int(s.last.groups) {
-			return fmt.Errorf("it holds %d groups, not %d", len(groups), s.last.groups)
+		if err == nil && len(groups) != int(s.lastBatch.groups) {
+			return fmt.Errorf("it holds %d groups, not %d", len(groups), s.lastBatch.groups)
 		}
 		return err
 	})
@@ -216,12 +216,12 @@
 	}
 	// It may stand elsewhere now. The write also tells a disk that takes nothing, and makes a root of bbolt last whose
 	// own sync may have failed.
-	if s.db, err = open(dir, false); err != nil {
+	if s.db, err = openDB(dir, false); err != nil {
 		return nil, nil, err
 	}
 	s.meta.Member.Machine, s.meta.Member.Zone = self.Machine, self.Zone
 	s.meta.Starts++
-	if err := s.update(); err != nil {
+	if err := s.writeMeta(); err != nil {
 		s.db.Close()
 		return nil, nil, err
 	}
@@ -235,7 +235,7 @@
 	fault := func(what string, err error) error {
 		return fmt.Errorf("group %d: %s: %w", binary.BigEndian.Uint32(k), what, err)
 	}
-	text, err := unseal(sealed(k, hardKey), b.Get(hardKey))
+	text, err := verifyChecksum(recordName(k, hardKey), b.Get(hardKey))
 	if err != nil {
 		return g, fault("its state", err)
 	}
@@ -243,13 +243,13 @@
 		return g, fault("its state", errors.New("it is cut off"))
 	}
 	last := binary.BigEndian.Uint64(text)
-	g.Hard = &pb.HardState{}
-	if err := proto.Unmarshal(text[8:], g.Hard); err != nil {
+	g.HardState = &pb.HardState{}
+	if err := proto.Unmarshal(text[8:], g.HardState); err != nil {
 		return g, fault("its state", err)
 	}
 	next := uint64(1)
 	if text := b.Get(snapKey); text != nil {
-		if text, err = unseal(sealed(k, snapKey), text); err != nil {
+		if text, err = verifyChecksum(recordName(k, snapKey), text); err != nil {
 			return g, fault("its snapshot", err)
 		}
 		g.Snapshot = &pb.Snapshot{}
@@ -260,7 +260,7 @@
 	}
 	c := b.Cursor()
 	for key, text := c.Seek(entryKey(next)); len(key) == 9; key, text = c.Next() {
-		if text, err = unseal(sealed(k, key), text); err != nil {
+		if text, err = verifyChecksum(recordName(k, key), text); err != nil {
 			return g, fault(fmt.Sprint("entry ", next), err)
 		}
 		e := &pb.Entry{}
@@ -281,20 +281,20 @@
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte{'e'}, index) }
 
-// sealed is a record's whole name.
-func sealed(group, key []byte) []byte { return append(append([]byte(nil), group...), key...) }
+// recordName is a record's whole name.
+func recordName(group, key []byte) []byte { return append(append([]byte(nil), group...), key...) }
 
-// seal puts a checksum before a record, over its name too: one that stands in another's place is found out.
-func seal(name, text []byte) []byte {
-	sum := crc32.Update(crc32.Checksum(name, sums), sums, text)
+// addChecksum puts a checksum before a record, over its name too: one that stands in another's place is found out.
+func addChecksum(name, text []byte) []byte {
+	sum := crc32.Update(crc32.Checksum(name, crcTable), crcTable, text)
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(text)), sum), text...)
 }
 
-func unseal(name, text []byte) ([]byte, error) {
+func verifyChecksum(name, text []byte) ([]byte, error) {
 	if len(text) < 4 {
 		return nil, errors.New("it is missing")
 	}
-	if crc32.Update(crc32.Checksum(name, sums), sums, text[4:]) != binary.BigEndian.Uint32(text) {
+	if crc32.Update(crc32.Checksum(name, crcTable), crcTable, text[4:]) != binary.BigEndian.Uint32(text) {
 		return nil, errors.New("its checksum does not match")
 	}
 	return append([]byte(nil), text[4:]...), nil
@@ -309,19 +309,19 @@
 	if err != nil {
 		return err
 	}
-	if err := b.Put(metaKey, seal(metaKey, text)); err != nil {
+	if err := b.Put(metaKey, addChecksum(metaKey, text)); err != nil {
 		return err
 	}
 	return s.putBatch(tx)
 }
 
 func (s *store) putBatch(tx *bbolt.Tx) error {
-	text := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, s.last.written), s.last.groups)
-	return tx.Bucket(metaBucket).Put(batchKey, seal(batchKey, text))
+	text := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, s.lastBatch.written), s.lastBatch.groups)
+	return tx.Bucket(metaBucket).Put(batchKey, addChecksum(batchKey, text))
 }
 
-// update writes what is not of groups.
-func (s *store) update() error {
+// writeMeta writes what is not of groups.
+func (s *store) writeMeta() error {
 	s.writes.Add(1)
 	return s.db.Update(s.putMeta)
 }
@@ -330,7 +330,7 @@
 func (s *store) save(w *replica.Write) error {
 	s.writes.Add(1)
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		all := tx.Bucket(groupsKey)
+		all := tx.Bucket(groupsBucket)
 		for _, p := range w.Groups {
 			k := binary.BigEndian.AppendUint32(nil, p.Group)
 			b := all.Bucket(k)
@@ -339,7 +339,7 @@
 					if err := all.DeleteBucket(k); err != nil {
 						return err
 					}
-					s.last.groups--
+					s.lastBatch.groups--
 				}
 				continue
 			}
@@ -349,13 +349,13 @@
 					return err
 				}
 				b.FillPercent = 0.9 // keys grow
-				s.last.groups++
+				s.lastBatch.groups++
 			}
 			if err := saveGroup(k, b, p); err != nil {
 				return err
 			}
 		}
-		s.last.written = w.Number
+		s.lastBatch.written = w.Number
 		if w.Known == nil {
 			return s.putBatch(tx)
 		}
@@ -383,7 +383,7 @@
 		if err != nil {
 			return err
 		}
-		if err := b.Put(snapKey, seal(sealed(k, snapKey), text)); err != nil {
+		if err := b.Put(snapKey, addChecksum(recordName(k, snapKey), text)); err != nil {
 			return err
 		}
 		if p.Reset {
@@ -394,8 +394,8 @@
 		}
 		last = max(last, p.Snapshot.GetMetadata().GetIndex())
 	}
-	if p.Keep > 0 {
-		if err := cut(0, p.Keep); err != nil {
+	if p.KeepFrom > 0 {
+		if err := cut(0, p.KeepFrom); err != nil {
 			return err
 		}
 	}
@@ -409,27 +409,27 @@
 				return err
 			}
 			key := entryKey(e.GetIndex())
-			if err := b.Put(key, seal(sealed(k, key), text)); err != nil {
+			if err := b.Put(key, addChecksum(recordName(k, key), text)); err != nil {
 				return err
 			}
 			last = e.GetIndex()
 		}
 	}
-	if p.Hard != nil {
+	if p.HardState != nil {
 		var err error
-		if hard, err = proto.Marshal(p.Hard); err != nil {
+		if hard, err = proto.Marshal(p.HardState); err != nil {
 			return err
 		}
 	}
-	return b.Put(hardKey, seal(sealed(k, hardKey), append(binary.BigEndian.AppendUint64(nil, last), hard...)))
+	return b.Put(hardKey, addChecksum(recordName(k, hardKey), append(binary.BigEndian.AppendUint64(nil, last), hard...)))
 }
 
-// doubt has the next opening put the store aside, unless there was no room for it: bbolt writes what
+// markSuspect has the next opening put the store aside, unless there was no room for it: bbolt writes what
 // nothing points to yet first, and had changed nothing then.
-func (s *store) doubt(why error) {
+func (s *store) markSuspect(why error) {
 	full := errors.Is(why, syscall.ENOSPC) || errors.Is(why, syscall.EDQUOT) || errors.Is(why, syscall.EFBIG)
 	if !full {
-		os.WriteFile(filepath.Join(s.dir, doubtFile), []byte(why.Error()), 0o600)
+		os.WriteFile(filepath.Join(s.dir, suspectFile), []byte(why.Error()), 0o600)
 	}
 }
 
--- a/internal/net/replicas/wire.go
+++ b/internal/net/replicas/wire.go
@@ -13,38 +13,38 @@
 	"caperrelay/internal/replica"
 )
 
-func memberOut(m replica.Member) *replicav1.Member {
+func memberToProto(m replica.Member) *replicav1.Member {
 	return &replicav1.Member{Name: m.Name, Machine: m.Machine, Zone: m.Zone, Incarnation: m.Incarnation}
 }
 
-func memberIn(m *replicav1.Member) replica.Member {
+func memberFromProto(m *replicav1.Member) replica.Member {
 	return replica.Member{Name: m.GetName(), Machine: m.GetMachine(), Zone: m.GetZone(), Incarnation: m.GetIncarnation()}
 }
 
-func foundOut(f replica.Found) *replicav1.Found {
-	out := &replicav1.Found{Member: memberOut(f.Member), Active: f.Active}
+func bootstrapToProto(f replica.BootstrapMessage) *replicav1.Found {
+	out := &replicav1.Found{Member: memberToProto(f.Member), Active: f.Active}
 	if t := f.Table; t != nil {
 		out.Table = &replicav1.Table{Id: t.ID, Groups: t.Groups, Copies: uint32(t.Copies), Generation: t.Generation}
 		for _, m := range t.Members {
-			out.Table.Members = append(out.Table.Members, memberOut(m))
+			out.Table.Members = append(out.Table.Members, memberToProto(m))
 		}
 	}
 	return out
 }
 
-func foundIn(f *replicav1.Found) replica.Found {
-	out := replica.Found{Member: memberIn(f.GetMember()), Active: f.GetActive()}
+func bootstrapFromProto(f *replicav1.Found) replica.BootstrapMessage {
+	out := replica.BootstrapMessage{Member: memberFromProto(f.GetMember()), Active: f.GetActive()}
 	if t := f.GetTable(); t != nil {
 		out.Table = &replica.Table{ID: t.GetId(), Groups: t.GetGroups(), Copies: int(t.GetCopies()), Generation: t.GetGeneration()}
 		for _, m := range t.GetMembers() {
-			out.Table.Members = append(out.Table.Members, memberIn(m))
+			out.Table.Members = append(out.Table.Members, memberFromProto(m))
 		}
 	}
 	return out
 }
 
-func beatOut(b *replica.Beat) *replicav1.Beat {
-	out := &replicav1.Beat{Member: memberOut(b.Member), Boot: b.Boot, Written: b.Written, Full: b.Full, Number: b.Number, Led: b.Led}
+func heartbeatToProto(b *replica.DaemonHeartbeat) *replicav1.Beat {
+	out := &replicav1.Beat{Member: memberToProto(b.Member), Boot: b.Boot, Written: b.Written, Full: b.Full, Number: b.Number, Led: b.HasLeads}
 	for _, id := range slices.Sorted(maps.Keys(b.Known)) {
 		out.Known = append(out.Known, &replicav1.Known{Id: id, Written: b.Known[id]})
 	}
@@ -54,8 +54,8 @@
 	return out
 }
 
-func beatIn(b *replicav1.Beat) *replica.Beat {
-	out := &replica.Beat{Member: memberIn(b.GetMember()), Boot: b.GetBoot(), Written: b.GetWritten(), Full: b.GetFull(), Number: b.GetNumber(), Led: b.GetLed(), Known: map[uint64]uint64{}, Leads: map[uint32]uint64{}}
+func heartbeatFromProto(b *replicav1.Beat) *replica.DaemonHeartbeat {
+	out := &replica.DaemonHeartbeat{Member: memberFromProto(b.GetMember()), Boot: b.GetBoot(), Written: b.GetWritten(), Full: b.GetFull(), Number: b.GetNumber(), HasLeads: b.GetLed(), Known: map[uint64]uint64{}, Leads: map[uint32]uint64{}}
 	for _, k := range b.GetKnown() {
 		out.Known[k.GetId()] = k.GetWritten()
 	}
@@ -65,8 +65,8 @@
 	return out
 }
 
-// packet reads a group's message.
-func packet(text []byte) (*pb.Message, error) {
+// parseMessage reads a group's message.
+func parseMessage(text []byte) (*pb.Message, error) {
 	m := &pb.Message{}
 	return m, proto.Unmarshal(text, m)
 }
@@ -76,8 +76,8 @@
 	replica.ErrTooLarge: replicav1.Fault_FAULT_TOO_LARGE, replica.ErrNoGroup: replicav1.Fault_FAULT_NO_GROUP,
 }
 
-// faultIn is the error of a fault; one that is not known here may mean anything.
-func faultIn(f replicav1.Fault) error {
+// errorFromFault is the error of a fault; one that is not known here may mean anything.
+func errorFromFault(f replicav1.Fault) error {
 	if f == replicav1.Fault_FAULT_NONE {
 		return nil
 	}
@@ -89,5 +89,5 @@
 	return replica.ErrUnknown
 }
 
-// wall is the time of day, for commands.
-func wall() time.Duration { return time.Duration(time.Now().UnixNano()) }
+// wallClock is the time of day, for commands.
+func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -14,59 +14,59 @@
 
 // group is one replica.
 type group struct {
-	number  uint32
-	raw     *raft.RawNode
-	log     *groupLog
-	mux     Mux
-	conf    *pb.ConfState
-	applied uint64
-	last    time.Duration // of the commands' times
-	stored  *pb.HardState // what a write has, or will have, on the disk
-	waiting int           // writes not done
-	size    int           // bytes applied since the last snapshot
-	halted  bool
-	dirty   bool
+	number        uint32
+	raw           *raft.RawNode
+	log           *groupLog
+	mux           Mux
+	conf          *pb.ConfState
+	applied       uint64
+	lastTime      time.Duration // of the commands' times
+	hardState     *pb.HardState // what a write has, or will have, on the disk
+	pendingWrites int           // writes not done
+	logBytes      int           // bytes applied since the last snapshot
+	halted        bool
+	scheduled     bool
 
-	released bool
-	leader   bool
-	term     uint64
-	fresh    uint64 // index that must be applied before the leader acts; MaxUint64: not known yet
-	until    time.Duration
-	asked    time.Duration
-	asks     map[uint64]time.Duration
-	changed  time.Duration // when its holders last changed
+	released      bool
+	leader        bool
+	term          uint64
+	leaseIndex    uint64 // index that must be applied before the leader acts; MaxUint64: not known yet
+	leaseUntil    time.Duration
+	renewedAt     time.Duration
+	reads         map[uint64]time.Duration
+	confChangedAt time.Duration // when its holders last changed
 
-	quiet     bool
-	under     string // whose beats hold it; empty: our own
-	quietTerm uint64
-	calm      map[uint64]uint64 // by follower: the epoch in which it confirmed
-	stirred   time.Duration     // when anything was last new
-	soothed   time.Duration
+	hibernating      bool
+	hibernatingUnder string // whose beats hold it; empty: our own
+	hibernateTerm    uint64
+	hibernateAcks    map[uint64]uint64 // by follower: the epoch in which it confirmed
+	activeAt         time.Duration     // when anything was last new
+	hibernateAskedAt time.Duration
 
-	passing  uint64 // the term in which this node acts no more, for another is to lead; 0: none
-	heir     uint64
-	passAt   time.Duration // when the lease that was told last has ended
-	passed   bool          // the heir has been told
-	passedAt time.Duration
+	transferTerm   uint64 // the term in which this node acts no more, for another is to lead; 0: none
+	transferee     uint64
+	transferAt     time.Duration // when the lease that was told last has ended
+	transferSent   bool          // the heir has been told
+	transferSentAt time.Duration
 }
 
 // groupLog is the log as the library reads it; snapshots are made when one is asked for.
 type groupLog struct {
 	*raft.MemoryStorage
-	g    *group
-	n    *Node
-	made time.Duration
+	g          *group
+	n          *Node
+	snapshotAt time.Duration
 }
 
 func (l *groupLog) Snapshot() (*pb.Snapshot, error) {
-	if l.n.ticked-l.made < snapshotEach && l.made > 0 {
+	if l.n.tickedAt-l.snapshotAt < snapshotInterval && l.snapshotAt > 0 {
 		return nil, raft.ErrSnapshotTemporarilyUnavailable
 	}
 	s, err := l.g.snapshot()
 	if err != nil {
 		return nil, raft.ErrSnapshotTemporarilyUnavailable
 	}
-	l.made = max(1, l.n.ticked)
+	l.snapshotAt = max(1, l.n.tickedAt)
 	return s, nil
 }
 
@@ -80,10 +80,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > mostSnapshot {
-		return nil, fmt.Errorf("a snapshot of %d bytes, more than %d", len(text), mostSnapshot)
+	if len(text) > maxSnapshotBytes {
+		return nil, fmt.Errorf("a snapshot of %d bytes, more than %d", len(text), maxSnapshotBytes)
 	}
-	data := append(binary.BigEndian.AppendUint64(nil, uint64(g.last)), text...)
+	data := append(binary.BigEndian.AppendUint64(nil, uint64(g.lastTime)), text...)
 	return &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: g.conf, Index: new(g.applied), Term: new(term)}}, nil
 }
 
@@ -97,28 +97,28 @@
 		if err := g.mux.Restore(data[8:]); err != nil {
 			return err
 		}
-		g.last = time.Duration(binary.BigEndian.Uint64(data))
+		g.lastTime = time.Duration(binary.BigEndian.Uint64(data))
 	}
 	g.applied, g.conf = s.GetMetadata().GetIndex(), pb.EnsureConfState(s.GetMetadata().GetConfState())
 	return nil
 }
 
-// Begin is what a group of a table begins with at one of its holders; false: at who is none.
-func Begin(t Table, number uint32, self Member) (Stored, bool) {
+// InitialState is what a group of a table begins with at one of its holders; false: at who is none.
+func InitialState(t Table, number uint32, self Member) (Stored, bool) {
 	voters, among := []uint64(nil), false
 	for _, m := range Place(number, t.Members, t.Copies) {
 		voters = append(voters, m.ID())
 		among = among || m.ID() == self.ID()
 	}
 	return Stored{
-		Hard:     &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
-		Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: &pb.ConfState{Voters: voters}, Index: new(uint64(1)), Term: new(uint64(1))}},
+		HardState: &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
+		Snapshot:  &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: &pb.ConfState{Voters: voters}, Index: new(uint64(1)), Term: new(uint64(1))}},
 	}, among
 }
 
 // add makes a replica of what is stored of it.
 func (n *Node) add(number uint32, s Stored) (*group, error) {
-	g := &group{number: number, mux: n.c.Machines(number), conf: &pb.ConfState{}, stored: s.Hard, fresh: math.MaxUint64, asks: map[uint64]time.Duration{}}
+	g := &group{number: number, mux: n.cfg.Machines(number), conf: &pb.ConfState{}, hardState: s.HardState, leaseIndex: math.MaxUint64, reads: map[uint64]time.Duration{}}
 	g.log = &groupLog{MemoryStorage: raft.NewMemoryStorage(), g: g, n: n}
 	if s.Snapshot != nil {
 		if err := g.restore(s.Snapshot); err != nil {
@@ -129,17 +129,17 @@
 			return nil, err
 		}
 	}
-	if s.Hard != nil {
-		g.log.SetHardState(s.Hard)
+	if s.HardState != nil {
+		g.log.SetHardState(s.HardState)
 	}
 	if err := g.log.Append(s.Entries); err != nil {
 		return nil, err
 	}
 	// The heartbeats that renew leases are those of reads; the library's own are for when no read can be asked for yet.
 	raw, err := raft.NewRawNode(&raft.Config{
-		ID: n.id, ElectionTick: electionTicks, HeartbeatTick: 3 * int(HeartbeatEach/Tick), Storage: g.log, Applied: g.applied,
-		AsyncStorageWrites: true, MaxSizePerMsg: 256 << 10, MaxCommittedSizePerReady: 1 << 20, MaxUncommittedEntriesSize: mostLog,
-		MaxInflightMsgs: 64, MaxInflightBytes: mostLog, CheckQuorum: true, PreVote: true, Logger: quiet{}, DisableProposalForwarding: true,
+		ID: n.id, ElectionTick: electionTicks, HeartbeatTick: 3 * int(HeartbeatInterval/Tick), Storage: g.log, Applied: g.applied,
+		AsyncStorageWrites: true, MaxSizePerMsg: 256 << 10, MaxCommittedSizePerReady: 1 << 20, MaxUncommittedEntriesSize: maxLogBytes,
+		MaxInflightMsgs: 64, MaxInflightBytes: maxLogBytes, CheckQuorum: true, PreVote: true, Logger: raftLogger{}, DisableProposalForwarding: true,
 		StepDownOnRemoval: true,
 	})
 	if err != nil {
@@ -147,27 +147,27 @@
 	}
 	g.raw = raw
 	n.groups[number] = g
-	at, _ := slices.BinarySearchFunc(n.order, number, func(g *group, number uint32) int { return int(g.number) - int(number) })
-	n.order = slices.Insert(n.order, at, g)
+	at, _ := slices.BinarySearchFunc(n.ordered, number, func(g *group, number uint32) int { return int(g.number) - int(number) })
+	n.ordered = slices.Insert(n.ordered, at, g)
 	return g, nil
 }
 
 // release lets a group take part once enough others vouch for this node's store and once nobody can lean on what this
 // node promised before it ended: a lease is not on the disk.
 func (n *Node) release(g *group, now time.Duration) bool {
-	if g.released || n.ended || g.halted {
-		return g.released && !n.ended && !g.halted
+	if g.released || n.stopped || g.halted {
+		return g.released && !n.stopped && !g.halted
 	}
-	if n.c.New {
+	if n.cfg.NewStore {
 		g.released = true
 		return true
 	}
-	if now-n.start < ElectionAfter {
+	if now-n.startedAt < ElectionTimeout {
 		return false
 	}
 	others, need := 0, len(g.conf.GetVoters())/2
 	for _, id := range g.conf.GetVoters() {
-		if p := n.peers[n.names[uint32(id>>32)]]; id != n.id && p != nil && p.vouched {
+		if p := n.peers[n.nameByHash[uint32(id>>32)]]; id != n.id && p != nil && p.storeConfirmed {
 			others++
 		}
 	}
@@ -181,26 +181,26 @@
 		if e.GetIndex() <= g.applied {
 			continue
 		}
-		g.size += len(e.GetData()) + 64
+		g.logBytes += len(e.GetData()) + 64
 		switch e.GetType() {
 		case pb.EntryType_EntryConfChangeV2:
 			var cc pb.ConfChangeV2
 			if err := unmarshal(e.GetData(), &cc); err != nil {
 				panic(err)
 			}
-			g.conf, g.changed = g.raw.ApplyConfChange(&cc), now
+			g.conf, g.confChangedAt = g.raw.ApplyConfChange(&cc), now
 		case pb.EntryType_EntryConfChange:
 			var cc pb.ConfChange
 			if err := unmarshal(e.GetData(), &cc); err != nil {
 				panic(err)
 			}
-			g.conf, g.changed = g.raw.ApplyConfChange(&cc), now
+			g.conf, g.confChangedAt = g.raw.ApplyConfChange(&cc), now
 		default:
 			if ref, at, cmd, ok := unwrap(e.GetData()); ok {
-				g.last = max(g.last, at)
-				result := g.mux.Apply(e.GetIndex(), g.last, cmd)
-				if n.waits[ref] == g {
-					n.result(Result{Ref: ref, Result: result})
+				g.lastTime = max(g.lastTime, at)
+				result := g.mux.Apply(e.GetIndex(), g.lastTime, cmd)
+				if n.proposals[ref] == g {
+					n.addResult(Result{Ref: ref, Result: result})
 				}
 			}
 		}
@@ -213,7 +213,7 @@
 // compact cuts a long log.
 func (n *Node) compact(g *group) {
 	first, err := g.log.FirstIndex()
-	if err != nil || g.size < mostLog && g.applied-first < mostEntries {
+	if err != nil || g.logBytes < maxLogBytes && g.applied-first < maxLogEntries {
 		return
 	}
 	s, err := g.snapshot()
@@ -221,7 +221,7 @@
 		n.note("group %d: the log is not cut: %v", g.number, err)
 		return
 	}
-	g.size = 0
+	g.logBytes = 0
 	if _, err := g.log.CreateSnapshot(g.applied, g.conf, nil); err != nil {
 		return
 	}
@@ -234,5 +234,5 @@
 			return
 		}
 	}
-	n.queue(pending{g: g, own: GroupWrite{Group: g.number, Snapshot: s, Keep: keep}})
+	n.queue(pendingWrite{group: g, groupWrite: GroupWrite{Group: g.number, Snapshot: s, KeepFrom: keep}})
 }
--- /dev/null
+++ b/internal/replica/heartbeat.go
@@ -0,0 +1,110 @@
+package replica
+
+import (
+	"encoding/binary"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// renewLease has a leader ask whether the others still follow it: the library's reads do, by heartbeats that bear a mark.
+func (n *Node) renewLease(g *group, now time.Duration) {
+	if !g.leader || now-g.renewedAt < HeartbeatInterval {
+		return
+	}
+	g.renewedAt = now
+	n.lastRef++
+	g.reads[n.lastRef] = now
+	if len(g.reads) > int(2*ElectionTimeout/HeartbeatInterval) {
+		for ref, at := range g.reads {
+			if now-at > ElectionTimeout {
+				delete(g.reads, ref)
+			}
+		}
+	}
+	g.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, n.lastRef))
+}
+
+// sendHeartbeats tells the other daemons that this one lives.
+func (n *Node) sendHeartbeats(now time.Duration) {
+	leads := map[uint32]uint64{}
+	for _, g := range n.ordered {
+		if g.leader && !g.transferring() {
+			leads[g.number] = g.term
+		}
+	}
+	n.heartbeatNumber++
+	n.sentHeartbeats[n.heartbeatNumber%heartbeatHistory] = sentHeartbeat{n.heartbeatNumber, now}
+	b := &DaemonHeartbeat{Member: n.cfg.Self, Boot: n.cfg.Boot, Written: n.written, Number: n.heartbeatNumber, Full: n.heartbeatCount%fullHeartbeatEvery == 0}
+	if n.heartbeatCount++; b.Full {
+		b.Known = maps.Clone(n.known)
+	}
+	if b.Full || !maps.Equal(leads, n.sentLeads) {
+		n.sentLeads, b.Leads, b.HasLeads = leads, leads, true
+	}
+	for _, h := range slices.Sorted(maps.Keys(n.nameByHash)) {
+		name := n.nameByHash[h]
+		if name == n.cfg.Self.Name {
+			continue
+		}
+		s := Send{To: name, Heartbeat: b}
+		if p := n.peers[name]; p != nil {
+			s.Ack = HeartbeatAck{Boot: p.boot, Number: p.heartbeatNumber, Epoch: p.epoch}
+		}
+		n.out.Sends = append(n.out.Sends, s)
+	}
+}
+
+// AddPeer says that there is another daemon, which may not have been heard yet.
+func (n *Node) AddPeer(name string) { n.nameByHash[nameHash(name)] = name }
+
+// HandleHeartbeat takes another daemon's beat.
+func (n *Node) HandleHeartbeat(now time.Duration, b *DaemonHeartbeat) {
+	name := b.Member.Name
+	if name == n.cfg.Self.Name || n.stopped {
+		return
+	}
+	n.AddPeer(name)
+	p := n.peers[name]
+	if p == nil {
+		p = &peer{epoch: n.cfg.Boot << 16}
+		n.peers[name] = p
+	}
+	switch {
+	case p.boot == b.Boot && b.Number <= p.heartbeatNumber:
+		return // by a line that was lost meanwhile
+	case p.boot != 0 && p.member.Incarnation != b.Member.Incarnation && now-p.receivedAt < ElectionTimeout:
+		return // who had the name before may still act; with the same store there is no before
+	case p.boot != b.Boot: // it waits to be told what is known of its store
+		n.heartbeatCount = 0
+		n.peerSilent(p, now)
+	}
+	p.boot, p.heartbeatNumber, p.member, p.receivedAt, p.silent = b.Boot, b.Number, b.Member, now, false
+	if b.HasLeads {
+		p.leads = b.Leads
+		for _, g := range n.ordered {
+			if g.hibernating && g.hibernatingUnder == name && p.leads[g.number] != g.hibernateTerm {
+				n.wake(g, now, 0)
+			}
+		}
+	}
+	n.recordWritten(b.Member.ID(), b.Written)
+	for id, w := range b.Known {
+		if id == n.id {
+			if w > n.written {
+				n.retire(fmt.Sprintf("%s has heard of %d batches in the store, which holds %d: it is an old copy", name, w, n.written))
+				return
+			}
+			continue
+		}
+		n.recordWritten(id, w)
+	}
+	p.storeConfirmed = p.storeConfirmed || b.Full
+}
+
+func (n *Node) recordWritten(id, written uint64) {
+	if _, there := n.known[id]; there || len(n.known) < maxKnownStores {
+		n.known[id] = max(n.known[id], written)
+	}
+}
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	mostCommand = 256 << 10 // bytes of one
-	mostResult  = 256 << 10
+	maxCommandBytes = 256 << 10 // bytes of one
+	maxResultBytes  = 256 << 10
 )
 
 // Errors of proposals. Only ErrUnknown leaves open whether the command counts.
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -8,16 +8,16 @@
 
 // Config is what a node is told.
 type Config struct {
-	Self     Member
-	Table    Table
-	Boot     uint64 // of this process, as no other
-	Machines func(group uint32) Mux
-	Gone     time.Duration // after which replicas are moved; 0: GoneAfter
+	Self          Member
+	Table         Table
+	Boot          uint64 // of this process, as no other
+	Machines      func(group uint32) Mux
+	RelocateAfter time.Duration // after which replicas are moved; 0: RelocateTimeout
 	// Written is the number of the last batch that the store holds; Known what others' had written when last heard of.
 	Written uint64
 	Known   map[uint64]uint64
-	// New says that the store has just been made: nobody can know more of it.
-	New bool
+	// NewStore says that the store has just been made: nobody can know more of it.
+	NewStore bool
 }
 
 // Table is what the groups began with.
@@ -32,9 +32,9 @@
 
 // Stored is what a store holds of a group.
 type Stored struct {
-	Hard     *pb.HardState
-	Snapshot *pb.Snapshot // nil: none
-	Entries  []*pb.Entry  // after it
+	HardState *pb.HardState
+	Snapshot  *pb.Snapshot // nil: none
+	Entries   []*pb.Entry  // after it
 }
 
 // Write is what must last before its answers go out: all groups' in one batch.
@@ -46,27 +46,27 @@
 
 // GroupWrite is a group's part.
 type GroupWrite struct {
-	Group    uint32
-	Hard     *pb.HardState // nil: as before
-	Entries  []*pb.Entry   // take the place of all from the first's index on
-	Snapshot *pb.Snapshot  // nil: as before
-	Keep     uint64        // entries before this index go; 0: none do
-	Reset    bool          // all entries go first
-	Drop     bool          // the whole group goes
+	Group     uint32
+	HardState *pb.HardState // nil: as before
+	Entries   []*pb.Entry   // take the place of all from the first's index on
+	Snapshot  *pb.Snapshot  // nil: as before
+	KeepFrom  uint64        // entries before this index go; 0: none do
+	Reset     bool          // all entries go first
+	Drop      bool          // the whole group goes
 }
 
 // Send is a message to another daemon.
 type Send struct {
-	To    string
-	Group uint32
-	Raft  *pb.Message
-	Beat  *Beat // or this, and
-	Pair  Pair
-	Calm  *Calm // or this
+	To          string
+	Group       uint32
+	Raft        *pb.Message
+	Heartbeat   *DaemonHeartbeat // or this, and
+	Ack         HeartbeatAck
+	Hibernation *Hibernation // or this
 }
 
-// Beat is what daemons tell each other all the time.
-type Beat struct {
+// DaemonHeartbeat is what daemons tell each other all the time.
+type DaemonHeartbeat struct {
 	Member  Member `json:"member"`
 	Boot    uint64 `json:"boot"`
 	Written uint64 `json:"written"` // batches that its store holds
@@ -74,8 +74,8 @@
 	Known map[uint64]uint64 `json:"known,omitempty"`
 	Full  bool              `json:"full,omitempty"`
 	// Leads is, where Led, the groups that the sender leads, with their terms; else it is as before.
-	Leads map[uint32]uint64 `json:"leads,omitempty"`
-	Led   bool              `json:"led,omitempty"`
+	Leads    map[uint32]uint64 `json:"leads,omitempty"`
+	HasLeads bool              `json:"led,omitempty"`
 	// Number grows.
 	Number uint64 `json:"number"`
 }
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -17,17 +17,20 @@
 	"pgregory.net/rapid"
 )
 
-// book is a machine that keeps all that it was told.
-type book struct {
+// recordingMachine is a machine that keeps all that it was told.
+type recordingMachine struct {
 	Lines []string `json:"Lines"`
 }
 
-func (b *book) Apply(index uint64, at time.Duration, cmd []byte) []byte {
+func (b *recordingMachine) Apply(index uint64, at time.Duration, cmd []byte) []byte {
 	b.Lines = append(b.Lines, fmt.Sprintf("%d@%d %s", index, at, cmd))
 	return binary.BigEndian.AppendUint64(nil, index)
 }
-func (b *book) Snapshot() ([]byte, error) { return json.Marshal(b) }
-func (b *book) Restore(text []byte) error { *b = book{}; return json.Unmarshal(text, b) }
+func (b *recordingMachine) Snapshot() ([]byte, error) { return json.Marshal(b) }
+func (b *recordingMachine) Restore(text []byte) error {
+	*b = recordingMachine{}
+	return json.Unmarshal(text, b)
+}
 
 // disk is what lasts of a daemon.
 type disk struct {
@@ -51,8 +54,8 @@
 	for _, p := range w.Groups {
 		s := d.groups[p.Group]
 		s.Entries = slices.Clone(s.Entries)
-		if p.Hard != nil {
-			s.Hard = p.Hard
+		if p.HardState != nil {
+			s.HardState = p.HardState
 		}
 		if p.Snapshot != nil {
 			s.Snapshot = p.Snapshot
@@ -61,7 +64,7 @@
 			s.Entries = nil
 		}
 		s.Entries = slices.DeleteFunc(s.Entries, func(e *pb.Entry) bool {
-			return e.GetIndex() < p.Keep || len(p.Entries) > 0 && e.GetIndex() >= p.Entries[0].GetIndex()
+			return e.GetIndex() < p.KeepFrom || len(p.Entries) > 0 && e.GetIndex() >= p.Entries[0].GetIndex()
 		})
 		s.Entries = append(s.Entries, p.Entries...)
 		d.groups[p.Group] = s
@@ -78,64 +81,64 @@
 	return out
 }
 
-// world is daemons in virtual time, with clocks of their own.
-type world struct {
-	t       require.TestingT
-	rng     *rand.Rand
-	now     time.Duration
-	table   Table
-	nodes   []*daemon
-	cut     map[[2]int]bool
-	loss    float64
-	queue   []mail
-	oaths   map[string]string // what was confirmed, by group and index
-	holders map[uint32]holder
-	retired int
-	sent    func(Send)
-	lost    func(Send) bool
-	boots   uint64
-}
-
-type holder struct {
+// cluster is daemons in virtual time, with clocks of their own.
+type cluster struct {
+	t           require.TestingT
+	rng         *rand.Rand
+	now         time.Duration
+	table       Table
+	nodes       []*daemon
+	cut         map[[2]int]bool
+	lossRate    float64
+	queue       []delivery
+	confirmed   map[string]string // what was confirmed, by group and index
+	holders     map[uint32]leaseHolder
+	retirements int
+	onSend      func(Send)
+	dropSend    func(Send) bool
+	boots       uint64
+}
+
+type leaseHolder struct {
 	name  string
 	term  uint64
 	until time.Duration // in true time
 }
 
 type daemon struct {
-	name  string
-	rate  float64
-	disk  *disk
-	node  *Node         // nil: it is down
-	slow  time.Duration // of its disk
-	ends  time.Duration // of the write under way
-	write *Write
-	said  map[uint64]string
+	name        string
+	rate        float64
+	disk        *disk
+	node        *Node         // nil: it is down
+	writeDelay  time.Duration // of its disk
+	writeDoneAt time.Duration // of the write under way
+	write       *Write
+	proposed    map[uint64]string
 }
 
-type mail struct {
+type delivery struct {
 	at       time.Duration
 	to, from int
 	group    uint32
 	raft     *pb.Message
-	beat     *Beat
-	pair     Pair
-	calm     *Calm
+	beat     *DaemonHeartbeat
+	pair     HeartbeatAck
+	calm     *Hibernation
 }
 
-const groupsHere = 4
+const testGroups = 4
 
-func newWorld(t require.TestingT, seed uint64, daemons int) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]int]bool{}, oaths: map[string]string{}, holders: map[uint32]holder{}}
+func newCluster(t require.TestingT, seed uint64, daemons int) *cluster {
+	w := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]int]bool{}, confirmed: map[string]string{}, holders: map[uint32]leaseHolder{}}
 	var all []Member
 	for i := range daemons {
 		m := Member{Name: fmt.Sprint("n", i), Machine: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%3), Incarnation: uint32(w.rng.Uint32() | 1)}
 		all = append(all, m)
 		// rates apart by the bound that the lease allows for
-		rate := 1 + (w.rng.Float64()-0.5)/MostDrift*0.95
-		w.nodes = append(w.nodes, &daemon{name: m.Name, rate: rate, disk: &disk{member: m, groups: map[uint32]Stored{}}, slow: time.Millisecond})
+		rate := 1 + (w.rng.Float64()-0.5)/MaxDriftDivisor*0.95
+		w.nodes = append(w.nodes, &daemon{name: m.Name, rate: rate, disk: &disk{member: m, groups: map[uint32]Stored{}}, writeDelay: time.Millisecond})
 	}
-	w.table = *makeTable(all, groupsHere, 3)
+	w.table = *newTable(all, testGroups, 3)
 	for i := range w.nodes {
 		w.start(i, true)
 	}
@@ -143,33 +146,33 @@
 }
 
 // clock is a daemon's own.
-func (w *world) clock(d *daemon) time.Duration { return time.Duration(float64(w.now) * d.rate) }
+func (w *cluster) clock(d *daemon) time.Duration { return time.Duration(float64(w.now) * d.rate) }
 
-func (w *world) start(i int, fresh bool) {
+func (w *cluster) start(i int, fresh bool) {
 	d := w.nodes[i]
 	w.boots++
 	node, err := New(Config{
-		Self: d.disk.member, Table: w.table, Boot: w.boots, Written: d.disk.written, Known: d.disk.known, New: fresh, Gone: 5 * time.Second,
-		Machines: func(uint32) Mux { return Mux{0: &book{}} },
+		Self: d.disk.member, Table: w.table, Boot: w.boots, Written: d.disk.written, Known: d.disk.known, NewStore: fresh, RelocateAfter: 5 * time.Second,
+		Machines: func(uint32) Mux { return Mux{0: &recordingMachine{}} },
 	}, w.clock(d), d.disk.load())
 	require.NoError(w.t, err)
-	d.node, d.write, d.said = node, nil, map[uint64]string{}
+	d.node, d.write, d.proposed = node, nil, map[uint64]string{}
 	for _, o := range w.nodes {
-		node.Meet(o.name)
+		node.AddPeer(o.name)
 	}
 }
 
-func (w *world) kill(i int) {
+func (w *cluster) kill(i int) {
 	w.nodes[i].node, w.nodes[i].write = nil, nil
 	for g, h := range w.holders { // the dead do not act
 		if h.name == w.nodes[i].name {
-			w.holders[g] = holder{term: h.term}
+			w.holders[g] = leaseHolder{term: h.term}
 		}
 	}
 }
 
-// lose has a daemon come back with nothing.
-func (w *world) lose(i int) {
+// loseDisk has a daemon come back with nothing.
+func (w *cluster) loseDisk(i int) {
 	w.kill(i)
 	m := w.nodes[i].disk.member
 	m.Incarnation = w.rng.Uint32() | 1
@@ -177,12 +180,12 @@
 	w.start(i, true)
 }
 
-func (w *world) number(name string) int {
+func (w *cluster) indexOf(name string) int {
 	return slices.IndexFunc(w.nodes, func(d *daemon) bool { return d.name == name })
 }
 
 // run lets time pass.
-func (w *world) run(d time.Duration) {
+func (w *cluster) run(d time.Duration) {
 	const step = 5 * time.Millisecond
 	for end := w.now + d; w.now < end; w.now += step {
 		queue := w.queue
@@ -194,10 +197,10 @@
 				w.queue = append(w.queue, m)
 			case to.node == nil || w.cut[[2]int{m.from, m.to}]:
 			case m.beat != nil:
-				to.node.Beaten(w.clock(to), m.beat)
-				to.node.Paired(w.nodes[m.from].name, m.pair)
+				to.node.HandleHeartbeat(w.clock(to), m.beat)
+				to.node.HandleHeartbeatAck(w.nodes[m.from].name, m.pair)
 			case m.calm != nil:
-				to.node.Calmed(w.clock(to), w.nodes[m.from].name, *m.calm)
+				to.node.HandleHibernation(w.clock(to), w.nodes[m.from].name, *m.calm)
 			default:
 				to.node.Step(w.clock(to), m.group, m.raft)
 			}
@@ -207,33 +210,33 @@
 				continue
 			}
 			d.node.Tick(w.clock(d))
-			if d.write != nil && w.now >= d.ends {
+			if d.write != nil && w.now >= d.writeDoneAt {
 				d.disk.write(d.write)
 				n := d.write.Number
 				d.write = nil
 				d.node.Persisted(w.clock(d), n)
 			}
-			w.work(i)
+			w.takeWork(i)
 		}
-		w.leases()
+		w.checkLeases()
 	}
 }
 
-func (w *world) work(i int) {
+func (w *cluster) takeWork(i int) {
 	d := w.nodes[i]
-	k := d.node.Did(w.clock(d))
+	k := d.node.TakeWork(w.clock(d))
 	if k.Write != nil {
 		require.Nil(w.t, d.write)
-		d.write, d.ends = k.Write, w.now+d.slow
+		d.write, d.writeDoneAt = k.Write, w.now+d.writeDelay
 	}
 	for _, s := range k.Sends {
-		if w.sent != nil {
-			w.sent(s)
+		if w.onSend != nil {
+			w.onSend(s)
 		}
-		if w.rng.Float64() < w.loss || w.lost != nil && w.lost(s) {
+		if w.rng.Float64() < w.lossRate || w.dropSend != nil && w.dropSend(s) {
 			continue
 		}
-		m := mail{at: w.now + time.Duration(w.rng.Int64N(int64(20*time.Millisecond))), to: w.number(s.To), from: i, group: s.Group, beat: s.Beat, pair: s.Pair, calm: s.Calm}
+		m := delivery{at: w.now + time.Duration(w.rng.Int64N(int64(20*time.Millisecond))), to: w.indexOf(s.To), from: i, group: s.Group, beat: s.Heartbeat, pair: s.Ack, calm: s.Hibernation}
 		if s.Raft != nil {
 			m.raft = proto.Clone(s.Raft).(*pb.Message)
 		}
@@ -241,26 +244,26 @@
 	}
 	for _, r := range k.Results {
 		if r.Err == nil {
-			w.oaths[d.said[r.Ref]] = fmt.Sprint(binary.BigEndian.Uint64(r.Result))
+			w.confirmed[d.proposed[r.Ref]] = fmt.Sprint(binary.BigEndian.Uint64(r.Result))
 		}
 	}
 	for _, n := range k.Notes {
 		w.t.Errorf("%s: %s", d.name, n)
 	}
 	if k.Retire != "" {
-		w.retired++
-		w.lose(i)
+		w.retirements++
+		w.loseDisk(i)
 	}
 }
 
-// leases checks that no two act at once for a group, by true time.
-func (w *world) leases() {
+// checkLeases checks that no two act at once for a group, by true time.
+func (w *cluster) checkLeases() {
 	for _, d := range w.nodes {
 		if d.node == nil {
 			continue
 		}
-		for g := range uint32(groupsHere) {
-			term, until, ok := d.node.Lead(w.clock(d), g)
+		for g := range uint32(testGroups) {
+			term, until, ok := d.node.Lease(w.clock(d), g)
 			if !ok {
 				continue
 			}
@@ -268,23 +271,23 @@
 			if h.name != d.name {
 				require.Less(w.t, h.until, w.now, "group %d: %s holds it and %s does", g, h.name, d.name)
 				require.Greater(w.t, term, h.term)
-				said := fmt.Sprint(w.lines(w.number(d.name), g), "\n") // all that was confirmed before it acted
-				for cmd := range w.oaths {
+				said := fmt.Sprint(w.lines(w.indexOf(d.name), g), "\n") // all that was confirmed before it acted
+				for cmd := range w.confirmed {
 					if of, line, _ := strings.Cut(cmd, " "); of == fmt.Sprint(g) {
 						require.Contains(w.t, said, " "+line, "group %d: %s acts without it", g, d.name)
 					}
 				}
 			}
-			w.holders[g] = holder{d.name, term, time.Duration(float64(until) / d.rate)}
+			w.holders[g] = leaseHolder{d.name, term, time.Duration(float64(until) / d.rate)}
 		}
 	}
 }
 
 // leader is who acts for a group; empty: nobody.
-func (w *world) leader(g uint32) string {
+func (w *cluster) leader(g uint32) string {
 	for _, d := range w.nodes {
 		if d.node != nil {
-			if _, _, ok := d.node.Lead(w.clock(d), g); ok {
+			if _, _, ok := d.node.Lease(w.clock(d), g); ok {
 				return d.name
 			}
 		}
@@ -292,11 +295,11 @@
 	return ""
 }
 
-// calmed lets time pass until all groups are calm.
-func (w *world) calmed() {
+// awaitHibernation lets time pass until all groups are calm.
+func (w *cluster) awaitHibernation() {
 	for end := w.now + 20*time.Second; w.now < end; w.run(50 * time.Millisecond) {
 		awake := slices.ContainsFunc(w.nodes, func(d *daemon) bool {
-			return slices.ContainsFunc(d.node.order, func(g *group) bool { return !g.quiet })
+			return slices.ContainsFunc(d.node.ordered, func(g *group) bool { return !g.hibernating })
 		})
 		if !awake {
 			return
@@ -306,21 +309,21 @@
 }
 
 // propose has whoever leads a group take a command; false: nobody does.
-func (w *world) propose(g uint32, cmd string) bool {
+func (w *cluster) propose(g uint32, cmd string) bool {
 	for i, d := range w.nodes {
 		if d.node == nil {
 			continue
 		}
 		if ref, err := d.node.Propose(w.clock(d), g, w.now, append([]byte{0}, cmd...)); err == nil {
-			d.said[ref] = fmt.Sprint(g, " ", cmd)
-			w.work(i)
+			d.proposed[ref] = fmt.Sprint(g, " ", cmd)
+			w.takeWork(i)
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) lines(i int, g uint32) []string {
+func (w *cluster) lines(i int, g uint32) []string {
 	if w.nodes[i].node == nil {
 		return nil
 	}
@@ -328,12 +331,12 @@
 	if m == nil {
 		return nil
 	}
-	return m.(*book).Lines
+	return m.(*recordingMachine).Lines
 }
 
-// agree checks that all replicas tell the same, as far as they go.
-func (w *world) agree() {
-	for g := range uint32(groupsHere) {
+// checkAgreement checks that all replicas tell the same, as far as they go.
+func (w *cluster) checkAgreement() {
+	for g := range uint32(testGroups) {
 		longest := w.longest(g)
 		for i := range w.nodes {
 			l := w.lines(i, g)
@@ -342,7 +345,7 @@
 	}
 }
 
-func (w *world) longest(g uint32) (longest []string) {
+func (w *cluster) longest(g uint32) (longest []string) {
 	for i := range w.nodes {
 		if l := w.lines(i, g); len(l) > len(longest) {
 			longest = l
@@ -351,12 +354,12 @@
 	return longest
 }
 
-// kept checks that nothing confirmed is lost; all daemons must be up.
-func (w *world) kept() {
-	w.agree()
-	for g := range uint32(groupsHere) {
+// checkConfirmed checks that nothing confirmed is lost; all daemons must be up.
+func (w *cluster) checkConfirmed() {
+	w.checkAgreement()
+	for g := range uint32(testGroups) {
 		longest := w.longest(g)
-		for cmd, index := range w.oaths {
+		for cmd, index := range w.confirmed {
 			if of, said, _ := strings.Cut(cmd, " "); of == fmt.Sprint(g) {
 				require.True(w.t, slices.ContainsFunc(longest, func(l string) bool {
 					return strings.HasPrefix(l, index+"@") && strings.HasSuffix(l, " "+said)
@@ -366,20 +369,20 @@
 	}
 }
 
-// led lets time pass until each group has a leader that acts.
-func (w *world) led(within time.Duration) {
+// awaitLeaders lets time pass until each group has a leader that acts.
+func (w *cluster) awaitLeaders(within time.Duration) {
 	for end := w.now + within; w.now < end; w.run(20 * time.Millisecond) {
 		n := 0
-		for g := range uint32(groupsHere) {
+		for g := range uint32(testGroups) {
 			for _, d := range w.nodes {
 				if d.node != nil {
-					if _, _, ok := d.node.Lead(w.clock(d), g); ok {
+					if _, _, ok := d.node.Lease(w.clock(d), g); ok {
 						n++
 					}
 				}
 			}
 		}
-		if n == groupsHere {
+		if n == testGroups {
 			return
 		}
 	}
@@ -387,28 +390,28 @@
 }
 
 // Daemons crash, lose their disks, are cut off one way and lose messages, with clocks that run apart.
-func TestNothingConfirmedIsLost(t *testing.T) {
+func TestNoConfirmedCommandIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.Uint64().Draw(t, "seed"), 5)
-		w.led(10 * time.Second)
+		w := newCluster(t, rapid.Uint64().Draw(t, "seed"), 5)
+		w.awaitLeaders(10 * time.Second)
 		lost := -1 // one disk at a time: until its replicas are back
 		n := 0
 		for range rapid.IntRange(3, 12).Draw(t, "steps") {
 			i, j := rapid.IntRange(0, 4).Draw(t, "who"), rapid.IntRange(0, 4).Draw(t, "whom")
 			switch what := rapid.IntRange(0, 10).Draw(t, "what"); {
 			case what == 10: // whoever acts for a group has another take over
-				if leader := w.number(w.leader(uint32(i % groupsHere))); leader >= 0 {
+				if leader := w.indexOf(w.leader(uint32(i % testGroups))); leader >= 0 {
 					d := w.nodes[leader]
-					d.node.pass(d.node.groups[uint32(i%groupsHere)], w.clock(d), nil)
+					d.node.startTransfer(d.node.groups[uint32(i%testGroups)], w.clock(d), nil)
 				}
 			case what == 8: // whoever acts for a group is heard by nobody
-				if leader := w.number(w.leader(uint32(i % groupsHere))); leader >= 0 {
+				if leader := w.indexOf(w.leader(uint32(i % testGroups))); leader >= 0 {
 					for k := range w.nodes {
 						w.cut[[2]int{leader, k}] = true
 					}
 				}
 			case what == 9: // it falls silent, and a follower that has confirmed its lease begins anew
-				if leader := w.number(w.leader(uint32(i % groupsHere))); leader >= 0 {
+				if leader := w.indexOf(w.leader(uint32(i % testGroups))); leader >= 0 {
 					for k := range w.nodes {
 						w.cut[[2]int{leader, k}], w.cut[[2]int{k, leader}] = true, true
 					}
@@ -427,55 +430,55 @@
 				w.start(i, false)
 			case what == 2 && lost < 0:
 				lost = i
-				w.lose(i)
+				w.loseDisk(i)
 			case what == 3 && i != j:
 				w.cut[[2]int{i, j}] = true
 			case what == 4:
 				clear(w.cut)
 			case what == 5:
-				w.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
+				w.lossRate = rapid.Float64Range(0, 0.3).Draw(t, "loss")
 			default:
-				w.nodes[i].slow = time.Duration(rapid.IntRange(1, 200).Draw(t, "disk")) * time.Millisecond
+				w.nodes[i].writeDelay = time.Duration(rapid.IntRange(1, 200).Draw(t, "disk")) * time.Millisecond
 			}
 			for range rapid.IntRange(1, 10).Draw(t, "tells") {
-				w.propose(uint32(n%groupsHere), fmt.Sprintf("c%d;", n))
+				w.propose(uint32(n%testGroups), fmt.Sprintf("c%d;", n))
 				n++
 				w.run(time.Duration(rapid.IntRange(5, 300).Draw(t, "ms")) * time.Millisecond)
 			}
-			w.agree()
+			w.checkAgreement()
 		}
 		clear(w.cut)
-		w.loss = 0
+		w.lossRate = 0
 		for i, d := range w.nodes {
-			if d.slow = time.Millisecond; d.node == nil {
+			if d.writeDelay = time.Millisecond; d.node == nil {
 				w.start(i, false)
 			}
 		}
-		w.led(20 * time.Second)
-		for g := range uint32(groupsHere) {
+		w.awaitLeaders(20 * time.Second)
+		for g := range uint32(testGroups) {
 			require.True(t, w.propose(g, "last;"))
 		}
 		w.run(time.Second)
-		w.kept()
+		w.checkConfirmed()
 	})
 }
 
 // A daemon that comes back without its disk is somebody else: it learns, then votes, in each group that it held.
-func TestLostDiskComesBackAsNew(t *testing.T) {
-	w := newWorld(t, 7, 5)
-	w.led(5 * time.Second)
+func TestLostDiskMakesNewMember(t *testing.T) {
+	w := newCluster(t, 7, 5)
+	w.awaitLeaders(5 * time.Second)
 	for i := range 40 {
-		w.propose(uint32(i%groupsHere), fmt.Sprintf("c%d;", i))
+		w.propose(uint32(i%testGroups), fmt.Sprintf("c%d;", i))
 		w.run(20 * time.Millisecond)
 	}
 	before := w.nodes[1].disk.member.ID()
-	w.lose(1)
+	w.loseDisk(1)
 	now := w.nodes[1].disk.member.ID()
 	w.run(20 * time.Second)
-	w.led(5 * time.Second)
+	w.awaitLeaders(5 * time.Second)
 	held := 0
 	for _, d := range w.nodes {
-		for _, g := range d.node.order {
+		for _, g := range d.node.ordered {
 			if g.leader {
 				require.NotContains(t, g.conf.GetVoters(), before)
 				require.Len(t, g.conf.GetVoters(), 3)
@@ -487,65 +490,65 @@
 		}
 	}
 	require.Positive(t, held)
-	w.kept()
+	w.checkConfirmed()
 }
 
 // A disk is put back as it was a while ago: its owner is told so, votes for nobody by it and comes back as a new one.
-func TestOldCopyIsNotBelieved(t *testing.T) {
-	w := newWorld(t, 9, 3)
-	w.led(5 * time.Second)
+func TestOldStoreCopyIsRetired(t *testing.T) {
+	w := newCluster(t, 9, 3)
+	w.awaitLeaders(5 * time.Second)
 	old := w.nodes[2].disk.clone()
 	for i := range 40 {
-		w.propose(uint32(i%groupsHere), fmt.Sprintf("c%d;", i))
+		w.propose(uint32(i%testGroups), fmt.Sprintf("c%d;", i))
 		w.run(50 * time.Millisecond)
 	}
 	w.kill(2)
 	w.nodes[2].disk = old
 	w.start(2, false)
 	w.run(10 * time.Second)
-	require.Equal(t, 1, w.retired)
+	require.Equal(t, 1, w.retirements)
 	require.NotEqual(t, old.member, w.nodes[2].disk.member)
-	w.led(5 * time.Second)
-	w.kept()
+	w.awaitLeaders(5 * time.Second)
+	w.checkConfirmed()
 }
 
 // A long log is cut, and a daemon that was away all the while is sent a snapshot.
-func TestLateOneIsSentASnapshot(t *testing.T) {
-	w := newWorld(t, 11, 3)
-	w.led(5 * time.Second)
+func TestLaggingReplicaReceivesSnapshot(t *testing.T) {
+	w := newCluster(t, 11, 3)
+	w.awaitLeaders(5 * time.Second)
 	w.kill(0)
-	w.led(5 * time.Second)
-	for i := range 2 * mostEntries / 100 * 4 {
+	w.awaitLeaders(5 * time.Second)
+	for i := range 2 * maxLogEntries / 100 * 4 {
 		for k := range 100 {
-			if k%groupsHere == 0 {
+			if k%testGroups == 0 {
 				w.propose(0, fmt.Sprintf("c%d.%d;", i, k))
 			}
 		}
 		w.run(5 * time.Millisecond)
 	}
 	w.run(time.Second)
-	require.Less(t, len(w.nodes[1].disk.groups[0].Entries), 2*mostEntries)
+	require.Less(t, len(w.nodes[1].disk.groups[0].Entries), 2*maxLogEntries)
 	w.start(0, false)
 	w.run(3 * time.Second)
 	require.Equal(t, w.lines(1, 0), w.lines(0, 0))
-	w.kept()
+	w.checkConfirmed()
 }
 
 // Groups in which nothing happens send nothing of their own, and are led all the same; a leader that dies is replaced,
 // and one that is not heard any more acts no longer than its lease.
-func TestCalmGroups(t *testing.T) {
-	w := newWorld(t, 13, 3)
-	w.led(5 * time.Second)
-	w.calmed()
+func TestHibernatingGroups(t *testing.T) {
+	w := newCluster(t, 13, 3)
+	w.awaitLeaders(5 * time.Second)
+	w.awaitHibernation()
 	sent := 0
-	w.sent = func(s Send) {
+	w.onSend = func(s Send) {
 		if s.Raft != nil {
 			sent++
 		}
 	}
 	for range 100 {
 		w.run(50 * time.Millisecond)
-		for g := range uint32(groupsHere) {
+		for g := range uint32(testGroups) {
 			require.NotEmpty(t, w.leader(g), "it is led all the while")
 		}
 	}
@@ -555,33 +558,33 @@
 	for i := range w.nodes {
 		require.Len(t, w.lines(i, 1), 1)
 	}
-	w.calmed()
-	i := w.number(w.leader(2))
+	w.awaitHibernation()
+	i := w.indexOf(w.leader(2))
 	w.kill(i)
-	w.led(10 * time.Second)
+	w.awaitLeaders(10 * time.Second)
 	w.start(i, false)
 	w.run(5 * time.Second)
-	i = w.number(w.leader(2))
+	i = w.indexOf(w.leader(2))
 	for j := range w.nodes {
 		w.cut[[2]int{i, j}] = true
 	}
-	w.run(LeaseFor + BeatEach)
+	w.run(LeaseDuration + DaemonHeartbeatInterval)
 	require.NotEqual(t, w.nodes[i].name, w.leader(2))
-	w.led(5 * time.Second)
-	w.kept()
+	w.awaitLeaders(5 * time.Second)
+	w.checkConfirmed()
 }
 
 // A follower that does not hear the leader asks for votes all the while; the other, whose word holds the leader's lease,
 // begins anew and has forgotten it. It gives nobody its vote until that lease is over.
-func TestVoterThatBeganAnewWaits(t *testing.T) {
+func TestRestartedVoterWaitsForLease(t *testing.T) {
 	for seed := range uint64(25) {
-		w := newWorld(t, 100+seed, 3)
-		w.led(5 * time.Second)
-		for g := range uint32(groupsHere) {
+		w := newCluster(t, 100+seed, 3)
+		w.awaitLeaders(5 * time.Second)
+		for g := range uint32(testGroups) {
 			w.propose(g, "c;")
 		}
 		w.run(200 * time.Millisecond)
-		leader := w.number(w.leader(1))
+		leader := w.indexOf(w.leader(1))
 		deaf, other := (leader+1)%3, (leader+2)%3
 		w.cut[[2]int{leader, deaf}] = true
 		w.run(1500 * time.Millisecond) // with nothing new: its log is as good as any
@@ -590,33 +593,33 @@
 		w.start(other, false)
 		w.cut[[2]int{leader, other}] = true
 		w.run(3 * time.Second) // which looks at leases all the while
-		w.led(10 * time.Second)
+		w.awaitLeaders(10 * time.Second)
 	}
 }
 
 // Groups are calm. One follower does not hear the leader until it has taken it for silent; then it hears it again, and
 // the other does not. The first one's confirmations of beats hold no lease of before.
-func TestSilenceEndsCalm(t *testing.T) {
+func TestSilenceEndsHibernation(t *testing.T) {
 	for seed := range uint64(3) {
-		w := newWorld(t, 200+seed, 3)
-		w.led(5 * time.Second)
-		w.calmed()
-		leader := w.number(w.leader(1))
+		w := newCluster(t, 200+seed, 3)
+		w.awaitLeaders(5 * time.Second)
+		w.awaitHibernation()
+		leader := w.indexOf(w.leader(1))
 		first, second := (leader+1)%3, (leader+2)%3
 		w.cut[[2]int{leader, first}] = true
-		w.run(ElectionAfter + 200*time.Millisecond)
+		w.run(ElectionTimeout + 200*time.Millisecond)
 		delete(w.cut, [2]int{leader, first})
 		w.cut[[2]int{leader, second}] = true
 		w.run(3 * time.Second)
 		clear(w.cut)
-		w.led(10 * time.Second)
+		w.awaitLeaders(10 * time.Second)
 	}
 }
 
 // A daemon that begins anew says nothing before another has vouched that its store is not an old one.
-func TestUnvouchedSaysNothing(t *testing.T) {
-	w := newWorld(t, 17, 3)
-	w.led(5 * time.Second)
+func TestUnconfirmedStoreSendsNothing(t *testing.T) {
+	w := newCluster(t, 17, 3)
+	w.awaitLeaders(5 * time.Second)
 	w.propose(1, "c;")
 	w.run(time.Second)
 	w.kill(2)
@@ -625,7 +628,7 @@
 	vote := &pb.Message{Type: pb.MessageType_MsgPreVote.Enum(), From: new(w.nodes[0].disk.member.ID()), To: new(self.ID()), Term: new(uint64(99)), LogTerm: new(uint64(98)), Index: new(uint64(999))}
 	says := func(at time.Duration) bool {
 		n.Step(at, 1, vote)
-		return slices.ContainsFunc(n.Did(at).Sends, func(s Send) bool { return s.Raft != nil })
+		return slices.ContainsFunc(n.TakeWork(at).Sends, func(s Send) bool { return s.Raft != nil })
 	}
 	at := w.clock(w.nodes[2])
 	for range 100 {
@@ -633,23 +636,23 @@
 		n.Tick(at)
 		require.False(t, says(at))
 	}
-	n.Beaten(at, &Beat{Member: w.nodes[0].disk.member, Boot: 77, Number: 1, Full: true, Known: map[uint64]uint64{self.ID(): w.nodes[2].disk.written}})
+	n.HandleHeartbeat(at, &DaemonHeartbeat{Member: w.nodes[0].disk.member, Boot: 77, Number: 1, Full: true, Known: map[uint64]uint64{self.ID(): w.nodes[2].disk.written}})
 	require.True(t, says(at))
 }
 
 // A daemon that is about to end has others take over at once, commands are taken in all the while but for a moment, and
 // no two act at once. An heir that does not hear of it leaves the group without a leader no longer than an election takes.
-func TestYield(t *testing.T) {
+func TestStepDown(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(t, 300+seed, 3)
-		w.led(5 * time.Second)
-		leader := w.number(w.leader(1))
+		w := newCluster(t, 300+seed, 3)
+		w.awaitLeaders(5 * time.Second)
+		leader := w.indexOf(w.leader(1))
 		d := w.nodes[leader]
 		if seed%4 == 3 { // its word is lost, and the answers that say so are not
 			w.run(time.Second)
-			w.lost = func(s Send) bool { return s.Raft != nil && s.Raft.GetType() == pb.MessageType_MsgTimeoutNow }
+			w.dropSend = func(s Send) bool { return s.Raft != nil && s.Raft.GetType() == pb.MessageType_MsgTimeoutNow }
 		}
-		d.node.Yield(w.clock(d))
+		d.node.StepDown(w.clock(d))
 		require.NotEqual(t, d.name, w.leader(1), "it acts no more")
 		refused := 0
 		for i := range 60 {
@@ -658,44 +661,44 @@
 			}
 			w.run(20 * time.Millisecond)
 		}
-		if w.lost == nil {
+		if w.dropSend == nil {
 			require.NotEmpty(t, w.leader(1))
 			require.Less(t, refused, 20, "of 60 in 1.2 s: 500 ms of them by the one that yields")
 		}
-		w.lost = nil
+		w.dropSend = nil
 		for end := w.now + 10*time.Second; w.now < end && (w.leader(1) == "" || w.leader(1) == d.name); { // who yields may be chosen again
 			w.run(20 * time.Millisecond)
 		}
 		require.NotContains(t, []string{"", d.name}, w.leader(1))
 		w.run(time.Second)
-		w.kept()
+		w.checkConfirmed()
 	}
 }
 
 // A daemon is away until its replicas are moved, and comes back: placement wants it again, also in groups that a
 // stand-in leads by now.
-func TestStandInThatLeadsMakesRoom(t *testing.T) {
+func TestLeaderOutsidePlacementIsMoved(t *testing.T) {
 	for seed := range uint64(4) {
-		w := newWorld(t, 400+seed, 5)
-		w.led(5 * time.Second)
+		w := newCluster(t, 400+seed, 5)
+		w.awaitLeaders(5 * time.Second)
 		w.kill(0)
 		w.run(20 * time.Second)
-		for g := range uint32(groupsHere) { // stand-ins lead
+		for g := range uint32(testGroups) { // stand-ins lead
 			for i, d := range w.nodes {
 				if i > 0 && d.node.groups[g] != nil && !slices.Contains(voters(w.table, g), d.node.id) && w.leader(g) != "" {
-					l := w.nodes[w.number(w.leader(g))]
-					l.node.pass(l.node.groups[g], w.clock(l), func(id uint64) bool { return id == d.node.id })
+					l := w.nodes[w.indexOf(w.leader(g))]
+					l.node.startTransfer(l.node.groups[g], w.clock(l), func(id uint64) bool { return id == d.node.id })
 					w.run(2 * time.Second)
 				}
 			}
 		}
 		w.start(0, false)
 		w.run(40 * time.Second)
-		for g := range uint32(groupsHere) {
-			l := w.nodes[w.number(w.leader(g))].node
-			require.ElementsMatch(t, voters(w.table, g), l.groups[g].conf.GetVoters(), "group %d, led by %s", g, l.c.Self.Name)
+		for g := range uint32(testGroups) {
+			l := w.nodes[w.indexOf(w.leader(g))].node
+			require.ElementsMatch(t, voters(w.table, g), l.groups[g].conf.GetVoters(), "group %d, led by %s", g, l.cfg.Self.Name)
 		}
-		w.kept()
+		w.checkConfirmed()
 	}
 }
 
--- a/internal/replica/place.go
+++ b/internal/replica/placement.go
@@ -26,8 +26,8 @@
 	return uint32(mix(h.Sum64()))
 }
 
-// Collide tells of two names that must not be among the same daemons; empty: there are none.
-func Collide(names []string) (a, b string) {
+// NameCollision tells of two names that must not be among the same daemons; empty: there are none.
+func NameCollision(names []string) (a, b string) {
 	seen := map[uint32]string{}
 	for _, n := range names {
 		if other, there := seen[nameHash(n)]; there {
--- a/internal/replica/repair.go
+++ b/internal/replica/repair.go
@@ -8,8 +8,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// generationTerms are set aside for each repair: whatever terms the old had, those after it are larger.
-const generationTerms = 1 << 40
+// termsPerGeneration are set aside for each repair: whatever terms the old had, those after it are larger.
+const termsPerGeneration = 1 << 40
 
 // Repaired is the table of a record that goes on without those who were lost: all that the old ones say is refused.
 func (t Table) Repaired(generation uint32) Table {
@@ -17,8 +17,8 @@
 	return t
 }
 
-// Mark is the name by which daemons of the same record, and of the same repair of it, know each other; never 0.
-func (t Table) Mark() uint64 { return max(1, t.ID^mix(uint64(t.Generation))) }
+// Fingerprint is the name by which daemons of the same record, and of the same repair of it, know each other; never 0.
+func (t Table) Fingerprint() uint64 { return max(1, t.ID^mix(uint64(t.Generation))) }
 
 // Repair has the groups of a store go on without those daemons that are lost for good. survivors are all others, by
 // name; of a group's survivors the first there keeps it alone, with all that is in its log, and the others come to it
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	for _, name := range survivors {
-		n.Meet(name)
+		n.AddPeer(name)
 	}
 	w := &Write{Number: number}
 	for number, s := range stored {
@@ -44,7 +44,7 @@
 		}
 		first, left := math.MaxInt, 0
 		for _, id := range g.conf.GetVoters() {
-			if at := slices.Index(survivors, n.names[uint32(id>>32)]); at >= 0 {
+			if at := slices.Index(survivors, n.nameByHash[uint32(id>>32)]); at >= 0 {
 				first, left = min(first, at), left+1
 			}
 		}
@@ -60,10 +60,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("group %d: %w", number, err)
 		}
-		term := uint64(c.Table.Generation)*generationTerms + s.Hard.GetTerm()%generationTerms
+		term := uint64(c.Table.Generation)*termsPerGeneration + s.HardState.GetTerm()%termsPerGeneration
 		w.Groups = append(w.Groups, GroupWrite{
 			Group: number, Reset: true, Snapshot: snapshot,
-			Hard: &pb.HardState{Term: new(term), Vote: new(uint64(0)), Commit: new(g.applied)},
+			HardState: &pb.HardState{Term: new(term), Vote: new(uint64(0)), Commit: new(g.applied)},
 		})
 	}
 	return w, nil
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -34,30 +34,30 @@
 func (n *Node) Status() (all []Status) {
 	names := func(ids []uint64) (out []string) {
 		for _, id := range ids {
-			out = append(out, fmt.Sprintf("%s/%08x", n.names[uint32(id>>32)], uint32(id)))
+			out = append(out, fmt.Sprintf("%s/%08x", n.nameByHash[uint32(id>>32)], uint32(id)))
 		}
 		slices.Sort(out)
 		return out
 	}
-	for _, g := range n.order {
+	for _, g := range n.ordered {
 		s := g.raw.BasicStatus()
 		all = append(all, Status{
-			Group: g.number, Leader: n.names[uint32(s.Lead>>32)], Term: s.GetTerm(), Applied: g.applied,
-			Voters: names(g.conf.GetVoters()), Learners: names(g.conf.GetLearners()), Released: g.released, Halted: g.halted, Calm: g.quiet,
+			Group: g.number, Leader: n.nameByHash[uint32(s.Lead>>32)], Term: s.GetTerm(), Applied: g.applied,
+			Voters: names(g.conf.GetVoters()), Learners: names(g.conf.GetLearners()), Released: g.released, Halted: g.halted, Calm: g.hibernating,
 		})
 	}
 	return all
 }
 
-// Counts are figures of a node.
-func (n *Node) Counts(now time.Duration) (groups, leads, halted int, written uint64) {
-	for _, g := range n.order {
-		if _, _, ok := n.Lead(now, g.number); ok {
+// Counters are figures of a node.
+func (n *Node) Counters(now time.Duration) (groups, leads, halted int, written uint64) {
+	for _, g := range n.ordered {
+		if _, _, ok := n.Lease(now, g.number); ok {
 			leads++
 		}
 		if g.halted {
 			halted++
 		}
 	}
-	return len(n.order), leads, halted, n.written
+	return len(n.ordered), leads, halted, n.written
 }
--- a/internal/replica/wallclock_test.go
+++ b/internal/replica/wallclock_test.go
@@ -11,16 +11,16 @@
 // A daemon whose wall clock was an hour ahead stopped planning in its group: each proposal carries its proposer's time, and
 // a group's time never goes back, so that one such proposal has the whole group an hour ahead until the hour is over.
 func TestOneClockAheadIsNotTheGroupsTime(t *testing.T) {
-	w := newWorld(t, 31, 3)
-	w.led(5 * time.Second)
-	leader := w.nodes[w.number(w.leader(1))]
+	w := newCluster(t, 31, 3)
+	w.awaitLeaders(5 * time.Second)
+	leader := w.nodes[w.indexOf(w.leader(1))]
 	_, err := leader.node.Propose(w.clock(leader), 1, w.now+time.Hour, []byte("\x00ahead;"))
 	require.NoError(t, err)
 	w.run(time.Second)
 	require.True(t, w.propose(1, "right;"))
 	w.run(time.Second)
 
-	lines := w.lines(w.number(leader.name), 1)
+	lines := w.lines(w.indexOf(leader.name), 1)
 	var index uint64
 	var at time.Duration
 	_, err = fmt.Sscanf(lines[len(lines)-1], "%d@%d right;", &index, &at)
--- a/internal/replica/write.go
+++ b/internal/replica/write.go
@@ -9,38 +9,38 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// pending is a write that a group waits for.
-type pending struct {
-	g   *group
-	m   *pb.Message // nil: of the group's own
-	own GroupWrite
+// pendingWrite is a write that a group waits for.
+type pendingWrite struct {
+	group      *group
+	message    *pb.Message // nil: of the group's own
+	groupWrite GroupWrite
 }
 
-type flight struct {
+type inFlightWrite struct {
 	number uint64
-	parts  []pending
+	parts  []pendingWrite
 }
 
-// append takes what must last before its responses go out. What a crash may lose is put off until something must last.
-func (n *Node) append(g *group, m *pb.Message) {
+// persist takes what must last before its responses go out. What a crash may lose is put off until something must last.
+func (n *Node) persist(g *group, m *pb.Message) {
 	if m.Term != nil {
 		hard := &pb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
-		if len(m.GetEntries()) == 0 && m.Snapshot == nil && g.waiting == 0 && hard.GetTerm() == g.stored.GetTerm() && hard.GetVote() == g.stored.GetVote() {
+		if len(m.GetEntries()) == 0 && m.Snapshot == nil && g.pendingWrites == 0 && hard.GetTerm() == g.hardState.GetTerm() && hard.GetVote() == g.hardState.GetVote() {
 			g.log.SetHardState(hard)
-			g.stored = hard
+			g.hardState = hard
 			n.respond(g, m)
 			return
 		}
-		g.stored = hard
-	} else if len(m.GetEntries()) == 0 && m.Snapshot == nil && g.waiting == 0 {
+		g.hardState = hard
+	} else if len(m.GetEntries()) == 0 && m.Snapshot == nil && g.pendingWrites == 0 {
 		n.respond(g, m)
 		return
 	}
-	n.queue(pending{g: g, m: m})
+	n.queue(pendingWrite{group: g, message: m})
 }
 
-func (n *Node) queue(p pending) {
-	p.g.waiting++
+func (n *Node) queue(p pendingWrite) {
+	p.group.pendingWrites++
 	n.pending = append(n.pending, p)
 }
 
@@ -50,69 +50,69 @@
 	}
 }
 
-// batch makes one write of all that waits for one.
-func (n *Node) batch(now time.Duration) {
-	if n.flight != nil || len(n.pending) == 0 || n.ended {
+// buildWrite makes one write of all that waits for one.
+func (n *Node) buildWrite(now time.Duration) {
+	if n.inFlight != nil || len(n.pending) == 0 || n.stopped {
 		return
 	}
 	w := &Write{Number: n.written + 1}
 	for _, p := range n.pending {
-		part := p.own
-		if p.m != nil {
-			part = GroupWrite{Group: p.g.number, Entries: p.m.GetEntries(), Hard: p.g.stored}
-			if s := p.m.GetSnapshot(); !raft.IsEmptySnap(s) {
+		part := p.groupWrite
+		if p.message != nil {
+			part = GroupWrite{Group: p.group.number, Entries: p.message.GetEntries(), HardState: p.group.hardState}
+			if s := p.message.GetSnapshot(); !raft.IsEmptySnap(s) {
 				part.Snapshot, part.Reset = s, true
 			}
 		}
 		w.Groups = append(w.Groups, part)
 	}
-	if now-n.knownAt >= time.Second {
-		n.knownAt, w.Known = now, maps.Clone(n.known)
+	if now-n.knownSavedAt >= time.Second {
+		n.knownSavedAt, w.Known = now, maps.Clone(n.known)
 	}
-	n.flight = &flight{w.Number, n.pending}
+	n.inFlight = &inFlightWrite{w.Number, n.pending}
 	n.pending = nil
 	n.out.Write = w
 }
 
 // Persisted takes that a write will last.
 func (n *Node) Persisted(now time.Duration, number uint64) {
-	if n.flight == nil || n.flight.number != number || n.ended {
+	if n.inFlight == nil || n.inFlight.number != number || n.stopped {
 		return
 	}
-	parts := n.flight.parts
-	n.flight, n.written = nil, number
+	parts := n.inFlight.parts
+	n.inFlight, n.written = nil, number
 	for _, p := range parts {
-		g := p.g
-		g.waiting--
-		if p.m == nil {
+		g := p.group
+		g.pendingWrites--
+		if p.message == nil {
 			continue
 		}
 		n.guard(g, func() {
-			if s := p.m.GetSnapshot(); !raft.IsEmptySnap(s) {
+			if s := p.message.GetSnapshot(); !raft.IsEmptySnap(s) {
 				if err := g.restore(s); err != nil {
 					panic(err)
 				}
 				if err := g.log.ApplySnapshot(&pb.Snapshot{Metadata: s.GetMetadata()}); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 					panic(err)
 				}
-				g.size = 0
+				g.logBytes = 0
 				n.out.Changed = true
 			}
-			if p.m.Term != nil {
-				g.log.SetHardState(&pb.HardState{Term: p.m.Term, Vote: p.m.Vote, Commit: p.m.Commit})
+			if p.message.Term != nil {
+				g.log.SetHardState(&pb.HardState{Term: p.message.Term, Vote: p.message.Vote, Commit: p.message.Commit})
 			}
-			if err := g.log.Append(p.m.GetEntries()); err != nil {
+			if err := g.log.Append(p.message.GetEntries()); err != nil {
 				panic(err)
 			}
-			n.respond(g, p.m)
+			n.respond(g, p.message)
 		})
-		n.touch(g)
+		n.schedule(g)
 	}
 }
 
-// Failed takes that a write may not last: this node confirms nothing more and acts for nobody.
-func (n *Node) Failed(why error) {
-	if !n.ended {
+// WriteFailed takes that a write may not last: this node confirms nothing more and acts for nobody.
+func (n *Node) WriteFailed(why error) {
+	if !n.stopped {
 		n.retire("")
 		n.out.Retire = ""
 		n.note("the store takes no more: %v", why)
