--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -9,19 +9,19 @@
 	"slices"
 )
 
-// BootstrapMessage is what daemons tell each other until all know what their groups begin with.
+// BootstrapMessage is what daemons send each other until all have agreed on the table that the groups start from.
 type BootstrapMessage struct {
 	Member Member `json:"member"`
-	Table  *Table `json:"table,omitempty"`  // that lasts on the sender's disk
-	Active bool   `json:"active,omitempty"` // and that all of its members have on theirs
+	Table  *Table `json:"table,omitempty"`  // the table that the sender has stored on its disk
+	Active bool   `json:"active,omitempty"` // the sender knows that all members of the table have stored it
 }
 
-// Bootstrapper agrees on the table that the groups begin with. Nobody acts before all daemons of the file have met with
-// empty stores and have the same table on their disks: from then on a daemon whose disk is lost is a newcomer, who
-// never founds anything by himself. It is not safe for more than one goroutine.
+// Bootstrapper agrees on the table that the groups start from. No daemon acts before all configured daemons have
+// contacted each other with empty stores and have the same table on their disks. From then on, a daemon whose disk is
+// lost joins as a new member and never bootstraps a table by itself. It is not safe for concurrent use.
 type Bootstrapper struct {
 	self        Member
-	names       []string // all of the file
+	names       []string // all other configured daemons
 	groups      uint32
 	copies      int
 	table       *Table
@@ -30,12 +30,13 @@
 	received    map[string]BootstrapMessage
 }
 
-// NewBootstrapper returns one. names are the other daemons of the file; table is what the store has, if any.
+// NewBootstrapper returns a bootstrapper. names are the other configured daemons; table is the stored table, nil if
+// there is none.
 func NewBootstrapper(self Member, names []string, groups uint32, copies int, table *Table, active bool) *Bootstrapper {
 	return &Bootstrapper{self: self, names: names, groups: groups, copies: copies, table: table, tableStored: table != nil, active: active, received: map[string]BootstrapMessage{}}
 }
 
-// Message is what the others are to be told.
+// Message returns the message to send to the other daemons.
 func (f *Bootstrapper) Message() BootstrapMessage {
 	t := BootstrapMessage{Member: f.self, Active: f.active}
 	if f.tableStored {
@@ -44,13 +45,13 @@
 	return t
 }
 
-// Outdated tells whether what another tells says that the record was repaired without this daemon.
+// Outdated reports whether a peer's message shows that the groups were repaired without this daemon.
 func (f *Bootstrapper) Outdated(t BootstrapMessage) bool {
 	return f.table != nil && t.Active && t.Table != nil && t.Table.ID == f.table.ID && t.Table.Generation > f.table.Generation
 }
 
-// Receive takes what another tells. A table that is to be stored before anything else is told is returned; a conflict is
-// a reason for the log.
+// Receive handles a peer's message. It returns a table that must be stored before the next message is sent, and, if the
+// peer's table conflicts with this daemon's, a description for the log.
 func (f *Bootstrapper) Receive(t BootstrapMessage) (store *Table, conflict string) {
 	if t.Member.Name == f.self.Name {
 		return nil, ""
@@ -71,7 +72,7 @@
 	return f.advance(), ""
 }
 
-// TableStored takes that the table lasts.
+// TableStored reports that the table has been written to disk.
 func (f *Bootstrapper) TableStored() {
 	f.tableStored = true
 	for _, t := range f.received {
@@ -80,7 +81,7 @@
 	f.advance()
 }
 
-// Start is to be called once at the start: it is what a daemon alone needs.
+// Start must be called once at start-up. It returns the table to store if this is the only daemon.
 func (f *Bootstrapper) Start() (store *Table) { return f.advance() }
 
 func (f *Bootstrapper) advance() (store *Table) {
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// Active is the table, once all have it.
+// Active returns the table once all members have stored it.
 func (f *Bootstrapper) Active() (Table, bool) {
 	if !f.active {
 		return Table{}, false
@@ -116,7 +117,7 @@
 	return *f.table, true
 }
 
-// Missing is who has not been heard yet.
+// Missing returns the configured daemons from which no message has been received yet.
 func (f *Bootstrapper) Missing() (names []string) {
 	for _, name := range f.names {
 		if _, ok := f.received[name]; !ok {
@@ -126,10 +127,10 @@
 	return names
 }
 
-// Met is all that were heard.
+// Met returns the names of all daemons from which a message has been received.
 func (f *Bootstrapper) Met() []string { return slices.Sorted(maps.Keys(f.received)) }
 
-// newTable is the same at all who have heard the same.
+// newTable returns the table of these members. All daemons that know the same members compute the same table.
 func newTable(members []Member, groups uint32, copies int) *Table {
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	t := &Table{Groups: groups, Copies: copies, Members: members}
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// group is one replica.
+// group is this node's replica of one group.
 type group struct {
 	number        uint32
 	raw           *raft.RawNode
@@ -20,9 +20,9 @@
 	mux           Mux
 	conf          *pb.ConfState
 	applied       uint64
-	lastTime      time.Duration // of the commands' times
-	hardState     *pb.HardState // what a write has, or will have, on the disk
-	pendingWrites int           // writes not done
+	lastTime      time.Duration // latest time of an applied command
+	hardState     *pb.HardState // on disk, or in a queued write
+	pendingWrites int           // queued or in-flight writes of this group
 	logBytes      int           // bytes applied since the last snapshot
 	halted        bool
 	scheduled     bool
@@ -30,27 +30,27 @@
 	released      bool
 	leader        bool
 	term          uint64
-	leaseIndex    uint64 // index that must be applied before the leader acts; MaxUint64: not known yet
+	leaseIndex    uint64 // log index that must be applied before the leader acts; MaxUint64: not known yet
 	leaseUntil    time.Duration
 	renewedAt     time.Duration
 	reads         map[uint64]time.Duration
-	confChangedAt time.Duration // when its holders last changed
+	confChangedAt time.Duration // last membership change
 
 	hibernating      bool
-	hibernatingUnder string // whose beats hold it; empty: our own
+	hibernatingUnder string // the leader's daemon, whose heartbeats keep the group hibernating; empty: this node leads
 	hibernateTerm    uint64
-	hibernateAcks    map[uint64]uint64 // by follower: the epoch in which it confirmed
-	activeAt         time.Duration     // when anything was last new
+	hibernateAcks    map[uint64]uint64 // by follower: its epoch when it agreed to hibernate
+	activeAt         time.Duration     // last activity of the group
 	hibernateAskedAt time.Duration
 
-	transferTerm   uint64 // the term in which this node acts no more, for another is to lead; 0: none
+	transferTerm   uint64 // the term in which this node has stopped acting in order to transfer leadership; 0: none
 	transferee     uint64
-	transferAt     time.Duration // when the lease that was told last has ended
-	transferSent   bool          // the heir has been told
+	transferAt     time.Duration // when the last acquired lease expires
+	transferSent   bool          // MsgTimeoutNow may have been sent to the transferee
 	transferSentAt time.Duration
 }
 
-// groupLog is the log as the library reads it; snapshots are made when one is asked for.
+// groupLog is the storage that raft reads; it makes snapshots on demand, at most one per snapshotInterval.
 type groupLog struct {
 	*raft.MemoryStorage
 	g          *group
@@ -70,7 +70,7 @@
 	return s, nil
 }
 
-// snapshot is of what is applied.
+// snapshot returns a snapshot of the applied state.
 func (g *group) snapshot() (*pb.Snapshot, error) {
 	term, err := g.log.Term(g.applied)
 	if err != nil {
@@ -87,7 +87,7 @@
 	return &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: g.conf, Index: new(g.applied), Term: new(term)}}, nil
 }
 
-// restore takes one.
+// restore replaces the state by a snapshot's.
 func (g *group) restore(s *pb.Snapshot) error {
 	data := s.GetData()
 	if len(data) > 0 {
@@ -103,7 +103,8 @@
 	return nil
 }
 
-// InitialState is what a group of a table begins with at one of its holders; false: at who is none.
+// InitialState returns the state that a group of the table starts with at each of its voters. It returns false if self
+// is not one of them.
 func InitialState(t Table, number uint32, self Member) (Stored, bool) {
 	voters, among := []uint64(nil), false
 	for _, m := range Place(number, t.Members, t.Copies) {
@@ -116,7 +117,7 @@
 	}, among
 }
 
-// add makes a replica of what is stored of it.
+// add creates this node's replica of a group from its stored state.
 func (n *Node) add(number uint32, s Stored) (*group, error) {
 	g := &group{number: number, mux: n.cfg.Machines(number), conf: &pb.ConfState{}, hardState: s.HardState, leaseIndex: math.MaxUint64, reads: map[uint64]time.Duration{}}
 	g.log = &groupLog{MemoryStorage: raft.NewMemoryStorage(), g: g, n: n}
@@ -135,7 +136,8 @@
 	if err := g.log.Append(s.Entries); err != nil {
 		return nil, err
 	}
-	// The heartbeats that renew leases are those of reads; the library's own are for when no read can be asked for yet.
+	// Leases are renewed by the heartbeats of read-index requests. Raft's own heartbeats only serve while no read can
+	// be requested yet.
 	raw, err := raft.NewRawNode(&raft.Config{
 		ID: n.id, ElectionTick: electionTicks, HeartbeatTick: 3 * int(HeartbeatInterval/Tick), Storage: g.log, Applied: g.applied,
 		AsyncStorageWrites: true, MaxSizePerMsg: 256 << 10, MaxCommittedSizePerReady: 1 << 20, MaxUncommittedEntriesSize: maxLogBytes,
@@ -152,8 +154,9 @@
 	return g, nil
 }
 
-// release lets a group take part once enough others vouch for this node's store and once nobody can lean on what this
-// node promised before it ended: a lease is not on the disk.
+// release lets a group take part in raft once enough peers have confirmed that this node's store is current, and once
+// no lease can depend any more on a heartbeat that this node confirmed before it restarted: leases are not stored on
+// disk.
 func (n *Node) release(g *group, now time.Duration) bool {
 	if g.released || n.stopped || g.halted {
 		return g.released && !n.stopped && !g.halted
@@ -175,7 +178,7 @@
 	return g.released
 }
 
-// apply has the machines take committed commands.
+// apply applies committed entries.
 func (n *Node) apply(g *group, entries []*pb.Entry, now time.Duration) {
 	for _, e := range entries {
 		if e.GetIndex() <= g.applied {
@@ -210,7 +213,7 @@
 	n.compact(g)
 }
 
-// compact cuts a long log.
+// compact takes a snapshot and truncates the log once the log is long.
 func (n *Node) compact(g *group) {
 	first, err := g.log.FirstIndex()
 	if err != nil || g.logBytes < maxLogBytes && g.applied-first < maxLogEntries {
--- a/internal/replica/heartbeat.go
+++ b/internal/replica/heartbeat.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// renewLease has a leader ask whether the others still follow it: the library's reads do, by heartbeats that bear a mark.
+// renewLease asks raft for a read index, which makes followers confirm the leader by heartbeats that carry the
+// request's number.
 func (n *Node) renewLease(g *group, now time.Duration) {
 	if !g.leader || now-g.renewedAt < HeartbeatInterval {
 		return
@@ -26,7 +27,7 @@
 	g.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, n.lastRef))
 }
 
-// sendHeartbeats tells the other daemons that this one lives.
+// sendHeartbeats sends a daemon heartbeat to all peers.
 func (n *Node) sendHeartbeats(now time.Duration) {
 	leads := map[uint32]uint64{}
 	for _, g := range n.ordered {
@@ -56,10 +57,10 @@
 	}
 }
 
-// AddPeer says that there is another daemon, which may not have been heard yet.
+// AddPeer adds another daemon, from which nothing need have been received yet.
 func (n *Node) AddPeer(name string) { n.nameByHash[nameHash(name)] = name }
 
-// HandleHeartbeat takes another daemon's beat.
+// HandleHeartbeat handles another daemon's heartbeat.
 func (n *Node) HandleHeartbeat(now time.Duration, b *DaemonHeartbeat) {
 	name := b.Member.Name
 	if name == n.cfg.Self.Name || n.stopped {
@@ -73,9 +74,9 @@
 	}
 	switch {
 	case p.boot == b.Boot && b.Number <= p.heartbeatNumber:
-		return // by a line that was lost meanwhile
+		return // delayed on a connection that has since been lost
 	case p.boot != 0 && p.member.Incarnation != b.Member.Incarnation && now-p.receivedAt < ElectionTimeout:
-		return // who had the name before may still act; with the same store there is no before
+		return // the previous holder of the name may still act; with the same store there is no previous holder
 	case p.boot != b.Boot: // it waits to be told what is known of its store
 		n.heartbeatCount = 0
 		n.peerSilent(p, now)
--- a/internal/replica/hibernate.go
+++ b/internal/replica/hibernate.go
@@ -8,36 +8,37 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// Groups in which nothing happens cost nothing: their replicas take no ticks and send no heartbeats. The beats between
-// daemons stand for those. A follower that has confirmed to be calm gives nobody its vote while the leader's daemon is
-// heard, for its election clock stands still, and for ElectionTimeout more. It wakes when that daemon is silent for so
-// long, has begun anew, or leads the group no more by its own word. Whoever has taken a daemon for silent says so in
-// its confirmations of beats by another epoch, so that they count for no group that was calm before.
+// Idle groups hibernate: their replicas take no ticks and send no raft heartbeats; the heartbeats between daemons
+// replace them. A follower that has agreed to hibernate grants no vote while heartbeats of the leader's daemon arrive,
+// since its election clock stands still, and for ElectionTimeout after that. It wakes when that daemon has been silent
+// for ElectionTimeout, has restarted, or no longer lists the group among those that it leads. A daemon that has
+// considered a peer silent acknowledges the peer's heartbeats with a new epoch, so that they extend no lease of a group
+// that hibernated before.
 
 const (
-	hibernateAfter           = time.Second // without anything new
-	hibernateRequestInterval = time.Second // that it is asked for
-	// While this much of a lease is left, beats are enough; with less, heartbeats must do.
+	hibernateAfter           = time.Second // of inactivity
+	hibernateRequestInterval = time.Second // between requests to the followers of a group
+	// A hibernating group whose lease has less than this left wakes, so that raft heartbeats renew the lease.
 	minLeaseLeft     = LeaseDuration / 2
-	heartbeatHistory = 32 // whose times are kept
+	heartbeatHistory = 32 // heartbeats whose send times are kept
 )
 
-// HeartbeatAck is what a beat says to one daemon alone: which of its beats was heard last.
+// HeartbeatAck accompanies a heartbeat and acknowledges the receiver's latest one.
 type HeartbeatAck struct {
-	Boot   uint64 // of the process that is spoken to
+	Boot   uint64 // of the receiver's process
 	Number uint64
 	Epoch  uint64
 }
 
-// Hibernation asks a follower to be calm, or confirms that it is.
+// Hibernation asks a follower to hibernate, or is its agreement.
 type Hibernation struct {
 	Group uint32
 	Term  uint64
-	Index uint64 // at which all logs end
-	Epoch uint64 // of who confirms; 0: it is asked for
+	Index uint64 // last log index of all replicas
+	Epoch uint64 // of the follower that agrees; 0: a request
 }
 
-// isIdle tells whether nothing is under way in a group that this node leads.
+// isIdle reports whether nothing is pending in a group that this node leads.
 func (n *Node) isIdle(g *group) bool {
 	s := g.raw.BasicStatus()
 	if g.scheduled || g.pendingWrites > 0 || len(g.conf.GetLearners()) > 0 || len(g.conf.GetVotersOutgoing()) > 0 || g.applied != s.GetCommit() || len(g.conf.GetVoters()) < 2 {
@@ -52,7 +53,7 @@
 	return all == alike
 }
 
-// requestHibernation asks the followers of a group to be calm once nothing has happened for a while.
+// requestHibernation asks the followers of a group to hibernate after a time of inactivity.
 func (n *Node) requestHibernation(g *group, now time.Duration) {
 	if !g.leader || g.transferTerm == g.term || g.leaseUntil <= now || g.applied < g.leaseIndex || now-g.activeAt < hibernateAfter || now-g.hibernateAskedAt < hibernateRequestInterval {
 		return
@@ -73,7 +74,7 @@
 	}
 }
 
-// HandleHibernation takes what another daemon says of a group's calm.
+// HandleHibernation handles a peer's request to hibernate or its agreement.
 func (n *Node) HandleHibernation(now time.Duration, from string, c Hibernation) {
 	g, p := n.groups[c.Group], n.peers[from]
 	if g == nil || p == nil || n.stopped || g.halted || !g.released {
@@ -102,7 +103,8 @@
 	}
 }
 
-// wake has a group take part in the usual way again. ticks are made up for by a follower whose leader has been silent.
+// wake ends a group's hibernation. A follower whose leader has been silent takes the given number of ticks at once, for
+// the time that it has already waited.
 func (n *Node) wake(g *group, now time.Duration, ticks int) {
 	if !g.hibernating {
 		return
@@ -117,7 +119,8 @@
 	n.schedule(g)
 }
 
-// checkHibernating wakes what was calm under daemons that are silent, and what beats do not hold any more.
+// checkHibernating wakes the groups whose leader's daemon is silent, and those led here whose lease daemon heartbeats
+// no longer extend.
 func (n *Node) checkHibernating(now time.Duration) {
 	for _, p := range n.peers {
 		if now-p.receivedAt >= ElectionTimeout && !p.silent {
@@ -135,17 +138,19 @@
 	}
 }
 
-// peerSilent takes a daemon for silent.
+// peerSilent starts a new epoch for a peer that is considered silent or has restarted, and wakes the groups that
+// hibernate under it.
 func (n *Node) peerSilent(p *peer, now time.Duration) {
 	p.epoch++
 	for _, g := range n.ordered {
 		if g.hibernating && g.hibernatingUnder == p.member.Name {
-			n.wake(g, now, electionTicks-1) // it has waited
+			n.wake(g, now, electionTicks-1) // an election timeout has nearly passed already
 		}
 	}
 }
 
-// heartbeatLease is until when a calm group's leader acts by what was confirmed of its beats; 0: it must ask again.
+// heartbeatLease returns until when the leader of a hibernating group may act, by the daemon heartbeats that have been
+// acknowledged; 0 if a follower's agreement no longer holds.
 func (n *Node) heartbeatLease(g *group, now time.Duration) time.Duration {
 	voters := g.conf.GetVoters()
 	heard := make([]time.Duration, 0, len(voters))
@@ -156,7 +161,7 @@
 		}
 		p := n.peers[n.nameByHash[uint32(id>>32)]]
 		if epoch, ok := g.hibernateAcks[id]; p == nil || !ok || p.ackEpoch != epoch || p.member.ID() != id {
-			return 0 // it may be awake, and have voted
+			return 0 // it may have woken and voted
 		}
 		heard = append(heard, p.ackedSentAt)
 	}
@@ -164,7 +169,7 @@
 	return heard[(len(heard)-1)/2] + LeaseDuration
 }
 
-// HandleHeartbeatAck takes what another daemon says of our beats.
+// HandleHeartbeatAck handles a peer's acknowledgement of this node's heartbeats.
 func (n *Node) HandleHeartbeatAck(from string, c HeartbeatAck) {
 	p := n.peers[from]
 	if p == nil || n.stopped || c.Boot != n.cfg.Boot {
@@ -176,7 +181,7 @@
 	}
 }
 
-// sentHeartbeat is when a beat went out.
+// sentHeartbeat is the time at which a heartbeat was sent.
 type sentHeartbeat struct {
 	number uint64
 	at     time.Duration
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -1,7 +1,7 @@
-// Package replica decides what the replicas of a small consensus group do: which daemons hold it, what goes to whom and
-// to the disk, what is applied, and who may act for it. The consensus itself is go.etcd.io/raft. It has no I/O and no
-// clock: it is driven by events, each with its time, and returns what is to be done. docs/promises-design.md weighs
-// the choices.
+// Package replica runs the replicas of many small raft groups: it places them on daemons, decides which messages to
+// send and what to write to disk, applies committed commands, and grants the leader's lease. Consensus itself is
+// go.etcd.io/raft. The package does no I/O and reads no clock: it is driven by events, each with its time, and returns
+// the work to be done. docs/promises-design.md discusses the design.
 package replica
 
 import (
@@ -16,10 +16,10 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Root is the group that holds placement, versions of settings and cordons. Keys never fall to it.
+// Root is the group that holds placement, versions of settings and cordons. No key maps to it.
 const Root uint32 = 0
 
-// The machines of a group, by the first byte of a command.
+// IDs of a group's machines: the first byte of a command.
 const (
 	Promises byte = 0
 	Gangs    byte = 1
@@ -28,11 +28,11 @@
 )
 
 const (
-	maxCommandBytes = 256 << 10 // bytes of one
+	maxCommandBytes = 256 << 10 // per command
 	maxResultBytes  = 256 << 10
 )
 
-// Errors of proposals. Only ErrUnknown leaves open whether the command counts.
+// Errors of proposals. Only ErrUnknown leaves open whether the command was or will be applied.
 var (
 	ErrNoLeader = errors.New("replica: the group has no leader")
 	ErrDropped  = errors.New("replica: not taken in: too much is under way")
@@ -41,25 +41,27 @@
 	ErrNoGroup  = errors.New("replica: no such group")
 )
 
-// Machine is the replicated state of one group. It must be deterministic: committed commands alone change it. Apply's
-// at is Unix time as its proposer read it, made monotone within the group, and the same at each replica; a result is
-// at most 256 KiB. It need not be safe for more than one goroutine.
+// Machine is the replicated state of one group. It must be deterministic: only committed commands change it. Apply's at
+// is the proposer's Unix time, made monotonic within the group and the same at each replica; a result is at most 256
+// KiB. It need not be safe for concurrent use.
 type Machine interface {
 	Apply(index uint64, at time.Duration, cmd []byte) (result []byte)
 	Snapshot() ([]byte, error)
 	Restore([]byte) error
 }
 
-// Reader is a machine that tells some things without the log. Read's ok false: the command is none that only reads. It
-// must not change the machine, and must tell from a command's first bytes what it is: it is asked of each.
+// Reader is a machine that answers read-only commands without a log entry. Read returns ok false for any other command.
+// It must not change the machine, and must recognize a read by the command's first bytes, because it is called for
+// every command.
 type Reader interface {
 	Read(cmd []byte) (result []byte, ok bool)
 }
 
-// Mux is several machines side by side; the first byte of a command says whose it is.
+// Mux combines several machines; the first byte of a command selects one.
 type Mux map[byte]Machine
 
-// Apply has the machine of a command take it. One without a machine changes nothing and has a result that says so.
+// Apply applies a command to its machine. A command without a machine changes nothing and returns a result that says
+// so.
 func (m Mux) Apply(index uint64, at time.Duration, cmd []byte) []byte {
 	if len(cmd) == 0 || m[cmd[0]] == nil {
 		return []byte("no such machine")
@@ -67,7 +69,7 @@
 	return m[cmd[0]].Apply(index, at, cmd[1:])
 }
 
-// Read has the machine of a command that only reads answer it.
+// Read answers a read-only command by its machine.
 func (m Mux) Read(cmd []byte) ([]byte, bool) {
 	if len(cmd) == 0 {
 		return nil, false
@@ -78,7 +80,7 @@
 	return nil, false
 }
 
-// Snapshot is all machines' own, by their numbers.
+// Snapshot returns the snapshots of all machines, by their IDs.
 func (m Mux) Snapshot() ([]byte, error) {
 	var out []byte
 	for _, k := range slices.Sorted(maps.Keys(m)) {
@@ -92,7 +94,8 @@
 	return out, nil
 }
 
-// Restore has each machine take its own. One that this program lacks is an error: its state would be lost unseen.
+// Restore restores each machine from its part. A part for a machine that this program lacks is an error, since its
+// state would be lost silently.
 func (m Mux) Restore(text []byte) error {
 	for len(text) > 0 {
 		k, kind, n := protowire.ConsumeTag(text)
@@ -115,7 +118,7 @@
 	return nil
 }
 
-// GroupOf is the group of a key, from 1 to groups-1; the root group is none's. With one group all is the root's. It
+// GroupOf returns the group of a key, from 1 to groups-1; no key maps to the root group unless it is the only one. It
 // is a jump consistent hash, so that a deployment with more groups moves few keys.
 func GroupOf(key string, groups uint32) uint32 {
 	if groups <= 1 {
@@ -126,7 +129,7 @@
 	return 1 + jump(mix(h.Sum64()), groups-1)
 }
 
-// jump is Lamping and Veach's.
+// jump is the jump consistent hash of Lamping and Veach.
 func jump(key uint64, buckets uint32) uint32 {
 	b, j := int64(-1), int64(0)
 	for j < int64(buckets) {
@@ -137,7 +140,7 @@
 	return uint32(b)
 }
 
-// mix spreads a weak hash's bits.
+// mix is a finalizer that spreads a weak hash's bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -146,7 +149,7 @@
 	return x ^ x>>33
 }
 
-// wrap puts a proposal's number and time before its command.
+// wrap prefixes a command with its proposal's reference and time.
 func wrap(ref uint64, at time.Duration, cmd []byte) []byte {
 	out := make([]byte, 0, 17+len(cmd))
 	out = binary.BigEndian.AppendUint64(out, ref)
@@ -154,7 +157,7 @@
 	return append(out, cmd...)
 }
 
-// unwrap undoes wrap.
+// unwrap reverses wrap.
 func unwrap(text []byte) (ref uint64, at time.Duration, cmd []byte, ok bool) {
 	if len(text) < 16 {
 		return 0, 0, nil, false
--- a/internal/replica/main_test.go
+++ b/internal/replica/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain has fewer worlds than the library's hundred, each of which is minutes long; -rapid.checks asks for more.
+// TestMain runs fewer rapid checks than the default hundred, because each simulates minutes; -rapid.checks overrides
+// it.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.checks", "30")
 	flag.Parse()
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// livePeers is all daemons that may hold replicas.
+// livePeers returns this daemon and all peers from which a heartbeat arrived within the given time.
 func (n *Node) livePeers(now, within time.Duration) []Member {
 	all := []Member{n.cfg.Self}
 	for _, p := range n.peers {
@@ -20,7 +20,8 @@
 	return all
 }
 
-// changeMembers changes who holds a group by one: who is gone makes room for who has caught up.
+// changeMembers makes at most one membership change of a group: a learner is added and, once it has caught up, replaces
+// a voter that is lost or that placement no longer wants.
 func (n *Node) changeMembers(g *group, now time.Duration) {
 	if !g.leader || g.transferTerm == g.term || g.halted || g.applied < g.leaseIndex || now-g.confChangedAt < confChangeInterval || len(g.conf.GetVotersOutgoing()) > 0 {
 		return
@@ -61,7 +62,7 @@
 		}
 	}
 	if surplus == 0 && len(want) == n.cfg.Table.Copies && now-n.startedAt >= n.cfg.RelocateAfter && !wanted(n.id) {
-		n.startTransfer(g, now, wanted) // who leads then moves it
+		n.startTransfer(g, now, wanted) // the new leader then replaces this node
 		return
 	}
 	if learners := g.conf.GetLearners(); len(learners) > 0 {
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -11,40 +11,41 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// The clock of groups. A follower that has confirmed a heartbeat gives nobody else its vote for ElectionTimeout less a
-// tick, by its own clock; the leader acts for LeaseDuration after it sent that heartbeat, by its own. With clocks whose rates
-// differ by less than one part in MaxDriftDivisor no two act at once.
+// Timing of the groups. A follower that has confirmed a heartbeat grants no other candidate its vote for
+// ElectionTimeout less one tick, by its own clock; the leader acts for LeaseDuration after it sent that heartbeat, by
+// its own clock. While clock rates differ by less than one part in MaxDriftDivisor, no two nodes act for a group at
+// once.
 const (
 	Tick                    = 50 * time.Millisecond
 	HeartbeatInterval       = 100 * time.Millisecond
-	ElectionTimeout         = 600 * time.Millisecond // and up to twice that, by chance
+	ElectionTimeout         = 600 * time.Millisecond // randomized up to twice this
 	LeaseDuration           = 500 * time.Millisecond
 	MaxDriftDivisor         = 20
-	DaemonHeartbeatInterval = 100 * time.Millisecond // between daemons
-	SilenceTimeout          = 2 * time.Second        // without a beat, a daemon counts as away
-	RelocateTimeout         = 30 * time.Second       // and its replicas are moved
+	DaemonHeartbeatInterval = 100 * time.Millisecond
+	SilenceTimeout          = 2 * time.Second  // a daemon without heartbeats counts as unavailable
+	RelocateTimeout         = 30 * time.Second // its replicas are moved to other daemons
 )
 
 const (
-	confChangeInterval = time.Second // in a group, between changes of who holds it
+	confChangeInterval = time.Second // per group
 	electionTicks      = int(ElectionTimeout / Tick)
-	maxTickCatchUp     = 2 * electionTicks // made up for at once
-	maxProposals       = 4096              // proposals under way here
-	maxLogBytes        = 4 << 20           // bytes of a log before it is cut
+	maxTickCatchUp     = 2 * electionTicks // ticks made up for at once
+	maxProposals       = 4096              // pending on this node
+	maxLogBytes        = 4 << 20           // log size at which it is compacted
 	maxLogEntries      = 4096
-	keepEntries        = 512      // behind a snapshot, for followers that are a little late
-	maxSnapshotBytes   = 64 << 20 // bytes
+	keepEntries        = 512 // kept behind a snapshot, for followers that lag slightly
+	maxSnapshotBytes   = 64 << 20
 	snapshotInterval   = time.Second
-	maxConcurrentMoves = 4 // groups led here that take in a new holder at once
+	maxConcurrentMoves = 4 // groups led here that have a learner at once
 	maxKnownStores     = 4096
-	fullHeartbeatEvery = 10 // beats
+	fullHeartbeatEvery = 10 // heartbeats
 	maxLearnerLag      = 64 // entries that a learner may lack when it becomes a voter
 )
 
-// It does not compile with a lease that would outlast a vote withheld.
+// Compilation fails if the lease could outlast the time for which a vote is withheld.
 const _ = uint64((ElectionTimeout-Tick)-(ElectionTimeout-Tick)/MaxDriftDivisor) - uint64(LeaseDuration)
 
-// Node is one daemon's replicas. It is not safe for more than one goroutine.
+// Node holds one daemon's replicas. It is not safe for concurrent use.
 type Node struct {
 	cfg             Config
 	id              uint64
@@ -54,7 +55,7 @@
 	movedAt         time.Duration
 	groups          map[uint32]*group
 	ordered         []*group
-	nameByHash      map[uint32]string // by hash
+	nameByHash      map[uint32]string // by hash of the name
 	peers           map[string]*peer
 	known           map[uint64]uint64
 	lastRef         uint64
@@ -65,12 +66,12 @@
 	knownSavedAt    time.Duration
 	scheduled       []*group
 	heartbeatCount  uint64
-	heartbeatNumber uint64 // of beats
+	heartbeatNumber uint64 // of the last heartbeat sent
 	sentHeartbeats  [heartbeatHistory]sentHeartbeat
-	sentLeads       map[uint32]uint64 // as last told
+	sentLeads       map[uint32]uint64 // as last sent
 	out             Work
 	stopped         bool
-	steppingDown    bool // it is to lead nothing
+	steppingDown    bool // leads no group any more
 }
 
 // peer is another daemon.
@@ -78,18 +79,18 @@
 	member         Member
 	boot           uint64
 	receivedAt     time.Duration
-	storeConfirmed bool // it knows of no later state of our store
+	storeConfirmed bool // it knows of no later state of this node's store
 	leads          map[uint32]uint64
 
-	heartbeatNumber uint64 // of its last beat
+	heartbeatNumber uint64 // of its last heartbeat
 	silent          bool
-	epoch           uint64        // another each time that it was silent, or another process
-	ackEpoch        uint64        // its own of us
-	ackedSentAt     time.Duration // when the last of our beats went out that it has confirmed
+	epoch           uint64        // changes whenever the peer was silent or restarted
+	ackEpoch        uint64        // the peer's epoch of this node, as last received
+	ackedSentAt     time.Duration // when the latest of this node's heartbeats that it has acknowledged was sent
 }
 
-// New returns a node with what its store holds. Groups that the table gives it and that the store lacks begin as the
-// table says: nothing was ever promised there.
+// New returns a node with the state of its store. Groups that the table assigns to it and that the store lacks start
+// from the table's initial state: this member has never voted or confirmed anything there.
 func New(c Config, now time.Duration, stored map[uint32]Stored) (*Node, error) {
 	if c.RelocateAfter == 0 {
 		c.RelocateAfter = RelocateTimeout
@@ -124,7 +125,7 @@
 	return n, nil
 }
 
-// Tick takes the time. It is to be called at least once in Tick.
+// Tick advances the time. It must be called at least once per Tick interval.
 func (n *Node) Tick(now time.Duration) {
 	if n.stopped {
 		return
@@ -157,7 +158,7 @@
 	}
 }
 
-// retire ends this node.
+// retire stops this node.
 func (n *Node) retire(why string) {
 	n.stopped = true
 	n.out.Retire = why
@@ -170,14 +171,14 @@
 	n.out.Changed = true
 }
 
-// Step takes another daemon's message.
+// Step handles a raft message of another daemon.
 func (n *Node) Step(now time.Duration, group uint32, m *pb.Message) {
 	if n.stopped || m == nil || m.GetTo() != n.id || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	switch m.GetType() {
 	case pb.MessageType_MsgProp, pb.MessageType_MsgTransferLeader, pb.MessageType_MsgForgetLeader, pb.MessageType_MsgReadIndex:
-		return // not between daemons: a proposal that nobody waits for
+		return // not accepted from daemons: nobody waits for such a proposal
 	}
 	g := n.groups[group]
 	if g == nil {
@@ -189,15 +190,16 @@
 			n.note("group %d: %v", group, err)
 			return
 		}
-		g.released = true // it has promised nothing yet
+		g.released = true // a new replica has confirmed nothing yet
 	}
 	if !n.release(g, now) {
 		return
 	}
 	if s := g.raw.BasicStatus(); m.GetType() == pb.MessageType_MsgTimeoutNow && (s.Lead != m.GetFrom() || s.GetTerm() != m.GetTerm()) {
-		return // votes are then given without regard to the lease, so only who had it may say this
+		return // MsgTimeoutNow makes voters ignore the lease, so only the holder of the lease may send it
 	}
-	// A heartbeat is confirmed, so its sender is not to be taken for silent sooner than a lease by it ends.
+	// A heartbeat is about to be confirmed, so its sender must not be considered silent before the lease that this
+	// extends expires.
 	if p := n.peers[n.nameByHash[uint32(m.GetFrom()>>32)]]; p != nil && p.member.ID() == m.GetFrom() && !p.silent && now-p.receivedAt < ElectionTimeout {
 		p.receivedAt = now
 	}
@@ -215,7 +217,7 @@
 	}
 }
 
-// Propose has the leader take a command. The result comes under the ref that it returns.
+// Propose proposes a command to a group that this node leads. The result arrives in Work under the returned ref.
 func (n *Node) Propose(now time.Duration, group uint32, unix time.Duration, cmd []byte) (ref uint64, err error) {
 	g := n.groups[group]
 	switch {
@@ -241,7 +243,7 @@
 	return n.lastRef, nil
 }
 
-// Leader is who acts for a group as far as known here; empty: nobody.
+// Leader returns the daemon that leads a group, as far as known here; empty: none.
 func (n *Node) Leader(group uint32) (name string) {
 	if g := n.groups[group]; g != nil && g.leader && !g.transferring() {
 		return n.cfg.Self.Name
@@ -255,7 +257,7 @@
 	return name
 }
 
-// Lease tells whether this node acts for a group, and until when.
+// Lease reports whether this node may act for a group, and until when.
 func (n *Node) Lease(now time.Duration, group uint32) (term uint64, until time.Duration, ok bool) {
 	g := n.groups[group]
 	if g == nil || !g.leader || n.stopped || g.halted || g.leaseUntil <= now || g.applied < g.leaseIndex || g.transferTerm == g.term {
@@ -264,8 +266,8 @@
 	return g.term, g.leaseUntil, true
 }
 
-// Read answers a command that only reads where this node acts for the group: nobody else can have agreed on anything
-// that is not applied here. The answer counts while the clock, read after this, is before until.
+// Read answers a read-only command if this node holds the group's lease: then no other node can have committed anything
+// that is not applied here. The answer is valid if the clock, read after this call, is before until.
 func (n *Node) Read(now time.Duration, group uint32, cmd []byte) (result []byte, until time.Duration, ok bool) {
 	_, until, ok = n.Lease(now, group)
 	if !ok {
@@ -275,7 +277,7 @@
 	return result, until, ok
 }
 
-// guard keeps the library's panics, which it has for logs that contradict themselves, to their group.
+// guard confines a panic of the raft library, which panics on inconsistent logs, to its group: the group halts here.
 func (n *Node) guard(g *group, f func()) {
 	if g.halted {
 		return
@@ -301,7 +303,7 @@
 	n.out.Results = append(n.out.Results, r)
 }
 
-// failProposals gives up what was proposed by a leader that is none any more: its successor may take it in.
+// failProposals ends the proposals of a leader that has lost its leadership; the next leader may still commit them.
 func (n *Node) failProposals(g *group) {
 	for ref, of := range n.proposals {
 		if of == g {
@@ -310,7 +312,7 @@
 	}
 }
 
-// TakeWork takes the work that has come up.
+// TakeWork returns the work that has accumulated.
 func (n *Node) TakeWork(now time.Duration) Work {
 	for len(n.scheduled) > 0 {
 		g := n.scheduled[0]
@@ -324,7 +326,7 @@
 	return out
 }
 
-// handleReady does what the library has for a group.
+// handleReady processes what raft has ready for a group.
 func (n *Node) handleReady(g *group, now time.Duration) {
 	for g.raw.HasReady() && !n.stopped {
 		rd := g.raw.Ready()
@@ -368,13 +370,13 @@
 		return
 	}
 	n.out.Sends = append(n.out.Sends, Send{To: name, Group: g.number, Raft: m})
-	if m.GetType() == pb.MessageType_MsgSnap { // what follows it is refused if it was lost, and another is sent
+	if m.GetType() == pb.MessageType_MsgSnap { // if it is lost, the follower rejects what comes next, and another snapshot is sent
 		g.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		n.schedule(g)
 	}
 }
 
-// updateLeadership takes a change of who leads.
+// updateLeadership handles a change of leadership or term.
 func (n *Node) updateLeadership(g *group) {
 	s := g.raw.BasicStatus()
 	leader := s.RaftState == raft.StateLeader
@@ -391,7 +393,8 @@
 	n.out.Changed = true
 }
 
-// extendLease takes that a majority has confirmed heartbeats that were sent when the read was asked for, or later.
+// extendLease handles a read state: a majority has confirmed heartbeats that were sent at or after the read request, so
+// the lease runs from the time of the request.
 func (n *Node) extendLease(g *group, s raft.ReadState) {
 	if len(s.RequestCtx) != 8 {
 		return
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// recordingMachine is a machine that keeps all that it was told.
+// recordingMachine is a machine that records all commands.
 type recordingMachine struct {
 	Lines []string `json:"Lines"`
 }
@@ -32,7 +32,7 @@
 	return json.Unmarshal(text, b)
 }
 
-// disk is what lasts of a daemon.
+// disk is a daemon's durable state.
 type disk struct {
 	member  Member
 	written uint64
@@ -71,7 +71,7 @@
 	}
 }
 
-// load is what a daemon finds at its start: entries that a snapshot holds are not read.
+// load returns the state that a daemon reads at its start, without entries that the snapshot covers.
 func (d *disk) load() map[uint32]Stored {
 	out := map[uint32]Stored{}
 	for n, s := range d.groups {
@@ -81,7 +81,7 @@
 	return out
 }
 
-// cluster is daemons in virtual time, with clocks of their own.
+// cluster simulates daemons in virtual time, each with its own clock.
 type cluster struct {
 	t           require.TestingT
 	rng         *rand.Rand
@@ -91,7 +91,7 @@
 	cut         map[[2]int]bool
 	lossRate    float64
 	queue       []delivery
-	confirmed   map[string]string // what was confirmed, by group and index
+	confirmed   map[string]string // index of each confirmed command, by group and command
 	holders     map[uint32]leaseHolder
 	retirements int
 	onSend      func(Send)
@@ -102,16 +102,16 @@
 type leaseHolder struct {
 	name  string
 	term  uint64
-	until time.Duration // in true time
+	until time.Duration // in the simulation's time
 }
 
 type daemon struct {
 	name        string
 	rate        float64
 	disk        *disk
-	node        *Node         // nil: it is down
+	node        *Node         // nil: the daemon is down
 	writeDelay  time.Duration // of its disk
-	writeDoneAt time.Duration // of the write under way
+	writeDoneAt time.Duration // of the write in flight
 	write       *Write
 	proposed    map[uint64]string
 }
@@ -134,7 +134,7 @@
 	for i := range daemons {
 		m := Member{Name: fmt.Sprint("n", i), Machine: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%3), Incarnation: uint32(w.rng.Uint32() | 1)}
 		all = append(all, m)
-		// rates apart by the bound that the lease allows for
+		// Clock rates differ by up to the bound that the lease allows for.
 		rate := 1 + (w.rng.Float64()-0.5)/MaxDriftDivisor*0.95
 		w.nodes = append(w.nodes, &daemon{name: m.Name, rate: rate, disk: &disk{member: m, groups: map[uint32]Stored{}}, writeDelay: time.Millisecond})
 	}
@@ -145,7 +145,7 @@
 	return w
 }
 
-// clock is a daemon's own.
+// clock returns a daemon's own time.
 func (w *cluster) clock(d *daemon) time.Duration { return time.Duration(float64(w.now) * d.rate) }
 
 func (w *cluster) start(i int, fresh bool) {
@@ -164,14 +164,14 @@
 
 func (w *cluster) kill(i int) {
 	w.nodes[i].node, w.nodes[i].write = nil, nil
-	for g, h := range w.holders { // the dead do not act
+	for g, h := range w.holders { // a daemon that is down holds no lease
 		if h.name == w.nodes[i].name {
 			w.holders[g] = leaseHolder{term: h.term}
 		}
 	}
 }
 
-// loseDisk has a daemon come back with nothing.
+// loseDisk restarts a daemon with an empty disk.
 func (w *cluster) loseDisk(i int) {
 	w.kill(i)
 	m := w.nodes[i].disk.member
@@ -184,7 +184,7 @@
 	return slices.IndexFunc(w.nodes, func(d *daemon) bool { return d.name == name })
 }
 
-// run lets time pass.
+// run advances the time.
 func (w *cluster) run(d time.Duration) {
 	const step = 5 * time.Millisecond
 	for end := w.now + d; w.now < end; w.now += step {
@@ -256,7 +256,7 @@
 	}
 }
 
-// checkLeases checks that no two act at once for a group, by true time.
+// checkLeases checks that no two daemons act for a group at once, in the simulation's time.
 func (w *cluster) checkLeases() {
 	for _, d := range w.nodes {
 		if d.node == nil {
@@ -271,7 +271,7 @@
 			if h.name != d.name {
 				require.Less(w.t, h.until, w.now, "group %d: %s holds it and %s does", g, h.name, d.name)
 				require.Greater(w.t, term, h.term)
-				said := fmt.Sprint(w.lines(w.indexOf(d.name), g), "\n") // all that was confirmed before it acted
+				said := fmt.Sprint(w.lines(w.indexOf(d.name), g), "\n") // must hold all that was confirmed before
 				for cmd := range w.confirmed {
 					if of, line, _ := strings.Cut(cmd, " "); of == fmt.Sprint(g) {
 						require.Contains(w.t, said, " "+line, "group %d: %s acts without it", g, d.name)
@@ -283,7 +283,7 @@
 	}
 }
 
-// leader is who acts for a group; empty: nobody.
+// leader returns the daemon that acts for a group; empty: none.
 func (w *cluster) leader(g uint32) string {
 	for _, d := range w.nodes {
 		if d.node != nil {
@@ -295,7 +295,7 @@
 	return ""
 }
 
-// awaitHibernation lets time pass until all groups are calm.
+// awaitHibernation advances the time until all groups hibernate.
 func (w *cluster) awaitHibernation() {
 	for end := w.now + 20*time.Second; w.now < end; w.run(50 * time.Millisecond) {
 		awake := slices.ContainsFunc(w.nodes, func(d *daemon) bool {
@@ -308,7 +308,7 @@
 	require.Fail(w.t, "not all groups are calm")
 }
 
-// propose has whoever leads a group take a command; false: nobody does.
+// propose proposes a command at the group's leader; false: there is none.
 func (w *cluster) propose(g uint32, cmd string) bool {
 	for i, d := range w.nodes {
 		if d.node == nil {
@@ -334,7 +334,7 @@
 	return m.(*recordingMachine).Lines
 }
 
-// checkAgreement checks that all replicas tell the same, as far as they go.
+// checkAgreement checks that all replicas have applied the same commands, as far as each has got.
 func (w *cluster) checkAgreement() {
 	for g := range uint32(testGroups) {
 		longest := w.longest(g)
@@ -354,7 +354,7 @@
 	return longest
 }
 
-// checkConfirmed checks that nothing confirmed is lost; all daemons must be up.
+// checkConfirmed checks that no confirmed command is lost; all daemons must be up.
 func (w *cluster) checkConfirmed() {
 	w.checkAgreement()
 	for g := range uint32(testGroups) {
@@ -369,7 +369,7 @@
 	}
 }
 
-// awaitLeaders lets time pass until each group has a leader that acts.
+// awaitLeaders advances the time until each group has a leader that may act.
 func (w *cluster) awaitLeaders(within time.Duration) {
 	for end := w.now + within; w.now < end; w.run(20 * time.Millisecond) {
 		n := 0
@@ -389,12 +389,13 @@
 	require.Fail(w.t, "not all groups are led", "%v", w.now)
 }
 
-// Daemons crash, lose their disks, are cut off one way and lose messages, with clocks that run apart.
+// No confirmed command is lost and no two leaders act at once while daemons crash, lose their disks, are partitioned in
+// one direction and lose messages, with clocks that drift.
 func TestNoConfirmedCommandIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newCluster(t, rapid.Uint64().Draw(t, "seed"), 5)
 		w.awaitLeaders(10 * time.Second)
-		lost := -1 // one disk at a time: until its replicas are back
+		lost := -1 // one disk at a time, until its replicas have been restored
 		n := 0
 		for range rapid.IntRange(3, 12).Draw(t, "steps") {
 			i, j := rapid.IntRange(0, 4).Draw(t, "who"), rapid.IntRange(0, 4).Draw(t, "whom")
@@ -423,7 +424,7 @@
 					}
 				}
 			case what == 7:
-				w.run(2500 * time.Millisecond) // groups become calm
+				w.run(2500 * time.Millisecond) // groups start to hibernate
 			case what == 0 && w.nodes[i].node != nil:
 				w.kill(i)
 			case what == 1 && w.nodes[i].node == nil:
@@ -463,7 +464,8 @@
 	})
 }
 
-// A daemon that comes back without its disk is somebody else: it learns, then votes, in each group that it held.
+// A daemon that restarts without its disk is a new member: it becomes a learner, then a voter, in the groups that it
+// held.
 func TestLostDiskMakesNewMember(t *testing.T) {
 	w := newCluster(t, 7, 5)
 	w.awaitLeaders(5 * time.Second)
@@ -493,7 +495,7 @@
 	w.checkConfirmed()
 }
 
-// A disk is put back as it was a while ago: its owner is told so, votes for nobody by it and comes back as a new one.
+// A daemon restarts with an old copy of its disk. A peer tells it so; it does not vote and rejoins as a new member.
 func TestOldStoreCopyIsRetired(t *testing.T) {
 	w := newCluster(t, 9, 3)
 	w.awaitLeaders(5 * time.Second)
@@ -512,7 +514,7 @@
 	w.checkConfirmed()
 }
 
-// A long log is cut, and a daemon that was away all the while is sent a snapshot.
+// A long log is compacted, and a daemon that was down meanwhile receives a snapshot.
 func TestLaggingReplicaReceivesSnapshot(t *testing.T) {
 	w := newCluster(t, 11, 3)
 	w.awaitLeaders(5 * time.Second)
@@ -534,8 +536,8 @@
 	w.checkConfirmed()
 }
 
-// Groups in which nothing happens send nothing of their own, and are led all the same; a leader that dies is replaced,
-// and one that is not heard any more acts no longer than its lease.
+// Hibernating groups send no raft messages and still have a leader. A leader that dies is replaced, and one that is cut
+// off acts no longer than its lease.
 func TestHibernatingGroups(t *testing.T) {
 	w := newCluster(t, 13, 3)
 	w.awaitLeaders(5 * time.Second)
@@ -574,8 +576,9 @@
 	w.checkConfirmed()
 }
 
-// A follower that does not hear the leader asks for votes all the while; the other, whose word holds the leader's lease,
-// begins anew and has forgotten it. It gives nobody its vote until that lease is over.
+// Guards against two leaders at once after a restart. One follower cannot receive from the leader and keeps asking for
+// votes; the other, whose confirmations hold the leader's lease, restarts and has forgotten them. It must grant no vote
+// until that lease has expired.
 func TestRestartedVoterWaitsForLease(t *testing.T) {
 	for seed := range uint64(25) {
 		w := newCluster(t, 100+seed, 3)
@@ -587,18 +590,19 @@
 		leader := w.indexOf(w.leader(1))
 		deaf, other := (leader+1)%3, (leader+2)%3
 		w.cut[[2]int{leader, deaf}] = true
-		w.run(1500 * time.Millisecond) // with nothing new: its log is as good as any
+		w.run(1500 * time.Millisecond) // without new entries, so that its log is up to date
 		require.Equal(t, w.nodes[leader].name, w.leader(1))
 		w.kill(other)
 		w.start(other, false)
 		w.cut[[2]int{leader, other}] = true
-		w.run(3 * time.Second) // which looks at leases all the while
+		w.run(3 * time.Second) // checks the leases at each step
 		w.awaitLeaders(10 * time.Second)
 	}
 }
 
-// Groups are calm. One follower does not hear the leader until it has taken it for silent; then it hears it again, and
-// the other does not. The first one's confirmations of beats hold no lease of before.
+// Guards against a lease that rests on an outdated agreement to hibernate. One follower receives nothing from the
+// leader until it considers it silent; then it receives from it again, and the other follower does not. The first one's
+// acknowledgements must not extend the earlier lease.
 func TestSilenceEndsHibernation(t *testing.T) {
 	for seed := range uint64(3) {
 		w := newCluster(t, 200+seed, 3)
@@ -616,7 +620,7 @@
 	}
 }
 
-// A daemon that begins anew says nothing before another has vouched that its store is not an old one.
+// A restarted daemon sends no raft message before a peer has confirmed that its store is current.
 func TestUnconfirmedStoreSendsNothing(t *testing.T) {
 	w := newCluster(t, 17, 3)
 	w.awaitLeaders(5 * time.Second)
@@ -640,15 +644,16 @@
 	require.True(t, says(at))
 }
 
-// A daemon that is about to end has others take over at once, commands are taken in all the while but for a moment, and
-// no two act at once. An heir that does not hear of it leaves the group without a leader no longer than an election takes.
+// A daemon that steps down transfers its groups at once; commands are accepted except for a short time, and no two
+// leaders act at once. If the transferee does not receive MsgTimeoutNow, the group is without a leader no longer than
+// an election takes.
 func TestStepDown(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newCluster(t, 300+seed, 3)
 		w.awaitLeaders(5 * time.Second)
 		leader := w.indexOf(w.leader(1))
 		d := w.nodes[leader]
-		if seed%4 == 3 { // its word is lost, and the answers that say so are not
+		if seed%4 == 3 { // MsgTimeoutNow is lost; responses with the later term are not
 			w.run(time.Second)
 			w.dropSend = func(s Send) bool { return s.Raft != nil && s.Raft.GetType() == pb.MessageType_MsgTimeoutNow }
 		}
@@ -666,7 +671,7 @@
 			require.Less(t, refused, 20, "of 60 in 1.2 s: 500 ms of them by the one that yields")
 		}
 		w.dropSend = nil
-		for end := w.now + 10*time.Second; w.now < end && (w.leader(1) == "" || w.leader(1) == d.name); { // who yields may be chosen again
+		for end := w.now + 10*time.Second; w.now < end && (w.leader(1) == "" || w.leader(1) == d.name); { // the daemon that stepped down may be elected again
 			w.run(20 * time.Millisecond)
 		}
 		require.NotContains(t, []string{"", d.name}, w.leader(1))
@@ -675,15 +680,15 @@
 	}
 }
 
-// A daemon is away until its replicas are moved, and comes back: placement wants it again, also in groups that a
-// stand-in leads by now.
+// A daemon returns after its replicas have been moved. Placement wants it again, also in groups whose leader is a
+// replacement that placement no longer wants.
 func TestLeaderOutsidePlacementIsMoved(t *testing.T) {
 	for seed := range uint64(4) {
 		w := newCluster(t, 400+seed, 5)
 		w.awaitLeaders(5 * time.Second)
 		w.kill(0)
 		w.run(20 * time.Second)
-		for g := range uint32(testGroups) { // stand-ins lead
+		for g := range uint32(testGroups) { // make the replacements lead
 			for i, d := range w.nodes {
 				if i > 0 && d.node.groups[g] != nil && !slices.Contains(voters(w.table, g), d.node.id) && w.leader(g) != "" {
 					l := w.nodes[w.indexOf(w.leader(g))]
--- a/internal/replica/placement.go
+++ b/internal/replica/placement.go
@@ -7,17 +7,17 @@
 	"slices"
 )
 
-// Member is a daemon that can hold replicas, as it tells of itself.
+// Member is a daemon that can hold replicas, as it describes itself.
 type Member struct {
 	Name    string `json:"name"`
-	Machine string `json:"machine"` // what fails together
+	Machine string `json:"machine"` // daemons on one machine fail together
 	Zone    string `json:"zone"`
-	// Incarnation is drawn when its store is made, and is another when that is lost: who comes back without its disk
-	// is somebody else.
+	// Incarnation is drawn at random when the store is created: a daemon that returns without its disk is a different
+	// member.
 	Incarnation uint32 `json:"incarnation"`
 }
 
-// ID is its replicas' number in every group: the name's hash and the incarnation.
+// ID returns the member's raft ID in every group: the hash of the name and the incarnation.
 func (m Member) ID() uint64 { return uint64(nameHash(m.Name))<<32 | uint64(m.Incarnation) }
 
 func nameHash(name string) uint32 {
@@ -26,7 +26,8 @@
 	return uint32(mix(h.Sum64()))
 }
 
-// NameCollision tells of two names that must not be among the same daemons; empty: there are none.
+// NameCollision returns two names that must not be used in one deployment because their hashes are equal; empty: there
+// are none.
 func NameCollision(names []string) (a, b string) {
 	seen := map[uint32]string{}
 	for _, n := range names {
@@ -38,9 +39,10 @@
 	return "", ""
 }
 
-// Place is who holds a group: the first by rendezvous hash whose zones differ, then whose machines do, then any, so
-// that a group has its copies even where there are fewer zones than copies. Two replicas share a machine only when
-// there are fewer machines than copies. One that leaves moves only the groups that it held.
+// Place returns the members that hold a group, in the order of a rendezvous hash: first those in different zones, then
+// those on different machines, then any, so that a group has all its copies even where there are fewer zones than
+// copies. Two replicas share a machine only if there are fewer machines than copies. A member that leaves moves only
+// the groups that it held.
 func Place(group uint32, members []Member, copies int) []Member {
 	order := slices.Clone(members)
 	weight := func(m Member) uint64 {
--- a/internal/replica/raftlogger.go
+++ b/internal/replica/raftlogger.go
@@ -6,7 +6,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// raftLogger is the library's log: what it calls fatal must not end the daemon, so it panics, which ends the group.
+// raftLogger is the logger of the raft library. A fatal error must not end the daemon, so it panics, which halts the
+// group.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)                   {}
--- a/internal/replica/repair.go
+++ b/internal/replica/repair.go
@@ -8,22 +8,26 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// termsPerGeneration are set aside for each repair: whatever terms the old had, those after it are larger.
+// termsPerGeneration is the range of terms reserved for each repair, so that all terms after a repair are larger than
+// any before it.
 const termsPerGeneration = 1 << 40
 
-// Repaired is the table of a record that goes on without those who were lost: all that the old ones say is refused.
+// Repaired returns the table after a repair. Its fingerprint differs, so messages of daemons that still have the old
+// table are refused.
 func (t Table) Repaired(generation uint32) Table {
-	t.Generation, t.Members = generation, nil // what began with it has begun
+	t.Generation, t.Members = generation, nil // its groups have been created already
 	return t
 }
 
-// Fingerprint is the name by which daemons of the same record, and of the same repair of it, know each other; never 0.
+// Fingerprint identifies the table and its generation; daemons with different fingerprints ignore each other's raft
+// messages. It is never 0.
 func (t Table) Fingerprint() uint64 { return max(1, t.ID^mix(uint64(t.Generation))) }
 
-// Repair has the groups of a store go on without those daemons that are lost for good. survivors are all others, by
-// name; of a group's survivors the first there keeps it alone, with all that is in its log, and the others come to it
-// anew. A group whose majority survives stays as it is. It is the one repair, and must be used only once the lost ones
-// are off: what they confirmed and no survivor has is gone.
+// Repair returns the write after which the groups of a store continue without daemons that are lost for good. survivors
+// are the names of all remaining daemons. In each group that has lost its majority, the first survivor that holds it
+// becomes the only voter, with all entries of its log, and the other survivors drop their replicas and join it again. A
+// group whose majority survives is unchanged. It is the only repair there is and must be used only once the lost
+// daemons are off: whatever they confirmed and no survivor has is lost.
 func Repair(c Config, stored map[uint32]Stored, survivors []string, number uint64) (*Write, error) {
 	n, err := New(c, 0, nil)
 	if err != nil {
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// View is a group's machine; nil: there is none here.
+// View returns a machine of a group; nil if this node does not hold it.
 func (n *Node) View(group uint32, machine byte) Machine {
 	if g := n.groups[group]; g != nil && !g.halted {
 		return g.mux[machine]
@@ -14,10 +14,10 @@
 	return nil
 }
 
-// Known is whose stores are known to hold how many batches.
+// Known returns the last known batch numbers of other stores, by member ID.
 func (n *Node) Known() map[uint64]uint64 { return n.known }
 
-// Status is a group as operators see it.
+// Status is a group's status for operators.
 type Status struct {
 	Group    uint32   `json:"group"`
 	Leader   string   `json:"leader"`
@@ -30,7 +30,7 @@
 	Calm     bool     `json:"calm,omitempty"`
 }
 
-// Status is of all groups that are held here.
+// Status returns the status of all groups held here.
 func (n *Node) Status() (all []Status) {
 	names := func(ids []uint64) (out []string) {
 		for _, id := range ids {
@@ -49,7 +49,7 @@
 	return all
 }
 
-// Counters are figures of a node.
+// Counters returns the node's counters.
 func (n *Node) Counters(now time.Duration) (groups, leads, halted int, written uint64) {
 	for _, g := range n.ordered {
 		if _, _, ok := n.Lease(now, g.number); ok {
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -8,15 +8,16 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// A leader that is to end, or that placement wants elsewhere, has another take over: it acts no more at once, waits
-// until the lease that it last told of has ended, and only then tells its heir, whose voters need not wait. Commands are
-// taken in meanwhile. Once the heir may have been told the old one never acts in that term again, for the word may be
-// late: if nothing comes of it, it ends the term.
+// A leader transfers its leadership when its daemon stops or when placement wants the leader elsewhere. It stops acting
+// at once, waits until its last lease has expired, and only then has raft send MsgTimeoutNow to the transferee, whose
+// voters ignore the lease. Until then it still accepts commands. Once MsgTimeoutNow may have been sent, the old leader
+// never acts in that term again, because the message may arrive late; if no election follows, it ends the term.
 
-// transferring tells whether a heir may have been told.
+// transferring reports whether MsgTimeoutNow may have been sent.
 func (g *group) transferring() bool { return g.transferTerm == g.term && g.transferSent }
 
-// StepDown has this node lead nothing from now on: another takes over each group for which one is there. It goes on voting.
+// StepDown makes this node give up all leadership: each group for which another voter is available is transferred to
+// it. The node still votes.
 func (n *Node) StepDown(now time.Duration) {
 	n.steppingDown = true
 	for _, g := range n.ordered {
@@ -24,7 +25,8 @@
 	}
 }
 
-// startTransfer has another voter lead that is there, is one of those that may, and lacks least; none: all stays as it is.
+// startTransfer starts a transfer to the available voter with the longest matching log among those for which may is
+// true. Without such a voter nothing changes.
 func (n *Node) startTransfer(g *group, now time.Duration, may func(id uint64) bool) {
 	if !g.leader || g.transferTerm == g.term {
 		return
@@ -45,7 +47,7 @@
 	n.out.Changed = true
 }
 
-// advanceTransfer goes on with that.
+// advanceTransfer continues a transfer.
 func (n *Node) advanceTransfer(g *group, now time.Duration) {
 	switch {
 	case !g.leader:
@@ -55,11 +57,11 @@
 		}
 	case !g.transferSent && now >= g.transferAt:
 		g.transferSent, g.transferSentAt = true, now
-		g.raw.TransferLeader(g.transferee) // the library sends what the heir lacks first
+		g.raw.TransferLeader(g.transferee) // raft first sends the entries that the transferee lacks
 		n.schedule(g)
 	case g.transferSent && now-g.transferSentAt >= ElectionTimeout:
-		// As if one had spoken of a later term: whatever the heir still hears of this one comes to nothing, or to its
-		// election.
+		// Simulates a response of a later term: a MsgTimeoutNow that the transferee still receives for this term is
+		// then ignored, or leads to a regular election.
 		g.raw.Step(&pb.Message{Type: pb.MessageType_MsgAppResp.Enum(), From: new(g.transferee), To: new(n.id), Term: new(g.term + 1)})
 		n.schedule(g)
 	}
--- a/internal/replica/wallclock_test.go
+++ b/internal/replica/wallclock_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A daemon whose wall clock was an hour ahead stopped planning in its group: each proposal carries its proposer's time, and
-// a group's time never goes back, so that one such proposal has the whole group an hour ahead until the hour is over.
+// A daemon whose wall clock was an hour ahead stopped the planning of gangs in its group: each proposal carries its
+// proposer's time and a group's time never decreases, so one such proposal puts the whole group an hour ahead for an
+// hour.
 func TestOneClockAheadIsNotTheGroupsTime(t *testing.T) {
 	w := newCluster(t, 31, 3)
 	w.awaitLeaders(5 * time.Second)
--- a/internal/replica/write.go
+++ b/internal/replica/write.go
@@ -12,7 +12,7 @@
 // pendingWrite is a write that a group waits for.
 type pendingWrite struct {
 	group      *group
-	message    *pb.Message // nil: of the group's own
+	message    *pb.Message // raft's storage message; nil: groupWrite is written instead
 	groupWrite GroupWrite
 }
 
@@ -21,7 +21,8 @@
 	parts  []pendingWrite
 }
 
-// persist takes what must last before its responses go out. What a crash may lose is put off until something must last.
+// persist handles a storage message of raft, whose responses are sent once it is durable. A change that a crash may
+// lose, such as a new commit index, is written only with the next change that must be durable.
 func (n *Node) persist(g *group, m *pb.Message) {
 	if m.Term != nil {
 		hard := &pb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
@@ -50,7 +51,7 @@
 	}
 }
 
-// buildWrite makes one write of all that waits for one.
+// buildWrite combines all pending writes into one batch.
 func (n *Node) buildWrite(now time.Duration) {
 	if n.inFlight != nil || len(n.pending) == 0 || n.stopped {
 		return
@@ -74,7 +75,7 @@
 	n.out.Write = w
 }
 
-// Persisted takes that a write will last.
+// Persisted reports that a batch is durable.
 func (n *Node) Persisted(now time.Duration, number uint64) {
 	if n.inFlight == nil || n.inFlight.number != number || n.stopped {
 		return
@@ -110,7 +111,7 @@
 	}
 }
 
-// WriteFailed takes that a write may not last: this node confirms nothing more and acts for nobody.
+// WriteFailed reports that a batch may not be durable: this node confirms nothing more and gives up its leases.
 func (n *Node) WriteFailed(why error) {
 	if !n.stopped {
 		n.retire("")
