--- a/internal/net/replicas/clock.go
+++ b/internal/net/replicas/clock.go
@@ -6,17 +6,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// clockStart is when the clock of leases did.
+// clockStart is the reading of the lease clock at the start of the process.
 var clockStart = boottime()
 
-// boottime goes on while the machine is suspended, which Go's own monotonic time does not: a lease must not.
+// boottime reads CLOCK_BOOTTIME, which goes on while the machine is suspended. Go's monotonic time does not, so a lease
+// measured by it would last too long.
 func boottime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // the kernel has had it for long
+		panic(err) // available on every supported kernel
 	}
 	return time.Duration(t.Nano())
 }
 
-// Now is the clock of leases, since the process began.
+// Now returns the time of the lease clock since the process began.
 func Now() time.Duration { return boottime() - clockStart }
--- a/internal/net/replicas/cost_test.go
+++ b/internal/net/replicas/cost_test.go
@@ -17,7 +17,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// awaitLeaders waits until each group has been led.
+// awaitLeaders waits until each group has had a leader.
 func (w *cluster) awaitLeaders() {
 	w.Helper()
 	seen := map[uint32]bool{}
@@ -33,7 +33,7 @@
 	})
 }
 
-// hibernatingShare is which part of the replicas takes no ticks.
+// hibernatingShare returns the share of replicas that hibernate.
 func (w *cluster) hibernatingShare() float64 {
 	n, all := 0, 0
 	for _, s := range w.hosts {
@@ -46,7 +46,7 @@
 	return float64(n) / float64(all)
 }
 
-// What ten daemons with a thousand groups cost while nothing is told: parts of a core for each daemon.
+// Measures the idle cost of ten daemons with up to a thousand groups, as a share of a core for each daemon.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range []uint32{10, 100, 1000} {
 		b.Run(fmt.Sprint("groups=", groups), func(b *testing.B) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// How many batches, of two calls of fdatasync each, a thousand commands told by so many at once take.
+// Measures batches per command, of two calls of fdatasync each, with 1 to 256 concurrent callers.
 func BenchmarkCommit(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint("callers=", callers), func(b *testing.B) {
--- a/internal/net/replicas/link.go
+++ b/internal/net/replicas/link.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	maxQueuedMessages = 4096 // of groups, that wait for a line
+	maxQueuedMessages = 4096 // raft messages that wait for the stream
 	maxQueuedBytes    = 128 << 20
-	maxForwards       = 1024      // proposals under way on a line
-	maxQueuedAnswers  = 1024      // that wait for the other's line
-	chunkSize         = 256 << 10 // of a message, and of what is told at once
-	maxAssembledBytes = 80 << 20  // bytes of one message in pieces
+	maxForwards       = 1024      // pending proposals on one link
+	maxQueuedAnswers  = 1024      // that wait for the peer's stream
+	chunkSize         = 256 << 10 // maximum size of a chunk, and about that of one stream message
+	maxAssembledBytes = 80 << 20  // of one message received in chunks
 	silenceTimeout    = 3 * time.Second
 	connectTimeout    = time.Second
 	redialMinDelay    = 50 * time.Millisecond
 	redialMaxDelay    = time.Second
 )
 
-// link is to another daemon: what waits to be told, and the stream on which it is.
+// link is the outgoing connection to another daemon: the queued messages and the stream that sends them.
 type link struct {
 	server        *Server
 	name, address string
 	sendReady     chan struct{}
-	receivedAt    atomic.Int64 // when the other last confirmed
+	receivedAt    atomic.Int64 // last message or confirmation from the peer
 
 	mu           sync.Mutex
 	messages     []queuedMessage
@@ -51,7 +51,7 @@
 	up           bool
 }
 
-// forward is a proposal that was passed on.
+// forward is a proposal that was forwarded to the peer.
 type forward struct {
 	group uint32
 	done  func([]byte, error)
@@ -74,7 +74,7 @@
 	}
 }
 
-// send queues a group's message; the library makes up for one that is dropped.
+// send queues a group's raft message. Raft recovers from messages that are dropped here.
 func (l *link) send(group uint32, m *pb.Message) {
 	size := proto.Size(m)
 	l.mu.Lock()
@@ -88,11 +88,11 @@
 	l.notifySender()
 }
 
-// sendHeartbeat has the latest one told.
+// sendHeartbeat queues a heartbeat in place of one that has not been sent yet.
 func (l *link) sendHeartbeat(b *replicav1.Beat, p replica.HeartbeatAck) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if o := l.heartbeat; o != nil && (o.Full && !b.Full || o.Led && !b.Led) { // what only the one before tells is not to be lost
+	if o := l.heartbeat; o != nil && (o.Full && !b.Full || o.Led && !b.Led) { // keep the parts that only the replaced heartbeat has
 		b = proto.Clone(b).(*replicav1.Beat)
 		if !b.Full {
 			b.Full, b.Known = o.Full, o.Known
@@ -105,14 +105,15 @@
 	l.notifySender()
 }
 
-// clearQueue drops what a node would have told that is no more.
+// clearQueue drops the queued messages of a node that has been retired.
 func (l *link) clearQueue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.messages, l.queuedBytes, l.hibernations, l.heartbeat, l.ack = nil, 0, nil, nil, nil
 }
 
-// sendHibernation tells of a group's calm; the one who asks asks again.
+// sendHibernation queues a request to hibernate or an agreement. A dropped one is repeated after the leader's next
+// request.
 func (l *link) sendHibernation(c replica.Hibernation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +130,7 @@
 	l.notifySender()
 }
 
-// propose passes a command on.
+// propose forwards a command to the peer.
 func (l *link) propose(group uint32, at time.Duration, cmd []byte, done func([]byte, error)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +147,7 @@
 	}
 }
 
-// next is what is to be told now; nil: nothing. Messages that are too large for one come in pieces of their own.
+// next returns the stream messages to send now; nil: none. A raft message that is too large for one is sent in chunks.
 func (l *link) next() (all []*replicav1.ToPeer, err error) {
 	l.mu.Lock()
 	packets, size := l.messages, 0
@@ -187,14 +188,14 @@
 		out.Proposals = append(out.Proposals, p)
 		size += len(p.Command)
 	}
-	out.Calms = calms // after what they stand on
+	out.Calms = calms // after the raft messages that they depend on
 	if out.Beat != nil || out.Found != nil || len(out.Packets) > 0 || len(out.Proposals) > 0 || len(calms) > 0 {
 		all = append(all, out)
 	}
 	return all, nil
 }
 
-// run calls the other again and again.
+// run keeps the stream to the peer open, with a backoff between attempts.
 func (l *link) run(ctx context.Context) {
 	for wait := redialMinDelay; ctx.Err() == nil; wait = min(redialMaxDelay, 2*wait) {
 		began := time.Now()
@@ -214,13 +215,13 @@
 	l.down()
 }
 
-// down gives up what was passed on: the other may have taken it in.
+// down ends all forwarded proposals when the stream is lost. The peer may have accepted those that were sent.
 func (l *link) down() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up, l.messages, l.queuedBytes, l.hibernations = false, nil, 0, nil
 	never := map[uint64]bool{}
-	for _, p := range l.proposals { // it has not left
+	for _, p := range l.proposals { // not sent yet
 		never[p.Number] = true
 	}
 	l.proposals = nil
@@ -234,7 +235,7 @@
 	}
 }
 
-// abandonForwards gives up what was passed on for groups that the other does not lead: it may have taken it in.
+// abandonForwards ends the proposals forwarded for groups that the peer does not lead. The peer may have accepted them.
 func (l *link) abandonForwards(leads func(group uint32) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -252,7 +253,7 @@
 	}
 }
 
-// call is one stream's life.
+// call opens one stream and runs it until it fails.
 func (l *link) call(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -289,7 +290,7 @@
 			l.handleAnswers(m)
 		}
 	}()
-	// A stream that takes nothing blocks Send: another goroutine looks at whether the other still confirms.
+	// Send blocks while the stream accepts nothing, so another goroutine checks that the peer still confirms.
 	go func() {
 		every := time.NewTicker(silenceTimeout / 4)
 		defer every.Stop()
@@ -344,7 +345,7 @@
 	}
 }
 
-// inbound is another daemon's line to this one.
+// inbound is the receiving side of another daemon's stream.
 type inbound struct {
 	server    *Server
 	name      string
@@ -352,7 +353,7 @@
 	assembled []byte
 }
 
-// sendAnswers confirms and answers.
+// sendAnswers confirms what was received and sends the answers to proposals.
 func (e *inbound) sendAnswers(ctx context.Context, stream grpc.BidiStreamingServer[replicav1.ToPeer, replicav1.FromPeer], heard chan struct{}) error {
 	for {
 		m := &replicav1.FromPeer{}
@@ -369,7 +370,7 @@
 	}
 }
 
-// receive has the loop take what the other tells.
+// receive passes a message of the peer to the loop.
 func (e *inbound) receive(ctx context.Context, m *replicav1.ToPeer) error {
 	s := e.server
 	type one struct {
--- a/internal/net/replicas/memoryhost.go
+++ b/internal/net/replicas/memoryhost.go
@@ -1,5 +1,5 @@
-// Package replicas holds replicas of the groups of package caperrelay/internal/replica: their disk, their stream to
-// other daemons and the one loop that drives them.
+// Package replicas hosts the replicas of the groups of package caperrelay/internal/replica: it has their disk store,
+// the streams to other daemons, and the loop that drives the node.
 package replicas
 
 import (
@@ -10,25 +10,27 @@
 	"caperrelay/internal/replica"
 )
 
-// Host is where commands go and state is read from. It is safe for use by several goroutines.
+// Host accepts commands and gives access to the replicated state. It is safe for concurrent use.
 type Host interface {
-	// Propose has a machine of a group take a command, on whichever daemon acts for it, and returns the result. Only an
-	// error that is replica.ErrUnknown leaves open whether it was, or will be, taken.
+	// Propose has a machine of a group apply a command, through whichever daemon leads the group, and returns the
+	// result. Only the error replica.ErrUnknown leaves open whether the command was or will be applied.
 	Propose(ctx context.Context, group uint32, machine byte, cmd []byte) (result []byte, err error)
-	// Groups is their number, the root group included.
+	// Groups returns the number of groups, including the root group.
 	Groups() uint32
-	// View shows f what has been applied here; false: there is no replica here. f must not block.
+	// View calls f with the machine's state as applied here; it returns false if there is no replica here. f must not
+	// block.
 	View(group uint32, machine byte, f func(replica.Machine)) bool
-	// Lead tells whether this daemon acts for the group, and until when by its own clock since the process began.
+	// Lead reports whether this daemon may act for the group, and until when by the lease clock Now.
 	Lead(group uint32) (term uint64, until time.Duration, ok bool)
-	// Changed tells that something was applied, or that leadership moved, since it last did.
+	// Changed signals that something was applied, or that leadership moved, since the last signal.
 	Changed() <-chan struct{}
 }
 
-// memoryLease is how long one that has nobody to lose its lease to says that it has it.
+// memoryLease is the lease duration that a host without peers reports.
 const memoryLease = time.Second
 
-// Alone is a host with one copy of each group, in memory: for tests, and what replication is measured against.
+// Alone is a host with one copy of each group, in memory. It serves tests, and as the baseline for the cost of
+// replication.
 type Alone struct {
 	changed chan struct{}
 
@@ -40,7 +42,7 @@
 
 var _ Host = (*Alone)(nil)
 
-// NewAlone returns one; machines makes a group's.
+// NewAlone returns a host in memory; machines creates the machines of a group.
 func NewAlone(groups uint32, machines func(group uint32) replica.Mux) *Alone {
 	a := &Alone{changed: make(chan struct{}, 1), index: make([]uint64, groups), last: make([]time.Duration, groups)}
 	for g := range groups {
@@ -71,10 +73,10 @@
 	return result, nil
 }
 
-// Groups is their number.
+// Groups returns the number of groups.
 func (a *Alone) Groups() uint32 { return uint32(len(a.groups)) }
 
-// View shows a machine.
+// View calls f with a machine's state.
 func (a *Alone) View(group uint32, machine byte, f func(replica.Machine)) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -85,10 +87,10 @@
 	return true
 }
 
-// Lead says yes.
+// Lead always grants the lease.
 func (a *Alone) Lead(group uint32) (uint64, time.Duration, bool) {
 	return 1, Now() + memoryLease, group < a.Groups()
 }
 
-// Changed tells of what was applied.
+// Changed signals that something was applied.
 func (a *Alone) Changed() <-chan struct{} { return a.changed }
--- a/internal/net/replicas/server.go
+++ b/internal/net/replicas/server.go
@@ -24,37 +24,38 @@
 
 const (
 	version           = 1
-	maxQueuedEvents   = 4096 // events that wait for the loop
-	maxEventsPerPass  = 512  // of them in one pass
+	maxQueuedEvents   = 4096 // waiting for the loop
+	maxEventsPerPass  = 512
 	tickInterval      = replica.Tick / 2
 	bootstrapInterval = 200 * time.Millisecond
-	openRetryInterval = 100 * time.Millisecond // while an older process has the store
+	openRetryInterval = 100 * time.Millisecond // while another process has the store locked
 	maxPeers          = 1024
-	retryMinDelay     = 5 * time.Millisecond // a proposal, while there is no leader
+	retryMinDelay     = 5 * time.Millisecond // between tries of a proposal while there is no leader
 	retryMaxDelay     = 100 * time.Millisecond
 	maxNameLength     = 128
 )
 
-// Options of a host.
+// Options configures a Server.
 type Options struct {
-	Self    replica.Member // its incarnation comes from the store
+	Self    replica.Member // the incarnation comes from the store
 	Dir     string
-	Address string            // where others reach this daemon, if their files do not say
-	Peers   map[string]string // all others' addresses by name
-	Through map[string]string // where named ones are reached from here, where those are not
+	Address string            // where others reach this daemon, if their settings do not say
+	Peers   map[string]string // addresses of all other daemons, by name
+	Through map[string]string // addresses used instead of those in Peers, by name
 	Groups  uint32
 	Copies  int
-	// Repair is how often a lost majority is to have been given up, and Survivors who are left then: replica.Repair.
+	// Repair is the number of repairs after the loss of a majority, and Survivors are the daemons left at the last one.
+	// See replica.Repair.
 	Repair    uint32
 	Survivors []string
-	Gone      time.Duration // after which a daemon's replicas are moved; 0: replica.RelocateTimeout
-	// Machines makes a group's.
+	Gone      time.Duration // after this silence a daemon's replicas are moved; 0: replica.RelocateTimeout
+	// Machines creates the machines of a group.
 	Machines func(group uint32) replica.Mux
-	// Dial has the keys; nil: plain text.
+	// Dial returns the TLS credentials for a peer; nil: plain text.
 	Dial func(name string) credentials.TransportCredentials
 }
 
-// Server is a host whose groups are held by several daemons. It is safe for use by several goroutines.
+// Server is a host whose groups are replicated among several daemons. It is safe for concurrent use.
 type Server struct {
 	replicav1.UnimplementedReplicasServer
 	opts      Options
@@ -62,32 +63,32 @@
 	events    chan func(now time.Duration)
 	writeDone chan writeResult
 	changed   chan struct{}
-	table     atomic.Uint64 // its ID; 0: not yet active
+	table     atomic.Uint64 // fingerprint of the table; 0: not active yet
 
-	mu           sync.Mutex // held by the loop for a pass
+	mu           sync.Mutex // held by the loop during each pass
 	cancel       context.CancelFunc
-	linkCtx      context.Context // of the lines to others; nil: not open
+	linkCtx      context.Context // context of the links to peers; nil: not open
 	stopped      chan struct{}
 	store        *store
 	bootstrapper *replica.Bootstrapper
-	node         *replica.Node // nil: nothing is held yet
+	node         *replica.Node // nil: not started yet
 	writing      bool
 	peers        map[string]*link
 	proposals    map[uint64]func([]byte, error)
-	fault        string // why the store takes nothing
-	refused      string // why the last store was put aside
+	fault        string // why the store accepts no writes
+	refused      string // why the last store was set aside
 	counters     struct{ proposed, forwarded, read, retired, dropped int64 }
 }
 
 var _ Host = (*Server)(nil)
 
-// writeResult is the end of a write.
+// writeResult is the outcome of a write.
 type writeResult struct {
-	number uint64 // 0: the table
+	number uint64 // of the batch
 	err    error
 }
 
-// New returns a host that holds nothing yet.
+// New returns a server that does not run yet.
 func New(o Options, logger *slog.Logger) (*Server, error) {
 	names := []string{o.Self.Name}
 	for name := range o.Peers {
@@ -102,13 +103,13 @@
 	}, nil
 }
 
-// Logged has it log there; before Open only.
+// Logged sets the logger; it must be called before Open.
 func (s *Server) Logged(l *slog.Logger) { s.log = l }
 
-// Register has a listener serve the others' calls.
+// Register registers the service that peers call.
 func (s *Server) Register(r grpc.ServiceRegistrar) { replicav1.RegisterReplicasServer(r, s) }
 
-// Open begins: it reads the store as soon as that is free, which an older process may still have.
+// Open starts the loop. It opens the store as soon as no earlier process has it locked.
 func (s *Server) Open(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +121,7 @@
 	go s.run(ctx, s.stopped)
 }
 
-// Close ends it. The store is free once it has returned.
+// Close stops the loop and returns once the store is closed.
 func (s *Server) Close() {
 	s.mu.Lock()
 	cancel, ended := s.cancel, s.stopped
@@ -132,8 +133,9 @@
 	}
 }
 
-// Yield has others take over what this daemon acts for, within about half a second: it is about to end. It does not
-// block; who does not call it ends like one that is lost, after which others wait for its silence and its lease.
+// Yield transfers the leadership of all groups to other daemons, within about half a second, before this daemon stops.
+// It does not block. Without it, the other daemons have to wait until this one counts as silent and its leases have
+// expired.
 func (s *Server) Yield() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,10 +144,10 @@
 	}
 }
 
-// Groups is their number, as the file says.
+// Groups returns the configured number of groups.
 func (s *Server) Groups() uint32 { return s.opts.Groups }
 
-// Changed tells of changes.
+// Changed signals changes.
 func (s *Server) Changed() <-chan struct{} { return s.changed }
 
 func (s *Server) notifyChanged() {
@@ -155,7 +157,7 @@
 	}
 }
 
-// View shows a machine's state.
+// View calls f with a machine's state.
 func (s *Server) View(group uint32, machine byte, f func(replica.Machine)) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +171,7 @@
 	return m != nil
 }
 
-// Lead tells whether this daemon acts for a group.
+// Lead reports whether this daemon may act for a group.
 func (s *Server) Lead(group uint32) (term uint64, until time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,8 +181,8 @@
 	return s.node.Lease(Now(), group)
 }
 
-// Propose has a command taken in, by whichever daemon acts for the group. It tries until the context ends while nobody
-// does.
+// Propose proposes a command through whichever daemon leads the group. While there is no leader it retries until the
+// context ends.
 func (s *Server) Propose(ctx context.Context, group uint32, machine byte, cmd []byte) ([]byte, error) {
 	cmd = append([]byte{machine}, cmd...)
 	at := wallClock()
@@ -223,7 +225,8 @@
 	err    error
 }
 
-// proposeOrForward proposes, or passes on to who leads. done is called once, from the loop or a line; it must not block.
+// proposeOrForward proposes a command here, or forwards it to the leader. done is called once, from the loop or a link;
+// it must not block.
 func (s *Server) proposeOrForward(now time.Duration, group uint32, at time.Duration, cmd []byte, pass bool, done func([]byte, error)) {
 	if group >= s.opts.Groups {
 		done(nil, replica.ErrNoGroup)
@@ -233,7 +236,7 @@
 		done(nil, replica.ErrNoLeader)
 		return
 	}
-	// The clock is read again after the state: this process may have stood still in between.
+	// The clock is read again after the state, because this process may have been suspended in between.
 	if result, until, ok := s.node.Read(now, group, cmd); ok && Now() < until {
 		s.counters.read++
 		done(result, nil)
@@ -256,7 +259,7 @@
 	}
 }
 
-// enqueue has the loop do something; false: it has ended, or ctx has.
+// enqueue has the loop call f; false: ctx has ended.
 func (s *Server) enqueue(ctx context.Context, f func(now time.Duration)) bool {
 	select {
 	case s.events <- f:
@@ -331,7 +334,7 @@
 	}
 }
 
-// openStore reads the store; false: it is not free, or cannot be read now.
+// openStore opens the store; false: it is locked, or cannot be read now.
 func (s *Server) openStore() bool {
 	st, groups, refused, err := openStore(s.opts.Dir, s.opts.Self)
 	s.mu.Lock()
@@ -368,7 +371,7 @@
 	return true
 }
 
-// repair gives up a majority that is lost.
+// repair continues without a lost majority.
 func (s *Server) repair(groups map[uint32]replica.Stored) (map[uint32]replica.Stored, error) {
 	if !slices.Contains(s.opts.Survivors, s.opts.Self.Name) {
 		s.store.close()
@@ -400,7 +403,7 @@
 	return groups, nil
 }
 
-// storeTable has a table last.
+// storeTable writes the table to the store.
 func (s *Server) storeTable(t *replica.Table) {
 	if t == nil || s.store == nil {
 		return
@@ -413,7 +416,7 @@
 	s.bootstrapper.TableStored()
 }
 
-// startNode makes the node, once all know what they begin with.
+// startNode creates the node once all members have stored the table.
 func (s *Server) startNode(groups map[uint32]replica.Stored) {
 	t, ok := s.bootstrapper.Active()
 	if !ok || s.node != nil || s.fault != "" {
@@ -448,8 +451,8 @@
 	s.log.Info("replicas: held", "groups", len(node.Status()), "incarnation", fmt.Sprintf("%08x", s.store.meta.Member.Incarnation))
 }
 
-// abandonForwards gives up what was passed on to daemons that lead no more: one that stands still does not say so, and who waits
-// for it could long have asked its successor.
+// abandonForwards ends the proposals forwarded to daemons that no longer lead their groups: a stalled daemon does not
+// answer, while the caller could retry with the new leader.
 func (s *Server) abandonForwards() {
 	if s.node == nil {
 		return
@@ -459,7 +462,7 @@
 	}
 }
 
-// sendBootstrap tells those who have not begun.
+// sendBootstrap sends the bootstrap message to all peers while this daemon's node has not started.
 func (s *Server) sendBootstrap() {
 	if s.bootstrapper == nil || s.node != nil || s.store == nil {
 		return
@@ -469,7 +472,7 @@
 	}
 }
 
-// handleBootstrap takes what one tells who may not have begun.
+// handleBootstrap handles a peer's bootstrap message; the peer's node may not have started.
 func (s *Server) handleBootstrap(f *replicav1.Found) {
 	if s.bootstrapper == nil || s.store == nil || s.fault != "" {
 		return
@@ -490,14 +493,14 @@
 	s.startNode(nil)
 }
 
-// answerOtherTable answers one who speaks of another record, or of this one as before a repair.
+// answerOtherTable answers a peer whose table differs, or is the one before a repair.
 func (s *Server) answerOtherTable(name string) {
 	if l := s.peers[name]; l != nil && s.node != nil {
 		l.sendBootstrap(bootstrapToProto(s.bootstrapper.Message()))
 	}
 }
 
-// connect begins the line to another daemon.
+// connect starts the link to another daemon.
 func (s *Server) connect(ctx context.Context, name, address string) {
 	if s.peers[name] != nil || name == s.opts.Self.Name || len(s.peers) >= maxPeers {
 		return
@@ -514,7 +517,7 @@
 	go l.run(ctx)
 }
 
-// doWork does what the node has come up with.
+// doWork carries out the node's work.
 func (s *Server) doWork(now time.Duration) {
 	if s.node == nil {
 		return
@@ -556,13 +559,13 @@
 	if w.Write != nil {
 		st := s.store
 		s.writing = true
-		go func() { // one at a time: the node gives no other before this one's end
+		go func() { // one at a time: the node returns no other write before this one is done
 			s.writeDone <- writeResult{w.Write.Number, st.save(w.Write)}
 		}()
 	}
 }
 
-// finishWrite takes the end of a write.
+// finishWrite handles the outcome of a write.
 func (s *Server) finishWrite(now time.Duration, e writeResult) {
 	s.writing = false
 	if e.err != nil {
@@ -574,7 +577,8 @@
 	}
 }
 
-// storeFailed takes that the disk may not have taken what it was given: nothing is confirmed from here until the next start.
+// storeFailed handles a failed write, which may or may not be durable: this daemon confirms nothing more until it is
+// restarted.
 func (s *Server) storeFailed(err error) {
 	s.fault = err.Error()
 	s.store.markSuspect(err)
@@ -584,7 +588,7 @@
 	}
 }
 
-// retire has this daemon begin anew as another member.
+// retire discards the store and rejoins as a new member.
 func (s *Server) retire(why string) {
 	s.log.Error("replicas: the store cannot be vouched for; this daemon is a new member from now on", "why", why)
 	if s.writing {
@@ -611,7 +615,7 @@
 		return
 	}
 	s.store = st
-	// Others have begun, so it waits for their table and never founds one.
+	// The other daemons run already, so this one waits for their table and never bootstraps one.
 	s.bootstrapper = replica.NewBootstrapper(st.meta.Member, []string{""}, s.opts.Groups, s.opts.Copies, nil, false)
 }
 
@@ -639,7 +643,7 @@
 	s.notifyChanged()
 }
 
-// Exchange takes another daemon's line.
+// Exchange serves another daemon's stream.
 func (s *Server) Exchange(stream grpc.BidiStreamingServer[replicav1.ToPeer, replicav1.FromPeer]) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -683,8 +687,8 @@
 	}
 }
 
-// linkContext is for how long this process has the store, nil: it has not. It learns the address of a caller that the file
-// lacks.
+// linkContext returns a context that lasts while this process has the store; nil if it does not have it. It also
+// connects to a caller that the settings do not list.
 func (s *Server) linkContext(h *replicav1.Hello) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -695,17 +699,17 @@
 	return s.linkCtx
 }
 
-// Standing is how things stand, for operators.
+// Standing is the host's status for operators.
 type Standing struct {
 	Member  replica.Member   `json:"member"`
 	Table   string           `json:"table,omitempty"`
-	Missing []string         `json:"missing,omitempty"` // who has not been met before the groups begin
+	Missing []string         `json:"missing,omitempty"` // configured daemons not contacted yet, before the groups start
 	Fault   string           `json:"fault,omitempty"`
 	Refused string           `json:"refused,omitempty"`
 	Groups  []replica.Status `json:"groups,omitempty"`
 }
 
-// Standing is how things stand.
+// Standing returns the host's status.
 func (s *Server) Standing() (v Standing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -721,7 +725,7 @@
 	return v
 }
 
-// Figures is what operators go by.
+// Figures returns the metrics.
 func (s *Server) Figures() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/net/replicas/server_test.go
+++ b/internal/net/replicas/server_test.go
@@ -21,7 +21,7 @@
 	"caperrelay/internal/replica"
 )
 
-// recordingMachine is a machine that keeps what it is told.
+// recordingMachine is a machine that records all commands and answers the read "?".
 type recordingMachine struct {
 	Lines []string `json:"Lines"`
 }
@@ -40,7 +40,7 @@
 	return fmt.Append(nil, len(l.Lines)), string(cmd) == "?"
 }
 
-// cluster is daemons in one process, each with a listener and a folder.
+// cluster runs several daemons in one process, each with a listener and a store folder.
 type cluster struct {
 	testing.TB
 	groups    uint32
@@ -65,7 +65,7 @@
 	return w
 }
 
-// serve has a listener pass calls on to whichever host is open behind it.
+// serve creates a host behind a listener.
 func (w *cluster) serve(i int) {
 	g := grpc.NewServer()
 	peers := map[string]string{}
@@ -95,13 +95,13 @@
 	w.Cleanup(w.hosts[i].Close)
 }
 
-// await looks again and again until something holds.
+// await polls until a condition holds.
 func (w *cluster) await(what string, holds func() bool) {
 	w.Helper()
 	require.Eventually(w, holds, 40*time.Second, 10*time.Millisecond, what)
 }
 
-// propose tells a command until it is known to be taken in; it may be there twice.
+// propose repeats a command until it is confirmed; it may be applied twice.
 func (w *cluster) propose(i int, group uint32, cmd string) {
 	w.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
@@ -118,7 +118,7 @@
 	return slices.Compact(out)
 }
 
-// Three daemons found their groups; a command told to any is taken in by all, and by who was away.
+// Three daemons bootstrap their groups. A command proposed at any daemon reaches all, including one that was down.
 func TestCommandsReachAll(t *testing.T) {
 	w := newCluster(t, 3, 4)
 	for i := range 3 {
@@ -135,8 +135,8 @@
 	w.await("what was told meanwhile", func() bool { return slices.Equal(w.lines(2, 1), append(want, "c3", "c4")) })
 }
 
-// One byte of a store's file is not what it was. Wherever it is, its daemon never speaks by that store again unless
-// every record of it is as it was written, and comes back as another member, who learns all of it.
+// A flipped bit in the store is detected by a checksum: the daemon never acts by that store and rejoins as a new
+// member, which receives everything again.
 func TestBitFlipMakesNewMember(t *testing.T) {
 	w := newCluster(t, 3, 2)
 	for i := range 20 {
@@ -178,7 +178,8 @@
 	require.NoError(t, err)
 }
 
-// A store that is empty, cut off, another daemon's, or an old copy: none is spoken by.
+// A store that is not a database, truncated, marked suspect or another daemon's is refused, and a locked one is waited
+// for.
 func TestUnusableStoresAreRefused(t *testing.T) {
 	self := replica.Member{Name: "n1", Machine: "m", Zone: "z"}
 	whole := func(dir string) []byte {
@@ -231,8 +232,8 @@
 	require.True(t, strings.Contains(err.Error(), "another process"))
 }
 
-// Two of three daemons are lost, and the third goes on alone with all that was told. Then the lost ones come back, with
-// their disks: together they are the old majority, but nobody listens to them, and they come to the record anew.
+// Two of three daemons are lost, and the third continues alone with all commands after a repair. When the lost ones
+// return with their disks, they hold the old majority between them; they must be ignored and rejoin as new members.
 func TestRepairFencesOldMajority(t *testing.T) {
 	w := newCluster(t, 3, 3)
 	for i := range 6 {
@@ -278,11 +279,11 @@
 	w.hosts[0].Close()
 	w.propose(1, 1, "on")
 	w.await("n1 has it all", func() bool {
-		return slices.Equal([]string{"c0", "c2", "c4", "alone", "on"}, w.lines(1, 1)) // it need not be the one that acts
+		return slices.Equal([]string{"c0", "c2", "c4", "alone", "on"}, w.lines(1, 1)) // it need not be the leader
 	})
 }
 
-// A disk fails under a daemon: it confirms nothing more, the others go on, and at its next start it is somebody else.
+// A daemon whose disk fails confirms nothing more and the others continue; after a restart it is a new member.
 func TestFailingDisk(t *testing.T) {
 	w := newCluster(t, 3, 2)
 	w.propose(0, 1, "c0")
@@ -306,21 +307,22 @@
 	})
 }
 
-// The leader stands still with what was passed on to it, though its connections live: who waits is not held up until
-// the leader wakes.
+// A leader stalls with a forwarded proposal while its connections stay open. The caller must be answered before the
+// leader resumes.
 func TestForwardToStalledLeader(t *testing.T) {
 	w := newCluster(t, 3, 2)
 	w.awaitLeaders()
 	leader := slices.IndexFunc(w.hosts, func(s *Server) bool { _, _, ok := s.Lead(1); return ok })
 	other := (leader + 1) % 3
 	w.propose(other, 1, "before")
-	w.hosts[leader].mu.Lock() // its loop holds this for each pass
+	w.hosts[leader].mu.Lock() // the loop needs it for each pass
 	defer w.hosts[leader].mu.Unlock()
 	w.propose(other, 1, "meanwhile")
 	w.await("it is told", func() bool { return slices.Contains(w.lines(other, 1), "meanwhile") })
 }
 
-// What only reads is answered by who acts, without a command, also where it was passed on; it sees all that was confirmed.
+// A read-only command is answered by the leader without a log entry, also when it was forwarded, and sees all that was
+// confirmed before it.
 func TestReadsDoNotUseLog(t *testing.T) {
 	w := newCluster(t, 3, 2)
 	w.awaitLeaders()
@@ -338,7 +340,7 @@
 	}
 }
 
-// A daemon that is about to end hands over while it is still there.
+// A daemon that is about to stop transfers its leadership while it is still running.
 func TestStepDownTransfersLeadership(t *testing.T) {
 	w := newCluster(t, 3, 4)
 	w.awaitLeaders()
--- a/internal/net/replicas/store.go
+++ b/internal/net/replicas/store.go
@@ -24,11 +24,11 @@
 	"caperrelay/internal/replica"
 )
 
-// The files of a store's folder.
+// Files in the store's folder.
 const (
 	storeFile   = "replicas.db"
 	refusedFile = "replicas.db.refused" // the last that could not be vouched for, for people
-	suspectFile = "doubt"               // says that the store was told to take what it may not have taken
+	suspectFile = "doubt"               // marks a store after a failed write, which may or may not be durable
 	lockTimeout = 50 * time.Millisecond
 )
 
@@ -44,7 +44,7 @@
 	snapKey      = []byte("s")
 )
 
-// meta is what a store holds but for groups.
+// meta is the part of a store that belongs to no group.
 type meta struct {
 	Member replica.Member    `json:"member"`
 	Table  *replica.Table    `json:"table,omitempty"`
@@ -53,25 +53,26 @@
 	Known  map[uint64]uint64 `json:"known,omitempty"`
 }
 
-// batchInfo is what changes with every one: its number and, so that one which is missing is missed, how many groups there are.
+// batchInfo is updated by every batch: the batch's number, and the number of groups, by which a missing group is
+// detected.
 type batchInfo struct {
 	written uint64
 	groups  uint32
 }
 
-// store is what lasts: a bbolt file, each of whose records bears a checksum over its key and itself. bbolt's own
-// checksums are of its two roots only.
+// store is the durable state: a bbolt file in which each record has a checksum over its key and value. bbolt's own
+// checksums cover only its two meta pages.
 type store struct {
 	db        *bbolt.DB
 	dir       string
 	meta      meta
 	lastBatch batchInfo
-	// writes counts batches; each is two calls of fdatasync.
+	// writes counts batches; each takes two calls of fdatasync.
 	writes atomic.Int64
 }
 
-// openStore opens the folder's store, or makes a new one: also in place of one that cannot be vouched for, which is put
-// aside. The reason for that is returned as well.
+// openStore opens the folder's store or creates one. A store that cannot be trusted is set aside and replaced by a new
+// one; refused is the reason.
 func openStore(dir string, self replica.Member) (s *store, groups map[uint32]replica.Stored, refused string, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, "", err
@@ -101,7 +102,7 @@
 	return s, nil, refused, err
 }
 
-// setAside has the next opening make a new store.
+// setAside renames the store, so that the next opening creates a new one.
 func setAside(dir string) error {
 	err := os.Rename(filepath.Join(dir, storeFile), filepath.Join(dir, refusedFile))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -122,8 +123,9 @@
 	return d.Sync()
 }
 
-// openDB opens the file. bbolt reckons which pages are free, rather than believe a record without a checksum; it does so
-// on a goroutine of its own, so a file must have been read before, read-only, where its panics can be caught.
+// openDB opens the database file. bbolt computes the free pages instead of reading a free list, a record without a
+// checksum. It does so on a goroutine of its own, so the file must have been read before, read-only, where its panics
+// can be recovered.
 func openDB(dir string, readOnly bool) (*bbolt.DB, error) {
 	db, err := bbolt.Open(filepath.Join(dir, storeFile), 0o600, &bbolt.Options{
 		Timeout: lockTimeout, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20, ReadOnly: readOnly,
@@ -134,8 +136,8 @@
 	return db, err
 }
 
-// createStore makes an empty one, with an incarnation of its own. It is made under another name first: half a store is
-// none.
+// createStore creates an empty store with a new incarnation. One that was created only in part lacks its meta records
+// and is refused at the next opening.
 func createStore(dir string, self replica.Member) (*store, error) {
 	self.Incarnation = rand.Uint32N(math.MaxUint32) + 1
 	db, err := openDB(dir, false)
@@ -159,11 +161,11 @@
 	return s, nil
 }
 
-// readStore reads one. Its error is errDamaged when it cannot be vouched for.
+// readStore reads the store. Its error is errDamaged if the store cannot be trusted.
 func readStore(dir string, self replica.Member) (s *store, groups map[uint32]replica.Stored, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if r := recover(); r != nil { // bbolt's, of pages that contradict each other; its file stays open
+		if r := recover(); r != nil { // bbolt panics on pages that contradict each other; its file stays open
 			s, groups, err = nil, nil, fmt.Errorf("%w: %v", errDamaged, r)
 		}
 	}()
@@ -214,8 +216,8 @@
 	if s.meta.Member.Name != self.Name {
 		return nil, nil, fmt.Errorf("%w: it is %s's", errDamaged, s.meta.Member.Name)
 	}
-	// It may stand elsewhere now. The write also tells a disk that takes nothing, and makes a root of bbolt last whose
-	// own sync may have failed.
+	// The daemon's machine and zone may have changed. The write also detects a disk that accepts no writes, and makes a
+	// bbolt meta page durable whose own sync may have failed.
 	if s.db, err = openDB(dir, false); err != nil {
 		return nil, nil, err
 	}
@@ -281,10 +283,11 @@
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte{'e'}, index) }
 
-// recordName is a record's whole name.
+// recordName returns a record's key with its group's number, as the checksum covers it.
 func recordName(group, key []byte) []byte { return append(append([]byte(nil), group...), key...) }
 
-// addChecksum puts a checksum before a record, over its name too: one that stands in another's place is found out.
+// addChecksum prefixes a record with a checksum that also covers its name, so that a record stored under another name
+// is detected.
 func addChecksum(name, text []byte) []byte {
 	sum := crc32.Update(crc32.Checksum(name, crcTable), crcTable, text)
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(text)), sum), text...)
@@ -320,13 +323,13 @@
 	return tx.Bucket(metaBucket).Put(batchKey, addChecksum(batchKey, text))
 }
 
-// writeMeta writes what is not of groups.
+// writeMeta writes the records that belong to no group.
 func (s *store) writeMeta() error {
 	s.writes.Add(1)
 	return s.db.Update(s.putMeta)
 }
 
-// save makes a batch last.
+// save writes a batch durably.
 func (s *store) save(w *replica.Write) error {
 	s.writes.Add(1)
 	return s.db.Update(func(tx *bbolt.Tx) error {
@@ -348,7 +351,7 @@
 				if b, err = all.CreateBucket(k); err != nil {
 					return err
 				}
-				b.FillPercent = 0.9 // keys grow
+				b.FillPercent = 0.9 // keys increase
 				s.lastBatch.groups++
 			}
 			if err := saveGroup(k, b, p); err != nil {
@@ -369,7 +372,7 @@
 	if text := b.Get(hardKey); len(text) >= 12 {
 		last, hard = binary.BigEndian.Uint64(text[4:]), append(hard, text[12:]...)
 	}
-	cut := func(from, to uint64) error { // to is not cut
+	cut := func(from, to uint64) error { // deletes the entries from from up to, but without, to
 		c := b.Cursor()
 		for key, _ := c.Seek(entryKey(from)); len(key) == 9 && binary.BigEndian.Uint64(key[1:]) < to; key, _ = c.Seek(entryKey(from)) {
 			if err := c.Delete(); err != nil {
@@ -424,8 +427,8 @@
 	return b.Put(hardKey, addChecksum(recordName(k, hardKey), append(binary.BigEndian.AppendUint64(nil, last), hard...)))
 }
 
-// markSuspect has the next opening put the store aside, unless there was no room for it: bbolt writes what
-// nothing points to yet first, and had changed nothing then.
+// markSuspect makes the next opening set the store aside, unless the disk was full: bbolt first writes pages that
+// nothing refers to yet, so nothing has changed then.
 func (s *store) markSuspect(why error) {
 	full := errors.Is(why, syscall.ENOSPC) || errors.Is(why, syscall.EDQUOT) || errors.Is(why, syscall.EFBIG)
 	if !full {
--- a/internal/net/replicas/wire.go
+++ b/internal/net/replicas/wire.go
@@ -65,7 +65,7 @@
 	return out
 }
 
-// parseMessage reads a group's message.
+// parseMessage decodes a raft message.
 func parseMessage(text []byte) (*pb.Message, error) {
 	m := &pb.Message{}
 	return m, proto.Unmarshal(text, m)
@@ -76,7 +76,7 @@
 	replica.ErrTooLarge: replicav1.Fault_FAULT_TOO_LARGE, replica.ErrNoGroup: replicav1.Fault_FAULT_NO_GROUP,
 }
 
-// errorFromFault is the error of a fault; one that is not known here may mean anything.
+// errorFromFault returns the error of a fault. An unknown fault may mean anything, so it becomes ErrUnknown.
 func errorFromFault(f replicav1.Fault) error {
 	if f == replicav1.Fault_FAULT_NONE {
 		return nil
@@ -89,5 +89,5 @@
 	return replica.ErrUnknown
 }
 
-// wallClock is the time of day, for commands.
+// wallClock returns the Unix time for commands.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
