--- a/internal/net/replicas/cost_test.go
+++ b/internal/net/replicas/cost_test.go
@@ -21,7 +21,7 @@
 func (w *cluster) awaitLeaders() {
 	w.Helper()
 	seen := map[uint32]bool{}
-	w.await("all groups are led", func() bool {
+	w.await("all groups have had a leader", func() bool {
 		for _, s := range w.hosts {
 			for g := range w.groups {
 				if _, _, ok := s.Lead(g); ok {
--- a/internal/net/replicas/link.go
+++ b/internal/net/replicas/link.go
@@ -153,7 +153,7 @@
 	packets, size := l.messages, 0
 	l.messages, l.queuedBytes = nil, 0
 	out := &replicav1.ToPeer{Beat: l.heartbeat, Pair: l.ack, Found: l.bootstrap}
-	proposals, calms := l.proposals, l.hibernations
+	proposals, hibernations := l.proposals, l.hibernations
 	l.heartbeat, l.ack, l.bootstrap, l.proposals, l.hibernations = nil, nil, nil, nil, nil
 	l.mu.Unlock()
 	flush := func(more int) {
@@ -163,24 +163,24 @@
 		}
 	}
 	for _, p := range packets {
-		text, err := proto.Marshal(p.m)
+		data, err := proto.Marshal(p.m)
 		if err != nil {
 			return nil, err
 		}
-		flush(len(text))
-		for len(text) > chunkSize {
-			out.Chunk = &replicav1.Chunk{Group: p.group, Part: text[:chunkSize]}
-			text = text[chunkSize:]
+		flush(len(data))
+		for len(data) > chunkSize {
+			out.Chunk = &replicav1.Chunk{Group: p.group, Part: data[:chunkSize]}
+			data = data[chunkSize:]
 			flush(0)
-			if len(text) <= chunkSize {
-				out.Chunk = &replicav1.Chunk{Group: p.group, Part: text, Last: true}
+			if len(data) <= chunkSize {
+				out.Chunk = &replicav1.Chunk{Group: p.group, Part: data, Last: true}
 				flush(0)
-				text = nil
+				data = nil
 			}
 		}
-		if text != nil {
-			out.Packets = append(out.Packets, &replicav1.Packet{Group: p.group, Message: text})
-			size += len(text)
+		if data != nil {
+			out.Packets = append(out.Packets, &replicav1.Packet{Group: p.group, Message: data})
+			size += len(data)
 		}
 	}
 	for _, p := range proposals {
@@ -188,8 +188,8 @@
 		out.Proposals = append(out.Proposals, p)
 		size += len(p.Command)
 	}
-	out.Calms = calms // after the raft messages that they depend on
-	if out.Beat != nil || out.Found != nil || len(out.Packets) > 0 || len(out.Proposals) > 0 || len(calms) > 0 {
+	out.Calms = hibernations // after the raft messages that they depend on
+	if out.Beat != nil || out.Found != nil || len(out.Packets) > 0 || len(out.Proposals) > 0 || len(hibernations) > 0 {
 		all = append(all, out)
 	}
 	return all, nil
@@ -204,7 +204,7 @@
 		if time.Since(began) > redialMaxDelay {
 			wait = redialMinDelay
 		}
-		l.server.log.Debug("replicas: line lost", "peer", l.name, "at", l.address, "err", err)
+		l.server.log.Debug("replicas: connection lost", "peer", l.name, "at", l.address, "err", err)
 		t := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
@@ -220,14 +220,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up, l.messages, l.queuedBytes, l.hibernations = false, nil, 0, nil
-	never := map[uint64]bool{}
+	unsent := map[uint64]bool{}
 	for _, p := range l.proposals { // not sent yet
-		never[p.Number] = true
+		unsent[p.Number] = true
 	}
 	l.proposals = nil
 	for n, f := range l.forwards {
 		delete(l.forwards, n)
-		if never[n] {
+		if unsent[n] {
 			f.done(nil, replica.ErrNoLeader)
 		} else {
 			f.done(nil, replica.ErrUnknown)
@@ -241,12 +241,12 @@
 	defer l.mu.Unlock()
 	known := map[uint32]bool{}
 	for n, f := range l.forwards {
-		yes, ok := known[f.group]
+		leading, ok := known[f.group]
 		if !ok {
-			yes = leads(f.group)
-			known[f.group] = yes
+			leading = leads(f.group)
+			known[f.group] = leading
 		}
-		if !yes {
+		if !leading {
 			delete(l.forwards, n)
 			f.done(nil, replica.ErrUnknown)
 		}
@@ -277,12 +277,12 @@
 		return err
 	}
 	l.receivedAt.Store(int64(Now()))
-	lost := make(chan error, 1)
+	failed := make(chan error, 1)
 	go func() {
 		for {
 			m, err := stream.Recv()
 			if err != nil {
-				lost <- err
+				failed <- err
 				return
 			}
 			l.receivedAt.Store(int64(Now()))
@@ -292,13 +292,13 @@
 	}()
 	// Send blocks while the stream accepts nothing, so another goroutine checks that the peer still confirms.
 	go func() {
-		every := time.NewTicker(silenceTimeout / 4)
-		defer every.Stop()
+		ticker := time.NewTicker(silenceTimeout / 4)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-every.C:
+			case <-ticker.C:
 				if Now()-time.Duration(l.receivedAt.Load()) > silenceTimeout {
 					cancel()
 					return
@@ -310,7 +310,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-lost:
+		case err := <-failed:
 			return err
 		case <-l.sendReady:
 		}
@@ -354,7 +354,7 @@
 }
 
 // sendAnswers confirms what was received and sends the answers to proposals.
-func (e *inbound) sendAnswers(ctx context.Context, stream grpc.BidiStreamingServer[replicav1.ToPeer, replicav1.FromPeer], heard chan struct{}) error {
+func (e *inbound) sendAnswers(ctx context.Context, stream grpc.BidiStreamingServer[replicav1.ToPeer, replicav1.FromPeer], received chan struct{}) error {
 	for {
 		m := &replicav1.FromPeer{}
 		select {
@@ -362,7 +362,7 @@
 			return ctx.Err()
 		case a := <-e.answers:
 			m.Answers = append(m.Answers, a)
-		case <-heard:
+		case <-received:
 		}
 		if err := stream.Send(m); err != nil {
 			return err
@@ -443,7 +443,7 @@
 				}
 				select {
 				case e.answers <- a:
-				default: // it does not read: it will take the line for lost
+				default: // the peer does not read: it will consider the connection lost
 				}
 			})
 		})
--- a/internal/net/replicas/server.go
+++ b/internal/net/replicas/server.go
@@ -95,7 +95,7 @@
 		names = append(names, name)
 	}
 	if a, b := replica.NameCollision(names); a != "" {
-		return nil, fmt.Errorf("replicas: %q and %q may not be names among the same daemons: give one another", a, b)
+		return nil, fmt.Errorf("replicas: the names %q and %q have the same hash: rename one of these daemons", a, b)
 	}
 	return &Server{
 		opts: o, log: logger, events: make(chan func(time.Duration), maxQueuedEvents), writeDone: make(chan writeResult, 1), changed: make(chan struct{}, 1),
@@ -204,11 +204,11 @@
 // propose tries once.
 func (s *Server) propose(ctx context.Context, group uint32, at time.Duration, cmd []byte) ([]byte, error) {
 	done := make(chan answer, 1)
-	f := func(now time.Duration) {
+	event := func(now time.Duration) {
 		s.proposeOrForward(now, group, at, cmd, true, func(r []byte, err error) { done <- answer{r, err} })
 	}
 	select {
-	case s.events <- f:
+	case s.events <- event:
 	case <-ctx.Done():
 		return nil, replica.ErrNoLeader
 	}
@@ -287,12 +287,12 @@
 		s.connect(ctx, name, at)
 	}
 	s.mu.Unlock()
-	every := time.NewTicker(tickInterval)
-	defer every.Stop()
-	told := Now() - bootstrapInterval
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	bootstrapSentAt := Now() - bootstrapInterval
 	for {
 		var first func(time.Duration)
-		var end *writeResult
+		var done *writeResult
 		ticked := false
 		select {
 		case <-ctx.Done():
@@ -301,8 +301,8 @@
 		case f := <-s.events:
 			first = f
 		case e := <-s.writeDone:
-			end = &e
-		case <-every.C:
+			done = &e
+		case <-ticker.C:
 			ticked = true
 		}
 		s.mu.Lock()
@@ -316,14 +316,14 @@
 			}
 			(<-s.events)(now)
 		}
-		if end != nil {
-			s.finishWrite(now, *end)
+		if done != nil {
+			s.finishWrite(now, *done)
 		}
 		if s.node != nil {
 			s.node.Tick(now)
 		}
-		if now-told >= bootstrapInterval {
-			told = now
+		if now-bootstrapSentAt >= bootstrapInterval {
+			bootstrapSentAt = now
 			s.sendBootstrap()
 		}
 		if ticked {
@@ -342,20 +342,20 @@
 	if err != nil {
 		if text := err.Error(); text != s.fault {
 			s.fault = text
-			s.log.Warn("replicas: store not open", "dir", s.opts.Dir, "err", err)
+			s.log.Warn("replicas: cannot open the store", "dir", s.opts.Dir, "err", err)
 		}
 		return false
 	}
 	if refused != "" {
 		s.counters.retired++
 		s.refused = refused
-		s.log.Error("replicas: the store cannot be vouched for; this daemon is a new member from now on", "why", refused)
+		s.log.Error("replicas: the store cannot be trusted; this daemon rejoins as a new member", "why", refused)
 	}
 	s.fault, s.store = "", st
 	if t := st.meta.Table; t != nil && st.meta.Active && s.opts.Repair > t.Generation {
 		if groups, err = s.repair(groups); err != nil {
 			s.fault = err.Error()
-			s.log.Error("replicas: not repaired", "err", err)
+			s.log.Error("replicas: repair failed", "err", err)
 			return true
 		}
 		st = s.store
@@ -379,7 +379,7 @@
 			return nil, err
 		}
 		st, err := createStore(s.opts.Dir, s.opts.Self)
-		s.store, s.refused = st, "this daemon is none of the survivors"
+		s.store, s.refused = st, "this daemon is not among the survivors"
 		return nil, err
 	}
 	t := s.store.meta.Table.Repaired(s.opts.Repair)
@@ -399,7 +399,7 @@
 			groups[p.Group] = replica.Stored{HardState: p.HardState, Snapshot: p.Snapshot}
 		}
 	}
-	s.log.Warn("replicas: a lost majority is given up", "generation", t.Generation, "groups", len(w.Groups))
+	s.log.Warn("replicas: continuing without the lost majority", "generation", t.Generation, "groups", len(w.Groups))
 	return groups, nil
 }
 
@@ -422,7 +422,7 @@
 	if !ok || s.node != nil || s.fault != "" {
 		return
 	}
-	fresh := s.store.meta.Starts == 1
+	newStore := s.store.meta.Starts == 1
 	if !s.store.meta.Active {
 		s.store.meta.Active = true
 		if err := s.store.writeMeta(); err != nil {
@@ -432,11 +432,11 @@
 	}
 	node, err := replica.New(replica.Config{
 		Self: s.store.meta.Member, Table: t, Boot: uint64(rand.Uint32()), Machines: s.opts.Machines, RelocateAfter: s.opts.Gone,
-		Written: s.store.lastBatch.written, Known: s.store.meta.Known, NewStore: fresh,
+		Written: s.store.lastBatch.written, Known: s.store.meta.Known, NewStore: newStore,
 	}, Now(), groups)
 	if err != nil {
 		s.fault = err.Error()
-		s.log.Error("replicas: not begun", "err", err)
+		s.log.Error("replicas: cannot start the node", "err", err)
 		return
 	}
 	if t.Groups != s.opts.Groups {
@@ -448,7 +448,7 @@
 	s.node = node
 	s.table.Store(t.Fingerprint())
 	s.notifyChanged()
-	s.log.Info("replicas: held", "groups", len(node.Status()), "incarnation", fmt.Sprintf("%08x", s.store.meta.Member.Incarnation))
+	s.log.Info("replicas: node started", "groups", len(node.Status()), "incarnation", fmt.Sprintf("%08x", s.store.meta.Member.Incarnation))
 }
 
 // abandonForwards ends the proposals forwarded to daemons that no longer lead their groups: a stalled daemon does not
@@ -477,17 +477,17 @@
 	if s.bootstrapper == nil || s.store == nil || s.fault != "" {
 		return
 	}
-	in := bootstrapFromProto(f)
-	if s.bootstrapper.Outdated(in) {
-		s.retire("the record was repaired without this daemon")
+	msg := bootstrapFromProto(f)
+	if s.bootstrapper.Outdated(msg) {
+		s.retire("the groups were repaired without this daemon")
 		return
 	}
-	t, conflict := s.bootstrapper.Receive(in)
+	t, conflict := s.bootstrapper.Receive(msg)
 	if conflict != "" && s.fault == "" {
 		s.log.Error("replicas: " + conflict)
 	}
 	s.storeTable(t)
-	if l := s.peers[in.Member.Name]; l != nil && s.node != nil && (!in.Active || in.Table != nil && in.Table.Generation < s.store.meta.Table.Generation) {
+	if l := s.peers[msg.Member.Name]; l != nil && s.node != nil && (!msg.Active || msg.Table != nil && msg.Table.Generation < s.store.meta.Table.Generation) {
 		l.sendBootstrap(bootstrapToProto(s.bootstrapper.Message()))
 	}
 	s.startNode(nil)
@@ -523,15 +523,15 @@
 		return
 	}
 	w := s.node.TakeWork(now)
-	var told *replica.DaemonHeartbeat
+	var lastHeartbeat *replica.DaemonHeartbeat
 	var beat *replicav1.Beat
 	for _, m := range w.Sends {
 		l := s.peers[m.To]
 		switch {
 		case l == nil:
 		case m.Heartbeat != nil:
-			if m.Heartbeat != told {
-				told, beat = m.Heartbeat, heartbeatToProto(m.Heartbeat)
+			if m.Heartbeat != lastHeartbeat {
+				lastHeartbeat, beat = m.Heartbeat, heartbeatToProto(m.Heartbeat)
 			}
 			l.sendHeartbeat(beat, m.Ack)
 		case m.Hibernation != nil:
@@ -582,7 +582,7 @@
 func (s *Server) storeFailed(err error) {
 	s.fault = err.Error()
 	s.store.markSuspect(err)
-	s.log.Error("replicas: the store takes no more; this daemon neither votes nor acts until it is started anew", "err", err)
+	s.log.Error("replicas: write to the store failed; this daemon neither votes nor leads until it is restarted", "err", err)
 	if s.node != nil {
 		s.node.WriteFailed(err)
 	}
@@ -590,7 +590,7 @@
 
 // retire discards the store and rejoins as a new member.
 func (s *Server) retire(why string) {
-	s.log.Error("replicas: the store cannot be vouched for; this daemon is a new member from now on", "why", why)
+	s.log.Error("replicas: the store cannot be trusted; this daemon rejoins as a new member", "why", why)
 	if s.writing {
 		<-s.writeDone
 		s.writing = false
@@ -605,13 +605,13 @@
 	s.refused = why
 	if err := setAside(s.opts.Dir); err != nil {
 		s.fault = err.Error()
-		s.log.Error("replicas: the store is not put aside", "err", err)
+		s.log.Error("replicas: cannot set the store aside", "err", err)
 		return
 	}
 	st, err := createStore(s.opts.Dir, s.opts.Self)
 	if err != nil {
 		s.fault = err.Error()
-		s.log.Error("replicas: no new store", "err", err)
+		s.log.Error("replicas: cannot create a new store", "err", err)
 		return
 	}
 	s.store = st
@@ -656,33 +656,33 @@
 	case hello.Version != version:
 		return status.Errorf(codes.FailedPrecondition, "version %d of the protocol is not spoken here, %d is", hello.Version, version)
 	}
-	life := s.linkContext(hello)
-	if life == nil {
+	lifetime := s.linkContext(hello)
+	if lifetime == nil {
 		return status.Error(codes.Unavailable, "no replicas are held by this process")
 	}
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	in := &inbound{server: s, name: hello.Name, answers: make(chan *replicav1.Answer, maxQueuedAnswers)}
-	ends := make(chan error, 2)
-	heard := make(chan struct{}, 1)
-	go func() { ends <- in.sendAnswers(ctx, stream, heard) }()
+	peer := &inbound{server: s, name: hello.Name, answers: make(chan *replicav1.Answer, maxQueuedAnswers)}
+	failed := make(chan error, 2)
+	received := make(chan struct{}, 1)
+	go func() { failed <- peer.sendAnswers(ctx, stream, received) }()
 	go func() {
 		err := error(nil)
 		for m := first; err == nil; {
-			if err = in.receive(ctx, m); err == nil {
+			if err = peer.receive(ctx, m); err == nil {
 				select {
-				case heard <- struct{}{}:
+				case received <- struct{}{}:
 				default:
 				}
 				m, err = stream.Recv()
 			}
 		}
-		ends <- err
+		failed <- err
 	}()
 	select {
-	case err := <-ends:
+	case err := <-failed:
 		return err
-	case <-life.Done():
+	case <-lifetime.Done():
 		return status.Error(codes.Unavailable, "no replicas are held by this process any more")
 	}
 }
--- a/internal/net/replicas/server_test.go
+++ b/internal/net/replicas/server_test.go
@@ -126,13 +126,13 @@
 	}
 	want := []string{"c0", "c1", "c2"}
 	for i := range 3 {
-		w.await("it is there", func() bool { return slices.Equal(w.lines(i, 1), want) })
+		w.await("all commands are applied", func() bool { return slices.Equal(w.lines(i, 1), want) })
 	}
 	w.hosts[2].Close()
 	w.propose(0, 1, "c3")
 	w.propose(1, 1, "c4")
 	w.open(2)
-	w.await("what was told meanwhile", func() bool { return slices.Equal(w.lines(2, 1), append(want, "c3", "c4")) })
+	w.await("commands proposed meanwhile are applied", func() bool { return slices.Equal(w.lines(2, 1), append(want, "c3", "c4")) })
 }
 
 // A flipped bit in the store is detected by a checksum: the daemon never acts by that store and rejoins as a new
@@ -140,30 +140,30 @@
 func TestBitFlipMakesNewMember(t *testing.T) {
 	w := newCluster(t, 3, 2)
 	for i := range 20 {
-		w.propose(0, 1, fmt.Sprint("told-", i))
+		w.propose(0, 1, fmt.Sprint("item-", i))
 	}
-	w.await("all have it", func() bool { return len(w.lines(2, 1)) == 20 })
+	w.await("all commands are on n2", func() bool { return len(w.lines(2, 1)) == 20 })
 	before := w.hosts[2].Standing().Member
 	w.hosts[2].Close()
 	path := filepath.Join(w.dirs[2], storeFile)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	at := bytes.LastIndex(text, []byte("told-7"))
+	at := bytes.LastIndex(text, []byte("item-7"))
 	require.Positive(t, at)
 	for i := range len(text) - 6 { // in each copy that bbolt has of it
-		if bytes.HasPrefix(text[i:], []byte("told-7")) {
+		if bytes.HasPrefix(text[i:], []byte("item-7")) {
 			text[i+5] ^= 1
 		}
 	}
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	w.open(2)
-	w.await("it is somebody else", func() bool {
+	w.await("n2 is a new member", func() bool {
 		m := w.hosts[2].Standing().Member
 		return m.Incarnation != 0 && m.Incarnation != before.Incarnation
 	})
 	require.Contains(t, w.hosts[2].Standing().Refused, "checksum")
-	w.await("it has learnt all", func() bool { return len(w.lines(2, 1)) == 20 })
-	w.await("it votes", func() bool {
+	w.await("n2 has all commands", func() bool { return len(w.lines(2, 1)) == 20 })
+	w.await("n2 votes", func() bool {
 		for i := range 3 {
 			for _, g := range w.hosts[i].Standing().Groups {
 				old, now := fmt.Sprintf("n2/%08x", before.Incarnation), fmt.Sprintf("n2/%08x", w.hosts[2].Standing().Member.Incarnation)
@@ -182,39 +182,39 @@
 // for.
 func TestUnusableStoresAreRefused(t *testing.T) {
 	self := replica.Member{Name: "n1", Machine: "m", Zone: "z"}
-	whole := func(dir string) []byte {
+	makeStore := func(dir string) []byte {
 		s, _, refused, err := openStore(dir, self)
 		require.NoError(t, err)
 		require.Empty(t, refused)
-		begun, _ := replica.InitialState(replica.Table{Groups: 1, Copies: 1, Members: []replica.Member{s.meta.Member}}, 0, s.meta.Member)
+		initial, _ := replica.InitialState(replica.Table{Groups: 1, Copies: 1, Members: []replica.Member{s.meta.Member}}, 0, s.meta.Member)
 		for i := range 50 {
-			require.NoError(t, s.save(&replica.Write{Number: uint64(i + 1), Groups: []replica.GroupWrite{{Group: 0, HardState: begun.HardState, Snapshot: begun.Snapshot}}}))
+			require.NoError(t, s.save(&replica.Write{Number: uint64(i + 1), Groups: []replica.GroupWrite{{Group: 0, HardState: initial.HardState, Snapshot: initial.Snapshot}}}))
 		}
 		s.close()
 		text, err := os.ReadFile(filepath.Join(dir, storeFile))
 		require.NoError(t, err)
 		return text
 	}
-	for what, spoil := range map[string]func(dir string, text []byte) []byte{
-		"empty":     func(string, []byte) []byte { return []byte("x") },
-		"cut off":   func(_ string, text []byte) []byte { return text[:8192] },
-		"doubtful":  func(dir string, text []byte) []byte { (&store{dir: dir}).markSuspect(os.ErrInvalid); return text },
-		"another's": func(_ string, text []byte) []byte { return text },
+	for name, corrupt := range map[string]func(dir string, text []byte) []byte{
+		"not a database":   func(string, []byte) []byte { return []byte("x") },
+		"truncated":        func(_ string, text []byte) []byte { return text[:8192] },
+		"marked suspect":   func(dir string, text []byte) []byte { (&store{dir: dir}).markSuspect(os.ErrInvalid); return text },
+		"another daemon's": func(_ string, text []byte) []byte { return text },
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			text := whole(dir)
+			text := makeStore(dir)
 			first, _, refused, err := openStore(dir, self)
 			require.NoError(t, err)
-			require.Empty(t, refused, "it is whole")
+			require.Empty(t, refused, "the store is intact")
 			require.EqualValues(t, 50, first.lastBatch.written)
 			first.close()
-			require.NoError(t, os.WriteFile(filepath.Join(dir, storeFile), spoil(dir, text), 0o600))
-			who := self
-			if what == "another's" {
-				who.Name = "n2"
+			require.NoError(t, os.WriteFile(filepath.Join(dir, storeFile), corrupt(dir, text), 0o600))
+			member := self
+			if name == "another daemon's" {
+				member.Name = "n2"
 			}
-			s, groups, refused, err := openStore(dir, who)
+			s, groups, refused, err := openStore(dir, member)
 			require.NoError(t, err)
 			defer s.close()
 			require.NotEmpty(t, refused)
@@ -223,12 +223,12 @@
 		})
 	}
 	dir := t.TempDir()
-	whole(dir)
+	makeStore(dir)
 	s, _, _, err := openStore(dir, self)
 	require.NoError(t, err)
 	defer s.close()
 	_, _, _, err = openStore(dir, self)
-	require.ErrorIs(t, err, errLocked, "a process that takes over waits")
+	require.ErrorIs(t, err, errLocked, "a later process waits for the lock")
 	require.True(t, strings.Contains(err.Error(), "another process"))
 }
 
@@ -239,7 +239,7 @@
 	for i := range 6 {
 		w.propose(i%3, 1+uint32(i%2), fmt.Sprint("c", i))
 	}
-	w.await("n0 has it", func() bool { return len(w.lines(0, 1)) == 3 && len(w.lines(0, 2)) == 3 })
+	w.await("n0 has all commands", func() bool { return len(w.lines(0, 1)) == 3 && len(w.lines(0, 2)) == 3 })
 	old := map[string]bool{}
 	for i := range 3 {
 		old[fmt.Sprint(w.hosts[i].Standing().Member)] = true
@@ -254,13 +254,13 @@
 	w.open(0)
 	w.propose(0, 1, "alone")
 	require.Equal(t, []string{"c0", "c2", "c4", "alone"}, w.lines(0, 1))
-	w.await("it acts, by a term larger than whatever the old ones have had", func() bool {
+	w.await("n0 leads, in a term larger than all earlier ones", func() bool {
 		term, _, ok := w.hosts[0].Lead(1)
 		return ok && term > 1<<40
 	})
 	w.open(1)
 	w.open(2)
-	w.await("they are members anew", func() bool {
+	w.await("n1 and n2 are new members", func() bool {
 		for i := range 3 {
 			if v := w.hosts[i].Standing(); len(v.Groups) != 3 || i > 0 && old[fmt.Sprint(v.Member)] {
 				return false
@@ -268,7 +268,7 @@
 		}
 		return len(w.lines(1, 1)) == 4 && len(w.lines(2, 1)) == 4
 	})
-	w.await("all vote", func() bool {
+	w.await("all are voters", func() bool {
 		for _, g := range w.hosts[0].Standing().Groups {
 			if len(g.Voters) != 3 {
 				return false
@@ -278,7 +278,7 @@
 	})
 	w.hosts[0].Close()
 	w.propose(1, 1, "on")
-	w.await("n1 has it all", func() bool {
+	w.await("n1 has all commands", func() bool {
 		return slices.Equal([]string{"c0", "c2", "c4", "alone", "on"}, w.lines(1, 1)) // it need not be the leader
 	})
 }
@@ -287,7 +287,7 @@
 func TestFailingDisk(t *testing.T) {
 	w := newCluster(t, 3, 2)
 	w.propose(0, 1, "c0")
-	w.await("n2 has it", func() bool { return len(w.lines(2, 1)) == 1 })
+	w.await("n2 has the command", func() bool { return len(w.lines(2, 1)) == 1 })
 	before := w.hosts[2].Standing().Member
 	w.hosts[2].mu.Lock()
 	require.NoError(t, w.hosts[2].store.db.Close())
@@ -295,14 +295,14 @@
 	for i := range 10 {
 		w.propose(i%2, 1, fmt.Sprint("d", i))
 	}
-	w.await("it says so", func() bool { return w.hosts[2].Standing().Fault != "" })
+	w.await("n2 reports the fault", func() bool { return w.hosts[2].Standing().Fault != "" })
 	for g := range w.groups {
 		_, _, acts := w.hosts[2].Lead(g)
 		require.False(t, acts)
 	}
 	w.hosts[2].Close()
 	w.open(2)
-	w.await("it has learnt all as somebody else", func() bool {
+	w.await("n2 has all commands as a new member", func() bool {
 		return w.hosts[2].Standing().Member.Incarnation != before.Incarnation && len(w.lines(2, 1)) == 11
 	})
 }
@@ -318,7 +318,7 @@
 	w.hosts[leader].mu.Lock() // the loop needs it for each pass
 	defer w.hosts[leader].mu.Unlock()
 	w.propose(other, 1, "meanwhile")
-	w.await("it is told", func() bool { return slices.Contains(w.lines(other, 1), "meanwhile") })
+	w.await("the command is applied", func() bool { return slices.Contains(w.lines(other, 1), "meanwhile") })
 }
 
 // A read-only command is answered by the leader without a log entry, also when it was forwarded, and sees all that was
@@ -331,9 +331,9 @@
 		at := (n + 1) % 3
 		out, err := w.hosts[at].Propose(t.Context(), 1, 0, []byte("?"))
 		require.NoError(t, err)
-		said := 0
-		fmt.Sscan(string(out), &said)
-		require.GreaterOrEqual(t, said, n)
+		count := 0
+		fmt.Sscan(string(out), &count)
+		require.GreaterOrEqual(t, count, n)
 	}
 	for i := range w.hosts {
 		require.NotContains(t, w.lines(i, 1), "?")
@@ -348,7 +348,7 @@
 		w.propose(i, 1, "before")
 	}
 	w.hosts[0].Yield()
-	w.await("it acts for nothing, and others for all", func() bool {
+	w.await("n0 leads no group, and the others lead all", func() bool {
 		for g := range w.groups {
 			_, _, mine := w.hosts[0].Lead(g)
 			_, _, one := w.hosts[1].Lead(g)
--- a/internal/net/replicas/store.go
+++ b/internal/net/replicas/store.go
@@ -27,13 +27,13 @@
 // Files in the store's folder.
 const (
 	storeFile   = "replicas.db"
-	refusedFile = "replicas.db.refused" // the last that could not be vouched for, for people
+	refusedFile = "replicas.db.refused" // the last store that could not be trusted, kept for inspection
 	suspectFile = "doubt"               // marks a store after a failed write, which may or may not be durable
 	lockTimeout = 50 * time.Millisecond
 )
 
 var (
-	errLocked    = errors.New("another process has the store")
+	errLocked    = errors.New("the store is locked by another process")
 	errDamaged   = errors.New("the store is damaged")
 	crcTable     = crc32.MakeTable(crc32.Castagnoli)
 	metaBucket   = []byte("meta")
@@ -78,8 +78,8 @@
 		return nil, nil, "", err
 	}
 	path := filepath.Join(dir, storeFile)
-	if text, err := os.ReadFile(filepath.Join(dir, suspectFile)); err == nil {
-		refused = cmp.Or(string(text), "a write of it failed")
+	if reason, err := os.ReadFile(filepath.Join(dir, suspectFile)); err == nil {
+		refused = cmp.Or(string(reason), "a write failed")
 	} else if _, err := os.Stat(path); err == nil {
 		s, groups, err = readStore(dir, self)
 		switch {
@@ -180,11 +180,11 @@
 	groups = map[uint32]replica.Stored{}
 	err = db.View(func(tx *bbolt.Tx) error {
 		if info, err := os.Stat(db.Path()); err != nil || info.Size() < tx.Size() {
-			return cmp.Or(err, fmt.Errorf("it should have %d bytes", tx.Size()))
+			return cmp.Or(err, fmt.Errorf("file is shorter than %d bytes", tx.Size()))
 		}
 		b := tx.Bucket(metaBucket)
 		if b == nil || tx.Bucket(groupsBucket) == nil {
-			return errors.New("it lacks its own records")
+			return errors.New("meta records are missing")
 		}
 		text, err := verifyChecksum(metaKey, b.Get(metaKey))
 		if err != nil {
@@ -194,7 +194,7 @@
 			return err
 		}
 		if text, err = verifyChecksum(batchKey, b.Get(batchKey)); err != nil || len(text) != 12 {
-			return fmt.Errorf("its last batch: %w", cmp.Or(err, errors.New("it is cut off")))
+			return fmt.Errorf("last batch record: %w", cmp.Or(err, errors.New("record is truncated")))
 		}
 		s.lastBatch = batchInfo{binary.BigEndian.Uint64(text), binary.BigEndian.Uint32(text[8:])}
 		err = tx.Bucket(groupsBucket).ForEachBucket(func(k []byte) error {
@@ -205,7 +205,7 @@
 			return err
 		})
 		if err == nil && len(groups) != int(s.lastBatch.groups) {
-			return fmt.Errorf("it holds %d groups, not %d", len(groups), s.lastBatch.groups)
+			return fmt.Errorf("store has %d groups instead of %d", len(groups), s.lastBatch.groups)
 		}
 		return err
 	})
@@ -214,7 +214,7 @@
 		return nil, nil, fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	if s.meta.Member.Name != self.Name {
-		return nil, nil, fmt.Errorf("%w: it is %s's", errDamaged, s.meta.Member.Name)
+		return nil, nil, fmt.Errorf("%w: it belongs to daemon %s", errDamaged, s.meta.Member.Name)
 	}
 	// The daemon's machine and zone may have changed. The write also detects a disk that accepts no writes, and makes a
 	// bbolt meta page durable whose own sync may have failed.
@@ -232,31 +232,31 @@
 
 func readGroup(k []byte, b *bbolt.Bucket) (g replica.Stored, err error) {
 	if len(k) != 4 || b == nil {
-		return g, errors.New("a group without a number")
+		return g, errors.New("group bucket without a valid number")
 	}
 	fault := func(what string, err error) error {
 		return fmt.Errorf("group %d: %s: %w", binary.BigEndian.Uint32(k), what, err)
 	}
 	text, err := verifyChecksum(recordName(k, hardKey), b.Get(hardKey))
 	if err != nil {
-		return g, fault("its state", err)
+		return g, fault("state record", err)
 	}
 	if len(text) < 8 {
-		return g, fault("its state", errors.New("it is cut off"))
+		return g, fault("state record", errors.New("record is truncated"))
 	}
 	last := binary.BigEndian.Uint64(text)
 	g.HardState = &pb.HardState{}
 	if err := proto.Unmarshal(text[8:], g.HardState); err != nil {
-		return g, fault("its state", err)
+		return g, fault("state record", err)
 	}
 	next := uint64(1)
 	if text := b.Get(snapKey); text != nil {
 		if text, err = verifyChecksum(recordName(k, snapKey), text); err != nil {
-			return g, fault("its snapshot", err)
+			return g, fault("snapshot record", err)
 		}
 		g.Snapshot = &pb.Snapshot{}
 		if err := proto.Unmarshal(text, g.Snapshot); err != nil {
-			return g, fault("its snapshot", err)
+			return g, fault("snapshot record", err)
 		}
 		next = g.Snapshot.GetMetadata().GetIndex() + 1
 	}
@@ -270,13 +270,13 @@
 			return g, fault(fmt.Sprint("entry ", next), err)
 		}
 		if e.GetIndex() != next || binary.BigEndian.Uint64(key[1:]) != next {
-			return g, fault(fmt.Sprint("entry ", next), errors.New("it is missing"))
+			return g, fault(fmt.Sprint("entry ", next), errors.New("record is missing"))
 		}
 		g.Entries = append(g.Entries, e)
 		next++
 	}
 	if next != last+1 {
-		return g, fault("its log", fmt.Errorf("it ends at %d, not %d", next-1, last))
+		return g, fault("log", fmt.Errorf("ends at %d instead of %d", next-1, last))
 	}
 	return g, nil
 }
@@ -288,19 +288,19 @@
 
 // addChecksum prefixes a record with a checksum that also covers its name, so that a record stored under another name
 // is detected.
-func addChecksum(name, text []byte) []byte {
-	sum := crc32.Update(crc32.Checksum(name, crcTable), crcTable, text)
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(text)), sum), text...)
+func addChecksum(name, data []byte) []byte {
+	sum := crc32.Update(crc32.Checksum(name, crcTable), crcTable, data)
+	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(data)), sum), data...)
 }
 
-func verifyChecksum(name, text []byte) ([]byte, error) {
-	if len(text) < 4 {
-		return nil, errors.New("it is missing")
+func verifyChecksum(name, data []byte) ([]byte, error) {
+	if len(data) < 4 {
+		return nil, errors.New("record is missing")
 	}
-	if crc32.Update(crc32.Checksum(name, crcTable), crcTable, text[4:]) != binary.BigEndian.Uint32(text) {
-		return nil, errors.New("its checksum does not match")
+	if crc32.Update(crc32.Checksum(name, crcTable), crcTable, data[4:]) != binary.BigEndian.Uint32(data) {
+		return nil, errors.New("checksum does not match")
 	}
-	return append([]byte(nil), text[4:]...), nil
+	return append([]byte(nil), data[4:]...), nil
 }
 
 func (s *store) putMeta(tx *bbolt.Tx) error {
@@ -372,7 +372,7 @@
 	if text := b.Get(hardKey); len(text) >= 12 {
 		last, hard = binary.BigEndian.Uint64(text[4:]), append(hard, text[12:]...)
 	}
-	cut := func(from, to uint64) error { // deletes the entries from from up to, but without, to
+	cut := func(from, to uint64) error { // deletes entries from..to-1
 		c := b.Cursor()
 		for key, _ := c.Seek(entryKey(from)); len(key) == 9 && binary.BigEndian.Uint64(key[1:]) < to; key, _ = c.Seek(entryKey(from)) {
 			if err := c.Delete(); err != nil {
--- a/internal/net/replicas/wire.go
+++ b/internal/net/replicas/wire.go
@@ -66,9 +66,9 @@
 }
 
 // parseMessage decodes a raft message.
-func parseMessage(text []byte) (*pb.Message, error) {
+func parseMessage(data []byte) (*pb.Message, error) {
 	m := &pb.Message{}
-	return m, proto.Unmarshal(text, m)
+	return m, proto.Unmarshal(data, m)
 }
 
 var faults = map[error]replicav1.Fault{
@@ -81,8 +81,8 @@
 	if f == replicav1.Fault_FAULT_NONE {
 		return nil
 	}
-	for err, of := range faults {
-		if of == f {
+	for err, fault := range faults {
+		if fault == f {
 			return err
 		}
 	}
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -63,9 +63,9 @@
 		f.table = t.Table
 		return f.table, ""
 	case f.table.ID == t.Table.ID && f.table.Generation > t.Table.Generation:
-		return nil, "" // it has not heard of a repair yet
+		return nil, "" // the peer does not know of a repair yet
 	case f.table.ID != t.Table.ID:
-		return nil, t.Member.Name + " has begun with other daemons, groups or copies than this one"
+		return nil, t.Member.Name + " has a table with other daemons, groups or copies than this daemon's"
 	case t.Active && f.tableStored:
 		f.active = true
 	}
@@ -134,10 +134,10 @@
 func newTable(members []Member, groups uint32, copies int) *Table {
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	t := &Table{Groups: groups, Copies: copies, Members: members}
-	text, _ := json.Marshal(t)
+	encoded, _ := json.Marshal(t)
 	h := fnv.New64a()
-	h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(text))))
-	h.Write(text)
+	h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(encoded))))
+	h.Write(encoded)
 	t.ID = mix(h.Sum64())
 	return t
 }
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -76,14 +76,14 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := g.mux.Snapshot()
+	state, err := g.mux.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > maxSnapshotBytes {
-		return nil, fmt.Errorf("a snapshot of %d bytes, more than %d", len(text), maxSnapshotBytes)
+	if len(state) > maxSnapshotBytes {
+		return nil, fmt.Errorf("snapshot of %d bytes exceeds the limit of %d", len(state), maxSnapshotBytes)
 	}
-	data := append(binary.BigEndian.AppendUint64(nil, uint64(g.lastTime)), text...)
+	data := append(binary.BigEndian.AppendUint64(nil, uint64(g.lastTime)), state...)
 	return &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: g.conf, Index: new(g.applied), Term: new(term)}}, nil
 }
 
@@ -92,7 +92,7 @@
 	data := s.GetData()
 	if len(data) > 0 {
 		if len(data) < 8 {
-			return errors.New("a snapshot that is cut off")
+			return errors.New("snapshot is truncated")
 		}
 		if err := g.mux.Restore(data[8:]); err != nil {
 			return err
@@ -106,15 +106,15 @@
 // InitialState returns the state that a group of the table starts with at each of its voters. It returns false if self
 // is not one of them.
 func InitialState(t Table, number uint32, self Member) (Stored, bool) {
-	voters, among := []uint64(nil), false
+	voters, isVoter := []uint64(nil), false
 	for _, m := range Place(number, t.Members, t.Copies) {
 		voters = append(voters, m.ID())
-		among = among || m.ID() == self.ID()
+		isVoter = isVoter || m.ID() == self.ID()
 	}
 	return Stored{
 		HardState: &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
 		Snapshot:  &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: &pb.ConfState{Voters: voters}, Index: new(uint64(1)), Term: new(uint64(1))}},
-	}, among
+	}, isVoter
 }
 
 // add creates this node's replica of a group from its stored state.
@@ -125,8 +125,8 @@
 		if err := g.restore(s.Snapshot); err != nil {
 			return nil, err
 		}
-		light := &pb.Snapshot{Metadata: s.Snapshot.GetMetadata()}
-		if err := g.log.ApplySnapshot(light); err != nil {
+		metadataOnly := &pb.Snapshot{Metadata: s.Snapshot.GetMetadata()}
+		if err := g.log.ApplySnapshot(metadataOnly); err != nil {
 			return nil, err
 		}
 	}
@@ -168,13 +168,13 @@
 	if now-n.startedAt < ElectionTimeout {
 		return false
 	}
-	others, need := 0, len(g.conf.GetVoters())/2
+	confirmed, needed := 0, len(g.conf.GetVoters())/2
 	for _, id := range g.conf.GetVoters() {
 		if p := n.peers[n.nameByHash[uint32(id>>32)]]; id != n.id && p != nil && p.storeConfirmed {
-			others++
+			confirmed++
 		}
 	}
-	g.released = others >= need
+	g.released = confirmed >= needed
 	return g.released
 }
 
@@ -199,8 +199,8 @@
 			}
 			g.conf, g.confChangedAt = g.raw.ApplyConfChange(&cc), now
 		default:
-			if ref, at, cmd, ok := unwrap(e.GetData()); ok {
-				g.lastTime = max(g.lastTime, at)
+			if ref, proposedAt, cmd, ok := unwrap(e.GetData()); ok {
+				g.lastTime = max(g.lastTime, proposedAt)
 				result := g.mux.Apply(e.GetIndex(), g.lastTime, cmd)
 				if n.proposals[ref] == g {
 					n.addResult(Result{Ref: ref, Result: result})
@@ -221,7 +221,7 @@
 	}
 	s, err := g.snapshot()
 	if err != nil {
-		n.note("group %d: the log is not cut: %v", g.number, err)
+		n.note("group %d: log not compacted: %v", g.number, err)
 		return
 	}
 	g.logBytes = 0
--- a/internal/replica/heartbeat.go
+++ b/internal/replica/heartbeat.go
@@ -39,7 +39,7 @@
 	n.sentHeartbeats[n.heartbeatNumber%heartbeatHistory] = sentHeartbeat{n.heartbeatNumber, now}
 	b := &DaemonHeartbeat{Member: n.cfg.Self, Boot: n.cfg.Boot, Written: n.written, Number: n.heartbeatNumber, Full: n.heartbeatCount%fullHeartbeatEvery == 0}
 	if n.heartbeatCount++; b.Full {
-		b.Known = maps.Clone(n.known)
+		b.Known = maps.Clone(n.knownStores)
 	}
 	if b.Full || !maps.Equal(leads, n.sentLeads) {
 		n.sentLeads, b.Leads, b.HasLeads = leads, leads, true
@@ -77,15 +77,15 @@
 		return // delayed on a connection that has since been lost
 	case p.boot != 0 && p.member.Incarnation != b.Member.Incarnation && now-p.receivedAt < ElectionTimeout:
 		return // the previous holder of the name may still act; with the same store there is no previous holder
-	case p.boot != b.Boot: // it waits to be told what is known of its store
+	case p.boot != b.Boot: // a restarted peer waits for a full heartbeat to confirm its store
 		n.heartbeatCount = 0
 		n.peerSilent(p, now)
 	}
 	p.boot, p.heartbeatNumber, p.member, p.receivedAt, p.silent = b.Boot, b.Number, b.Member, now, false
 	if b.HasLeads {
-		p.leads = b.Leads
+		p.leadTerms = b.Leads
 		for _, g := range n.ordered {
-			if g.hibernating && g.hibernatingUnder == name && p.leads[g.number] != g.hibernateTerm {
+			if g.hibernating && g.hibernatingUnder == name && p.leadTerms[g.number] != g.hibernateTerm {
 				n.wake(g, now, 0)
 			}
 		}
@@ -94,7 +94,7 @@
 	for id, w := range b.Known {
 		if id == n.id {
 			if w > n.written {
-				n.retire(fmt.Sprintf("%s has heard of %d batches in the store, which holds %d: it is an old copy", name, w, n.written))
+				n.retire(fmt.Sprintf("%s knows of %d batches written to this store, which holds %d: the store is an old copy", name, w, n.written))
 				return
 			}
 			continue
@@ -105,7 +105,7 @@
 }
 
 func (n *Node) recordWritten(id, written uint64) {
-	if _, there := n.known[id]; there || len(n.known) < maxKnownStores {
-		n.known[id] = max(n.known[id], written)
+	if _, ok := n.knownStores[id]; ok || len(n.knownStores) < maxKnownStores {
+		n.knownStores[id] = max(n.knownStores[id], written)
 	}
 }
--- a/internal/replica/hibernate.go
+++ b/internal/replica/hibernate.go
@@ -44,13 +44,13 @@
 	if g.scheduled || g.pendingWrites > 0 || len(g.conf.GetLearners()) > 0 || len(g.conf.GetVotersOutgoing()) > 0 || g.applied != s.GetCommit() || len(g.conf.GetVoters()) < 2 {
 		return false
 	}
-	all, alike := 0, 0
+	total, caughtUp := 0, 0
 	g.raw.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
-		if all++; pr.Match == g.applied && (id == n.id || pr.State == tracker.StateReplicate) {
-			alike++
+		if total++; pr.Match == g.applied && (id == n.id || pr.State == tracker.StateReplicate) {
+			caughtUp++
 		}
 	})
-	return all == alike
+	return total == caughtUp
 }
 
 // requestHibernation asks the followers of a group to hibernate after a time of inactivity.
@@ -153,20 +153,20 @@
 // acknowledged; 0 if a follower's agreement no longer holds.
 func (n *Node) heartbeatLease(g *group, now time.Duration) time.Duration {
 	voters := g.conf.GetVoters()
-	heard := make([]time.Duration, 0, len(voters))
+	confirmed := make([]time.Duration, 0, len(voters))
 	for _, id := range voters {
 		if id == n.id {
-			heard = append(heard, now)
+			confirmed = append(confirmed, now)
 			continue
 		}
 		p := n.peers[n.nameByHash[uint32(id>>32)]]
 		if epoch, ok := g.hibernateAcks[id]; p == nil || !ok || p.ackEpoch != epoch || p.member.ID() != id {
 			return 0 // it may have woken and voted
 		}
-		heard = append(heard, p.ackedSentAt)
+		confirmed = append(confirmed, p.ackedSentAt)
 	}
-	slices.Sort(heard)
-	return heard[(len(heard)-1)/2] + LeaseDuration
+	slices.Sort(confirmed)
+	return confirmed[(len(confirmed)-1)/2] + LeaseDuration
 }
 
 // HandleHeartbeatAck handles a peer's acknowledgement of this node's heartbeats.
@@ -176,8 +176,8 @@
 		return
 	}
 	p.ackEpoch = c.Epoch
-	if at := n.sentHeartbeats[c.Number%heartbeatHistory]; at.number == c.Number && at.number > 0 {
-		p.ackedSentAt = max(p.ackedSentAt, at.at)
+	if sent := n.sentHeartbeats[c.Number%heartbeatHistory]; sent.number == c.Number && sent.number > 0 {
+		p.ackedSentAt = max(p.ackedSentAt, sent.at)
 	}
 }
 
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -84,36 +84,36 @@
 func (m Mux) Snapshot() ([]byte, error) {
 	var out []byte
 	for _, k := range slices.Sorted(maps.Keys(m)) {
-		one, err := m[k].Snapshot()
+		data, err := m[k].Snapshot()
 		if err != nil {
 			return nil, fmt.Errorf("machine %d: %w", k, err)
 		}
 		out = protowire.AppendTag(out, protowire.Number(k)+1, protowire.BytesType)
-		out = protowire.AppendBytes(out, one)
+		out = protowire.AppendBytes(out, data)
 	}
 	return out, nil
 }
 
 // Restore restores each machine from its part. A part for a machine that this program lacks is an error, since its
 // state would be lost silently.
-func (m Mux) Restore(text []byte) error {
-	for len(text) > 0 {
-		k, kind, n := protowire.ConsumeTag(text)
+func (m Mux) Restore(snapshot []byte) error {
+	for len(snapshot) > 0 {
+		k, kind, n := protowire.ConsumeTag(snapshot)
 		if n < 0 || kind != protowire.BytesType || k > 256 {
-			return fmt.Errorf("snapshot: it cannot be read")
+			return fmt.Errorf("snapshot: malformed")
 		}
-		one, size := protowire.ConsumeBytes(text[n:])
+		data, size := protowire.ConsumeBytes(snapshot[n:])
 		if size < 0 {
-			return fmt.Errorf("snapshot: it is cut off")
+			return fmt.Errorf("snapshot: truncated")
 		}
-		to := m[byte(k-1)]
-		if to == nil {
-			return fmt.Errorf("snapshot: there is no machine %d here", k-1)
+		machine := m[byte(k-1)]
+		if machine == nil {
+			return fmt.Errorf("snapshot: unknown machine %d", k-1)
 		}
-		if err := to.Restore(one); err != nil {
+		if err := machine.Restore(data); err != nil {
 			return fmt.Errorf("machine %d: %w", k-1, err)
 		}
-		text = text[n+size:]
+		snapshot = snapshot[n+size:]
 	}
 	return nil
 }
@@ -158,9 +158,9 @@
 }
 
 // unwrap reverses wrap.
-func unwrap(text []byte) (ref uint64, at time.Duration, cmd []byte, ok bool) {
-	if len(text) < 16 {
+func unwrap(data []byte) (ref uint64, at time.Duration, cmd []byte, ok bool) {
+	if len(data) < 16 {
 		return 0, 0, nil, false
 	}
-	return binary.BigEndian.Uint64(text), time.Duration(binary.BigEndian.Uint64(text[8:])), text[16:], true
+	return binary.BigEndian.Uint64(data), time.Duration(binary.BigEndian.Uint64(data[8:])), data[16:], true
 }
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -36,7 +36,7 @@
 	change := func(kind pb.ConfChangeType, id uint64) *pb.ConfChangeSingle {
 		return &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)}
 	}
-	dead := func(id uint64, gone time.Duration) bool {
+	isLost := func(id uint64, gone time.Duration) bool {
 		if id == n.id {
 			return false
 		}
@@ -47,14 +47,14 @@
 		return p.member.ID() != id || now-p.receivedAt >= gone
 	}
 	voters := g.conf.GetVoters()
-	lost := slices.IndexFunc(voters, func(id uint64) bool { return dead(id, n.cfg.RelocateAfter) })
+	lost := slices.IndexFunc(voters, func(id uint64) bool { return isLost(id, n.cfg.RelocateAfter) })
 	surplus := uint64(0)
 	want := Place(g.number, n.livePeers(now, n.cfg.RelocateAfter), n.cfg.Table.Copies)
 	wanted := func(id uint64) bool { return slices.ContainsFunc(want, func(m Member) bool { return m.ID() == id }) }
 	switch {
 	case lost >= 0:
 		surplus = voters[lost]
-	case len(want) == n.cfg.Table.Copies && now-n.startedAt >= n.cfg.RelocateAfter: // before, not all that live need have been heard
+	case len(want) == n.cfg.Table.Copies && now-n.startedAt >= n.cfg.RelocateAfter: // before that, some live daemons may not have sent a heartbeat yet
 		for _, id := range voters {
 			if id != n.id && !wanted(id) {
 				surplus = id
@@ -67,22 +67,22 @@
 	}
 	if learners := g.conf.GetLearners(); len(learners) > 0 {
 		id := learners[0]
-		if dead(id, SilenceTimeout) || !wanted(id) {
+		if isLost(id, SilenceTimeout) || !wanted(id) {
 			propose(change(pb.ConfChangeType_ConfChangeRemoveNode, id))
 			return
 		}
-		caught := false
-		g.raw.WithProgress(func(of uint64, _ raft.ProgressType, pr tracker.Progress) {
-			caught = caught || of == id && pr.RecentActive && pr.State == tracker.StateReplicate && pr.Match+maxLearnerLag >= g.applied
+		caughtUp := false
+		g.raw.WithProgress(func(member uint64, _ raft.ProgressType, pr tracker.Progress) {
+			caughtUp = caughtUp || member == id && pr.RecentActive && pr.State == tracker.StateReplicate && pr.Match+maxLearnerLag >= g.applied
 		})
-		if !caught {
+		if !caughtUp {
 			return
 		}
-		up := change(pb.ConfChangeType_ConfChangeAddNode, id)
+		promotion := change(pb.ConfChangeType_ConfChangeAddNode, id)
 		if surplus != 0 && len(voters) >= n.cfg.Table.Copies {
-			propose(up, change(pb.ConfChangeType_ConfChangeRemoveNode, surplus))
+			propose(promotion, change(pb.ConfChangeType_ConfChangeRemoveNode, surplus))
 		} else {
-			propose(up)
+			propose(promotion)
 		}
 		return
 	}
@@ -97,17 +97,17 @@
 		}
 		return
 	}
-	moving := 0
+	moves := 0
 	for _, o := range n.ordered {
 		if o.leader && len(o.conf.GetLearners()) > 0 {
-			moving++
+			moves++
 		}
 	}
-	if moving >= maxConcurrentMoves {
+	if moves >= maxConcurrentMoves {
 		return
 	}
 	for _, m := range want {
-		if id := m.ID(); !slices.Contains(voters, id) && !dead(id, SilenceTimeout) {
+		if id := m.ID(); !slices.Contains(voters, id) && !isLost(id, SilenceTimeout) {
 			propose(change(pb.ConfChangeType_ConfChangeAddLearnerNode, id))
 			return
 		}
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -57,7 +57,7 @@
 	ordered         []*group
 	nameByHash      map[uint32]string // by hash of the name
 	peers           map[string]*peer
-	known           map[uint64]uint64
+	knownStores     map[uint64]uint64
 	lastRef         uint64
 	proposals       map[uint64]*group
 	pending         []pendingWrite
@@ -80,7 +80,7 @@
 	boot           uint64
 	receivedAt     time.Duration
 	storeConfirmed bool // it knows of no later state of this node's store
-	leads          map[uint32]uint64
+	leadTerms      map[uint32]uint64
 
 	heartbeatNumber uint64 // of its last heartbeat
 	silent          bool
@@ -97,11 +97,11 @@
 	}
 	n := &Node{
 		cfg: c, id: c.Self.ID(), startedAt: now, tickedAt: now, heartbeatAt: now - DaemonHeartbeatInterval, groups: map[uint32]*group{}, nameByHash: map[uint32]string{nameHash(c.Self.Name): c.Self.Name},
-		peers: map[string]*peer{}, known: map[uint64]uint64{}, lastRef: c.Boot << 32, proposals: map[uint64]*group{},
+		peers: map[string]*peer{}, knownStores: map[uint64]uint64{}, lastRef: c.Boot << 32, proposals: map[uint64]*group{},
 		written: c.Written,
 	}
 	for id, w := range c.Known {
-		n.known[id] = w
+		n.knownStores[id] = w
 	}
 	for _, m := range c.Table.Members {
 		n.nameByHash[nameHash(m.Name)] = m.Name
@@ -204,7 +204,7 @@
 		p.receivedAt = now
 	}
 	if last, err := g.log.LastIndex(); m.GetType() == pb.MessageType_MsgHeartbeat && err == nil && m.GetCommit() > last && g.pendingWrites == 0 && m.GetTerm() >= g.hardState.GetTerm() {
-		n.retire(fmt.Sprintf("group %d: entries up to %d were confirmed from here, and the store holds %d", group, m.GetCommit(), last))
+		n.retire(fmt.Sprintf("group %d: this node confirmed entries up to %d, but its store ends at %d", group, m.GetCommit(), last))
 		return
 	}
 	n.guard(g, func() { g.raw.Step(m) })
@@ -248,10 +248,10 @@
 	if g := n.groups[group]; g != nil && g.leader && !g.transferring() {
 		return n.cfg.Self.Name
 	}
-	best := uint64(0)
+	latestTerm := uint64(0)
 	for _, p := range n.peers {
-		if term, leads := p.leads[group]; leads && term > best && n.tickedAt-p.receivedAt < SilenceTimeout {
-			best, name = term, p.member.Name
+		if term, ok := p.leadTerms[group]; ok && term > latestTerm && n.tickedAt-p.receivedAt < SilenceTimeout {
+			latestTerm, name = term, p.member.Name
 		}
 	}
 	return name
@@ -285,7 +285,7 @@
 	defer func() {
 		if r := recover(); r != nil {
 			g.halted, g.leader = true, false
-			n.note("group %d takes no further part here: %v", g.number, r)
+			n.note("group %d halted on this node: %v", g.number, r)
 			n.failProposals(g)
 		}
 	}()
@@ -305,8 +305,8 @@
 
 // failProposals ends the proposals of a leader that has lost its leadership; the next leader may still commit them.
 func (n *Node) failProposals(g *group) {
-	for ref, of := range n.proposals {
-		if of == g {
+	for ref, proposer := range n.proposals {
+		if proposer == g {
 			n.addResult(Result{Ref: ref, Err: ErrUnknown})
 		}
 	}
@@ -339,7 +339,7 @@
 		for _, m := range rd.Messages {
 			switch m.GetTo() {
 			case raft.LocalAppendThread:
-				n.persist(g, m)
+				n.append(g, m)
 			case raft.LocalApplyThread:
 				n.apply(g, m.GetEntries(), now)
 				for _, r := range m.GetResponses() {
@@ -400,12 +400,12 @@
 		return
 	}
 	ref := binary.BigEndian.Uint64(s.RequestCtx)
-	at, ok := g.reads[ref]
+	requestedAt, ok := g.reads[ref]
 	if !ok || !g.leader {
 		return
 	}
-	for other, when := range g.reads {
-		if when <= at {
+	for other, otherAt := range g.reads {
+		if otherAt <= requestedAt {
 			delete(g.reads, other)
 		}
 	}
@@ -415,5 +415,5 @@
 	if g.leaseUntil == 0 {
 		n.out.Changed = true
 	}
-	g.leaseUntil = max(g.leaseUntil, at+LeaseDuration)
+	g.leaseUntil = max(g.leaseUntil, requestedAt+LeaseDuration)
 }
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -83,20 +83,20 @@
 
 // cluster simulates daemons in virtual time, each with its own clock.
 type cluster struct {
-	t           require.TestingT
-	rng         *rand.Rand
-	now         time.Duration
-	table       Table
-	nodes       []*daemon
-	cut         map[[2]int]bool
-	lossRate    float64
-	queue       []delivery
-	confirmed   map[string]string // index of each confirmed command, by group and command
-	holders     map[uint32]leaseHolder
-	retirements int
-	onSend      func(Send)
-	dropSend    func(Send) bool
-	boots       uint64
+	t            require.TestingT
+	rng          *rand.Rand
+	now          time.Duration
+	table        Table
+	nodes        []*daemon
+	partitions   map[[2]int]bool
+	lossRate     float64
+	queue        []delivery
+	confirmed    map[string]string // index of each confirmed command, by group and command
+	leaseHolders map[uint32]leaseHolder
+	retirements  int
+	onSend       func(Send)
+	dropSend     func(Send) bool
+	boots        uint64
 }
 
 type leaseHolder struct {
@@ -117,19 +117,19 @@
 }
 
 type delivery struct {
-	at       time.Duration
-	to, from int
-	group    uint32
-	raft     *pb.Message
-	beat     *DaemonHeartbeat
-	pair     HeartbeatAck
-	calm     *Hibernation
+	at          time.Duration
+	to, from    int
+	group       uint32
+	raft        *pb.Message
+	heartbeat   *DaemonHeartbeat
+	ack         HeartbeatAck
+	hibernation *Hibernation
 }
 
 const testGroups = 4
 
 func newCluster(t require.TestingT, seed uint64, daemons int) *cluster {
-	w := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]int]bool{}, confirmed: map[string]string{}, holders: map[uint32]leaseHolder{}}
+	w := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 1)), partitions: map[[2]int]bool{}, confirmed: map[string]string{}, leaseHolders: map[uint32]leaseHolder{}}
 	var all []Member
 	for i := range daemons {
 		m := Member{Name: fmt.Sprint("n", i), Machine: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%3), Incarnation: uint32(w.rng.Uint32() | 1)}
@@ -164,9 +164,9 @@
 
 func (w *cluster) kill(i int) {
 	w.nodes[i].node, w.nodes[i].write = nil, nil
-	for g, h := range w.holders { // a daemon that is down holds no lease
+	for g, h := range w.leaseHolders { // a daemon that is down holds no lease
 		if h.name == w.nodes[i].name {
-			w.holders[g] = leaseHolder{term: h.term}
+			w.leaseHolders[g] = leaseHolder{term: h.term}
 		}
 	}
 }
@@ -195,12 +195,12 @@
 			switch {
 			case m.at > w.now:
 				w.queue = append(w.queue, m)
-			case to.node == nil || w.cut[[2]int{m.from, m.to}]:
-			case m.beat != nil:
-				to.node.HandleHeartbeat(w.clock(to), m.beat)
-				to.node.HandleHeartbeatAck(w.nodes[m.from].name, m.pair)
-			case m.calm != nil:
-				to.node.HandleHibernation(w.clock(to), w.nodes[m.from].name, *m.calm)
+			case to.node == nil || w.partitions[[2]int{m.from, m.to}]:
+			case m.heartbeat != nil:
+				to.node.HandleHeartbeat(w.clock(to), m.heartbeat)
+				to.node.HandleHeartbeatAck(w.nodes[m.from].name, m.ack)
+			case m.hibernation != nil:
+				to.node.HandleHibernation(w.clock(to), w.nodes[m.from].name, *m.hibernation)
 			default:
 				to.node.Step(w.clock(to), m.group, m.raft)
 			}
@@ -224,33 +224,33 @@
 
 func (w *cluster) takeWork(i int) {
 	d := w.nodes[i]
-	k := d.node.TakeWork(w.clock(d))
-	if k.Write != nil {
+	work := d.node.TakeWork(w.clock(d))
+	if work.Write != nil {
 		require.Nil(w.t, d.write)
-		d.write, d.writeDoneAt = k.Write, w.now+d.writeDelay
+		d.write, d.writeDoneAt = work.Write, w.now+d.writeDelay
 	}
-	for _, s := range k.Sends {
+	for _, s := range work.Sends {
 		if w.onSend != nil {
 			w.onSend(s)
 		}
 		if w.rng.Float64() < w.lossRate || w.dropSend != nil && w.dropSend(s) {
 			continue
 		}
-		m := delivery{at: w.now + time.Duration(w.rng.Int64N(int64(20*time.Millisecond))), to: w.indexOf(s.To), from: i, group: s.Group, beat: s.Heartbeat, pair: s.Ack, calm: s.Hibernation}
+		m := delivery{at: w.now + time.Duration(w.rng.Int64N(int64(20*time.Millisecond))), to: w.indexOf(s.To), from: i, group: s.Group, heartbeat: s.Heartbeat, ack: s.Ack, hibernation: s.Hibernation}
 		if s.Raft != nil {
 			m.raft = proto.Clone(s.Raft).(*pb.Message)
 		}
 		w.queue = append(w.queue, m)
 	}
-	for _, r := range k.Results {
+	for _, r := range work.Results {
 		if r.Err == nil {
 			w.confirmed[d.proposed[r.Ref]] = fmt.Sprint(binary.BigEndian.Uint64(r.Result))
 		}
 	}
-	for _, n := range k.Notes {
+	for _, n := range work.Notes {
 		w.t.Errorf("%s: %s", d.name, n)
 	}
-	if k.Retire != "" {
+	if work.Retire != "" {
 		w.retirements++
 		w.loseDisk(i)
 	}
@@ -267,18 +267,18 @@
 			if !ok {
 				continue
 			}
-			h := w.holders[g]
+			h := w.leaseHolders[g]
 			if h.name != d.name {
-				require.Less(w.t, h.until, w.now, "group %d: %s holds it and %s does", g, h.name, d.name)
+				require.Less(w.t, h.until, w.now, "group %d: %s holds the lease and %s acts", g, h.name, d.name)
 				require.Greater(w.t, term, h.term)
-				said := fmt.Sprint(w.lines(w.indexOf(d.name), g), "\n") // must hold all that was confirmed before
+				applied := fmt.Sprint(w.lines(w.indexOf(d.name), g), "\n") // must hold all that was confirmed before
 				for cmd := range w.confirmed {
 					if of, line, _ := strings.Cut(cmd, " "); of == fmt.Sprint(g) {
-						require.Contains(w.t, said, " "+line, "group %d: %s acts without it", g, d.name)
+						require.Contains(w.t, applied, " "+line, "group %d: %s acts without a confirmed command", g, d.name)
 					}
 				}
 			}
-			w.holders[g] = leaseHolder{d.name, term, time.Duration(float64(until) / d.rate)}
+			w.leaseHolders[g] = leaseHolder{d.name, term, time.Duration(float64(until) / d.rate)}
 		}
 	}
 }
@@ -305,7 +305,7 @@
 			return
 		}
 	}
-	require.Fail(w.t, "not all groups are calm")
+	require.Fail(w.t, "not all groups hibernate")
 }
 
 // propose proposes a command at the group's leader; false: there is none.
@@ -340,7 +340,7 @@
 		longest := w.longest(g)
 		for i := range w.nodes {
 			l := w.lines(i, g)
-			require.True(w.t, slices.Equal(longest[:len(l)], l), "group %d at n%d: %v, and %v", g, i, l, longest)
+			require.True(w.t, slices.Equal(longest[:len(l)], l), "group %d at n%d: %v, longest: %v", g, i, l, longest)
 		}
 	}
 }
@@ -360,9 +360,9 @@
 	for g := range uint32(testGroups) {
 		longest := w.longest(g)
 		for cmd, index := range w.confirmed {
-			if of, said, _ := strings.Cut(cmd, " "); of == fmt.Sprint(g) {
+			if of, text, _ := strings.Cut(cmd, " "); of == fmt.Sprint(g) {
 				require.True(w.t, slices.ContainsFunc(longest, func(l string) bool {
-					return strings.HasPrefix(l, index+"@") && strings.HasSuffix(l, " "+said)
+					return strings.HasPrefix(l, index+"@") && strings.HasSuffix(l, " "+text)
 				}), "%s at %s: %v", cmd, index, longest)
 			}
 		}
@@ -386,7 +386,7 @@
 			return
 		}
 	}
-	require.Fail(w.t, "not all groups are led", "%v", w.now)
+	require.Fail(w.t, "not all groups have a leader", "%v", w.now)
 }
 
 // No confirmed command is lost and no two leaders act at once while daemons crash, lose their disks, are partitioned in
@@ -398,23 +398,23 @@
 		lost := -1 // one disk at a time, until its replicas have been restored
 		n := 0
 		for range rapid.IntRange(3, 12).Draw(t, "steps") {
-			i, j := rapid.IntRange(0, 4).Draw(t, "who"), rapid.IntRange(0, 4).Draw(t, "whom")
-			switch what := rapid.IntRange(0, 10).Draw(t, "what"); {
-			case what == 10: // whoever acts for a group has another take over
+			i, j := rapid.IntRange(0, 4).Draw(t, "daemon"), rapid.IntRange(0, 4).Draw(t, "other daemon")
+			switch action := rapid.IntRange(0, 10).Draw(t, "action"); {
+			case action == 10: // the leader of a group transfers it
 				if leader := w.indexOf(w.leader(uint32(i % testGroups))); leader >= 0 {
 					d := w.nodes[leader]
 					d.node.startTransfer(d.node.groups[uint32(i%testGroups)], w.clock(d), nil)
 				}
-			case what == 8: // whoever acts for a group is heard by nobody
+			case action == 8: // nobody receives from the leader of a group
 				if leader := w.indexOf(w.leader(uint32(i % testGroups))); leader >= 0 {
 					for k := range w.nodes {
-						w.cut[[2]int{leader, k}] = true
+						w.partitions[[2]int{leader, k}] = true
 					}
 				}
-			case what == 9: // it falls silent, and a follower that has confirmed its lease begins anew
+			case action == 9: // the leader is cut off, and the followers that have confirmed its lease restart
 				if leader := w.indexOf(w.leader(uint32(i % testGroups))); leader >= 0 {
 					for k := range w.nodes {
-						w.cut[[2]int{leader, k}], w.cut[[2]int{k, leader}] = true, true
+						w.partitions[[2]int{leader, k}], w.partitions[[2]int{k, leader}] = true, true
 					}
 					for k := range w.nodes {
 						if k != leader && w.nodes[k].node != nil {
@@ -423,32 +423,32 @@
 						}
 					}
 				}
-			case what == 7:
+			case action == 7:
 				w.run(2500 * time.Millisecond) // groups start to hibernate
-			case what == 0 && w.nodes[i].node != nil:
+			case action == 0 && w.nodes[i].node != nil:
 				w.kill(i)
-			case what == 1 && w.nodes[i].node == nil:
+			case action == 1 && w.nodes[i].node == nil:
 				w.start(i, false)
-			case what == 2 && lost < 0:
+			case action == 2 && lost < 0:
 				lost = i
 				w.loseDisk(i)
-			case what == 3 && i != j:
-				w.cut[[2]int{i, j}] = true
-			case what == 4:
-				clear(w.cut)
-			case what == 5:
+			case action == 3 && i != j:
+				w.partitions[[2]int{i, j}] = true
+			case action == 4:
+				clear(w.partitions)
+			case action == 5:
 				w.lossRate = rapid.Float64Range(0, 0.3).Draw(t, "loss")
 			default:
 				w.nodes[i].writeDelay = time.Duration(rapid.IntRange(1, 200).Draw(t, "disk")) * time.Millisecond
 			}
-			for range rapid.IntRange(1, 10).Draw(t, "tells") {
+			for range rapid.IntRange(1, 10).Draw(t, "commands") {
 				w.propose(uint32(n%testGroups), fmt.Sprintf("c%d;", n))
 				n++
 				w.run(time.Duration(rapid.IntRange(5, 300).Draw(t, "ms")) * time.Millisecond)
 			}
 			w.checkAgreement()
 		}
-		clear(w.cut)
+		clear(w.partitions)
 		w.lossRate = 0
 		for i, d := range w.nodes {
 			if d.writeDelay = time.Millisecond; d.node == nil {
@@ -551,7 +551,7 @@
 	for range 100 {
 		w.run(50 * time.Millisecond)
 		for g := range uint32(testGroups) {
-			require.NotEmpty(t, w.leader(g), "it is led all the while")
+			require.NotEmpty(t, w.leader(g), "there is a leader all the time")
 		}
 	}
 	require.Zero(t, sent)
@@ -568,7 +568,7 @@
 	w.run(5 * time.Second)
 	i = w.indexOf(w.leader(2))
 	for j := range w.nodes {
-		w.cut[[2]int{i, j}] = true
+		w.partitions[[2]int{i, j}] = true
 	}
 	w.run(LeaseDuration + DaemonHeartbeatInterval)
 	require.NotEqual(t, w.nodes[i].name, w.leader(2))
@@ -588,13 +588,13 @@
 		}
 		w.run(200 * time.Millisecond)
 		leader := w.indexOf(w.leader(1))
-		deaf, other := (leader+1)%3, (leader+2)%3
-		w.cut[[2]int{leader, deaf}] = true
+		unreachable, other := (leader+1)%3, (leader+2)%3
+		w.partitions[[2]int{leader, unreachable}] = true
 		w.run(1500 * time.Millisecond) // without new entries, so that its log is up to date
 		require.Equal(t, w.nodes[leader].name, w.leader(1))
 		w.kill(other)
 		w.start(other, false)
-		w.cut[[2]int{leader, other}] = true
+		w.partitions[[2]int{leader, other}] = true
 		w.run(3 * time.Second) // checks the leases at each step
 		w.awaitLeaders(10 * time.Second)
 	}
@@ -610,12 +610,12 @@
 		w.awaitHibernation()
 		leader := w.indexOf(w.leader(1))
 		first, second := (leader+1)%3, (leader+2)%3
-		w.cut[[2]int{leader, first}] = true
+		w.partitions[[2]int{leader, first}] = true
 		w.run(ElectionTimeout + 200*time.Millisecond)
-		delete(w.cut, [2]int{leader, first})
-		w.cut[[2]int{leader, second}] = true
+		delete(w.partitions, [2]int{leader, first})
+		w.partitions[[2]int{leader, second}] = true
 		w.run(3 * time.Second)
-		clear(w.cut)
+		clear(w.partitions)
 		w.awaitLeaders(10 * time.Second)
 	}
 }
@@ -630,7 +630,7 @@
 	w.start(2, false)
 	n, self := w.nodes[2].node, w.nodes[2].disk.member
 	vote := &pb.Message{Type: pb.MessageType_MsgPreVote.Enum(), From: new(w.nodes[0].disk.member.ID()), To: new(self.ID()), Term: new(uint64(99)), LogTerm: new(uint64(98)), Index: new(uint64(999))}
-	says := func(at time.Duration) bool {
+	sends := func(at time.Duration) bool {
 		n.Step(at, 1, vote)
 		return slices.ContainsFunc(n.TakeWork(at).Sends, func(s Send) bool { return s.Raft != nil })
 	}
@@ -638,10 +638,10 @@
 	for range 100 {
 		at += Tick
 		n.Tick(at)
-		require.False(t, says(at))
+		require.False(t, sends(at))
 	}
 	n.HandleHeartbeat(at, &DaemonHeartbeat{Member: w.nodes[0].disk.member, Boot: 77, Number: 1, Full: true, Known: map[uint64]uint64{self.ID(): w.nodes[2].disk.written}})
-	require.True(t, says(at))
+	require.True(t, sends(at))
 }
 
 // A daemon that steps down transfers its groups at once; commands are accepted except for a short time, and no two
@@ -658,7 +658,7 @@
 			w.dropSend = func(s Send) bool { return s.Raft != nil && s.Raft.GetType() == pb.MessageType_MsgTimeoutNow }
 		}
 		d.node.StepDown(w.clock(d))
-		require.NotEqual(t, d.name, w.leader(1), "it acts no more")
+		require.NotEqual(t, d.name, w.leader(1), "it leads no more")
 		refused := 0
 		for i := range 60 {
 			if !w.propose(1, fmt.Sprintf("c%d;", i)) {
@@ -668,7 +668,7 @@
 		}
 		if w.dropSend == nil {
 			require.NotEmpty(t, w.leader(1))
-			require.Less(t, refused, 20, "of 60 in 1.2 s: 500 ms of them by the one that yields")
+			require.Less(t, refused, 20, "of 60 in 1.2 s, 500 ms of which pass before the transfer")
 		}
 		w.dropSend = nil
 		for end := w.now + 10*time.Second; w.now < end && (w.leader(1) == "" || w.leader(1) == d.name); { // the daemon that stepped down may be elected again
--- a/internal/replica/placement.go
+++ b/internal/replica/placement.go
@@ -31,7 +31,7 @@
 func NameCollision(names []string) (a, b string) {
 	seen := map[uint32]string{}
 	for _, n := range names {
-		if other, there := seen[nameHash(n)]; there {
+		if other, ok := seen[nameHash(n)]; ok {
 			return other, n
 		}
 		seen[nameHash(n)] = n
@@ -52,21 +52,21 @@
 	}
 	slices.SortFunc(order, func(a, b Member) int { return cmp.Or(cmp.Compare(weight(b), weight(a)), cmp.Compare(a.Name, b.Name)) })
 	var out []Member
-	taken := map[string]bool{}
-	pick := func(may func(Member) bool) {
+	chosen := map[string]bool{}
+	pick := func(allowed func(Member) bool) {
 		for _, m := range order {
-			if len(out) < copies && !taken[m.Name] && may(m) {
-				taken[m.Name] = true
+			if len(out) < copies && !chosen[m.Name] && allowed(m) {
+				chosen[m.Name] = true
 				out = append(out, m)
 			}
 		}
 	}
-	shares := func(same func(a, b Member) bool) func(Member) bool {
+	distinct := func(same func(a, b Member) bool) func(Member) bool {
 		return func(m Member) bool { return !slices.ContainsFunc(out, func(o Member) bool { return same(o, m) }) }
 	}
-	machine := func(a, b Member) bool { return a.Machine == b.Machine }
-	pick(shares(func(a, b Member) bool { return a.Zone == b.Zone || machine(a, b) }))
-	pick(shares(machine))
+	sameMachine := func(a, b Member) bool { return a.Machine == b.Machine }
+	pick(distinct(func(a, b Member) bool { return a.Zone == b.Zone || sameMachine(a, b) }))
+	pick(distinct(sameMachine))
 	pick(func(Member) bool { return true })
 	return out
 }
--- a/internal/replica/raftlogger.go
+++ b/internal/replica/raftlogger.go
@@ -23,4 +23,4 @@
 func (raftLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
 func (raftLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
 
-func unmarshal(text []byte, m proto.Message) error { return proto.Unmarshal(text, m) }
+func unmarshal(data []byte, m proto.Message) error { return proto.Unmarshal(data, m) }
--- a/internal/replica/repair.go
+++ b/internal/replica/repair.go
@@ -46,14 +46,14 @@
 		if g.halted {
 			return nil, fmt.Errorf("group %d: its log cannot be applied", number)
 		}
-		first, left := math.MaxInt, 0
+		first, remaining := math.MaxInt, 0
 		for _, id := range g.conf.GetVoters() {
-			if at := slices.Index(survivors, n.nameByHash[uint32(id>>32)]); at >= 0 {
-				first, left = min(first, at), left+1
+			if i := slices.Index(survivors, n.nameByHash[uint32(id>>32)]); i >= 0 {
+				first, remaining = min(first, i), remaining+1
 			}
 		}
 		switch {
-		case left > len(g.conf.GetVoters())/2 && len(g.conf.GetVotersOutgoing()) == 0:
+		case remaining > len(g.conf.GetVoters())/2 && len(g.conf.GetVotersOutgoing()) == 0:
 			continue
 		case first == math.MaxInt || survivors[first] != c.Self.Name:
 			w.Groups = append(w.Groups, GroupWrite{Group: number, Drop: true})
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -15,7 +15,7 @@
 }
 
 // Known returns the last known batch numbers of other stores, by member ID.
-func (n *Node) Known() map[uint64]uint64 { return n.known }
+func (n *Node) Known() map[uint64]uint64 { return n.knownStores }
 
 // Status is a group's status for operators.
 type Status struct {
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -27,23 +27,23 @@
 
 // startTransfer starts a transfer to the available voter with the longest matching log among those for which may is
 // true. Without such a voter nothing changes.
-func (n *Node) startTransfer(g *group, now time.Duration, may func(id uint64) bool) {
+func (n *Node) startTransfer(g *group, now time.Duration, allowed func(id uint64) bool) {
 	if !g.leader || g.transferTerm == g.term {
 		return
 	}
-	heir, match := uint64(0), uint64(0)
+	transferee, match := uint64(0), uint64(0)
 	g.raw.WithProgress(func(id uint64, kind raft.ProgressType, pr tracker.Progress) {
 		p := n.peers[n.nameByHash[uint32(id>>32)]]
-		there := p != nil && p.member.ID() == id && now-p.receivedAt < ElectionTimeout
-		if id != n.id && kind == raft.ProgressTypePeer && there && pr.State == tracker.StateReplicate && pr.Match > match && (may == nil || may(id)) {
-			heir, match = id, pr.Match
+		available := p != nil && p.member.ID() == id && now-p.receivedAt < ElectionTimeout
+		if id != n.id && kind == raft.ProgressTypePeer && available && pr.State == tracker.StateReplicate && pr.Match > match && (allowed == nil || allowed(id)) {
+			transferee, match = id, pr.Match
 		}
 	})
-	if heir == 0 {
+	if transferee == 0 {
 		return
 	}
 	n.wake(g, now, 0)
-	g.transferTerm, g.transferee, g.transferAt, g.transferSent, g.activeAt = g.term, heir, max(now, g.leaseUntil), false, now
+	g.transferTerm, g.transferee, g.transferAt, g.transferSent, g.activeAt = g.term, transferee, max(now, g.leaseUntil), false, now
 	n.out.Changed = true
 }
 
--- a/internal/replica/write.go
+++ b/internal/replica/write.go
@@ -21,9 +21,9 @@
 	parts  []pendingWrite
 }
 
-// persist handles a storage message of raft, whose responses are sent once it is durable. A change that a crash may
+// append handles a storage message of raft, whose responses are sent once it is durable. A change that a crash may
 // lose, such as a new commit index, is written only with the next change that must be durable.
-func (n *Node) persist(g *group, m *pb.Message) {
+func (n *Node) append(g *group, m *pb.Message) {
 	if m.Term != nil {
 		hard := &pb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
 		if len(m.GetEntries()) == 0 && m.Snapshot == nil && g.pendingWrites == 0 && hard.GetTerm() == g.hardState.GetTerm() && hard.GetVote() == g.hardState.GetVote() {
@@ -68,7 +68,7 @@
 		w.Groups = append(w.Groups, part)
 	}
 	if now-n.knownSavedAt >= time.Second {
-		n.knownSavedAt, w.Known = now, maps.Clone(n.known)
+		n.knownSavedAt, w.Known = now, maps.Clone(n.knownStores)
 	}
 	n.inFlight = &inFlightWrite{w.Number, n.pending}
 	n.pending = nil
@@ -116,6 +116,6 @@
 	if !n.stopped {
 		n.retire("")
 		n.out.Retire = ""
-		n.note("the store takes no more: %v", why)
+		n.note("the store accepts no more writes: %v", why)
 	}
 }
