--- a/internal/net/replicas/link.go
+++ b/internal/net/replicas/link.go
@@ -373,17 +373,17 @@
 // receive passes a message of the peer to the loop.
 func (e *inbound) receive(ctx context.Context, m *replicav1.ToPeer) error {
 	s := e.server
-	type one struct {
+	type groupMessage struct {
 		group uint32
 		m     *pb.Message
 	}
-	var all []one
+	var messages []groupMessage
 	for _, p := range m.GetPackets() {
 		r, err := parseMessage(p.GetMessage())
 		if err != nil {
 			return fmt.Errorf("a message of group %d cannot be read: %w", p.GetGroup(), err)
 		}
-		all = append(all, one{p.GetGroup(), r})
+		messages = append(messages, groupMessage{p.GetGroup(), r})
 	}
 	if c := m.GetChunk(); c != nil {
 		if len(e.assembled)+len(c.GetPart()) > maxAssembledBytes {
@@ -394,13 +394,13 @@
 			if e.assembled = nil; err != nil {
 				return fmt.Errorf("a message of group %d cannot be read: %w", c.GetGroup(), err)
 			}
-			all = append(all, one{c.GetGroup(), r})
+			messages = append(messages, groupMessage{c.GetGroup(), r})
 		}
 	}
-	if b, f := m.GetBeat(), m.GetFound(); b != nil || f != nil || len(all) > 0 || len(m.GetCalms()) > 0 {
+	if b, found := m.GetBeat(), m.GetFound(); b != nil || found != nil || len(messages) > 0 || len(m.GetCalms()) > 0 {
 		s.enqueue(ctx, func(now time.Duration) {
-			if f != nil && f.GetMember().GetName() == e.name {
-				s.handleBootstrap(f)
+			if found != nil && found.GetMember().GetName() == e.name {
+				s.handleBootstrap(found)
 			}
 			if s.node == nil {
 				return
@@ -417,7 +417,7 @@
 					s.node.HandleHeartbeatAck(e.name, replica.HeartbeatAck{Boot: p.GetBoot(), Number: p.GetNumber(), Epoch: p.GetEpoch()})
 				}
 			}
-			for _, p := range all {
+			for _, p := range messages {
 				s.node.Step(now, p.group, p.m)
 			}
 			for _, c := range m.GetCalms() {
--- a/internal/net/replicas/server.go
+++ b/internal/net/replicas/server.go
@@ -89,16 +89,16 @@
 }
 
 // New returns a server that does not run yet.
-func New(o Options, logger *slog.Logger) (*Server, error) {
-	names := []string{o.Self.Name}
-	for name := range o.Peers {
+func New(opts Options, logger *slog.Logger) (*Server, error) {
+	names := []string{opts.Self.Name}
+	for name := range opts.Peers {
 		names = append(names, name)
 	}
 	if a, b := replica.NameCollision(names); a != "" {
 		return nil, fmt.Errorf("replicas: the names %q and %q have the same hash: rename one of these daemons", a, b)
 	}
 	return &Server{
-		opts: o, log: logger, events: make(chan func(time.Duration), maxQueuedEvents), writeDone: make(chan writeResult, 1), changed: make(chan struct{}, 1),
+		opts: opts, log: logger, events: make(chan func(time.Duration), maxQueuedEvents), writeDone: make(chan writeResult, 1), changed: make(chan struct{}, 1),
 		peers: map[string]*link{}, proposals: map[uint64]func([]byte, error){},
 	}, nil
 }
@@ -124,12 +124,12 @@
 // Close stops the loop and returns once the store is closed.
 func (s *Server) Close() {
 	s.mu.Lock()
-	cancel, ended := s.cancel, s.stopped
+	cancel, stopped := s.cancel, s.stopped
 	s.cancel = nil
 	s.mu.Unlock()
 	if cancel != nil {
 		cancel()
-		<-ended
+		<-stopped
 	}
 }
 
@@ -270,8 +270,8 @@
 }
 
 // run is the loop.
-func (s *Server) run(ctx context.Context, ended chan struct{}) {
-	defer close(ended)
+func (s *Server) run(ctx context.Context, stopped chan struct{}) {
+	defer close(stopped)
 	for !s.openStore() {
 		t := time.NewTimer(openRetryInterval)
 		select {
@@ -524,16 +524,16 @@
 	}
 	w := s.node.TakeWork(now)
 	var lastHeartbeat *replica.DaemonHeartbeat
-	var beat *replicav1.Beat
+	var heartbeat *replicav1.Beat
 	for _, m := range w.Sends {
 		l := s.peers[m.To]
 		switch {
 		case l == nil:
 		case m.Heartbeat != nil:
 			if m.Heartbeat != lastHeartbeat {
-				lastHeartbeat, beat = m.Heartbeat, heartbeatToProto(m.Heartbeat)
+				lastHeartbeat, heartbeat = m.Heartbeat, heartbeatToProto(m.Heartbeat)
 			}
-			l.sendHeartbeat(beat, m.Ack)
+			l.sendHeartbeat(heartbeat, m.Ack)
 		case m.Hibernation != nil:
 			l.sendHibernation(*m.Hibernation)
 		default:
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -33,8 +33,8 @@
 	leaseIndex    uint64 // log index that must be applied before the leader acts; MaxUint64: not known yet
 	leaseUntil    time.Duration
 	renewedAt     time.Duration
-	reads         map[uint64]time.Duration
-	confChangedAt time.Duration // last membership change
+	reads         map[uint64]time.Duration // when each pending read index was requested, by request number
+	confChangedAt time.Duration            // last membership change
 
 	hibernating      bool
 	hibernatingUnder string // the leader's daemon, whose heartbeats keep the group hibernating; empty: this node leads
@@ -45,7 +45,7 @@
 
 	transferTerm   uint64 // the term in which this node has stopped acting in order to transfer leadership; 0: none
 	transferee     uint64
-	transferAt     time.Duration // when the last acquired lease expires
+	transferAt     time.Duration // when the last reported lease expires
 	transferSent   bool          // MsgTimeoutNow may have been sent to the transferee
 	transferSentAt time.Duration
 }
--- a/internal/replica/heartbeat.go
+++ b/internal/replica/heartbeat.go
@@ -91,15 +91,15 @@
 		}
 	}
 	n.recordWritten(b.Member.ID(), b.Written)
-	for id, w := range b.Known {
+	for id, written := range b.Known {
 		if id == n.id {
-			if w > n.written {
-				n.retire(fmt.Sprintf("%s knows of %d batches written to this store, which holds %d: the store is an old copy", name, w, n.written))
+			if written > n.written {
+				n.retire(fmt.Sprintf("%s knows of %d batches written to this store, which holds %d: the store is an old copy", name, written, n.written))
 				return
 			}
 			continue
 		}
-		n.recordWritten(id, w)
+		n.recordWritten(id, written)
 	}
 	p.storeConfirmed = p.storeConfirmed || b.Full
 }
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -55,7 +55,7 @@
 	movedAt         time.Duration
 	groups          map[uint32]*group
 	ordered         []*group
-	nameByHash      map[uint32]string // by hash of the name
+	nameByHash      map[uint32]string
 	peers           map[string]*peer
 	knownStores     map[uint64]uint64
 	lastRef         uint64
@@ -68,7 +68,7 @@
 	heartbeatCount  uint64
 	heartbeatNumber uint64 // of the last heartbeat sent
 	sentHeartbeats  [heartbeatHistory]sentHeartbeat
-	sentLeads       map[uint32]uint64 // as last sent
+	sentLeads       map[uint32]uint64
 	out             Work
 	stopped         bool
 	steppingDown    bool // leads no group any more
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -148,11 +148,11 @@
 // clock returns a daemon's own time.
 func (w *cluster) clock(d *daemon) time.Duration { return time.Duration(float64(w.now) * d.rate) }
 
-func (w *cluster) start(i int, fresh bool) {
+func (w *cluster) start(i int, newStore bool) {
 	d := w.nodes[i]
 	w.boots++
 	node, err := New(Config{
-		Self: d.disk.member, Table: w.table, Boot: w.boots, Written: d.disk.written, Known: d.disk.known, NewStore: fresh, RelocateAfter: 5 * time.Second,
+		Self: d.disk.member, Table: w.table, Boot: w.boots, Written: d.disk.written, Known: d.disk.known, NewStore: newStore, RelocateAfter: 5 * time.Second,
 		Machines: func(uint32) Mux { return Mux{0: &recordingMachine{}} },
 	}, w.clock(d), d.disk.load())
 	require.NoError(w.t, err)
