--- a/internal/net/replicas/server.go
+++ b/internal/net/replicas/server.go
@@ -23,92 +23,93 @@
 )
 
 const (
-	version    = 1
-	mostInbox  = 4096 // events that wait for the loop
-	mostPass   = 512  // of them in one pass
-	tickEach   = replica.Tick / 2
-	foundEach  = 200 * time.Millisecond
-	openEach   = 100 * time.Millisecond // while an older process has the store
-	mostDaemon = 1024
-	retryFirst = 5 * time.Millisecond // a proposal, while there is no leader
-	retryMost  = 100 * time.Millisecond
-	mostName   = 128
+	version           = 1
+	maxQueuedEvents   = 4096 // waiting for the loop
+	maxEventsPerPass  = 512
+	tickInterval      = replica.Tick / 2
+	bootstrapInterval = 200 * time.Millisecond
+	openRetryInterval = 100 * time.Millisecond // while another process has the store locked
+	maxPeers          = 1024
+	retryMinDelay     = 5 * time.Millisecond // between tries of a proposal while there is no leader
+	retryMaxDelay     = 100 * time.Millisecond
+	maxNameLength     = 128
 )
 
-// Options of a host.
+// Options configures a Server.
 type Options struct {
-	Self    replica.Member // its incarnation comes from the store
+	Self    replica.Member // the incarnation comes from the store
 	Dir     string
-	Address string            // where others reach this daemon, if their files do not say
-	Peers   map[string]string // all others' addresses by name
-	Through map[string]string // where named ones are reached from here, where those are not
+	Address string            // where others reach this daemon, if their settings do not say
+	Peers   map[string]string // addresses of all other daemons, by name
+	Through map[string]string // addresses used instead of those in Peers, by name
 	Groups  uint32
 	Copies  int
-	// Repair is how often a lost majority is to have been given up, and Survivors who are left then: replica.Repair.
+	// Repair is the number of repairs after the loss of a majority, and Survivors are the daemons left at the last one.
+	// See replica.Repair.
 	Repair    uint32
 	Survivors []string
-	Gone      time.Duration // after which a daemon's replicas are moved; 0: replica.GoneAfter
-	// Machines makes a group's.
+	Gone      time.Duration // after this silence a daemon's replicas are moved; 0: replica.RelocateTimeout
+	// Machines creates the machines of a group.
 	Machines func(group uint32) replica.Mux
-	// Dial has the keys; nil: plain text.
+	// Dial returns the TLS credentials for a peer; nil: plain text.
 	Dial func(name string) credentials.TransportCredentials
 }
 
-// Server is a host whose groups are held by several daemons. It is safe for use by several goroutines.
+// Server is a host whose groups are replicated among several daemons. It is safe for concurrent use.
 type Server struct {
 	replicav1.UnimplementedReplicasServer
-	o       Options
-	log     *slog.Logger
-	inbox   chan func(now time.Duration)
-	saved   chan saved
-	changed chan struct{}
-	table   atomic.Uint64 // its ID; 0: not yet active
-
-	mu      sync.Mutex // held by the loop for a pass
-	cancel  context.CancelFunc
-	lines   context.Context // of the lines to others; nil: not open
-	ended   chan struct{}
-	store   *store
-	founder *replica.Founder
-	node    *replica.Node // nil: nothing is held yet
-	saving  bool
-	peers   map[string]*line
-	waits   map[uint64]func([]byte, error)
-	fault   string // why the store takes nothing
-	refused string // why the last store was put aside
-	counts  struct{ proposed, forwarded, read, retired, dropped int64 }
+	opts      Options
+	log       *slog.Logger
+	events    chan func(now time.Duration)
+	writeDone chan writeResult
+	changed   chan struct{}
+	table     atomic.Uint64 // fingerprint of the table; 0: not active yet
+
+	mu           sync.Mutex // held by the loop during each pass
+	cancel       context.CancelFunc
+	linkCtx      context.Context // context of the links to peers; nil: not open
+	stopped      chan struct{}
+	store        *store
+	bootstrapper *replica.Bootstrapper
+	node         *replica.Node // nil: not started yet
+	writing      bool
+	peers        map[string]*link
+	proposals    map[uint64]func([]byte, error)
+	fault        string // why the store accepts no writes
+	refused      string // why the last store was set aside
+	counters     struct{ proposed, forwarded, read, retired, dropped int64 }
 }
 
 var _ Host = (*Server)(nil)
 
-// saved is the end of a write.
-type saved struct {
-	number uint64 // 0: the table
+// writeResult is the outcome of a write.
+type writeResult struct {
+	number uint64 // of the batch
 	err    error
 }
 
-// New returns a host that holds nothing yet.
-func New(o Options, logger *slog.Logger) (*Server, error) {
-	names := []string{o.Self.Name}
-	for name := range o.Peers {
+// New returns a server that does not run yet.
+func New(opts Options, logger *slog.Logger) (*Server, error) {
+	names := []string{opts.Self.Name}
+	for name := range opts.Peers {
 		names = append(names, name)
 	}
-	if a, b := replica.Collide(names); a != "" {
-		return nil, fmt.Errorf("replicas: %q and %q may not be names among the same daemons: give one another", a, b)
+	if a, b := replica.NameCollision(names); a != "" {
+		return nil, fmt.Errorf("replicas: the names %q and %q have the same hash: rename one of these daemons", a, b)
 	}
 	return &Server{
-		o: o, log: logger, inbox: make(chan func(time.Duration), mostInbox), saved: make(chan saved, 1), changed: make(chan struct{}, 1),
-		peers: map[string]*line{}, waits: map[uint64]func([]byte, error){},
+		opts: opts, log: logger, events: make(chan func(time.Duration), maxQueuedEvents), writeDone: make(chan writeResult, 1), changed: make(chan struct{}, 1),
+		peers: map[string]*link{}, proposals: map[uint64]func([]byte, error){},
 	}, nil
 }
 
-// Logged has it log there; before Open only.
+// Logged sets the logger; it must be called before Open.
 func (s *Server) Logged(l *slog.Logger) { s.log = l }
 
-// Register has a listener serve the others' calls.
+// Register registers the service that peers call.
 func (s *Server) Register(r grpc.ServiceRegistrar) { replicav1.RegisterReplicasServer(r, s) }
 
-// Open begins: it reads the store as soon as that is free, which an older process may still have.
+// Open starts the loop. It opens the store as soon as no earlier process has it locked.
 func (s *Server) Open(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,46 +117,47 @@
 		return
 	}
 	ctx, s.cancel = context.WithCancel(ctx)
-	s.ended = make(chan struct{})
-	go s.run(ctx, s.ended)
+	s.stopped = make(chan struct{})
+	go s.run(ctx, s.stopped)
 }
 
-// Close ends it. The store is free once it has returned.
+// Close stops the loop and returns once the store is closed.
 func (s *Server) Close() {
 	s.mu.Lock()
-	cancel, ended := s.cancel, s.ended
+	cancel, stopped := s.cancel, s.stopped
 	s.cancel = nil
 	s.mu.Unlock()
 	if cancel != nil {
 		cancel()
-		<-ended
+		<-stopped
 	}
 }
 
-// Yield has others take over what this daemon acts for, within about half a second: it is about to end. It does not
-// block; who does not call it ends like one that is lost, after which others wait for its silence and its lease.
+// Yield transfers the leadership of all groups to other daemons, within about half a second, before this daemon stops.
+// It does not block. Without it, the other daemons have to wait until this one counts as silent and its leases have
+// expired.
 func (s *Server) Yield() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.node != nil {
-		s.node.Yield(Now())
+		s.node.StepDown(Now())
 	}
 }
 
-// Groups is their number, as the file says.
-func (s *Server) Groups() uint32 { return s.o.Groups }
+// Groups returns the configured number of groups.
+func (s *Server) Groups() uint32 { return s.opts.Groups }
 
-// Changed tells of changes.
+// Changed signals changes.
 func (s *Server) Changed() <-chan struct{} { return s.changed }
 
-func (s *Server) change() {
+func (s *Server) notifyChanged() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
 	}
 }
 
-// View shows a machine's state.
+// View calls f with a machine's state.
 func (s *Server) View(group uint32, machine byte, f func(replica.Machine)) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,22 +171,22 @@
 	return m != nil
 }
 
-// Lead tells whether this daemon acts for a group.
+// Lead reports whether this daemon may act for a group.
 func (s *Server) Lead(group uint32) (term uint64, until time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.node == nil {
 		return 0, 0, false
 	}
-	return s.node.Lead(Now(), group)
+	return s.node.Lease(Now(), group)
 }
 
-// Propose has a command taken in, by whichever daemon acts for the group. It tries until the context ends while nobody
-// does.
+// Propose proposes a command through whichever daemon leads the group. While there is no leader it retries until the
+// context ends.
 func (s *Server) Propose(ctx context.Context, group uint32, machine byte, cmd []byte) ([]byte, error) {
 	cmd = append([]byte{machine}, cmd...)
-	at := wall()
-	for wait := retryFirst; ; wait = min(retryMost, 2*wait) {
+	at := wallClock()
+	for wait := retryMinDelay; ; wait = min(retryMaxDelay, 2*wait) {
 		result, err := s.propose(ctx, group, at, cmd)
 		if err == nil || !errors.Is(err, replica.ErrNoLeader) {
 			return result, err
@@ -202,11 +204,11 @@
 // propose tries once.
 func (s *Server) propose(ctx context.Context, group uint32, at time.Duration, cmd []byte) ([]byte, error) {
 	done := make(chan answer, 1)
-	f := func(now time.Duration) {
-		s.take(now, group, at, cmd, true, func(r []byte, err error) { done <- answer{r, err} })
+	event := func(now time.Duration) {
+		s.proposeOrForward(now, group, at, cmd, true, func(r []byte, err error) { done <- answer{r, err} })
 	}
 	select {
-	case s.inbox <- f:
+	case s.events <- event:
 	case <-ctx.Done():
 		return nil, replica.ErrNoLeader
 	}
@@ -223,9 +225,10 @@
 	err    error
 }
 
-// take proposes, or passes on to who leads. done is called once, from the loop or a line; it must not block.
-func (s *Server) take(now time.Duration, group uint32, at time.Duration, cmd []byte, pass bool, done func([]byte, error)) {
-	if group >= s.o.Groups {
+// proposeOrForward proposes a command here, or forwards it to the leader. done is called once, from the loop or a link;
+// it must not block.
+func (s *Server) proposeOrForward(now time.Duration, group uint32, at time.Duration, cmd []byte, pass bool, done func([]byte, error)) {
+	if group >= s.opts.Groups {
 		done(nil, replica.ErrNoGroup)
 		return
 	}
@@ -233,20 +236,20 @@
 		done(nil, replica.ErrNoLeader)
 		return
 	}
-	// The clock is read again after the state: this process may have stood still in between.
+	// The clock is read again after the state, because this process may have been suspended in between.
 	if result, until, ok := s.node.Read(now, group, cmd); ok && Now() < until {
-		s.counts.read++
+		s.counters.read++
 		done(result, nil)
 		return
 	}
 	ref, err := s.node.Propose(now, group, at, cmd)
 	switch {
 	case err == nil:
-		s.counts.proposed++
-		s.waits[ref] = done
+		s.counters.proposed++
+		s.proposals[ref] = done
 	case errors.Is(err, replica.ErrNoLeader) && pass:
 		if l := s.peers[s.node.Leader(group)]; l != nil {
-			s.counts.forwarded++
+			s.counters.forwarded++
 			l.propose(group, at, cmd, done)
 			return
 		}
@@ -256,10 +259,10 @@
 	}
 }
 
-// event has the loop do something; false: it has ended, or ctx has.
-func (s *Server) event(ctx context.Context, f func(now time.Duration)) bool {
+// enqueue has the loop call f; false: ctx has ended.
+func (s *Server) enqueue(ctx context.Context, f func(now time.Duration)) bool {
 	select {
-	case s.inbox <- f:
+	case s.events <- f:
 		return true
 	case <-ctx.Done():
 		return false
@@ -267,10 +270,10 @@
 }
 
 // run is the loop.
-func (s *Server) run(ctx context.Context, ended chan struct{}) {
-	defer close(ended)
-	for !s.open() {
-		t := time.NewTimer(openEach)
+func (s *Server) run(ctx context.Context, stopped chan struct{}) {
+	defer close(stopped)
+	for !s.openStore() {
+		t := time.NewTimer(openRetryInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -279,27 +282,27 @@
 		}
 	}
 	s.mu.Lock()
-	s.lines = ctx
-	for name, at := range s.o.Peers {
-		s.meet(ctx, name, at)
+	s.linkCtx = ctx
+	for name, at := range s.opts.Peers {
+		s.connect(ctx, name, at)
 	}
 	s.mu.Unlock()
-	every := time.NewTicker(tickEach)
-	defer every.Stop()
-	told := Now() - foundEach
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	bootstrapSentAt := Now() - bootstrapInterval
 	for {
 		var first func(time.Duration)
-		var end *saved
+		var done *writeResult
 		ticked := false
 		select {
 		case <-ctx.Done():
-			s.shut()
+			s.shutDown()
 			return
-		case f := <-s.inbox:
+		case f := <-s.events:
 			first = f
-		case e := <-s.saved:
-			end = &e
-		case <-every.C:
+		case e := <-s.writeDone:
+			done = &e
+		case <-ticker.C:
 			ticked = true
 		}
 		s.mu.Lock()
@@ -307,80 +310,80 @@
 		if first != nil {
 			first(now)
 		}
-		for range mostPass {
-			if len(s.inbox) == 0 {
+		for range maxEventsPerPass {
+			if len(s.events) == 0 {
 				break
 			}
-			(<-s.inbox)(now)
+			(<-s.events)(now)
 		}
-		if end != nil {
-			s.save(now, *end)
+		if done != nil {
+			s.finishWrite(now, *done)
 		}
 		if s.node != nil {
 			s.node.Tick(now)
 		}
-		if now-told >= foundEach {
-			told = now
-			s.tell()
+		if now-bootstrapSentAt >= bootstrapInterval {
+			bootstrapSentAt = now
+			s.sendBootstrap()
 		}
 		if ticked {
-			s.strand()
+			s.abandonForwards()
 		}
-		s.work(now)
+		s.doWork(now)
 		s.mu.Unlock()
 	}
 }
 
-// open reads the store; false: it is not free, or cannot be read now.
-func (s *Server) open() bool {
-	st, groups, refused, err := openStore(s.o.Dir, s.o.Self)
+// openStore opens the store; false: it is locked, or cannot be read now.
+func (s *Server) openStore() bool {
+	st, groups, refused, err := openStore(s.opts.Dir, s.opts.Self)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
 		if text := err.Error(); text != s.fault {
 			s.fault = text
-			s.log.Warn("replicas: store not open", "dir", s.o.Dir, "err", err)
+			s.log.Warn("replicas: cannot open the store", "dir", s.opts.Dir, "err", err)
 		}
 		return false
 	}
 	if refused != "" {
-		s.counts.retired++
+		s.counters.retired++
 		s.refused = refused
-		s.log.Error("replicas: the store cannot be vouched for; this daemon is a new member from now on", "why", refused)
+		s.log.Error("replicas: the store cannot be trusted; this daemon rejoins as a new member", "why", refused)
 	}
 	s.fault, s.store = "", st
-	if t := st.meta.Table; t != nil && st.meta.Active && s.o.Repair > t.Generation {
+	if t := st.meta.Table; t != nil && st.meta.Active && s.opts.Repair > t.Generation {
 		if groups, err = s.repair(groups); err != nil {
 			s.fault = err.Error()
-			s.log.Error("replicas: not repaired", "err", err)
+			s.log.Error("replicas: repair failed", "err", err)
 			return true
 		}
 		st = s.store
 	}
 	var names []string
-	for name := range s.o.Peers {
+	for name := range s.opts.Peers {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	s.founder = replica.NewFounder(st.meta.Member, names, s.o.Groups, s.o.Copies, st.meta.Table, st.meta.Active)
-	s.keep(s.founder.Begin())
-	s.begin(groups)
+	s.bootstrapper = replica.NewBootstrapper(st.meta.Member, names, s.opts.Groups, s.opts.Copies, st.meta.Table, st.meta.Active)
+	s.storeTable(s.bootstrapper.Start())
+	s.startNode(groups)
 	return true
 }
 
-// repair gives up a majority that is lost.
+// repair continues without a lost majority.
 func (s *Server) repair(groups map[uint32]replica.Stored) (map[uint32]replica.Stored, error) {
-	if !slices.Contains(s.o.Survivors, s.o.Self.Name) {
+	if !slices.Contains(s.opts.Survivors, s.opts.Self.Name) {
 		s.store.close()
-		if err := putAside(s.o.Dir); err != nil {
+		if err := setAside(s.opts.Dir); err != nil {
 			return nil, err
 		}
-		st, err := makeStore(s.o.Dir, s.o.Self)
-		s.store, s.refused = st, "this daemon is none of the survivors"
+		st, err := createStore(s.opts.Dir, s.opts.Self)
+		s.store, s.refused = st, "this daemon is not among the survivors"
 		return nil, err
 	}
-	t := s.store.meta.Table.Repaired(s.o.Repair)
-	w, err := replica.Repair(replica.Config{Self: s.store.meta.Member, Table: t, Machines: s.o.Machines}, groups, s.o.Survivors, s.store.last.written+1)
+	t := s.store.meta.Table.Repaired(s.opts.Repair)
+	w, err := replica.Repair(replica.Config{Self: s.store.meta.Member, Table: t, Machines: s.opts.Machines}, groups, s.opts.Survivors, s.store.lastBatch.written+1)
 	if err != nil {
 		return nil, err
 	}
@@ -388,158 +391,158 @@
 		return nil, err
 	}
 	s.store.meta.Table = &t
-	if err := s.store.update(); err != nil {
+	if err := s.store.writeMeta(); err != nil {
 		return nil, err
 	}
 	for _, p := range w.Groups {
 		if delete(groups, p.Group); !p.Drop {
-			groups[p.Group] = replica.Stored{Hard: p.Hard, Snapshot: p.Snapshot}
+			groups[p.Group] = replica.Stored{HardState: p.HardState, Snapshot: p.Snapshot}
 		}
 	}
-	s.log.Warn("replicas: a lost majority is given up", "generation", t.Generation, "groups", len(w.Groups))
+	s.log.Warn("replicas: continuing without the lost majority", "generation", t.Generation, "groups", len(w.Groups))
 	return groups, nil
 }
 
-// keep has a table last.
-func (s *Server) keep(t *replica.Table) {
+// storeTable writes the table to the store.
+func (s *Server) storeTable(t *replica.Table) {
 	if t == nil || s.store == nil {
 		return
 	}
 	s.store.meta.Table = t
-	if err := s.store.update(); err != nil {
-		s.fail(err)
+	if err := s.store.writeMeta(); err != nil {
+		s.storeFailed(err)
 		return
 	}
-	s.founder.Stored()
+	s.bootstrapper.TableStored()
 }
 
-// begin makes the node, once all know what they begin with.
-func (s *Server) begin(groups map[uint32]replica.Stored) {
-	t, ok := s.founder.Active()
+// startNode creates the node once all members have stored the table.
+func (s *Server) startNode(groups map[uint32]replica.Stored) {
+	t, ok := s.bootstrapper.Active()
 	if !ok || s.node != nil || s.fault != "" {
 		return
 	}
-	fresh := s.store.meta.Starts == 1
+	newStore := s.store.meta.Starts == 1
 	if !s.store.meta.Active {
 		s.store.meta.Active = true
-		if err := s.store.update(); err != nil {
-			s.fail(err)
+		if err := s.store.writeMeta(); err != nil {
+			s.storeFailed(err)
 			return
 		}
 	}
 	node, err := replica.New(replica.Config{
-		Self: s.store.meta.Member, Table: t, Boot: uint64(rand.Uint32()), Machines: s.o.Machines, Gone: s.o.Gone,
-		Written: s.store.last.written, Known: s.store.meta.Known, New: fresh,
+		Self: s.store.meta.Member, Table: t, Boot: uint64(rand.Uint32()), Machines: s.opts.Machines, RelocateAfter: s.opts.Gone,
+		Written: s.store.lastBatch.written, Known: s.store.meta.Known, NewStore: newStore,
 	}, Now(), groups)
 	if err != nil {
 		s.fault = err.Error()
-		s.log.Error("replicas: not begun", "err", err)
+		s.log.Error("replicas: cannot start the node", "err", err)
 		return
 	}
-	if t.Groups != s.o.Groups {
-		s.log.Warn("replicas: the number of groups cannot be changed", "file", s.o.Groups, "groups", t.Groups)
+	if t.Groups != s.opts.Groups {
+		s.log.Warn("replicas: the number of groups cannot be changed", "file", s.opts.Groups, "groups", t.Groups)
 	}
 	for name := range s.peers {
-		node.Meet(name)
+		node.AddPeer(name)
 	}
 	s.node = node
-	s.table.Store(t.Mark())
-	s.change()
-	s.log.Info("replicas: held", "groups", len(node.Status()), "incarnation", fmt.Sprintf("%08x", s.store.meta.Member.Incarnation))
+	s.table.Store(t.Fingerprint())
+	s.notifyChanged()
+	s.log.Info("replicas: node started", "groups", len(node.Status()), "incarnation", fmt.Sprintf("%08x", s.store.meta.Member.Incarnation))
 }
 
-// strand gives up what was passed on to daemons that lead no more: one that stands still does not say so, and who waits
-// for it could long have asked its successor.
-func (s *Server) strand() {
+// abandonForwards ends the proposals forwarded to daemons that no longer lead their groups: a stalled daemon does not
+// answer, while the caller could retry with the new leader.
+func (s *Server) abandonForwards() {
 	if s.node == nil {
 		return
 	}
 	for name, l := range s.peers {
-		l.strand(func(group uint32) bool { return s.node.Leader(group) == name })
+		l.abandonForwards(func(group uint32) bool { return s.node.Leader(group) == name })
 	}
 }
 
-// tell tells those who have not begun.
-func (s *Server) tell() {
-	if s.founder == nil || s.node != nil || s.store == nil {
+// sendBootstrap sends the bootstrap message to all peers while this daemon's node has not started.
+func (s *Server) sendBootstrap() {
+	if s.bootstrapper == nil || s.node != nil || s.store == nil {
 		return
 	}
 	for _, l := range s.peers {
-		l.found(foundOut(s.founder.Tell()))
+		l.sendBootstrap(bootstrapToProto(s.bootstrapper.Message()))
 	}
 }
 
-// founding takes what one tells who may not have begun.
-func (s *Server) founding(f *replicav1.Found) {
-	if s.founder == nil || s.store == nil || s.fault != "" {
+// handleBootstrap handles a peer's bootstrap message; the peer's node may not have started.
+func (s *Server) handleBootstrap(f *replicav1.Found) {
+	if s.bootstrapper == nil || s.store == nil || s.fault != "" {
 		return
 	}
-	in := foundIn(f)
-	if s.founder.Outdated(in) {
-		s.retire("the record was repaired without this daemon")
+	msg := bootstrapFromProto(f)
+	if s.bootstrapper.Outdated(msg) {
+		s.retire("the groups were repaired without this daemon")
 		return
 	}
-	t, conflict := s.founder.Heard(in)
+	t, conflict := s.bootstrapper.Receive(msg)
 	if conflict != "" && s.fault == "" {
 		s.log.Error("replicas: " + conflict)
 	}
-	s.keep(t)
-	if l := s.peers[in.Member.Name]; l != nil && s.node != nil && (!in.Active || in.Table != nil && in.Table.Generation < s.store.meta.Table.Generation) {
-		l.found(foundOut(s.founder.Tell()))
+	s.storeTable(t)
+	if l := s.peers[msg.Member.Name]; l != nil && s.node != nil && (!msg.Active || msg.Table != nil && msg.Table.Generation < s.store.meta.Table.Generation) {
+		l.sendBootstrap(bootstrapToProto(s.bootstrapper.Message()))
 	}
-	s.begin(nil)
+	s.startNode(nil)
 }
 
-// stranger answers one who speaks of another record, or of this one as before a repair.
-func (s *Server) stranger(name string) {
+// answerOtherTable answers a peer whose table differs, or is the one before a repair.
+func (s *Server) answerOtherTable(name string) {
 	if l := s.peers[name]; l != nil && s.node != nil {
-		l.found(foundOut(s.founder.Tell()))
+		l.sendBootstrap(bootstrapToProto(s.bootstrapper.Message()))
 	}
 }
 
-// meet begins the line to another daemon.
-func (s *Server) meet(ctx context.Context, name, address string) {
-	if s.peers[name] != nil || name == s.o.Self.Name || len(s.peers) >= mostDaemon {
+// connect starts the link to another daemon.
+func (s *Server) connect(ctx context.Context, name, address string) {
+	if s.peers[name] != nil || name == s.opts.Self.Name || len(s.peers) >= maxPeers {
 		return
 	}
-	at := cmp.Or(s.o.Through[name], s.o.Peers[name], address)
+	at := cmp.Or(s.opts.Through[name], s.opts.Peers[name], address)
 	if at == "" {
 		return
 	}
-	l := newLine(s, name, at)
+	l := newLink(s, name, at)
 	s.peers[name] = l
 	if s.node != nil {
-		s.node.Meet(name)
+		s.node.AddPeer(name)
 	}
 	go l.run(ctx)
 }
 
-// work does what the node has come up with.
-func (s *Server) work(now time.Duration) {
+// doWork carries out the node's work.
+func (s *Server) doWork(now time.Duration) {
 	if s.node == nil {
 		return
 	}
-	w := s.node.Did(now)
-	var told *replica.Beat
-	var beat *replicav1.Beat
+	w := s.node.TakeWork(now)
+	var lastHeartbeat *replica.DaemonHeartbeat
+	var heartbeat *replicav1.Beat
 	for _, m := range w.Sends {
 		l := s.peers[m.To]
 		switch {
 		case l == nil:
-		case m.Beat != nil:
-			if m.Beat != told {
-				told, beat = m.Beat, beatOut(m.Beat)
+		case m.Heartbeat != nil:
+			if m.Heartbeat != lastHeartbeat {
+				lastHeartbeat, heartbeat = m.Heartbeat, heartbeatToProto(m.Heartbeat)
 			}
-			l.beat(beat, m.Pair)
-		case m.Calm != nil:
-			l.calm(*m.Calm)
+			l.sendHeartbeat(heartbeat, m.Ack)
+		case m.Hibernation != nil:
+			l.sendHibernation(*m.Hibernation)
 		default:
 			l.send(m.Group, m.Raft)
 		}
 	}
 	for _, r := range w.Results {
-		if done := s.waits[r.Ref]; done != nil {
-			delete(s.waits, r.Ref)
+		if done := s.proposals[r.Ref]; done != nil {
+			delete(s.proposals, r.Ref)
 			done(r.Result, r.Err)
 		}
 	}
@@ -547,7 +550,7 @@
 		s.log.Error("replicas: " + n)
 	}
 	if w.Changed {
-		s.change()
+		s.notifyChanged()
 	}
 	if w.Retire != "" {
 		s.retire(w.Retire)
@@ -555,18 +558,18 @@
 	}
 	if w.Write != nil {
 		st := s.store
-		s.saving = true
-		go func() { // one at a time: the node gives no other before this one's end
-			s.saved <- saved{w.Write.Number, st.save(w.Write)}
+		s.writing = true
+		go func() { // one at a time: the node returns no other write before this one is done
+			s.writeDone <- writeResult{w.Write.Number, st.save(w.Write)}
 		}()
 	}
 }
 
-// save takes the end of a write.
-func (s *Server) save(now time.Duration, e saved) {
-	s.saving = false
+// finishWrite handles the outcome of a write.
+func (s *Server) finishWrite(now time.Duration, e writeResult) {
+	s.writing = false
 	if e.err != nil {
-		s.fail(e.err)
+		s.storeFailed(e.err)
 		return
 	}
 	if s.node != nil {
@@ -574,72 +577,73 @@
 	}
 }
 
-// fail takes that the disk may not have taken what it was given: nothing is confirmed from here until the next start.
-func (s *Server) fail(err error) {
+// storeFailed handles a failed write, which may or may not be durable: this daemon confirms nothing more until it is
+// restarted.
+func (s *Server) storeFailed(err error) {
 	s.fault = err.Error()
-	s.store.doubt(err)
-	s.log.Error("replicas: the store takes no more; this daemon neither votes nor acts until it is started anew", "err", err)
+	s.store.markSuspect(err)
+	s.log.Error("replicas: write to the store failed; this daemon neither votes nor leads until it is restarted", "err", err)
 	if s.node != nil {
-		s.node.Failed(err)
+		s.node.WriteFailed(err)
 	}
 }
 
-// retire has this daemon begin anew as another member.
+// retire discards the store and rejoins as a new member.
 func (s *Server) retire(why string) {
-	s.log.Error("replicas: the store cannot be vouched for; this daemon is a new member from now on", "why", why)
-	if s.saving {
-		<-s.saved
-		s.saving = false
+	s.log.Error("replicas: the store cannot be trusted; this daemon rejoins as a new member", "why", why)
+	if s.writing {
+		<-s.writeDone
+		s.writing = false
 	}
 	s.store.close()
 	for _, l := range s.peers {
-		l.forget()
+		l.clearQueue()
 	}
-	s.node, s.founder, s.store = nil, nil, nil
+	s.node, s.bootstrapper, s.store = nil, nil, nil
 	s.table.Store(0)
-	s.counts.retired++
+	s.counters.retired++
 	s.refused = why
-	if err := putAside(s.o.Dir); err != nil {
+	if err := setAside(s.opts.Dir); err != nil {
 		s.fault = err.Error()
-		s.log.Error("replicas: the store is not put aside", "err", err)
+		s.log.Error("replicas: cannot set the store aside", "err", err)
 		return
 	}
-	st, err := makeStore(s.o.Dir, s.o.Self)
+	st, err := createStore(s.opts.Dir, s.opts.Self)
 	if err != nil {
 		s.fault = err.Error()
-		s.log.Error("replicas: no new store", "err", err)
+		s.log.Error("replicas: cannot create a new store", "err", err)
 		return
 	}
 	s.store = st
-	// Others have begun, so it waits for their table and never founds one.
-	s.founder = replica.NewFounder(st.meta.Member, []string{""}, s.o.Groups, s.o.Copies, nil, false)
+	// The other daemons run already, so this one waits for their table and never bootstraps one.
+	s.bootstrapper = replica.NewBootstrapper(st.meta.Member, []string{""}, s.opts.Groups, s.opts.Copies, nil, false)
 }
 
-// shut ends the loop.
-func (s *Server) shut() {
+// shutDown ends the loop.
+func (s *Server) shutDown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.saving {
-		<-s.saved
-		s.saving = false
+	if s.writing {
+		<-s.writeDone
+		s.writing = false
 	}
-	for ref, done := range s.waits {
-		delete(s.waits, ref)
+	for ref, done := range s.proposals {
+		delete(s.proposals, ref)
 		done(nil, replica.ErrUnknown)
 	}
-	for len(s.inbox) > 0 {
-		(<-s.inbox)(Now())
+	for len(s.events) > 0 {
+		(<-s.events)(Now())
 	}
 	if s.store != nil {
 		s.store.close()
 	}
-	s.node, s.founder, s.store, s.lines = nil, nil, nil, nil
+	s.node, s.bootstrapper, s.store, s.linkCtx = nil, nil, nil, nil
 	clear(s.peers)
 	s.table.Store(0)
-	s.change()
+	s.notifyChanged()
 }
 
-// Exchange takes another daemon's line.
+// Exchange serves another daemon's stream.
 func (s *Server) Exchange(stream grpc.BidiStreamingServer[replicav1.ToPeer, replicav1.FromPeer]) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -647,87 +651,87 @@
 	}
 	hello := first.GetHello()
 	switch {
-	case hello == nil || hello.Name == "" || len(hello.Name) > mostName:
+	case hello == nil || hello.Name == "" || len(hello.Name) > maxNameLength:
 		return status.Error(codes.InvalidArgument, "the first message must have a hello")
 	case hello.Version != version:
 		return status.Errorf(codes.FailedPrecondition, "version %d of the protocol is not spoken here, %d is", hello.Version, version)
 	}
-	life := s.heldFor(hello)
-	if life == nil {
+	lifetime := s.linkContext(hello)
+	if lifetime == nil {
 		return status.Error(codes.Unavailable, "no replicas are held by this process")
 	}
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	in := &ear{s: s, name: hello.Name, out: make(chan *replicav1.Answer, mostAnswers)}
-	ends := make(chan error, 2)
-	heard := make(chan struct{}, 1)
-	go func() { ends <- in.answer(ctx, stream, heard) }()
+	peer := &inbound{server: s, name: hello.Name, answers: make(chan *replicav1.Answer, maxQueuedAnswers)}
+	failed := make(chan error, 2)
+	received := make(chan struct{}, 1)
+	go func() { failed <- peer.sendAnswers(ctx, stream, received) }()
 	go func() {
 		err := error(nil)
 		for m := first; err == nil; {
-			if err = in.take(ctx, m); err == nil {
+			if err = peer.receive(ctx, m); err == nil {
 				select {
-				case heard <- struct{}{}:
+				case received <- struct{}{}:
 				default:
 				}
 				m, err = stream.Recv()
 			}
 		}
-		ends <- err
+		failed <- err
 	}()
 	select {
-	case err := <-ends:
+	case err := <-failed:
 		return err
-	case <-life.Done():
+	case <-lifetime.Done():
 		return status.Error(codes.Unavailable, "no replicas are held by this process any more")
 	}
 }
 
-// heldFor is for how long this process has the store, nil: it has not. It learns the address of a caller that the file
-// lacks.
-func (s *Server) heldFor(h *replicav1.Hello) context.Context {
+// linkContext returns a context that lasts while this process has the store; nil if it does not have it. It also
+// connects to a caller that the settings do not list.
+func (s *Server) linkContext(h *replicav1.Hello) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.store == nil || s.lines == nil {
+	if s.store == nil || s.linkCtx == nil {
 		return nil
 	}
-	s.meet(s.lines, h.GetName(), h.GetAddress())
-	return s.lines
+	s.connect(s.linkCtx, h.GetName(), h.GetAddress())
+	return s.linkCtx
 }
 
-// Standing is how things stand, for operators.
+// Standing is the host's status for operators.
 type Standing struct {
 	Member  replica.Member   `json:"member"`
 	Table   string           `json:"table,omitempty"`
-	Missing []string         `json:"missing,omitempty"` // who has not been met before the groups begin
+	Missing []string         `json:"missing,omitempty"` // configured daemons not contacted yet, before the groups start
 	Fault   string           `json:"fault,omitempty"`
 	Refused string           `json:"refused,omitempty"`
 	Groups  []replica.Status `json:"groups,omitempty"`
 }
 
-// Standing is how things stand.
+// Standing returns the host's status.
 func (s *Server) Standing() (v Standing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v.Fault, v.Refused, v.Member = s.fault, s.refused, s.o.Self
+	v.Fault, v.Refused, v.Member = s.fault, s.refused, s.opts.Self
 	if s.store != nil {
 		v.Member = s.store.meta.Member
 	}
 	if s.node != nil {
 		v.Table, v.Groups = fmt.Sprintf("%016x", s.table.Load()), s.node.Status()
-	} else if s.founder != nil {
-		v.Missing = s.founder.Missing()
+	} else if s.bootstrapper != nil {
+		v.Missing = s.bootstrapper.Missing()
 	}
 	return v
 }
 
-// Figures is what operators go by.
+// Figures returns the metrics.
 func (s *Server) Figures() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	groups, leads, halted, written, faulty := 0, 0, 0, uint64(0), 0
 	if s.node != nil {
-		groups, leads, halted, written = s.node.Counts(Now())
+		groups, leads, halted, written = s.node.Counters(Now())
 	}
 	if s.fault != "" {
 		faulty = 1
@@ -737,5 +741,5 @@
 		writes = s.store.writes.Load()
 	}
 	return fmt.Sprintf("proxy.replicas.groups=%d\nproxy.replicas.leads=%d\nproxy.replicas.halted=%d\nproxy.replicas.written=%d\nproxy.replicas.writes=%d\nproxy.replicas.fault=%d\nproxy.replicas.retired=%d\nproxy.replicas.proposed=%d\nproxy.replicas.forwarded=%d\nproxy.replicas.read=%d\n",
-		groups, leads, halted, written, writes, faulty, s.counts.retired, s.counts.proposed, s.counts.forwarded, s.counts.read)
+		groups, leads, halted, written, writes, faulty, s.counters.retired, s.counters.proposed, s.counters.forwarded, s.counters.read)
 }
