--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -126,7 +126,7 @@
 func (s *Server) propose(ctx context.Context, g uint32, c rerun.Command) (rerun.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeFor)
 	defer cancel()
-	text, err := s.host.Propose(ctx, g, replica.Reruns, c.Encode())
+	text, err := s.host.Propose(ctx, g, replica.RerunsMachine, c.Encode())
 	if err != nil {
 		return rerun.Result{}, err
 	}
@@ -146,11 +146,11 @@
 		}
 		acting := int64(0)
 		for g := range s.host.Groups() {
-			if _, until, ok := s.host.Lead(g); ok && replicas.Now() < until {
+			if _, until, ok := s.host.Lease(g); ok && replicas.Now() < until {
 				s.act(ctx, g)
 				acting++
 			} else {
-				s.host.View(g, replica.Reruns, func(m replica.Machine) { m.(*rerun.Machine).TakeLogLines() })
+				s.host.View(g, replica.RerunsMachine, func(m replica.Machine) { m.(*rerun.Machine).TakeLogLines() })
 			}
 		}
 		s.acting.Store(acting)
@@ -171,7 +171,7 @@
 	rooms := s.rooms // replaced, never changed
 	s.mu.Unlock()
 	now := time.Duration(time.Now().UnixNano())
-	if !s.host.View(g, replica.Reruns, func(m replica.Machine) {
+	if !s.host.View(g, replica.RerunsMachine, func(m replica.Machine) {
 		r := m.(*rerun.Machine)
 		actions, running, lines, knows, roomy = r.Actions(), r.Running(""), r.TakeLogLines(), r.HasPolicy(s.o.Version), r.CapacitiesCurrent(rooms)
 	}) {
@@ -548,7 +548,7 @@
 		moved := s.moved
 		s.mu.Unlock()
 		open := false
-		here := s.host.View(group, replica.Reruns, func(m replica.Machine) {
+		here := s.host.View(group, replica.RerunsMachine, func(m replica.Machine) {
 			r := m.(*rerun.Machine).Run(q.Id)
 			open = r != nil && r.Answer == nil
 		})
@@ -603,7 +603,7 @@
 
 // Explained is a run as this dispatcher's own copy of its group has it; false: there is none here.
 func (s *Server) Explained(id string) (e rerun.Explained, ok bool) {
-	s.host.View(rerun.GroupOfRun(id, s.host.Groups()), replica.Reruns, func(m replica.Machine) { e, ok = m.(*rerun.Machine).Explain(id) })
+	s.host.View(rerun.GroupOfRun(id, s.host.Groups()), replica.RerunsMachine, func(m replica.Machine) { e, ok = m.(*rerun.Machine).Explain(id) })
 	return e, ok
 }
 
@@ -611,7 +611,7 @@
 func (s *Server) Figures() string {
 	runs, open := 0, 0
 	for g := range s.host.Groups() {
-		s.host.View(g, replica.Reruns, func(m replica.Machine) {
+		s.host.View(g, replica.RerunsMachine, func(m replica.Machine) {
 			r, o := m.(*rerun.Machine).Size()
 			runs, open = runs+r, open+o
 		})
--- a/internal/net/promises/booking.go
+++ b/internal/net/promises/booking.go
@@ -87,7 +87,7 @@
 
 // ended tells whether the copy here has the end of a promise.
 func (s *Server) ended(id string, index uint64) (yes bool) {
-	s.host.View(s.group(id), replica.Promises, func(m replica.Machine) {
+	s.host.View(s.group(id), replica.PromisesMachine, func(m replica.Machine) {
 		e := m.(*promise.Machine).Entry(id)
 		yes = e != nil && e.Index == index && e.End != nil
 	})
@@ -130,7 +130,7 @@
 // repeatsHere tells whether a promised job is known here and may run again at will: its hand-in may have been to one
 // instance more than once, so what that hands back is told apart by the loop alone.
 func (s *Server) repeatsHere(id string) (yes bool) {
-	s.host.View(s.group(id), replica.Promises, func(m replica.Machine) {
+	s.host.View(s.group(id), replica.PromisesMachine, func(m replica.Machine) {
 		e := m.(*promise.Machine).Entry(id)
 		yes = e != nil && s.repeats(e.Job.Class)
 	})
@@ -206,7 +206,7 @@
 
 // intents is what the copy here has of the attempts that may have been sent, for the log.
 func (s *Server) intents(g uint32, id string) (all []promise.Intent) {
-	s.host.View(g, replica.Promises, func(m replica.Machine) {
+	s.host.View(g, replica.PromisesMachine, func(m replica.Machine) {
 		if e := m.(*promise.Machine).Entry(id); e != nil {
 			all = append(all, e.Intents...)
 		}
@@ -227,7 +227,7 @@
 		g := s.group(c.ID)
 		intended, settled := false, !ok
 		if ok { // without a copy here it cannot be known whose intent there is
-			s.host.View(g, replica.Promises, func(m replica.Machine) { intended, settled = m.(*promise.Machine).HasIntent(&sending) })
+			s.host.View(g, replica.PromisesMachine, func(m replica.Machine) { intended, settled = m.(*promise.Machine).HasIntent(&sending) })
 		}
 		switch {
 		case settled:
--- a/internal/net/promises/unsent_test.go
+++ b/internal/net/promises/unsent_test.go
@@ -57,7 +57,7 @@
 
 // intents is how many the table has of the job.
 func intents(s *Server) (n int) {
-	s.host.View(s.group("j"), replica.Promises, func(m replica.Machine) {
+	s.host.View(s.group("j"), replica.PromisesMachine, func(m replica.Machine) {
 		if e := m.(*promise.Machine).Entry("j"); e != nil {
 			n = len(e.Intents)
 		}
