--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -53,7 +53,7 @@
 var workerPattern = regexp.MustCompile(`\bworker \d+\b`)
 
 // withInstanceIDs replaces the decision module's worker numbers in a log text by instance IDs, since operators
-// cannot look the numbers up.
+// cannot look the numbers up. The module's log texts must name workers in the form "worker N".
 func (l *Loop) withInstanceIDs(text string) string {
 	return workerPattern.ReplaceAllStringFunc(text, func(s string) string {
 		n, err := strconv.ParseUint(s[len("worker "):], 10, 32)
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -53,8 +53,8 @@
 }
 
 // AnswerAll answers all pending commands, because the process may be killed from now on, which would leave their
-// clients without an answer. Commands that the client may retry are refused, all others fail, and their attempts
-// are cancelled.
+// clients without an answer. Commands that have no attempts yet or that the client may retry are refused, all
+// others fail, and all attempts are cancelled.
 func (l *Loop) AnswerAll() {
 	l.post(func(l *Loop) {
 		for _, r := range slices.Sorted(maps.Keys(l.byRequest)) {
--- a/internal/dispatch/batch_test.go
+++ b/internal/dispatch/batch_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Messages that arrived as fast as the loop processed them kept it from its timers and from every decision.
+// Checks that messages that arrive as fast as the loop processes them do not keep it from its timers and from
+// deciding.
 func TestTimersFireUnderConstantMessages(t *testing.T) {
 	l := newTestLoop(t, &fleet{})
 	const total = 10 * inboxSize
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -139,7 +139,7 @@
 	decide.ConnectFailed: "connect_failed", decide.Reset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "moot",
 }
 
-// internalCounters returns all other counters.
+// internalCounters returns the counters that are not among the operators' (operatorCounters).
 func (b *Counters) internalCounters() (all []counter) {
 	add := func(name string, n *atomic.Int64) { all = append(all, counter{name, n.Load()}) }
 	add("commands_taken_in", &b.Received)
@@ -181,9 +181,9 @@
 
 // sampleFleet updates the instance counts now and at every interval.
 func (l *Loop) sampleFleet() {
-	listed, skipped := l.mod.WorkerCounts()
+	listed, avoided := l.mod.WorkerCounts()
 	l.Counters.listed.Store(int64(listed))
-	l.Counters.skipped.Store(int64(skipped))
+	l.Counters.skipped.Store(int64(avoided))
 	l.timers.At(time.Now().Add(fleetSampleInterval), l.sampleFleet)
 }
 
--- a/internal/dispatch/disconnect_test.go
+++ b/internal/dispatch/disconnect_test.go
@@ -24,8 +24,8 @@
 	require.Zero(t, l.Pending())
 }
 
-// A loop that was behind started attempts for clients that had disconnected. A disconnect counts before the loop
-// processes its message: for an attempt that waits for a connection or at its gate, for a further attempt, and
+// Checks that a loop that is behind starts no attempts for clients that have disconnected: a disconnect counts
+// before the loop processes its message, for an attempt that waits for a connection or at its gate, for a further attempt, and
 // for a command that the loop has not processed yet.
 func TestDisconnectCountsBeforeLoopProcessesIt(t *testing.T) {
 	t.Run("during an attempt", func(t *testing.T) {
@@ -90,7 +90,7 @@
 	require.Equal(t, []bool{true}, c.handedOver)
 	l.ClientGoneByID("c1")
 	require.True(t, (&Attempt{Command: &cmd.Command}).Expired(time.Now()))
-	require.False(t, f.sent[0].Expired(time.Now()), "the older process has its own flag")
+	require.False(t, f.sent[0].Expired(time.Now()), "the older process keeps a disconnect flag of its own")
 	l.UpdateAttempt(AttemptUpdate{ID: "c1", Outcome: decide.NotSent})
 	requireCancelledOnce(t, l, c2)
 	_, kept := l.takenOver.Load("c1")
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,9 +1,9 @@
 // Package dispatch runs commands through the stages submission, admission, decision, sending, relaying and
-// counting, each in its own file. It knows no protocol: fronts submit commands and receive answers, a [Fleet]
+// counting, each in its own file. It does not implement any protocol: fronts submit commands and receive answers, a [Fleet]
 // reaches the instances, and a [Discovery] lists them.
 //
 // One goroutine, [Loop.Run], owns the decision module and all state. Everything else reaches it as a message,
-// and it never waits for a peer.
+// and it never waits for the network.
 package dispatch
 
 import (
@@ -52,9 +52,9 @@
 type Client interface {
 	// Answer receives the one final answer. It must not block.
 	Answer(Answer)
-	// HandOver reports that another process will answer and needs the connection to the client. If handed is false, that
-	// process has not received the command and needs it as well. It must not block.
-	HandOver(handed bool)
+	// HandOver reports that another process will answer and needs the connection to the client. If
+	// commandTransferred is false, that process has not received the command and needs it as well. It must not block.
+	HandOver(commandTransferred bool)
 }
 
 // StartObserver is a client that is also notified when an instance has accepted the command, and when it starts to run
@@ -125,7 +125,7 @@
 	report            *decide.Report
 	gateState         gateState
 	neverRan          bool        // it has ended without having run
-	gateReportDue     bool        // cancelled or abandoned after passing its gate, which is still to be notified if it did not run
+	gateReportDue     bool        // cancelled or abandoned after passing its gate: NeverRan must still be called if the fleet reports that it did not run
 	permitted         func() bool // nil: it did not wait at a gate
 	cancelUnconfirmed atomic.Bool // cancelled, but the instance has not confirmed that yet
 	obsolete          atomic.Bool // its command needs no answer any more
@@ -180,7 +180,7 @@
 
 	byID       map[string]*pendingCommand // pending commands by correlation ID
 	takenOver  sync.Map                   // the subset that was taken over from another process, as *Command; read by any goroutine
-	byRequest  map[uint32]*pendingCommand // the same by the decision module's request ID
+	byRequest  map[uint32]*pendingCommand // pending commands by the decision module's request ID
 	lastID     uint32
 	handedOver bool // to a newer process
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -92,7 +92,7 @@
 	require.Len(t, f.sent, 2)
 }
 
-// A cancellation that is in transit during a handover, or an attempt whose response was broken after it, keeps
+// A cancellation that is in transit during a handover, or an attempt whose response breaks off after the handover, keeps
 // the newer process from a second attempt at that instance, for good: it is not notified of the confirmation.
 func TestNoSecondAttemptAfterHandoverOfUnconfirmedCancel(t *testing.T) {
 	for name, cancel := range map[string]struct{ before, after func(older *Loop, a *Attempt) }{
@@ -104,7 +104,7 @@
 	} {
 		older, f, _ := loopWithCommand(t)
 		l, first := newTestLoop(t, f), f.sent[0]
-		older.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Draining}}}, true) // so that the command stays with the older process
+		older.UpdateInstances(InstanceUpdate{Instances: []Instance{{ID: "s-1", State: decide.Draining}}}, true) // so that the older process does not send it again
 		older.runBatch()
 		if cancel.before != nil {
 			cancel.before(older, first)
@@ -122,7 +122,7 @@
 			l.UpdateAttempt(f.updates[0])
 		}
 		l.runBatch()
-		l.timers.Fire(time.Now().Add(time.Minute)) // longer than any cancellation is in transit
+		l.timers.Fire(time.Now().Add(time.Minute)) // longer than any cancellation takes
 		request := l.byID["c1"].request
 		for _, id := range []string{"s-1", "s-2"} { // s-2 possibly a second time
 			l.startAttempt(decide.Send{Request: request, Worker: l.workerID(id)}, time.Now())
@@ -132,8 +132,8 @@
 	}
 }
 
-// A client disconnected while an attempt still waited for its connection. Where cancellation is disabled, the
-// attempt was sent nevertheless.
+// Checks that an attempt that still waits for its connection expires when its client disconnects or its command is
+// answered, even where cancellation is disabled.
 func TestNothingIsSentForDisconnectedClient(t *testing.T) {
 	for name, finish := range map[string]func(*Loop, *Attempt){
 		"disconnected": func(l *Loop, a *Attempt) { l.ClientGone(a.Command) },
@@ -304,9 +304,8 @@
 	require.Equal(t, "worker 99999999999 is not ours", l.withInstanceIDs("worker 99999999999 is not ours"))
 }
 
-// The function that ends an attempt at its deadline used to stay in the timer queue, with the whole command,
-// until then, even if the command had ended long before: memory grew with the request rate times the clients'
-// time limit.
+// Checks that the timer of an attempt's deadline is removed when the attempt ends. It references the whole command:
+// if it stays until the deadline, memory use grows with the request rate times the clients' time limit.
 func TestNoTimersRemainOfEndedCommands(t *testing.T) {
 	f := &fleet{}
 	l := newTestLoop(t, f)
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -6,7 +6,7 @@
 	"caperrelay/decide"
 )
 
-// Attempts of a promised command wait at a gate until the permission to send them is committed. By then the
+// Attempts of a command with a [Gate] wait there until the permission to send them is committed. By then the
 // decision module has already decided whether there is an attempt and which instance gets it; the loop does not
 // wait.
 
@@ -25,7 +25,7 @@
 type gateState int
 
 const (
-	gateNone    gateState = iota // there is no gate, or permission was not requested
+	gateNone    gateState = iota // there is no gate, permission was not requested, or the attempt has ended
 	gateWaiting                  // nothing has been sent
 	gatePassed                   // it may run
 )
--- a/internal/dispatch/gate_test.go
+++ b/internal/dispatch/gate_test.go
@@ -48,7 +48,7 @@
 	require.Equal(t, f.sent, g.neverRan)
 }
 
-// Guards against the decision module counting the time at the gate as an instance's: it is notified which commands
+// Guards against the decision module counting the time at the gate as the instance's delay: it is notified which commands
 // have a gate, and which attempts have passed.
 func TestDecisionModuleIsToldOfGate(t *testing.T) {
 	l, _, _, g := loopWithGatedCommand(t)
@@ -79,7 +79,7 @@
 }
 
 // An abandoned attempt is not cancelled at its instance, and its callback goes to the handler of unmatched
-// callbacks. A newer process does not receive it, and nothing keeps waiting at the older process's gate.
+// callbacks. A newer process does not receive the command, and nothing keeps waiting at the older process's gate.
 func TestAbandonAndHandoverOfGatedCommands(t *testing.T) {
 	l, f, c, g := loopWithGatedCommand(t)
 	var unmatched []Callback
@@ -105,8 +105,8 @@
 	require.Zero(t, l.Pending())
 }
 
-// Guards against a handover cutting off a member of a gang: the newer process waited for a client connection for
-// it, which it does not have, and cancelled it when the older process exited. Its encoder's callbacks go to the
+// Guards against a handover cutting off a command with reserved slots, such as a member of a gang: the newer process waited
+// for a client connection, which such a command does not have, and cancelled it when the older process exited. Its instance's callbacks go to the
 // handlers of unmatched callbacks.
 func TestReservedCommandsAreNotHandedOver(t *testing.T) {
 	f, c := &fleet{}, &client{}
@@ -129,7 +129,7 @@
 }
 
 // Guards against a gate that is never notified of an attempt that was abandoned or cancelled when it was about
-// to be sent, and then was not sent or was returned.
+// to be sent, and then was not sent or was returned by the instance.
 func TestGateIsNotifiedOfAbandonedAttemptThatNeverRan(t *testing.T) {
 	abandon := func(l *Loop, a *Attempt) { l.Abandon(a.Command) }
 	cancel := func(l *Loop, a *Attempt) { l.cancelAttempt(decide.Cancel{Request: a.request}) }
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -44,7 +44,7 @@
 	Index         int            `json:"N"`
 	Accepted      bool           `json:"Taken"` // by the instance; otherwise the attempt has ended:
 	Unusable      bool           `json:"Unusable"`
-	CancelPending bool           `json:"Leaving"` // it has ended here, but the encoder may still have it
+	CancelPending bool           `json:"Leaving"` // it has ended here, but the instance may still have it
 	Outcome       decide.Outcome `json:"Outcome"`
 	ConnIdle      time.Duration  `json:"Kept"`
 	Report        *decide.Report `json:"Report,omitempty"`
@@ -63,7 +63,7 @@
 type HandoverCommand struct {
 	Command
 	Payload  json.RawMessage        `json:"Payload"`
-	Memory   decide.RequestSnapshot `json:"Memory"` // of the decision module; not contained in HandoverState.Module
+	Memory   decide.RequestSnapshot `json:"Memory"` // the decision module's state of the command; not contained in HandoverState.Module
 	Attempts []HandoverAttempt      `json:"Attempts"`
 }
 
@@ -140,7 +140,7 @@
 	})
 }
 
-// translateMemory converts another process's memory, without its requests, to the numbers in use here. classNumbers has
+// translateMemory converts the snapshot of another process's decision module, without its requests, to the numbers in use here. classNumbers has
 // this loop's number for each of its classes, or -1.
 func (l *Loop) translateMemory(state HandoverState, classNumbers []int) decide.Snapshot {
 	m := state.Module
@@ -160,7 +160,7 @@
 	return m
 }
 
-// translateWorker converts a worker in another process's memory to the numbers in use here.
+// translateWorker converts a worker in another process's snapshot to the numbers in use here.
 func (l *Loop) translateWorker(w decide.Worker, state HandoverState) decide.Worker {
 	w.ID = l.workerID(state.InstanceIDs[w.ID])
 	w.Zone, w.Kind = l.zoneNumber(nameAt(state.Names.Zones, w.Zone)), l.kindNumber(nameAt(state.Names.Kinds, w.Kind))
@@ -205,7 +205,7 @@
 			ended: t.Ended, accepted: t.Accepted, sentByOlder: !t.Ended && !t.Accepted,
 		}
 		p.attempts = append(p.attempts, a)
-		a.cancelUnconfirmed.Store(t.CancelPending) // for good: the older process does not forward the encoder's confirmation
+		a.cancelUnconfirmed.Store(t.CancelPending) // for good: the older process does not forward the instance's confirmation
 		if !a.ended {
 			p.outstanding++
 			l.timers.Start(&a.deadlineTimer, a.Deadline, func() { l.expireAttempt(a) })
@@ -254,7 +254,7 @@
 
 // Resume reports that the newer process has exited: this one accepts commands again, with what the newer one had
 // learned. The commands that were pending there are lost.
-func (l *Loop) Resume(list InstanceUpdate, memory decide.Snapshot) {
+func (l *Loop) Resume(list InstanceUpdate, snapshot decide.Snapshot) {
 	l.post(func(l *Loop) {
 		mod, err := decide.New(l.settings)
 		if err != nil {
@@ -263,6 +263,6 @@
 		}
 		l.mod, l.handedOver = mod, false
 		l.updateInstances(list, true)
-		l.queueEvent(decide.Restore{Snapshot: memory})
+		l.queueEvent(decide.Restore{Snapshot: snapshot})
 	})
 }
--- a/internal/dispatch/input.go
+++ b/internal/dispatch/input.go
@@ -30,8 +30,7 @@
 	})
 }
 
-// ClientGoneByID does the same for a command that was taken over and whose client's disconnect was seen by the
-// older process.
+// ClientGoneByID reports that the client of a taken-over command has disconnected, as seen by the older process.
 func (l *Loop) ClientGoneByID(id string) {
 	if c, ok := l.takenOver.Load(id); ok {
 		c.(*Command).clientGone.Store(true)
@@ -151,8 +150,8 @@
 }
 
 // workerID returns the decision module's ID of an instance. It is the same at every dispatcher, since the module
-// has dispatchers share one order. It is the number that the instance has in the simulator's protocol, so that a
-// replayed day assigns keys to the same instances here; an instance ID of another form is hashed.
+// has dispatchers share one order. It is the number that the instance has in the simulator's protocol, so that
+// replayed traffic assigns keys to the same instances here; an instance ID of another form is hashed.
 func (l *Loop) workerID(id string) uint32 {
 	if n, ok := l.workerIDs[id]; ok {
 		return n
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -25,14 +25,14 @@
 	})
 }
 
-// CancelPending reports that the fleet itself cancels an attempt, before it reports the attempt's end. Confirmed
-// follows when the instance has processed it.
+// CancelPending reports that the fleet itself cancels an attempt, before it reports the attempt's end.
+// CancelConfirmed follows when the instance has processed it.
 func (a *Attempt) CancelPending() { a.cancelUnconfirmed.Store(true) }
 
 // AttemptSent reports that an attempt has been sent completely.
 func (l *Loop) AttemptSent(*Attempt) { l.Counters.written.Add(1) }
 
-// AttemptAccepted reports that the instance has accepted an attempt with status 202.
+// AttemptAccepted reports that the instance has accepted an attempt and will report its end by a callback.
 func (l *Loop) AttemptAccepted(a *Attempt) {
 	l.post(func(l *Loop) {
 		switch {
@@ -99,7 +99,7 @@
 // Origin is where a callback was received.
 type Origin int
 
-// The processes.
+// The origins.
 const (
 	FromInstance Origin = iota // received from an instance directly
 	FromOlderProcess
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -31,7 +31,7 @@
 }
 
 // Reconfigure applies new settings. If it returns an error, nothing has changed. It waits for the loop, but not for
-// any peer.
+// the network.
 func (l *Loop) Reconfigure(s decide.Settings, n wire.Names) error {
 	done := make(chan error, 1)
 	l.post(func(l *Loop) { done <- l.reconfigure(l.mapSettings(s, n)) })
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -77,12 +77,12 @@
 // from the attempts.
 type simulation struct {
 	*Loop
-	now      time.Duration
-	members  []Instance
-	budget   map[uint32]time.Duration
-	attempts map[uint32]int
-	pending  []dueEvent
-	actions  []string // the decision module's actions
+	now       time.Duration
+	instances []Instance
+	budget    map[uint32]time.Duration
+	attempts  map[uint32]int
+	pending   []dueEvent
+	actions   []string // the decision module's actions
 }
 
 type dueEvent struct {
@@ -90,17 +90,17 @@
 	e  decide.Event
 }
 
-func newSimulation(t *rapid.T, s site, members []Instance) *simulation {
+func newSimulation(t *rapid.T, s site, instances []Instance) *simulation {
 	f := &fleet{}
 	l, err := New(s.Settings, s.Names, f, f, f, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	return &simulation{Loop: l, now: time.Hour, members: members, budget: map[uint32]time.Duration{}, attempts: map[uint32]int{}}
+	return &simulation{Loop: l, now: time.Hour, instances: instances, budget: map[uint32]time.Duration{}, attempts: map[uint32]int{}}
 }
 
 // list passes the complete instance list to the module, with the names as numbered by the current settings.
 func (p *simulation) list() {
 	var lines []decide.Worker
-	for _, m := range p.members {
+	for _, m := range p.instances {
 		w := p.toWorker(m, p.workerID(m.ID))
 		if w.Started > 0 {
 			w.Started = p.now - sinceEpoch(m.Started)
@@ -157,7 +157,7 @@
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		before, after := drawSite(rt, "before", 1), drawSite(rt, "after", 2)
-		var members []Instance
+		var instances []Instance
 		for i := range rapid.IntRange(1, 8).Draw(rt, "workers") {
 			m := Instance{
 				ID: fmt.Sprint("s-", i), Zone: fmt.Sprint("zone", rapid.IntRange(0, 3).Draw(rt, "zone")), Kind: fmt.Sprint("kind", rapid.IntRange(0, 2).Draw(rt, "kind")),
@@ -166,9 +166,9 @@
 			if rapid.Bool().Draw(rt, "cold") {
 				m.Started = time.Unix(0, 0).Add(time.Duration(rapid.IntRange(1, 8000).Draw(rt, "age")) * time.Millisecond)
 			}
-			members = append(members, m)
+			instances = append(instances, m)
 		}
-		reloaded, started := newSimulation(rt, before, members), newSimulation(rt, after, members)
+		reloaded, started := newSimulation(rt, before, instances), newSimulation(rt, after, instances)
 		reloaded.list()
 		require.NoError(rt, reloaded.reconfigure(reloaded.mapSettings(after.Settings, after.Names)))
 		reloaded.actions = nil
@@ -198,8 +198,8 @@
 	})
 }
 
-// After a reload, zones and kinds that are not in the settings were mistaken for ones in the previous settings:
-// two encoders of one unnamed zone could be treated as different, and two of different zones as the same.
+// Checks that after a reload, zones and kinds that are not in the settings are not mistaken for ones in the previous
+// settings: two instances of one unnamed zone could be treated as different, and two of different zones as the same.
 func TestZonesOfPreviousSettingsAreUnknown(t *testing.T) {
 	f := &fleet{}
 	l, err := New(decide.Settings{
@@ -228,8 +228,8 @@
 	require.NotEqual(t, at("east", "new"), at("north", "new"))
 }
 
-// Settings with more tenants than the limit on numbered names were accepted at the start, but every reload was
-// rejected, even one that only changed the discovery address. Only names that are no longer in the settings
+// Checks that settings with more tenants than the limit on numbered names, which are accepted at the start, can also
+// be reloaded, for example with another discovery address only. Only names that are no longer in the settings
 // count against the limit.
 func TestManyTenantsCanBeReloaded(t *testing.T) {
 	f := &fleet{}
@@ -288,7 +288,7 @@
 	require.NotContains(t, l.Counters.OperatorCounters(), "former")
 }
 
-// What an older process learned of a class counts only if the class is defined the same here.
+// What an older process learned of a class counts only if the class describes the same workload here.
 func TestLearnedStateOfOtherClassDefinitionIsIgnored(t *testing.T) {
 	state := func(deadline time.Duration) HandoverState {
 		older := newTestLoop(t, &fleet{})
@@ -313,8 +313,8 @@
 	}
 }
 
-// The zones of a command's attempts were handed over as the older process's numbers: after a reload there, a
-// retry that is deduplicated within one zone only could go to another zone. They are now matched by name.
+// Checks that the zones of a command's attempts are matched by name at a handover. With the older process's numbers,
+// a retry that is deduplicated within one zone only could go to another zone after a reload there.
 func TestZonesAreHandedOverByName(t *testing.T) {
 	settings := func(zones ...string) (decide.Settings, wire.Names) {
 		return decide.Settings{
--- a/internal/dispatch/timerlag_test.go
+++ b/internal/dispatch/timerlag_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A dispatcher short of processor time answered late, and its log did not show that.
+// Checks that the log shows when the loop runs late, as on a dispatcher short of processor time, but not repeatedly.
 func TestLateLoopIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	n := timerLagLog{log: slog.New(slog.NewTextHandler(&out, nil))}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -21,7 +21,7 @@
 // granters share the rest evenly.
 const TurnsShare = 0.25
 
-// Drift is how much slower a sender's clock may run than a granter's.
+// Drift is the share by which a sender's clock may run slower than a granter's.
 const Drift = 0.05
 
 // Terms are the parameters of granters and senders.
@@ -40,7 +40,7 @@
 	Started    time.Duration // by the granter's clock; may be before the clock's start
 	Process    int64         // distinguishes it from its predecessor: its start time in the instance list
 	Slots      float64       // when warm
-	AnyProcess bool          // senders may name any process: an operator has put the encoder back, and each sender counts from when it was notified
+	AnyProcess bool          // senders may name any process: an operator has uncordoned the encoder, and each sender counts from when it was notified
 }
 
 // Request is a request for a lease.
@@ -70,7 +70,8 @@
 	Stats      Stats
 }
 
-// Stats counts a granter's operations.
+// Stats counts a granter's operations. Invalid counts requests for an unknown encoder, an unknown process of one, or an
+// invalid amount of work.
 type Stats struct{ Asked, Granted, Denied, Spent, Returned, Expired, Stale uint64 }
 
 type account struct {
@@ -90,7 +91,8 @@
 	released    bool
 }
 
-// maxLeases bounds the leases kept per encoder; beyond it none is granted.
+// maxLeases bounds the leases that a granter keeps per encoder, beyond which none is granted, and the instances for
+// which a Holder keeps the time of the next request to a granter.
 const maxLeases = 4096
 
 // NewGranter returns a granter that grants nothing for a lease's life and a window from now on.
@@ -100,8 +102,9 @@
 	}
 }
 
-// SetTerms applies other terms. Leases already granted keep their life. A larger part of the budget than before
-// takes effect only when the leases of the other granters, which may have had it, have ended.
+// SetTerms applies other terms. Leases already granted keep their life. After a change that may enlarge this granter's
+// part of the budget (fewer granters, or any other multiple), nothing is granted until the leases of the other
+// granters, which may have had that part, have ended.
 func (b *Granter) SetTerms(now time.Duration, t Terms) {
 	b.advance(now)
 	if t.Granters < b.terms.Granters || t.Multiple != b.terms.Multiple {
@@ -206,6 +209,7 @@
 }
 
 // timeUntilFree returns the time until counted work next decreases, if nothing else happens.
+// It does not depend on work.
 func (a *account) timeUntilFree(now time.Duration, work float64) time.Duration {
 	soonest := time.Duration(math.MaxInt64)
 	for _, g := range a.queue {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Rate is a zone that limits requests per second.
+// Rate limits requests per second and key; nginx calls it a zone.
 type Rate struct {
 	perSecond float64
 	maxKeys   int
@@ -25,10 +25,10 @@
 	last   time.Duration
 }
 
-// keyLimit bounds the keys of any zone.
+// keyLimit bounds the keys of any limiter.
 const keyLimit = 10_000_000
 
-// NewRate returns a zone for at most this number of keys.
+// NewRate returns a limiter for at most this number of keys.
 func NewRate(perSecond float64, maxKeys int) (*Rate, error) {
 	if !(perSecond > 0) || math.IsInf(perSecond, 1) || maxKeys < 1 || maxKeys > keyLimit {
 		return nil, fmt.Errorf("limits: invalid rate zone: %v requests per second, %d keys", perSecond, maxKeys)
@@ -39,7 +39,7 @@
 // Keys returns the number of remembered keys.
 func (r *Rate) Keys() int { return len(r.buckets) }
 
-// Burst is how far above the rate a location lets a key go.
+// Burst is the excess over the rate that a location allows for a key.
 type Burst struct {
 	Burst   float64 // requests allowed in excess of the rate
 	Delay   float64 // of those, the number that is not delayed
--- a/internal/listclock/clock.go
+++ b/internal/listclock/clock.go
@@ -1,15 +1,15 @@
 // Package listclock computes when a dispatcher has to ask discovery for the instance list: when the list was last
-// received, by when a new call must be out, and from when on requests may no longer be sent to an instance. It
+// received, by when a new call must have been made, and from when on requests may no longer be sent to an instance. It
 // does no I/O and reads no clock: it is driven by events and their times, given as the time since the process
 // started.
 //
 // Lists may be pushed, watched or polled for, and the operators' manual has one set of deadlines for all three. A
 // change that the dispatcher has missed counts as received after some time, whether it arrived or not, so each
-// state has a time by which a new call must be out, [Clock.Deadline]:
+// state has a time by which a new call must have been made, [Clock.Deadline]:
 //
 //	pushed, nothing open       at once: what the agent has counts as received
 //	pushed, a call is open     at once too: an agent answers at once, or is down and learns nothing
-//	a watch is open            6 s after the list was last known in full: the watch may have fallen silent right then, or its list never be completed
+//	a watch is open            6 s after the list was last known in full: the watch may have become silent at that moment, or its list may never be completed
 //	a call is open             6 s after it was made, or 2 s after its maximum wait, whichever is later
 //	not pushed, nothing open   6 s after the list was last known in full or the last call was made; sooner if the settings say so
 //	the address has changed    4 s after the change
@@ -19,21 +19,21 @@
 // could not be reached when it was made: the next deadline counts from its start, not from its end, and no call is
 // given more time than another.
 //
-// [Clock.Ask] returns when to make the next call: early enough for the answer to arrive before the deadline, not
-// before silence is certain, and between these at this dispatcher's place in the spread of the fleet, since one
-// service answers all dispatchers.
+// [Clock.NextCall] returns when to make the next call: early enough for the answer to arrive before the deadline, not
+// before silence is certain, and between these after a random share of Settings.Spread, since one service
+// answers all dispatchers.
 package listclock
 
 import "time"
 
 // The first four are the limits in the operators' manual, the others the margins kept from them.
 const (
-	heartbeatInterval = 2 * time.Second // between the empty lines of a watch without changes
-	silenceTimeout    = 6 * time.Second // from when the list was last known in full, or an unsuccessful call was made, until missed changes count
-	waitMargin        = 2 * time.Second // from the end of a call's maximum wait until the changes that it misses count
-	moveTimeout       = 4 * time.Second // from SIGHUP until the changes at the new address count
+	heartbeatInterval    = 2 * time.Second // between the empty lines of a watch without changes
+	silenceTimeout       = 6 * time.Second // from when the list was last known in full, or an unsuccessful call was made, until a missed change counts as received
+	waitMargin           = 2 * time.Second // from the end of a call's maximum wait until a change that it misses counts as received
+	addressChangeTimeout = 4 * time.Second // from SIGHUP until a change at the new address counts as received
 
-	silentAfter  = heartbeatInterval * 3 / 2 // a watch without output for this long has fallen silent
+	silentAfter  = heartbeatInterval * 3 / 2 // a watch without output for this long is silent
 	answerTime   = time.Second               // allowed for the answer to a call
 	maxAgentWait = time.Second               // the longest wait for an agent's answer
 	minWait      = time.Second / 8           // the shortest wait: an answer must not be missed because the process was stopped for less
@@ -57,23 +57,23 @@
 	Spread     time.Duration // over which all dispatchers spread the calls with one cause; not used for calls to an agent
 }
 
-// Clock must not be used by several goroutines at once. Times are since the process started and must not go back;
-// an earlier time counts as the latest one seen.
+// Clock must not be used by several goroutines at once. Times are since the process started; one
+// that is earlier than the latest one seen counts as that.
 type Clock struct {
 	settings Settings
 	state    connState
 	paused   bool // no call is to be made
 	now      time.Duration
-	share    float64 // in [0, 1): this dispatcher's place in the spread of the fleet
-
-	lastList      time.Duration // when a complete list was last received; negative: never
-	knownUpTo     time.Duration // the list is known in full up to here, or a call was made here; initially the start
-	lastActivity  time.Duration // the last call, the last data received on it, or the start
-	calledAt      time.Duration // when the last call was made; negative: no call yet
-	maxWait       time.Duration // how long this call may wait for changes
-	listStartedAt time.Duration // when the first part of an incomplete list was received; negative: none
-	movedAt       time.Duration // when the address changed, if no call was made since; negative: no such change
-	silentSince   time.Duration // the last output of the open watch before it fell silent; negative: it has not
+	share    float64 // random share, in [0, 1], of Settings.Spread by which the next call is delayed
+
+	lastList         time.Duration // when a complete list was last received; negative: never
+	knownUpTo        time.Duration // the list is known in full up to here, or a call was made here; initially the start
+	lastActivity     time.Duration // the last call, the last data received on it, or the start
+	calledAt         time.Duration // when the last call was made; negative: no call yet
+	maxWait          time.Duration // how long this call may wait for changes
+	listStartedAt    time.Duration // when the first part of an incomplete list was received; negative: none
+	addressChangedAt time.Duration // when the address changed, if no call was made since; negative: no such change
+	silentSince      time.Duration // the last output of the open watch before it became silent; negative: it is not silent
 }
 
 type connState int
@@ -85,9 +85,9 @@
 )
 
 // New returns the clock of a process that starts now and has at most the list of an earlier process. A service is
-// not called before the first [Clock.Called]: the caller decides when to start. An agent is called at once.
+// not called before the first [Clock.CallStarted]: the caller decides when to start. An agent is called at once.
 func New(settings Settings, now time.Duration) *Clock {
-	c := &Clock{now: now, knownUpTo: now, lastActivity: now, lastList: -1, calledAt: -1, listStartedAt: -1, movedAt: -1, silentSince: -1}
+	c := &Clock{now: now, knownUpTo: now, lastActivity: now, lastList: -1, calledAt: -1, listStartedAt: -1, addressChangedAt: -1, silentSince: -1}
 	c.UpdateSettings(settings)
 	c.paused = settings.Mode != Pushed
 	return c
@@ -105,15 +105,16 @@
 }
 
 // CallStarted reports that a call is made on a new connection, which replaces what was open. maxWait is how long the call
-// may wait for changes; 0: it is answered at once. share, in [0, 1), is drawn at random.
+// may wait for changes; 0: it is answered at once. share, in [0, 1), is random and determines the
+// delay of the next call.
 func (c *Clock) CallStarted(now, maxWait time.Duration, share float64) {
 	now = c.advance(now)
 	c.state, c.calledAt, c.maxWait, c.share = calling, now, max(0, maxWait), min(max(share, 0), 1)
 	c.lastActivity, c.knownUpTo = now, now
-	c.listStartedAt, c.movedAt, c.silentSince, c.paused = -1, -1, -1, false
+	c.listStartedAt, c.addressChangedAt, c.silentSince, c.paused = -1, -1, -1, false
 }
 
-// DataReceived reports that data arrived on the open call or watch, be it an empty line or part of one. A watch that has
+// DataReceived reports that any data arrived on the open call or watch. A watch that has
 // been silent stays broken, because the changes that it missed are unknown.
 func (c *Clock) DataReceived(now time.Duration) {
 	if now = c.advance(now); c.state == idle {
@@ -176,16 +177,16 @@
 }
 
 // AddressChanged reports that the list has a new address from now on.
-func (c *Clock) AddressChanged(now time.Duration) { c.movedAt = c.advance(now) }
+func (c *Clock) AddressChanged(now time.Duration) { c.addressChangedAt = c.advance(now) }
 
-// Pause stops all calls until the next [Clock.Called]: the list arrives from other dispatchers.
+// Pause stops all calls until the next [Clock.CallStarted]: the list arrives from other dispatchers.
 func (c *Clock) Pause(now time.Duration) {
 	c.advance(now)
-	c.state, c.listStartedAt, c.movedAt, c.silentSince, c.paused = idle, -1, -1, -1, true
+	c.state, c.listStartedAt, c.addressChangedAt, c.silentSince, c.paused = idle, -1, -1, -1, true
 }
 
 // AddressChangePending reports whether the address has changed since the last call.
-func (c *Clock) AddressChangePending() bool { return c.movedAt >= 0 }
+func (c *Clock) AddressChangePending() bool { return c.addressChangedAt >= 0 }
 
 // Open reports whether a call or a watch is open, silent or not.
 func (c *Clock) Open() bool { return c.state != idle }
@@ -193,12 +194,12 @@
 // LastList returns when a list was last received; false: never.
 func (c *Clock) LastList() (time.Duration, bool) { return c.lastList, c.lastList >= 0 }
 
-// Deadline returns when the first change that may have been missed counts as received: a new call must be out by
-// then. It may be in the past.
+// Deadline returns when the first change that may have been missed counts as received: a new call must have been
+// made by then. It may be in the past.
 func (c *Clock) Deadline() time.Duration {
 	deadline := c.deadline()
-	if c.movedAt >= 0 {
-		deadline = min(deadline, c.movedAt+moveTimeout)
+	if c.addressChangedAt >= 0 {
+		deadline = min(deadline, c.addressChangedAt+addressChangeTimeout)
 	}
 	return deadline
 }
@@ -223,13 +224,13 @@
 	if c.silentSince >= 0 {
 		next = min(next, c.reconnectAt(c.silentSince, c.silentSince+silenceTimeout))
 	}
-	if c.movedAt >= 0 {
-		next = min(next, c.movedAt+c.spreadDelay(moveTimeout-answerTime))
+	if c.addressChangedAt >= 0 {
+		next = min(next, c.addressChangedAt+c.spreadDelay(addressChangeTimeout-answerTime))
 	}
 	return next, !c.paused
 }
 
-// nextCall is Ask without a watch that fell silent and without a change of the address.
+// nextCall is NextCall without a watch that became silent and without a change of the address.
 func (c *Clock) nextCall() time.Duration {
 	switch agent := c.settings.Mode == Pushed; {
 	case c.state == watching:
@@ -260,7 +261,7 @@
 	return min(latest, silent+c.spreadDelay(latest-silent))
 }
 
-// spreadDelay returns this dispatcher's delay in the spread of the fleet, up to limit.
+// spreadDelay returns the random delay within Settings.Spread, up to limit.
 func (c *Clock) spreadDelay(limit time.Duration) time.Duration {
 	if c.settings.Mode == Pushed {
 		return 0
--- a/internal/listclock/clock_test.go
+++ b/internal/listclock/clock_test.go
@@ -13,11 +13,11 @@
 )
 
 // testSettings returns the settings of a dispatcher in an installation of 300.
-func testSettings(way Mode) Settings {
-	return Settings{Mode: way, MaxAge: 10 * s, DrainGrace: 500 * ms, Spread: 6 * s}
+func testSettings(mode Mode) Settings {
+	return Settings{Mode: mode, MaxAge: 10 * s, DrainGrace: 500 * ms, Spread: 6 * s}
 }
 
-// Each row tests one rule of the operators' manual: the time by which a new call must be out, and the first and
+// Each row tests one rule of the operators' manual: the time by which a new call must have been made, and the first and
 // the last time at which one is made, depending on the dispatcher's share of the spread.
 func TestDeadlinesAndCallTimes(t *testing.T) {
 	const never = -1
@@ -38,11 +38,11 @@
 			func(c *Clock) { c.CallStarted(2*s, 0, c.share); c.CallStarted(2250*ms, 0, c.share) }, 2250 * ms, 2500 * ms, 2500 * ms},
 		{"pushed: changes count 4 s after SIGHUP changed the address", Pushed,
 			func(c *Clock) { c.CallStarted(2*s, 0, c.share); c.DataReceived(3 * s); c.AddressChanged(3500 * ms) }, 7500 * ms, 3500 * ms, 3500 * ms},
-		{"pushed: changes count 6 s after the watch fell silent", Pushed,
+		{"pushed: changes count 6 s after the watch became silent", Pushed,
 			func(c *Clock) { c.CallStarted(2*s, 0, c.share); c.DataReceived(3 * s); c.ListReceived(3 * s) }, 9 * s, 6 * s, 6 * s},
 		{"pushed: a watch that has sent no list counts as silent from the call", Pushed,
 			func(c *Clock) { c.CallStarted(2*s, 0, c.share); c.DataReceived(3 * s) }, 8 * s, 6 * s, 6 * s},
-		{"watched: a silent watch is reopened by 6 s after it fell silent", Watched,
+		{"watched: a silent watch is reopened by 6 s after it became silent", Watched,
 			func(c *Clock) { c.CallStarted(2*s, 0, c.share); c.DataReceived(3 * s); c.ListReceived(3 * s) }, 9 * s, 6 * s, 8 * s},
 		{"watched: nothing after the response header, 6 s after the call", Watched,
 			func(c *Clock) { c.CallStarted(2*s, 0, c.share); c.DataReceived(3 * s) }, 8 * s, 6 * s, 7 * s},
--- a/internal/listclock/simulation_test.go
+++ b/internal/listclock/simulation_test.go
@@ -10,19 +10,19 @@
 
 const tick = 10 * ms
 
-// spec is the rules of the operators' manual in their simplest form: what is open, since when it is really silent,
-// and the time by which another call must be out. It knows what no dispatcher can know.
+// spec is the rules of the operators' manual in their simplest form: what is open, since when the connection
+// is really silent, which no dispatcher can know, and the time by which another call must have been made.
 type spec struct {
 	Settings
-	open                    bool
-	silentSince             time.Duration // since when the open call or watch is silent; negative: it is not
-	calledAt, lastReceived  time.Duration // the last call, the last data on what it opened
-	knownUpTo               time.Duration // earlier changes were received on the last call or watch, or it was opened here
-	listStartedAt           time.Duration // since when a part of a list is there; negative: none
-	failed                  bool
-	movedAt, backAt, downAt time.Duration // negative: not
-	lastBackAt              time.Duration // when discovery last recovered
-	endedAt                 time.Duration
+	open                             bool
+	silentSince                      time.Duration // since when the open call or watch is silent; negative: it is not
+	calledAt, lastReceived           time.Duration // the last call, the last data on what it opened
+	knownUpTo                        time.Duration // earlier changes were received on the last call or watch, or it was opened here
+	listStartedAt                    time.Duration // since when a part of a list is there; negative: none
+	failed                           bool
+	addressChangedAt, backAt, downAt time.Duration // negative: the address has not changed, discovery has not recovered, is not down
+	lastBackAt                       time.Duration // when discovery last recovered
+	endedAt                          time.Duration
 }
 
 const forever = time.Duration(math.MaxInt64 / 2)
@@ -44,8 +44,8 @@
 	if p.open && p.Mode != Pushed {
 		deadline = min(deadline, p.knownUpTo+6*s)
 	}
-	if p.movedAt >= 0 {
-		deadline = min(deadline, p.movedAt+4*s)
+	if p.addressChangedAt >= 0 {
+		deadline = min(deadline, p.addressChangedAt+4*s)
 	}
 	if p.Mode == Pushed && p.downAt >= 0 {
 		return forever // the agent learns nothing
@@ -89,19 +89,19 @@
 
 func (sim *simulation) call() {
 	if late := sim.now - sim.spec.deadline(); late > tick {
-		sim.t.Fatalf("at %v a call %v after its deadline (%+v)", sim.now, late, sim.spec)
+		sim.t.Fatalf("at %v a call was made %v after its deadline (%+v)", sim.now, late, sim.spec)
 	}
 	slow := sim.now-sim.spec.knownUpTo >= 5*s // a list that is not completed, or took this long
-	if sim.spec.open && sim.spec.silentSince < 0 && sim.spec.movedAt < 0 && !slow {
-		sim.t.Fatalf("at %v a call although an open watch works (%+v)", sim.now, sim.spec)
+	if sim.spec.open && sim.spec.silentSince < 0 && sim.spec.addressChangedAt < 0 && !slow {
+		sim.t.Fatalf("at %v a call was made although an open watch works (%+v)", sim.now, sim.spec)
 	}
-	if sim.spec.open && sim.spec.movedAt < 0 && !slow && sim.spec.Mode != Pushed && sim.now-max(sim.spec.calledAt, sim.spec.lastReceived) < 3*s {
-		sim.t.Fatalf("at %v a call before silence was certain (%+v)", sim.now, sim.spec)
+	if sim.spec.open && sim.spec.addressChangedAt < 0 && !slow && sim.spec.Mode != Pushed && sim.now-max(sim.spec.calledAt, sim.spec.lastReceived) < 3*s {
+		sim.t.Fatalf("at %v a call was made before silence was certain (%+v)", sim.now, sim.spec)
 	}
 	sim.calls++
 	sim.noteEmptyCall()
 	sim.clock.CallStarted(sim.now, 0, float64(sim.draw(3, "share"))/3.001)
-	sim.spec.open, sim.spec.silentSince, sim.spec.calledAt, sim.spec.lastReceived, sim.spec.failed, sim.spec.movedAt = true, sim.now, sim.now, -1, false, -1
+	sim.spec.open, sim.spec.silentSince, sim.spec.calledAt, sim.spec.lastReceived, sim.spec.failed, sim.spec.addressChangedAt = true, sim.now, sim.now, -1, false, -1
 	sim.spec.knownUpTo, sim.spec.listStartedAt = sim.now, -1
 	if sim.spec.downAt < 0 && sim.spec.backAt >= 0 && sim.now > sim.spec.backAt+tick {
 		sim.spec.backAt = -1
@@ -213,7 +213,7 @@
 	if next, ok := sim.clock.NextCall(); ok && sim.now >= next {
 		sim.call()
 	} else if sim.now > p.deadline()+tick {
-		sim.t.Fatalf("at %v no call, but its deadline was %v (%+v)", sim.now, p.deadline(), sim.spec)
+		sim.t.Fatalf("at %v no call has been made, though its deadline was %v (%+v)", sim.now, p.deadline(), sim.spec)
 	}
 }
 
@@ -235,9 +235,9 @@
 	}
 }
 
-// Whatever falls silent, goes down, recovers or moves, and whenever: a call is out by the time at which the manual
-// lets a missed change count, none is made while an open watch works, each change is known 6 s after it could be,
-// and all are known in the end.
+// Checks for any sequence of silent connections, outages, recoveries and address changes that a call is made by the
+// time at which a missed change counts as received by the manual, that none is made while an open watch works, that
+// each change is known at most 6 s after it could have been received, and that all are known in the end.
 func TestSilenceOutagesAndAddressChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(limit int, label string) int { return rapid.IntRange(0, limit).Draw(t, label) }
@@ -245,7 +245,7 @@
 			Mode: Mode(draw(2, "way")), MaxAge: time.Duration(4000+draw(8000, "within")) * ms, DrainGrace: time.Duration(250+draw(1250, "grace")) * ms,
 			Spread: time.Duration(draw(2, "spread")) * 3 * s,
 		}
-		sim := &simulation{t: t, draw: draw, clock: New(settings, 0), spec: spec{Settings: settings, silentSince: -1, movedAt: -1, backAt: -1, downAt: -1, lastReceived: -1, listStartedAt: -1}}
+		sim := &simulation{t: t, draw: draw, clock: New(settings, 0), spec: spec{Settings: settings, silentSince: -1, addressChangedAt: -1, backAt: -1, downAt: -1, lastReceived: -1, listStartedAt: -1}}
 		if settings.Mode != Pushed {
 			sim.call() // the clock alone decides on the first call to an agent
 		}
@@ -277,7 +277,7 @@
 				}
 			case 5: // the address changes
 				sim.clock.AddressChanged(sim.now)
-				p.movedAt = sim.now
+				p.addressChangedAt = sim.now
 			case 7: // a watch falls silent and sends again; what it missed is unknown
 				if p.open && p.lastReceived >= 0 {
 					if p.silentSince < 0 {
@@ -292,7 +292,7 @@
 						}
 					}
 				}
-			case 6: // the code that assigns turns makes a call
+			case 6: // the caller makes a call before NextCall asks for it
 				if !p.open {
 					sim.call()
 				}
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -50,7 +50,7 @@
 	rng         *rand.Rand
 }
 
-// Member is one server of a pool.
+// Member is one member of a pool: a server and its settings.
 type Member struct {
 	Address     string
 	Weight      int
@@ -251,7 +251,7 @@
 	return p.pickRoundRobin(now, criteria, false, nil)
 }
 
-// memberAtWeight returns the member at an offset in the sum of all weights.
+// memberAtWeight returns the member at an offset in the sum of the weights of the members that are not backups.
 func (p *Pool) memberAtWeight(offset int) *Member {
 	for _, m := range p.members {
 		if !m.Backup {
@@ -263,7 +263,7 @@
 	return p.members[len(p.members)-1]
 }
 
-// pickHash is hash without consistent: CRC-32 of the key, modulo the total weight. Most keys move when a server is
+// pickHash is hash without consistent: CRC-32 of the key, modulo the total weight. Most keys move when a member is
 // removed.
 func (p *Pool) pickHash(now time.Duration, criteria Criteria) *Member {
 	hash := uint32(0)
@@ -311,7 +311,8 @@
 	p.points = slices.CompactFunc(p.points, func(a, b point) bool { return a.hash == b.hash })
 }
 
-// pickConsistent selects the first eligible member on the ring, starting at the key's hash.
+// pickConsistent selects the first eligible member among the maxPicks points of the ring that start at the key's hash; if
+// none is eligible, it falls back to round robin.
 func (p *Pool) pickConsistent(now time.Duration, criteria Criteria) *Member {
 	hash := crc32.ChecksumIEEE([]byte(criteria.Key))
 	start, _ := slices.BinarySearchFunc(p.points, hash, func(x point, h uint32) int {
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -47,7 +47,7 @@
 }
 
 // Shares follow the weights to within 2% over 10,000 requests, with weights of an uneven sum; max_conns is kept,
-// and backups get nothing while a primary is eligible.
+// and backups get nothing while a member that is no backup is eligible.
 func TestWeightSharesAndBackups(t *testing.T) {
 	backup := member(9, 100)
 	backup.Backup = true
@@ -80,7 +80,7 @@
 	require.Equal(t, 2, n, "max_conns exceeded")
 }
 
-// A primary that fails max_fails times within fail_timeout gets no requests until fail_timeout has passed; while
+// A member that is no backup and fails max_fails times within fail_timeout gets no requests until fail_timeout has passed; while
 // all are excluded the backup serves; a successful trial brings one back.
 func TestFailuresAndRecovery(t *testing.T) {
 	lenient, backup := member(1, 5), member(9, 1)
--- a/internal/rerun/workersim/cluster.go
+++ b/internal/rerun/workersim/cluster.go
@@ -175,7 +175,7 @@
 			return err
 		}
 		if !discovery.Match(file) {
-			return errors.New("plant: the daemon's settings file has no discovery setting")
+			return errors.New("workersim: the daemon's settings file has no discovery setting")
 		}
 		file = discovery.ReplaceAll(file, fmt.Appendf(nil, "discovery = %q", addr))
 		file = fmt.Appendf(file, "\n[pipelines]\nfile = %q\n", policy)
--- a/internal/routes/decide.go
+++ b/internal/routes/decide.go
@@ -12,7 +12,7 @@
 func (t *Table) Decide(request Request) Decision {
 	e := &evaluation{table: t, request: request}
 	d := e.decide()
-	d.Trace = e.why
+	d.Trace = e.traceLines
 	return d
 }
 
@@ -144,8 +144,8 @@
 	return found, prefixMatch
 }
 
-// slashLocation returns the location with a pass whose pattern is the path plus a slash; nil if there is none, or
-// another location has the path itself.
+// slashLocation returns the location whose pattern is the path plus a slash, the exact one if there are two; nil if
+// none of them has a pass, or a prefix location has the path itself.
 func (l *level) slashLocation(path string) *location {
 	if l.prefixes.get(path) != nil {
 		return nil
@@ -165,11 +165,11 @@
 	d.Location = loc.String()
 	e.trace("location %s %s", loc, loc.Source)
 	e.uriChangedHere = false
-	broke, done := e.runSteps(loc.steps, d)
+	stopped, done := e.runSteps(loc.steps, d)
 	if done {
 		return false, true
 	}
-	if e.uriChangedHere && !broke {
+	if e.uriChangedHere && !stopped {
 		e.trace("the URI is now %s: selecting a location again", e.path)
 		return true, false
 	}
@@ -233,9 +233,9 @@
 	e.trace("passing to pool %s with the URI %s", d.Pool, d.URI)
 }
 
-// runSteps carries out rewrite directives in order. broke: no other location is to be selected; done: the request
+// runSteps carries out rewrite directives in order. stopped: no other location is to be selected; done: the request
 // is answered.
-func (e *evaluation) runSteps(steps []step, d *Decision) (broke, done bool) {
+func (e *evaluation) runSteps(steps []step, d *Decision) (stopped, done bool) {
 	for i := range steps {
 		step := &steps[i]
 		switch step.action {
@@ -257,8 +257,8 @@
 		case "if":
 			if e.conditionHolds(step) {
 				e.trace("the if condition on %s is true", step.args[0].eval(e))
-				if broke, done := e.runSteps(step.body, d); broke || done {
-					return broke, done
+				if stopped, done := e.runSteps(step.body, d); stopped || done {
+					return stopped, done
 				}
 			}
 		case "rewrite":
--- a/internal/routes/model.go
+++ b/internal/routes/model.go
@@ -58,7 +58,7 @@
 
 // Step is a directive of the rewrite module; they are carried out in order.
 type Step struct {
-	Action string   `toml:"do"` // "rewrite", "return", "set", "if", "break", "named"
+	Action string   `toml:"do"` // "rewrite", "return", "set", "if", "break", "named" (continue in a named location)
 	Args   []string `toml:"args,omitempty"`
 	Steps  []Step   `toml:"step,omitempty"` // the body of an if
 }
@@ -93,7 +93,7 @@
 	Hostnames bool        `toml:"hostnames,omitempty"`
 }
 
-// Zone is a shared counter for limits, per key: a text with variables. Requests with an empty key are not counted.
+// Zone counts requests per key, for limits; Key is a text with variables. Requests with an empty key are not counted.
 type Zone struct {
 	Name    string  `toml:"name"`
 	Key     string  `toml:"key"`
--- a/internal/routes/vars.go
+++ b/internal/routes/vars.go
@@ -25,12 +25,12 @@
 	namedCaptures    map[string]string
 	variables        map[string]string
 	variableDepth    int // of variables that refer to variables
-	why              []string
+	traceLines       []string
 }
 
 // trace adds a line to the explanation of the decision.
 func (e *evaluation) trace(format string, args ...any) {
-	e.why = append(e.why, fmt.Sprintf(format, args...))
+	e.traceLines = append(e.traceLines, fmt.Sprintf(format, args...))
 }
 
 // template is a text with variables.
@@ -346,7 +346,8 @@
 	}
 }
 
-// compileRegex compiles a pattern in the syntax that PCRE and RE2 share. The importer recognizes the error by the
+// compileRegex compiles a pattern in the syntax that PCRE and RE2 share. The importer recognizes the error, which is
+// returned for any invalid pattern, by the
 // words "only PCRE".
 func compileRegex(pattern string, fold bool) (*regexp.Regexp, error) {
 	p := pattern
@@ -355,7 +356,7 @@
 	}
 	re, err := regexp.Compile(p)
 	if err != nil {
-		return nil, fmt.Errorf("regular expression %q uses a feature that only PCRE has: %w", pattern, err)
+		return nil, fmt.Errorf("regular expression %q is not valid in RE2 syntax, or uses a feature that only PCRE has: %w", pattern, err)
 	}
 	return re, nil
 }
--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -15,9 +15,9 @@
 	"time"
 )
 
-// record is the environment variable that has Check write the recordings instead of comparing with them. The tests
+// recordEnv is the environment variable that has Check write the recordings instead of comparing with them. The tests
 // then fail, so that a run that records is not taken for a pass.
-const record = "WIRETEST_RECORD"
+const recordEnv = "WIRETEST_RECORD"
 
 var (
 	timeType = reflect.TypeFor[time.Time]()
@@ -33,7 +33,7 @@
 		typ := reflect.TypeOf(sample).Elem()
 		t.Run(typ.Name(), func(t *testing.T) {
 			for _, field := range untagged(typ) {
-				if os.Getenv(record) == "" {
+				if os.Getenv(recordEnv) == "" {
 					t.Errorf("%s: no json tag with a name", field)
 				}
 			}
@@ -43,7 +43,7 @@
 			got := append(encode(t, filled.Interface()), encode(t, reflect.New(typ).Interface())...)
 
 			path := filepath.Join("testdata", "encoded", typ.Name()+".json")
-			if os.Getenv(record) != "" {
+			if os.Getenv(recordEnv) != "" {
 				if err := write(path, got); err != nil {
 					t.Fatal(err)
 				}
@@ -134,10 +134,10 @@
 	return fields
 }
 
-// filler gives each value that it fills another number.
+// filler gives each value that it fills a different number.
 type filler struct {
 	n    int
-	open []reflect.Type // the structs that are being filled: one within itself stays empty
+	open []reflect.Type // the structs that are being filled: a struct nested in itself is left empty
 }
 
 func (f *filler) fill(t *testing.T, v reflect.Value, path string) {
