--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -16,7 +16,7 @@
 	Received, Cancelled, Sent, Probes, UnmatchedCallbacks atomic.Int64
 	ConfigLoads, ConfigLoadErrors                         atomic.Int64 // configuration files accepted and rejected
 	written                                               atomic.Int64 // attempts sent completely
-	listed, skipped                                       atomic.Int64 // instances, as the decision module counts them
+	listed, avoided                                       atomic.Int64 // instances, as the decision module counts them
 	pending                                               atomic.Int64 // commands received and not yet answered
 	answers                                               [numVerdicts]atomic.Int64
 	outcomes                                              [decide.NotSent + 1]atomic.Int64
@@ -114,7 +114,7 @@
 	add("upstream_tries", b.written.Load())
 	add("in_progress", b.pending.Load())
 	add("known_encoders", b.listed.Load())
-	add("skipped_encoders", b.skipped.Load())
+	add("skipped_encoders", b.avoided.Load())
 	add("loads", b.ConfigLoads.Load())
 	add("load_errors", b.ConfigLoadErrors.Load())
 	for e, name := range connEndNames {
@@ -183,7 +183,7 @@
 func (l *Loop) sampleFleet() {
 	listed, avoided := l.mod.WorkerCounts()
 	l.Counters.listed.Store(int64(listed))
-	l.Counters.skipped.Store(int64(avoided))
+	l.Counters.avoided.Store(int64(avoided))
 	l.timers.At(time.Now().Add(fleetSampleInterval), l.sampleFleet)
 }
 
--- a/internal/dispatch/disconnect_test.go
+++ b/internal/dispatch/disconnect_test.go
@@ -25,8 +25,8 @@
 }
 
 // Checks that a loop that is behind starts no attempts for clients that have disconnected: a disconnect counts
-// before the loop processes its message, for an attempt that waits for a connection or at its gate, for a further attempt, and
-// for a command that the loop has not processed yet.
+// before the loop processes its message, for an attempt that waits for a connection or at its gate, for a further
+// attempt, and for a command that the loop has not processed yet.
 func TestDisconnectCountsBeforeLoopProcessesIt(t *testing.T) {
 	t.Run("during an attempt", func(t *testing.T) {
 		l, f, c := loopWithCommand(t)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
 // Package dispatch runs commands through the stages submission, admission, decision, sending, relaying and
-// counting, each in its own file. It does not implement any protocol: fronts submit commands and receive answers, a [Fleet]
-// reaches the instances, and a [Discovery] lists them.
+// counting, each in its own file. It does not implement any protocol: fronts submit commands and receive answers,
+// a [Fleet] reaches the instances, and a [Discovery] lists them.
 //
 // One goroutine, [Loop.Run], owns the decision module and all state. Everything else reaches it as a message,
 // and it never waits for the network.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -134,7 +134,7 @@
 
 // Checks that an attempt that still waits for its connection expires when its client disconnects or its command is
 // answered, even where cancellation is disabled.
-func TestNothingIsSentForDisconnectedClient(t *testing.T) {
+func TestAttemptExpiresWithItsCommand(t *testing.T) {
 	for name, finish := range map[string]func(*Loop, *Attempt){
 		"disconnected": func(l *Loop, a *Attempt) { l.ClientGone(a.Command) },
 		"answered":     func(l *Loop, a *Attempt) { l.failRequest(decide.FailRequest{Request: a.request}) },
@@ -240,7 +240,7 @@
 		require.EqualValues(t, 1, l.Pending())
 		l.Submit(&Command{ID: "c1", Class: "safe", Client: c})
 		l.runBatch()
-		require.Equal(t, []Answer{{Verdict: Unusable}}, c.answers, "the ID is already pending")
+		require.Equal(t, []Answer{{Verdict: Unusable}}, c.answers, "a command with the same ID is already pending")
 		for range 2 {
 			then(l)
 			l.runBatch()
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -112,9 +112,9 @@
 	a.gateReportDue = false
 }
 
-// neverSent reports whether nothing of a command with a gate can have run: all of its attempts wait there, or
+// cannotHaveRun reports whether nothing of a command with a gate can have run: all of its attempts wait there, or
 // have ended without having run.
-func (p *pendingCommand) neverSent() bool {
+func (p *pendingCommand) cannotHaveRun() bool {
 	return p.Gate != nil && !slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return a.ended && !a.neverRan || !a.ended && a.gateState != gateWaiting })
 }
 
--- a/internal/dispatch/gate_test.go
+++ b/internal/dispatch/gate_test.go
@@ -105,9 +105,9 @@
 	require.Zero(t, l.Pending())
 }
 
-// Guards against a handover cutting off a command with reserved slots, such as a member of a gang: the newer process waited
-// for a client connection, which such a command does not have, and cancelled it when the older process exited. Its instance's callbacks go to the
-// handlers of unmatched callbacks.
+// Guards against a handover cutting off a command with reserved slots, such as a member of a gang: the newer
+// process waited for a client connection, which such a command does not have, and cancelled it when the older process
+// exited. Its instance's callbacks go to the handlers of unmatched callbacks.
 func TestReservedCommandsAreNotHandedOver(t *testing.T) {
 	f, c := &fleet{}, &client{}
 	l := newTestLoop(t, f)
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -136,13 +136,13 @@
 		for i, name := range state.Names.Classes {
 			classNumbers[i] = slices.Index(l.allNames.Classes, name)
 		}
-		l.queueEvent(decide.WarmStart{Snapshot: l.translateMemory(state, classNumbers)})
+		l.queueEvent(decide.WarmStart{Snapshot: l.translateSnapshot(state, classNumbers)})
 	})
 }
 
-// translateMemory converts the snapshot of another process's decision module, without its requests, to the numbers in use here. classNumbers has
-// this loop's number for each of its classes, or -1.
-func (l *Loop) translateMemory(state HandoverState, classNumbers []int) decide.Snapshot {
+// translateSnapshot converts the snapshot of another process's decision module, without its requests, to the
+// numbers in use here. classNumbers has this loop's number for each of its classes, or -1.
+func (l *Loop) translateSnapshot(state HandoverState, classNumbers []int) decide.Snapshot {
 	m := state.Module
 	for i := range m.Workers {
 		m.Workers[i].Worker = l.translateWorker(m.Workers[i].Worker, state)
@@ -174,7 +174,7 @@
 	}
 	l.post(func(l *Loop) {
 		classNumbers := l.mergeClasses(state)
-		m := l.translateMemory(state, classNumbers)
+		m := l.translateSnapshot(state, classNumbers)
 		for _, c := range state.Commands {
 			if l.byID[c.ID] != nil { // also received here while both processes were serving
 				c.Client.Answer(Answer{Verdict: Failed})
--- a/internal/dispatch/input.go
+++ b/internal/dispatch/input.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// Cordon reports that an operator leaves an instance out, or puts it back.
+// Cordon reports that an operator cordons or uncordons an instance.
 func (l *Loop) Cordon(id string, out bool) {
 	l.post(func(l *Loop) { l.queueEvent(decide.Cordon{Worker: l.workerID(id), Out: out}) })
 }
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -224,7 +224,7 @@
 		return
 	}
 	v := Failed
-	if p.neverSent() { // the decision module does not track gates
+	if p.cannotHaveRun() { // the decision module does not track gates
 		v = Refused
 		for _, a := range p.attempts {
 			if !a.ended {
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -231,7 +231,7 @@
 // Checks that settings with more tenants than the limit on numbered names, which are accepted at the start, can also
 // be reloaded, for example with another discovery address only. Only names that are no longer in the settings
 // count against the limit.
-func TestManyTenantsCanBeReloaded(t *testing.T) {
+func TestSettingsWithManyTenantsCanBeReloaded(t *testing.T) {
 	f := &fleet{}
 	l := newTestLoop(t, f)
 	reload := func(prefix string, n int) error {
@@ -250,9 +250,9 @@
 	require.Len(t, l.allNames.Tenants, 3*maxRetiredNames)
 }
 
-// A pending command keeps its class when it is handed over to a process whose settings define that name
-// differently: a command that must not run twice under the older definition was sent again under the newer one,
-// though it might have run.
+// Checks that a pending command keeps its class when it is handed over to a process whose settings define that name
+// differently. Otherwise a command that must not run twice under the older definition could be sent again under the
+// newer one, though it may have run.
 func TestCommandKeepsClassAcrossHandover(t *testing.T) {
 	older, f, _ := loopWithCommand(t)
 	strict := older.settings
@@ -283,7 +283,7 @@
 	l.runBatch()
 	l.AttemptEnded(l.byRequest[l.lastID].attempts[0], decide.Reset, 0)
 	l.runBatch()
-	require.Empty(t, own.answers, "later commands must use the own settings")
+	require.Empty(t, own.answers, "later commands must use this process's settings")
 	require.Contains(t, l.Counters.OperatorCounters(), "proxy.bad_gateway.safe=1\n")
 	require.NotContains(t, l.Counters.OperatorCounters(), "former")
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -72,7 +72,7 @@
 
 // Stats counts a granter's operations. Invalid counts requests for an unknown encoder, an unknown process of one, or an
 // invalid amount of work.
-type Stats struct{ Asked, Granted, Denied, Spent, Returned, Expired, Stale uint64 }
+type Stats struct{ Asked, Granted, Denied, Spent, Returned, Expired, Invalid uint64 }
 
 type account struct {
 	Encoder
@@ -190,7 +190,7 @@
 	}
 	switch {
 	case a == nil || a.Process != w.Process && !a.AnyProcess || !(w.Work >= 0) || math.IsInf(w.Work, 1):
-		b.Stats.Stale++
+		b.Stats.Invalid++
 		return deny(b.terms.Life)
 	case b.now < b.grantsFrom:
 		return deny(b.grantsFrom - b.now)
--- a/internal/routes/decide.go
+++ b/internal/routes/decide.go
@@ -41,7 +41,7 @@
 	e.trace("server %q %s", e.server.name(), e.server.Source)
 	d := Decision{Server: e.server.name()}
 	var err error
-	if e.path, e.args, err = Normalise(e.request.Target, !e.server.KeepSlashes); err != nil {
+	if e.path, e.args, err = Normalize(e.request.Target, !e.server.KeepSlashes); err != nil {
 		e.trace("malformed URI")
 		d.Status = 400
 		return d
--- a/internal/routes/uri.go
+++ b/internal/routes/uri.go
@@ -8,9 +8,9 @@
 // ErrBadURI is returned for a malformed request target.
 var ErrBadURI = errors.New("routes: malformed URI")
 
-// Normalise decodes the path of a target, resolves ".", ".." and, if merge is set, multiple slashes, and splits
+// Normalize decodes the path of a target, resolves ".", ".." and, if merge is set, multiple slashes, and splits
 // off the arguments. The path begins with a slash.
-func Normalise(target string, merge bool) (path, args string, err error) {
+func Normalize(target string, merge bool) (path, args string, err error) {
 	if rest, ok := cutSchemeAndHost(target); ok {
 		target = rest
 	}
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -15,8 +15,8 @@
 	pos int // index in the heap plus 1; 0: stopped
 }
 
-// Set reports whether the timer is in a queue.
-func (t *Timer) Set() bool { return t.pos > 0 }
+// IsSet reports whether the timer is in a queue.
+func (t *Timer) IsSet() bool { return t.pos > 0 }
 
 // Queue holds timers by due time. The zero value is empty. Adding and stopping take O(log n).
 type Queue struct{ heap []*Timer }
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -57,8 +57,8 @@
 					t.Fatalf("%d timers in the queue, want %d", q.Len(), len(due))
 				}
 				for i := range timers {
-					if _, set := due[i]; set != timers[i].Set() {
-						t.Fatalf("timer %d: Set() = %v", i, timers[i].Set())
+					if _, set := due[i]; set != timers[i].IsSet() {
+						t.Fatalf("timer %d: IsSet() = %v", i, timers[i].IsSet())
 					}
 				}
 			},
