--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -63,7 +63,7 @@
 type HandoverCommand struct {
 	Command
 	Payload  json.RawMessage        `json:"Payload"`
-	Memory   decide.RequestSnapshot `json:"Memory"` // the decision module's state of the command; not contained in HandoverState.Module
+	Snapshot decide.RequestSnapshot `json:"Memory"` // the decision module's state of the command; not contained in HandoverState.Module. Its key hides Command.Memory, which is not encoded
 	Attempts []HandoverAttempt      `json:"Attempts"`
 }
 
@@ -113,7 +113,7 @@
 
 func (p *pendingCommand) export(r decide.RequestSnapshot) *HandoverCommand {
 	payload, _ := json.Marshal(p.Payload) // plain data: encoding cannot fail
-	c := &HandoverCommand{Command: p.encodableCopy(), Payload: payload, Memory: r}
+	c := &HandoverCommand{Command: p.encodableCopy(), Payload: payload, Snapshot: r}
 	for _, a := range p.attempts {
 		c.Attempts = append(c.Attempts, HandoverAttempt{a.Instance, a.Deadline, a.ended, a.accepted, a.cancelUnconfirmed.Load()})
 	}
@@ -181,7 +181,7 @@
 				l.takenOver.CompareAndDelete(c.ID, &c.Command)
 				continue
 			}
-			r := c.Memory
+			r := c.Snapshot
 			r.ID, r.Class = l.newRequestID(), classNumbers[r.Class]
 			for i := range r.Attempts {
 				r.Attempts[i].Worker = l.translateWorker(r.Attempts[i].Worker, state)
