--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -74,13 +74,13 @@
 	return 0, true
 }
 
-// Conns is a zone that limits concurrent requests.
+// Conns limits concurrent requests per key; nginx calls it a zone.
 type Conns struct {
 	maxKeys int
 	count   map[string]int
 }
 
-// NewConns returns a zone for at most this number of keys at one time.
+// NewConns returns a limiter for at most this number of keys at one time.
 func NewConns(maxKeys int) (*Conns, error) {
 	if maxKeys < 1 || maxKeys > keyLimit {
 		return nil, fmt.Errorf("limits: invalid connection zone: %d keys", maxKeys)
--- a/internal/listclock/clock.go
+++ b/internal/listclock/clock.go
@@ -20,8 +20,8 @@
 // given more time than another.
 //
 // [Clock.NextCall] returns when to make the next call: early enough for the answer to arrive before the deadline, not
-// before silence is certain, and between these after a random share of Settings.Spread, since one service
-// answers all dispatchers.
+// before silence is certain, and between these after a random share of Settings.Spread, since one service answers
+// all dispatchers.
 package listclock
 
 import "time"
@@ -57,8 +57,8 @@
 	Spread     time.Duration // over which all dispatchers spread the calls with one cause; not used for calls to an agent
 }
 
-// Clock must not be used by several goroutines at once. Times are since the process started; one
-// that is earlier than the latest one seen counts as that.
+// Clock must not be used by several goroutines at once. Times are since the process started; one that is earlier
+// than the latest one seen counts as that.
 type Clock struct {
 	settings Settings
 	state    connState
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -311,8 +311,8 @@
 	p.points = slices.CompactFunc(p.points, func(a, b point) bool { return a.hash == b.hash })
 }
 
-// pickConsistent selects the first eligible member among the maxPicks points of the ring that start at the key's hash; if
-// none is eligible, it falls back to round robin.
+// pickConsistent selects the first eligible member among the maxPicks points of the ring that start at the
+// key's hash; if none is eligible, it falls back to round robin.
 func (p *Pool) pickConsistent(now time.Duration, criteria Criteria) *Member {
 	hash := crc32.ChecksumIEEE([]byte(criteria.Key))
 	start, _ := slices.BinarySearchFunc(p.points, hash, func(x point, h uint32) int {
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -80,8 +80,8 @@
 	require.Equal(t, 2, n, "max_conns exceeded")
 }
 
-// A member that is no backup and fails max_fails times within fail_timeout gets no requests until fail_timeout has passed; while
-// all are excluded the backup serves; a successful trial brings one back.
+// A member that is no backup and fails max_fails times within fail_timeout gets no requests until fail_timeout has
+// passed; while all such members are excluded the backup serves; a successful trial readmits one.
 func TestFailuresAndRecovery(t *testing.T) {
 	lenient, backup := member(1, 5), member(9, 1)
 	maxFails := 2
@@ -199,7 +199,7 @@
 }
 
 // Invalid pools are rejected, and durations are parsed as nginx does.
-func TestInvalidPools(t *testing.T) {
+func TestInvalidPoolsAndDurations(t *testing.T) {
 	for want, p := range map[string]routes.Pool{
 		"unknown method \"best\"": {Method: "best", Members: []routes.Member{member(1, 1)}},
 		"0 members, must be":      {},
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -352,11 +352,11 @@
 			texts = s.Args[1:]
 			if compiled.code, err = strconv.Atoi(s.Args[0]); err != nil {
 				if len(s.Args) > 1 {
-					return nil, fmt.Errorf("return: %q is not a status code", s.Args[0])
+					return nil, fmt.Errorf("return: %q is no code", s.Args[0])
 				}
 				compiled.code, texts, err = 302, s.Args, nil
 			} else if compiled.code < 0 || compiled.code > 999 {
-				return nil, fmt.Errorf("return: %d is not a status code", compiled.code)
+				return nil, fmt.Errorf("return: %d is no code", compiled.code)
 			}
 		case "set":
 			if len(s.Args) != 2 || !strings.HasPrefix(s.Args[0], "$") || !isName(s.Args[0][1:]) {
