--- a/cmd/winglb-full/main.go
+++ b/cmd/winglb-full/main.go
@@ -25,12 +25,12 @@
 type commands struct {
 	Serve   serve      `name:"serve" cmd:"" help:"Run a dispatcher: by a TOML file, or by the PROXY_* variables as the platform starts it."`
 	Check   check      `name:"check" cmd:"" help:"Read a TOML file and say what is wrong with it, one line a fault."`
-	Demo    runDemo    `name:"demo" cmd:"" help:"Run stand-in encoders, discovery, a daemon and a small load on this machine, and sum up."`
-	Import  importers  `name:"import" cmd:"" help:"Take over another program's configuration."`
-	Members askMembers `name:"members" cmd:"" help:"Ask dispatchers who lives, and who watches the list service."`
-	Lists   askLists   `name:"lists" cmd:"" help:"Ask dispatchers which list each has, from whom and how old it is."`
-	Routes  routing    `name:"routes" cmd:"" help:"Look at routes."`
-	Prove   proof      `name:"prove" cmd:"" help:"Run one of the measurements behind make prove-NAME."`
+	Demo    demoCommand    `name:"demo" cmd:"" help:"Run stand-in encoders, discovery, a daemon and a small load on this machine, and sum up."`
+	Import  importCommand  `name:"import" cmd:"" help:"Take over another program's configuration."`
+	Members membersCommand `name:"members" cmd:"" help:"Ask dispatchers who lives, and who watches the list service."`
+	Lists   listsCommand   `name:"lists" cmd:"" help:"Ask dispatchers which list each has, from whom and how old it is."`
+	Routes  routesCommand    `name:"routes" cmd:"" help:"Look at routes."`
+	Prove   proveCommand      `name:"prove" cmd:"" help:"Run one of the measurements behind make prove-NAME."`
 	Version version    `name:"version" cmd:"" help:"Print the version."`
 	Rig     rigRole    `name:"rig" cmd:"" hidden:""`
 }
@@ -70,19 +70,19 @@
 	return nil
 }
 
-type runDemo struct {
+type demoCommand struct {
 	Seconds  int  `name:"seconds" default:"10" help:"How long the load lasts, 4 to 120."`
 	Encoders int  `name:"encoders" default:"8" help:"How many stand-in encoders there are, 3 to 64."`
 	Portals  int  `name:"portals" default:"4" help:"How many portal processes call through the plug-in, 0 to 40."`
 	JSON     bool `name:"json" help:"Print the summary as one JSON object."`
 }
 
-func (d *runDemo) Run() error {
-	return demo.Run(demo.Options{Seconds: d.Seconds, Encoders: d.Encoders, Portals: d.Portals, JSON: d.JSON, Command: child})
+func (d *demoCommand) Run() error {
+	return demo.Run(demo.Options{Seconds: d.Seconds, Encoders: d.Encoders, Portals: d.Portals, JSON: d.JSON, Command: rigCommand})
 }
 
-// child starts one of a rig's programs.
-func child(role, file string) *exec.Cmd {
+// rigCommand starts one of a rig's programs.
+func rigCommand(role, file string) *exec.Cmd {
 	self, err := os.Executable()
 	if err != nil {
 		self = os.Args[0]
@@ -108,7 +108,7 @@
 	return fmt.Errorf("no role %q", r.Role)
 }
 
-type proof struct {
+type proveCommand struct {
 	Name string `name:"name" arg:"" enum:"plugin,memory,import,coldstart,deployments,promise,rerun,gang" help:"Which: plugin, memory, import, coldstart, deployments, promise, rerun or gang."`
 
 	Seed  uint64 `name:"seed" default:"1" help:"Of deployments: the seed of the drawing."`
@@ -122,8 +122,8 @@
 	Busy   int `name:"busy" default:"0" help:"Of rerun: processes beside them that keep a processor busy each."`
 }
 
-func (p *proof) Run() error {
-	o := prove.Options{Command: child, Progress: os.Stderr}
+func (p *proveCommand) Run() error {
+	o := prove.Options{Command: rigCommand, Progress: os.Stderr}
 	switch p.Name {
 	case "memory":
 		return prove.Memory(o)
@@ -166,7 +166,7 @@
 		return
 	}
 	switch e := err.(type) {
-	case exit:
+	case exitError:
 		fmt.Fprintln(os.Stderr, "winglb:", e)
 		os.Exit(e.code)
 	case *siteconf.Error, *nginx.Error: // a compiler's form, for editors
--- a/cmd/winglb-full/members.go
+++ b/cmd/winglb-full/members.go
@@ -21,23 +21,23 @@
 }
 
 const (
-	answerWithin = 2 * time.Second
-	asksAtOnce   = 32
-	mostAnswer   = 4 << 20
+	queryTimeout = 2 * time.Second
+	maxConcurrentQueries   = 32
+	maxAnswerBytes   = 4 << 20
 )
 
-// view asks one dispatcher.
-func view(address string) (v members.View, err error) {
-	c, err := net.DialTimeout("tcp", address, answerWithin)
+// queryMembers asks one dispatcher.
+func queryMembers(address string) (v members.View, err error) {
+	c, err := net.DialTimeout("tcp", address, queryTimeout)
 	if err != nil {
 		return v, err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(answerWithin))
+	c.SetDeadline(time.Now().Add(queryTimeout))
 	if _, err := fmt.Fprintln(c, "members"); err != nil {
 		return v, err
 	}
-	text, err := io.ReadAll(io.LimitReader(c, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(c, maxAnswerBytes))
 	if err != nil {
 		return v, err
 	}
@@ -47,13 +47,13 @@
 	return v, json.Unmarshal([]byte(strings.TrimSuffix(string(text), "END\n")), &v)
 }
 
-// views asks all, and has f print those that answered in the order of the addresses.
-func (a *asked) views(heading string, f func(io.Writer, members.View)) error {
+// queryAll asks all, and has f print those that answered in the order of the addresses.
+func (a *asked) queryAll(heading string, f func(io.Writer, members.View)) error {
 	all, faults := make([]members.View, len(a.At)), make([]error, len(a.At))
 	var wg sync.WaitGroup
-	for from := 0; from < len(a.At); from += asksAtOnce {
-		for i := from; i < min(from+asksAtOnce, len(a.At)); i++ {
-			wg.Go(func() { all[i], faults[i] = view(a.At[i]) })
+	for from := 0; from < len(a.At); from += maxConcurrentQueries {
+		for i := from; i < min(from+maxConcurrentQueries, len(a.At)); i++ {
+			wg.Go(func() { all[i], faults[i] = queryMembers(a.At[i]) })
 		}
 		wg.Wait()
 	}
@@ -84,10 +84,10 @@
 	return nil
 }
 
-type askMembers struct{ asked }
+type membersCommand struct{ asked }
 
-func (a *askMembers) Run() error {
-	return a.views("DISPATCHER\tSEES\tZONE\tLIST SERVICE\tSETTINGS", func(out io.Writer, v members.View) {
+func (a *membersCommand) Run() error {
+	return a.queryAll("DISPATCHER\tSEES\tZONE\tLIST SERVICE\tSETTINGS", func(out io.Writer, v members.View) {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t\n", v.Name, v.Name, v.Zone, v.Watch)
 		for _, p := range v.Peers {
 			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\n", v.Name, p.Name, p.Zone, p.Watch, p.Settings)
@@ -95,10 +95,10 @@
 	})
 }
 
-type askLists struct{ asked }
+type listsCommand struct{ asked }
 
-func (a *askLists) Run() error {
-	return a.views("DISPATCHER\tZONE\tLIST SERVICE\tREVISION\tOF\tAGE\tENCODERS\tTELLS\tNOT LISTENED TO", func(out io.Writer, v members.View) {
+func (a *listsCommand) Run() error {
+	return a.queryAll("DISPATCHER\tZONE\tLIST SERVICE\tREVISION\tOF\tAGE\tENCODERS\tTELLS\tNOT LISTENED TO", func(out io.Writer, v members.View) {
 		age := "no list"
 		if v.Age >= 0 {
 			age = v.Age.Round(time.Millisecond).String()
--- a/cmd/winglb-full/routes.go
+++ b/cmd/winglb-full/routes.go
@@ -14,7 +14,7 @@
 	"caperrelay/internal/routes"
 )
 
-type importers struct {
+type importCommand struct {
 	Nginx importNginx `name:"nginx" cmd:"" help:"Make routes and pools of an nginx file, and say of each directive what became of it."`
 }
 
@@ -25,8 +25,8 @@
 	Strict bool   `name:"strict" help:"End with 2 where something was approximated or not carried."`
 }
 
-// exit is an error that ends the program with a code of its own.
-type exit struct {
+// exitError is an error that ends the program with a code of its own.
+type exitError struct {
 	code int
 	error
 }
@@ -71,12 +71,12 @@
 		fmt.Printf("%d directives: %d carried, %d approximated, %d not carried; %d servers, %d pools\n", len(report.Lines), carried, near, not, len(config.Servers), len(config.Pools))
 	}
 	if c.Strict && near+not > 0 {
-		return exit{2, fmt.Errorf("%d directives are approximated and %d not carried", near, not)}
+		return exitError{2, fmt.Errorf("%d directives are approximated and %d not carried", near, not)}
 	}
 	return nil
 }
 
-type routing struct {
+type routesCommand struct {
 	Explain explain `name:"explain" cmd:"" help:"Say what becomes of a request: server, location, URI and pool, and why."`
 }
 
--- a/cmd/winglb/main.go
+++ b/cmd/winglb/main.go
@@ -15,7 +15,7 @@
 
 func main() {
 	if len(os.Args) > 2 || len(os.Args) == 2 && os.Args[1] != "serve" {
-		fail(full())
+		fail(execFull())
 	}
 	if err := daemon.Run(os.Getenv); err != nil {
 		fail(err)
@@ -27,8 +27,8 @@
 	os.Exit(1)
 }
 
-// full becomes the program with all sub-commands; it returns only where that cannot be.
-func full() error {
+// execFull becomes the program with all sub-commands; it returns only where that cannot be.
+func execFull() error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
--- a/cmd/winglb/main_test.go
+++ b/cmd/winglb/main_test.go
@@ -10,7 +10,7 @@
 )
 
 // A faulty configuration ends the program at once, with an error that names the key.
-func TestFaultyConfigurationEndsIt(t *testing.T) {
+func TestFaultyConfigurationStopsTheProgram(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
 	require.ErrorContains(t, daemon.Run(os.Getenv), "PROXY_CONFIG")
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// turn is one instance's part of a batch.
-type turn struct {
+// instanceEvents is one instance's part of a batch.
+type instanceEvents struct {
 	instance int
 	events   []decide.Event
 }
@@ -52,14 +52,14 @@
 // handle gives each instance its events of the batch, in the order in which the
 // instances first appear. What came before a stop is void.
 func handle(instances map[int]*decide.Dispatcher, b *wire.Batch) ([]wire.Reply, error) {
-	var turns []turn
+	var turns []instanceEvents
 	at := map[int]int{}
 	for _, it := range b.Items {
 		i, seen := at[it.Instance]
 		if !seen {
 			i = len(turns)
 			at[it.Instance] = i
-			turns = append(turns, turn{instance: it.Instance})
+			turns = append(turns, instanceEvents{instance: it.Instance})
 		}
 		switch what := it.What.(type) {
 		case wire.Stop:
--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -33,10 +33,10 @@
 const Version = 1
 
 const (
-	mostName    = 128     // bytes of a sender's name
-	mostID      = 256     // bytes of an instance's id
-	mostMessage = 1 << 20 // bytes of a message from a sender
-	outbox      = 512     // messages that wait for a sender; one that is slower is sent away
+	maxNameBytes    = 128     // bytes of a sender's name
+	maxIDBytes      = 256     // bytes of an instance's id
+	maxMessageBytes = 1 << 20 // bytes of a message from a sender
+	senderQueueSize      = 512     // messages that wait for a sender; one that is slower is sent away
 	hourUs      = 3600e6
 )
 
@@ -72,21 +72,21 @@
 	mu       sync.Mutex
 	address  string       // once it has listened
 	grpc     *grpc.Server // nil: it does not listen
-	book     *lease.Granter
+	granter     *lease.Granter
 	places   *lease.Places
-	table    dispatch.InstanceList
+	instances    dispatch.InstanceList
 	settings *controlv1.Settings
 	cordons  []string
-	eased    map[string]time.Duration // when people put an instance back
+	uncordonedAt    map[string]time.Duration // when people put an instance back
 	senders  map[*sender]struct{}
-	again    map[string]time.Duration // for the daemon's own wants
+	retryAt    map[string]time.Duration // for the daemon's own wants
 	refused  atomic.Int64
 }
 
 type sender struct {
 	key  string // name and process
 	out  chan *controlv1.ToSender
-	slow chan struct{} // closed: it does not keep up
+	overflowed chan struct{} // closed: it does not keep up
 	once sync.Once
 }
 
@@ -96,10 +96,10 @@
 		return nil, fmt.Errorf("control: daemon %d of %d, %d senders, silence %v, life %v", o.Daemon, o.Daemons, o.Senders, o.Silence, o.Life)
 	}
 	c := &Server{
-		options: o, core: core, log: logger, start: time.Now(), epoch: uint64(time.Now().UnixNano()), senders: map[*sender]struct{}{}, eased: map[string]time.Duration{},
-		again: map[string]time.Duration{}, settings: &controlv1.Settings{},
+		options: o, core: core, log: logger, start: time.Now(), epoch: uint64(time.Now().UnixNano()), senders: map[*sender]struct{}{}, uncordonedAt: map[string]time.Duration{},
+		retryAt: map[string]time.Duration{}, settings: &controlv1.Settings{},
 	}
-	c.book = lease.NewGranter(c.terms(s), 0)
+	c.granter = lease.NewGranter(c.terms(s), 0)
 	c.places = lease.NewPlaces(o.Daemon, o.Daemons, o.Senders, 0)
 	if o.New {
 		c.places.SkipWait()
@@ -118,7 +118,7 @@
 	at := c.options.Listen
 	if c.address != "" {
 		at = c.address
-		c.book.Suspend(c.now())
+		c.granter.Suspend(c.now())
 	}
 	// The process that takes over, or that this one took over from, may listen there too for a moment.
 	l, err := sock.Listen(at)
@@ -126,7 +126,7 @@
 		return fmt.Errorf("control: %w", err)
 	}
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(mostMessage), grpc.MaxConcurrentStreams(c.streams()), grpc.ConnectionTimeout(5 * time.Second),
+		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(c.maxStreams()), grpc.ConnectionTimeout(5 * time.Second),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}),
 	}
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// streams is how many a connection may have at once.
-func (c *Server) streams() uint32 {
+// maxStreams is how many a connection may have at once.
+func (c *Server) maxStreams() uint32 {
 	if c.options.Also != nil {
 		return 256 // calls that wait each take one
 	}
@@ -181,15 +181,15 @@
 func (c *Server) Retune(s decide.Settings, document []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.SetTerms(c.now(), c.terms(s))
-	c.settings = &controlv1.Settings{Revision: c.settings.Revision + 1, Document: document, Living: c.living()}
-	c.listed()
-	c.all(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
+	c.granter.SetTerms(c.now(), c.terms(s))
+	c.settings = &controlv1.Settings{Revision: c.settings.Revision + 1, Document: document, Living: c.senderCount()}
+	c.updateEncoders()
+	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
 }
 
-// living is about how many senders there are, the next power of two: each change has all of them go by
+// senderCount is about how many senders there are, the next power of two: each change has all of them go by
 // other settings.
-func (c *Server) living() uint32 {
+func (c *Server) senderCount() uint32 {
 	return 1 << bits.Len(uint(max(1, len(c.senders)+c.options.Daemons)-1))
 }
 
@@ -197,17 +197,17 @@
 func (c *Server) Listed(l dispatch.InstanceUpdate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Update(l)
-	c.listed()
-	c.all(&controlv1.ToSender{Kind: &controlv1.ToSender_List{List: list(l)}})
+	c.instances.Update(l)
+	c.updateEncoders()
+	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_List{List: listMessage(l)}})
 }
 
-// listed tells the keeper of the encoders.
-func (c *Server) listed() {
+// updateEncoders tells the keeper of the encoders.
+func (c *Server) updateEncoders() {
 	now := c.now()
 	var members []lease.Encoder
-	for _, m := range c.table.Snapshot().Instances {
-		at, eased := c.eased[m.ID]
+	for _, m := range c.instances.Snapshot().Instances {
+		at, eased := c.uncordonedAt[m.ID]
 		if m.Started.IsZero() && !eased || m.State != decide.Ready {
 			continue
 		}
@@ -229,7 +229,7 @@
 			ID: m.ID, Process: process, Started: started, Slots: slots, AnyProcess: eased,
 		})
 	}
-	c.book.SetEncoders(now, members)
+	c.granter.SetEncoders(now, members)
 }
 
 // Cordoned takes all instances that people leave out.
@@ -237,44 +237,44 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	for id, at := range c.eased { // long warm again
+	for id, at := range c.uncordonedAt { // long warm again
 		if now-at > time.Hour {
-			delete(c.eased, id)
+			delete(c.uncordonedAt, id)
 		}
 	}
 	for _, id := range c.cordons {
 		if !slices.Contains(ids, id) {
-			c.eased[id] = now
+			c.uncordonedAt[id] = now
 		}
 	}
 	c.cordons = slices.Clone(ids)
-	c.listed()
-	c.all(&controlv1.ToSender{Kind: &controlv1.ToSender_Cordons{Cordons: &controlv1.Cordons{Ids: c.cordons}}})
+	c.updateEncoders()
+	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_Cordons{Cordons: &controlv1.Cordons{Ids: c.cordons}}})
 }
 
-func (c *Server) all(m *controlv1.ToSender) {
+func (c *Server) broadcast(m *controlv1.ToSender) {
 	for s := range c.senders {
-		s.tell(m)
+		s.send(m)
 	}
 }
 
-// tell queues a message; a sender that does not keep up is sent away, and begins anew.
-func (s *sender) tell(m *controlv1.ToSender) {
+// send queues a message; a sender that does not keep up is sent away, and begins anew.
+func (s *sender) send(m *controlv1.ToSender) {
 	select {
 	case s.out <- m:
 	default:
-		s.once.Do(func() { close(s.slow) })
+		s.once.Do(func() { close(s.overflowed) })
 	}
 }
 
-var states = map[decide.WorkerState]controlv1.State{
+var protocolStates = map[decide.WorkerState]controlv1.State{
 	decide.Ready: controlv1.State_STATE_READY, decide.Draining: controlv1.State_STATE_DRAINING, decide.Gone: controlv1.State_STATE_GONE,
 }
 
-func list(l dispatch.InstanceUpdate) *controlv1.List {
+func listMessage(l dispatch.InstanceUpdate) *controlv1.List {
 	out := &controlv1.List{Revision: l.Revision, Complete: l.Complete}
 	for _, m := range l.Instances {
-		t := &controlv1.Member{Id: m.ID, Address: m.GRPC, Zone: m.Zone, Kind: m.Kind, Cell: int32(m.Cell), State: states[m.State], Size: m.Size}
+		t := &controlv1.Member{Id: m.ID, Address: m.GRPC, Zone: m.Zone, Kind: m.Kind, Cell: int32(m.Cell), State: protocolStates[m.State], Size: m.Size}
 		if !m.Started.IsZero() {
 			t.StartedUs = m.Started.UnixMicro()
 		}
@@ -290,10 +290,10 @@
 		return nil, status.Error(codes.InvalidArgument, "the first message must be a hello")
 	case h.Version != Version:
 		return nil, status.Errorf(codes.FailedPrecondition, "version %d of the protocol is not spoken here, %d is", h.Version, Version)
-	case h.Name == "" || len(h.Name) > mostName || h.Boot == 0 || h.Place > uint32(c.options.Senders):
+	case h.Name == "" || len(h.Name) > maxNameBytes || h.Boot == 0 || h.Place > uint32(c.options.Senders):
 		return nil, status.Error(codes.InvalidArgument, "hello: a name, a process and a place are needed")
 	}
-	s := &sender{key: h.Name + "/" + strconv.FormatUint(h.Boot, 16), out: make(chan *controlv1.ToSender, outbox), slow: make(chan struct{})}
+	s := &sender{key: h.Name + "/" + strconv.FormatUint(h.Boot, 16), out: make(chan *controlv1.ToSender, senderQueueSize), overflowed: make(chan struct{})}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.senders) >= 2*c.options.Senders { // a stream that has just ended may still be here
@@ -301,22 +301,22 @@
 	}
 	place := c.places.Take(c.now(), s.key, int(h.Place)-1)
 	c.senders[s] = struct{}{}
-	if c.settings.Living != c.living() {
-		c.resized(s) // it is welcomed with that
+	if c.settings.Living != c.senderCount() {
+		c.updateSenderCount(s) // it is welcomed with that
 	}
-	s.tell(&controlv1.ToSender{Kind: &controlv1.ToSender_Welcome{Welcome: &controlv1.Welcome{
+	s.send(&controlv1.ToSender{Kind: &controlv1.ToSender_Welcome{Welcome: &controlv1.Welcome{
 		Place: uint32(place + 1), Senders: uint32(c.options.Senders), SilenceMs: uint32(c.options.Silence.Milliseconds()),
-		Settings: c.settings, List: list(c.table.Snapshot()), Cordons: &controlv1.Cordons{Ids: c.cordons}, Epoch: c.epoch,
+		Settings: c.settings, List: listMessage(c.instances.Snapshot()), Cordons: &controlv1.Cordons{Ids: c.cordons}, Epoch: c.epoch,
 	}}})
 	return s, nil
 }
 
-// resized tells all senders, but for one, how many they are about.
-func (c *Server) resized(but *sender) {
-	c.settings = &controlv1.Settings{Revision: c.settings.Revision + 1, Document: c.settings.Document, Living: c.living()}
+// updateSenderCount tells all senders, but for one, how many they are about.
+func (c *Server) updateSenderCount(but *sender) {
+	c.settings = &controlv1.Settings{Revision: c.settings.Revision + 1, Document: c.settings.Document, Living: c.senderCount()}
 	for s := range c.senders {
 		if s != but {
-			s.tell(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
+			s.send(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
 		}
 	}
 }
@@ -326,8 +326,8 @@
 	defer c.mu.Unlock()
 	delete(c.senders, s)
 	c.places.Disconnected(c.now(), s.key)
-	if c.settings.Living != c.living() {
-		c.resized(nil)
+	if c.settings.Living != c.senderCount() {
+		c.updateSenderCount(nil)
 	}
 }
 
@@ -347,7 +347,7 @@
 						joined <- s
 					}
 				} else {
-					err = c.take(s, m)
+					err = c.handle(s, m)
 				}
 			}
 			if err != nil {
@@ -375,7 +375,7 @@
 		var m *controlv1.ToSender
 		select {
 		case s = <-joined:
-			out, slow = s.out, s.slow
+			out, slow = s.out, s.overflowed
 			c.log.Info("sender attached", "sender", s.key)
 			continue
 		case err := <-ended:
@@ -402,19 +402,19 @@
 	}
 }
 
-// take takes a message of a sender that has joined.
-func (c *Server) take(s *sender, m *controlv1.FromSender) error {
+// handle takes a message of a sender that has joined.
+func (c *Server) handle(s *sender, m *controlv1.FromSender) error {
 	switch k := m.Kind.(type) {
 	case *controlv1.FromSender_Beat:
 	case *controlv1.FromSender_Want:
 		w := k.Want
-		if w == nil || w.Seq == 0 || w.Instance == "" || len(w.Instance) > mostID || w.WorkUs > hourUs {
+		if w == nil || w.Seq == 0 || w.Instance == "" || len(w.Instance) > maxIDBytes || w.WorkUs > hourUs {
 			return status.Error(codes.InvalidArgument, "want: a number, an instance and its work are needed")
 		}
 		c.mu.Lock()
-		g := c.book.Ask(c.now(), s.key, lease.Request{Seq: w.Seq, Instance: w.Instance, Process: w.StartedUs, Work: float64(w.WorkUs) / 1e6})
+		g := c.granter.Ask(c.now(), s.key, lease.Request{Seq: w.Seq, Instance: w.Instance, Process: w.StartedUs, Work: float64(w.WorkUs) / 1e6})
 		c.mu.Unlock()
-		s.tell(&controlv1.ToSender{Kind: &controlv1.ToSender_Grant{Grant: &controlv1.Grant{
+		s.send(&controlv1.ToSender{Kind: &controlv1.ToSender_Grant{Grant: &controlv1.Grant{
 			Seq: g.Seq, Epoch: c.epoch, Lease: g.ID, ValidMs: uint32(g.Valid.Milliseconds()), AgainMs: uint32(min(g.RetryAfter, time.Minute).Milliseconds()),
 		}}})
 	case *controlv1.FromSender_Done:
@@ -423,7 +423,7 @@
 		}
 		if k.Done.Epoch == c.epoch {
 			c.mu.Lock()
-			c.book.Settle(c.now(), s.key, k.Done.Lease, k.Done.Spent)
+			c.granter.Settle(c.now(), s.key, k.Done.Lease, k.Done.Spent)
 			c.mu.Unlock()
 		}
 	case *controlv1.FromSender_Hello:
@@ -443,16 +443,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if c.again[instance] > now {
+	if c.retryAt[instance] > now {
 		return
 	}
 	asked := time.Now()
-	g := c.book.Ask(now, self, lease.Request{Instance: instance, Process: process, Work: work})
+	g := c.granter.Ask(now, self, lease.Request{Instance: instance, Process: process, Work: work})
 	if g.ID == 0 {
-		if len(c.again) > 4096 {
-			clear(c.again)
+		if len(c.retryAt) > 4096 {
+			clear(c.retryAt)
 		}
-		c.again[instance] = now + min(g.RetryAfter, 2*time.Second)
+		c.retryAt[instance] = now + min(g.RetryAfter, 2*time.Second)
 		return
 	}
 	// Not from here: the loop, which calls, must not wait for itself.
@@ -461,7 +461,7 @@
 	time.AfterFunc(time.Until(until)+time.Millisecond, func() { // past its end nothing goes out by it
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.book.Settle(c.now(), self, g.ID, false)
+		c.granter.Settle(c.now(), self, g.ID, false)
 	})
 }
 
@@ -470,7 +470,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id, ok := l.Ref.(uint64); ok {
-		c.book.Settle(c.now(), self, id, true)
+		c.granter.Settle(c.now(), self, id, true)
 	}
 }
 
@@ -484,12 +484,12 @@
 func (c *Server) Figures() []Figure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.book.Stats
+	s := c.granter.Stats
 	living := map[string]bool{self: true}
 	for s := range c.senders {
 		living[s.key] = true
 	}
-	orphans := c.book.Orphans(c.now(), func(key string) bool { return living[key] })
+	orphans := c.granter.Orphans(c.now(), func(key string) bool { return living[key] })
 	return []Figure{
 		{"control.senders", int64(len(c.senders))}, {"control.refused", c.refused.Load()},
 		{"control.leases_asked", int64(s.Asked)}, {"control.leases_granted", int64(s.Granted)}, {"control.leases_denied", int64(s.Denied)},
--- a/winglb/attempt.go
+++ b/winglb/attempt.go
@@ -30,42 +30,42 @@
 // attempt is one RPC to one encoder. grpc's goroutines note in it how far it came.
 type attempt struct {
 	fleet    *fleet
-	of       *dispatch.Attempt
+	dispatched       *dispatch.Attempt
 	instance string
 	cancel   context.CancelFunc
 
 	picks   atomic.Int32 // by the picker, of a connection
-	late    atomic.Bool  // the picker found that it may not be sent any more
-	out     atomic.Bool  // its message has gone out: from here on it may run
-	began   atomic.Bool  // the encoder's header came: the job runs
-	replied atomic.Bool  // the encoder itself ended it
-	givenUp atomic.Bool
+	unsendable    atomic.Bool  // the picker found that it may not be sent any more
+	sent     atomic.Bool  // its message has gone out: from here on it may run
+	started   atomic.Bool  // the encoder's header came: the job runs
+	endedByEncoder atomic.Bool  // the encoder itself ended it
+	cancelled atomic.Bool
 }
 
 type attemptKey struct{}
 
-// handler hears from grpc how far attempts come.
-type handler struct{}
+// statsHandler hears from grpc how far attempts come.
+type statsHandler struct{}
 
-func (handler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
-func (handler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
-func (handler) HandleConn(context.Context, stats.ConnStats)                       {}
-func (handler) HandleRPC(ctx context.Context, s stats.RPCStats) {
+func (statsHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
+func (statsHandler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (statsHandler) HandleConn(context.Context, stats.ConnStats)                       {}
+func (statsHandler) HandleRPC(ctx context.Context, s stats.RPCStats) {
 	a, ok := ctx.Value(attemptKey{}).(*attempt)
 	if !ok {
 		return
 	}
 	switch s.(type) {
 	case *stats.OutPayload:
-		if !a.out.Swap(true) {
-			a.fleet.reports().AttemptSent(a.of)
+		if !a.sent.Swap(true) {
+			a.fleet.loop().AttemptSent(a.dispatched)
 		}
 	case *stats.InHeader:
-		if !a.began.Swap(true) {
-			a.fleet.reports().AttemptStarted(a.of)
+		if !a.started.Swap(true) {
+			a.fleet.loop().AttemptStarted(a.dispatched)
 		}
 	case *stats.InTrailer:
-		a.replied.Store(true)
+		a.endedByEncoder.Store(true)
 	}
 }
 
@@ -80,16 +80,16 @@
 		return decide.OK
 	case turnedAway:
 		return decide.Full
-	case a.late.Load(): // by the picker, of a drain or an ended lease; or grpc would have sent it again
+	case a.unsendable.Load(): // by the picker, of a drain or an ended lease; or grpc would have sent it again
 		return decide.NotSent
-	case !a.out.Load():
-		if a.givenUp.Load() {
+	case !a.sent.Load():
+		if a.cancelled.Load() {
 			return decide.NotSent
 		}
 		return decide.ConnectFailed
-	case a.replied.Load() && code == codes.DeadlineExceeded:
+	case a.endedByEncoder.Load() && code == codes.DeadlineExceeded:
 		return decide.TimedOut
-	case a.replied.Load():
+	case a.endedByEncoder.Load():
 		return decide.Errored
 	case code == codes.DeadlineExceeded || code == codes.Canceled:
 		return decide.TimedOut
@@ -97,11 +97,11 @@
 	return decide.Reset
 }
 
-// unusable tells whether the encoder says that none could do the call as it stands.
-func (a *attempt) unusable(err error) bool {
+// isUnusable tells whether the encoder says that none could do the call as it stands.
+func (a *attempt) isUnusable(err error) bool {
 	switch status.Code(err) {
 	case codes.InvalidArgument, codes.Unimplemented, codes.Unauthenticated, codes.PermissionDenied, codes.OutOfRange, codes.NotFound, codes.AlreadyExists, codes.FailedPrecondition:
-		return a.replied.Load()
+		return a.endedByEncoder.Load()
 	}
 	return false
 }
@@ -119,7 +119,7 @@
 	answer   chan dispatch.Answer
 
 	mu   sync.Mutex
-	last error // of the encoder that answered last
+	encoderErr error // of the encoder that answered last
 }
 
 // result is what an attempt that was served brought.
@@ -136,12 +136,12 @@
 func (c *call) lastError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last
+	return c.encoderErr
 }
 
 // options apart: what grpc would write into variables of the caller's is written once, of the attempt
 // that served.
-func (c *call) split() (rest []grpc.CallOption) {
+func (c *call) attemptOptions() (rest []grpc.CallOption) {
 	for _, o := range c.options {
 		switch o.(type) {
 		case grpc.HeaderCallOption, grpc.TrailerCallOption, grpc.PeerCallOption, grpc.OnFinishCallOption:
@@ -186,8 +186,8 @@
 	}
 }
 
-// fresh is a reply of its own for an attempt: copies run beside each other.
-func (c *call) fresh() any {
+// newReply is a reply of its own for an attempt: copies run beside each other.
+func (c *call) newReply() any {
 	if m, ok := c.reply.(proto.Message); ok {
 		return m.ProtoReflect().New().Interface()
 	}
@@ -197,28 +197,28 @@
 // run carries an attempt out, in a goroutine of its own.
 func (a *attempt) run(ctx context.Context, c *call) {
 	defer a.cancel()
-	r := &result{reply: c.fresh()}
-	options := append(c.split(), grpc.Header(&r.header), grpc.Trailer(&r.trailer), grpc.Peer(&r.peer), grpc.WaitForReady(false))
+	r := &result{reply: c.newReply()}
+	options := append(c.attemptOptions(), grpc.Header(&r.header), grpc.Trailer(&r.trailer), grpc.Peer(&r.peer), grpc.WaitForReady(false))
 	ctx = context.WithValue(ctx, attemptKey{}, a)
-	ctx = metadata.AppendToOutgoingContext(ctx, idKey, a.of.Command.ID, senderKey, c.balancer.config.Name)
+	ctx = metadata.AppendToOutgoingContext(ctx, idKey, a.dispatched.Command.ID, senderKey, c.balancer.config.Name)
 	err := c.invoke(ctx, c.method, c.request, r.reply, c.cc, options...)
-	a.fleet.drop(a)
-	if a.givenUp.Load() {
-		a.of.CancelConfirmed()
+	a.fleet.remove(a)
+	if a.cancelled.Load() {
+		a.dispatched.CancelConfirmed()
 	}
 	o := a.outcome(err, r.trailer)
-	if err != nil && a.replied.Load() && o != decide.Full {
+	if err != nil && a.endedByEncoder.Load() && o != decide.Full {
 		c.mu.Lock()
-		c.last = err
+		c.encoderErr = err
 		c.mu.Unlock()
 	}
 	switch {
 	case o == decide.OK:
-		a.fleet.reports().AttemptServed(a.of, r)
-	case o == decide.Errored && a.unusable(err):
-		a.fleet.reports().AttemptUnusable(a.of)
+		a.fleet.loop().AttemptServed(a.dispatched, r)
+	case o == decide.Errored && a.isUnusable(err):
+		a.fleet.loop().AttemptUnusable(a.dispatched)
 	default:
-		a.fleet.reports().AttemptEnded(a.of, o, 0)
+		a.fleet.loop().AttemptEnded(a.dispatched, o, 0)
 	}
 }
 
@@ -231,7 +231,7 @@
 	mu        sync.Mutex
 	instances map[string]*instance
 	cordoned  map[string]bool
-	out       map[*dispatch.Attempt]*attempt
+	attempts       map[*dispatch.Attempt]*attempt
 }
 
 // instance is an encoder as daemons tell it.
@@ -241,18 +241,18 @@
 }
 
 func newFleet(b *Balancer) *fleet {
-	return &fleet{balancer: b, instances: map[string]*instance{}, cordoned: map[string]bool{}, out: map[*dispatch.Attempt]*attempt{}}
+	return &fleet{balancer: b, instances: map[string]*instance{}, cordoned: map[string]bool{}, attempts: map[*dispatch.Attempt]*attempt{}}
 }
 
-func (f *fleet) reports() *dispatch.Loop { return f.balancer.loop }
+func (f *fleet) loop() *dispatch.Loop { return f.balancer.loop }
 
 // Send starts an attempt.
 func (f *fleet) Send(d *dispatch.Attempt) {
 	c := d.Command.Payload.(*call)
 	ctx, cancel := context.WithDeadline(c.ctx, d.Deadline)
-	a := &attempt{fleet: f, of: d, instance: d.Instance, cancel: cancel}
+	a := &attempt{fleet: f, dispatched: d, instance: d.Instance, cancel: cancel}
 	f.mu.Lock()
-	f.out[d] = a
+	f.attempts[d] = a
 	f.mu.Unlock()
 	go a.run(ctx, c)
 }
@@ -260,45 +260,45 @@
 // Cancel ends an attempt: its stream is reset, on the connection that a later attempt would use too.
 func (f *fleet) Cancel(d *dispatch.Attempt) {
 	f.mu.Lock()
-	a := f.out[d]
+	a := f.attempts[d]
 	f.mu.Unlock()
 	if a == nil {
 		d.CancelConfirmed()
 		return
 	}
-	a.givenUp.Store(true)
+	a.cancelled.Store(true)
 	a.cancel()
 }
 
-func (f *fleet) drop(a *attempt) {
+func (f *fleet) remove(a *attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.out, a.of)
+	delete(f.attempts, a.dispatched)
 }
 
 // Probe says that a connection can be had; encoders that speak gRPC have no other probe.
 func (f *fleet) Probe(id string) {
 	o := decide.ConnectFailed
-	if f.takes(id) {
+	if f.accepts(id) {
 		o = decide.OK
 	}
-	go f.reports().ProbeEnded(id, o, nil)
+	go f.loop().ProbeEnded(id, o, nil)
 }
 
 // CloseIdle does nothing: an encoder's one connection carries all calls.
 func (f *fleet) CloseIdle(string) {}
 
-// takes tells whether an instance may be sent new work now.
-func (f *fleet) takes(id string) bool {
+// accepts tells whether an instance may be sent new work now.
+func (f *fleet) accepts(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	in := f.instances[id]
 	return in != nil && in.state == decide.Ready && in.address != "" && !f.cordoned[id]
 }
 
-// may tells whether an attempt may be sent now: asked as late as possible.
-func (a *attempt) may(now time.Time) bool {
-	return a.fleet.takes(a.instance) && !a.of.Expired(now)
+// maySend tells whether an attempt may be sent now: asked as late as possible.
+func (a *attempt) maySend(now time.Time) bool {
+	return a.fleet.accepts(a.instance) && !a.dispatched.Expired(now)
 }
 
 var _ dispatch.Fleet = (*fleet)(nil)
--- a/winglb/balance.go
+++ b/winglb/balance.go
@@ -28,11 +28,11 @@
 
 func (b *resolverBuilder) Build(_ resolver.Target, cc resolver.ClientConn, _ resolver.BuildOptions) (resolver.Resolver, error) {
 	r := &listResolver{balancer: b.balancer, cc: cc}
-	b.balancer.sheet.watch(r.tell)
+	b.balancer.control.watch(r.update)
 	go func() {
 		select {
-		case <-b.balancer.primed:
-			r.tell()
+		case <-b.balancer.ready:
+			r.update()
 		case <-b.balancer.ended:
 		}
 	}()
@@ -48,14 +48,14 @@
 	closed bool
 }
 
-func (r *listResolver) tell() {
+func (r *listResolver) update() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return
 	}
 	var s resolver.State
-	for _, m := range r.balancer.sheet.members() {
+	for _, m := range r.balancer.control.members() {
 		s.Endpoints = append(s.Endpoints, resolver.Endpoint{
 			Addresses: []resolver.Address{{Addr: m.Address}}, Attributes: attributes.New(idAttribute{}, m.Id),
 		})
@@ -77,16 +77,16 @@
 func (policyBuilder) Name() string { return policyName }
 
 func (policyBuilder) Build(cc balancer.ClientConn, _ balancer.BuildOptions) balancer.Balancer {
-	return &policy{cc: cc, subs: map[string]*sub{}}
+	return &policy{cc: cc, subs: map[string]*encoderConn{}}
 }
 
-// sub is the connection to one encoder.
-type sub struct {
+// encoderConn is the connection to one encoder.
+type encoderConn struct {
 	address string
 	conn    balancer.SubConn
 	state   connectivity.State
 	err     error
-	gone    bool
+	removed    bool
 }
 
 // policy keeps a connection for each encoder that calls go to: made at its first call, and kept. Its
@@ -95,14 +95,14 @@
 	cc balancer.ClientConn
 
 	mu     sync.RWMutex
-	subs   map[string]*sub
+	subs   map[string]*encoderConn
 	closed bool
 }
 
 func (p *policy) UpdateClientConnState(s balancer.ClientConnState) error {
 	p.mu.Lock()
 	wanted := map[string]bool{}
-	var old []*sub
+	var old []*encoderConn
 	for _, e := range s.ResolverState.Endpoints {
 		id, _ := e.Attributes.Value(idAttribute{}).(string)
 		for _, a := range e.Addresses {
@@ -114,9 +114,9 @@
 			if t != nil {
 				old = append(old, t)
 			}
-			t = &sub{address: a.Addr, state: connectivity.Idle}
+			t = &encoderConn{address: a.Addr, state: connectivity.Idle}
 			//lint:ignore SA1019 each of these has one address
-			conn, err := p.cc.NewSubConn([]resolver.Address{a}, balancer.NewSubConnOptions{StateListener: func(s balancer.SubConnState) { p.changed(t, s) }})
+			conn, err := p.cc.NewSubConn([]resolver.Address{a}, balancer.NewSubConnOptions{StateListener: func(s balancer.SubConnState) { p.stateChanged(t, s) }})
 			if err != nil {
 				continue
 			}
@@ -131,18 +131,18 @@
 		}
 	}
 	for _, t := range old {
-		t.gone = true
+		t.removed = true
 	}
 	p.mu.Unlock()
 	for _, t := range old {
 		t.conn.Shutdown()
 	}
-	p.tell()
+	p.updatePicker()
 	return nil
 }
 
-// tell has grpc look again at the calls that wait for a connection.
-func (p *policy) tell() {
+// updatePicker has grpc look again at the calls that wait for a connection.
+func (p *policy) updatePicker() {
 	p.mu.RLock()
 	state := connectivity.Idle
 	for _, t := range p.subs {
@@ -158,12 +158,12 @@
 	}
 }
 
-func (p *policy) changed(t *sub, s balancer.SubConnState) {
+func (p *policy) stateChanged(t *encoderConn, s balancer.SubConnState) {
 	p.mu.Lock()
 	t.state, t.err = s.ConnectivityState, s.ConnectionError
 	p.mu.Unlock()
 	if s.ConnectivityState != connectivity.Connecting {
-		p.tell()
+		p.updatePicker()
 	}
 }
 
@@ -181,9 +181,9 @@
 type picker struct{ policy *policy }
 
 var (
-	errUndecided = status.Error(codes.Internal, "winglb: a call that no decision was made for")
-	errLate      = status.Error(codes.Aborted, "winglb: it may not be sent there any more")
-	errAgain     = status.Error(codes.Aborted, "winglb: the encoder has not processed it")
+	errNoAttempt = status.Error(codes.Internal, "winglb: a call that no decision was made for")
+	errNotAllowed      = status.Error(codes.Aborted, "winglb: it may not be sent there any more")
+	errResend     = status.Error(codes.Aborted, "winglb: the encoder has not processed it")
 	errUnknown   = status.Error(codes.Unavailable, "winglb: no such encoder")
 )
 
@@ -191,7 +191,7 @@
 func (k picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
 	a := attemptOf(info.Ctx)
 	if a == nil {
-		return balancer.PickResult{}, errUndecided
+		return balancer.PickResult{}, errNoAttempt
 	}
 	k.policy.mu.RLock()
 	t := k.policy.subs[a.instance]
@@ -204,9 +204,9 @@
 	switch {
 	case t == nil:
 		return balancer.PickResult{}, errUnknown
-	case !a.may(time.Now()):
-		a.late.Store(true)
-		return balancer.PickResult{}, errLate
+	case !a.maySend(time.Now()):
+		a.unsendable.Store(true)
+		return balancer.PickResult{}, errNotAllowed
 	case state == connectivity.Idle:
 		t.conn.Connect()
 		return balancer.PickResult{}, balancer.ErrNoSubConnAvailable
@@ -216,8 +216,8 @@
 		return balancer.PickResult{}, status.Errorf(codes.Unavailable, "winglb: %s cannot be reached: %v", a.instance, err)
 	}
 	if a.picks.Add(1) > 1 { // grpc sends again what was not processed; whether to is the module's decision
-		a.late.Store(true)
-		return balancer.PickResult{}, errAgain
+		a.unsendable.Store(true)
+		return balancer.PickResult{}, errResend
 	}
 	return balancer.PickResult{SubConn: t.conn}, nil
 }
--- a/winglb/intercept.go
+++ b/winglb/calls.go
@@ -41,8 +41,8 @@
 // CallJob says what one call is about; it wins over the context's.
 func CallJob(j Job) grpc.CallOption { return jobOption{job: j} }
 
-// job is what a call is about, with what the configuration says for those that do not.
-func (b *Balancer) job(ctx context.Context, method string, options []grpc.CallOption) Job {
+// jobOf is what a call is about, with what the configuration says for those that do not.
+func (b *Balancer) jobOf(ctx context.Context, method string, options []grpc.CallOption) Job {
 	j, _ := ctx.Value(jobKey{}).(Job)
 	for _, o := range options {
 		if o, ok := o.(jobOption); ok {
@@ -69,25 +69,25 @@
 		balancer: b, ctx: ctx, method: method, request: req, reply: reply, cc: cc, invoke: invoke, options: options,
 		answer: make(chan dispatch.Answer, 1),
 	}
-	err := b.do(ctx, c)
+	err := b.dispatch(ctx, c)
 	c.finish(err)
 	return err
 }
 
-func (b *Balancer) do(ctx context.Context, c *call) error {
+func (b *Balancer) dispatch(ctx context.Context, c *call) error {
 	cc := c.cc
 	cc.Connect() // has the resolver begin
 	select {
-	case <-b.primed:
+	case <-b.ready:
 	case <-ctx.Done():
 		return status.FromContextError(ctx.Err()).Err()
 	case <-b.ended:
 		return status.Error(codes.Canceled, errClosed.Error())
 	}
-	j := b.job(ctx, c.method, c.options)
+	j := b.jobOf(ctx, c.method, c.options)
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(b.sheet.deadline(j.Class))
+		deadline = time.Now().Add(b.control.deadline(j.Class))
 	}
 	cmd := &dispatch.Command{
 		ID: j.ID, Class: j.Class, Tenant: j.Tenant, Key: keyNumber(j.Key), Work: j.Work, Slots: j.Slots, Retry: j.Repeat,
@@ -96,13 +96,13 @@
 	b.loop.Submit(cmd)
 	select {
 	case a := <-c.answer:
-		return c.end(a)
+		return c.finalStatus(a)
 	case <-ctx.Done():
 		b.loop.ClientGone(cmd)
 		select { // it may have been answered in time after all
 		case a := <-c.answer:
 			if a.Verdict == dispatch.Served {
-				return c.end(a)
+				return c.finalStatus(a)
 			}
 		default:
 		}
@@ -112,8 +112,8 @@
 	}
 }
 
-// end makes the caller's status of an answer.
-func (c *call) end(a dispatch.Answer) error {
+// finalStatus makes the caller's status of an answer.
+func (c *call) finalStatus(a dispatch.Answer) error {
 	switch a.Verdict {
 	case dispatch.Served:
 		return c.deliver(a.Value.(*result))
@@ -124,22 +124,22 @@
 		s := status.New(codes.ResourceExhausted, "refused: trying again is harmless")
 		info := &errdetails.ErrorInfo{Domain: Domain, Reason: ReasonRefused}
 		if a.RetryAfter <= 0 {
-			return detailed(s, info)
+			return withDetails(s, info)
 		}
-		return detailed(s, info, &errdetails.RetryInfo{RetryDelay: durationpb.New(a.RetryAfter)})
+		return withDetails(s, info, &errdetails.RetryInfo{RetryDelay: durationpb.New(a.RetryAfter)})
 	case dispatch.Unusable:
 		if err := c.lastError(); err != nil {
 			return err
 		}
-		return detailed(status.New(codes.InvalidArgument, "the class is unknown, or the id is in hand"), &errdetails.ErrorInfo{Domain: Domain, Reason: ReasonUnusable})
+		return withDetails(status.New(codes.InvalidArgument, "the class is unknown, or the id is in hand"), &errdetails.ErrorInfo{Domain: Domain, Reason: ReasonUnusable})
 	}
 	if err := c.lastError(); err != nil {
 		return err
 	}
-	return detailed(status.New(codes.Aborted, "failed: it may have run"), &errdetails.ErrorInfo{Domain: Domain, Reason: ReasonFailed})
+	return withDetails(status.New(codes.Aborted, "failed: it may have run"), &errdetails.ErrorInfo{Domain: Domain, Reason: ReasonFailed})
 }
 
-func detailed(s *status.Status, info *errdetails.ErrorInfo, more ...*errdetails.RetryInfo) error {
+func withDetails(s *status.Status, info *errdetails.ErrorInfo, more ...*errdetails.RetryInfo) error {
 	with, err := s.WithDetails(info)
 	for _, m := range more {
 		if err == nil {
--- a/winglb/sheet.go
+++ b/winglb/control.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	mostDaemons     = 16
+	maxDaemons     = 16
 	protocolVersion = 1
-	firstSilence    = time.Second // before a daemon has said how long it may be silent
-	leastRetry      = 50 * time.Millisecond
-	mostRetry       = 500 * time.Millisecond
-	outbox          = 256
-	placeCheck      = time.Second
-	mostMessage     = 16 << 20
-	mostInstances   = 1 << 16
+	initialSilence    = time.Second // before a daemon has said how long it may be silent
+	minRetry      = 50 * time.Millisecond
+	maxRetry       = 500 * time.Millisecond
+	queueSize          = 256
+	placeCheckInterval      = time.Second
+	maxMessageBytes     = 16 << 20
+	maxInstances   = 1 << 16
 )
 
-// sheet is what the daemons have told: list, settings, cordons, leases. One goroutine a daemon.
-type sheet struct {
+// controlState is what the daemons have told: list, settings, cordons, leases. One goroutine a daemon.
+type controlState struct {
 	balancer *Balancer
 	start    time.Time
 
@@ -47,39 +47,39 @@
 
 	mu       sync.Mutex
 	revision int64 // of the list
-	known    map[string]*controlv1.Member
+	instances    map[string]*controlv1.Member
 	settings *controlv1.Settings
-	from     int // the daemon that told the settings
+	settingsFrom     int // the daemon that told the settings
 	parsed   decide.Settings
 	names    wire.Names
 	place    uint32 // 0: none
 	senders  uint32
-	heard    time.Duration // of any daemon, last
-	began    bool
+	lastReceived    time.Duration // of any daemon, last
+	started    bool
 	watchers []func()
 }
 
 // link is the way to one daemon.
 type link struct {
-	sheet   *sheet
-	n       int
+	state   *controlState
+	index       int
 	address string
-	out     chan *controlv1.FromSender // nil: not attached; under leases, as is
+	queue     chan *controlv1.FromSender // nil: not attached; under leases, as is
 	epoch   uint64
 	cordons []string // that it told last; they stay while it is away
 }
 
-func newSheet(b *Balancer) *sheet {
-	s := &sheet{balancer: b, start: time.Now(), known: map[string]*controlv1.Member{}, unspent: map[lease.HeldLease]bool{}, holder: lease.NewHolder(len(b.config.Daemons)), from: -1}
+func newControlState(b *Balancer) *controlState {
+	s := &controlState{balancer: b, start: time.Now(), instances: map[string]*controlv1.Member{}, unspent: map[lease.HeldLease]bool{}, holder: lease.NewHolder(len(b.config.Daemons)), settingsFrom: -1}
 	for n, a := range b.config.Daemons {
-		s.links = append(s.links, &link{sheet: s, n: n, address: a})
+		s.links = append(s.links, &link{state: s, index: n, address: a})
 	}
 	return s
 }
 
-func (s *sheet) now() time.Duration { return time.Since(s.start) }
+func (s *controlState) now() time.Duration { return time.Since(s.start) }
 
-func (s *sheet) run() {
+func (s *controlState) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-s.balancer.ended
@@ -88,15 +88,15 @@
 	for _, l := range s.links {
 		go l.run(ctx)
 	}
-	go s.keepPlace(ctx)
+	go s.expirePlace(ctx)
 }
 
-// attached is how many daemons can be asked now.
-func (s *sheet) attached() (n int) {
+// attachedCount is how many daemons can be asked now.
+func (s *controlState) attachedCount() (n int) {
 	s.leases.Lock()
 	defer s.leases.Unlock()
 	for _, l := range s.links {
-		if l.out != nil {
+		if l.queue != nil {
 			n++
 		}
 	}
@@ -104,7 +104,7 @@
 }
 
 // deadline is that of calls that bring none.
-func (s *sheet) deadline(class string) time.Duration {
+func (s *controlState) deadline(class string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, name := range s.names.Classes {
@@ -116,17 +116,17 @@
 }
 
 // watch has f called after each change of the list.
-func (s *sheet) watch(f func()) {
+func (s *controlState) watch(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, f)
 }
 
 // members is the list of those that have an address.
-func (s *sheet) members() (all []*controlv1.Member) {
+func (s *controlState) members() (all []*controlv1.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, m := range s.known {
+	for _, m := range s.instances {
 		if m.Address != "" {
 			all = append(all, m)
 		}
@@ -137,32 +137,32 @@
 // run stays attached to the daemon until the context ends.
 func (l *link) run(ctx context.Context) {
 	creds := credentials.TransportCredentials(insecure.NewCredentials())
-	if l.sheet.balancer.config.TLS != nil {
-		creds = credentials.NewTLS(l.sheet.balancer.config.TLS)
+	if l.state.balancer.config.TLS != nil {
+		creds = credentials.NewTLS(l.state.balancer.config.TLS)
 	}
-	cc, err := grpc.NewClient("passthrough:///"+l.address, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostMessage)),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: leastRetry, Multiplier: 1.6, Jitter: 0.2, MaxDelay: mostRetry}, MinConnectTimeout: time.Second}))
+	cc, err := grpc.NewClient("passthrough:///"+l.address, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: minRetry, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxRetry}, MinConnectTimeout: time.Second}))
 	if err != nil {
-		l.sheet.balancer.log.Error("daemon", "address", l.address, "err", err)
+		l.state.balancer.log.Error("daemon", "address", l.address, "err", err)
 		return
 	}
 	defer cc.Close()
-	wait := leastRetry
+	wait := minRetry
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := l.attach(ctx, cc)
 		if ctx.Err() != nil {
 			return
 		}
-		l.sheet.balancer.log.Warn("daemon lost", "address", l.address, "err", err)
+		l.state.balancer.log.Warn("daemon lost", "address", l.address, "err", err)
 		if time.Since(began) > time.Second {
-			wait = leastRetry
+			wait = minRetry
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait/2 + rand.N(wait)):
 		}
-		wait = min(2*wait, mostRetry)
+		wait = min(2*wait, maxRetry)
 	}
 }
 
@@ -170,14 +170,14 @@
 func (l *link) attach(ctx context.Context, cc *grpc.ClientConn) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := firstSilence
-	silent := time.AfterFunc(2*firstSilence, func() { cancel(errors.New("the daemon is silent")) })
+	silence := initialSilence
+	silent := time.AfterFunc(2*initialSilence, func() { cancel(errors.New("the daemon is silent")) })
 	defer silent.Stop()
 	stream, err := controlv1.NewControlClient(cc).Attach(ctx)
 	if err != nil {
 		return err
 	}
-	s := l.sheet
+	s := l.state
 	s.mu.Lock()
 	place := s.place
 	s.mu.Unlock()
@@ -192,8 +192,8 @@
 		}
 		return err
 	}
-	out := make(chan *controlv1.FromSender, outbox)
-	defer l.down()
+	out := make(chan *controlv1.FromSender, queueSize)
+	defer l.detached()
 	for first := true; ; first = false {
 		m, err := stream.Recv()
 		if err != nil {
@@ -206,7 +206,7 @@
 				return errors.New("the daemon's first message is no welcome")
 			}
 			silence = time.Duration(w.SilenceMs) * time.Millisecond
-			if err := l.welcome(w, out); err != nil {
+			if err := l.handleWelcome(w, out); err != nil {
 				return err
 			}
 			go func() { // ends with the stream
@@ -227,82 +227,82 @@
 			}()
 			continue
 		}
-		if err := l.take(m); err != nil {
+		if err := l.handle(m); err != nil {
 			return err
 		}
 	}
 }
 
-func (l *link) down() {
-	s := l.sheet
+func (l *link) detached() {
+	s := l.state
 	s.leases.Lock()
 	defer s.leases.Unlock()
-	l.out = nil
-	s.holder.Down(l.n)
+	l.queue = nil
+	s.holder.Down(l.index)
 }
 
-// welcome takes what a daemon tells at first.
-func (l *link) welcome(w *controlv1.Welcome, out chan *controlv1.FromSender) error {
-	s := l.sheet
+// handleWelcome takes what a daemon tells at first.
+func (l *link) handleWelcome(w *controlv1.Welcome, out chan *controlv1.FromSender) error {
+	s := l.state
 	s.leases.Lock()
-	l.out, l.epoch = out, w.Epoch
-	s.holder.Up(l.n, w.Epoch)
+	l.queue, l.epoch = out, w.Epoch
+	s.holder.Up(l.index, w.Epoch)
 	s.leases.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard = s.now()
+	s.lastReceived = s.now()
 	retune := s.senders != w.Senders
 	s.senders = w.Senders
-	if w.Place != s.place && (w.Place > 0 || s.place > 0 && l.gave(s.place)) {
+	if w.Place != s.place && (w.Place > 0 || s.place > 0 && l.ownsPlace(s.place)) {
 		s.place, retune = w.Place, true
 	}
-	if err := s.tune(l.n, w.Settings, retune); err != nil {
+	if err := s.applySettings(l.index, w.Settings, retune); err != nil {
 		return err
 	}
-	if err := s.list(w.List); err != nil {
+	if err := s.updateInstances(w.List); err != nil {
 		return err
 	}
-	l.cordon(w.Cordons)
+	l.setCordons(w.Cordons)
 	return nil
 }
 
-// gave tells whether a place is one of this daemon's: only it can say that another has it.
-func (l *link) gave(place uint32) bool {
-	n, all := len(l.sheet.links), int(l.sheet.senders)
+// ownsPlace tells whether a place is one of this daemon's: only it can say that another has it.
+func (l *link) ownsPlace(place uint32) bool {
+	n, all := len(l.state.links), int(l.state.senders)
 	p := int(place) - 1
-	return p >= l.n*all/n && p < (l.n+1)*all/n
+	return p >= l.index*all/n && p < (l.index+1)*all/n
 }
 
-// take takes a later message.
-func (l *link) take(m *controlv1.ToSender) error {
-	s := l.sheet
+// handle takes a later message.
+func (l *link) handle(m *controlv1.ToSender) error {
+	s := l.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard = s.now()
+	s.lastReceived = s.now()
 	switch k := m.Kind.(type) {
 	case *controlv1.ToSender_Beat:
 	case *controlv1.ToSender_List:
-		return s.list(k.List)
+		return s.updateInstances(k.List)
 	case *controlv1.ToSender_Settings:
-		return s.tune(l.n, k.Settings, false)
+		return s.applySettings(l.index, k.Settings, false)
 	case *controlv1.ToSender_Cordons:
-		l.cordon(k.Cordons)
+		l.setCordons(k.Cordons)
 	case *controlv1.ToSender_Grant:
 		if k.Grant == nil {
 			return errors.New("an empty grant")
 		}
 		s.leases.Lock()
-		h, ok := s.holder.Granted(s.now(), l.n, k.Grant.Epoch, lease.Grant{
+		h, ok := s.holder.Granted(s.now(), l.index, k.Grant.Epoch, lease.Grant{
 			Seq: k.Grant.Seq, ID: k.Grant.Lease, Valid: time.Duration(k.Grant.ValidMs) * time.Millisecond, RetryAfter: time.Duration(k.Grant.AgainMs) * time.Millisecond,
 		})
 		if ok {
 			s.unspent[h] = true
 			// Past its end nothing goes out by it any more, which the picker sees to: what is left is given back,
 			// and others need not wait until it has stopped counting.
-			time.AfterFunc(time.Until(s.start.Add(h.Until))+time.Millisecond, func() { s.over(h) })
+			time.AfterFunc(time.Until(s.start.Add(h.Until))+time.Millisecond, func() { s.leaseExpired(h) })
 		}
 		s.leases.Unlock()
-		if ok && s.began {
+		if ok && s.started {
 			go s.balancer.loop.AddLease(dispatch.Lease{
 				Instance: h.Instance, Process: h.Process, Work: h.Work, Until: s.start.Add(h.Until), Ref: h,
 			})
@@ -313,28 +313,28 @@
 	return nil
 }
 
-var stateOf = map[controlv1.State]decide.WorkerState{
+var workerStates = map[controlv1.State]decide.WorkerState{
 	controlv1.State_STATE_READY: decide.Ready, controlv1.State_STATE_DRAINING: decide.Draining, controlv1.State_STATE_GONE: decide.Gone,
 }
 
-// list takes the name table's news, from whichever daemon tells it first.
-func (s *sheet) list(l *controlv1.List) error {
-	if l == nil || len(l.Members) > mostInstances {
+// updateInstances takes the name table's news, from whichever daemon tells it first.
+func (s *controlState) updateInstances(l *controlv1.List) error {
+	if l == nil || len(l.Members) > maxInstances {
 		return errors.New("a list that is none")
 	}
 	for _, m := range l.Members {
 		if m == nil || m.Id == "" {
 			return errors.New("a list with a member that has no id")
 		}
-		if _, ok := stateOf[m.State]; !ok {
+		if _, ok := workerStates[m.State]; !ok {
 			return fmt.Errorf("member %q has the unknown state %v", m.Id, m.State)
 		}
 	}
-	if s.began && l.Revision <= s.revision {
+	if s.started && l.Revision <= s.revision {
 		return nil // another daemon told it
 	}
 	if l.Complete {
-		clear(s.known)
+		clear(s.instances)
 	}
 	s.revision = l.Revision
 	given := dispatch.InstanceUpdate{Revision: l.Revision, Complete: l.Complete}
@@ -346,11 +346,11 @@
 		}
 	}
 	for _, m := range l.Members {
-		if s.known[m.Id] = m; m.State == controlv1.State_STATE_GONE {
-			delete(s.known, m.Id)
+		if s.instances[m.Id] = m; m.State == controlv1.State_STATE_GONE {
+			delete(s.instances, m.Id)
 		}
-		f.instances[m.Id] = &instance{address: m.Address, state: stateOf[m.State]}
-		line := dispatch.Instance{ID: m.Id, Address: m.Address, GRPC: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: int(m.Cell), State: stateOf[m.State], Size: m.Size}
+		f.instances[m.Id] = &instance{address: m.Address, state: workerStates[m.State]}
+		line := dispatch.Instance{ID: m.Id, Address: m.Address, GRPC: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: int(m.Cell), State: workerStates[m.State], Size: m.Size}
 		if m.StartedUs > 0 {
 			line.Started = time.UnixMicro(m.StartedUs)
 		}
@@ -359,12 +359,12 @@
 		}
 	}
 	for id, in := range f.instances {
-		if in.state == decide.Gone && s.known[id] == nil {
+		if in.state == decide.Gone && s.instances[id] == nil {
 			delete(f.instances, id)
 		}
 	}
 	f.mu.Unlock()
-	s.begin()
+	s.startLoop()
 	s.balancer.loop.UpdateInstances(given, false)
 	for _, f := range s.watchers {
 		go f()
@@ -372,28 +372,28 @@
 	return nil
 }
 
-// begin starts the loop with the first list and settings.
-func (s *sheet) begin() {
-	if s.began {
+// startLoop starts the loop with the first list and settings.
+func (s *controlState) startLoop() {
+	if s.started {
 		return
 	}
-	s.began = true
+	s.started = true
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-s.balancer.ended
 		cancel()
 	}()
 	go s.balancer.loop.Run(ctx)
-	close(s.balancer.primed)
+	close(s.balancer.ready)
 }
 
-// cordon takes what people leave out, as one daemon knows it. What any daemon was told counts: another that
+// setCordons takes what people leave out, as one daemon knows it. What any daemon was told counts: another that
 // was not must not undo it.
-func (l *link) cordon(c *controlv1.Cordons) {
+func (l *link) setCordons(c *controlv1.Cordons) {
 	if c == nil {
 		return
 	}
-	s := l.sheet
+	s := l.state
 	f := s.balancer.fleet
 	l.cordons = c.Ids
 	next := map[string]bool{}
@@ -418,9 +418,9 @@
 	}
 }
 
-// tune takes settings. Those of the daemon that told the last ones count by their revision; where daemons
+// applySettings takes settings. Those of the daemon that told the last ones count by their revision; where daemons
 // differ for a while, the one whose text changed last wins.
-func (s *sheet) tune(from int, next *controlv1.Settings, force bool) error {
+func (s *controlState) applySettings(from int, next *controlv1.Settings, force bool) error {
 	if next == nil {
 		return errors.New("settings that are none")
 	}
@@ -435,12 +435,12 @@
 		}
 		s.parsed, s.names = parsed, names
 	}
-	s.settings, s.from = next, from
-	return s.retune()
+	s.settings, s.settingsFrom = next, from
+	return s.reconfigure()
 }
 
-// retune has the loop go by what is known of settings, place and senders.
-func (s *sheet) retune() error {
+// reconfigure has the loop go by what is known of settings, place and senders.
+func (s *controlState) reconfigure() error {
 	d := s.parsed
 	d.Seed = s.balancer.boot
 	// Of all senders, whoever they are, which one this is decides whom it prefers.
@@ -455,7 +455,7 @@
 	if d.Limits.ConnectTimeout <= 0 {
 		d.Limits.ConnectTimeout = time.Second
 	}
-	if !s.began && s.balancer.loop == nil {
+	if !s.started && s.balancer.loop == nil {
 		loop, err := dispatch.New(d, s.names, s.balancer.fleet, s, dispatch.NoOtherProcess{}, s.balancer.log)
 		if err != nil {
 			return err
@@ -464,7 +464,7 @@
 		s.balancer.loop = loop
 		return nil
 	}
-	if s.began {
+	if s.started {
 		names := s.names
 		go func() { // it waits for the loop, which may be asking for a lease
 			if err := s.balancer.loop.Reconfigure(d, names); err != nil {
@@ -475,9 +475,9 @@
 	return nil
 }
 
-// keepPlace gives the place up that a client without daemons may no longer hold.
-func (s *sheet) keepPlace(ctx context.Context) {
-	for tick := time.NewTicker(placeCheck); ; {
+// expirePlace gives the place up that a client without daemons may no longer hold.
+func (s *controlState) expirePlace(ctx context.Context) {
+	for tick := time.NewTicker(placeCheckInterval); ; {
 		select {
 		case <-ctx.Done():
 			tick.Stop()
@@ -485,9 +485,9 @@
 		case <-tick.C:
 		}
 		s.mu.Lock()
-		if s.place > 0 && s.now()-s.heard > lease.KeepFor {
+		if s.place > 0 && s.now()-s.lastReceived > lease.KeepFor {
 			s.place = 0
-			if err := s.retune(); err != nil {
+			if err := s.reconfigure(); err != nil {
 				s.balancer.log.Error("settings", "err", err)
 			}
 		}
@@ -496,7 +496,7 @@
 }
 
 // Request asks a daemon for a lease.
-func (s *sheet) Request(instance string, process int64, work float64) {
+func (s *controlState) Request(instance string, process int64, work float64) {
 	s.leases.Lock()
 	defer s.leases.Unlock()
 	us := uint64(math.Ceil(work * 1e6))
@@ -504,49 +504,49 @@
 	if !ok {
 		return
 	}
-	s.links[k].tell(&controlv1.FromSender{Kind: &controlv1.FromSender_Want{Want: &controlv1.Want{
+	s.links[k].send(&controlv1.FromSender{Kind: &controlv1.FromSender_Want{Want: &controlv1.Want{
 		Seq: w.Seq, Instance: instance, StartedUs: process, WorkUs: us,
 	}}})
 }
 
 // Spent tells the daemon that granted a lease.
-func (s *sheet) Spent(l dispatch.Lease) {
+func (s *controlState) Spent(l dispatch.Lease) {
 	h, ok := l.Ref.(lease.HeldLease)
 	if !ok {
 		return
 	}
 	s.leases.Lock()
 	defer s.leases.Unlock()
-	s.done(h, true)
+	s.returnLease(h, true)
 }
 
-// over gives a lease back that has ended unspent.
-func (s *sheet) over(h lease.HeldLease) {
+// leaseExpired gives a lease back that has ended unspent.
+func (s *controlState) leaseExpired(h lease.HeldLease) {
 	s.leases.Lock()
 	defer s.leases.Unlock()
-	s.done(h, false)
+	s.returnLease(h, false)
 }
 
-// done tells the daemon that granted a lease what became of it, once.
-func (s *sheet) done(h lease.HeldLease, spent bool) {
+// returnLease tells the daemon that granted a lease what became of it, once.
+func (s *controlState) returnLease(h lease.HeldLease, spent bool) {
 	if !s.unspent[h] {
 		return
 	}
 	delete(s.unspent, h)
 	if k := s.links[h.Granter]; k.epoch == h.Epoch {
-		k.tell(&controlv1.FromSender{Kind: &controlv1.FromSender_Done{Done: &controlv1.Done{Epoch: h.Epoch, Lease: h.ID, Spent: spent}}})
+		k.send(&controlv1.FromSender{Kind: &controlv1.FromSender_Done{Done: &controlv1.Done{Epoch: h.Epoch, Lease: h.ID, Spent: spent}}})
 	}
 }
 
-// tell queues a message; one that finds no room is lost, which costs time only.
-func (l *link) tell(m *controlv1.FromSender) {
-	if l.out != nil {
+// send queues a message; one that finds no room is lost, which costs time only.
+func (l *link) send(m *controlv1.FromSender) {
+	if l.queue != nil {
 		select {
-		case l.out <- m:
+		case l.queue <- m:
 		default:
 		}
 	}
 }
 
 // Subscribe does nothing: daemons tell without being asked.
-func (s *sheet) Subscribe() {}
+func (s *controlState) Subscribe() {}
--- a/winglb/hard_test.go
+++ b/winglb/failures_test.go
@@ -18,8 +18,8 @@
 
 var rules = ledger.Rules{DrainGrace: 750 * time.Millisecond, Slack: 50 * time.Millisecond}
 
-// play starts portals with an equal part of the load each, and one client of the first daemon.
-type play struct {
+// scenario starts portals with an equal part of the load each, and one client of the first daemon.
+type scenario struct {
 	*rig.Rig
 	t       *testing.T
 	start   time.Time
@@ -29,8 +29,8 @@
 	done    chan struct{}
 }
 
-func begin(t *testing.T, r *rig.Rig, portals int, length time.Duration) *play {
-	p := &play{Rig: r, t: t, start: time.Now().Add(time.Second), length: length, daemon: load.NewReport(), done: make(chan struct{})}
+func startScenario(t *testing.T, r *rig.Rig, portals int, length time.Duration) *scenario {
+	p := &scenario{Rig: r, t: t, start: time.Now().Add(time.Second), length: length, daemon: load.NewReport(), done: make(chan struct{})}
 	var part []load.Class
 	for _, c := range r.Classes {
 		c.Rate /= float64(portals + 1)
@@ -54,12 +54,12 @@
 	return p
 }
 
-// at waits for a moment of the play.
-func (p *play) at(after time.Duration) { time.Sleep(time.Until(p.start.Add(after))) }
+// waitUntil waits for a moment of the play.
+func (p *scenario) waitUntil(after time.Duration) { time.Sleep(time.Until(p.start.Add(after))) }
 
 // end waits for all portals and the daemon's client, and checks the rules that hold in every play. It
 // returns what the portals that were not killed told.
-func (p *play) end() map[string]*load.Figures {
+func (p *scenario) end() map[string]*load.Figures {
 	var told []rig.Told
 	for _, q := range p.portals {
 		if t, ok := q.Wait(); ok {
@@ -81,7 +81,7 @@
 }
 
 // restart starts encoders anew, cold, and returns when.
-func (p *play) restart(ids ...int) time.Time {
+func (p *scenario) restart(ids ...int) time.Time {
 	now := time.Now()
 	for _, n := range ids {
 		require.NoError(p.t, p.Host.Encoders()[n].Restart())
@@ -89,8 +89,8 @@
 	return now
 }
 
-// first is when an encoder first got work after a moment; zero: never.
-func (p *play) first(n int, after time.Time) time.Time {
+// firstWork is when an encoder first got work after a moment; zero: never.
+func (p *scenario) firstWork(n int, after time.Time) time.Time {
 	id := p.Host.Encoders()[n].ID()
 	for _, a := range p.Host.Ledger.Attempts() {
 		if a.Encoder == id && a.Arrived.After(after) {
@@ -100,7 +100,7 @@
 	return time.Time{}
 }
 
-func busy(encoders, slots int, share float64) []load.Class {
+func loadClasses(encoders, slots int, share float64) []load.Class {
 	rate := float64(encoders*slots) * share
 	return []load.Class{
 		{Name: "preview", Rate: rate * 0.9 / 0.04, Work: 40 * time.Millisecond, Left: 5 * time.Second},
@@ -111,13 +111,13 @@
 // Case 1: encoders that start cold at once under load, shared by many processes and two daemons, stand it
 // and are used.
 func TestColdEncodersSurvive(t *testing.T) {
-	r := site(t, rig.Options{Encoders: 6, Slots: 4, Daemons: 2, Classes: busy(6, 4, 0.5), Cold: 4 * time.Second})
-	p := begin(t, r, 6, 7*time.Second)
-	p.at(2 * time.Second)
+	r := startRig(t, rig.Options{Encoders: 6, Slots: 4, Daemons: 2, Classes: loadClasses(6, 4, 0.5), Cold: 4 * time.Second})
+	p := startScenario(t, r, 6, 7*time.Second)
+	p.waitUntil(2 * time.Second)
 	began := p.restart(0, 1, 2)
 	sum := p.end()
 	for n := range 3 {
-		first := p.first(n, began)
+		first := p.firstWork(n, began)
 		require.False(t, first.IsZero(), "encoder %d was never used", n)
 		require.Less(t, first.Sub(began), 5*time.Second)
 	}
@@ -125,21 +125,21 @@
 }
 
 // Case 2: one daemon dies and comes back, then none is there for a while. The sum holds, calls go on.
-func TestDaemonsDie(t *testing.T) {
-	r := site(t, rig.Options{Encoders: 6, Slots: 4, Daemons: 2, Classes: busy(6, 4, 0.4), Cold: 4 * time.Second})
-	p := begin(t, r, 6, 8*time.Second)
-	p.at(1 * time.Second)
+func TestDaemonsKilledAndRestarted(t *testing.T) {
+	r := startRig(t, rig.Options{Encoders: 6, Slots: 4, Daemons: 2, Classes: loadClasses(6, 4, 0.4), Cold: 4 * time.Second})
+	p := startScenario(t, r, 6, 8*time.Second)
+	p.waitUntil(1 * time.Second)
 	p.restart(0, 1)
-	p.at(1500 * time.Millisecond)
+	p.waitUntil(1500 * time.Millisecond)
 	r.Daemon(1).Kill()
-	p.at(2500 * time.Millisecond)
+	p.waitUntil(2500 * time.Millisecond)
 	require.NoError(t, r.Daemon(1).Start())
-	p.at(4 * time.Second)
+	p.waitUntil(4 * time.Second)
 	p.restart(2, 3)
-	p.at(4500 * time.Millisecond)
+	p.waitUntil(4500 * time.Millisecond)
 	r.Daemon(1).Kill()
 	r.Daemon(0).Kill() // its clients lose what they wait for; the portals do not
-	p.at(6500 * time.Millisecond)
+	p.waitUntil(6500 * time.Millisecond)
 	require.NoError(t, r.Daemon(0).Start())
 	require.NoError(t, r.Daemon(1).Start())
 	sum := p.end()
@@ -149,15 +149,15 @@
 
 // Case 3: a portal's process is killed with calls out and leases held.
 func TestPortalKilled(t *testing.T) {
-	r := site(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 2, Classes: busy(4, 4, 0.4), Cold: 20 * time.Second})
-	p := begin(t, r, 4, 5*time.Second)
-	p.at(500 * time.Millisecond)
+	r := startRig(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 2, Classes: loadClasses(4, 4, 0.4), Cold: 20 * time.Second})
+	p := startScenario(t, r, 4, 5*time.Second)
+	p.waitUntil(500 * time.Millisecond)
 	p.restart(0, 1)
-	p.at(2 * time.Second)
+	p.waitUntil(2 * time.Second)
 	killed := time.Now()
 	p.portals[0].Kill()
 	for _, e := range r.Host.Encoders() { // what its calls held comes free: the connection has gone
-		require.Eventually(t, func() bool { return held(r, e.ID(), "p0") == 0 }, 2*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return openAttempts(r, e.ID(), "p0") == 0 }, 2*time.Second, 5*time.Millisecond)
 	}
 	for n := range 2 {
 		require.Eventually(t, func() bool {
@@ -167,8 +167,8 @@
 	p.end()
 }
 
-// held is how many attempts of a sender an encoder has that have not ended.
-func held(r *rig.Rig, encoder, sender string) (n int) {
+// openAttempts is how many attempts of a sender an encoder has that have not ended.
+func openAttempts(r *rig.Rig, encoder, sender string) (n int) {
 	for _, a := range r.Host.Ledger.Attempts() {
 		if a.Encoder == encoder && a.Sender == sender && a.Fate == ledger.Open {
 			n++
@@ -178,41 +178,41 @@
 }
 
 // Case 4: an encoder drains, while one daemon is silent with its streams open. The other tells all in time.
-func TestDrainIsHeardThoughADaemonIsSilent(t *testing.T) {
-	r := site(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 2, Classes: busy(4, 4, 0.4)})
-	p := begin(t, r, 4, 5*time.Second)
-	p.at(time.Second)
+func TestDrainReachesPortalsWhileADaemonIsStopped(t *testing.T) {
+	r := startRig(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 2, Classes: loadClasses(4, 4, 0.4)})
+	p := startScenario(t, r, 4, 5*time.Second)
+	p.waitUntil(time.Second)
 	drain := func(n int) {
 		e := r.Host.Encoders()[n]
 		e.Drain()
 		r.Host.Ledger.Told(e.ID(), time.Now())
 	}
 	drain(0)
-	p.at(2 * time.Second)
+	p.waitUntil(2 * time.Second)
 	r.Daemon(1).Signal(syscall.SIGSTOP)
-	p.at(2200 * time.Millisecond)
+	p.waitUntil(2200 * time.Millisecond)
 	drain(1)
-	p.at(4 * time.Second)
+	p.waitUntil(4 * time.Second)
 	r.Daemon(1).Signal(syscall.SIGCONT)
 	p.end()
 }
 
 // Case 5: an encoder hangs, one sends GOAWAY in the middle of a burst, and a portal that was stopped for a
 // while comes back with old leases.
-func TestHangGoAwayAndPause(t *testing.T) {
-	r := site(t, rig.Options{Encoders: 5, Slots: 4, Daemons: 2, Classes: busy(5, 4, 0.4), Cold: 20 * time.Second})
-	p := begin(t, r, 5, 7*time.Second)
-	p.at(time.Second)
+func TestEncoderHangsGoAwayAndPausedPortal(t *testing.T) {
+	r := startRig(t, rig.Options{Encoders: 5, Slots: 4, Daemons: 2, Classes: loadClasses(5, 4, 0.4), Cold: 20 * time.Second})
+	p := startScenario(t, r, 5, 7*time.Second)
+	p.waitUntil(time.Second)
 	require.NoError(t, r.GRPC.GoAway("s-2"))
-	p.at(1500 * time.Millisecond)
+	p.waitUntil(1500 * time.Millisecond)
 	r.Host.Encoders()[0].Hang()
-	p.at(2 * time.Second)
+	p.waitUntil(2 * time.Second)
 	p.restart(3, 4)
-	p.at(2500 * time.Millisecond)
+	p.waitUntil(2500 * time.Millisecond)
 	p.portals[0].Pause()
-	p.at(4500 * time.Millisecond)
+	p.waitUntil(4500 * time.Millisecond)
 	p.portals[0].Continue()
-	p.at(5 * time.Second)
+	p.waitUntil(5 * time.Second)
 	r.Host.Encoders()[0].Wake()
 	sum := p.end()
 	preview := sum["preview"]
@@ -222,14 +222,14 @@
 // A daemon's process is replaced under load: clients and plug-ins notice nothing, and leases of the two
 // processes together stay within the part that is theirs.
 func TestDaemonIsReplaced(t *testing.T) {
-	r := site(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 1, Classes: busy(4, 4, 0.4), Cold: 20 * time.Second})
-	p := begin(t, r, 3, 6*time.Second)
-	p.at(time.Second)
+	r := startRig(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 1, Classes: loadClasses(4, 4, 0.4), Cold: 20 * time.Second})
+	p := startScenario(t, r, 3, 6*time.Second)
+	p.waitUntil(time.Second)
 	p.restart(0, 1)
-	p.at(1500 * time.Millisecond)
+	p.waitUntil(1500 * time.Millisecond)
 	old, err := r.Daemon(0).Beside()
 	require.NoError(t, err)
-	p.at(3 * time.Second)
+	p.waitUntil(3 * time.Second)
 	require.EqualValues(t, 3, r.Daemon(0).Figure("control.senders"), "the plug-ins are attached to the new process")
 	old.Signal(syscall.SIGTERM)
 	old.Wait()
--- a/winglb/hostile_test.go
+++ b/winglb/malformed_test.go
@@ -47,8 +47,8 @@
 // Case 6: what a daemon cannot make sense of ends that stream with a clear error, and disturbs no other.
 func TestMalformedMessagesEndTheirStreamOnly(t *testing.T) {
 	var all atomic.Int32
-	e := script(t, &all)
-	c := daemon(t, e.address)
+	e := startEncoder(t, &all)
+	c := startControl(t, e.address)
 	good := attach(t, c.Address())
 	require.NoError(t, good.Send(hello(func(h *controlv1.Hello) { h.Name = "good" })))
 	m, err := good.Recv()
@@ -116,27 +116,27 @@
 	}
 }
 
-// deceiver is a daemon that tells plug-ins nonsense after a good welcome.
-type deceiver struct {
+// faultyDaemon is a daemon that tells plug-ins nonsense after a good welcome.
+type faultyDaemon struct {
 	controlv1.UnimplementedControlServer
-	lies []*controlv1.ToSender
-	came atomic.Int32
+	messages []*controlv1.ToSender
+	attached atomic.Int32
 }
 
-func (d *deceiver) Attach(s grpc.BidiStreamingServer[controlv1.FromSender, controlv1.ToSender]) error {
+func (d *faultyDaemon) Attach(s grpc.BidiStreamingServer[controlv1.FromSender, controlv1.ToSender]) error {
 	if _, err := s.Recv(); err != nil {
 		return err
 	}
-	s.Send(d.lies[int(d.came.Add(1)-1)%len(d.lies)])
+	s.Send(d.messages[int(d.attached.Add(1)-1)%len(d.messages)])
 	<-s.Context().Done()
 	return nil
 }
 
 // A daemon that tells nonsense is left, and what another tells goes on to count.
-func TestPlugInLeavesADaemonThatTellsNonsense(t *testing.T) {
+func TestPlugInDetachesFromADaemonThatSendsInvalidMessages(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d := &deceiver{lies: []*controlv1.ToSender{
+	d := &faultyDaemon{messages: []*controlv1.ToSender{
 		{},
 		{Kind: &controlv1.ToSender_Beat{}},
 		{Kind: &controlv1.ToSender_Welcome{}},
@@ -148,27 +148,27 @@
 	go server.Serve(l)
 	t.Cleanup(server.Stop)
 	var all atomic.Int32
-	c := daemon(t, script(t, &all).address)
+	c := startControl(t, startEncoder(t, &all).address)
 	lb, err := winglb.New(winglb.Config{Name: "p", Daemons: []string{l.Addr().String(), c.Address()}, Class: "preview"})
 	require.NoError(t, err)
 	defer lb.Close()
 	conn, err := grpc.NewClient("winglb:///x", lb.DialOptions()...)
 	require.NoError(t, err)
 	defer conn.Close()
-	require.Eventually(t, func() bool { return int(d.came.Load()) > len(d.lies) }, 20*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return int(d.attached.Load()) > len(d.messages) }, 20*time.Second, 5*time.Millisecond)
 	_, err = jobv1.NewJobsClient(conn).Run(t.Context(), &jobv1.RunRequest{})
 	require.NoError(t, err)
 	require.Equal(t, 1, lb.Attached())
 }
 
 // With keys, only a plug-in whose certificate bears one of the names is told anything.
-func TestCertificateOfAnotherNameGetsInNowhere(t *testing.T) {
+func TestCertificateWithAnotherNameIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	a, err := authority.New(dir, "ca")
 	require.NoError(t, err)
 	cert, key, err := a.Issue("daemon", time.Now().Add(time.Hour))
 	require.NoError(t, err)
-	r := site(t, rig.Options{Encoders: 2, Slots: 2, Daemons: 1, TLS: fmt.Sprintf("[control.tls]\ncertificate = %q\nkey = %q\nclient_ca = %q\nnames = [\"portal\"]", cert, key, a.CA)})
+	r := startRig(t, rig.Options{Encoders: 2, Slots: 2, Daemons: 1, TLS: fmt.Sprintf("[control.tls]\ncertificate = %q\nkey = %q\nclient_ca = %q\nnames = [\"portal\"]", cert, key, a.CA)})
 	client := func(name string) *winglb.Balancer {
 		cert, key, err := a.Issue(name, time.Now().Add(time.Hour))
 		require.NoError(t, err)
--- a/winglb/pick_test.go
+++ b/winglb/pick_test.go
@@ -13,23 +13,23 @@
 	"caperrelay/internal/dispatch"
 )
 
-// conn is a connection that counts how often it was asked to connect.
-type conn struct {
+// countingConn is a connection that counts how often it was asked to connect.
+type countingConn struct {
 	balancer.SubConn
 	connects int
 }
 
-func (c *conn) Connect() { c.connects++ }
+func (c *countingConn) Connect() { c.connects++ }
 
 // The picker follows the decision and looks once more whether it may be sent: a process that was stopped
 // between the two must not use a lease that has ended, nor an encoder that drains by now. It never picks
 // twice for one attempt, and never blocks.
-func TestPickFollowsAndLooksOnceMore(t *testing.T) {
+func TestPickRechecksThatTheAttemptMayBeSent(t *testing.T) {
 	f := &fleet{instances: map[string]*instance{"s-1": {"x:1", decide.Ready}}, cordoned: map[string]bool{}}
-	c := &conn{}
-	p := picker{&policy{subs: map[string]*sub{"s-1": {conn: c, state: connectivity.Ready}}}}
+	c := &countingConn{}
+	p := picker{&policy{subs: map[string]*encoderConn{"s-1": {conn: c, state: connectivity.Ready}}}}
 	pick := func(change func(*attempt)) (*attempt, error) {
-		a := &attempt{fleet: f, of: &dispatch.Attempt{Command: &dispatch.Command{}}, instance: "s-1"}
+		a := &attempt{fleet: f, dispatched: &dispatch.Attempt{Command: &dispatch.Command{}}, instance: "s-1"}
 		if change != nil {
 			change(a)
 		}
@@ -42,25 +42,25 @@
 	a, err := pick(nil)
 	require.NoError(t, err)
 	_, err = p.Pick(balancer.PickInfo{Ctx: context.WithValue(t.Context(), attemptKey{}, a)})
-	require.ErrorIs(t, err, errAgain, "what grpc would send again by itself")
+	require.ErrorIs(t, err, errResend, "what grpc would send again by itself")
 	require.Equal(t, decide.NotSent, a.outcome(err, nil), "it never ran")
 	_, err = p.Pick(balancer.PickInfo{Ctx: t.Context()})
-	require.ErrorIs(t, err, errUndecided)
+	require.ErrorIs(t, err, errNoAttempt)
 	_, err = pick(func(a *attempt) { a.instance = "s-9" })
 	require.ErrorIs(t, err, errUnknown)
 
-	a, err = pick(func(a *attempt) { a.of.SendUntil = time.Now().Add(-time.Millisecond) })
-	require.ErrorIs(t, err, errLate, "the lease has ended")
+	a, err = pick(func(a *attempt) { a.dispatched.SendUntil = time.Now().Add(-time.Millisecond) })
+	require.ErrorIs(t, err, errNotAllowed, "the lease has ended")
 	require.Equal(t, decide.NotSent, a.outcome(err, nil))
-	_, err = pick(func(a *attempt) { a.of.SendUntil = time.Now().Add(time.Hour) })
+	_, err = pick(func(a *attempt) { a.dispatched.SendUntil = time.Now().Add(time.Hour) })
 	require.NoError(t, err)
 	f.cordoned["s-1"] = true
 	_, err = pick(nil)
-	require.ErrorIs(t, err, errLate, "left out by hand")
+	require.ErrorIs(t, err, errNotAllowed, "left out by hand")
 	delete(f.cordoned, "s-1")
 	f.instances["s-1"].state = decide.Draining
 	_, err = pick(nil)
-	require.ErrorIs(t, err, errLate, "draining")
+	require.ErrorIs(t, err, errNotAllowed, "draining")
 	f.instances["s-1"].state = decide.Ready
 
 	p.policy.subs["s-1"].state = connectivity.Idle
--- a/winglb/promise.go
+++ b/winglb/promise.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	firstTry   = 400 * time.Millisecond // at one daemon, before another is asked: it may stand still
-	promiseTry = 2 * time.Second        // likewise, later: a group may be without an owner for as long
-	awaitTry   = 5 * time.Second        // that a daemon waits
-	triesPause = 20 * time.Millisecond
+	initialTimeout   = 400 * time.Millisecond // at one daemon, before another is asked: it may stand still
+	maxPromiseTimeout = 2 * time.Second        // likewise, later: a group may be without an owner for as long
+	daemonWait   = 5 * time.Second        // that a daemon waits
+	retryPause = 20 * time.Millisecond
 )
 
 // Promised is a job that is handed in for good.
@@ -67,7 +67,7 @@
 // Promises hands jobs in for good, at whichever daemon answers. It is safe for use by several goroutines.
 type Promises struct {
 	conns []*grpc.ClientConn
-	at    atomic.Uint64 // the daemon that answered last
+	current    atomic.Uint64 // the daemon that answered last
 }
 
 // NewPromises uses Daemons and TLS of the configuration. It must be closed.
@@ -100,11 +100,11 @@
 	}
 }
 
-// each calls f at one daemon after another, each for longer than the one before, until one answers, the context ends or
+// untilAnswered calls f at one daemon after another, each for longer than the one before, until one answers, the context ends or
 // what is wrong would be so anywhere.
-func (p *Promises) each(ctx context.Context, within, most time.Duration, f func(context.Context, promisev1.PromisesClient) error) error {
+func (p *Promises) untilAnswered(ctx context.Context, within, most time.Duration, f func(context.Context, promisev1.PromisesClient) error) error {
 	for ; ; within = min(2*within, most) {
-		at := p.at.Load()
+		at := p.current.Load()
 		try, cancel := context.WithTimeout(ctx, within)
 		err := f(try, promisev1.NewPromisesClient(p.conns[at%uint64(len(p.conns))]))
 		cancel()
@@ -116,8 +116,8 @@
 		if ctx.Err() != nil {
 			return err
 		}
-		p.at.CompareAndSwap(at, at+1)
-		timer := time.NewTimer(triesPause)
+		p.current.CompareAndSwap(at, at+1)
+		timer := time.NewTimer(retryPause)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -136,7 +136,7 @@
 		WithinMs: uint64(max(0, j.Within.Milliseconds())), KeepMs: uint64(max(0, j.Keep.Milliseconds())), Order: j.Order,
 	}}
 	var r *promisev1.PromiseResponse
-	err := p.each(ctx, firstTry, promiseTry, func(ctx context.Context, c promisev1.PromisesClient) (err error) {
+	err := p.untilAnswered(ctx, initialTimeout, maxPromiseTimeout, func(ctx context.Context, c promisev1.PromisesClient) (err error) {
 		r, err = c.Promise(ctx, q)
 		return err
 	})
@@ -151,8 +151,8 @@
 func (p *Promises) Await(ctx context.Context, id string) (End, error) {
 	for {
 		var r *promisev1.AwaitResponse
-		err := p.each(ctx, awaitTry+promiseTry, awaitTry+promiseTry, func(ctx context.Context, c promisev1.PromisesClient) (err error) {
-			r, err = c.Await(ctx, &promisev1.AwaitRequest{Id: id, WaitMs: uint32(awaitTry.Milliseconds())})
+		err := p.untilAnswered(ctx, daemonWait+maxPromiseTimeout, daemonWait+maxPromiseTimeout, func(ctx context.Context, c promisev1.PromisesClient) (err error) {
+			r, err = c.Await(ctx, &promisev1.AwaitRequest{Id: id, WaitMs: uint32(daemonWait.Milliseconds())})
 			return err
 		})
 		if err != nil {
@@ -167,7 +167,7 @@
 // Forget drops a promise that has ended; then its id is free. NotFound: none is kept, perhaps since a call before got
 // through. FailedPrecondition: it has not ended.
 func (p *Promises) Forget(ctx context.Context, id string) error {
-	return p.each(ctx, firstTry, promiseTry, func(ctx context.Context, c promisev1.PromisesClient) error {
+	return p.untilAnswered(ctx, initialTimeout, maxPromiseTimeout, func(ctx context.Context, c promisev1.PromisesClient) error {
 		_, err := c.Forget(ctx, &promisev1.ForgetRequest{Id: id})
 		return err
 	})
--- a/winglb/rig_test.go
+++ b/winglb/rig_test.go
@@ -44,8 +44,8 @@
 	publish = load.Class{Name: "publish", Rate: 10, Work: 60 * time.Millisecond, Once: true, Left: 10 * time.Second}
 )
 
-// site is a rig with daemons that serve.
-func site(t *testing.T, o rig.Options) *rig.Rig {
+// startRig is a rig with daemons that serve.
+func startRig(t *testing.T, o rig.Options) *rig.Rig {
 	o.Command, o.Dir = command, t.TempDir()
 	if o.Classes == nil {
 		o.Classes = []load.Class{preview, publish}
--- a/winglb/calls_test.go
+++ b/winglb/served_test.go
@@ -28,7 +28,7 @@
 
 // The way through the whole: a daemon tells, the plug-in sends, encoders answer, each call once.
 func TestCallsAreServed(t *testing.T) {
-	r := site(t, rig.Options{Encoders: 4, Slots: 8, Daemons: 2})
+	r := startRig(t, rig.Options{Encoders: 4, Slots: 8, Daemons: 2})
 	lb, conn := dial(t, r, "p")
 	report := load.NewReport()
 	jobs := load.Draw(1, time.Second, []load.Class{{Name: "preview", Rate: 800, Work: 20 * time.Millisecond, Left: 10 * time.Second}, publish}, "acme")
--- a/winglb/status_test.go
+++ b/winglb/status_test.go
@@ -24,51 +24,51 @@
 	"caperrelay/winglb"
 )
 
-// daemon is the control side of one, in this process, that tells of such encoders.
-func daemon(t *testing.T, addresses ...string) *control.Server {
+// startControl is the control side of one, in this process, that tells of such encoders.
+func startControl(t *testing.T, addresses ...string) *control.Server {
 	c, err := teller.New(addresses...)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
 	return c
 }
 
-// scripted is an encoder that does what each call's payload says at its first attempt, and serves later ones.
-type scripted struct {
+// scriptedEncoder is an encoder that does what each call's payload says at its first attempt, and serves later ones.
+type scriptedEncoder struct {
 	jobv1.UnimplementedJobsServer
 	server  *grpc.Server
 	address string
-	came    atomic.Int32 // attempts that reached the handler, of all encoders of a test
-	all     *atomic.Int32
-	conns   *conns
+	attempts    atomic.Int32 // attempts that reached the handler, of all encoders of a test
+	total     *atomic.Int32
+	conns   *cuttableListener
 }
 
-// conns keeps what a listener accepted, to be cut.
-type conns struct {
+// cuttableListener keeps what a listener accepted, to be cut.
+type cuttableListener struct {
 	net.Listener
-	made chan net.Conn
+	accepted chan net.Conn
 }
 
-func (c *conns) Accept() (net.Conn, error) {
+func (c *cuttableListener) Accept() (net.Conn, error) {
 	nc, err := c.Listener.Accept()
 	if err == nil {
-		c.made <- nc
+		c.accepted <- nc
 	}
 	return nc, err
 }
 
-func script(t *testing.T, all *atomic.Int32) *scripted {
+func startEncoder(t *testing.T, all *atomic.Int32) *scriptedEncoder {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &scripted{server: grpc.NewServer(), address: l.Addr().String(), all: all, conns: &conns{l, make(chan net.Conn, 99)}}
+	s := &scriptedEncoder{server: grpc.NewServer(), address: l.Addr().String(), total: all, conns: &cuttableListener{l, make(chan net.Conn, 99)}}
 	jobv1.RegisterJobsServer(s.server, s)
 	go s.server.Serve(s.conns)
 	t.Cleanup(s.server.Stop)
 	return s
 }
 
-func (s *scripted) Run(ctx context.Context, q *jobv1.RunRequest) (*jobv1.RunResponse, error) {
-	s.came.Add(1)
-	if s.all.Add(1) == 1 {
+func (s *scriptedEncoder) Run(ctx context.Context, q *jobv1.RunRequest) (*jobv1.RunResponse, error) {
+	s.attempts.Add(1)
+	if s.total.Add(1) == 1 {
 		switch what := string(q.Payload); what {
 		case "full":
 			grpc.SetTrailer(ctx, metadata.Pairs("winglb-unprocessed", "1"))
@@ -82,13 +82,13 @@
 		case "invalid":
 			return nil, status.Error(codes.InvalidArgument, "no such lecture")
 		case "cut":
-			(<-s.conns.made).Close()
+			(<-s.conns.accepted).Close()
 			<-ctx.Done()
 			return nil, ctx.Err()
 		case "cut after the header":
 			grpc.SendHeader(ctx, nil)
 			time.Sleep(20 * time.Millisecond)
-			(<-s.conns.made).Close()
+			(<-s.conns.accepted).Close()
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -124,15 +124,15 @@
 		}{"preview": {row.preview, row.previewRuns}, "publish": {row.publish, row.publishRuns}} {
 			t.Run(row.what+"/"+class, func(t *testing.T) {
 				var all atomic.Int32
-				a, b := script(t, &all), script(t, &all)
+				a, b := startEncoder(t, &all), startEncoder(t, &all)
 				addresses := []string{a.address, b.address}
 				switch row.what {
 				case "refused connection":
 					a.server.Stop()
 				case "accepted and reset", "goaway before it is processed", "stream refused":
-					addresses[0] = raw(t, row.what)
+					addresses[0] = startRawEncoder(t, row.what)
 				}
-				c := daemon(t, addresses...)
+				c := startControl(t, addresses...)
 				lb, err := winglb.New(winglb.Config{Name: "t", Daemons: []string{c.Address()}, Class: class})
 				require.NoError(t, err)
 				defer lb.Close()
@@ -155,8 +155,8 @@
 }
 
 // Where no encoder will do, the refusal comes at once, says so and says when to come back.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	c := daemon(t) // no encoder at all
+func TestRefusalCarriesRetryInfo(t *testing.T) {
+	c := startControl(t) // no encoder at all
 	lb, err := winglb.New(winglb.Config{Name: "t", Daemons: []string{c.Address()}, Class: "preview"})
 	require.NoError(t, err)
 	defer lb.Close()
@@ -190,8 +190,8 @@
 	require.True(t, strings.Contains(lb.Counters(), "commands_nacked 1"), lb.Counters())
 }
 
-// raw is an encoder that speaks HTTP/2 only so far, and has no handler.
-func raw(t *testing.T, what string) string {
+// startRawEncoder is an encoder that speaks HTTP/2 only so far, and has no handler.
+func startRawEncoder(t *testing.T, what string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
--- a/winglb/told_test.go
+++ b/winglb/updates_test.go
@@ -22,7 +22,7 @@
 
 // What people change at a daemon reaches plug-ins without a restart: a class that the settings did not have.
 func TestSettingsReachPlugIns(t *testing.T) {
-	r := site(t, rig.Options{Encoders: 2, Slots: 2, Daemons: 1})
+	r := startRig(t, rig.Options{Encoders: 2, Slots: 2, Daemons: 1})
 	_, conn := dial(t, r, "p")
 	run := func(class string) codes.Code {
 		ctx, cancel := context.WithTimeout(winglb.WithJob(t.Context(), winglb.Job{Class: class}), 10*time.Second)
@@ -46,8 +46,8 @@
 func TestCordonsReachPlugIns(t *testing.T) {
 	var all atomic.Int32
 	all.Store(1)
-	a, b := script(t, &all), script(t, &all)
-	c, other := daemon(t, a.address, b.address), daemon(t, a.address, b.address)
+	a, b := startEncoder(t, &all), startEncoder(t, &all)
+	c, other := startControl(t, a.address, b.address), startControl(t, a.address, b.address)
 	lb, err := winglb.New(winglb.Config{Name: "t", Daemons: []string{c.Address(), other.Address()}, Class: "preview"})
 	require.NoError(t, err)
 	defer lb.Close()
@@ -66,16 +66,16 @@
 	c.Cordoned([]string{"s-1"})
 	other.Cordoned([]string{"s-9"})
 	time.Sleep(50 * time.Millisecond) // on its way
-	before := a.came.Load()
+	before := a.attempts.Load()
 	run(20)
-	require.Equal(t, before, a.came.Load())
+	require.Equal(t, before, a.attempts.Load())
 	c.Cordoned(nil)
-	require.Eventually(t, func() bool { run(1); return a.came.Load() > before }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { run(1); return a.attempts.Load() > before }, 20*time.Second, time.Millisecond)
 }
 
 // A plug-in that is closed ends its calls, and leaves the daemon.
 func TestClose(t *testing.T) {
-	c := daemon(t)
+	c := startControl(t)
 	lb, err := winglb.New(winglb.Config{Name: "t", Daemons: []string{c.Address()}, Class: "preview"})
 	require.NoError(t, err)
 	conn, err := grpc.NewClient("winglb:///x", lb.DialOptions()...)
--- a/winglb/winglb.go
+++ b/winglb/winglb.go
@@ -78,10 +78,10 @@
 
 	loop   *dispatch.Loop
 	fleet  *fleet
-	sheet  *sheet
+	control  *controlState
 	ended  chan struct{}
 	close  sync.Once
-	primed chan struct{} // closed once a daemon has told settings and list
+	ready chan struct{} // closed once a daemon has told settings and list
 }
 
 // New returns a balancer that begins to call the daemons. It must be closed.
@@ -89,8 +89,8 @@
 	if len(c.Daemons) == 0 {
 		return nil, errors.New("winglb: Daemons: at least one control address is needed")
 	}
-	if len(c.Daemons) > mostDaemons {
-		return nil, fmt.Errorf("winglb: Daemons: %d are more than %d", len(c.Daemons), mostDaemons)
+	if len(c.Daemons) > maxDaemons {
+		return nil, fmt.Errorf("winglb: Daemons: %d are more than %d", len(c.Daemons), maxDaemons)
 	}
 	if c.Name = cmp.Or(c.Name, programName()); len(c.Name) > 128 {
 		return nil, errors.New("winglb: Name: longer than 128 bytes")
@@ -98,13 +98,13 @@
 	if c.Credentials == nil {
 		c.Credentials = insecure.NewCredentials()
 	}
-	b := &Balancer{config: c, log: c.Logger, boot: max(1, rand.Uint64()), ended: make(chan struct{}), primed: make(chan struct{})}
+	b := &Balancer{config: c, log: c.Logger, boot: max(1, rand.Uint64()), ended: make(chan struct{}), ready: make(chan struct{})}
 	if b.log == nil {
 		b.log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
 	b.fleet = newFleet(b)
-	b.sheet = newSheet(b)
-	b.sheet.run()
+	b.control = newControlState(b)
+	b.control.run()
 	return b, nil
 }
 
@@ -130,7 +130,7 @@
 		grpc.WithResolvers(&resolverBuilder{b}),
 		grpc.WithChainUnaryInterceptor(b.unary),
 		grpc.WithChainStreamInterceptor(b.stream),
-		grpc.WithStatsHandler(handler{}),
+		grpc.WithStatsHandler(statsHandler{}),
 		grpc.WithTransportCredentials(b.config.Credentials),
 		grpc.WithDisableRetry(),         // attempts are the module's
 		grpc.WithDisableServiceConfig(), // and so is the balancing: a resolver may not say otherwise
@@ -148,7 +148,7 @@
 // Counters lists what became of calls and attempts, one "name value" a line.
 func (b *Balancer) Counters() string {
 	select {
-	case <-b.primed:
+	case <-b.ready:
 		return b.loop.Counters.String()
 	default:
 		return ""
@@ -156,7 +156,7 @@
 }
 
 // Attached is how many daemons tell this client now.
-func (b *Balancer) Attached() int { return b.sheet.attached() }
+func (b *Balancer) Attached() int { return b.control.attachedCount() }
 
 // keyNumber is a key as the module knows it.
 func keyNumber(key string) uint64 {
