--- a/cmd/winglb-full/main.go
+++ b/cmd/winglb-full/main.go
@@ -1,5 +1,5 @@
-// Command winglb-full has all of winglb's sub-commands. bin/winglb becomes it for any but a bare serve, so
-// that the daemon on small machines does not carry what it does not use.
+// Command winglb-full has all sub-commands of winglb. bin/winglb executes it for all but a plain serve, which keeps
+// the daemon small on small machines.
 package main
 
 import (
@@ -23,16 +23,16 @@
 )
 
 type commands struct {
-	Serve   serve      `name:"serve" cmd:"" help:"Run a dispatcher: by a TOML file, or by the PROXY_* variables as the platform starts it."`
-	Check   check      `name:"check" cmd:"" help:"Read a TOML file and say what is wrong with it, one line a fault."`
+	Serve   serve          `name:"serve" cmd:"" help:"Run a dispatcher: by a TOML file, or by the PROXY_* variables as the platform starts it."`
+	Check   check          `name:"check" cmd:"" help:"Read a TOML file and say what is wrong with it, one line a fault."`
 	Demo    demoCommand    `name:"demo" cmd:"" help:"Run stand-in encoders, discovery, a daemon and a small load on this machine, and sum up."`
 	Import  importCommand  `name:"import" cmd:"" help:"Take over another program's configuration."`
 	Members membersCommand `name:"members" cmd:"" help:"Ask dispatchers who lives, and who watches the list service."`
 	Lists   listsCommand   `name:"lists" cmd:"" help:"Ask dispatchers which list each has, from whom and how old it is."`
-	Routes  routesCommand    `name:"routes" cmd:"" help:"Look at routes."`
-	Prove   proveCommand      `name:"prove" cmd:"" help:"Run one of the measurements behind make prove-NAME."`
-	Version version    `name:"version" cmd:"" help:"Print the version."`
-	Rig     rigRole    `name:"rig" cmd:"" hidden:""`
+	Routes  routesCommand  `name:"routes" cmd:"" help:"Look at routes."`
+	Prove   proveCommand   `name:"prove" cmd:"" help:"Run one of the measurements behind make prove-NAME."`
+	Version version        `name:"version" cmd:"" help:"Print the version."`
+	Rig     rigRole        `name:"rig" cmd:"" hidden:""`
 }
 
 type serve struct {
@@ -81,7 +81,7 @@
 	return demo.Run(demo.Options{Seconds: d.Seconds, Encoders: d.Encoders, Portals: d.Portals, JSON: d.JSON, Command: rigCommand})
 }
 
-// rigCommand starts one of a rig's programs.
+// rigCommand returns the command for one of a rig's processes.
 func rigCommand(role, file string) *exec.Cmd {
 	self, err := os.Executable()
 	if err != nil {
@@ -169,7 +169,7 @@
 	case exitError:
 		fmt.Fprintln(os.Stderr, "winglb:", e)
 		os.Exit(e.code)
-	case *siteconf.Error, *nginx.Error: // a compiler's form, for editors
+	case *siteconf.Error, *nginx.Error: // formatted as file:line: message, for editors
 		fmt.Fprintln(os.Stderr, e)
 		os.Exit(1)
 	}
--- a/cmd/winglb-full/members.go
+++ b/cmd/winglb-full/members.go
@@ -14,19 +14,19 @@
 	"caperrelay/internal/members"
 )
 
-// asked is what the commands about members have alike.
+// asked holds the arguments that the members and lists commands share.
 type asked struct {
 	At   []string `arg:"" name:"address" help:"Operators' addresses (node.admin) of dispatchers."`
 	JSON bool     `name:"json" help:"Print one JSON object for each dispatcher that answers."`
 }
 
 const (
-	queryTimeout = 2 * time.Second
-	maxConcurrentQueries   = 32
-	maxAnswerBytes   = 4 << 20
+	queryTimeout         = 2 * time.Second
+	maxConcurrentQueries = 32
+	maxAnswerBytes       = 4 << 20
 )
 
-// queryMembers asks one dispatcher.
+// queryMembers queries one dispatcher.
 func queryMembers(address string) (v members.View, err error) {
 	c, err := net.DialTimeout("tcp", address, queryTimeout)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return v, json.Unmarshal([]byte(strings.TrimSuffix(string(text), "END\n")), &v)
 }
 
-// queryAll asks all, and has f print those that answered in the order of the addresses.
+// queryAll queries all dispatchers and prints the answers with f, in the order of the addresses.
 func (a *asked) queryAll(heading string, f func(io.Writer, members.View)) error {
 	all, faults := make([]members.View, len(a.At)), make([]error, len(a.At))
 	var wg sync.WaitGroup
--- a/cmd/winglb-full/routes.go
+++ b/cmd/winglb-full/routes.go
@@ -25,7 +25,7 @@
 	Strict bool   `name:"strict" help:"End with 2 where something was approximated or not carried."`
 }
 
-// exitError is an error that ends the program with a code of its own.
+// exitError is an error with its own exit code.
 type exitError struct {
 	code int
 	error
@@ -168,7 +168,7 @@
 	Why      string `json:"why"`
 }
 
-// eligible tells which members of a pool may get a request while all is well.
+// eligible lists the members of a pool, and which of them get requests while all members are healthy.
 func eligible(p *routes.Pool) (all []member) {
 	for _, m := range p.Members {
 		weight := max(1, m.Weight)
--- a/cmd/winglb/build_test.go
+++ b/cmd/winglb/build_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The bench of the large fleet leads sockets and clocks by a library loaded into the process: a daemon that is not
-// linked dynamically against the C library never meets it.
+// The large-fleet benchmark intercepts sockets and clocks with a preloaded library, which has no effect on a daemon
+// that is not linked dynamically against the C library.
 func TestBuildOfTheDeployFileNeedsTheCLibrary(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
@@ -24,8 +24,8 @@
 	require.NotEqual(t, string(build[1]), line, "the build goes to bin/")
 	cmd := exec.Command("sh", "-c", strings.Replace(line, "mkdir -p bin && ", "", 1))
 	cmd.Dir = "../.."
-	told, err := cmd.CombinedOutput()
-	require.NoError(t, err, string(told))
+	output, err := cmd.CombinedOutput()
+	require.NoError(t, err, string(output))
 
 	file, err := elf.Open(filepath.Join(out, "winglb"))
 	require.NoError(t, err)
--- a/cmd/winglb/knownred_test.go
+++ b/cmd/winglb/knownred_test.go
@@ -19,7 +19,7 @@
 	return string(told), err
 }
 
-// A list that cannot be read as entries must stop CI: a test that nobody runs would count as known.
+// A list with malformed entries must stop CI: otherwise a test that does not exist would count as a known failure.
 func TestKnownFailuresThatAreNotEntriesStopCI(t *testing.T) {
 	for line, fault := range map[string]string{
 		"go test ./cmd/winglb -run ^TestNowhere$ | seed 1 | fails | issue 1":  "there is no such test",
--- a/cmd/winglb/main.go
+++ b/cmd/winglb/main.go
@@ -1,6 +1,6 @@
-// Command winglb is the real dispatcher: it takes commands from service clients and has instances do
-// them, as the decision module says. It is kept lean: what needs more than the platform's days allow is
-// in winglb-full beside it, which this program becomes for any sub-command but a bare serve.
+// Command winglb is the dispatcher daemon: it takes requests from clients and dispatches them to encoders by the
+// decisions of package decide. It is kept small; for any sub-command except a plain serve it executes winglb-full
+// from the same folder.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	os.Exit(1)
 }
 
-// execFull becomes the program with all sub-commands; it returns only where that cannot be.
+// execFull replaces this process by winglb-full. It returns only on failure.
 func execFull() error {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/winglb/main_test.go
+++ b/cmd/winglb/main_test.go
@@ -9,7 +9,7 @@
 	"caperrelay/internal/daemon"
 )
 
-// A faulty configuration ends the program at once, with an error that names the key.
+// A faulty configuration makes the program exit at once with an error that names the key.
 func TestFaultyConfigurationStopsTheProgram(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
 	require.ErrorContains(t, daemon.Run(os.Getenv), "PROXY_CONFIG")
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs many dispatchers on the simulator's wire: batches on
-// standard input, one reply for each on standard output.
+// Command wirehost runs dispatchers for the simulator: it reads batches of
+// events from standard input and writes a reply to each to standard output.
 package main
 
 import (
@@ -43,28 +43,28 @@
 	}
 }
 
-// instanceEvents is one instance's part of a batch.
+// instanceEvents holds the events of a batch for one instance.
 type instanceEvents struct {
 	instance int
 	events   []decide.Event
 }
 
-// handle gives each instance its events of the batch, in the order in which the
-// instances first appear. What came before a stop is void.
+// handle passes each instance its events of the batch, in the order in which
+// the instances first appear. Events before a stop are discarded.
 func handle(instances map[int]*decide.Dispatcher, b *wire.Batch) ([]wire.Reply, error) {
-	var turns []instanceEvents
+	var groups []instanceEvents
 	at := map[int]int{}
 	for _, it := range b.Items {
 		i, seen := at[it.Instance]
 		if !seen {
-			i = len(turns)
+			i = len(groups)
 			at[it.Instance] = i
-			turns = append(turns, instanceEvents{instance: it.Instance})
+			groups = append(groups, instanceEvents{instance: it.Instance})
 		}
 		switch what := it.What.(type) {
 		case wire.Stop:
 			delete(instances, it.Instance)
-			turns[i].events = nil
+			groups[i].events = nil
 		case wire.Hello:
 			d, err := decide.New(what.Settings)
 			if err != nil {
@@ -75,11 +75,11 @@
 			if instances[it.Instance] == nil {
 				return nil, fmt.Errorf("instance %d has an event before its hello", it.Instance)
 			}
-			turns[i].events = append(turns[i].events, what)
+			groups[i].events = append(groups[i].events, what)
 		}
 	}
 	var replies []wire.Reply
-	for _, t := range turns {
+	for _, t := range groups {
 		if d := instances[t.instance]; d != nil {
 			replies = append(replies, wire.Reply{Instance: t.instance, Actions: d.Handle(b.Now, t.events)})
 		}
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -10,15 +10,15 @@
 const settings = `{"Balancers": 1, "Permissions": {"AttemptsCap": 3},
 	"RequestClasses": [{"AimUs": 100000, "DeadlineUs": 1000000, "Effect": "free"}]}`
 
-// batch is a frame of records with these codes, four for each instance.
+// batch encodes a frame of records with these codes, four for each instance.
 func batch(codes ...byte) []byte { return batchOf(settings, codes...) }
 
-// budget gives the settings this budget of attempts.
+// budget returns the settings with a budget of attempts.
 func budget(rules string) string {
 	return strings.Replace(settings, "{", `{"Rules": `+rules+`, `, 1)
 }
 
-// mix gives the settings this mix of objectives.
+// mix returns the settings with a mix of objectives.
 func mix(goal string) string {
 	return strings.Replace(settings, "{", `{"ObjectiveMix": `+goal+`, `, 1)
 }
--- a/examples/portal/main.go
+++ b/examples/portal/main.go
@@ -1,5 +1,5 @@
-// Command portal is a complete client of the plug-in: it calls encoders for a preview now and then, by the
-// decisions of the dispatcher, and shows what to make of each answer.
+// Command portal is a complete example of a client with the plug-in: it requests a preview from time to time and
+// shows how to treat each status.
 //
 //	WINGLB_DAEMONS=127.0.0.1:8100,127.0.0.1:8101 portal
 package main
@@ -33,7 +33,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	config := winglb.FromEnv()
-	config.Class = "preview" // of calls that say nothing else
+	config.Class = "preview" // default for calls that set none
 	config.Logger = slog.Default()
 	lb, err := winglb.New(config)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// preview asks for one; again is when to come back, if the answer was no.
+// preview requests one preview; again is the delay before a retry after a refusal.
 func preview(ctx context.Context, jobs jobv1.JobsClient, lecture string) (again time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -75,9 +75,9 @@
 		}
 	}
 	switch status.Code(err) {
-	case codes.ResourceExhausted: // refused: it never ran, or may run again
+	case codes.ResourceExhausted: // refused: it never ran, or is safe to repeat
 		return again, fmt.Errorf("%s: refused, again in %v", lecture, again)
-	case codes.Aborted: // it may have run: what must not run twice is not to be sent again
+	case codes.Aborted: // it may have run: do not repeat a call that must not run twice
 		return 0, fmt.Errorf("%s: failed, and may have run: %w", lecture, err)
 	}
 	return again, fmt.Errorf("%s: %w", lecture, err)
--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -1,6 +1,6 @@
-// Package control is the daemon's side of the stream between daemons and plug-ins: it tells them the
-// name table, settings and cordons, gives them places, and leases them this daemon's part of the budget
-// for cold encoders. The daemon's own sends go by the same leases.
+// Package control is the daemon's side of the stream between daemons and plug-ins. It sends them the instance
+// list, settings and cordons, assigns places, and grants leases on this daemon's part of the budget for cold
+// encoders. The daemon's own attempts need the same leases.
 package control
 
 import (
@@ -33,31 +33,31 @@
 const Version = 1
 
 const (
-	maxNameBytes    = 128     // bytes of a sender's name
-	maxIDBytes      = 256     // bytes of an instance's id
+	maxNameBytes    = 128     // bytes
+	maxIDBytes      = 256     // bytes
 	maxMessageBytes = 1 << 20 // bytes of a message from a sender
-	senderQueueSize      = 512     // messages that wait for a sender; one that is slower is sent away
-	hourUs      = 3600e6
+	senderQueueSize = 512     // queued messages; a sender that falls further behind is disconnected
+	hourUs          = 3600e6
 )
 
 // Options of a server.
 type Options struct {
 	Listen  string
-	Daemon  int // this one's number among
-	Daemons int // those of the configuration
-	Senders int // that there may be at once
+	Daemon  int // number of this daemon, from 0
+	Daemons int // number of daemons in the configuration
+	Senders int // maximum number of senders at one time
 	Silence time.Duration
 	Life    time.Duration // of a lease
-	// Slots that a warm encoder of each kind has; "" is any other.
+	// Slots of a warm encoder by kind; "" stands for all other kinds.
 	Slots map[string]float64
 	TLS   credentials.TransportCredentials // nil: plain text
-	// Also registers what else is served at the same address; nil: nothing is.
+	// Also registers other services at the same address; nil: none.
 	Also func(grpc.ServiceRegistrar)
-	// New says that the deployment begins anew: places are given at once.
+	// New marks a new deployment without earlier senders: places are assigned without a waiting time.
 	New bool
 }
 
-// Core is where the daemon's own leases go.
+// Core receives the daemon's own leases.
 type Core interface{ AddLease(dispatch.Lease) }
 
 // Server is the control service of a daemon.
@@ -69,28 +69,28 @@
 	start   time.Time
 	epoch   uint64
 
-	mu       sync.Mutex
-	address  string       // once it has listened
-	grpc     *grpc.Server // nil: it does not listen
-	granter     *lease.Granter
-	places   *lease.Places
+	mu           sync.Mutex
+	address      string       // set by the first Open
+	grpc         *grpc.Server // nil: not listening
+	granter      *lease.Granter
+	places       *lease.Places
 	instances    dispatch.InstanceList
-	settings *controlv1.Settings
-	cordons  []string
-	uncordonedAt    map[string]time.Duration // when people put an instance back
-	senders  map[*sender]struct{}
-	retryAt    map[string]time.Duration // for the daemon's own wants
-	refused  atomic.Int64
+	settings     *controlv1.Settings
+	cordons      []string
+	uncordonedAt map[string]time.Duration // when an operator lifted a cordon, by instance
+	senders      map[*sender]struct{}
+	retryAt      map[string]time.Duration // when the daemon may request a lease again, by instance
+	refused      atomic.Int64
 }
 
 type sender struct {
-	key  string // name and process
-	out  chan *controlv1.ToSender
-	overflowed chan struct{} // closed: it does not keep up
-	once sync.Once
+	key        string // name and boot number
+	out        chan *controlv1.ToSender
+	overflowed chan struct{} // closed when the queue is full
+	once       sync.Once
 }
 
-// New returns a server that listens. Settings must be told before it serves.
+// New returns a server. Retune and Open have to be called before it serves.
 func New(o Options, s decide.Settings, core Core, logger *slog.Logger) (*Server, error) {
 	if o.Daemons < 1 || o.Daemon < 0 || o.Daemon >= o.Daemons || o.Senders < o.Daemons || o.Silence <= 0 || o.Life <= 0 {
 		return nil, fmt.Errorf("control: daemon %d of %d, %d senders, silence %v, life %v", o.Daemon, o.Daemons, o.Senders, o.Silence, o.Life)
@@ -107,7 +107,7 @@
 	return c, nil
 }
 
-// Open listens and serves. It may be called again after Close: it grants nothing for a while then, as after
+// Open listens and serves. After a Close it may be called again; it grants no leases for a while then, as after
 // the start.
 func (c *Server) Open() error {
 	c.mu.Lock()
@@ -120,7 +120,7 @@
 		at = c.address
 		c.granter.Suspend(c.now())
 	}
-	// The process that takes over, or that this one took over from, may listen there too for a moment.
+	// In a handover, both processes listen at the address for a moment.
 	l, err := sock.Listen(at)
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
@@ -142,10 +142,10 @@
 	return nil
 }
 
-// maxStreams is how many a connection may have at once.
+// maxStreams returns the limit of concurrent streams on a connection.
 func (c *Server) maxStreams() uint32 {
 	if c.options.Also != nil {
-		return 256 // calls that wait each take one
+		return 256 // each waiting call takes one
 	}
 	return 4
 }
@@ -157,14 +157,14 @@
 	}
 }
 
-// Address is where it listens, or did last.
+// Address returns the present or last listening address.
 func (c *Server) Address() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.address
 }
 
-// Close ends all streams. It does not wait for them.
+// Close ends all streams without waiting for them.
 func (c *Server) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,10 +174,10 @@
 	}
 }
 
-// now is the daemon's clock: it stands for no date and never steps.
+// now returns the time since the start, by the monotonic clock.
 func (c *Server) now() time.Duration { return time.Since(c.start) }
 
-// Retune has senders, and the keeper, go by other settings. document is their text.
+// Retune gives new settings to the senders and the granter. document is the text of the settings.
 func (c *Server) Retune(s decide.Settings, document []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,13 +187,13 @@
 	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
 }
 
-// senderCount is about how many senders there are, the next power of two: each change has all of them go by
-// other settings.
+// senderCount returns the number of senders rounded up to a power of two, since each change of the value has all
+// of them change their settings.
 func (c *Server) senderCount() uint32 {
 	return 1 << bits.Len(uint(max(1, len(c.senders)+c.options.Daemons)-1))
 }
 
-// Listed takes the name table's news.
+// Listed applies an update of the instance list.
 func (c *Server) Listed(l dispatch.InstanceUpdate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,7 +202,7 @@
 	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_List{List: listMessage(l)}})
 }
 
-// updateEncoders tells the keeper of the encoders.
+// updateEncoders passes the ready encoders to the granter.
 func (c *Server) updateEncoders() {
 	now := c.now()
 	var members []lease.Encoder
@@ -213,7 +213,7 @@
 		}
 		process, started := int64(0), at
 		if !m.Started.IsZero() {
-			process, started = m.Started.UnixMicro(), min(now, m.Started.Sub(c.start)) // a step of the system's clock since changes nothing
+			process, started = m.Started.UnixMicro(), min(now, m.Started.Sub(c.start)) // capped at now, in case the system clock stepped
 		}
 		if eased {
 			started = max(started, at)
@@ -232,12 +232,12 @@
 	c.granter.SetEncoders(now, members)
 }
 
-// Cordoned takes all instances that people leave out.
+// Cordoned sets the list of all cordoned instances.
 func (c *Server) Cordoned(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	for id, at := range c.uncordonedAt { // long warm again
+	for id, at := range c.uncordonedAt { // warm for long
 		if now-at > time.Hour {
 			delete(c.uncordonedAt, id)
 		}
@@ -258,7 +258,7 @@
 	}
 }
 
-// send queues a message; a sender that does not keep up is sent away, and begins anew.
+// send queues a message; if the queue is full, the sender is disconnected and has to attach again.
 func (s *sender) send(m *controlv1.ToSender) {
 	select {
 	case s.out <- m:
@@ -283,7 +283,7 @@
 	return out
 }
 
-// join takes a sender in and tells it all that it must know.
+// join registers a sender and sends it the welcome.
 func (c *Server) join(h *controlv1.Hello) (*sender, error) {
 	switch {
 	case h == nil:
@@ -296,13 +296,13 @@
 	s := &sender{key: h.Name + "/" + strconv.FormatUint(h.Boot, 16), out: make(chan *controlv1.ToSender, senderQueueSize), overflowed: make(chan struct{})}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.senders) >= 2*c.options.Senders { // a stream that has just ended may still be here
+	if len(c.senders) >= 2*c.options.Senders { // ended streams may not be removed yet
 		return nil, status.Error(codes.ResourceExhausted, "as many senders are attached as may be")
 	}
 	place := c.places.Take(c.now(), s.key, int(h.Place)-1)
 	c.senders[s] = struct{}{}
 	if c.settings.Living != c.senderCount() {
-		c.updateSenderCount(s) // it is welcomed with that
+		c.updateSenderCount(s) // the sender itself gets the settings with its welcome
 	}
 	s.send(&controlv1.ToSender{Kind: &controlv1.ToSender_Welcome{Welcome: &controlv1.Welcome{
 		Place: uint32(place + 1), Senders: uint32(c.options.Senders), SilenceMs: uint32(c.options.Silence.Milliseconds()),
@@ -311,7 +311,7 @@
 	return s, nil
 }
 
-// updateSenderCount tells all senders, but for one, how many they are about.
+// updateSenderCount sends the sender count to all senders except one.
 func (c *Server) updateSenderCount(but *sender) {
 	c.settings = &controlv1.Settings{Revision: c.settings.Revision + 1, Document: c.settings.Document, Living: c.senderCount()}
 	for s := range c.senders {
@@ -331,7 +331,7 @@
 	}
 }
 
-// Attach serves one sender. Its goroutine writes; another reads.
+// Attach serves the stream of one sender. This goroutine writes; another one reads.
 func (c *Server) Attach(stream grpc.BidiStreamingServer[controlv1.FromSender, controlv1.ToSender]) error {
 	joined, ended := make(chan *sender, 1), make(chan error, 1)
 	var heard atomic.Int64
@@ -362,7 +362,7 @@
 	beat := time.NewTicker(c.options.Silence / 4)
 	defer beat.Stop()
 	defer func() {
-		if s == nil { // it may just have joined
+		if s == nil { // the reader may have joined it just now
 			select {
 			case s = <-joined:
 			default:
@@ -379,7 +379,7 @@
 			c.log.Info("sender attached", "sender", s.key)
 			continue
 		case err := <-ended:
-			if errors.Is(err, io.EOF) { // it has left in order
+			if errors.Is(err, io.EOF) { // closed by the sender
 				return nil
 			}
 			if code := status.Code(err); code == codes.InvalidArgument || code == codes.FailedPrecondition {
@@ -402,7 +402,7 @@
 	}
 }
 
-// handle takes a message of a sender that has joined.
+// handle processes a message of a sender that has joined.
 func (c *Server) handle(s *sender, m *controlv1.FromSender) error {
 	switch k := m.Kind.(type) {
 	case *controlv1.FromSender_Beat:
@@ -434,11 +434,10 @@
 	return nil
 }
 
-// The daemon's own sends.
-
+// self is the key of the daemon's own leases.
 const self = "daemon"
 
-// Request asks for a lease for the daemon itself.
+// Request requests a lease for the daemon itself.
 func (c *Server) Request(instance string, process int64, work float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -455,17 +454,17 @@
 		c.retryAt[instance] = now + min(g.RetryAfter, 2*time.Second)
 		return
 	}
-	// Not from here: the loop, which calls, must not wait for itself.
+	// In a goroutine: the loop is the caller, and must not wait for itself.
 	until := asked.Add(g.Valid)
 	go c.core.AddLease(dispatch.Lease{Instance: instance, Process: process, Work: work, Until: until, Ref: g.ID})
-	time.AfterFunc(time.Until(until)+time.Millisecond, func() { // past its end nothing goes out by it
+	time.AfterFunc(time.Until(until)+time.Millisecond, func() { // an expired lease is not used any more
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.granter.Settle(c.now(), self, g.ID, false)
 	})
 }
 
-// Spent says that the daemon has used a lease.
+// Spent records that the daemon has used a lease.
 func (c *Server) Spent(l dispatch.Lease) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -474,13 +473,13 @@
 	}
 }
 
-// Figure is one for operators.
+// Figure is a metric.
 type Figure struct {
 	Name  string
 	Value int64
 }
 
-// Figures is what operators go by.
+// Figures returns the metrics of the control service.
 func (c *Server) Figures() []Figure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/winglb/attempt.go
+++ b/winglb/attempt.go
@@ -20,31 +20,31 @@
 	"caperrelay/internal/dispatch"
 )
 
-// Metadata between plug-ins and encoders.
+// Metadata keys between plug-ins and encoders.
 const (
-	idKey          = "winglb-id"          // the job's, the same for all attempts
-	senderKey      = "winglb-sender"      // who sends it
-	unprocessedKey = "winglb-unprocessed" // trailer: "1" where the job was turned away and never ran
+	idKey          = "winglb-id"          // ID of the job, the same for all attempts
+	senderKey      = "winglb-sender"      // name of the client
+	unprocessedKey = "winglb-unprocessed" // trailer: "1" if the job was refused and never ran
 )
 
-// attempt is one RPC to one encoder. grpc's goroutines note in it how far it came.
+// attempt is one RPC to one encoder. grpc's goroutines record its progress in it.
 type attempt struct {
-	fleet    *fleet
-	dispatched       *dispatch.Attempt
-	instance string
-	cancel   context.CancelFunc
-
-	picks   atomic.Int32 // by the picker, of a connection
-	unsendable    atomic.Bool  // the picker found that it may not be sent any more
-	sent     atomic.Bool  // its message has gone out: from here on it may run
-	started   atomic.Bool  // the encoder's header came: the job runs
-	endedByEncoder atomic.Bool  // the encoder itself ended it
-	cancelled atomic.Bool
+	fleet      *fleet
+	dispatched *dispatch.Attempt
+	instance   string
+	cancel     context.CancelFunc
+
+	picks          atomic.Int32 // times that the picker returned a connection
+	unsendable     atomic.Bool  // the picker refused it: it may no longer be sent
+	sent           atomic.Bool  // the request has been sent, so the job may run
+	started        atomic.Bool  // the response header has arrived: the job runs
+	endedByEncoder atomic.Bool  // the trailer has arrived
+	cancelled      atomic.Bool
 }
 
 type attemptKey struct{}
 
-// statsHandler hears from grpc how far attempts come.
+// statsHandler records the progress of attempts from grpc's events.
 type statsHandler struct{}
 
 func (statsHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
@@ -69,18 +69,18 @@
 	}
 }
 
-// outcome is what the end of an attempt says; docs/plugin.md has the table.
+// outcome classifies the end of an attempt; docs/plugin.md has the table.
 func (a *attempt) outcome(err error, trailer metadata.MD) decide.Outcome {
-	turnedAway := false
+	refused := false
 	for _, v := range trailer.Get(unprocessedKey) {
-		turnedAway = turnedAway || v == "1"
+		refused = refused || v == "1"
 	}
 	switch code := status.Code(err); {
 	case err == nil:
 		return decide.OK
-	case turnedAway:
+	case refused:
 		return decide.Full
-	case a.unsendable.Load(): // by the picker, of a drain or an ended lease; or grpc would have sent it again
+	case a.unsendable.Load(): // drain, expired lease, or a transparent retry by grpc, stopped by the picker
 		return decide.NotSent
 	case !a.sent.Load():
 		if a.cancelled.Load() {
@@ -97,7 +97,7 @@
 	return decide.Reset
 }
 
-// isUnusable tells whether the encoder says that none could do the call as it stands.
+// isUnusable reports whether the encoder's status means that no encoder can serve the call.
 func (a *attempt) isUnusable(err error) bool {
 	switch status.Code(err) {
 	case codes.InvalidArgument, codes.Unimplemented, codes.Unauthenticated, codes.PermissionDenied, codes.OutOfRange, codes.NotFound, codes.AlreadyExists, codes.FailedPrecondition:
@@ -106,7 +106,7 @@
 	return false
 }
 
-// call is one call of the client's, a command of the loop.
+// call is a unary call of the client; the loop holds it as the payload of a command.
 type call struct {
 	balancer *Balancer
 	ctx      context.Context
@@ -118,11 +118,11 @@
 	options  []grpc.CallOption
 	answer   chan dispatch.Answer
 
-	mu   sync.Mutex
-	encoderErr error // of the encoder that answered last
+	mu         sync.Mutex
+	encoderErr error // last status from an encoder
 }
 
-// result is what an attempt that was served brought.
+// result is the response of a successful attempt.
 type result struct {
 	reply           any
 	header, trailer metadata.MD
@@ -132,15 +132,15 @@
 func (c *call) Answer(a dispatch.Answer) { c.answer <- a }
 func (c *call) HandOver(bool)            {}
 
-// lastError is the status that an encoder itself gave last, nil if none has.
+// lastError returns the last status from an encoder, nil if none has sent one.
 func (c *call) lastError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.encoderErr
 }
 
-// options apart: what grpc would write into variables of the caller's is written once, of the attempt
-// that served.
+// attemptOptions returns the call options without those by which grpc writes into variables of the caller:
+// deliver writes these once, from the successful attempt.
 func (c *call) attemptOptions() (rest []grpc.CallOption) {
 	for _, o := range c.options {
 		switch o.(type) {
@@ -152,7 +152,7 @@
 	return rest
 }
 
-// deliver hands the caller what an attempt brought.
+// deliver copies the response of an attempt to the caller's variables.
 func (c *call) deliver(r *result) error {
 	for _, o := range c.options {
 		switch o := o.(type) {
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// finish tells the caller's callbacks how the call ended.
+// finish runs the caller's OnFinish callbacks.
 func (c *call) finish(err error) {
 	for _, o := range c.options {
 		if f, ok := o.(grpc.OnFinishCallOption); ok {
@@ -186,7 +186,7 @@
 	}
 }
 
-// newReply is a reply of its own for an attempt: copies run beside each other.
+// newReply allocates a reply for one attempt: hedged attempts run concurrently.
 func (c *call) newReply() any {
 	if m, ok := c.reply.(proto.Message); ok {
 		return m.ProtoReflect().New().Interface()
@@ -194,7 +194,7 @@
 	return reflect.New(reflect.TypeOf(c.reply).Elem()).Interface()
 }
 
-// run carries an attempt out, in a goroutine of its own.
+// run performs the RPC of an attempt, in its own goroutine.
 func (a *attempt) run(ctx context.Context, c *call) {
 	defer a.cancel()
 	r := &result{reply: c.newReply()}
@@ -224,17 +224,17 @@
 
 var errClosed = errors.New("winglb: the balancer is closed")
 
-// fleet is the way from the loop to the encoders.
+// fleet sends the loop's attempts to encoders.
 type fleet struct {
 	balancer *Balancer
 
 	mu        sync.Mutex
 	instances map[string]*instance
 	cordoned  map[string]bool
-	attempts       map[*dispatch.Attempt]*attempt
+	attempts  map[*dispatch.Attempt]*attempt
 }
 
-// instance is an encoder as daemons tell it.
+// instance is an encoder as the daemons list it.
 type instance struct {
 	address string
 	state   decide.WorkerState
@@ -257,7 +257,7 @@
 	go a.run(ctx, c)
 }
 
-// Cancel ends an attempt: its stream is reset, on the connection that a later attempt would use too.
+// Cancel ends an attempt by resetting its stream; the connection stays open for later attempts.
 func (f *fleet) Cancel(d *dispatch.Attempt) {
 	f.mu.Lock()
 	a := f.attempts[d]
@@ -276,7 +276,7 @@
 	delete(f.attempts, a.dispatched)
 }
 
-// Probe says that a connection can be had; encoders that speak gRPC have no other probe.
+// Probe reports OK if the instance accepts new work: gRPC encoders have no probe request.
 func (f *fleet) Probe(id string) {
 	o := decide.ConnectFailed
 	if f.accepts(id) {
@@ -285,10 +285,10 @@
 	go f.loop().ProbeEnded(id, o, nil)
 }
 
-// CloseIdle does nothing: an encoder's one connection carries all calls.
+// CloseIdle does nothing: all calls to an encoder share one connection.
 func (f *fleet) CloseIdle(string) {}
 
-// accepts tells whether an instance may be sent new work now.
+// accepts reports whether an instance may get new work now.
 func (f *fleet) accepts(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -296,7 +296,7 @@
 	return in != nil && in.state == decide.Ready && in.address != "" && !f.cordoned[id]
 }
 
-// maySend tells whether an attempt may be sent now: asked as late as possible.
+// maySend reports whether an attempt may be sent now. The picker calls it just before sending.
 func (a *attempt) maySend(now time.Time) bool {
 	return a.fleet.accepts(a.instance) && !a.dispatched.Expired(now)
 }
--- a/winglb/balance.go
+++ b/winglb/balance.go
@@ -13,15 +13,15 @@
 	"google.golang.org/grpc/status"
 )
 
-// policyName is the balancing policy that the resolver asks for.
+// policyName is the name of the balancing policy in the service config.
 const policyName = "winglb_follow"
 
 func init() { balancer.Register(policyBuilder{}) }
 
-// idAttribute is an endpoint's instance.
+// idAttribute is the attribute key for the instance ID of an endpoint.
 type idAttribute struct{}
 
-// resolverBuilder makes the resolver of one balancer's connection.
+// resolverBuilder builds the resolver for a balancer's connection.
 type resolverBuilder struct{ balancer *Balancer }
 
 func (resolverBuilder) Scheme() string { return Scheme }
@@ -39,7 +39,7 @@
 	return r, nil
 }
 
-// listResolver tells grpc the list.
+// listResolver passes the instance list to grpc.
 type listResolver struct {
 	balancer *Balancer
 
@@ -60,7 +60,7 @@
 			Addresses: []resolver.Address{{Addr: m.Address}}, Attributes: attributes.New(idAttribute{}, m.Id),
 		})
 	}
-	r.cc.UpdateState(s) // what is wrong with it the balancer says to its calls
+	r.cc.UpdateState(s) // its error can be ignored: calls get their errors from the picker
 }
 
 func (r *listResolver) ResolveNow(resolver.ResolveNowOptions) {}
@@ -71,7 +71,7 @@
 	r.closed = true
 }
 
-// policyBuilder makes the part of grpc's balancing that keeps connections.
+// policyBuilder builds the balancing policy, which manages connections.
 type policyBuilder struct{}
 
 func (policyBuilder) Name() string { return policyName }
@@ -86,11 +86,11 @@
 	conn    balancer.SubConn
 	state   connectivity.State
 	err     error
-	removed    bool
+	removed bool
 }
 
-// policy keeps a connection for each encoder that calls go to: made at its first call, and kept. Its
-// calls come from grpc one at a time, but for pick.
+// policy holds a connection for each encoder, opened at the first call to it and kept. grpc calls its methods one
+// at a time, except Pick.
 type policy struct {
 	cc balancer.ClientConn
 
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// updatePicker has grpc look again at the calls that wait for a connection.
+// updatePicker makes grpc retry the pick of calls that wait for a connection.
 func (p *policy) updatePicker() {
 	p.mu.RLock()
 	state := connectivity.Idle
@@ -177,17 +177,17 @@
 	p.closed = true
 }
 
-// picker follows the decision that an attempt carries.
+// picker returns the connection of the instance that was chosen for the attempt.
 type picker struct{ policy *policy }
 
 var (
-	errNoAttempt = status.Error(codes.Internal, "winglb: a call that no decision was made for")
-	errNotAllowed      = status.Error(codes.Aborted, "winglb: it may not be sent there any more")
+	errNoAttempt  = status.Error(codes.Internal, "winglb: a call that no decision was made for")
+	errNotAllowed = status.Error(codes.Aborted, "winglb: it may not be sent there any more")
 	errResend     = status.Error(codes.Aborted, "winglb: the encoder has not processed it")
-	errUnknown   = status.Error(codes.Unavailable, "winglb: no such encoder")
+	errUnknown    = status.Error(codes.Unavailable, "winglb: no such encoder")
 )
 
-// Pick never blocks and never chooses.
+// Pick never blocks and makes no choice of its own.
 func (k picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
 	a := attemptOf(info.Ctx)
 	if a == nil {
@@ -215,7 +215,7 @@
 	case state != connectivity.Ready:
 		return balancer.PickResult{}, status.Errorf(codes.Unavailable, "winglb: %s cannot be reached: %v", a.instance, err)
 	}
-	if a.picks.Add(1) > 1 { // grpc sends again what was not processed; whether to is the module's decision
+	if a.picks.Add(1) > 1 { // grpc retries unprocessed requests by itself, but package decide decides on retries
 		a.unsendable.Store(true)
 		return balancer.PickResult{}, errResend
 	}
--- a/winglb/control.go
+++ b/winglb/control.go
@@ -23,50 +23,51 @@
 )
 
 const (
-	maxDaemons     = 16
-	protocolVersion = 1
-	initialSilence    = time.Second // before a daemon has said how long it may be silent
-	minRetry      = 50 * time.Millisecond
-	maxRetry       = 500 * time.Millisecond
+	maxDaemons         = 16
+	protocolVersion    = 1
+	initialSilence     = time.Second // used until a daemon has sent its own value
+	minRetry           = 50 * time.Millisecond
+	maxRetry           = 500 * time.Millisecond
 	queueSize          = 256
-	placeCheckInterval      = time.Second
-	maxMessageBytes     = 16 << 20
-	maxInstances   = 1 << 16
+	placeCheckInterval = time.Second
+	maxMessageBytes    = 16 << 20
+	maxInstances       = 1 << 16
 )
 
-// controlState is what the daemons have told: list, settings, cordons, leases. One goroutine a daemon.
+// controlState holds what the daemons have sent: instance list, settings, cordons and leases. Each daemon has one
+// goroutine.
 type controlState struct {
 	balancer *Balancer
 	start    time.Time
 
 	links []*link
 
-	leases  sync.Mutex // apart: the loop asks under it, and must not wait for who tells the loop
+	leases  sync.Mutex // separate from mu: the loop requests leases under it, and must not wait for a goroutine that calls the loop
 	holder  *lease.Holder
-	unspent map[lease.HeldLease]bool // granted, neither spent nor over
+	unspent map[lease.HeldLease]bool // granted, neither spent nor expired
 
-	mu       sync.Mutex
-	revision int64 // of the list
+	mu           sync.Mutex
+	revision     int64 // of the instance list
 	instances    map[string]*controlv1.Member
-	settings *controlv1.Settings
-	settingsFrom     int // the daemon that told the settings
-	parsed   decide.Settings
-	names    wire.Names
-	place    uint32 // 0: none
-	senders  uint32
-	lastReceived    time.Duration // of any daemon, last
-	started    bool
-	watchers []func()
+	settings     *controlv1.Settings
+	settingsFrom int // the daemon that sent the settings
+	parsed       decide.Settings
+	names        wire.Names
+	place        uint32 // this sender's fixed turn, from 1; 0: none
+	senders      uint32
+	lastReceived time.Duration // last message of any daemon
+	started      bool
+	watchers     []func()
 }
 
-// link is the way to one daemon.
+// link is the connection to one daemon.
 type link struct {
 	state   *controlState
-	index       int
+	index   int
 	address string
-	queue     chan *controlv1.FromSender // nil: not attached; under leases, as is
+	queue   chan *controlv1.FromSender // nil: not attached; guarded by leases, as is
 	epoch   uint64
-	cordons []string // that it told last; they stay while it is away
+	cordons []string // last received; kept while the daemon is not attached
 }
 
 func newControlState(b *Balancer) *controlState {
@@ -91,7 +92,7 @@
 	go s.expirePlace(ctx)
 }
 
-// attachedCount is how many daemons can be asked now.
+// attachedCount returns the number of daemons attached now.
 func (s *controlState) attachedCount() (n int) {
 	s.leases.Lock()
 	defer s.leases.Unlock()
@@ -103,7 +104,7 @@
 	return n
 }
 
-// deadline is that of calls that bring none.
+// deadline returns the default deadline of a class, for calls without one.
 func (s *controlState) deadline(class string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,14 +116,14 @@
 	return time.Minute
 }
 
-// watch has f called after each change of the list.
+// watch registers f to be called after each change of the instance list.
 func (s *controlState) watch(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, f)
 }
 
-// members is the list of those that have an address.
+// members returns the instances that have an address.
 func (s *controlState) members() (all []*controlv1.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +135,7 @@
 	return all
 }
 
-// run stays attached to the daemon until the context ends.
+// run keeps the stream to the daemon open, reconnecting with backoff, until the context ends.
 func (l *link) run(ctx context.Context) {
 	creds := credentials.TransportCredentials(insecure.NewCredentials())
 	if l.state.balancer.config.TLS != nil {
@@ -154,7 +155,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		l.state.balancer.log.Warn("daemon lost", "address", l.address, "err", err)
+		l.state.balancer.log.Warn("stream to daemon ended", "address", l.address, "err", err)
 		if time.Since(began) > time.Second {
 			wait = minRetry
 		}
@@ -166,12 +167,12 @@
 	}
 }
 
-// attach serves one stream until it ends or the daemon is silent.
+// attach serves one stream until it ends or the daemon has sent nothing for too long.
 func (l *link) attach(ctx context.Context, cc *grpc.ClientConn) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	silence := initialSilence
-	silent := time.AfterFunc(2*initialSilence, func() { cancel(errors.New("the daemon is silent")) })
+	silent := time.AfterFunc(2*initialSilence, func() { cancel(errors.New("no message from the daemon within the silence limit")) })
 	defer silent.Stop()
 	stream, err := controlv1.NewControlClient(cc).Attach(ctx)
 	if err != nil {
@@ -203,7 +204,7 @@
 		if first {
 			w := m.GetWelcome()
 			if w == nil || w.SilenceMs == 0 || w.Senders == 0 || w.Settings == nil || w.List == nil {
-				return errors.New("the daemon's first message is no welcome")
+				return errors.New("first message of the daemon is not a complete welcome")
 			}
 			silence = time.Duration(w.SilenceMs) * time.Millisecond
 			if err := l.handleWelcome(w, out); err != nil {
@@ -241,7 +242,7 @@
 	s.holder.Down(l.index)
 }
 
-// handleWelcome takes what a daemon tells at first.
+// handleWelcome applies a daemon's first message.
 func (l *link) handleWelcome(w *controlv1.Welcome, out chan *controlv1.FromSender) error {
 	s := l.state
 	s.leases.Lock()
@@ -266,14 +267,14 @@
 	return nil
 }
 
-// ownsPlace tells whether a place is one of this daemon's: only it can say that another has it.
+// ownsPlace reports whether this daemon assigns a place: only that daemon can give it to another sender.
 func (l *link) ownsPlace(place uint32) bool {
 	n, all := len(l.state.links), int(l.state.senders)
 	p := int(place) - 1
 	return p >= l.index*all/n && p < (l.index+1)*all/n
 }
 
-// handle takes a later message.
+// handle applies a message after the welcome.
 func (l *link) handle(m *controlv1.ToSender) error {
 	s := l.state
 	s.mu.Lock()
@@ -289,7 +290,7 @@
 		l.setCordons(k.Cordons)
 	case *controlv1.ToSender_Grant:
 		if k.Grant == nil {
-			return errors.New("an empty grant")
+			return errors.New("empty grant")
 		}
 		s.leases.Lock()
 		h, ok := s.holder.Granted(s.now(), l.index, k.Grant.Epoch, lease.Grant{
@@ -297,8 +298,8 @@
 		})
 		if ok {
 			s.unspent[h] = true
-			// Past its end nothing goes out by it any more, which the picker sees to: what is left is given back,
-			// and others need not wait until it has stopped counting.
+			// The picker sends nothing by an expired lease. Returning it frees its budget for other senders before
+			// the granter's own expiry.
 			time.AfterFunc(time.Until(s.start.Add(h.Until))+time.Millisecond, func() { s.leaseExpired(h) })
 		}
 		s.leases.Unlock()
@@ -308,7 +309,7 @@
 			})
 		}
 	default:
-		return fmt.Errorf("a message of no known kind %T", m.Kind)
+		return fmt.Errorf("unknown kind of message %T", m.Kind)
 	}
 	return nil
 }
@@ -317,21 +318,21 @@
 	controlv1.State_STATE_READY: decide.Ready, controlv1.State_STATE_DRAINING: decide.Draining, controlv1.State_STATE_GONE: decide.Gone,
 }
 
-// updateInstances takes the name table's news, from whichever daemon tells it first.
+// updateInstances applies an update of the instance list, from whichever daemon sends it first.
 func (s *controlState) updateInstances(l *controlv1.List) error {
 	if l == nil || len(l.Members) > maxInstances {
-		return errors.New("a list that is none")
+		return errors.New("instance list missing or too long")
 	}
 	for _, m := range l.Members {
 		if m == nil || m.Id == "" {
-			return errors.New("a list with a member that has no id")
+			return errors.New("instance list has a member without an id")
 		}
 		if _, ok := workerStates[m.State]; !ok {
 			return fmt.Errorf("member %q has the unknown state %v", m.Id, m.State)
 		}
 	}
 	if s.started && l.Revision <= s.revision {
-		return nil // another daemon told it
+		return nil // already received from another daemon
 	}
 	if l.Complete {
 		clear(s.instances)
@@ -372,7 +373,7 @@
 	return nil
 }
 
-// startLoop starts the loop with the first list and settings.
+// startLoop starts the loop once the first list and settings have been received.
 func (s *controlState) startLoop() {
 	if s.started {
 		return
@@ -387,8 +388,8 @@
 	close(s.balancer.ready)
 }
 
-// setCordons takes what people leave out, as one daemon knows it. What any daemon was told counts: another that
-// was not must not undo it.
+// setCordons applies the cordons of one daemon. An instance is left out while any daemon reports it: a daemon that
+// did not get the operator's order must not undo it.
 func (l *link) setCordons(c *controlv1.Cordons) {
 	if c == nil {
 		return
@@ -418,11 +419,11 @@
 	}
 }
 
-// applySettings takes settings. Those of the daemon that told the last ones count by their revision; where daemons
-// differ for a while, the one whose text changed last wins.
+// applySettings applies settings that differ from the present ones. While daemons disagree, the settings received
+// last win.
 func (s *controlState) applySettings(from int, next *controlv1.Settings, force bool) error {
 	if next == nil {
-		return errors.New("settings that are none")
+		return errors.New("settings missing")
 	}
 	same := s.settings != nil && string(s.settings.Document) == string(next.Document)
 	if same && s.settings.Living == next.Living && !force {
@@ -439,18 +440,18 @@
 	return s.reconfigure()
 }
 
-// reconfigure has the loop go by what is known of settings, place and senders.
+// reconfigure gives the loop its settings, derived from the daemons' settings, the place and the sender counts.
 func (s *controlState) reconfigure() error {
 	d := s.parsed
 	d.Seed = s.balancer.boot
-	// Of all senders, whoever they are, which one this is decides whom it prefers.
+	// The index among all senders decides which encoders this one prefers.
 	d.DispatcherCount = int(max(2, s.settings.Living))
 	d.DispatcherIndex = int(s.balancer.boot % uint64(d.DispatcherCount))
 	d.Leasing = decide.Leasing{Enabled: true, Turn: int(s.place) - 1, Turns: int(max(1, s.senders)), Share: lease.TurnsShare}
-	// A call has no word of its progress; its header says that it has started, where encoders tell that at
-	// all. Nobody tells load.
+	// A call reports no progress; its header, where encoders send one early, marks its start. No load reports
+	// reach this process.
 	d.ProgressInterval, d.ReportsFreeSlots, d.Limits.PeerMessages, d.Limits.Probes = 0, false, false, false
-	d.Subscribe = false // the daemons tell
+	d.Subscribe = false // the daemons send updates
 	d.Limits.ConnIdle = time.Hour
 	if d.Limits.ConnectTimeout <= 0 {
 		d.Limits.ConnectTimeout = time.Second
@@ -466,7 +467,7 @@
 	}
 	if s.started {
 		names := s.names
-		go func() { // it waits for the loop, which may be asking for a lease
+		go func() { // waits for the loop, which may be requesting a lease under s.mu
 			if err := s.balancer.loop.Reconfigure(d, names); err != nil {
 				s.balancer.log.Error("settings", "err", err)
 			}
@@ -475,7 +476,8 @@
 	return nil
 }
 
-// expirePlace gives the place up that a client without daemons may no longer hold.
+// expirePlace gives up the place once no daemon has been heard for lease.KeepFor: it may be assigned to another
+// sender after that.
 func (s *controlState) expirePlace(ctx context.Context) {
 	for tick := time.NewTicker(placeCheckInterval); ; {
 		select {
@@ -509,7 +511,7 @@
 	}}})
 }
 
-// Spent tells the daemon that granted a lease.
+// Spent reports a used lease to the daemon that granted it.
 func (s *controlState) Spent(l dispatch.Lease) {
 	h, ok := l.Ref.(lease.HeldLease)
 	if !ok {
@@ -520,14 +522,14 @@
 	s.returnLease(h, true)
 }
 
-// leaseExpired gives a lease back that has ended unspent.
+// leaseExpired returns a lease that expired unspent.
 func (s *controlState) leaseExpired(h lease.HeldLease) {
 	s.leases.Lock()
 	defer s.leases.Unlock()
 	s.returnLease(h, false)
 }
 
-// returnLease tells the daemon that granted a lease what became of it, once.
+// returnLease reports the end of a lease, once, to the daemon that granted it.
 func (s *controlState) returnLease(h lease.HeldLease, spent bool) {
 	if !s.unspent[h] {
 		return
@@ -538,7 +540,7 @@
 	}
 }
 
-// send queues a message; one that finds no room is lost, which costs time only.
+// send queues a message, or drops it if the queue is full: a lost request or return only delays further grants.
 func (l *link) send(m *controlv1.FromSender) {
 	if l.queue != nil {
 		select {
@@ -548,5 +550,5 @@
 	}
 }
 
-// Subscribe does nothing: daemons tell without being asked.
+// Subscribe does nothing: daemons send the instance list unasked.
 func (s *controlState) Subscribe() {}
--- a/winglb/promise.go
+++ b/winglb/promise.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	initialTimeout   = 400 * time.Millisecond // at one daemon, before another is asked: it may stand still
-	maxPromiseTimeout = 2 * time.Second        // likewise, later: a group may be without an owner for as long
-	daemonWait   = 5 * time.Second        // that a daemon waits
-	retryPause = 20 * time.Millisecond
+	initialTimeout    = 400 * time.Millisecond // for the first daemon, which may hang, before the next is tried
+	maxPromiseTimeout = 2 * time.Second        // upper limit of the same: a group may be without an owner for as long
+	daemonWait        = 5 * time.Second        // how long a daemon may wait before it answers Await
+	retryPause        = 20 * time.Millisecond
 )
 
-// Promised is a job that is handed in for good.
+// Promised is a job that is handed in to be kept until it is done.
 type Promised struct {
-	Job // ID names it: the same id again is the same promise. Repeat is not used.
-	// Payload is what encoders get, with Target what they are asked for; empty: /api.
+	Job // ID identifies the promise: handing in the same ID again is idempotent. Repeat is not used.
+	// Payload is the request body for encoders and Target its URI; empty: /api.
 	Payload []byte
 	Target  string
-	// Within: later than this after the receipt it is begun no more. Keep: how long its end is kept. 0: as the daemons
-	// are set.
+	// Within is how long after the receipt the job may still be started, Keep how long its end is kept. 0: the daemons'
+	// settings.
 	Within, Keep time.Duration
-	// Order is the only encoders that it may go to, the first before the next; none: as its class says.
+	// Order lists the only encoders that may get the job, in order of preference; empty: the class decides.
 	Order []string
 }
 
-// Receipt says that a majority of machines has a job on disk.
+// Receipt confirms that a majority of machines has stored a job on disk.
 type Receipt struct {
 	ID        string
 	Group     uint32
@@ -45,32 +45,32 @@
 	At, Until time.Time
 }
 
-// EndKind is how a promise ended.
+// EndKind is the kind of a promise's end.
 type EndKind int
 
-// The ends.
+// Kinds of ends.
 const (
 	EndDone    EndKind = iota + 1
 	EndFailed          // it may have run
 	EndRefused         // it never ran
 )
 
-// End is the one end of a promise.
+// End is the end of a promise, which it has exactly once.
 type End struct {
 	Kind     EndKind
 	Reason   string
 	Result   []byte
-	Instance string // that did it
+	Instance string // that did the job
 	At       time.Time
 }
 
-// Promises hands jobs in for good, at whichever daemon answers. It is safe for use by several goroutines.
+// Promises hands in promised jobs at whichever daemon answers. It is safe for use by several goroutines.
 type Promises struct {
-	conns []*grpc.ClientConn
-	current    atomic.Uint64 // the daemon that answered last
+	conns   []*grpc.ClientConn
+	current atomic.Uint64 // index of the daemon that answered last
 }
 
-// NewPromises uses Daemons and TLS of the configuration. It must be closed.
+// NewPromises returns a client of the daemons; it uses Daemons and TLS of the configuration. It must be closed.
 func NewPromises(c Config) (*Promises, error) {
 	if len(c.Daemons) == 0 {
 		return nil, errors.New("winglb: Daemons: at least one control address is needed")
@@ -93,15 +93,15 @@
 	return p, nil
 }
 
-// Close ends the connections.
+// Close closes the connections.
 func (p *Promises) Close() {
 	for _, c := range p.conns {
 		c.Close()
 	}
 }
 
-// untilAnswered calls f at one daemon after another, each for longer than the one before, until one answers, the context ends or
-// what is wrong would be so anywhere.
+// untilAnswered calls f at one daemon after another, with a growing time limit, until one answers, the context ends or
+// an error comes that any other daemon would give too.
 func (p *Promises) untilAnswered(ctx context.Context, within, most time.Duration, f func(context.Context, promisev1.PromisesClient) error) error {
 	for ; ; within = min(2*within, most) {
 		at := p.current.Load()
@@ -127,9 +127,9 @@
 	}
 }
 
-// Promise hands a job in. Without an error it is promised: it will have its one end, whatever machine is lost. After
-// an error it may be promised all the same, unless the status says InvalidArgument, AlreadyExists (the id is another
-// job's) or ResourceExhausted: the same call again tells. Where the context has no deadline it tries for good.
+// Promise hands in a job. Without an error the job is promised: it will have exactly one end, even if a machine is
+// lost. After an error it may be promised as well, unless the status is InvalidArgument, AlreadyExists (the ID belongs
+// to another job) or ResourceExhausted: repeating the call finds out. Without a deadline it retries indefinitely.
 func (p *Promises) Promise(ctx context.Context, j Promised) (Receipt, error) {
 	q := &promisev1.PromiseRequest{Id: j.ID, Job: &promisev1.Job{
 		Class: j.Class, Tenant: j.Tenant, Key: j.Key, Payload: j.Payload, WorkUs: uint64(max(0, j.Work.Microseconds())), Slots: j.Slots, Target: j.Target,
@@ -147,7 +147,7 @@
 	return Receipt{ID: t.GetId(), Group: t.GetGroup(), Index: t.GetIndex(), At: time.UnixMicro(t.GetAtUnixUs()), Until: time.UnixMicro(t.GetUntilUnixUs())}, nil
 }
 
-// Await waits for a promise's end until the context ends. NotFound: no such promise is kept.
+// Await waits for the end of a promise, until the context ends. NotFound: no such promise is kept.
 func (p *Promises) Await(ctx context.Context, id string) (End, error) {
 	for {
 		var r *promisev1.AwaitResponse
@@ -164,8 +164,8 @@
 	}
 }
 
-// Forget drops a promise that has ended; then its id is free. NotFound: none is kept, perhaps since a call before got
-// through. FailedPrecondition: it has not ended.
+// Forget deletes a promise that has ended and frees its ID. NotFound: none is kept, perhaps because an earlier call
+// succeeded. FailedPrecondition: the promise has not ended.
 func (p *Promises) Forget(ctx context.Context, id string) error {
 	return p.untilAnswered(ctx, initialTimeout, maxPromiseTimeout, func(ctx context.Context, c promisev1.PromisesClient) error {
 		_, err := c.Forget(ctx, &promisev1.ForgetRequest{Id: id})
--- a/winglb/status_test.go
+++ b/winglb/status_test.go
@@ -35,11 +35,11 @@
 // scriptedEncoder is an encoder that does what each call's payload says at its first attempt, and serves later ones.
 type scriptedEncoder struct {
 	jobv1.UnimplementedJobsServer
-	server  *grpc.Server
-	address string
-	attempts    atomic.Int32 // attempts that reached the handler, of all encoders of a test
-	total     *atomic.Int32
-	conns   *cuttableListener
+	server   *grpc.Server
+	address  string
+	attempts atomic.Int32 // attempts that reached the handler, of all encoders of a test
+	total    *atomic.Int32
+	conns    *cuttableListener
 }
 
 // cuttableListener keeps what a listener accepted, to be cut.
--- a/winglb/winglb.go
+++ b/winglb/winglb.go
@@ -1,14 +1,14 @@
-// Package winglb balances a gRPC client's calls over encoders by the decisions of the winglb dispatcher,
-// inside the client's process:
+// Package winglb is a plug-in for gRPC clients: it balances their calls over encoders inside the client's process,
+// by the decisions of the winglb dispatcher:
 //
 //	lb, err := winglb.New(winglb.Config{Name: "portal-1", Daemons: []string{"10.0.0.4:8100", "10.0.0.5:8100"}})
 //	...
 //	defer lb.Close()
 //	conn, err := grpc.NewClient("winglb:///pool", lb.DialOptions()...)
 //
-// Calls on conn go to encoders as the decision module says, which also retries them, sends second copies
-// and refuses what has no use. What a call is about comes with its context ([WithJob]). docs/plugin.md
-// tells what each status says of a call: whether it never ran, may have run, or ran.
+// For calls on conn, package decide chooses encoders, retries, hedges and refuses calls that cannot finish in time.
+// The parameters of a call come with its context ([WithJob]). docs/plugin.md lists what each status means: the call
+// never ran, may have run, or ran.
 package winglb
 
 import (
@@ -33,40 +33,40 @@
 	"caperrelay/internal/dispatch"
 )
 
-// Scheme is that of targets: winglb:///POOL.
+// Scheme is the target scheme: winglb:///POOL.
 const Scheme = "winglb"
 
-// Config says who this client is and where the daemons are.
+// Config identifies the client and lists the daemons.
 type Config struct {
-	// Name stands in daemons' figures and encoders' logs; empty: the program's name.
+	// Name appears in the daemons' metrics and the encoders' logs; empty: the program's name.
 	Name string
 	// Daemons is the control address (host:port) of every daemon of the deployment.
 	Daemons []string
-	// TLS for the daemons; nil: plain text. Encoders' is Credentials.
+	// TLS for connections to the daemons; nil: plain text. Connections to encoders use Credentials.
 	TLS *tls.Config
 	// Credentials for encoders; nil: plain text.
 	Credentials credentials.TransportCredentials
-	// Class and Tenant of calls whose context names none. Classes gives them by method, as
-	// "/package.Service/Method".
+	// Class and Tenant are the defaults for calls whose context sets none. Classes maps methods, as
+	// "/package.Service/Method", to classes.
 	Class, Tenant string
 	Classes       map[string]string
-	// Logger takes what people on call should see; nil: nothing is written.
+	// Logger receives messages for operators; nil: nothing is logged.
 	Logger *slog.Logger
 }
 
-// Job is what a call is about.
+// Job holds the parameters of a call.
 type Job struct {
 	Class  string
 	Tenant string
-	// Key is what the call is about, such as a recording, where encoders keep what it needs.
+	// Key names the data that the call works on, such as a recording, which encoders may have cached.
 	Key string
-	// Work expected, of one slot; 0: not known.
+	// Work is the expected time in one slot; 0: not known.
 	Work time.Duration
-	// Slots that it takes; 0: one.
+	// Slots that the job occupies; 0: one.
 	Slots float64
-	// ID names the job; empty: one is made. Calls in hand at one time must not share one.
+	// ID identifies the job; empty: one is generated. Concurrent calls must not share an ID.
 	ID string
-	// Repeat marks the caller's own later try.
+	// Repeat marks a retry by the caller.
 	Repeat bool
 }
 
@@ -76,15 +76,15 @@
 	log    *slog.Logger
 	boot   uint64
 
-	loop   *dispatch.Loop
-	fleet  *fleet
-	control  *controlState
-	ended  chan struct{}
-	close  sync.Once
-	ready chan struct{} // closed once a daemon has told settings and list
+	loop    *dispatch.Loop
+	fleet   *fleet
+	control *controlState
+	ended   chan struct{}
+	close   sync.Once
+	ready   chan struct{} // closed once a daemon has sent settings and the instance list
 }
 
-// New returns a balancer that begins to call the daemons. It must be closed.
+// New returns a balancer and starts to connect to the daemons. It must be closed.
 func New(c Config) (*Balancer, error) {
 	if len(c.Daemons) == 0 {
 		return nil, errors.New("winglb: Daemons: at least one control address is needed")
@@ -108,7 +108,7 @@
 	return b, nil
 }
 
-// FromEnv reads WINGLB_NAME, WINGLB_DAEMONS (addresses, comma between), WINGLB_CLASS and WINGLB_TENANT.
+// FromEnv reads WINGLB_NAME, WINGLB_DAEMONS (addresses, separated by commas), WINGLB_CLASS and WINGLB_TENANT.
 func FromEnv() Config {
 	c := Config{Name: os.Getenv("WINGLB_NAME"), Class: os.Getenv("WINGLB_CLASS"), Tenant: os.Getenv("WINGLB_TENANT")}
 	for a := range strings.SplitSeq(os.Getenv("WINGLB_DAEMONS"), ",") {
@@ -124,7 +124,7 @@
 	return name[strings.LastIndexByte(name, '/')+1:]
 }
 
-// DialOptions is what a client's connection needs. One balancer is for one connection.
+// DialOptions returns the options for the client's connection. A balancer serves one connection only.
 func (b *Balancer) DialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithResolvers(&resolverBuilder{b}),
@@ -132,20 +132,20 @@
 		grpc.WithChainStreamInterceptor(b.stream),
 		grpc.WithStatsHandler(statsHandler{}),
 		grpc.WithTransportCredentials(b.config.Credentials),
-		grpc.WithDisableRetry(),         // attempts are the module's
-		grpc.WithDisableServiceConfig(), // and so is the balancing: a resolver may not say otherwise
+		grpc.WithDisableRetry(),         // package decide retries
+		grpc.WithDisableServiceConfig(), // resolvers must not change the balancing policy
 		grpc.WithDefaultServiceConfig(`{"loadBalancingConfig":[{"` + policyName + `":{}}]}`),
-		grpc.WithIdleTimeout(0), // or the connection would forget its encoders
+		grpc.WithIdleTimeout(0), // an idle connection would drop its encoders
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}, MinConnectTimeout: time.Second,
 		}),
 	}
 }
 
-// Close ends the balancer. Calls in hand end as cancelled.
+// Close stops the balancer. Calls in progress end as cancelled.
 func (b *Balancer) Close() { b.close.Do(func() { close(b.ended) }) }
 
-// Counters lists what became of calls and attempts, one "name value" a line.
+// Counters lists the outcomes of calls and attempts, one "name value" per line.
 func (b *Balancer) Counters() string {
 	select {
 	case <-b.ready:
@@ -155,10 +155,10 @@
 	}
 }
 
-// Attached is how many daemons tell this client now.
+// Attached returns the number of daemons that this client is attached to.
 func (b *Balancer) Attached() int { return b.control.attachedCount() }
 
-// keyNumber is a key as the module knows it.
+// keyNumber hashes a key to the number that package decide uses; 0: no key.
 func keyNumber(key string) uint64 {
 	if key == "" {
 		return 0
