--- a/cmd/winglb/knownred_test.go
+++ b/cmd/winglb/knownred_test.go
@@ -15,8 +15,8 @@
 	require.NoError(t, os.WriteFile(file, []byte(list), 0o600))
 	cmd := exec.Command("bash", ".ci/known-red", "check", file)
 	cmd.Dir = "../.."
-	told, err := cmd.CombinedOutput()
-	return string(told), err
+	output, err := cmd.CombinedOutput()
+	return string(output), err
 }
 
 // A list with malformed entries must stop CI: otherwise a test that does not exist would count as a known failure.
@@ -30,16 +30,16 @@
 		"make prove-gang | no seed | fails":                                   "no issue",
 		"make prove-gang | no seed | fails | soon":                            "no issue",
 	} {
-		told, err := checkKnownRed(t, "# heading\n\n"+line+"\n")
+		output, err := checkKnownRed(t, "# heading\n\n"+line+"\n")
 		require.Error(t, err, line)
-		require.Equal(t, "KNOWN-RED.txt: "+fault+": "+line+"\n", told)
+		require.Equal(t, "KNOWN-RED.txt: "+fault+": "+line+"\n", output)
 	}
 }
 
 func TestKnownFailuresOfTestsAndCommandsAreEntries(t *testing.T) {
-	told, err := checkKnownRed(t, "# heading\n\n"+
+	output, err := checkKnownRed(t, "# heading\n\n"+
 		"go test -race ./cmd/winglb -run ^TestKnownFailuresOfTestsAndCommandsAreEntries$ | no seed | fails at times | issue 1\n"+
 		"bench X --rough herd+mass | seed 7 | a cold encoder falls | issue 2\n")
-	require.NoError(t, err, told)
-	require.Empty(t, told)
+	require.NoError(t, err, output)
+	require.Empty(t, output)
 }
--- a/winglb/control.go
+++ b/winglb/control.go
@@ -467,7 +467,7 @@
 	}
 	if s.started {
 		names := s.names
-		go func() { // waits for the loop, which may be requesting a lease under s.mu
+		go func() { // waits for the loop, which may be requesting a lease
 			if err := s.balancer.loop.Reconfigure(d, names); err != nil {
 				s.balancer.log.Error("settings", "err", err)
 			}
@@ -476,7 +476,7 @@
 	return nil
 }
 
-// expirePlace gives up the place once no daemon has been heard for lease.KeepFor: it may be assigned to another
+// expirePlace gives up the place when no daemon has sent a message for lease.KeepFor: it may be assigned to another
 // sender after that.
 func (s *controlState) expirePlace(ctx context.Context) {
 	for tick := time.NewTicker(placeCheckInterval); ; {
--- a/winglb/failures_test.go
+++ b/winglb/failures_test.go
@@ -13,12 +13,12 @@
 	"caperrelay/internal/standin/ledger"
 )
 
-// The hard cases of the plug-in, small: make prove-plugin has them at size. Each causes its failure and
-// reads the rules off the encoders' ledger.
+// Failures round the plug-in, at a small size; make prove-plugin has them at full size. Each test causes its failure
+// and checks the rules on the encoders' ledger.
 
 var rules = ledger.Rules{DrainGrace: 750 * time.Millisecond, Slack: 50 * time.Millisecond}
 
-// scenario starts portals with an equal part of the load each, and one client of the first daemon.
+// scenario is a run of portals with an equal part of the load each, and one HTTP client of the first daemon.
 type scenario struct {
 	*rig.Rig
 	t       *testing.T
@@ -54,25 +54,25 @@
 	return p
 }
 
-// waitUntil waits for a moment of the play.
+// waitUntil waits until a time after the start of the scenario.
 func (p *scenario) waitUntil(after time.Duration) { time.Sleep(time.Until(p.start.Add(after))) }
 
-// end waits for all portals and the daemon's client, and checks the rules that hold in every play. It
-// returns what the portals that were not killed told.
+// end waits for all portals and the daemon's client, and checks the rules that hold in every scenario. It returns the
+// sums of the reports of the portals that were not killed.
 func (p *scenario) end() map[string]*load.Figures {
-	var told []rig.Told
+	var reports []rig.Told
 	for _, q := range p.portals {
 		if t, ok := q.Wait(); ok {
-			told = append(told, t)
+			reports = append(reports, t)
 		}
 	}
 	<-p.done
 	require.Empty(p.t, p.Host.Ledger.Check(rules))
-	worst, fell := p.ColdRatio()
-	p.t.Logf("worst pressure on a cold encoder %.2f, %d fell", worst, fell)
-	require.Zero(p.t, fell)
-	require.Less(p.t, worst, 3.0)
-	sum, err := rig.Sum(told)
+	highest, overloaded := p.ColdRatio()
+	p.t.Logf("highest load ratio of a cold encoder %.2f, %d overloaded", highest, overloaded)
+	require.Zero(p.t, overloaded)
+	require.Less(p.t, highest, 3.0)
+	sum, err := rig.Sum(reports)
 	require.NoError(p.t, err)
 	for name, f := range sum {
 		p.t.Logf("%s: %d sent, %v served, refused, failed", name, f.Sent, f.Verdicts)
@@ -80,7 +80,7 @@
 	return sum
 }
 
-// restart starts encoders anew, cold, and returns when.
+// restart restarts encoders, which are cold then, and returns the time.
 func (p *scenario) restart(ids ...int) time.Time {
 	now := time.Now()
 	for _, n := range ids {
@@ -89,7 +89,7 @@
 	return now
 }
 
-// firstWork is when an encoder first got work after a moment; zero: never.
+// firstWork returns when an encoder first got work after a point in time; zero: never.
 func (p *scenario) firstWork(n int, after time.Time) time.Time {
 	id := p.Host.Encoders()[n].ID()
 	for _, a := range p.Host.Ledger.Attempts() {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Case 1: encoders that start cold at once under load, shared by many processes and two daemons, stand it
-// and are used.
+// Case 1: encoders that start cold at the same time under load, shared by many processes and two daemons, are not
+// overloaded, and get work.
 func TestColdEncodersSurvive(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 6, Slots: 4, Daemons: 2, Classes: loadClasses(6, 4, 0.5), Cold: 4 * time.Second})
 	p := startScenario(t, r, 6, 7*time.Second)
@@ -124,7 +124,8 @@
 	require.NotEmpty(t, sum)
 }
 
-// Case 2: one daemon dies and comes back, then none is there for a while. The sum holds, calls go on.
+// Case 2: one daemon is killed and restarted, then both are down for a while. The cold budget holds, and calls are
+// still served.
 func TestDaemonsKilledAndRestarted(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 6, Slots: 4, Daemons: 2, Classes: loadClasses(6, 4, 0.4), Cold: 4 * time.Second})
 	p := startScenario(t, r, 6, 8*time.Second)
@@ -138,16 +139,16 @@
 	p.restart(2, 3)
 	p.waitUntil(4500 * time.Millisecond)
 	r.Daemon(1).Kill()
-	r.Daemon(0).Kill() // its clients lose what they wait for; the portals do not
+	r.Daemon(0).Kill() // its HTTP clients lose their requests; the portals lose none
 	p.waitUntil(6500 * time.Millisecond)
 	require.NoError(t, r.Daemon(0).Start())
 	require.NoError(t, r.Daemon(1).Start())
 	sum := p.end()
 	preview := sum["preview"]
-	require.Greater(t, float64(preview.Verdicts[load.Served]), 0.8*float64(preview.Sent), "calls did not go on without daemons")
+	require.Greater(t, float64(preview.Verdicts[load.Served]), 0.8*float64(preview.Sent), "calls were not served while no daemon was up")
 }
 
-// Case 3: a portal's process is killed with calls out and leases held.
+// Case 3: a portal's process is killed while it has calls in progress and holds leases.
 func TestPortalKilled(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 2, Classes: loadClasses(4, 4, 0.4), Cold: 20 * time.Second})
 	p := startScenario(t, r, 4, 5*time.Second)
@@ -156,7 +157,7 @@
 	p.waitUntil(2 * time.Second)
 	killed := time.Now()
 	p.portals[0].Kill()
-	for _, e := range r.Host.Encoders() { // what its calls held comes free: the connection has gone
+	for _, e := range r.Host.Encoders() { // its calls free their slots when the connection closes
 		require.Eventually(t, func() bool { return openAttempts(r, e.ID(), "p0") == 0 }, 2*time.Second, 5*time.Millisecond)
 	}
 	for n := range 2 {
@@ -167,7 +168,7 @@
 	p.end()
 }
 
-// openAttempts is how many attempts of a sender an encoder has that have not ended.
+// openAttempts returns the number of a sender's attempts at an encoder that have not ended.
 func openAttempts(r *rig.Rig, encoder, sender string) (n int) {
 	for _, a := range r.Host.Ledger.Attempts() {
 		if a.Encoder == encoder && a.Sender == sender && a.Fate == ledger.Open {
@@ -177,7 +178,8 @@
 	return n
 }
 
-// Case 4: an encoder drains, while one daemon is silent with its streams open. The other tells all in time.
+// Case 4: an encoder drains while one daemon is stopped with its streams open. The other daemon sends the update to
+// all portals in time.
 func TestDrainReachesPortalsWhileADaemonIsStopped(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 2, Classes: loadClasses(4, 4, 0.4)})
 	p := startScenario(t, r, 4, 5*time.Second)
@@ -197,8 +199,8 @@
 	p.end()
 }
 
-// Case 5: an encoder hangs, one sends GOAWAY in the middle of a burst, and a portal that was stopped for a
-// while comes back with old leases.
+// Case 5: an encoder hangs, another sends GOAWAY under load, and a portal that was stopped for a while continues with
+// expired leases.
 func TestEncoderHangsGoAwayAndPausedPortal(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 5, Slots: 4, Daemons: 2, Classes: loadClasses(5, 4, 0.4), Cold: 20 * time.Second})
 	p := startScenario(t, r, 5, 7*time.Second)
@@ -219,8 +221,8 @@
 	require.Greater(t, float64(preview.Verdicts[load.Served]), 0.8*float64(preview.Sent))
 }
 
-// A daemon's process is replaced under load: clients and plug-ins notice nothing, and leases of the two
-// processes together stay within the part that is theirs.
+// A daemon's process is replaced under load: no client or plug-in sees a failure, and the leases of both processes
+// together stay within the daemon's part of the budget.
 func TestDaemonIsReplaced(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 1, Classes: loadClasses(4, 4, 0.4), Cold: 20 * time.Second})
 	p := startScenario(t, r, 3, 6*time.Second)
@@ -234,7 +236,7 @@
 	old.Signal(syscall.SIGTERM)
 	old.Wait()
 	sum := p.end()
-	// A publish that ran at an encoder when it was started anew is lost, whoever sent it; nothing else is.
+	// A publish that was running at an encoder when that was restarted is lost, whoever sent it; nothing else is.
 	killed := map[string]int64{}
 	for _, a := range r.Host.Ledger.Attempts() {
 		if a.Once && a.Fate == ledger.Killed {
@@ -245,7 +247,7 @@
 	require.LessOrEqual(t, sum["publish"].Verdicts[load.Failed], killed["p0"]+killed["p1"]+killed["p2"])
 	total := p.daemon.Total()
 	require.LessOrEqual(t, total.Verdicts[load.Failed], killed["n0"], "%v", p.daemon.Errors())
-	for _, f := range []*load.Figures{sum["preview"], &total} { // some may be refused: half of the fleet is cold
+	for _, f := range []*load.Figures{sum["preview"], &total} { // some may be refused: half of the encoders are cold
 		require.Greater(t, float64(f.Verdicts[load.Served]), 0.9*float64(f.Sent))
 	}
 }
--- a/winglb/malformed_test.go
+++ b/winglb/malformed_test.go
@@ -26,7 +26,7 @@
 	"caperrelay/winglb"
 )
 
-// attach opens a control stream by hand.
+// attach opens a control stream without a plug-in.
 func attach(t *testing.T, address string) grpc.BidiStreamingClient[controlv1.FromSender, controlv1.ToSender] {
 	cc, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	require.NoError(t, err)
@@ -44,7 +44,7 @@
 	return &controlv1.FromSender{Kind: &controlv1.FromSender_Hello{Hello: h}}
 }
 
-// Case 6: what a daemon cannot make sense of ends that stream with a clear error, and disturbs no other.
+// Case 6: a malformed message ends its stream with a clear error and affects no other stream.
 func TestMalformedMessagesEndTheirStreamOnly(t *testing.T) {
 	var all atomic.Int32
 	e := startEncoder(t, &all)
@@ -79,7 +79,7 @@
 		"want of no work":  {[]*controlv1.FromSender{hello(nil), want(func(w *controlv1.Want) { w.WorkUs = 1 << 60 })}, codes.InvalidArgument},
 		"want of nothing":  {[]*controlv1.FromSender{hello(nil), want(func(w *controlv1.Want) { w.Instance = "" })}, codes.InvalidArgument},
 		"want of none":     {[]*controlv1.FromSender{hello(nil), {Kind: &controlv1.FromSender_Want{}}}, codes.InvalidArgument},
-		"done of none":     {[]*controlv1.FromSender{hello(nil), {Kind: &controlv1.FromSender_Done{}}}, codes.OK}, // an empty one: of no lease
+		"done of none":     {[]*controlv1.FromSender{hello(nil), {Kind: &controlv1.FromSender_Done{}}}, codes.OK}, // encoded as an empty message, which names no lease
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := attach(t, c.Address())
@@ -103,20 +103,20 @@
 			require.NotEmpty(t, status.Convert(err).Message())
 		})
 	}
-	// Bytes that are no HTTP/2 at all.
+	// Bytes that are not HTTP/2.
 	nc, err := net.Dial("tcp", c.Address())
 	require.NoError(t, err)
 	fmt.Fprint(nc, "GET / HTTP/1.1\r\n\r\n")
 	nc.Close()
 	c.Listed(teller.Members(2, decide.Draining, e.address))
-	for told := false; !told; {
+	for received := false; !received; {
 		m, err := good.Recv()
 		require.NoError(t, err)
-		told = m.GetList() != nil && m.GetList().Members[0].State == controlv1.State_STATE_DRAINING
+		received = m.GetList() != nil && m.GetList().Members[0].State == controlv1.State_STATE_DRAINING
 	}
 }
 
-// faultyDaemon is a daemon that tells plug-ins nonsense after a good welcome.
+// faultyDaemon is a daemon that answers each hello with an invalid message.
 type faultyDaemon struct {
 	controlv1.UnimplementedControlServer
 	messages []*controlv1.ToSender
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// A daemon that tells nonsense is left, and what another tells goes on to count.
+// The plug-in detaches from a daemon that sends invalid messages, and goes on with another one.
 func TestPlugInDetachesFromADaemonThatSendsInvalidMessages(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -161,7 +161,7 @@
 	require.Equal(t, 1, lb.Attached())
 }
 
-// With keys, only a plug-in whose certificate bears one of the names is told anything.
+// With TLS, only a plug-in whose certificate has one of the configured names can attach.
 func TestCertificateWithAnotherNameIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	a, err := authority.New(dir, "ca")
@@ -179,15 +179,15 @@
 		t.Cleanup(lb.Close)
 		return lb
 	}
-	portal, guest := client("portal"), client("guest")
+	portal, rejected := client("portal"), client("guest")
 	require.Eventually(t, func() bool { return portal.Attached() == 1 }, 10*time.Second, 5*time.Millisecond)
-	conn, err := grpc.NewClient("winglb:///x", guest.DialOptions()...)
+	conn, err := grpc.NewClient("winglb:///x", rejected.DialOptions()...)
 	require.NoError(t, err)
 	defer conn.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	_, err = jobv1.NewJobsClient(conn).Run(ctx, &jobv1.RunRequest{WorkUs: 1000})
 	require.Equal(t, codes.DeadlineExceeded, status.Code(err))
-	require.Zero(t, guest.Attached())
+	require.Zero(t, rejected.Attached())
 	require.EqualValues(t, 1, r.Daemon(0).Figure("control.senders"))
 }
--- a/winglb/pick_test.go
+++ b/winglb/pick_test.go
@@ -13,7 +13,7 @@
 	"caperrelay/internal/dispatch"
 )
 
-// countingConn is a connection that counts how often it was asked to connect.
+// countingConn is a connection that counts calls of Connect.
 type countingConn struct {
 	balancer.SubConn
 	connects int
@@ -21,9 +21,9 @@
 
 func (c *countingConn) Connect() { c.connects++ }
 
-// The picker follows the decision and looks once more whether it may be sent: a process that was stopped
-// between the two must not use a lease that has ended, nor an encoder that drains by now. It never picks
-// twice for one attempt, and never blocks.
+// The picker uses the instance chosen for the attempt, but checks again that it may be sent: a process that was
+// stopped in between must not use an expired lease or a draining encoder. It never picks a connection twice for one
+// attempt, and never blocks.
 func TestPickRechecksThatTheAttemptMayBeSent(t *testing.T) {
 	f := &fleet{instances: map[string]*instance{"s-1": {"x:1", decide.Ready}}, cordoned: map[string]bool{}}
 	c := &countingConn{}
@@ -42,7 +42,7 @@
 	a, err := pick(nil)
 	require.NoError(t, err)
 	_, err = p.Pick(balancer.PickInfo{Ctx: context.WithValue(t.Context(), attemptKey{}, a)})
-	require.ErrorIs(t, err, errResend, "what grpc would send again by itself")
+	require.ErrorIs(t, err, errResend, "transparent retry by grpc")
 	require.Equal(t, decide.NotSent, a.outcome(err, nil), "it never ran")
 	_, err = p.Pick(balancer.PickInfo{Ctx: t.Context()})
 	require.ErrorIs(t, err, errNoAttempt)
@@ -50,13 +50,13 @@
 	require.ErrorIs(t, err, errUnknown)
 
 	a, err = pick(func(a *attempt) { a.dispatched.SendUntil = time.Now().Add(-time.Millisecond) })
-	require.ErrorIs(t, err, errNotAllowed, "the lease has ended")
+	require.ErrorIs(t, err, errNotAllowed, "the lease has expired")
 	require.Equal(t, decide.NotSent, a.outcome(err, nil))
 	_, err = pick(func(a *attempt) { a.dispatched.SendUntil = time.Now().Add(time.Hour) })
 	require.NoError(t, err)
 	f.cordoned["s-1"] = true
 	_, err = pick(nil)
-	require.ErrorIs(t, err, errNotAllowed, "left out by hand")
+	require.ErrorIs(t, err, errNotAllowed, "cordoned")
 	delete(f.cordoned, "s-1")
 	f.instances["s-1"].state = decide.Draining
 	_, err = pick(nil)
--- a/winglb/rig_test.go
+++ b/winglb/rig_test.go
@@ -15,7 +15,7 @@
 	"caperrelay/internal/rig"
 )
 
-// The test's own program stands in for winglb-full in the rig's children.
+// The rig runs the test binary in place of winglb-full in its child processes.
 func TestMain(m *testing.M) {
 	var err error
 	switch os.Getenv("WINGLB_RIG_ROLE") {
@@ -44,7 +44,7 @@
 	publish = load.Class{Name: "publish", Rate: 10, Work: 60 * time.Millisecond, Once: true, Left: 10 * time.Second}
 )
 
-// startRig is a rig with daemons that serve.
+// startRig returns a rig whose daemons serve.
 func startRig(t *testing.T, o rig.Options) *rig.Rig {
 	o.Command, o.Dir = command, t.TempDir()
 	if o.Classes == nil {
--- a/winglb/served_test.go
+++ b/winglb/served_test.go
@@ -15,7 +15,7 @@
 	"caperrelay/winglb"
 )
 
-// dial returns a client of the rig's encoders.
+// dial returns a balancer and a client connection to the rig's encoders.
 func dial(t *testing.T, r *rig.Rig, name string) (*winglb.Balancer, *grpc.ClientConn) {
 	lb, err := winglb.New(winglb.Config{Name: name, Daemons: r.Controls(), Logger: slog.New(slog.NewTextHandler(os.Stderr, nil))})
 	require.NoError(t, err)
@@ -26,7 +26,7 @@
 	return lb, conn
 }
 
-// The way through the whole: a daemon tells, the plug-in sends, encoders answer, each call once.
+// End to end: a daemon sends its list and settings, the plug-in sends calls, encoders answer each call once.
 func TestCallsAreServed(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 4, Slots: 8, Daemons: 2})
 	lb, conn := dial(t, r, "p")
@@ -41,6 +41,6 @@
 	for _, a := range r.Host.Ledger.Attempts() {
 		used[a.Encoder] = true
 	}
-	require.Len(t, used, 4, "grpc chose encoders, not the module")
+	require.Len(t, used, 4, "calls reached too few encoders: grpc chose them, not package decide")
 	require.Empty(t, r.Host.Ledger.Check(ledger.Rules{DrainGrace: 750 * time.Millisecond}))
 }
--- a/winglb/status_test.go
+++ b/winglb/status_test.go
@@ -24,7 +24,7 @@
 	"caperrelay/winglb"
 )
 
-// startControl is the control side of one, in this process, that tells of such encoders.
+// startControl runs a daemon's control server in this process, with a list of encoders at these addresses.
 func startControl(t *testing.T, addresses ...string) *control.Server {
 	c, err := teller.New(addresses...)
 	require.NoError(t, err)
@@ -32,17 +32,17 @@
 	return c
 }
 
-// scriptedEncoder is an encoder that does what each call's payload says at its first attempt, and serves later ones.
+// scriptedEncoder is an encoder that fails the first attempt of a test as its payload says, and serves later ones.
 type scriptedEncoder struct {
 	jobv1.UnimplementedJobsServer
 	server   *grpc.Server
 	address  string
-	attempts atomic.Int32 // attempts that reached the handler, of all encoders of a test
+	attempts atomic.Int32 // attempts that reached the handler of this encoder
 	total    *atomic.Int32
 	conns    *cuttableListener
 }
 
-// cuttableListener keeps what a listener accepted, to be cut.
+// cuttableListener keeps the accepted connections, so that a test can close them.
 type cuttableListener struct {
 	net.Listener
 	accepted chan net.Conn
@@ -69,7 +69,7 @@
 func (s *scriptedEncoder) Run(ctx context.Context, q *jobv1.RunRequest) (*jobv1.RunResponse, error) {
 	s.attempts.Add(1)
 	if s.total.Add(1) == 1 {
-		switch what := string(q.Payload); what {
+		switch behaviour := string(q.Payload); behaviour {
 		case "full":
 			grpc.SetTrailer(ctx, metadata.Pairs("winglb-unprocessed", "1"))
 			return nil, status.Error(codes.ResourceExhausted, "full")
@@ -96,41 +96,41 @@
 	return &jobv1.RunResponse{Result: []byte("done")}, nil
 }
 
-// Each row of the table in docs/plugin.md: what an encoder or the connection does at a call's first attempt,
-// and how often it may reach a handler, of each class.
+// Each row of the table in docs/plugin.md: what the encoder or the connection does at a call's first attempt, and
+// for each class the status and how many attempts reach a handler.
 func TestStatusTable(t *testing.T) {
 	for _, row := range []struct {
-		what             string
+		behaviour        string
 		preview, publish codes.Code
-		previewRuns      int32 // handlers reached
+		previewRuns      int32 // attempts that reach a handler
 		publishRuns      int32
 	}{
 		{"serve", codes.OK, codes.OK, 1, 1},
-		{"full", codes.OK, codes.OK, 2, 2},                                    // never ran: goes elsewhere
+		{"full", codes.OK, codes.OK, 2, 2},                                    // never ran: sent to another encoder
 		{"busy without the trailer", codes.OK, codes.ResourceExhausted, 2, 1}, // may have run
 		{"internal", codes.OK, codes.Internal, 2, 1},                          // may have run
-		{"unavailable by the handler", codes.OK, codes.Unavailable, 2, 1},     // may have run: the handler said it
-		{"invalid", codes.InvalidArgument, codes.InvalidArgument, 1, 1},       // no encoder could
+		{"unavailable by the handler", codes.OK, codes.Unavailable, 2, 1},     // may have run: the status is the handler's
+		{"invalid", codes.InvalidArgument, codes.InvalidArgument, 1, 1},       // no encoder can serve it
 		{"cut", codes.OK, codes.Aborted, 2, 1},                                // may have run
 		{"cut after the header", codes.OK, codes.Aborted, 2, 1},               // ran in part
 		{"refused connection", codes.OK, codes.OK, 1, 1},                      // never ran
 		{"accepted and reset", codes.OK, codes.OK, 1, 1},                      // never ran: no stream was made
-		{"goaway before it is processed", codes.OK, codes.OK, 1, 1},           // never ran: HTTP/2 says so
-		{"stream refused", codes.OK, codes.OK, 1, 1},                          // likewise
+		{"goaway before it is processed", codes.OK, codes.OK, 1, 1},           // never ran, by the GOAWAY's last stream ID
+		{"stream refused", codes.OK, codes.OK, 1, 1},                          // never ran, by REFUSED_STREAM
 	} {
 		for class, want := range map[string]struct {
 			code codes.Code
 			runs int32
 		}{"preview": {row.preview, row.previewRuns}, "publish": {row.publish, row.publishRuns}} {
-			t.Run(row.what+"/"+class, func(t *testing.T) {
+			t.Run(row.behaviour+"/"+class, func(t *testing.T) {
 				var all atomic.Int32
 				a, b := startEncoder(t, &all), startEncoder(t, &all)
 				addresses := []string{a.address, b.address}
-				switch row.what {
+				switch row.behaviour {
 				case "refused connection":
 					a.server.Stop()
 				case "accepted and reset", "goaway before it is processed", "stream refused":
-					addresses[0] = startRawEncoder(t, row.what)
+					addresses[0] = startRawEncoder(t, row.behaviour)
 				}
 				c := startControl(t, addresses...)
 				lb, err := winglb.New(winglb.Config{Name: "t", Daemons: []string{c.Address()}, Class: class})
@@ -142,7 +142,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 8*time.Second)
 				defer cancel()
 				var header, trailer metadata.MD
-				p, err := jobv1.NewJobsClient(conn).Run(ctx, &jobv1.RunRequest{Payload: []byte(row.what)}, grpc.Header(&header), grpc.Trailer(&trailer))
+				p, err := jobv1.NewJobsClient(conn).Run(ctx, &jobv1.RunRequest{Payload: []byte(row.behaviour)}, grpc.Header(&header), grpc.Trailer(&trailer))
 				require.Equal(t, want.code, status.Code(err), "%v\n%s", err, lb.Counters())
 				require.Equal(t, want.runs, all.Load(), lb.Counters())
 				if err == nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-// Where no encoder will do, the refusal comes at once, says so and says when to come back.
+// If no encoder is usable, the call is refused early, with the reason and a retry delay.
 func TestRefusalCarriesRetryInfo(t *testing.T) {
 	c := startControl(t) // no encoder at all
 	lb, err := winglb.New(winglb.Config{Name: "t", Daemons: []string{c.Address()}, Class: "preview"})
@@ -168,7 +168,7 @@
 	start := time.Now()
 	_, err = jobv1.NewJobsClient(conn).Run(ctx, &jobv1.RunRequest{})
 	require.Equal(t, codes.ResourceExhausted, status.Code(err), "%v", err)
-	require.Less(t, time.Since(start), 15*time.Second, "held back")
+	require.Less(t, time.Since(start), 15*time.Second, "the refusal came late")
 	var info *errdetails.ErrorInfo
 	var retry *errdetails.RetryInfo
 	for _, d := range status.Convert(err).Details() {
@@ -190,8 +190,8 @@
 	require.True(t, strings.Contains(lb.Counters(), "commands_nacked 1"), lb.Counters())
 }
 
-// startRawEncoder is an encoder that speaks HTTP/2 only so far, and has no handler.
-func startRawEncoder(t *testing.T, what string) string {
+// startRawEncoder listens as an encoder that fails at the level of TCP or HTTP/2, without a handler.
+func startRawEncoder(t *testing.T, behaviour string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -201,7 +201,7 @@
 			if err != nil {
 				return
 			}
-			if what == "accepted and reset" {
+			if behaviour == "accepted and reset" {
 				nc.(*net.TCPConn).SetLinger(0)
 				nc.Close()
 				continue
@@ -224,7 +224,7 @@
 							f.WriteSettingsAck()
 						}
 					case *http2.HeadersFrame:
-						if what == "stream refused" {
+						if behaviour == "stream refused" {
 							f.WriteRSTStream(frame.StreamID, http2.ErrCodeRefusedStream)
 						} else {
 							f.WriteGoAway(0, http2.ErrCodeNo, nil)
--- a/winglb/updates_test.go
+++ b/winglb/updates_test.go
@@ -20,7 +20,7 @@
 	"caperrelay/winglb"
 )
 
-// What people change at a daemon reaches plug-ins without a restart: a class that the settings did not have.
+// A change of a daemon's settings, here a new class, reaches plug-ins without a restart.
 func TestSettingsReachPlugIns(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 2, Slots: 2, Daemons: 1})
 	_, conn := dial(t, r, "p")
@@ -41,8 +41,8 @@
 	require.Equal(t, codes.OK, run("preview"))
 }
 
-// An encoder that people leave out gets nothing new from plug-ins, and is used again once put back: for one
-// that was never cold there is a lease too.
+// A cordoned encoder gets no new calls from plug-ins, and is used again after the cordon is lifted: leases are granted
+// for it, though it has no start time in the list.
 func TestCordonsReachPlugIns(t *testing.T) {
 	var all atomic.Int32
 	all.Store(1)
@@ -62,10 +62,10 @@
 		}
 	}
 	run(1)
-	other.Cordoned([]string{}) // it was not told, and must not undo what the other was
+	other.Cordoned([]string{}) // it has no cordons, and must not undo those of the other daemon
 	c.Cordoned([]string{"s-1"})
 	other.Cordoned([]string{"s-9"})
-	time.Sleep(50 * time.Millisecond) // on its way
+	time.Sleep(50 * time.Millisecond) // until the cordons have arrived
 	before := a.attempts.Load()
 	run(20)
 	require.Equal(t, before, a.attempts.Load())
@@ -73,7 +73,7 @@
 	require.Eventually(t, func() bool { run(1); return a.attempts.Load() > before }, 20*time.Second, time.Millisecond)
 }
 
-// A plug-in that is closed ends its calls, and leaves the daemon.
+// Closing a plug-in ends its calls and detaches it from the daemon.
 func TestClose(t *testing.T) {
 	c := startControl(t)
 	lb, err := winglb.New(winglb.Config{Name: "t", Daemons: []string{c.Address()}, Class: "preview"})
@@ -92,7 +92,7 @@
 	case err := <-ended:
 		require.Error(t, err)
 	case <-time.After(10 * time.Second):
-		t.Fatal("a call goes on")
+		t.Fatal("the call did not end after Close")
 	}
 	require.Eventually(t, func() bool {
 		for _, f := range c.Figures() {
