--- a/cmd/winglb-full/members.go
+++ b/cmd/winglb-full/members.go
@@ -41,19 +41,19 @@
 	if err != nil {
 		return v, err
 	}
-	if fault, ok := strings.CutPrefix(string(text), "ERR "); ok {
-		return v, fmt.Errorf("%s: it tells nobody of its list ([members] is missing in its file, or it does not serve)", strings.TrimSpace(fault))
+	if reason, ok := strings.CutPrefix(string(text), "ERR "); ok {
+		return v, fmt.Errorf("%s: it tells nobody of its list ([members] is missing in its file, or it does not serve)", strings.TrimSpace(reason))
 	}
 	return v, json.Unmarshal([]byte(strings.TrimSuffix(string(text), "END\n")), &v)
 }
 
 // queryAll queries all dispatchers and prints the answers with f, in the order of the addresses.
 func (a *asked) queryAll(heading string, f func(io.Writer, members.View)) error {
-	all, faults := make([]members.View, len(a.At)), make([]error, len(a.At))
+	all, errs := make([]members.View, len(a.At)), make([]error, len(a.At))
 	var wg sync.WaitGroup
 	for from := 0; from < len(a.At); from += maxConcurrentQueries {
 		for i := from; i < min(from+maxConcurrentQueries, len(a.At)); i++ {
-			wg.Go(func() { all[i], faults[i] = queryMembers(a.At[i]) })
+			wg.Go(func() { all[i], errs[i] = queryMembers(a.At[i]) })
 		}
 		wg.Wait()
 	}
@@ -61,12 +61,12 @@
 	if !a.JSON {
 		fmt.Fprintln(out, heading)
 	}
-	silent := 0
+	failed := 0
 	for i, v := range all {
 		switch {
-		case faults[i] != nil:
-			silent++
-			fmt.Fprintf(os.Stderr, "%s: %v\n", a.At[i], faults[i])
+		case errs[i] != nil:
+			failed++
+			fmt.Fprintf(os.Stderr, "%s: %v\n", a.At[i], errs[i])
 		case a.JSON:
 			text, err := json.Marshal(v)
 			if err != nil {
@@ -78,8 +78,8 @@
 		}
 	}
 	out.Flush()
-	if silent > 0 {
-		return fmt.Errorf("%d of %d dispatchers did not tell", silent, len(a.At))
+	if failed > 0 {
+		return fmt.Errorf("%d of %d dispatchers did not tell", failed, len(a.At))
 	}
 	return nil
 }
--- a/cmd/winglb-full/routes.go
+++ b/cmd/winglb-full/routes.go
@@ -46,7 +46,7 @@
 			return err
 		}
 	}
-	carried, near, not := report.Count(nginx.Carried), report.Count(nginx.Approximated), report.Count(nginx.NotCarried)
+	carried, approximated, notCarried := report.Count(nginx.Carried), report.Count(nginx.Approximated), report.Count(nginx.NotCarried)
 	if c.Report == "json" {
 		text, err := json.MarshalIndent(struct {
 			*nginx.Report
@@ -55,7 +55,7 @@
 			NotCarried   int `json:"not_carried"`
 			Servers      int `json:"servers"`
 			Pools        int `json:"pools"`
-		}{report, carried, near, not, len(config.Servers), len(config.Pools)}, "", "  ")
+		}{report, carried, approximated, notCarried, len(config.Servers), len(config.Pools)}, "", "  ")
 		if err != nil {
 			return err
 		}
@@ -68,10 +68,10 @@
 			}
 			fmt.Printf("%s:%d: %s: %s%s\n", l.File, l.Line, l.Directive, l.State, note)
 		}
-		fmt.Printf("%d directives: %d carried, %d approximated, %d not carried; %d servers, %d pools\n", len(report.Lines), carried, near, not, len(config.Servers), len(config.Pools))
+		fmt.Printf("%d directives: %d carried, %d approximated, %d not carried; %d servers, %d pools\n", len(report.Lines), carried, approximated, notCarried, len(config.Servers), len(config.Pools))
 	}
-	if c.Strict && near+not > 0 {
-		return exitError{2, fmt.Errorf("%d directives are approximated and %d not carried", near, not)}
+	if c.Strict && approximated+notCarried > 0 {
+		return exitError{2, fmt.Errorf("%d directives are approximated and %d not carried", approximated, notCarried)}
 	}
 	return nil
 }
--- a/examples/portal/main.go
+++ b/examples/portal/main.go
@@ -47,20 +47,20 @@
 	defer conn.Close()
 	jobs := jobv1.NewJobsClient(conn)
 	for n := 0; ctx.Err() == nil; n++ {
-		again, err := preview(ctx, jobs, fmt.Sprint("lecture-", n%10))
+		retryAfter, err := preview(ctx, jobs, fmt.Sprint("lecture-", n%10))
 		if err != nil {
 			fmt.Println(err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(max(again, time.Second)):
+		case <-time.After(max(retryAfter, time.Second)):
 		}
 	}
 	return nil
 }
 
-// preview requests one preview; again is the delay before a retry after a refusal.
-func preview(ctx context.Context, jobs jobv1.JobsClient, lecture string) (again time.Duration, err error) {
+// preview requests one preview; retryAfter is the delay before a retry after a refusal.
+func preview(ctx context.Context, jobs jobv1.JobsClient, lecture string) (retryAfter time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	ctx = winglb.WithJob(ctx, winglb.Job{Class: "preview", Tenant: "ups", Key: lecture, Work: 100 * time.Millisecond})
@@ -71,14 +71,14 @@
 	}
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
-			again = r.RetryDelay.AsDuration()
+			retryAfter = r.RetryDelay.AsDuration()
 		}
 	}
 	switch status.Code(err) {
 	case codes.ResourceExhausted: // refused: it never ran, or is safe to repeat
-		return again, fmt.Errorf("%s: refused, again in %v", lecture, again)
+		return retryAfter, fmt.Errorf("%s: refused, again in %v", lecture, retryAfter)
 	case codes.Aborted: // it may have run: do not repeat a call that must not run twice
 		return 0, fmt.Errorf("%s: failed, and may have run: %w", lecture, err)
 	}
-	return again, fmt.Errorf("%s: %w", lecture, err)
+	return retryAfter, fmt.Errorf("%s: %w", lecture, err)
 }
--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -33,9 +33,9 @@
 const Version = 1
 
 const (
-	maxNameBytes    = 128     // bytes
-	maxIDBytes      = 256     // bytes
-	maxMessageBytes = 1 << 20 // bytes of a message from a sender
+	maxNameBytes    = 128     // of a sender's name
+	maxIDBytes      = 256     // of an instance's ID
+	maxMessageBytes = 1 << 20 // of a message from a sender
 	senderQueueSize = 512     // queued messages; a sender that falls further behind is disconnected
 	hourUs          = 3600e6
 )
@@ -207,15 +207,15 @@
 	now := c.now()
 	var members []lease.Encoder
 	for _, m := range c.instances.Snapshot().Instances {
-		at, eased := c.uncordonedAt[m.ID]
-		if m.Started.IsZero() && !eased || m.State != decide.Ready {
+		at, uncordoned := c.uncordonedAt[m.ID]
+		if m.Started.IsZero() && !uncordoned || m.State != decide.Ready {
 			continue
 		}
 		process, started := int64(0), at
 		if !m.Started.IsZero() {
 			process, started = m.Started.UnixMicro(), min(now, m.Started.Sub(c.start)) // capped at now, in case the system clock stepped
 		}
-		if eased {
+		if uncordoned {
 			started = max(started, at)
 		}
 		slots, ok := c.options.Slots[m.Kind]
@@ -226,7 +226,7 @@
 			slots *= m.Size
 		}
 		members = append(members, lease.Encoder{
-			ID: m.ID, Process: process, Started: started, Slots: slots, AnyProcess: eased,
+			ID: m.ID, Process: process, Started: started, Slots: slots, AnyProcess: uncordoned,
 		})
 	}
 	c.granter.SetEncoders(now, members)
@@ -334,14 +334,14 @@
 // Attach serves the stream of one sender. This goroutine writes; another one reads.
 func (c *Server) Attach(stream grpc.BidiStreamingServer[controlv1.FromSender, controlv1.ToSender]) error {
 	joined, ended := make(chan *sender, 1), make(chan error, 1)
-	var heard atomic.Int64
-	heard.Store(int64(c.now()))
+	var lastReceived atomic.Int64
+	lastReceived.Store(int64(c.now()))
 	go func() {
 		var s *sender
 		for {
 			m, err := stream.Recv()
 			if err == nil {
-				heard.Store(int64(c.now()))
+				lastReceived.Store(int64(c.now()))
 				if s == nil {
 					if s, err = c.join(m.GetHello()); err == nil {
 						joined <- s
@@ -391,7 +391,7 @@
 		case <-slow:
 			return status.Error(codes.ResourceExhausted, "the sender does not read what it is told")
 		case <-beat.C:
-			if c.now()-time.Duration(heard.Load()) > 2*c.options.Silence {
+			if c.now()-time.Duration(lastReceived.Load()) > 2*c.options.Silence {
 				return status.Error(codes.DeadlineExceeded, "the sender is silent")
 			}
 			m = &controlv1.ToSender{Kind: &controlv1.ToSender_Beat{Beat: &controlv1.Beat{}}}
@@ -445,7 +445,7 @@
 	if c.retryAt[instance] > now {
 		return
 	}
-	asked := time.Now()
+	requested := time.Now()
 	g := c.granter.Ask(now, self, lease.Request{Instance: instance, Process: process, Work: work})
 	if g.ID == 0 {
 		if len(c.retryAt) > 4096 {
@@ -455,7 +455,7 @@
 		return
 	}
 	// In a goroutine: the loop is the caller, and must not wait for itself.
-	until := asked.Add(g.Valid)
+	until := requested.Add(g.Valid)
 	go c.core.AddLease(dispatch.Lease{Instance: instance, Process: process, Work: work, Until: until, Ref: g.ID})
 	time.AfterFunc(time.Until(until)+time.Millisecond, func() { // an expired lease is not used any more
 		c.mu.Lock()
@@ -484,11 +484,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.granter.Stats
-	living := map[string]bool{self: true}
+	attached := map[string]bool{self: true}
 	for s := range c.senders {
-		living[s.key] = true
+		attached[s.key] = true
 	}
-	orphans := c.granter.Orphans(c.now(), func(key string) bool { return living[key] })
+	orphans := c.granter.Orphans(c.now(), func(key string) bool { return attached[key] })
 	return []Figure{
 		{"control.senders", int64(len(c.senders))}, {"control.refused", c.refused.Load()},
 		{"control.leases_asked", int64(s.Asked)}, {"control.leases_granted", int64(s.Granted)}, {"control.leases_denied", int64(s.Denied)},
--- a/winglb/control.go
+++ b/winglb/control.go
@@ -144,7 +144,7 @@
 	cc, err := grpc.NewClient("passthrough:///"+l.address, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: minRetry, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxRetry}, MinConnectTimeout: time.Second}))
 	if err != nil {
-		l.state.balancer.log.Error("daemon", "address", l.address, "err", err)
+		l.state.balancer.log.Error("cannot create the connection to a daemon", "address", l.address, "err", err)
 		return
 	}
 	defer cc.Close()
@@ -252,12 +252,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastReceived = s.now()
-	retune := s.senders != w.Senders
+	force := s.senders != w.Senders
 	s.senders = w.Senders
 	if w.Place != s.place && (w.Place > 0 || s.place > 0 && l.ownsPlace(s.place)) {
-		s.place, retune = w.Place, true
+		s.place, force = w.Place, true
 	}
-	if err := s.applySettings(l.index, w.Settings, retune); err != nil {
+	if err := s.applySettings(l.index, w.Settings, force); err != nil {
 		return err
 	}
 	if err := s.updateInstances(w.List); err != nil {
@@ -338,7 +338,7 @@
 		clear(s.instances)
 	}
 	s.revision = l.Revision
-	given := dispatch.InstanceUpdate{Revision: l.Revision, Complete: l.Complete}
+	update := dispatch.InstanceUpdate{Revision: l.Revision, Complete: l.Complete}
 	f := s.balancer.fleet
 	f.mu.Lock()
 	if l.Complete {
@@ -356,7 +356,7 @@
 			line.Started = time.UnixMicro(m.StartedUs)
 		}
 		if m.Address != "" {
-			given.Instances = append(given.Instances, line)
+			update.Instances = append(update.Instances, line)
 		}
 	}
 	for id, in := range f.instances {
@@ -366,7 +366,7 @@
 	}
 	f.mu.Unlock()
 	s.startLoop()
-	s.balancer.loop.UpdateInstances(given, false)
+	s.balancer.loop.UpdateInstances(update, false)
 	for _, f := range s.watchers {
 		go f()
 	}
@@ -469,7 +469,7 @@
 		names := s.names
 		go func() { // waits for the loop, which may be requesting a lease
 			if err := s.balancer.loop.Reconfigure(d, names); err != nil {
-				s.balancer.log.Error("settings", "err", err)
+				s.balancer.log.Error("settings not applied", "err", err)
 			}
 		}()
 	}
@@ -490,7 +490,7 @@
 		if s.place > 0 && s.now()-s.lastReceived > lease.KeepFor {
 			s.place = 0
 			if err := s.reconfigure(); err != nil {
-				s.balancer.log.Error("settings", "err", err)
+				s.balancer.log.Error("settings not applied", "err", err)
 			}
 		}
 		s.mu.Unlock()
--- a/winglb/malformed_test.go
+++ b/winglb/malformed_test.go
@@ -46,8 +46,8 @@
 
 // Case 6: a malformed message ends its stream with a clear error and affects no other stream.
 func TestMalformedMessagesEndTheirStreamOnly(t *testing.T) {
-	var all atomic.Int32
-	e := startEncoder(t, &all)
+	var total atomic.Int32
+	e := startEncoder(t, &total)
 	c := startControl(t, e.address)
 	good := attach(t, c.Address())
 	require.NoError(t, good.Send(hello(func(h *controlv1.Hello) { h.Name = "good" })))
@@ -147,8 +147,8 @@
 	controlv1.RegisterControlServer(server, d)
 	go server.Serve(l)
 	t.Cleanup(server.Stop)
-	var all atomic.Int32
-	c := startControl(t, startEncoder(t, &all).address)
+	var total atomic.Int32
+	c := startControl(t, startEncoder(t, &total).address)
 	lb, err := winglb.New(winglb.Config{Name: "p", Daemons: []string{l.Addr().String(), c.Address()}, Class: "preview"})
 	require.NoError(t, err)
 	defer lb.Close()
--- a/winglb/status_test.go
+++ b/winglb/status_test.go
@@ -56,10 +56,10 @@
 	return nc, err
 }
 
-func startEncoder(t *testing.T, all *atomic.Int32) *scriptedEncoder {
+func startEncoder(t *testing.T, total *atomic.Int32) *scriptedEncoder {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &scriptedEncoder{server: grpc.NewServer(), address: l.Addr().String(), total: all, conns: &cuttableListener{l, make(chan net.Conn, 99)}}
+	s := &scriptedEncoder{server: grpc.NewServer(), address: l.Addr().String(), total: total, conns: &cuttableListener{l, make(chan net.Conn, 99)}}
 	jobv1.RegisterJobsServer(s.server, s)
 	go s.server.Serve(s.conns)
 	t.Cleanup(s.server.Stop)
@@ -123,8 +123,8 @@
 			runs int32
 		}{"preview": {row.preview, row.previewRuns}, "publish": {row.publish, row.publishRuns}} {
 			t.Run(row.behaviour+"/"+class, func(t *testing.T) {
-				var all atomic.Int32
-				a, b := startEncoder(t, &all), startEncoder(t, &all)
+				var total atomic.Int32
+				a, b := startEncoder(t, &total), startEncoder(t, &total)
 				addresses := []string{a.address, b.address}
 				switch row.behaviour {
 				case "refused connection":
@@ -144,7 +144,7 @@
 				var header, trailer metadata.MD
 				p, err := jobv1.NewJobsClient(conn).Run(ctx, &jobv1.RunRequest{Payload: []byte(row.behaviour)}, grpc.Header(&header), grpc.Trailer(&trailer))
 				require.Equal(t, want.code, status.Code(err), "%v\n%s", err, lb.Counters())
-				require.Equal(t, want.runs, all.Load(), lb.Counters())
+				require.Equal(t, want.runs, total.Load(), lb.Counters())
 				if err == nil {
 					require.Equal(t, "done", string(p.Result))
 					require.NotEmpty(t, header)
--- a/winglb/updates_test.go
+++ b/winglb/updates_test.go
@@ -44,9 +44,9 @@
 // A cordoned encoder gets no new calls from plug-ins, and is used again after the cordon is lifted: leases are granted
 // for it, though it has no start time in the list.
 func TestCordonsReachPlugIns(t *testing.T) {
-	var all atomic.Int32
-	all.Store(1)
-	a, b := startEncoder(t, &all), startEncoder(t, &all)
+	var total atomic.Int32
+	total.Store(1)
+	a, b := startEncoder(t, &total), startEncoder(t, &total)
 	c, other := startControl(t, a.address, b.address), startControl(t, a.address, b.address)
 	lb, err := winglb.New(winglb.Config{Name: "t", Daemons: []string{c.Address(), other.Address()}, Class: "preview"})
 	require.NoError(t, err)
--- a/winglb/winglb.go
+++ b/winglb/winglb.go
@@ -6,7 +6,7 @@
 //	defer lb.Close()
 //	conn, err := grpc.NewClient("winglb:///pool", lb.DialOptions()...)
 //
-// For calls on conn, package decide chooses encoders, retries, hedges and refuses calls that cannot finish in time.
+// For calls on conn, package decide chooses encoders, retries, hedges, and refuses calls that are not worth sending.
 // The parameters of a call come with its context ([WithJob]). docs/plugin.md lists what each status means: the call
 // never ran, may have run, or ran.
 package winglb
