--- a/cmd/winglb-full/members.go
+++ b/cmd/winglb-full/members.go
@@ -14,46 +14,46 @@
 	"caperrelay/internal/members"
 )
 
-// asked is what the commands about members have alike.
+// asked holds the arguments that the members and lists commands share.
 type asked struct {
 	At   []string `arg:"" name:"address" help:"Operators' addresses (node.admin) of dispatchers."`
 	JSON bool     `name:"json" help:"Print one JSON object for each dispatcher that answers."`
 }
 
 const (
-	answerWithin = 2 * time.Second
-	asksAtOnce   = 32
-	mostAnswer   = 4 << 20
+	queryTimeout         = 2 * time.Second
+	maxConcurrentQueries = 32
+	maxAnswerBytes       = 4 << 20
 )
 
-// view asks one dispatcher.
-func view(address string) (v members.View, err error) {
-	c, err := net.DialTimeout("tcp", address, answerWithin)
+// queryMembers queries one dispatcher.
+func queryMembers(address string) (v members.View, err error) {
+	c, err := net.DialTimeout("tcp", address, queryTimeout)
 	if err != nil {
 		return v, err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(answerWithin))
+	c.SetDeadline(time.Now().Add(queryTimeout))
 	if _, err := fmt.Fprintln(c, "members"); err != nil {
 		return v, err
 	}
-	text, err := io.ReadAll(io.LimitReader(c, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(c, maxAnswerBytes))
 	if err != nil {
 		return v, err
 	}
-	if fault, ok := strings.CutPrefix(string(text), "ERR "); ok {
-		return v, fmt.Errorf("%s: it tells nobody of its list ([members] is missing in its file, or it does not serve)", strings.TrimSpace(fault))
+	if reason, ok := strings.CutPrefix(string(text), "ERR "); ok {
+		return v, fmt.Errorf("%s: it tells nobody of its list ([members] is missing in its file, or it does not serve)", strings.TrimSpace(reason))
 	}
 	return v, json.Unmarshal([]byte(strings.TrimSuffix(string(text), "END\n")), &v)
 }
 
-// views asks all, and has f print those that answered in the order of the addresses.
-func (a *asked) views(heading string, f func(io.Writer, members.View)) error {
-	all, faults := make([]members.View, len(a.At)), make([]error, len(a.At))
+// queryAll queries all dispatchers and prints the answers with f, in the order of the addresses.
+func (a *asked) queryAll(heading string, f func(io.Writer, members.View)) error {
+	all, errs := make([]members.View, len(a.At)), make([]error, len(a.At))
 	var wg sync.WaitGroup
-	for from := 0; from < len(a.At); from += asksAtOnce {
-		for i := from; i < min(from+asksAtOnce, len(a.At)); i++ {
-			wg.Go(func() { all[i], faults[i] = view(a.At[i]) })
+	for from := 0; from < len(a.At); from += maxConcurrentQueries {
+		for i := from; i < min(from+maxConcurrentQueries, len(a.At)); i++ {
+			wg.Go(func() { all[i], errs[i] = queryMembers(a.At[i]) })
 		}
 		wg.Wait()
 	}
@@ -61,12 +61,12 @@
 	if !a.JSON {
 		fmt.Fprintln(out, heading)
 	}
-	silent := 0
+	failed := 0
 	for i, v := range all {
 		switch {
-		case faults[i] != nil:
-			silent++
-			fmt.Fprintf(os.Stderr, "%s: %v\n", a.At[i], faults[i])
+		case errs[i] != nil:
+			failed++
+			fmt.Fprintf(os.Stderr, "%s: %v\n", a.At[i], errs[i])
 		case a.JSON:
 			text, err := json.Marshal(v)
 			if err != nil {
@@ -78,16 +78,16 @@
 		}
 	}
 	out.Flush()
-	if silent > 0 {
-		return fmt.Errorf("%d of %d dispatchers did not tell", silent, len(a.At))
+	if failed > 0 {
+		return fmt.Errorf("%d of %d dispatchers did not tell", failed, len(a.At))
 	}
 	return nil
 }
 
-type askMembers struct{ asked }
+type membersCommand struct{ asked }
 
-func (a *askMembers) Run() error {
-	return a.views("DISPATCHER\tSEES\tZONE\tLIST SERVICE\tSETTINGS", func(out io.Writer, v members.View) {
+func (a *membersCommand) Run() error {
+	return a.queryAll("DISPATCHER\tSEES\tZONE\tLIST SERVICE\tSETTINGS", func(out io.Writer, v members.View) {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t\n", v.Name, v.Name, v.Zone, v.Watch)
 		for _, p := range v.Peers {
 			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\n", v.Name, p.Name, p.Zone, p.Watch, p.Settings)
@@ -95,10 +95,10 @@
 	})
 }
 
-type askLists struct{ asked }
+type listsCommand struct{ asked }
 
-func (a *askLists) Run() error {
-	return a.views("DISPATCHER\tZONE\tLIST SERVICE\tREVISION\tOF\tAGE\tENCODERS\tTELLS\tNOT LISTENED TO", func(out io.Writer, v members.View) {
+func (a *listsCommand) Run() error {
+	return a.queryAll("DISPATCHER\tZONE\tLIST SERVICE\tREVISION\tOF\tAGE\tENCODERS\tTELLS\tNOT LISTENED TO", func(out io.Writer, v members.View) {
 		age := "no list"
 		if v.Age >= 0 {
 			age = v.Age.Round(time.Millisecond).String()
--- a/cmd/winglb-full/routes.go
+++ b/cmd/winglb-full/routes.go
@@ -14,7 +14,7 @@
 	"caperrelay/internal/routes"
 )
 
-type importers struct {
+type importCommand struct {
 	Nginx importNginx `name:"nginx" cmd:"" help:"Make routes and pools of an nginx file, and say of each directive what became of it."`
 }
 
@@ -25,8 +25,8 @@
 	Strict bool   `name:"strict" help:"End with 2 where something was approximated or not carried."`
 }
 
-// exit is an error that ends the program with a code of its own.
-type exit struct {
+// exitError is an error with its own exit code.
+type exitError struct {
 	code int
 	error
 }
@@ -46,7 +46,7 @@
 			return err
 		}
 	}
-	carried, near, not := report.Count(nginx.Carried), report.Count(nginx.Approximated), report.Count(nginx.NotCarried)
+	carried, approximated, notCarried := report.Count(nginx.Carried), report.Count(nginx.Approximated), report.Count(nginx.NotCarried)
 	if c.Report == "json" {
 		text, err := json.MarshalIndent(struct {
 			*nginx.Report
@@ -55,7 +55,7 @@
 			NotCarried   int `json:"not_carried"`
 			Servers      int `json:"servers"`
 			Pools        int `json:"pools"`
-		}{report, carried, near, not, len(config.Servers), len(config.Pools)}, "", "  ")
+		}{report, carried, approximated, notCarried, len(config.Servers), len(config.Pools)}, "", "  ")
 		if err != nil {
 			return err
 		}
@@ -68,15 +68,15 @@
 			}
 			fmt.Printf("%s:%d: %s: %s%s\n", l.File, l.Line, l.Directive, l.State, note)
 		}
-		fmt.Printf("%d directives: %d carried, %d approximated, %d not carried; %d servers, %d pools\n", len(report.Lines), carried, near, not, len(config.Servers), len(config.Pools))
+		fmt.Printf("%d directives: %d carried, %d approximated, %d not carried; %d servers, %d pools\n", len(report.Lines), carried, approximated, notCarried, len(config.Servers), len(config.Pools))
 	}
-	if c.Strict && near+not > 0 {
-		return exit{2, fmt.Errorf("%d directives are approximated and %d not carried", near, not)}
+	if c.Strict && approximated+notCarried > 0 {
+		return exitError{2, fmt.Errorf("%d directives are approximated and %d not carried", approximated, notCarried)}
 	}
 	return nil
 }
 
-type routing struct {
+type routesCommand struct {
 	Explain explain `name:"explain" cmd:"" help:"Say what becomes of a request: server, location, URI and pool, and why."`
 }
 
@@ -168,7 +168,7 @@
 	Why      string `json:"why"`
 }
 
-// eligible tells which members of a pool may get a request while all is well.
+// eligible lists the members of a pool, and which of them get requests while all members are healthy.
 func eligible(p *routes.Pool) (all []member) {
 	for _, m := range p.Members {
 		weight := max(1, m.Weight)
--- a/cmd/winglb/main.go
+++ b/cmd/winglb/main.go
@@ -1,6 +1,6 @@
-// Command winglb is the real dispatcher: it takes commands from service clients and has instances do
-// them, as the decision module says. It is kept lean: what needs more than the platform's days allow is
-// in winglb-full beside it, which this program becomes for any sub-command but a bare serve.
+// Command winglb is the dispatcher daemon: it takes requests from clients and dispatches them to encoders by the
+// decisions of package decide. It is kept small; for any sub-command except a plain serve it executes winglb-full
+// from the same folder.
 package main
 
 import (
@@ -15,7 +15,7 @@
 
 func main() {
 	if len(os.Args) > 2 || len(os.Args) == 2 && os.Args[1] != "serve" {
-		fail(full())
+		fail(execFull())
 	}
 	if err := daemon.Run(os.Getenv); err != nil {
 		fail(err)
@@ -27,8 +27,8 @@
 	os.Exit(1)
 }
 
-// full becomes the program with all sub-commands; it returns only where that cannot be.
-func full() error {
+// execFull replaces this process by winglb-full. It returns only on failure.
+func execFull() error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -1,6 +1,6 @@
-// Package control is the daemon's side of the stream between daemons and plug-ins: it tells them the
-// name table, settings and cordons, gives them places, and leases them this daemon's part of the budget
-// for cold encoders. The daemon's own sends go by the same leases.
+// Package control is the daemon's side of the stream between daemons and plug-ins. It sends them the instance
+// list, settings and cordons, assigns places, and grants leases on this daemon's part of the budget for cold
+// encoders. The daemon's own attempts need the same leases.
 package control
 
 import (
@@ -33,31 +33,31 @@
 const Version = 1
 
 const (
-	mostName    = 128     // bytes of a sender's name
-	mostID      = 256     // bytes of an instance's id
-	mostMessage = 1 << 20 // bytes of a message from a sender
-	outbox      = 512     // messages that wait for a sender; one that is slower is sent away
-	hourUs      = 3600e6
+	maxNameBytes    = 128     // of a sender's name
+	maxIDBytes      = 256     // of an instance's ID
+	maxMessageBytes = 1 << 20 // of a message from a sender
+	senderQueueSize = 512     // queued messages; a sender that falls further behind is disconnected
+	hourUs          = 3600e6
 )
 
 // Options of a server.
 type Options struct {
 	Listen  string
-	Daemon  int // this one's number among
-	Daemons int // those of the configuration
-	Senders int // that there may be at once
+	Daemon  int // number of this daemon, from 0
+	Daemons int // number of daemons in the configuration
+	Senders int // maximum number of senders at one time
 	Silence time.Duration
 	Life    time.Duration // of a lease
-	// Slots that a warm encoder of each kind has; "" is any other.
+	// Slots of a warm encoder by kind; "" stands for all other kinds.
 	Slots map[string]float64
 	TLS   credentials.TransportCredentials // nil: plain text
-	// Also registers what else is served at the same address; nil: nothing is.
+	// Also registers other services at the same address; nil: none.
 	Also func(grpc.ServiceRegistrar)
-	// New says that the deployment begins anew: places are given at once.
+	// New marks a new deployment without earlier senders: places are assigned without a waiting time.
 	New bool
 }
 
-// Core is where the daemon's own leases go.
+// Core receives the daemon's own leases.
 type Core interface{ AddLease(dispatch.Lease) }
 
 // Server is the control service of a daemon.
@@ -69,37 +69,37 @@
 	start   time.Time
 	epoch   uint64
 
-	mu       sync.Mutex
-	address  string       // once it has listened
-	grpc     *grpc.Server // nil: it does not listen
-	book     *lease.Granter
-	places   *lease.Places
-	table    dispatch.InstanceList
-	settings *controlv1.Settings
-	cordons  []string
-	eased    map[string]time.Duration // when people put an instance back
-	senders  map[*sender]struct{}
-	again    map[string]time.Duration // for the daemon's own wants
-	refused  atomic.Int64
+	mu           sync.Mutex
+	address      string       // set by the first Open
+	grpc         *grpc.Server // nil: not listening
+	granter      *lease.Granter
+	places       *lease.Places
+	instances    dispatch.InstanceList
+	settings     *controlv1.Settings
+	cordons      []string
+	uncordonedAt map[string]time.Duration // when an operator lifted a cordon, by instance
+	senders      map[*sender]struct{}
+	retryAt      map[string]time.Duration // when the daemon may request a lease again, by instance
+	refused      atomic.Int64
 }
 
 type sender struct {
-	key  string // name and process
-	out  chan *controlv1.ToSender
-	slow chan struct{} // closed: it does not keep up
-	once sync.Once
+	key        string // name and boot number
+	out        chan *controlv1.ToSender
+	overflowed chan struct{} // closed when the queue is full
+	once       sync.Once
 }
 
-// New returns a server that listens. Settings must be told before it serves.
+// New returns a server. Retune and Open have to be called before it serves.
 func New(o Options, s decide.Settings, core Core, logger *slog.Logger) (*Server, error) {
 	if o.Daemons < 1 || o.Daemon < 0 || o.Daemon >= o.Daemons || o.Senders < o.Daemons || o.Silence <= 0 || o.Life <= 0 {
 		return nil, fmt.Errorf("control: daemon %d of %d, %d senders, silence %v, life %v", o.Daemon, o.Daemons, o.Senders, o.Silence, o.Life)
 	}
 	c := &Server{
-		options: o, core: core, log: logger, start: time.Now(), epoch: uint64(time.Now().UnixNano()), senders: map[*sender]struct{}{}, eased: map[string]time.Duration{},
-		again: map[string]time.Duration{}, settings: &controlv1.Settings{},
+		options: o, core: core, log: logger, start: time.Now(), epoch: uint64(time.Now().UnixNano()), senders: map[*sender]struct{}{}, uncordonedAt: map[string]time.Duration{},
+		retryAt: map[string]time.Duration{}, settings: &controlv1.Settings{},
 	}
-	c.book = lease.NewGranter(c.terms(s), 0)
+	c.granter = lease.NewGranter(c.terms(s), 0)
 	c.places = lease.NewPlaces(o.Daemon, o.Daemons, o.Senders, 0)
 	if o.New {
 		c.places.SkipWait()
@@ -107,7 +107,7 @@
 	return c, nil
 }
 
-// Open listens and serves. It may be called again after Close: it grants nothing for a while then, as after
+// Open listens and serves. After a Close it may be called again; it grants no leases for a while then, as after
 // the start.
 func (c *Server) Open() error {
 	c.mu.Lock()
@@ -118,15 +118,15 @@
 	at := c.options.Listen
 	if c.address != "" {
 		at = c.address
-		c.book.Suspend(c.now())
+		c.granter.Suspend(c.now())
 	}
-	// The process that takes over, or that this one took over from, may listen there too for a moment.
+	// In a handover, both processes listen at the address for a moment.
 	l, err := sock.Listen(at)
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(mostMessage), grpc.MaxConcurrentStreams(c.streams()), grpc.ConnectionTimeout(5 * time.Second),
+		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(c.maxStreams()), grpc.ConnectionTimeout(5 * time.Second),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}),
 	}
@@ -142,10 +142,10 @@
 	return nil
 }
 
-// streams is how many a connection may have at once.
-func (c *Server) streams() uint32 {
+// maxStreams returns the limit of concurrent streams on a connection.
+func (c *Server) maxStreams() uint32 {
 	if c.options.Also != nil {
-		return 256 // calls that wait each take one
+		return 256 // each waiting call takes one
 	}
 	return 4
 }
@@ -157,14 +157,14 @@
 	}
 }
 
-// Address is where it listens, or did last.
+// Address returns the present or last listening address.
 func (c *Server) Address() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.address
 }
 
-// Close ends all streams. It does not wait for them.
+// Close ends all streams without waiting for them.
 func (c *Server) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,48 +174,48 @@
 	}
 }
 
-// now is the daemon's clock: it stands for no date and never steps.
+// now returns the time since the start, by the monotonic clock.
 func (c *Server) now() time.Duration { return time.Since(c.start) }
 
-// Retune has senders, and the keeper, go by other settings. document is their text.
+// Retune gives new settings to the senders and the granter. document is the text of the settings.
 func (c *Server) Retune(s decide.Settings, document []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.SetTerms(c.now(), c.terms(s))
-	c.settings = &controlv1.Settings{Revision: c.settings.Revision + 1, Document: document, Living: c.living()}
-	c.listed()
-	c.all(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
+	c.granter.SetTerms(c.now(), c.terms(s))
+	c.settings = &controlv1.Settings{Revision: c.settings.Revision + 1, Document: document, Living: c.senderCount()}
+	c.updateEncoders()
+	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
 }
 
-// living is about how many senders there are, the next power of two: each change has all of them go by
-// other settings.
-func (c *Server) living() uint32 {
+// senderCount returns the number of senders rounded up to a power of two, since each change of the value has all
+// of them change their settings.
+func (c *Server) senderCount() uint32 {
 	return 1 << bits.Len(uint(max(1, len(c.senders)+c.options.Daemons)-1))
 }
 
-// Listed takes the name table's news.
+// Listed applies an update of the instance list.
 func (c *Server) Listed(l dispatch.InstanceUpdate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Update(l)
-	c.listed()
-	c.all(&controlv1.ToSender{Kind: &controlv1.ToSender_List{List: list(l)}})
+	c.instances.Update(l)
+	c.updateEncoders()
+	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_List{List: listMessage(l)}})
 }
 
-// listed tells the keeper of the encoders.
-func (c *Server) listed() {
+// updateEncoders passes the ready encoders to the granter.
+func (c *Server) updateEncoders() {
 	now := c.now()
 	var members []lease.Encoder
-	for _, m := range c.table.Snapshot().Instances {
-		at, eased := c.eased[m.ID]
-		if m.Started.IsZero() && !eased || m.State != decide.Ready {
+	for _, m := range c.instances.Snapshot().Instances {
+		at, uncordoned := c.uncordonedAt[m.ID]
+		if m.Started.IsZero() && !uncordoned || m.State != decide.Ready {
 			continue
 		}
 		process, started := int64(0), at
 		if !m.Started.IsZero() {
-			process, started = m.Started.UnixMicro(), min(now, m.Started.Sub(c.start)) // a step of the system's clock since changes nothing
+			process, started = m.Started.UnixMicro(), min(now, m.Started.Sub(c.start)) // capped at now, in case the system clock stepped
 		}
-		if eased {
+		if uncordoned {
 			started = max(started, at)
 		}
 		slots, ok := c.options.Slots[m.Kind]
@@ -226,55 +226,55 @@
 			slots *= m.Size
 		}
 		members = append(members, lease.Encoder{
-			ID: m.ID, Process: process, Started: started, Slots: slots, AnyProcess: eased,
+			ID: m.ID, Process: process, Started: started, Slots: slots, AnyProcess: uncordoned,
 		})
 	}
-	c.book.SetEncoders(now, members)
+	c.granter.SetEncoders(now, members)
 }
 
-// Cordoned takes all instances that people leave out.
+// Cordoned sets the list of all cordoned instances.
 func (c *Server) Cordoned(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	for id, at := range c.eased { // long warm again
+	for id, at := range c.uncordonedAt { // warm for long
 		if now-at > time.Hour {
-			delete(c.eased, id)
+			delete(c.uncordonedAt, id)
 		}
 	}
 	for _, id := range c.cordons {
 		if !slices.Contains(ids, id) {
-			c.eased[id] = now
+			c.uncordonedAt[id] = now
 		}
 	}
 	c.cordons = slices.Clone(ids)
-	c.listed()
-	c.all(&controlv1.ToSender{Kind: &controlv1.ToSender_Cordons{Cordons: &controlv1.Cordons{Ids: c.cordons}}})
+	c.updateEncoders()
+	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_Cordons{Cordons: &controlv1.Cordons{Ids: c.cordons}}})
 }
 
-func (c *Server) all(m *controlv1.ToSender) {
+func (c *Server) broadcast(m *controlv1.ToSender) {
 	for s := range c.senders {
-		s.tell(m)
+		s.send(m)
 	}
 }
 
-// tell queues a message; a sender that does not keep up is sent away, and begins anew.
-func (s *sender) tell(m *controlv1.ToSender) {
+// send queues a message; if the queue is full, the sender is disconnected and has to attach again.
+func (s *sender) send(m *controlv1.ToSender) {
 	select {
 	case s.out <- m:
 	default:
-		s.once.Do(func() { close(s.slow) })
+		s.once.Do(func() { close(s.overflowed) })
 	}
 }
 
-var states = map[decide.WorkerState]controlv1.State{
+var protocolStates = map[decide.WorkerState]controlv1.State{
 	decide.Ready: controlv1.State_STATE_READY, decide.Draining: controlv1.State_STATE_DRAINING, decide.Gone: controlv1.State_STATE_GONE,
 }
 
-func list(l dispatch.InstanceUpdate) *controlv1.List {
+func listMessage(l dispatch.InstanceUpdate) *controlv1.List {
 	out := &controlv1.List{Revision: l.Revision, Complete: l.Complete}
 	for _, m := range l.Instances {
-		t := &controlv1.Member{Id: m.ID, Address: m.GRPC, Zone: m.Zone, Kind: m.Kind, Cell: int32(m.Cell), State: states[m.State], Size: m.Size}
+		t := &controlv1.Member{Id: m.ID, Address: m.GRPC, Zone: m.Zone, Kind: m.Kind, Cell: int32(m.Cell), State: protocolStates[m.State], Size: m.Size}
 		if !m.Started.IsZero() {
 			t.StartedUs = m.Started.UnixMicro()
 		}
@@ -283,40 +283,40 @@
 	return out
 }
 
-// join takes a sender in and tells it all that it must know.
+// join registers a sender and sends it the welcome.
 func (c *Server) join(h *controlv1.Hello) (*sender, error) {
 	switch {
 	case h == nil:
 		return nil, status.Error(codes.InvalidArgument, "the first message must be a hello")
 	case h.Version != Version:
 		return nil, status.Errorf(codes.FailedPrecondition, "version %d of the protocol is not spoken here, %d is", h.Version, Version)
-	case h.Name == "" || len(h.Name) > mostName || h.Boot == 0 || h.Place > uint32(c.options.Senders):
+	case h.Name == "" || len(h.Name) > maxNameBytes || h.Boot == 0 || h.Place > uint32(c.options.Senders):
 		return nil, status.Error(codes.InvalidArgument, "hello: a name, a process and a place are needed")
 	}
-	s := &sender{key: h.Name + "/" + strconv.FormatUint(h.Boot, 16), out: make(chan *controlv1.ToSender, outbox), slow: make(chan struct{})}
+	s := &sender{key: h.Name + "/" + strconv.FormatUint(h.Boot, 16), out: make(chan *controlv1.ToSender, senderQueueSize), overflowed: make(chan struct{})}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.senders) >= 2*c.options.Senders { // a stream that has just ended may still be here
+	if len(c.senders) >= 2*c.options.Senders { // ended streams may not be removed yet
 		return nil, status.Error(codes.ResourceExhausted, "as many senders are attached as may be")
 	}
 	place := c.places.Take(c.now(), s.key, int(h.Place)-1)
 	c.senders[s] = struct{}{}
-	if c.settings.Living != c.living() {
-		c.resized(s) // it is welcomed with that
+	if c.settings.Living != c.senderCount() {
+		c.updateSenderCount(s) // the sender itself gets the settings with its welcome
 	}
-	s.tell(&controlv1.ToSender{Kind: &controlv1.ToSender_Welcome{Welcome: &controlv1.Welcome{
+	s.send(&controlv1.ToSender{Kind: &controlv1.ToSender_Welcome{Welcome: &controlv1.Welcome{
 		Place: uint32(place + 1), Senders: uint32(c.options.Senders), SilenceMs: uint32(c.options.Silence.Milliseconds()),
-		Settings: c.settings, List: list(c.table.Snapshot()), Cordons: &controlv1.Cordons{Ids: c.cordons}, Epoch: c.epoch,
+		Settings: c.settings, List: listMessage(c.instances.Snapshot()), Cordons: &controlv1.Cordons{Ids: c.cordons}, Epoch: c.epoch,
 	}}})
 	return s, nil
 }
 
-// resized tells all senders, but for one, how many they are about.
-func (c *Server) resized(but *sender) {
-	c.settings = &controlv1.Settings{Revision: c.settings.Revision + 1, Document: c.settings.Document, Living: c.living()}
+// updateSenderCount sends the sender count to all senders except one.
+func (c *Server) updateSenderCount(but *sender) {
+	c.settings = &controlv1.Settings{Revision: c.settings.Revision + 1, Document: c.settings.Document, Living: c.senderCount()}
 	for s := range c.senders {
 		if s != but {
-			s.tell(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
+			s.send(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
 		}
 	}
 }
@@ -326,28 +326,28 @@
 	defer c.mu.Unlock()
 	delete(c.senders, s)
 	c.places.Disconnected(c.now(), s.key)
-	if c.settings.Living != c.living() {
-		c.resized(nil)
+	if c.settings.Living != c.senderCount() {
+		c.updateSenderCount(nil)
 	}
 }
 
-// Attach serves one sender. Its goroutine writes; another reads.
+// Attach serves the stream of one sender. This goroutine writes; another one reads.
 func (c *Server) Attach(stream grpc.BidiStreamingServer[controlv1.FromSender, controlv1.ToSender]) error {
 	joined, ended := make(chan *sender, 1), make(chan error, 1)
-	var heard atomic.Int64
-	heard.Store(int64(c.now()))
+	var lastReceived atomic.Int64
+	lastReceived.Store(int64(c.now()))
 	go func() {
 		var s *sender
 		for {
 			m, err := stream.Recv()
 			if err == nil {
-				heard.Store(int64(c.now()))
+				lastReceived.Store(int64(c.now()))
 				if s == nil {
 					if s, err = c.join(m.GetHello()); err == nil {
 						joined <- s
 					}
 				} else {
-					err = c.take(s, m)
+					err = c.handle(s, m)
 				}
 			}
 			if err != nil {
@@ -362,7 +362,7 @@
 	beat := time.NewTicker(c.options.Silence / 4)
 	defer beat.Stop()
 	defer func() {
-		if s == nil { // it may just have joined
+		if s == nil { // the reader may have joined it just now
 			select {
 			case s = <-joined:
 			default:
@@ -375,11 +375,11 @@
 		var m *controlv1.ToSender
 		select {
 		case s = <-joined:
-			out, slow = s.out, s.slow
+			out, slow = s.out, s.overflowed
 			c.log.Info("sender attached", "sender", s.key)
 			continue
 		case err := <-ended:
-			if errors.Is(err, io.EOF) { // it has left in order
+			if errors.Is(err, io.EOF) { // closed by the sender
 				return nil
 			}
 			if code := status.Code(err); code == codes.InvalidArgument || code == codes.FailedPrecondition {
@@ -391,7 +391,7 @@
 		case <-slow:
 			return status.Error(codes.ResourceExhausted, "the sender does not read what it is told")
 		case <-beat.C:
-			if c.now()-time.Duration(heard.Load()) > 2*c.options.Silence {
+			if c.now()-time.Duration(lastReceived.Load()) > 2*c.options.Silence {
 				return status.Error(codes.DeadlineExceeded, "the sender is silent")
 			}
 			m = &controlv1.ToSender{Kind: &controlv1.ToSender_Beat{Beat: &controlv1.Beat{}}}
@@ -402,19 +402,19 @@
 	}
 }
 
-// take takes a message of a sender that has joined.
-func (c *Server) take(s *sender, m *controlv1.FromSender) error {
+// handle processes a message of a sender that has joined.
+func (c *Server) handle(s *sender, m *controlv1.FromSender) error {
 	switch k := m.Kind.(type) {
 	case *controlv1.FromSender_Beat:
 	case *controlv1.FromSender_Want:
 		w := k.Want
-		if w == nil || w.Seq == 0 || w.Instance == "" || len(w.Instance) > mostID || w.WorkUs > hourUs {
+		if w == nil || w.Seq == 0 || w.Instance == "" || len(w.Instance) > maxIDBytes || w.WorkUs > hourUs {
 			return status.Error(codes.InvalidArgument, "want: a number, an instance and its work are needed")
 		}
 		c.mu.Lock()
-		g := c.book.Ask(c.now(), s.key, lease.Request{Seq: w.Seq, Instance: w.Instance, Process: w.StartedUs, Work: float64(w.WorkUs) / 1e6})
+		g := c.granter.Ask(c.now(), s.key, lease.Request{Seq: w.Seq, Instance: w.Instance, Process: w.StartedUs, Work: float64(w.WorkUs) / 1e6})
 		c.mu.Unlock()
-		s.tell(&controlv1.ToSender{Kind: &controlv1.ToSender_Grant{Grant: &controlv1.Grant{
+		s.send(&controlv1.ToSender{Kind: &controlv1.ToSender_Grant{Grant: &controlv1.Grant{
 			Seq: g.Seq, Epoch: c.epoch, Lease: g.ID, ValidMs: uint32(g.Valid.Milliseconds()), AgainMs: uint32(min(g.RetryAfter, time.Minute).Milliseconds()),
 		}}})
 	case *controlv1.FromSender_Done:
@@ -423,7 +423,7 @@
 		}
 		if k.Done.Epoch == c.epoch {
 			c.mu.Lock()
-			c.book.Settle(c.now(), s.key, k.Done.Lease, k.Done.Spent)
+			c.granter.Settle(c.now(), s.key, k.Done.Lease, k.Done.Spent)
 			c.mu.Unlock()
 		}
 	case *controlv1.FromSender_Hello:
@@ -434,62 +434,61 @@
 	return nil
 }
 
-// The daemon's own sends.
-
+// self is the key of the daemon's own leases.
 const self = "daemon"
 
-// Request asks for a lease for the daemon itself.
+// Request requests a lease for the daemon itself.
 func (c *Server) Request(instance string, process int64, work float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if c.again[instance] > now {
+	if c.retryAt[instance] > now {
 		return
 	}
-	asked := time.Now()
-	g := c.book.Ask(now, self, lease.Request{Instance: instance, Process: process, Work: work})
+	requested := time.Now()
+	g := c.granter.Ask(now, self, lease.Request{Instance: instance, Process: process, Work: work})
 	if g.ID == 0 {
-		if len(c.again) > 4096 {
-			clear(c.again)
+		if len(c.retryAt) > 4096 {
+			clear(c.retryAt)
 		}
-		c.again[instance] = now + min(g.RetryAfter, 2*time.Second)
+		c.retryAt[instance] = now + min(g.RetryAfter, 2*time.Second)
 		return
 	}
-	// Not from here: the loop, which calls, must not wait for itself.
-	until := asked.Add(g.Valid)
+	// In a goroutine: the loop is the caller, and must not wait for itself.
+	until := requested.Add(g.Valid)
 	go c.core.AddLease(dispatch.Lease{Instance: instance, Process: process, Work: work, Until: until, Ref: g.ID})
-	time.AfterFunc(time.Until(until)+time.Millisecond, func() { // past its end nothing goes out by it
+	time.AfterFunc(time.Until(until)+time.Millisecond, func() { // an expired lease is not used any more
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.book.Settle(c.now(), self, g.ID, false)
+		c.granter.Settle(c.now(), self, g.ID, false)
 	})
 }
 
-// Spent says that the daemon has used a lease.
+// Spent records that the daemon has used a lease.
 func (c *Server) Spent(l dispatch.Lease) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id, ok := l.Ref.(uint64); ok {
-		c.book.Settle(c.now(), self, id, true)
+		c.granter.Settle(c.now(), self, id, true)
 	}
 }
 
-// Figure is one for operators.
+// Figure is a metric.
 type Figure struct {
 	Name  string
 	Value int64
 }
 
-// Figures is what operators go by.
+// Figures returns the metrics of the control service.
 func (c *Server) Figures() []Figure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.book.Stats
-	living := map[string]bool{self: true}
+	s := c.granter.Stats
+	attached := map[string]bool{self: true}
 	for s := range c.senders {
-		living[s.key] = true
+		attached[s.key] = true
 	}
-	orphans := c.book.Orphans(c.now(), func(key string) bool { return living[key] })
+	orphans := c.granter.Orphans(c.now(), func(key string) bool { return attached[key] })
 	return []Figure{
 		{"control.senders", int64(len(c.senders))}, {"control.refused", c.refused.Load()},
 		{"control.leases_asked", int64(s.Asked)}, {"control.leases_granted", int64(s.Granted)}, {"control.leases_denied", int64(s.Denied)},
--- a/winglb/attempt.go
+++ b/winglb/attempt.go
@@ -20,76 +20,76 @@
 	"caperrelay/internal/dispatch"
 )
 
-// Metadata between plug-ins and encoders.
+// Metadata keys between plug-ins and encoders.
 const (
-	idKey          = "winglb-id"          // the job's, the same for all attempts
-	senderKey      = "winglb-sender"      // who sends it
-	unprocessedKey = "winglb-unprocessed" // trailer: "1" where the job was turned away and never ran
+	idKey          = "winglb-id"          // ID of the job, the same for all attempts
+	senderKey      = "winglb-sender"      // name of the client
+	unprocessedKey = "winglb-unprocessed" // trailer: "1" if the job was refused and never ran
 )
 
-// attempt is one RPC to one encoder. grpc's goroutines note in it how far it came.
+// attempt is one RPC to one encoder. grpc's goroutines record its progress in it.
 type attempt struct {
-	fleet    *fleet
-	of       *dispatch.Attempt
-	instance string
-	cancel   context.CancelFunc
-
-	picks   atomic.Int32 // by the picker, of a connection
-	late    atomic.Bool  // the picker found that it may not be sent any more
-	out     atomic.Bool  // its message has gone out: from here on it may run
-	began   atomic.Bool  // the encoder's header came: the job runs
-	replied atomic.Bool  // the encoder itself ended it
-	givenUp atomic.Bool
+	fleet      *fleet
+	dispatched *dispatch.Attempt
+	instance   string
+	cancel     context.CancelFunc
+
+	picks          atomic.Int32 // times that the picker returned a connection
+	unsendable     atomic.Bool  // the picker refused it: it may no longer be sent
+	sent           atomic.Bool  // the request has been sent, so the job may run
+	started        atomic.Bool  // the response header has arrived: the job runs
+	endedByEncoder atomic.Bool  // the trailer has arrived
+	cancelled      atomic.Bool
 }
 
 type attemptKey struct{}
 
-// handler hears from grpc how far attempts come.
-type handler struct{}
+// statsHandler records the progress of attempts from grpc's events.
+type statsHandler struct{}
 
-func (handler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
-func (handler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
-func (handler) HandleConn(context.Context, stats.ConnStats)                       {}
-func (handler) HandleRPC(ctx context.Context, s stats.RPCStats) {
+func (statsHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
+func (statsHandler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (statsHandler) HandleConn(context.Context, stats.ConnStats)                       {}
+func (statsHandler) HandleRPC(ctx context.Context, s stats.RPCStats) {
 	a, ok := ctx.Value(attemptKey{}).(*attempt)
 	if !ok {
 		return
 	}
 	switch s.(type) {
 	case *stats.OutPayload:
-		if !a.out.Swap(true) {
-			a.fleet.reports().AttemptSent(a.of)
+		if !a.sent.Swap(true) {
+			a.fleet.loop().AttemptSent(a.dispatched)
 		}
 	case *stats.InHeader:
-		if !a.began.Swap(true) {
-			a.fleet.reports().AttemptStarted(a.of)
+		if !a.started.Swap(true) {
+			a.fleet.loop().AttemptStarted(a.dispatched)
 		}
 	case *stats.InTrailer:
-		a.replied.Store(true)
+		a.endedByEncoder.Store(true)
 	}
 }
 
-// outcome is what the end of an attempt says; docs/plugin.md has the table.
+// outcome classifies the end of an attempt; docs/plugin.md has the table.
 func (a *attempt) outcome(err error, trailer metadata.MD) decide.Outcome {
-	turnedAway := false
+	refused := false
 	for _, v := range trailer.Get(unprocessedKey) {
-		turnedAway = turnedAway || v == "1"
+		refused = refused || v == "1"
 	}
 	switch code := status.Code(err); {
 	case err == nil:
 		return decide.OK
-	case turnedAway:
+	case refused:
 		return decide.Full
-	case a.late.Load(): // by the picker, of a drain or an ended lease; or grpc would have sent it again
+	case a.unsendable.Load(): // drain, expired lease, or a transparent retry by grpc, stopped by the picker
 		return decide.NotSent
-	case !a.out.Load():
-		if a.givenUp.Load() {
+	case !a.sent.Load():
+		if a.cancelled.Load() {
 			return decide.NotSent
 		}
 		return decide.ConnectFailed
-	case a.replied.Load() && code == codes.DeadlineExceeded:
+	case a.endedByEncoder.Load() && code == codes.DeadlineExceeded:
 		return decide.TimedOut
-	case a.replied.Load():
+	case a.endedByEncoder.Load():
 		return decide.Errored
 	case code == codes.DeadlineExceeded || code == codes.Canceled:
 		return decide.TimedOut
@@ -97,16 +97,16 @@
 	return decide.Reset
 }
 
-// unusable tells whether the encoder says that none could do the call as it stands.
-func (a *attempt) unusable(err error) bool {
+// isUnusable reports whether the encoder's status means that no encoder can serve the call.
+func (a *attempt) isUnusable(err error) bool {
 	switch status.Code(err) {
 	case codes.InvalidArgument, codes.Unimplemented, codes.Unauthenticated, codes.PermissionDenied, codes.OutOfRange, codes.NotFound, codes.AlreadyExists, codes.FailedPrecondition:
-		return a.replied.Load()
+		return a.endedByEncoder.Load()
 	}
 	return false
 }
 
-// call is one call of the client's, a command of the loop.
+// call is a unary call of the client; the loop holds it as the payload of a command.
 type call struct {
 	balancer *Balancer
 	ctx      context.Context
@@ -118,11 +118,11 @@
 	options  []grpc.CallOption
 	answer   chan dispatch.Answer
 
-	mu   sync.Mutex
-	last error // of the encoder that answered last
+	mu         sync.Mutex
+	encoderErr error // last status from an encoder
 }
 
-// result is what an attempt that was served brought.
+// result is the response of a successful attempt.
 type result struct {
 	reply           any
 	header, trailer metadata.MD
@@ -132,16 +132,16 @@
 func (c *call) Answer(a dispatch.Answer) { c.answer <- a }
 func (c *call) HandOver(bool)            {}
 
-// lastError is the status that an encoder itself gave last, nil if none has.
+// lastError returns the last status from an encoder, nil if none has sent one.
 func (c *call) lastError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last
+	return c.encoderErr
 }
 
-// options apart: what grpc would write into variables of the caller's is written once, of the attempt
-// that served.
-func (c *call) split() (rest []grpc.CallOption) {
+// attemptOptions returns the call options without those by which grpc writes into variables of the caller:
+// deliver writes these once, from the successful attempt.
+func (c *call) attemptOptions() (rest []grpc.CallOption) {
 	for _, o := range c.options {
 		switch o.(type) {
 		case grpc.HeaderCallOption, grpc.TrailerCallOption, grpc.PeerCallOption, grpc.OnFinishCallOption:
@@ -152,7 +152,7 @@
 	return rest
 }
 
-// deliver hands the caller what an attempt brought.
+// deliver copies the response of an attempt to the caller's variables.
 func (c *call) deliver(r *result) error {
 	for _, o := range c.options {
 		switch o := o.(type) {
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// finish tells the caller's callbacks how the call ended.
+// finish runs the caller's OnFinish callbacks.
 func (c *call) finish(err error) {
 	for _, o := range c.options {
 		if f, ok := o.(grpc.OnFinishCallOption); ok {
@@ -186,119 +186,119 @@
 	}
 }
 
-// fresh is a reply of its own for an attempt: copies run beside each other.
-func (c *call) fresh() any {
+// newReply allocates a reply for one attempt: hedged attempts run concurrently.
+func (c *call) newReply() any {
 	if m, ok := c.reply.(proto.Message); ok {
 		return m.ProtoReflect().New().Interface()
 	}
 	return reflect.New(reflect.TypeOf(c.reply).Elem()).Interface()
 }
 
-// run carries an attempt out, in a goroutine of its own.
+// run performs the RPC of an attempt, in its own goroutine.
 func (a *attempt) run(ctx context.Context, c *call) {
 	defer a.cancel()
-	r := &result{reply: c.fresh()}
-	options := append(c.split(), grpc.Header(&r.header), grpc.Trailer(&r.trailer), grpc.Peer(&r.peer), grpc.WaitForReady(false))
+	r := &result{reply: c.newReply()}
+	options := append(c.attemptOptions(), grpc.Header(&r.header), grpc.Trailer(&r.trailer), grpc.Peer(&r.peer), grpc.WaitForReady(false))
 	ctx = context.WithValue(ctx, attemptKey{}, a)
-	ctx = metadata.AppendToOutgoingContext(ctx, idKey, a.of.Command.ID, senderKey, c.balancer.config.Name)
+	ctx = metadata.AppendToOutgoingContext(ctx, idKey, a.dispatched.Command.ID, senderKey, c.balancer.config.Name)
 	err := c.invoke(ctx, c.method, c.request, r.reply, c.cc, options...)
-	a.fleet.drop(a)
-	if a.givenUp.Load() {
-		a.of.CancelConfirmed()
+	a.fleet.remove(a)
+	if a.cancelled.Load() {
+		a.dispatched.CancelConfirmed()
 	}
 	o := a.outcome(err, r.trailer)
-	if err != nil && a.replied.Load() && o != decide.Full {
+	if err != nil && a.endedByEncoder.Load() && o != decide.Full {
 		c.mu.Lock()
-		c.last = err
+		c.encoderErr = err
 		c.mu.Unlock()
 	}
 	switch {
 	case o == decide.OK:
-		a.fleet.reports().AttemptServed(a.of, r)
-	case o == decide.Errored && a.unusable(err):
-		a.fleet.reports().AttemptUnusable(a.of)
+		a.fleet.loop().AttemptServed(a.dispatched, r)
+	case o == decide.Errored && a.isUnusable(err):
+		a.fleet.loop().AttemptUnusable(a.dispatched)
 	default:
-		a.fleet.reports().AttemptEnded(a.of, o, 0)
+		a.fleet.loop().AttemptEnded(a.dispatched, o, 0)
 	}
 }
 
 var errClosed = errors.New("winglb: the balancer is closed")
 
-// fleet is the way from the loop to the encoders.
+// fleet sends the loop's attempts to encoders.
 type fleet struct {
 	balancer *Balancer
 
 	mu        sync.Mutex
 	instances map[string]*instance
 	cordoned  map[string]bool
-	out       map[*dispatch.Attempt]*attempt
+	attempts  map[*dispatch.Attempt]*attempt
 }
 
-// instance is an encoder as daemons tell it.
+// instance is an encoder as the daemons list it.
 type instance struct {
 	address string
 	state   decide.WorkerState
 }
 
 func newFleet(b *Balancer) *fleet {
-	return &fleet{balancer: b, instances: map[string]*instance{}, cordoned: map[string]bool{}, out: map[*dispatch.Attempt]*attempt{}}
+	return &fleet{balancer: b, instances: map[string]*instance{}, cordoned: map[string]bool{}, attempts: map[*dispatch.Attempt]*attempt{}}
 }
 
-func (f *fleet) reports() *dispatch.Loop { return f.balancer.loop }
+func (f *fleet) loop() *dispatch.Loop { return f.balancer.loop }
 
 // Send starts an attempt.
 func (f *fleet) Send(d *dispatch.Attempt) {
 	c := d.Command.Payload.(*call)
 	ctx, cancel := context.WithDeadline(c.ctx, d.Deadline)
-	a := &attempt{fleet: f, of: d, instance: d.Instance, cancel: cancel}
+	a := &attempt{fleet: f, dispatched: d, instance: d.Instance, cancel: cancel}
 	f.mu.Lock()
-	f.out[d] = a
+	f.attempts[d] = a
 	f.mu.Unlock()
 	go a.run(ctx, c)
 }
 
-// Cancel ends an attempt: its stream is reset, on the connection that a later attempt would use too.
+// Cancel ends an attempt by resetting its stream; the connection stays open for later attempts.
 func (f *fleet) Cancel(d *dispatch.Attempt) {
 	f.mu.Lock()
-	a := f.out[d]
+	a := f.attempts[d]
 	f.mu.Unlock()
 	if a == nil {
 		d.CancelConfirmed()
 		return
 	}
-	a.givenUp.Store(true)
+	a.cancelled.Store(true)
 	a.cancel()
 }
 
-func (f *fleet) drop(a *attempt) {
+func (f *fleet) remove(a *attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.out, a.of)
+	delete(f.attempts, a.dispatched)
 }
 
-// Probe says that a connection can be had; encoders that speak gRPC have no other probe.
+// Probe reports OK if the instance accepts new work: gRPC encoders have no probe request.
 func (f *fleet) Probe(id string) {
 	o := decide.ConnectFailed
-	if f.takes(id) {
+	if f.accepts(id) {
 		o = decide.OK
 	}
-	go f.reports().ProbeEnded(id, o, nil)
+	go f.loop().ProbeEnded(id, o, nil)
 }
 
-// CloseIdle does nothing: an encoder's one connection carries all calls.
+// CloseIdle does nothing: all calls to an encoder share one connection.
 func (f *fleet) CloseIdle(string) {}
 
-// takes tells whether an instance may be sent new work now.
-func (f *fleet) takes(id string) bool {
+// accepts reports whether an instance may get new work now.
+func (f *fleet) accepts(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	in := f.instances[id]
 	return in != nil && in.state == decide.Ready && in.address != "" && !f.cordoned[id]
 }
 
-// may tells whether an attempt may be sent now: asked as late as possible.
-func (a *attempt) may(now time.Time) bool {
-	return a.fleet.takes(a.instance) && !a.of.Expired(now)
+// maySend reports whether an attempt may be sent now. The picker calls it just before sending.
+func (a *attempt) maySend(now time.Time) bool {
+	return a.fleet.accepts(a.instance) && !a.dispatched.Expired(now)
 }
 
 var _ dispatch.Fleet = (*fleet)(nil)
--- a/winglb/balance.go
+++ b/winglb/balance.go
@@ -13,33 +13,33 @@
 	"google.golang.org/grpc/status"
 )
 
-// policyName is the balancing policy that the resolver asks for.
+// policyName is the name of the balancing policy in the service config.
 const policyName = "winglb_follow"
 
 func init() { balancer.Register(policyBuilder{}) }
 
-// idAttribute is an endpoint's instance.
+// idAttribute is the attribute key for the instance ID of an endpoint.
 type idAttribute struct{}
 
-// resolverBuilder makes the resolver of one balancer's connection.
+// resolverBuilder builds the resolver for a balancer's connection.
 type resolverBuilder struct{ balancer *Balancer }
 
 func (resolverBuilder) Scheme() string { return Scheme }
 
 func (b *resolverBuilder) Build(_ resolver.Target, cc resolver.ClientConn, _ resolver.BuildOptions) (resolver.Resolver, error) {
 	r := &listResolver{balancer: b.balancer, cc: cc}
-	b.balancer.sheet.watch(r.tell)
+	b.balancer.control.watch(r.update)
 	go func() {
 		select {
-		case <-b.balancer.primed:
-			r.tell()
+		case <-b.balancer.ready:
+			r.update()
 		case <-b.balancer.ended:
 		}
 	}()
 	return r, nil
 }
 
-// listResolver tells grpc the list.
+// listResolver passes the instance list to grpc.
 type listResolver struct {
 	balancer *Balancer
 
@@ -48,19 +48,19 @@
 	closed bool
 }
 
-func (r *listResolver) tell() {
+func (r *listResolver) update() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return
 	}
 	var s resolver.State
-	for _, m := range r.balancer.sheet.members() {
+	for _, m := range r.balancer.control.members() {
 		s.Endpoints = append(s.Endpoints, resolver.Endpoint{
 			Addresses: []resolver.Address{{Addr: m.Address}}, Attributes: attributes.New(idAttribute{}, m.Id),
 		})
 	}
-	r.cc.UpdateState(s) // what is wrong with it the balancer says to its calls
+	r.cc.UpdateState(s) // its error can be ignored: calls get their errors from the picker
 }
 
 func (r *listResolver) ResolveNow(resolver.ResolveNowOptions) {}
@@ -71,38 +71,38 @@
 	r.closed = true
 }
 
-// policyBuilder makes the part of grpc's balancing that keeps connections.
+// policyBuilder builds the balancing policy, which manages connections.
 type policyBuilder struct{}
 
 func (policyBuilder) Name() string { return policyName }
 
 func (policyBuilder) Build(cc balancer.ClientConn, _ balancer.BuildOptions) balancer.Balancer {
-	return &policy{cc: cc, subs: map[string]*sub{}}
+	return &policy{cc: cc, subs: map[string]*encoderConn{}}
 }
 
-// sub is the connection to one encoder.
-type sub struct {
+// encoderConn is the connection to one encoder.
+type encoderConn struct {
 	address string
 	conn    balancer.SubConn
 	state   connectivity.State
 	err     error
-	gone    bool
+	removed bool
 }
 
-// policy keeps a connection for each encoder that calls go to: made at its first call, and kept. Its
-// calls come from grpc one at a time, but for pick.
+// policy holds a connection for each encoder, opened at the first call to it and kept. grpc calls its methods one
+// at a time, except Pick.
 type policy struct {
 	cc balancer.ClientConn
 
 	mu     sync.RWMutex
-	subs   map[string]*sub
+	subs   map[string]*encoderConn
 	closed bool
 }
 
 func (p *policy) UpdateClientConnState(s balancer.ClientConnState) error {
 	p.mu.Lock()
 	wanted := map[string]bool{}
-	var old []*sub
+	var old []*encoderConn
 	for _, e := range s.ResolverState.Endpoints {
 		id, _ := e.Attributes.Value(idAttribute{}).(string)
 		for _, a := range e.Addresses {
@@ -114,9 +114,9 @@
 			if t != nil {
 				old = append(old, t)
 			}
-			t = &sub{address: a.Addr, state: connectivity.Idle}
+			t = &encoderConn{address: a.Addr, state: connectivity.Idle}
 			//lint:ignore SA1019 each of these has one address
-			conn, err := p.cc.NewSubConn([]resolver.Address{a}, balancer.NewSubConnOptions{StateListener: func(s balancer.SubConnState) { p.changed(t, s) }})
+			conn, err := p.cc.NewSubConn([]resolver.Address{a}, balancer.NewSubConnOptions{StateListener: func(s balancer.SubConnState) { p.stateChanged(t, s) }})
 			if err != nil {
 				continue
 			}
@@ -131,18 +131,18 @@
 		}
 	}
 	for _, t := range old {
-		t.gone = true
+		t.removed = true
 	}
 	p.mu.Unlock()
 	for _, t := range old {
 		t.conn.Shutdown()
 	}
-	p.tell()
+	p.updatePicker()
 	return nil
 }
 
-// tell has grpc look again at the calls that wait for a connection.
-func (p *policy) tell() {
+// updatePicker makes grpc retry the pick of calls that wait for a connection.
+func (p *policy) updatePicker() {
 	p.mu.RLock()
 	state := connectivity.Idle
 	for _, t := range p.subs {
@@ -158,12 +158,12 @@
 	}
 }
 
-func (p *policy) changed(t *sub, s balancer.SubConnState) {
+func (p *policy) stateChanged(t *encoderConn, s balancer.SubConnState) {
 	p.mu.Lock()
 	t.state, t.err = s.ConnectivityState, s.ConnectionError
 	p.mu.Unlock()
 	if s.ConnectivityState != connectivity.Connecting {
-		p.tell()
+		p.updatePicker()
 	}
 }
 
@@ -177,21 +177,21 @@
 	p.closed = true
 }
 
-// picker follows the decision that an attempt carries.
+// picker returns the connection of the instance that was chosen for the attempt.
 type picker struct{ policy *policy }
 
 var (
-	errUndecided = status.Error(codes.Internal, "winglb: a call that no decision was made for")
-	errLate      = status.Error(codes.Aborted, "winglb: it may not be sent there any more")
-	errAgain     = status.Error(codes.Aborted, "winglb: the encoder has not processed it")
-	errUnknown   = status.Error(codes.Unavailable, "winglb: no such encoder")
+	errNoAttempt  = status.Error(codes.Internal, "winglb: a call that no decision was made for")
+	errNotAllowed = status.Error(codes.Aborted, "winglb: it may not be sent there any more")
+	errResend     = status.Error(codes.Aborted, "winglb: the encoder has not processed it")
+	errUnknown    = status.Error(codes.Unavailable, "winglb: no such encoder")
 )
 
-// Pick never blocks and never chooses.
+// Pick never blocks and makes no choice of its own.
 func (k picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
 	a := attemptOf(info.Ctx)
 	if a == nil {
-		return balancer.PickResult{}, errUndecided
+		return balancer.PickResult{}, errNoAttempt
 	}
 	k.policy.mu.RLock()
 	t := k.policy.subs[a.instance]
@@ -204,9 +204,9 @@
 	switch {
 	case t == nil:
 		return balancer.PickResult{}, errUnknown
-	case !a.may(time.Now()):
-		a.late.Store(true)
-		return balancer.PickResult{}, errLate
+	case !a.maySend(time.Now()):
+		a.unsendable.Store(true)
+		return balancer.PickResult{}, errNotAllowed
 	case state == connectivity.Idle:
 		t.conn.Connect()
 		return balancer.PickResult{}, balancer.ErrNoSubConnAvailable
@@ -215,9 +215,9 @@
 	case state != connectivity.Ready:
 		return balancer.PickResult{}, status.Errorf(codes.Unavailable, "winglb: %s cannot be reached: %v", a.instance, err)
 	}
-	if a.picks.Add(1) > 1 { // grpc sends again what was not processed; whether to is the module's decision
-		a.late.Store(true)
-		return balancer.PickResult{}, errAgain
+	if a.picks.Add(1) > 1 { // grpc retries unprocessed requests by itself, but package decide decides on retries
+		a.unsendable.Store(true)
+		return balancer.PickResult{}, errResend
 	}
 	return balancer.PickResult{SubConn: t.conn}, nil
 }
