--- a/internal/net/promises/sendlog.go
+++ b/internal/net/promises/sendlog.go
@@ -19,27 +19,27 @@
 	"caperrelay/internal/promise"
 )
 
-// The files of a send log, beside the record's own, and their form.
+// Files of a send log, next to the replica's own, and their format.
 const (
 	sendLogFile    = "sending.log"
 	sendLockFile   = "sending.lock"
 	sendLogVersion = 1
 	bootIDFile     = "/proc/sys/kernel/random/boot_id"
 
-	mostSendLog  = 1 << 20  // bytes after which what counts no more is left out
-	mostReadBack = 64 << 20 // bytes that are read at a start
+	maxSendLog  = 1 << 20  // bytes after which the file is rewritten without obsolete lines
+	maxReadBack = 64 << 20 // bytes that are read at startup
 )
 
 var sendLogSums = crc32.MakeTable(crc32.Castagnoli)
 
-// sendLogHeader is the first line. What the kernel had not written to the disk is lost with the machine, so that the lines
-// count only while the machine that wrote them is up.
+// sendLogHeader is the first line. Lines are not synced, so a crash of the machine may lose some of them; they are
+// valid only until the machine boots again.
 type sendLogHeader struct {
 	Version int    `json:"version"`
 	Boot    string `json:"boot"`
 }
 
-// sendLogLine is how far an attempt has come: the last line of one counts.
+// sendLogLine is the state of an attempt; the last line of an attempt is the valid one.
 type sendLogLine struct {
 	Job      string              `json:"job"`
 	Instance string              `json:"instance"`
@@ -48,32 +48,32 @@
 	State    promise.IntentState `json:"state"`
 }
 
-// sendLog keeps what this process knows of the attempts of promised jobs, in memory and, while it is open, in a file that
-// outlives the process: what is written has left the process, though it is not synced. It is safe for concurrent use.
+// sendLog records the state of the attempts of promised jobs, in memory and, while it is open, in a file that
+// outlives the process: lines are written to the kernel but not synced. It is safe for concurrent use.
 type sendLog struct {
-	dir  string // empty: memory alone
+	dir  string // empty: in memory only
 	boot string
 	log  *slog.Logger
 
-	mu     sync.Mutex
-	all    *promise.SendRecords
-	lock   *os.File // held while the file is this process's
-	file   *os.File // nil: closed, or given up after a fault
-	size   int64
-	kept   int64 // its size when it was last rewritten
-	broken bool  // a line could not be written, nor the file removed: nothing may begin that it calls unsent
+	mu            sync.Mutex
+	records       *promise.SendRecords
+	lock          *os.File // held while this process owns the file
+	file          *os.File // nil: closed, or given up after an error
+	size          int64
+	rewrittenSize int64 // size after the last rewrite
+	broken        bool  // a line could not be written nor the file removed: no attempt that the file lists as unsent may begin
 }
 
-// newSendLog returns one that is not open yet.
+// newSendLog returns a send log that is not open yet.
 func newSendLog(dir string, log *slog.Logger) *sendLog {
 	boot, err := os.ReadFile(bootIDFile)
-	if err != nil { // without it nobody could tell whether the machine was off meanwhile
+	if err != nil { // without it a reboot could not be detected
 		dir = ""
 	}
-	return &sendLog{dir: dir, boot: strings.TrimSpace(string(boot)), log: log, all: promise.NewSendRecords()}
+	return &sendLog{dir: dir, boot: strings.TrimSpace(string(boot)), log: log, records: promise.NewSendRecords()}
 }
 
-// open takes the file over from the process before, once that has let go of it; before that it does nothing.
+// open takes the file over from the previous process once that has released it; until then it does nothing.
 func (l *sendLog) open() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +81,7 @@
 		return
 	}
 	lock, err := os.OpenFile(filepath.Join(l.dir, sendLockFile), os.O_CREATE|os.O_RDWR, 0o600)
-	if errors.Is(err, fs.ErrNotExist) { // the record makes the folder
+	if errors.Is(err, fs.ErrNotExist) { // the replica creates the folder
 		return
 	}
 	if err == nil {
@@ -98,23 +98,23 @@
 	l.lock = lock
 	earlier, err := l.readBack()
 	if err != nil {
-		l.log.Error("send log of the process before not used: its attempts count as perhaps sent", "err", err)
+		l.log.Error("send log of the previous process not used; its attempts count as possibly sent", "err", err)
 	}
 	for _, sending := range earlier {
-		l.all.Restore(sending)
+		l.records.Restore(sending)
 	}
-	l.all.Expire(unixNow())
+	l.records.Expire(unixNow())
 	if err := l.rewrite(); err != nil {
 		l.fail(err)
 	}
 }
 
-// close gives the file to the next process. Nothing that was asked for and not begun begins any more.
+// close releases the file to the next process. Attempts that were requested but not begun can no longer begin.
 func (l *sendLog) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, sending := range l.all.All() {
-		l.all.Abandon(sending.Job, 0)
+	for _, sending := range l.records.All() {
+		l.records.Abandon(sending.Job, 0)
 	}
 	if l.lock == nil {
 		return
@@ -123,18 +123,18 @@
 		l.file.Close()
 	}
 	l.lock.Close()
-	l.file, l.lock, l.all = nil, nil, promise.NewSendRecords()
+	l.file, l.lock, l.records = nil, nil, promise.NewSendRecords()
 }
 
-// readBack reads what the process before has left. A file of another start of the machine says nothing.
+// readBack reads the file of the previous process. A file from before the last boot yields nothing.
 func (l *sendLog) readBack() ([]promise.SendRecord, error) {
 	path := filepath.Join(l.dir, sendLogFile)
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	if err == nil && info.Size() > mostReadBack {
-		err = fmt.Errorf("%s: %d bytes are more than is read", sendLogFile, info.Size())
+	if err == nil && info.Size() > maxReadBack {
+		err = fmt.Errorf("%s: file of %d bytes exceeds the size limit", sendLogFile, info.Size())
 	}
 	if err != nil {
 		return nil, err
@@ -146,7 +146,7 @@
 	return parseSendLog(text, l.boot)
 }
 
-// parseSendLog reads a send log. One fault anywhere, and nothing of it is believed.
+// parseSendLog reads a send log. An error in any line invalidates the whole file.
 func parseSendLog(text []byte, boot string) ([]promise.SendRecord, error) {
 	lines := bytes.SplitAfter(text, []byte("\n"))
 	var header sendLogHeader
@@ -154,7 +154,7 @@
 		return nil, fmt.Errorf("%s: line 1: %w", sendLogFile, err)
 	}
 	if header.Version != sendLogVersion {
-		return nil, fmt.Errorf("%s: version %d is not read here, %d is", sendLogFile, header.Version, sendLogVersion)
+		return nil, fmt.Errorf("%s: unsupported version %d, want %d", sendLogFile, header.Version, sendLogVersion)
 	}
 	if header.Boot != boot {
 		return nil, nil
@@ -180,17 +180,17 @@
 		all = append(all, sending)
 	}
 	if rest := lines[len(lines)-1]; len(rest) > 0 {
-		return nil, fmt.Errorf("%s: its last line is cut off", sendLogFile)
+		return nil, fmt.Errorf("%s: last line truncated", sendLogFile)
 	}
 	return all, nil
 }
 
-var errLine = errors.New("its checksum does not fit")
+var errChecksum = errors.New("checksum mismatch")
 
 func parseLine(line []byte, into any) error {
 	sum, text, ok := bytes.Cut(bytes.TrimSuffix(line, []byte("\n")), []byte(" "))
 	if !ok || string(sum) != sumOf(text) {
-		return errLine
+		return errChecksum
 	}
 	return json.Unmarshal(text, into)
 }
@@ -198,19 +198,19 @@
 func sumOf(text []byte) string { return fmt.Sprintf("%08x", crc32.Checksum(text, sendLogSums)) }
 
 func formatLine(of any) []byte {
-	text, _ := json.Marshal(of) // plain data: it cannot fail
+	text, _ := json.Marshal(of) // plain data: this cannot fail
 	return fmt.Appendf(nil, "%s %s\n", sumOf(text), text)
 }
 
-func lineOf(s *promise.SendRecord) []byte {
+func formatRecord(s *promise.SendRecord) []byte {
 	return formatLine(sendLogLine{Job: s.Job, Instance: s.Instance, Gen: s.Gen, Until: s.Deadline, State: s.State})
 }
 
-// rewrite puts a file in place that has what counts now.
+// rewrite replaces the file by one with the current records only.
 func (l *sendLog) rewrite() error {
 	text := formatLine(sendLogHeader{Version: sendLogVersion, Boot: l.boot})
-	for _, sending := range l.all.All() {
-		text = append(text, lineOf(&sending)...)
+	for _, sending := range l.records.All() {
+		text = append(text, formatRecord(&sending)...)
 	}
 	path := filepath.Join(l.dir, sendLogFile)
 	file, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -227,101 +227,101 @@
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.file, l.size, l.kept = file, int64(len(text)), int64(len(text))
+	l.file, l.size, l.rewrittenSize = file, int64(len(text)), int64(len(text))
 	return nil
 }
 
-// write adds how far an attempt has come.
+// write appends the state of an attempt.
 func (l *sendLog) write(s *promise.SendRecord) {
 	if l.file == nil {
 		return
 	}
-	n, err := l.file.Write(lineOf(s))
+	n, err := l.file.Write(formatRecord(s))
 	if err != nil {
 		l.fail(err)
 		return
 	}
-	if l.size += int64(n); l.size < max(mostSendLog, 2*l.kept) {
+	if l.size += int64(n); l.size < max(maxSendLog, 2*l.rewrittenSize) {
 		return
 	}
-	l.all.Expire(unixNow())
+	l.records.Expire(unixNow())
 	if err := l.rewrite(); err != nil {
 		l.fail(err)
 	}
 }
 
-// fail gives the file up: what it says holds no longer, so it must not be found by the next process.
+// fail gives the file up: it is no longer complete, so the next process must not find it.
 func (l *sendLog) fail(err error) {
-	l.log.Error("send log given up: attempts of this process count as perhaps sent once it has ended", "err", err)
+	l.log.Error("send log given up; attempts of this process count as possibly sent once it has ended", "err", err)
 	if l.file != nil {
 		l.file.Close()
 	}
 	l.file = nil
 	if err := os.Remove(filepath.Join(l.dir, sendLogFile)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		l.broken = true
-		l.log.Error("send log not removed: promised jobs that must not run twice are not sent", "err", err)
+		l.log.Error("send log not removed; promised jobs that must not run twice are not sent", "err", err)
 	}
 }
 
-// ask notes that an intent is about to be proposed.
-func (l *sendLog) ask(job, instance string, gen uint64, until time.Duration) *promise.SendRecord {
+// request records that an intent is about to be proposed.
+func (l *sendLog) request(job, instance string, gen uint64, until time.Duration) *promise.SendRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sending, fresh := l.all.Request(job, instance, gen, until)
+	sending, fresh := l.records.Request(job, instance, gen, until)
 	if fresh {
 		l.write(sending)
 	}
 	return sending
 }
 
-// begin must be called before an attempt's first byte goes out; false: it must not be sent.
+// begin must be called before an attempt's first byte is sent; on false it must not be sent.
 func (l *sendLog) begin(s *promise.SendRecord) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if begun := s.State == promise.Started; begun || l.broken || !l.all.Begin(s) {
+	if begun := s.State == promise.Started; begun || l.broken || !l.records.Begin(s) {
 		return begun
 	}
 	l.write(s)
 	return !l.broken
 }
 
-// neverRan notes that an attempt has ended without having run.
+// neverRan records that an attempt has ended without having run.
 func (l *sendLog) neverRan(s *promise.SendRecord, mono time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s.State != promise.NeverSent {
-		l.all.NeverRan(s, mono)
+		l.records.NeverRan(s, mono)
 		l.write(s)
 	}
 }
 
-// committed notes that a group has an attempt's intent.
+// committed records that a group has an attempt's intent.
 func (l *sendLog) committed(s *promise.SendRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all.Committed(s)
+	l.records.Committed(s)
 }
 
-// over notes that a group has it that an attempt never ran.
-func (l *sendLog) over(s *promise.SendRecord) {
+// confirmed records that a group knows that an attempt never ran.
+func (l *sendLog) confirmed(s *promise.SendRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all.Confirmed(s)
+	l.records.Confirmed(s)
 }
 
-// leave has nothing more of a hand-in begun.
-func (l *sendLog) leave(job string, of *attempts, mono time.Duration) {
+// abandon prevents any further attempt of a submission from beginning.
+func (l *sendLog) abandon(job string, of *attempts, mono time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all.Abandon(job, mono) // of what was asked for and not begun the file says no less
+	l.records.Abandon(job, mono) // the file already lists requested attempts as not begun
 	of.each(func(sending *promise.SendRecord) {
-		if sending.State == promise.Requested { // it was forgotten after its deadline
-			l.all.NeverRan(sending, mono)
+		if sending.State == promise.Requested { // its record was dropped after its deadline
+			l.records.NeverRan(sending, mono)
 		}
 	})
 }
 
-// allUnsent tells whether attempts are followed and none of them has run, or will.
+// allUnsent reports whether attempts are tracked and none of them has run or can still run.
 func (l *sendLog) allUnsent(of *attempts) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -334,7 +334,7 @@
 	return followed > 0 && followed == unsent
 }
 
-// attempts is those of one hand-in whose sending is followed, by their numbers. It is safe for concurrent use.
+// attempts holds the tracked attempts of one submission, by number. It is safe for concurrent use.
 type attempts struct{ byNumber sync.Map }
 
 func (a *attempts) set(n int, sending *promise.SendRecord) { a.byNumber.Store(n, sending) }
@@ -346,32 +346,33 @@
 	})
 }
 
-// get is an attempt; nil: its sending is not followed.
+// get returns an attempt's send record, or nil if it is not tracked.
 func (a *attempts) get(n int) *promise.SendRecord {
 	sending, _ := a.byNumber.Load(n)
 	known, _ := sending.(*promise.SendRecord)
 	return known
 }
 
-// untold is the attempts of which groups are to be told that they never ran: now, or all of them.
-func (l *sendLog) untold(mono time.Duration, all bool) (due []promise.SendRecord) {
+// unreported returns the attempts that never ran and whose groups are due to be notified; all: regardless of the
+// time.
+func (l *sendLog) unreported(mono time.Duration, all bool) (due []promise.SendRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all.Expire(unixNow())
+	l.records.Expire(unixNow())
 	if all {
 		mono = math.MaxInt64 / 2
 	}
-	for _, sending := range l.all.DueReports(mono) {
+	for _, sending := range l.records.DueReports(mono) {
 		due = append(due, *sending)
 	}
 	return due
 }
 
-// drop forgets an attempt.
+// drop removes an attempt's record.
 func (l *sendLog) drop(s promise.SendRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all.Drop(&s)
+	l.records.Drop(&s)
 }
 
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -1,5 +1,6 @@
-// Package promises serves jobs that are handed in for good: the gRPC service of every dispatcher, and what the
-// dispatcher that acts for a group does with its own loop. The decisions are in caperrelay/internal/promise.
+// Package promises serves promised jobs, which are stored until they have ended: the gRPC service of every
+// dispatcher, and the submission of jobs to the local dispatch loop by the dispatcher that owns a group. The
+// decisions are in caperrelay/internal/promise.
 package promises
 
 import (
@@ -23,13 +24,13 @@
 )
 
 const (
-	lookEvery   = 20 * time.Millisecond
-	proposeFor  = 2 * time.Second       // until nothing is known of a proposal
-	tellEvery   = 50 * time.Millisecond // between looks for attempts that never ran
-	mostWaiting = 1024                  // calls that wait for an end
+	pollEvery       = 20 * time.Millisecond
+	proposeTimeout  = 2 * time.Second       // after which the outcome of a proposal counts as unknown
+	unsentScanEvery = 50 * time.Millisecond // between scans for attempts that never ran
+	maxWaiting      = 1024                  // Await calls in progress
 )
 
-// Core is the dispatcher's loop.
+// Core is the dispatcher's loop, as this package uses it.
 type Core interface {
 	Submit(*dispatch.Command)
 	ClientGone(*dispatch.Command)
@@ -41,69 +42,69 @@
 
 // Options of a server.
 type Options struct {
-	// Within and Keep count for jobs that bring none.
+	// Within and Keep are the defaults for jobs that set none.
 	Within, Keep time.Duration
-	// Dir is where it is kept which attempts were begun, so that the next process knows; empty: nowhere.
+	// Dir is the folder of the send log, which tells the next process which attempts were begun; empty: not stored.
 	Dir string
 }
 
-// Server is safe for use by several goroutines.
+// Server implements the promise service. It is safe for concurrent use.
 type Server struct {
 	promisev1.UnimplementedPromisesServer
-	o       Options
-	host    replicas.Host
-	core    Core
-	log     *slog.Logger
-	classes atomic.Pointer[map[string]decide.Class]
-	waiting chan struct{} // a place for each call that waits
-
-	poke  chan struct{}
-	mu    sync.Mutex
-	inbox []func()
-	moved chan struct{} // closed at each look
-	books map[bookKey]*booking
-	index map[uint32]uint64 // of groups, as far as they are known to be
-
-	sends    *sendLog
-	answered chan struct{} // a place for each call-back whose answer waits for its booking
-
-	// Of the loop alone.
-	owners []*promise.Owner
-	hands  map[inHand]*hand
-	ctx    context.Context
-	told   time.Duration // when it was last looked for attempts that never ran
+	o          Options
+	host       replicas.Host
+	core       Core
+	log        *slog.Logger
+	classes    atomic.Pointer[map[string]decide.Class]
+	awaitSlots chan struct{} // one slot for each Await call
+
+	wakeup     chan struct{}
+	mu         sync.Mutex
+	tasks      []func()
+	changed    chan struct{} // closed and replaced after each pass of the loop
+	recordings map[reportKey]*recording
+	index      map[uint32]uint64 // highest known log index of each group
+
+	sends         *sendLog
+	callbackSlots chan struct{} // one slot for each callback that is held open
+
+	// Used by the loop alone.
+	owners         []*promise.Owner
+	submissions    map[submissionKey]*submission
+	ctx            context.Context
+	lastUnsentScan time.Duration // time of the last scan for attempts that never ran
 
 	Promised, Intents, Booked, Ends, Left, DroppedBooks atomic.Int64
-	Unsent, Unkept                                      atomic.Int64 // attempts told as never sent; calls that must come again
+	Unsent, Unkept                                      atomic.Int64 // attempts reported as never sent; callbacks that have to be made again
 	acting                                              atomic.Int64
 	yielded                                             atomic.Bool
 }
 
-// inHand names one hand-in.
-type inHand struct {
-	id   string
-	hand int
+// submissionKey identifies one submission.
+type submissionKey struct {
+	id     string
+	number int
 }
 
-// hand is a job in the dispatcher's hands: the client and the gate of its command.
-type hand struct {
-	server *Server
-	group  uint32
-	id     string
-	index  uint64 // of the receipt
-	n      int
-	until  time.Duration // Unix: when the job may be begun no more
-	cmd    *dispatch.Command
-	asks   map[int]*dispatch.Attempt // that wait for their intents; of the loop alone
-	sends  attempts
+// submission is a job submitted to the dispatcher: the client and the gate of its command.
+type submission struct {
+	server  *Server
+	group   uint32
+	id      string
+	index   uint64 // of the receipt
+	number  int
+	startBy time.Duration // Unix time after which the job must not be started
+	cmd     *dispatch.Command
+	pending map[int]*dispatch.Attempt // that wait for their intents to be committed; used by the loop alone
+	sends   attempts
 }
 
-// New returns a server; it must be run.
+// New returns a server; the caller must run it.
 func New(o Options, host replicas.Host, core Core, logger *slog.Logger) *Server {
 	s := &Server{
-		o: o, host: host, core: core, log: logger, waiting: make(chan struct{}, mostWaiting), poke: make(chan struct{}, 1),
-		moved: make(chan struct{}), index: map[uint32]uint64{}, hands: map[inHand]*hand{},
-		books: map[bookKey]*booking{}, sends: newSendLog(o.Dir, logger), answered: make(chan struct{}, mostUnanswered),
+		o: o, host: host, core: core, log: logger, awaitSlots: make(chan struct{}, maxWaiting), wakeup: make(chan struct{}, 1),
+		changed: make(chan struct{}), index: map[uint32]uint64{}, submissions: map[submissionKey]*submission{},
+		recordings: map[reportKey]*recording{}, sends: newSendLog(o.Dir, logger), callbackSlots: make(chan struct{}, maxUnanswered),
 	}
 	s.classes.Store(&map[string]decide.Class{})
 	for range host.Groups() {
@@ -112,7 +113,7 @@
 	return s
 }
 
-// Retune has jobs go by other settings from now on.
+// Retune replaces the settings.
 func (s *Server) Retune(settings decide.Settings, n wire.Names) {
 	classes := map[string]decide.Class{}
 	for i, name := range n.Classes {
@@ -123,8 +124,8 @@
 	s.classes.Store(&classes)
 }
 
-// repeats: repeats of a keyed class are dropped by a group of workers and for a while only, which an owner that did not
-// send the first attempt cannot keep to.
+// repeats reports whether jobs of a class may be repeated freely. Keyed classes may not: workers detect duplicates
+// within one group and for a limited time only, which an owner that did not send the first attempt cannot ensure.
 func (s *Server) repeats(class string) bool {
 	c, ok := (*s.classes.Load())[class]
 	return ok && c.Effect == decide.Safe
@@ -134,53 +135,53 @@
 	return promise.Clocks{Mono: replicas.Now(), Unix: time.Duration(time.Now().UnixNano())}
 }
 
-// post has the loop do something. It never blocks: what waits here is bounded by the jobs in hand.
+// post queues a function for the loop. It never blocks: the queue is bounded by the number of submitted jobs.
 func (s *Server) post(f func()) {
 	s.mu.Lock()
-	s.inbox = append(s.inbox, f)
+	s.tasks = append(s.tasks, f)
 	s.mu.Unlock()
 	s.wake()
 }
 
 func (s *Server) wake() {
 	select {
-	case s.poke <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Run acts for groups while this dispatcher has their leases, until the context ends.
+// Run owns groups while this dispatcher holds their leases, until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	s.ctx = ctx
-	every := time.NewTicker(lookEvery)
+	every := time.NewTicker(pollEvery)
 	defer every.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			for g, o := range s.owners {
 				o.SetLease(clock(), 0, 0, false)
-				s.carry(uint32(g), o)
+				s.runActions(uint32(g), o)
 			}
-			s.tellUnsent(true)
+			s.reportUnsent(true)
 			s.sends.close()
 			return
 		case <-s.host.Changed():
-		case <-s.poke:
+		case <-s.wakeup:
 		case <-every.C:
 		}
 		s.mu.Lock()
-		do := s.inbox
-		s.inbox = nil
+		do := s.tasks
+		s.tasks = nil
 		s.mu.Unlock()
 		for _, f := range do {
 			f()
 		}
 		s.sends.open()
-		s.tellUnsent(false)
+		s.reportUnsent(false)
 		acting := int64(0)
 		for g, o := range s.owners {
 			if uint32(g) == replica.Root && len(s.owners) > 1 {
-				continue // no key falls to it
+				continue // no key maps to it
 			}
 			c := clock()
 			term, until, ok := s.host.Lead(uint32(g))
@@ -188,73 +189,73 @@
 			if ok && s.host.View(uint32(g), replica.Promises, func(m replica.Machine) { o.Update(c, m.(*promise.Machine)) }) {
 				acting++
 			}
-			s.carry(uint32(g), o)
+			s.runActions(uint32(g), o)
 		}
 		s.acting.Store(acting)
 		s.mu.Lock()
-		close(s.moved)
-		s.moved = make(chan struct{})
+		close(s.changed)
+		s.changed = make(chan struct{})
 		s.mu.Unlock()
 	}
 }
 
-// carry does what an owner wants.
-func (s *Server) carry(g uint32, o *promise.Owner) {
+// runActions carries out an owner's actions.
+func (s *Server) runActions(g uint32, o *promise.Owner) {
 	for _, a := range o.Actions() {
 		switch a := a.(type) {
 		case promise.Propose:
-			over := s.proposing(g, a.Command)
+			over := s.trackProposal(g, a.Command)
 			ctx := s.ctx
 			go func() {
 				answer, err := s.propose(ctx, g, a.Command)
 				if over != nil && err == nil && answer.OK {
-					s.sends.over(over)
+					s.sends.confirmed(over)
 				}
-				s.post(func() { o.ProposalDone(clock(), a.Seq, answer, err != nil); s.carry(g, o) })
+				s.post(func() { o.ProposalDone(clock(), a.Seq, answer, err != nil); s.runActions(g, o) })
 			}()
 		case promise.Record:
-			s.book(g, a.Command)
+			s.record(g, a.Command)
 		case promise.Submit:
-			s.begin(g, a)
+			s.submit(g, a)
 		case promise.AllowSend:
-			if h := s.hands[inHand{a.ID, a.Submission}]; h != nil && h.asks[a.Attempt] != nil {
+			if h := s.submissions[submissionKey{a.ID, a.Submission}]; h != nil && h.pending[a.Attempt] != nil {
 				if sending := h.sends.get(a.Attempt); sending != nil {
 					s.sends.committed(sending)
 				}
-				s.core.AllowSend(h.asks[a.Attempt], func() bool { return replicas.Now() < a.Until })
-				delete(h.asks, a.Attempt)
+				s.core.AllowSend(h.pending[a.Attempt], func() bool { return replicas.Now() < a.Until })
+				delete(h.pending, a.Attempt)
 			}
 		case promise.DenySend:
-			if h := s.hands[inHand{a.ID, a.Submission}]; h != nil && h.asks[a.Attempt] != nil {
-				s.core.DenySend(h.asks[a.Attempt])
-				delete(h.asks, a.Attempt)
+			if h := s.submissions[submissionKey{a.ID, a.Submission}]; h != nil && h.pending[a.Attempt] != nil {
+				s.core.DenySend(h.pending[a.Attempt])
+				delete(h.pending, a.Attempt)
 			}
 		case promise.Abandon:
-			if h := s.drop(a.ID, a.Submission); h != nil {
+			if h := s.dropSubmission(a.ID, a.Submission); h != nil {
 				s.Left.Add(1)
 				s.core.Abandon(h.cmd)
 			}
 		case promise.EndReported:
-			if h := s.drop(a.ID, a.Submission); h != nil {
+			if h := s.dropSubmission(a.ID, a.Submission); h != nil {
 				s.core.HandleCallback(dispatch.Callback{ID: h.cmd.ID, From: a.End.By, State: dispatch.Done, Result: a.End.Result})
-				s.core.ClientGone(h.cmd) // other copies have no use any more
+				s.core.ClientGone(h.cmd) // cancels the remaining attempts
 			}
 		}
 	}
 }
 
-// drop takes a hand-in out of the loop's hands: nothing of it that was not begun is sent any more.
-func (s *Server) drop(id string, n int) *hand {
-	h := s.hands[inHand{id, n}]
-	if delete(s.hands, inHand{id, n}); h != nil {
-		s.sends.leave(h.cmd.ID, &h.sends, replicas.Now())
+// dropSubmission removes a submission: none of its attempts that has not begun is sent any more.
+func (s *Server) dropSubmission(id string, n int) *submission {
+	h := s.submissions[submissionKey{id, n}]
+	if delete(s.submissions, submissionKey{id, n}); h != nil {
+		s.sends.abandon(h.cmd.ID, &h.sends, replicas.Now())
 	}
 	return h
 }
 
-// propose has a group agree on a command, and tells what it came to.
+// propose has a group agree on a command and returns the result.
 func (s *Server) propose(ctx context.Context, g uint32, c promise.Command) (promise.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposeFor)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	result, err := s.host.Propose(ctx, g, replica.Promises, c.Bytes())
 	if err != nil {
@@ -263,20 +264,20 @@
 	return promise.ReadAnswer(result)
 }
 
-// Quiet tells whether nothing waits to be booked.
+// Quiet reports whether no commit of a report is pending.
 func (s *Server) Quiet() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.books) == 0
+	return len(s.recordings) == 0
 }
 
-// Yield says that a newer process takes over, or that it has gone.
+// Yield states whether a newer process is taking over.
 func (s *Server) Yield(yes bool) { s.yielded.Store(yes) }
 
-// begin hands a job in.
-func (s *Server) begin(g uint32, a promise.Submit) {
+// submit submits a job to the dispatcher.
+func (s *Server) submit(g uint32, a promise.Submit) {
 	class, ok := (*s.classes.Load())[a.Job.Class]
-	h := &hand{server: s, group: g, id: a.ID, index: a.Index, n: a.Submission, until: time.Duration(time.Now().UnixNano()) + a.TimeLeft, asks: map[int]*dispatch.Attempt{}}
+	h := &submission{server: s, group: g, id: a.ID, index: a.Index, number: a.Submission, startBy: time.Duration(time.Now().UnixNano()) + a.TimeLeft, pending: map[int]*dispatch.Attempt{}}
 	left := a.TimeLeft
 	if ok {
 		left = min(left, class.Deadline)
@@ -288,11 +289,11 @@
 			Method: "POST", Target: cmp.Or(a.Job.Target, "/api"), Body: a.Job.Payload, Header: http1.Header{{Name: "Idempotency-Key", Value: a.ID}},
 		},
 	}
-	s.hands[inHand{a.ID, a.Submission}] = h
+	s.submissions[submissionKey{a.ID, a.Submission}] = h
 	s.core.Submit(h.cmd)
 }
 
-// keyNumber is a key as the module knows it, the same as of commands by HTTP.
+// keyNumber converts a key to the number that package decide uses, as for commands over HTTP.
 func keyNumber(key string) uint64 {
 	if key == "" {
 		return 0
@@ -306,17 +307,17 @@
 	return max(n, 1)
 }
 
-// on has the loop go on with a hand's owner.
-func (h *hand) on(f func(promise.Clocks, *promise.Owner)) {
+// withOwner calls f in the loop with the submission's owner and carries out the resulting actions.
+func (h *submission) withOwner(f func(promise.Clocks, *promise.Owner)) {
 	h.server.post(func() {
 		o := h.server.owners[h.group]
 		f(clock(), o)
-		h.server.carry(h.group, o)
+		h.server.runActions(h.group, o)
 	})
 }
 
-// Answer takes the dispatcher's answer.
-func (h *hand) Answer(a dispatch.Answer) {
+// Answer implements dispatch.Client.
+func (h *submission) Answer(a dispatch.Answer) {
 	v := promise.MayHaveFailed
 	switch a.Verdict {
 	case dispatch.Served:
@@ -326,59 +327,59 @@
 	case dispatch.Unusable:
 		v = promise.Impossible
 	}
-	h.on(func(c promise.Clocks, o *promise.Owner) {
-		h.server.drop(h.id, h.n)
-		if v == promise.MayHaveFailed && h.server.sends.allUnsent(&h.sends) { // given up before its first byte
+	h.withOwner(func(c promise.Clocks, o *promise.Owner) {
+		h.server.dropSubmission(h.id, h.number)
+		if v == promise.MayHaveFailed && h.server.sends.allUnsent(&h.sends) { // given up before the first byte was sent
 			v = promise.Rejected
 		}
-		o.Answered(c, h.id, h.index, h.n, v, a.Instance, a.Result, a.RetryAfter, h.until-c.Unix)
+		o.Answered(c, h.id, h.index, h.number, v, a.Instance, a.Result, a.RetryAfter, h.startBy-c.Unix)
 	})
 }
 
-// HandOver says that a newer process takes over: it has its own.
-func (h *hand) HandOver(bool) {
-	h.on(func(promise.Clocks, *promise.Owner) { h.server.drop(h.id, h.n) })
+// HandOver implements dispatch.Client. The newer process submits the job itself.
+func (h *submission) HandOver(bool) {
+	h.withOwner(func(promise.Clocks, *promise.Owner) { h.server.dropSubmission(h.id, h.number) })
 }
 
-// RequestSend has an attempt wait until its intent is committed.
-func (h *hand) RequestSend(a *dispatch.Attempt) {
+// RequestSend holds an attempt back until its intent is committed.
+func (h *submission) RequestSend(a *dispatch.Attempt) {
 	at, until := time.Now(), a.Deadline
-	h.on(func(c promise.Clocks, o *promise.Owner) {
-		if h.server.hands[inHand{h.id, h.n}] != h {
+	h.withOwner(func(c promise.Clocks, o *promise.Owner) {
+		if h.server.submissions[submissionKey{h.id, h.number}] != h {
 			h.server.core.DenySend(a)
 			return
 		}
-		h.asks[a.Index] = a
-		o.RequestSend(c, h.id, h.n, a.Index, a.Instance, c.Unix+until.Sub(at))
+		h.pending[a.Index] = a
+		o.RequestSend(c, h.id, h.number, a.Index, a.Instance, c.Unix+until.Sub(at))
 	})
 }
 
-// Begin notes that an attempt's first byte is next, if it still may be sent.
-func (h *hand) Begin(a *dispatch.Attempt) bool {
+// Begin records that an attempt's first byte is about to be sent, and reports whether it still may be.
+func (h *submission) Begin(a *dispatch.Attempt) bool {
 	sending := h.sends.get(a.Index)
 	return sending == nil || h.server.sends.begin(sending)
 }
 
-// NeverRan says that an attempt has not run.
-func (h *hand) NeverRan(a *dispatch.Attempt) {
-	h.on(func(c promise.Clocks, o *promise.Owner) {
-		delete(h.asks, a.Index)
+// NeverRan records that an attempt has not run.
+func (h *submission) NeverRan(a *dispatch.Attempt) {
+	h.withOwner(func(c promise.Clocks, o *promise.Owner) {
+		delete(h.pending, a.Index)
 		if sending := h.sends.get(a.Index); sending != nil {
 			h.server.sends.neverRan(sending, c.Mono)
 		}
-		o.NeverRan(h.id, h.n, a.Index)
+		o.NeverRan(h.id, h.number, a.Index)
 	})
 }
 
 func (s *Server) group(id string) uint32 { return replica.GroupOf(id, s.host.Groups()) }
 
 var (
-	_ dispatch.Gate   = (*hand)(nil)
-	_ dispatch.Client = (*hand)(nil)
+	_ dispatch.Gate   = (*submission)(nil)
+	_ dispatch.Client = (*submission)(nil)
 	_ Core            = (*dispatch.Loop)(nil)
 )
 
-// Figures is what operators go by.
+// Figures returns the counters, one a line.
 func (s *Server) Figures() string {
 	var jobs, open, bytes int
 	for g := range s.host.Groups() {
@@ -388,7 +389,7 @@
 		})
 	}
 	s.mu.Lock()
-	books := len(s.books)
+	books := len(s.recordings)
 	s.mu.Unlock()
 	return fmt.Sprintf("proxy.promise.kept=%d\nproxy.promise.open=%d\nproxy.promise.bytes=%d\nproxy.promise.groups_acted_for=%d\nproxy.promise.receipts=%d\nproxy.promise.intents=%d\nproxy.promise.booked=%d\nproxy.promise.left=%d\nproxy.promise.unbooked=%d\nproxy.promise.books_dropped=%d\nproxy.promise.never_sent=%d\nproxy.promise.calls_unkept=%d\n",
 		jobs, open, bytes, s.acting.Load(), s.Promised.Load(), s.Intents.Load(), s.Booked.Load(), s.Left.Load(), books, s.DroppedBooks.Load(), s.Unsent.Load(), s.Unkept.Load())
--- a/internal/net/promises/server_test.go
+++ b/internal/net/promises/server_test.go
@@ -21,15 +21,15 @@
 	promisev1 "caperrelay/proto/winglb/promise/v1"
 )
 
-// copies is the one table as a dispatcher sees it that has the lease or not.
-type copies struct {
+// fakeHost is a dispatcher's view of one shared table, with or without the lease.
+type fakeHost struct {
 	*replicas.Alone
 	term    atomic.Uint64 // 0: no lease
 	changed chan struct{}
-	agree   atomic.Pointer[func(c promise.Command, commit func() ([]byte, error)) ([]byte, error)] // what becomes of proposals; nil: they are committed
+	agree   atomic.Pointer[func(c promise.Command, commit func() ([]byte, error)) ([]byte, error)] // handles proposals; nil: they are committed
 }
 
-func (c *copies) Propose(ctx context.Context, group uint32, machine byte, cmd []byte) ([]byte, error) {
+func (c *fakeHost) Propose(ctx context.Context, group uint32, machine byte, cmd []byte) ([]byte, error) {
 	commit := func() ([]byte, error) { return c.Alone.Propose(ctx, group, machine, cmd) }
 	f := c.agree.Load()
 	if f == nil {
@@ -42,27 +42,27 @@
 	return (*f)(command, commit)
 }
 
-func (c *copies) Lead(uint32) (uint64, time.Duration, bool) {
+func (c *fakeHost) Lead(uint32) (uint64, time.Duration, bool) {
 	t := c.term.Load()
 	return t, replicas.Now() + 300*time.Millisecond, t > 0
 }
-func (c *copies) Changed() <-chan struct{} { return c.changed }
+func (c *fakeHost) Changed() <-chan struct{} { return c.changed }
 
-// core is a loop that notes what it is told.
+// core is a loop that records its calls.
 type core struct {
-	taken, abandoned, lapsed chan *dispatch.Command
-	passed                   chan func() bool
-	denied                   chan *dispatch.Attempt
-	news                     chan dispatch.Callback
+	submitted, abandoned, gone chan *dispatch.Command
+	allowed                    chan func() bool
+	denied                     chan *dispatch.Attempt
+	callbacks                  chan dispatch.Callback
 }
 
-func (c *core) Submit(m *dispatch.Command)                     { c.taken <- m }
-func (c *core) ClientGone(m *dispatch.Command)                 { c.lapsed <- m }
+func (c *core) Submit(m *dispatch.Command)                     { c.submitted <- m }
+func (c *core) ClientGone(m *dispatch.Command)                 { c.gone <- m }
 func (c *core) Abandon(m *dispatch.Command)                    { c.abandoned <- m }
-func (c *core) AllowSend(_ *dispatch.Attempt, may func() bool) { c.passed <- may }
+func (c *core) AllowSend(_ *dispatch.Attempt, may func() bool) { c.allowed <- may }
 func (c *core) DenySend(a *dispatch.Attempt)                   { c.denied <- a }
-func (c *core) HandleCallback(n dispatch.Callback)             { c.news <- n }
-func of[T any](t *testing.T, c chan T, what string) (v T) {
+func (c *core) HandleCallback(n dispatch.Callback)             { c.callbacks <- n }
+func receive[T any](t *testing.T, c chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
@@ -72,10 +72,10 @@
 	return v
 }
 
-func pair(t *testing.T) (s [2]*Server, c [2]*core, h [2]*copies) {
+func pair(t *testing.T) (s [2]*Server, c [2]*core, h [2]*fakeHost) {
 	table := replicas.NewAlone(2, func(uint32) replica.Mux { return replica.Mux{replica.Promises: promise.New()} })
 	for i := range s {
-		h[i] = &copies{Alone: table, changed: make(chan struct{})}
+		h[i] = &fakeHost{Alone: table, changed: make(chan struct{})}
 		c[i] = &core{make(chan *dispatch.Command, 9), make(chan *dispatch.Command, 9), make(chan *dispatch.Command, 9), make(chan func() bool, 9), make(chan *dispatch.Attempt, 9), make(chan dispatch.Callback, 9)}
 		s[i] = New(Options{Within: time.Minute, Keep: time.Minute}, h[i], c[i], slog.New(slog.DiscardHandler))
 		s[i].Retune(decide.Settings{Classes: []decide.Class{{Effect: decide.Unsafe, Deadline: 20 * time.Second}, {Deadline: time.Second}}}, wire.Names{Classes: []string{"once", "safe"}})
@@ -89,28 +89,28 @@
 
 func job(class string) *promisev1.Job { return &promisev1.Job{Class: class, Payload: []byte("work")} }
 
-// One dispatcher has a job out when its lease goes to another. That one does not send it again; the call-back reaches it
-// and ends the promise, for whoever asks wherever.
+// A lease moves while a job of the former owner runs. The next owner does not send it again; the callback reaches
+// the next owner and ends the promise, for clients of any dispatcher.
 func TestLeaseMovesWhileAJobRuns(t *testing.T) {
 	s, c, h := pair(t)
 	h[0].term.Store(1)
 	_, err := s[1].Promise(t.Context(), &promisev1.PromiseRequest{Id: "j", Job: job("once")})
 	require.NoError(t, err)
-	m := of(t, c[0].taken, "it is handed in where the lease is")
+	m := receive(t, c[0].submitted, "it is handed in where the lease is")
 	m.Gate.RequestSend(&dispatch.Attempt{Command: m, Instance: "s-1", Deadline: m.Deadline})
-	may := of(t, c[0].passed, "its intent is committed")
+	may := receive(t, c[0].allowed, "its intent is committed")
 	require.True(t, may())
 	h[0].term.Store(0)
-	require.Equal(t, m, of(t, c[0].abandoned, "it is left alone"))
+	require.Equal(t, m, receive(t, c[0].abandoned, "it is left alone"))
 	m.Gate.RequestSend(&dispatch.Attempt{Command: m, Instance: "s-2", Index: 1, Deadline: m.Deadline})
-	of(t, c[0].denied, "nothing more goes out")
+	receive(t, c[0].denied, "nothing more goes out")
 	h[1].term.Store(2)
 	require.Eventually(t, func() bool { return s[1].acting.Load() == 1 }, 20*time.Second, time.Millisecond)
 	require.Eventually(t, func() bool { return !may() }, 20*time.Second, time.Millisecond, "what was let go of may not go any more")
 	r, err := s[0].Await(t.Context(), &promisev1.AwaitRequest{Id: "j", WaitMs: 1})
 	require.NoError(t, err)
 	require.Nil(t, r.End)
-	require.Empty(t, c[1].taken)
+	require.Empty(t, c[1].submitted)
 	require.False(t, s[1].Stray(dispatch.Callback{ID: "another's", From: "s-1", State: dispatch.Done}))
 	require.True(t, s[1].Stray(dispatch.Callback{ID: m.ID, From: "s-3", State: dispatch.Done, Result: []byte("nobody sent it there")}))
 	require.True(t, s[1].Stray(dispatch.Callback{ID: m.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
@@ -122,29 +122,29 @@
 	}
 }
 
-// A job that may repeat is handed in again by the next owner, as a repeat, and an end that another dispatcher was told
-// takes it out of hand.
+// A job that may repeat is submitted again by the next owner, as a retry, and an end that was reported to another
+// dispatcher cancels that submission.
 func TestNextOwnerRepeats(t *testing.T) {
 	s, c, h := pair(t)
 	h[0].term.Store(1)
 	_, err := s[0].Promise(t.Context(), &promisev1.PromiseRequest{Id: "j", Job: job("safe")})
 	require.NoError(t, err)
-	first := of(t, c[0].taken, "it is handed in")
+	first := receive(t, c[0].submitted, "it is handed in")
 	first.Gate.RequestSend(&dispatch.Attempt{Command: first, Instance: "s-1", Deadline: first.Deadline})
-	of(t, c[0].passed, "its intent is committed")
+	receive(t, c[0].allowed, "its intent is committed")
 	h[0].term.Store(0)
-	of(t, c[0].abandoned, "it is left alone")
+	receive(t, c[0].abandoned, "it is left alone")
 	h[1].term.Store(2)
-	again := of(t, c[1].taken, "it is handed in again")
+	again := receive(t, c[1].submitted, "it is handed in again")
 	require.True(t, again.Retry)
 	require.NotEqual(t, first.ID, again.ID)
 	require.True(t, s[0].Stray(dispatch.Callback{ID: first.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
-	require.Equal(t, again.ID, of(t, c[1].news, "the loop is told").ID)
-	require.Equal(t, again, of(t, c[1].lapsed, "and lets go"))
+	require.Equal(t, again.ID, receive(t, c[1].callbacks, "the loop is told").ID)
+	require.Equal(t, again, receive(t, c[1].gone, "and lets go"))
 }
 
 func TestStatuses(t *testing.T) {
-	s, _, _ := pair(t) // nobody acts: what is promised stays so
+	s, _, _ := pair(t) // no dispatcher has the lease: promises stay open
 	at := t.Context()
 	code := func(err error) codes.Code { return status.Code(err) }
 	promise := func(id string, j *promisev1.Job) (*promisev1.PromiseResponse, error) {
--- a/internal/net/promises/service.go
+++ b/internal/net/promises/service.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	mostAwait  = time.Minute
-	askPause   = 50 * time.Millisecond
-	askFar     = 200 * time.Millisecond // where this dispatcher has no copy
-	callWithin = 10 * time.Second       // of a call that brings no deadline
+	maxAwait        = time.Minute
+	retryPause      = 50 * time.Millisecond
+	remotePollPause = 200 * time.Millisecond // where this dispatcher has no replica
+	callTimeout     = 10 * time.Second       // for calls without a deadline
 )
 
-// ask has a group agree on a command of a client's, again and again: each is such that twice does no harm.
-func (s *Server) ask(ctx context.Context, c promise.Command) (promise.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// proposeWithRetry has a group agree on a client's command, retrying until it does: all of these commands are
+// idempotent.
+func (s *Server) proposeWithRetry(ctx context.Context, c promise.Command) (promise.Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for unknown := false; ; {
 		a, err := s.propose(ctx, s.group(c.ID), c)
 		if err == nil {
-			s.note(s.group(c.ID), a.Index)
+			s.noteIndex(s.group(c.ID), a.Index)
 			return a, nil
 		}
 		if errors.Is(err, replica.ErrTooLarge) {
@@ -40,13 +41,13 @@
 				return a, status.Error(codes.Unavailable, "it is not known whether the group has agreed: call again with the same id")
 			}
 			return a, status.Error(codes.Unavailable, "no majority answers: nothing is promised")
-		case <-time.After(askPause):
+		case <-time.After(retryPause):
 		}
 	}
 }
 
-// fault is the status of what was not done.
-func fault(a promise.Answer) error {
+// statusOf converts a failed answer to a gRPC status.
+func statusOf(a promise.Answer) error {
 	code := map[promise.Code]codes.Code{
 		promise.Malformed: codes.InvalidArgument, promise.TableFull: codes.ResourceExhausted, promise.IDTaken: codes.AlreadyExists,
 		promise.NotFound: codes.NotFound, promise.TooLate: codes.Aborted, promise.NotEnded: codes.FailedPrecondition,
@@ -73,26 +74,27 @@
 	return s.PromiseSeen(ctx, q, seen)
 }
 
-// PromiseSeen is Promise for who had seen that much of the id's group when he knew that the job is to be promised: if the
-// id was dropped after that, the answer is codes.Aborted, however late it comes.
+// PromiseSeen is Promise for a caller that had observed the group of the id at that log index when it decided to
+// promise the job: if the id was dropped after that index, the answer is codes.Aborted, however late the call
+// arrives.
 func (s *Server) PromiseSeen(ctx context.Context, q *promisev1.PromiseRequest, seen uint64) (*promisev1.PromiseResponse, error) {
 	j, err := s.job(q)
 	if err != nil {
 		return nil, err
 	}
-	a, err := s.ask(ctx, promise.Command{Op: promise.OpPromise, ID: q.Id, Job: j, SeenIndex: seen})
+	a, err := s.proposeWithRetry(ctx, promise.Command{Op: promise.OpPromise, ID: q.Id, Job: j, SeenIndex: seen})
 	if err != nil {
 		return nil, err
 	}
 	if !a.OK {
-		return nil, fault(a)
+		return nil, statusOf(a)
 	}
 	s.Promised.Add(1)
 	s.wake()
 	return &promisev1.PromiseResponse{Receipt: s.receipt(a.Receipt)}, nil
 }
 
-// job is what is to be promised.
+// job converts and validates the requested job.
 func (s *Server) job(q *promisev1.PromiseRequest) (*promise.Job, error) {
 	if q.Job == nil {
 		return nil, status.Error(codes.InvalidArgument, "a job is needed")
@@ -102,7 +104,7 @@
 	}
 	j := &promise.Job{
 		Class: q.Job.Class, Tenant: q.Job.Tenant, Key: q.Job.Key, Payload: q.Job.Payload, Slots: q.Job.Slots, Target: q.Job.Target, Candidates: q.Job.Order,
-		Work: span(q.Job.WorkUs, time.Microsecond), StartWithin: span(q.Job.WithinMs, time.Millisecond), Retention: span(q.Job.KeepMs, time.Millisecond),
+		Work: boundedDuration(q.Job.WorkUs, time.Microsecond), StartWithin: boundedDuration(q.Job.WithinMs, time.Millisecond), Retention: boundedDuration(q.Job.KeepMs, time.Millisecond),
 	}
 	if j.StartWithin == 0 {
 		j.StartWithin = s.o.Within
@@ -119,29 +121,29 @@
 	return j, nil
 }
 
-// note keeps how far a group is known to be.
-func (s *Server) note(g uint32, index uint64) {
+// noteIndex records the log index that a group is known to have reached.
+func (s *Server) noteIndex(g uint32, index uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index[g] = max(s.index[g], index)
 }
 
-// Seen is how far the group of an id is, as far as it is known here now.
+// Seen returns the log index that the group of an id is known to have reached.
 func (s *Server) Seen(ctx context.Context, id string) (uint64, error) {
 	g := s.group(id)
-	s.host.View(g, replica.Promises, func(m replica.Machine) { s.note(g, m.(*promise.Machine).Index()) })
+	s.host.View(g, replica.Promises, func(m replica.Machine) { s.noteIndex(g, m.(*promise.Machine).Index()) })
 	s.mu.Lock()
 	index := s.index[g]
 	s.mu.Unlock()
 	if index > 0 {
 		return index, nil
 	}
-	a, err := s.ask(ctx, promise.Command{Op: promise.OpRead, ID: id})
+	a, err := s.proposeWithRetry(ctx, promise.Command{Op: promise.OpRead, ID: id})
 	return a.Index, err
 }
 
-// span is n units of time; what is beyond all bounds stays so.
-func span(n uint64, unit time.Duration) time.Duration {
+// boundedDuration is n units of time; values beyond the limit stay beyond it, without overflow.
+func boundedDuration(n uint64, unit time.Duration) time.Duration {
 	return time.Duration(min(n, uint64(promise.MaxRetention/unit)+1)) * unit
 }
 
@@ -153,30 +155,30 @@
 	promise.Done: promisev1.Kind_KIND_DONE, promise.Failed: promisev1.Kind_KIND_FAILED, promise.Refused: promisev1.Kind_KIND_REFUSED,
 }
 
-// Await waits for an end. What it answers is read in the order of all that the group agrees on.
+// Await waits for an end. The answer is a linearizable read.
 func (s *Server) Await(ctx context.Context, q *promisev1.AwaitRequest) (*promisev1.AwaitResponse, error) {
 	if err := promise.CheckID(q.Id); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	select {
-	case s.waiting <- struct{}{}:
-		defer func() { <-s.waiting }()
+	case s.awaitSlots <- struct{}{}:
+		defer func() { <-s.awaitSlots }()
 	default:
 		return nil, status.Error(codes.ResourceExhausted, "as many calls wait as may")
 	}
-	until := time.Now().Add(min(time.Duration(q.WaitMs)*time.Millisecond, mostAwait))
+	until := time.Now().Add(min(time.Duration(q.WaitMs)*time.Millisecond, maxAwait))
 	for {
-		s.settled(ctx, q.Id, until)
-		a, err := s.ask(ctx, promise.Command{Op: promise.OpRead, ID: q.Id})
+		s.waitForEnd(ctx, q.Id, until)
+		a, err := s.proposeWithRetry(ctx, promise.Command{Op: promise.OpRead, ID: q.Id})
 		switch {
 		case err != nil:
 			return nil, err
 		case !a.OK:
-			return nil, fault(a)
+			return nil, statusOf(a)
 		case a.End == nil && time.Now().Before(until) && ctx.Err() == nil:
-			select { // the copy here may be behind
+			select { // the local replica may lag behind
 			case <-ctx.Done():
-			case <-time.After(askPause):
+			case <-time.After(retryPause):
 			}
 			continue
 		}
@@ -188,11 +190,12 @@
 	}
 }
 
-// settled waits until the copy here, if there is one, has an end or nothing of a promise, or the time is over.
-func (s *Server) settled(ctx context.Context, id string, until time.Time) {
+// waitForEnd waits until the local replica, if there is one, has the promise's end or no such promise, or until the
+// time is up.
+func (s *Server) waitForEnd(ctx context.Context, id string, until time.Time) {
 	for time.Now().Before(until) {
 		s.mu.Lock()
-		moved := s.moved
+		moved := s.changed
 		s.mu.Unlock()
 		open := false
 		wait := min(time.Until(until), time.Second)
@@ -200,7 +203,7 @@
 			e := m.(*promise.Machine).Entry(id)
 			open = e != nil && e.End == nil
 		}) {
-			moved, wait = nil, min(wait, askFar)
+			moved, wait = nil, min(wait, remotePollPause)
 		} else if !open {
 			return
 		}
@@ -217,11 +220,11 @@
 	}
 }
 
-// Forget drops a promise that has ended.
+// Forget removes a promise that has ended.
 func (s *Server) Forget(ctx context.Context, q *promisev1.ForgetRequest) (*promisev1.ForgetResponse, error) {
-	a, err := s.ask(ctx, promise.Command{Op: promise.OpForget, ID: q.Id})
+	a, err := s.proposeWithRetry(ctx, promise.Command{Op: promise.OpForget, ID: q.Id})
 	if err == nil && !a.OK {
-		err = fault(a)
+		err = statusOf(a)
 	}
 	if err != nil {
 		return nil, err
