--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -1,5 +1,5 @@
-// Package members speaks to other dispatchers: who lives, by memberlist's gossip, and what they tell each other of the
-// worker list, in JSON by memberlist's messages. What is done about it package caperrelay/internal/members decides.
+// Package members exchanges the instance list with other dispatchers: memberlist's gossip finds the live ones, and
+// memberlist's messages carry the updates as JSON. The decisions are in caperrelay/internal/members.
 package members
 
 import (
@@ -28,72 +28,73 @@
 )
 
 const (
-	tick        = 50 * time.Millisecond
-	lookEvery   = 150 * time.Millisecond // who lives, while that changes
-	seedEvery   = 2                      // of such calls, one goes to an address of the file: else islands stay apart
-	joinFirst   = 200 * time.Millisecond // between whole exchanges while not all that the settings count are seen,
-	joinMost    = 2 * time.Second        // twice as long for each that told nothing new
-	openEvery   = 100 * time.Millisecond // while an older process has the address
-	dialWithin  = 2 * time.Second
-	mostSends   = 64      // of lists, at once; more are told again when no confirmation comes
-	mostMessage = 4 << 20 // bytes
-	mostName    = 256     // bytes of a dispatcher's
-	mostSmall   = 1100    // bytes of a datagram, with memberlist's own
-	gossipEvery = 100 * time.Millisecond
-	// What a cut has swallowed of the others' states is made up for by whole exchanges; the library's own 30 s would
-	// leave roles apart for that long.
-	wholeEvery = 2 * time.Second
+	tick           = 50 * time.Millisecond
+	peerScanEvery  = 150 * time.Millisecond // between updates of the live peers, while they change
+	seedEvery      = 2                      // every second join goes to a configured address: otherwise separate clusters would never merge
+	joinMinPause   = 200 * time.Millisecond // between joins while fewer peers are known than the settings expect;
+	joinMaxPause   = 2 * time.Second        // doubles with each join that found no new peer
+	openRetryEvery = 100 * time.Millisecond // while an older process holds the address
+	dialTimeout    = 2 * time.Second
+	maxSends       = 64      // of lists in parallel; further ones are repeated for lack of an ack
+	maxMessage     = 4 << 20 // bytes
+	maxName        = 256     // bytes of a dispatcher's name
+	maxDatagram    = 1100    // bytes of a datagram, including memberlist's own
+	gossipEvery    = 100 * time.Millisecond
+	// Full exchanges repair the peers' states that were lost during a partition; with the library's default of 30 s the
+	// roles would stay inconsistent for that long.
+	pushPullEvery = 2 * time.Second
 )
 
-// Lists is where lists go and how the own watch is begun and ended.
+// Lists receives instance lists and starts and stops this dispatcher's own watch.
 type Lists interface {
 	Watch(on bool)
 	Take(dispatch.InstanceUpdate)
 }
 
-// Options of a dispatcher among others.
+// Options of a server.
 type Options struct {
 	members.Config
 	Listen string
-	// Join is where others are found.
+	// Join lists the addresses of other dispatchers.
 	Join []string
-	// Through has the addresses at which named ones are reached from here, where theirs are not.
+	// Through maps names of dispatchers to the addresses at which they are reached from here, if these differ from their
+	// own.
 	Through map[string]string
-	// Settings names the settings that are in force.
+	// Settings identifies the current settings.
 	Settings string
 }
 
-// Server is this dispatcher among others. It is safe for use by several goroutines.
+// Server is this dispatcher as a member of the cluster. It is safe for concurrent use.
 type Server struct {
-	o     Options
-	lists Lists
-	log   *slog.Logger
-	dirty atomic.Bool // who lives
-	sends chan struct{}
-
-	mu     sync.Mutex
-	state  *members.State
-	list   *memberlist.Memberlist // nil: not in force
-	nodes  map[string]*memberlist.Node
-	watch  members.WatchStatus
-	cancel context.CancelFunc // nil: closed
-	metas  map[string]shown   // as last read
-
-	joins, seen int
-	joinWait    time.Duration
-	joinAt      time.Time
-	joinOn      bool
+	o            Options
+	lists        Lists
+	log          *slog.Logger
+	peersChanged atomic.Bool // the live peers may have changed
+	sends        chan struct{}
+
+	mu       sync.Mutex
+	state    *members.State
+	list     *memberlist.Memberlist // nil: not active
+	nodes    map[string]*memberlist.Node
+	watch    members.WatchStatus
+	cancel   context.CancelFunc    // nil: closed
+	peerMeta map[string]parsedMeta // parsed metadata, by name of the peer
+
+	joins, seenAtJoin int
+	joinWait          time.Duration
+	joinAt            time.Time
+	joining           bool
 
 	counts struct{ told, asked, passed, garbage int64 }
 }
 
-// New returns a dispatcher that is among no others yet.
+// New returns a server that has not joined yet.
 func New(o Options, lists Lists, logger *slog.Logger) *Server {
-	return &Server{o: o, lists: lists, log: logger, sends: make(chan struct{}, mostSends)}
+	return &Server{o: o, lists: lists, log: logger, sends: make(chan struct{}, maxSends)}
 }
 
-// Open begins: it listens at once, or as soon as the address is free, which an older process may still have. Where it
-// listens at once, it is in force when Open returns.
+// Open starts the server: it listens at once, or as soon as an older process has released the address. If it listens
+// at once, it is in force when Open returns.
 func (s *Server) Open(ctx context.Context) {
 	s.mu.Lock()
 	if s.cancel != nil {
@@ -106,7 +107,8 @@
 	go s.run(ctx, err)
 }
 
-// Close ends it. Others find out by themselves: the address may be the next process's already.
+// Close stops the server without a leave message, since the next process may already have the address. Peers detect
+// that this one is gone.
 func (s *Server) Close() {
 	s.mu.Lock()
 	cancel, list := s.cancel, s.list
@@ -120,14 +122,14 @@
 	}
 }
 
-// InForce tells whether lists come by way of it.
+// InForce reports whether instance lists come from this server.
 func (s *Server) InForce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list != nil
 }
 
-// event does something to the state and then what that decided.
+// event applies a change to the state and carries out the resulting actions.
 func (s *Server) event(f func(*members.State, time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,35 +137,36 @@
 		return
 	}
 	f(s.state, time.Now())
-	s.act()
+	s.runActions()
 }
 
-// Listed takes what the own watch tells.
+// Listed handles an update from this dispatcher's own watch.
 func (s *Server) Listed(l dispatch.InstanceUpdate) {
 	s.event(func(m *members.State, now time.Time) { m.WatchUpdate(now, l) })
 }
 
-// Alive takes that the own watch is on.
+// Alive records that the own watch is up.
 func (s *Server) Alive() { s.event(func(m *members.State, now time.Time) { m.WatchAlive(now) }) }
 
-// Lost takes the end of the own watch.
+// Lost records that the own watch has ended.
 func (s *Server) Lost() { s.event(func(m *members.State, now time.Time) { m.WatchLost(now) }) }
 
-// Moved says that the list service is elsewhere from now on.
+// Moved records that discovery has another address.
 func (s *Server) Moved() { s.event(func(m *members.State, _ time.Time) { m.DiscoveryMoved() }) }
 
-// Retune takes the name of the settings that are in force from now on.
+// Retune replaces the identifier of the current settings.
 func (s *Server) Retune(settings string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.o.Settings = settings; s.list != nil {
-		go s.list.UpdateNode(dialWithin)
+		go s.list.UpdateNode(dialTimeout)
 	}
 }
 
-// await opens as soon as the address is free, after a first try that failed or not; false: the context has ended.
-func (s *Server) await(ctx context.Context, err error) bool {
-	every := time.NewTicker(openEvery)
+// openWhenFree opens the server as soon as the address is free; err is the result of the first attempt. It returns
+// false if the context has ended.
+func (s *Server) openWhenFree(ctx context.Context, err error) bool {
+	every := time.NewTicker(openRetryEvery)
 	defer every.Stop()
 	for ; err != nil; err = s.open(ctx) {
 		s.log.Debug("members: address not free", "listen", s.o.Listen, "err", err)
@@ -176,12 +179,12 @@
 	return ctx.Err() == nil
 }
 
-// run takes part until the context ends, after a first try to open.
+// run is the server's loop; opened is the result of the first attempt to open.
 func (s *Server) run(ctx context.Context, opened error) {
-	if !s.await(ctx, opened) {
+	if !s.openWhenFree(ctx, opened) {
 		return
 	}
-	s.lists.Watch(false) // what was begun alone; roles are taken from now on
+	s.lists.Watch(false) // stops the watch started without peers; from now on it follows the role
 	looked := time.Time{}
 	for every := time.NewTicker(tick); ; {
 		select {
@@ -191,9 +194,9 @@
 		case <-every.C:
 		}
 		s.event(func(m *members.State, now time.Time) {
-			if now.Sub(looked) >= lookEvery && s.dirty.Swap(false) {
+			if now.Sub(looked) >= peerScanEvery && s.peersChanged.Swap(false) {
 				looked = now
-				m.SetPeers(now, s.living())
+				m.SetPeers(now, s.livingPeers())
 			}
 			m.Tick(now)
 			s.rejoin(now)
@@ -201,7 +204,7 @@
 	}
 }
 
-// open joins the others.
+// open starts memberlist.
 func (s *Server) open(ctx context.Context) error {
 	host, port, err := net.SplitHostPort(s.o.Listen)
 	if err != nil {
@@ -213,14 +216,14 @@
 	}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = s.o.Name, host, n, host, n
-	c.Delegate, c.Events, c.TCPTimeout, c.GossipInterval = (*delegate)(s), (*delegate)(s), dialWithin, gossipEvery
-	c.PushPullInterval, c.EnableCompression = wholeEvery, false // it would cost each of many datagrams
-	c.Logger = log.New(lines{s.log}, "", 0)
+	c.Delegate, c.Events, c.TCPTimeout, c.GossipInterval = (*delegate)(s), (*delegate)(s), dialTimeout, gossipEvery
+	c.PushPullInterval, c.EnableCompression = pushPullEvery, false // compression would cost time for each of many datagrams
+	c.Logger = log.New(logWriter{s.log}, "", 0)
 	base, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: n, Logger: c.Logger})
 	if err != nil {
 		return err
 	}
-	c.Transport = &through{base, s.o.Through}
+	c.Transport = &mappedTransport{base, s.o.Through}
 	list, err := memberlist.Create(c)
 	if err != nil {
 		base.Shutdown()
@@ -228,21 +231,21 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ctx.Err() != nil { // closed meanwhile
+	if ctx.Err() != nil { // closed in the meantime
 		go list.Shutdown()
 		return nil
 	}
 	s.list, s.state, s.nodes = list, members.New(s.o.Config, time.Now()), map[string]*memberlist.Node{}
-	s.metas, s.joinAt, s.joinWait = map[string]shown{}, time.Time{}, joinFirst
+	s.peerMeta, s.joinAt, s.joinWait = map[string]parsedMeta{}, time.Time{}, joinMinPause
 	s.log.Info("among other dispatchers", "listen", s.o.Listen)
 	return nil
 }
 
-// rejoin exchanges all that is known with one other, while not all dispatchers are seen: at the start, and once a cut
-// has healed that lasted until both sides took each other for dead. Hundreds that start at once must not all call the
-// few addresses in their files again and again: every second call goes to any that is seen.
+// rejoin does a full exchange with one peer while fewer dispatchers are known than expected: at the start, and after
+// a partition that lasted until both sides declared each other dead. If hundreds start together, they must not all
+// call the few configured addresses repeatedly, so every second join goes to any known peer.
 func (s *Server) rejoin(now time.Time) {
-	if len(s.o.Join) == 0 || len(s.nodes)+1 >= s.o.Expected || s.joinOn || now.Before(s.joinAt) {
+	if len(s.o.Join) == 0 || len(s.nodes)+1 >= s.o.Expected || s.joining || now.Before(s.joinAt) {
 		return
 	}
 	at := s.o.Join[rand.IntN(len(s.o.Join))]
@@ -251,74 +254,75 @@
 		at = n.Name + "/" + cmp.Or(s.o.Through[n.Name], n.Address())
 	}
 	s.joins++
-	if s.joinWait = min(joinMost, 2*s.joinWait); len(s.nodes) != s.seen || len(s.nodes) == 0 {
-		s.seen, s.joinWait = len(s.nodes), joinFirst
+	if s.joinWait = min(joinMaxPause, 2*s.joinWait); len(s.nodes) != s.seenAtJoin || len(s.nodes) == 0 {
+		s.seenAtJoin, s.joinWait = len(s.nodes), joinMinPause
 	}
-	s.joinOn, s.joinAt = true, now.Add(s.joinWait/2+rand.N(s.joinWait))
+	s.joining, s.joinAt = true, now.Add(s.joinWait/2+rand.N(s.joinWait))
 	list := s.list
 	go func() {
-		list.Join([]string{at}) // whom it did not reach is called again
+		list.Join([]string{at}) // a failed join is repeated later
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.joinOn = false
+		s.joining = false
 	}()
 }
 
-// meta is what a dispatcher shows of itself to all.
+// meta is the metadata that a dispatcher publishes to all others.
 type meta struct {
 	Zone     string              `json:"z"`
 	Settings string              `json:"s,omitempty"`
 	Watch    members.WatchStatus `json:"w,omitempty"`
 }
 
-// shown is a dispatcher's meta, read.
-type shown struct {
+// parsedMeta is the parsed metadata of a peer.
+type parsedMeta struct {
 	text string
 	peer members.Peer
 }
 
-// living is all others that live.
-func (s *Server) living() (all []members.Peer) {
+// livingPeers returns all other live dispatchers.
+func (s *Server) livingPeers() (all []members.Peer) {
 	s.nodes = map[string]*memberlist.Node{}
 	for _, n := range s.list.Members() {
 		if n.Name == s.o.Name {
 			continue
 		}
-		m, ok := s.metas[n.Name]
+		m, ok := s.peerMeta[n.Name]
 		if !ok || m.text != string(n.Meta) {
 			var read meta
 			if json.Unmarshal(n.Meta, &read) != nil {
 				continue
 			}
 			watch := min(max(read.Watch, members.NotWatching), members.Failing)
-			m = shown{string(n.Meta), members.Peer{Name: n.Name, Zone: read.Zone, Settings: read.Settings, Watch: watch}}
-			s.metas[n.Name] = m
+			m = parsedMeta{string(n.Meta), members.Peer{Name: n.Name, Zone: read.Zone, Settings: read.Settings, Watch: watch}}
+			s.peerMeta[n.Name] = m
 		}
 		s.nodes[n.Name] = n
 		all = append(all, m.peer)
 	}
-	maps.DeleteFunc(s.metas, func(name string, _ shown) bool { return s.nodes[name] == nil })
+	maps.DeleteFunc(s.peerMeta, func(name string, _ parsedMeta) bool { return s.nodes[name] == nil })
 	return all
 }
 
-// message is what goes between dispatchers: what is told, a confirmation, or neither, which asks for the whole list.
+// message is a message between dispatchers: an update, an acknowledgement (Source is set), or neither, which
+// requests the whole list.
 type message struct {
-	Told   *members.Update     `json:"told,omitempty"`
-	Source string              `json:"source,omitempty"`
-	Mark   members.ListVersion `json:"mark"`
+	Update  *members.Update     `json:"told,omitempty"`
+	Source  string              `json:"source,omitempty"`
+	Version members.ListVersion `json:"mark"`
 }
 
-// act does what was decided.
-func (s *Server) act() {
+// runActions carries out the state's actions.
+func (s *Server) runActions() {
 	for _, a := range s.state.Actions() {
 		switch a := a.(type) {
 		case members.Send:
 			if !a.Heartbeat {
 				s.counts.passed++
 			}
-			s.send(a.To, message{Told: &a.Update})
+			s.send(a.To, message{Update: &a.Update})
 		case members.Ack:
-			s.send(a.To, message{Source: a.Source, Mark: a.Version})
+			s.send(a.To, message{Source: a.Source, Version: a.Version})
 		case members.RequestList:
 			s.counts.asked++
 			s.send(a.To, message{})
@@ -329,7 +333,7 @@
 		case members.ShowStatus:
 			s.watch = a.Watch
 			s.log.Info("members: list service", "watch", a.Watch.String())
-			go s.list.UpdateNode(dialWithin)
+			go s.list.UpdateNode(dialTimeout)
 		case members.LogLine:
 			if a.Peer != "" {
 				s.log.Warn("members: "+a.Text, "peer", a.Peer)
@@ -340,7 +344,7 @@
 	}
 }
 
-// send sends a message: small ones as a datagram, whose loss is made up for by whoever waits for it.
+// send sends a message, a small one as a datagram: if that is lost, the state machine repeats it.
 func (s *Server) send(to string, m message) {
 	node, list := s.nodes[to], s.list
 	if node == nil {
@@ -348,11 +352,11 @@
 	}
 	text, err := json.Marshal(m)
 	text = append([]byte(s.o.Name+"\n"), text...)
-	if err != nil || len(text) > mostMessage {
+	if err != nil || len(text) > maxMessage {
 		s.log.Error("members: not sent", "bytes", len(text), "err", err)
 		return
 	}
-	if len(text) <= mostSmall && (m.Told == nil || m.Told.Heartbeat) {
+	if len(text) <= maxDatagram && (m.Update == nil || m.Update.Heartbeat) {
 		list.SendBestEffort(node, text)
 		return
 	}
@@ -369,15 +373,16 @@
 	}()
 }
 
-// received takes a message: its sender's name in a line of its own, so that what cannot be read has one too.
+// received handles a message. The sender's name comes first, in a line of its own, so that it is known even if the
+// rest cannot be parsed.
 func (s *Server) received(text []byte) {
 	var m message
-	err := errors.New("a message of too many bytes")
+	err := errors.New("message too large")
 	name, rest, _ := bytes.Cut(text, []byte("\n"))
-	if len(text) <= mostMessage {
+	if len(text) <= maxMessage {
 		err = json.Unmarshal(rest, &m)
 	}
-	from := string(name[:min(len(name), mostName)])
+	from := string(name[:min(len(name), maxName)])
 	s.event(func(state *members.State, now time.Time) {
 		switch {
 		case from == s.o.Name || s.nodes[from] == nil && err != nil:
@@ -385,18 +390,18 @@
 		case err != nil:
 			s.counts.garbage++
 			state.UnreadableMessage(now, from, fmt.Errorf("what it tells cannot be read (%w)", err))
-		case m.Told != nil:
+		case m.Update != nil:
 			s.counts.told++
-			state.HandleUpdate(now, from, *m.Told)
+			state.HandleUpdate(now, from, *m.Update)
 		case m.Source != "":
-			state.HandleAck(from, m.Source, m.Mark)
+			state.HandleAck(from, m.Source, m.Version)
 		default:
 			state.ListRequested(now, from)
 		}
 	})
 }
 
-// View is how things stand, as JSON; "": it is not in force.
+// View returns the state as JSON, or "" if the server is not active.
 func (s *Server) View() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -410,7 +415,7 @@
 	return string(text)
 }
 
-// Figures is what operators go by.
+// Figures returns the counters, one a line.
 func (s *Server) Figures() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -422,7 +427,7 @@
 		len(v.Peers), map[bool]int{true: 1}[s.watch == members.Watching], v.Term, v.Revision, v.Age.Milliseconds(), s.counts.told, s.counts.asked, s.counts.passed, s.counts.garbage)
 }
 
-// delegate is memberlist's side of a server. Some of its methods are called with memberlist's locks held.
+// delegate implements memberlist's callbacks. Some are called with memberlist's locks held.
 type delegate Server
 
 func (d *delegate) NodeMeta(limit int) []byte {
@@ -440,32 +445,32 @@
 func (*delegate) GetBroadcasts(int, int) [][]byte { return nil }
 func (*delegate) LocalState(bool) []byte          { return nil }
 func (*delegate) MergeRemoteState([]byte, bool)   {}
-func (d *delegate) NotifyJoin(*memberlist.Node)   { d.dirty.Store(true) }
-func (d *delegate) NotifyLeave(*memberlist.Node)  { d.dirty.Store(true) }
-func (d *delegate) NotifyUpdate(*memberlist.Node) { d.dirty.Store(true) }
+func (d *delegate) NotifyJoin(*memberlist.Node)   { d.peersChanged.Store(true) }
+func (d *delegate) NotifyLeave(*memberlist.Node)  { d.peersChanged.Store(true) }
+func (d *delegate) NotifyUpdate(*memberlist.Node) { d.peersChanged.Store(true) }
 
-// through reaches named ones at other addresses than their own.
-type through struct {
+// mappedTransport reaches named peers at configured addresses instead of their own.
+type mappedTransport struct {
 	*memberlist.NetTransport
-	at map[string]string
+	addresses map[string]string
 }
 
-func (t *through) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	a.Addr = cmp.Or(t.at[a.Name], a.Addr)
+func (t *mappedTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	a.Addr = cmp.Or(t.addresses[a.Name], a.Addr)
 	return t.NetTransport.WriteToAddress(b, a)
 }
 
-func (t *through) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	a.Addr = cmp.Or(t.at[a.Name], a.Addr)
+func (t *mappedTransport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
+	a.Addr = cmp.Or(t.addresses[a.Name], a.Addr)
 	return t.NetTransport.DialAddressTimeout(a, within)
 }
 
-// lines takes the library's log.
-type lines struct{ *slog.Logger }
+// logWriter forwards the library's log.
+type logWriter struct{ *slog.Logger }
 
-var _ io.Writer = lines{}
+var _ io.Writer = logWriter{}
 
-func (l lines) Write(text []byte) (int, error) {
+func (l logWriter) Write(text []byte) (int, error) {
 	l.Debug("members: " + string(slices.DeleteFunc(slices.Clone(text), func(b byte) bool { return b == '\n' })))
 	return len(text), nil
 }
--- a/internal/net/operators/operators.go
+++ b/internal/net/operators/operators.go
@@ -1,5 +1,5 @@
-// Package operators speaks to the people on call and their scripts, at an address of its own:
-// each connection carries one line and gets one answer.
+// Package operators serves the operators' commands on an address of its own: each connection carries one line and
+// gets one answer.
 package operators
 
 import (
@@ -15,41 +15,41 @@
 )
 
 const (
-	mostCallers    = 16               // their descriptors are among those that the program keeps back
-	maxLine        = 256              // bytes of a call
-	linePatience   = 10 * time.Second // with a line, while nobody else wants the place: people type
-	answerPatience = time.Second
-	lingerPatience = 100 * time.Millisecond // for the caller to see the answer before the connection ends
-	acceptPause    = 5 * time.Millisecond
+	maxCallers    = 16               // their descriptors are part of the program's reserve
+	maxLine       = 256              // bytes of a command line
+	lineTimeout   = 10 * time.Second // to send a line, while no other caller needs the slot: people type
+	answerTimeout = time.Second
+	lingerTimeout = 100 * time.Millisecond // for the caller to read the answer before the connection is closed
+	acceptPause   = 5 * time.Millisecond
 )
 
-// past as a deadline wakes whoever reads from a connection.
-var past = time.Unix(1, 0)
+// pastDeadline, set as a deadline, interrupts a pending read.
+var pastDeadline = time.Unix(1, 0)
 
-// Desk does what operators ask for. Its methods must not wait for any peer.
-type Desk interface {
+// Handler carries out the operators' commands. Its methods must not wait for any peer.
+type Handler interface {
 	Health() error            // nil once the program can serve
-	Figures() string          // one a line
-	Cordon(id string) error   // leaves an instance out
-	Uncordon(id string) error // uses it again
-	Quiesce() error           // sends service clients away
-	Resume() error            // takes them again
-	Show(what string) string  // what else this installation can tell; empty: nothing of that name
+	Figures() string          // counters, one a line
+	Cordon(id string) error   // excludes an instance
+	Uncordon(id string) error // includes it again
+	Quiesce() error           // turns clients away
+	Resume() error            // accepts clients again
+	Show(what string) string  // text of another view that this installation offers; empty: no such view
 }
 
 // Server serves the operators' listener.
 type Server struct {
-	desk  Desk
-	log   *slog.Logger
-	slots chan struct{}
+	handler Handler
+	log     *slog.Logger
+	slots   chan struct{}
 
-	mu    sync.Mutex
-	waits []net.Conn // whose line has not come, the longest first
+	mu      sync.Mutex
+	waiting []net.Conn // callers whose line has not arrived, the longest waiting first
 }
 
 // New returns a server.
-func New(desk Desk, logger *slog.Logger) *Server {
-	return &Server{desk: desk, log: logger, slots: make(chan struct{}, mostCallers)}
+func New(desk Handler, logger *slog.Logger) *Server {
+	return &Server{handler: desk, log: logger, slots: make(chan struct{}, maxCallers)}
 }
 
 // Serve accepts callers until the listener is closed.
@@ -60,42 +60,42 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			s.log.Error("operators' address", "err", err)
-			time.Sleep(acceptPause) // guards against a busy loop while descriptors run short
+			s.log.Error("accept at the operators' address failed", "err", err)
+			time.Sleep(acceptPause) // avoids a busy loop while descriptors are exhausted
 		default:
-			s.room()
-			nc.SetReadDeadline(time.Now().Add(linePatience)) // before anybody can shorten it
+			s.acquireSlot()
+			nc.SetReadDeadline(time.Now().Add(lineTimeout)) // before acquireSlot can shorten it
 			s.mu.Lock()
-			s.waits = append(s.waits, nc)
+			s.waiting = append(s.waiting, nc)
 			s.mu.Unlock()
 			go s.serve(nc)
 		}
 	}
 }
 
-// room takes a place for one more caller. Where there is none, whoever has waited longest with
-// a line makes room: callers that say nothing must keep nobody out.
-func (s *Server) room() {
+// acquireSlot takes a slot for one more caller. If there is none, the caller that has waited longest without sending
+// its line is disconnected: silent callers must not keep others out.
+func (s *Server) acquireSlot() {
 	select {
 	case s.slots <- struct{}{}:
 		return
 	default:
 	}
 	s.mu.Lock()
-	if len(s.waits) > 0 {
-		s.waits[0].SetReadDeadline(past)
+	if len(s.waiting) > 0 {
+		s.waiting[0].SetReadDeadline(pastDeadline)
 	}
 	s.mu.Unlock()
-	s.slots <- struct{}{} // at the latest an answer's patience later
+	s.slots <- struct{}{} // waits for one answerTimeout at most
 }
 
-// heard takes a caller out of those whose line is awaited.
-func (s *Server) heard(nc net.Conn) {
+// removeWaiting removes a caller from those whose line has not arrived.
+func (s *Server) removeWaiting(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, c := range s.waits {
+	for i, c := range s.waiting {
 		if c == nc {
-			s.waits = append(s.waits[:i:i], s.waits[i+1:]...)
+			s.waiting = append(s.waiting[:i:i], s.waiting[i+1:]...)
 			return
 		}
 	}
@@ -107,22 +107,22 @@
 		<-s.slots
 	}()
 	text := s.answer(nc)
-	if nc.SetDeadline(time.Now().Add(answerPatience)) != nil {
+	if nc.SetDeadline(time.Now().Add(answerTimeout)) != nil {
 		return
 	}
 	if _, err := io.WriteString(nc, text); err != nil {
 		return
 	}
-	// Closing over bytes unread would reset the connection, and the answer be lost with it.
-	if tcp, ok := nc.(*net.TCPConn); ok && tcp.CloseWrite() == nil && nc.SetDeadline(time.Now().Add(lingerPatience)) == nil {
+	// Closing with unread bytes would reset the connection, and the answer would be lost.
+	if tcp, ok := nc.(*net.TCPConn); ok && tcp.CloseWrite() == nil && nc.SetDeadline(time.Now().Add(lingerTimeout)) == nil {
 		io.Copy(io.Discard, io.LimitReader(nc, 64<<10))
 	}
 }
 
-// answer reads a call and does it.
+// answer reads a command, carries it out and returns the answer.
 func (s *Server) answer(nc net.Conn) string {
 	line, err := bufio.NewReaderSize(nc, maxLine).ReadSlice('\n')
-	s.heard(nc)
+	s.removeWaiting(nc)
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
 		return "ERR the line is too long\n"
@@ -136,26 +136,26 @@
 		return "ERR an empty call\n"
 	}
 	call, rest := words[0], words[1:]
-	do := map[string]func() error{"health": s.desk.Health, "quiesce": s.desk.Quiesce, "resume": s.desk.Resume}[call]
-	about := map[string]func(string) error{"cordon": s.desk.Cordon, "uncordon": s.desk.Uncordon}[call]
+	do := map[string]func() error{"health": s.handler.Health, "quiesce": s.handler.Quiesce, "resume": s.handler.Resume}[call]
+	about := map[string]func(string) error{"cordon": s.handler.Cordon, "uncordon": s.handler.Uncordon}[call]
 	switch {
 	case call == "counters" && len(rest) == 0:
-		return s.desk.Figures() + "END\n"
+		return s.handler.Figures() + "END\n"
 	case do != nil && len(rest) == 0:
-		return verdict(do())
+		return formatResult(do())
 	case about != nil && len(rest) == 1:
-		return verdict(about(rest[0]))
+		return formatResult(about(rest[0]))
 	case do != nil || about != nil || call == "counters":
 		return "ERR wrong number of words\n"
 	case len(rest) == 0:
-		if text := s.desk.Show(call); text != "" {
+		if text := s.handler.Show(call); text != "" {
 			return text + "\nEND\n"
 		}
 	}
 	return "ERR no such call: health, counters, cordon ID, uncordon ID, quiesce, resume\n"
 }
 
-func verdict(err error) string {
+func formatResult(err error) string {
 	if err != nil {
 		return "ERR " + strings.ReplaceAll(err.Error(), "\n", " ") + "\n"
 	}
--- a/internal/net/operators/operators_test.go
+++ b/internal/net/operators/operators_test.go
@@ -12,24 +12,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// desk is healthy and can do nothing else.
-type desk struct{}
+// fakeHandler is healthy and supports little else.
+type fakeHandler struct{}
 
-func (desk) Health() error   { return nil }
-func (desk) Figures() string { return "proxy.loads=0\n" }
-func (desk) Show(what string) string {
+func (fakeHandler) Health() error   { return nil }
+func (fakeHandler) Figures() string { return "proxy.loads=0\n" }
+func (fakeHandler) Show(what string) string {
 	return map[string]string{"members": "{}"}[what]
 }
-func (desk) Quiesce() error         { return errors.New("not\nnow") }
-func (desk) Resume() error          { return nil }
-func (desk) Uncordon(string) error  { return nil }
-func (desk) Cordon(id string) error { return errors.New(id + " is not known") }
+func (fakeHandler) Quiesce() error         { return errors.New("not\nnow") }
+func (fakeHandler) Resume() error          { return nil }
+func (fakeHandler) Uncordon(string) error  { return nil }
+func (fakeHandler) Cordon(id string) error { return errors.New(id + " is not known") }
 
 func serve(t *testing.T) func() net.Conn {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	go New(desk{}, slog.New(slog.DiscardHandler)).Serve(l)
+	go New(fakeHandler{}, slog.New(slog.DiscardHandler)).Serve(l)
 	return func() net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
@@ -49,8 +49,8 @@
 	return string(answer)
 }
 
-// Each call gets its answer, and whatever is none is told so.
-func TestCalls(t *testing.T) {
+// Each command gets its answer, and invalid ones an error.
+func TestCommands(t *testing.T) {
 	dial := serve(t)
 	for text, want := range map[string]string{
 		"members\n": "{}\nEND\n", "health\n": "OK\n", "health\r\n": "OK\n", "counters\n": "proxy.loads=0\nEND\n", "quiesce\n": "ERR not now\n",
@@ -68,15 +68,15 @@
 	require.Equal(t, "ERR no whole call came\n", ask(t, half, ""))
 }
 
-// Callers that never end their line took all places. They make room, the longest first.
-func TestMuteCallersMakeRoom(t *testing.T) {
+// Guards against callers that never finish their line and occupy all slots: the longest waiting one is disconnected.
+func TestSilentCallersAreDisconnected(t *testing.T) {
 	dial := serve(t)
 	var mute []net.Conn
-	for range mostCallers {
+	for range maxCallers {
 		mute = append(mute, dial())
 		io.WriteString(mute[len(mute)-1], "hea")
 	}
 	require.Equal(t, "OK\n", ask(t, dial(), "health\n"))
 	require.Equal(t, "ERR the call did not come in time\n", ask(t, mute[0], ""))
-	require.Equal(t, "OK\n", ask(t, mute[mostCallers-1], "lth\n"), "the last is heard all the same")
+	require.Equal(t, "OK\n", ask(t, mute[maxCallers-1], "lth\n"), "the last caller still gets its answer")
 }
--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -1,6 +1,6 @@
-// Package pipelines serves runs of pipelines: the gRPC service of every dispatcher, and what the dispatcher that acts
-// for a group does about its runs. The decisions are in caperrelay/internal/rerun; stages run as promised jobs, so that
-// whoever acts next finds those that an earlier one has begun.
+// Package pipelines serves runs of pipelines: the gRPC service of every dispatcher, and the execution of stages by
+// the dispatcher that owns a group. The decisions are in caperrelay/internal/rerun; stages run as promised jobs, so
+// that the group's next owner finds those that an earlier one has started.
 package pipelines
 
 import (
@@ -35,27 +35,28 @@
 )
 
 const (
-	lookEvery  = 20 * time.Millisecond
-	proposeFor = 2 * time.Second
-	pause      = 50 * time.Millisecond
-	farPause   = 300 * time.Millisecond // where this dispatcher has no copy of the group
-	mostAwait  = time.Minute
-	callWithin = 10 * time.Second
-	mostCalls  = 1024 // that wait
-	mostBusy   = 2048 // things under way for the groups, until no new stage is started
-	mostOrder  = 256  // workers that a rerun is narrowed to
-	keepEnd    = 10 * time.Minute
-	mostOut    = 1 << 16   // reruns at one site
-	targetKey  = "target:" // parameters that are stages' targets begin so
+	pollEvery       = 20 * time.Millisecond
+	proposeTimeout  = 2 * time.Second
+	retryPause      = 50 * time.Millisecond
+	remotePollPause = 300 * time.Millisecond // where this dispatcher has no replica of the group
+	maxAwait        = time.Minute
+	callTimeout     = 10 * time.Second
+	maxCalls        = 1024 // Await calls in progress
+	maxTasks        = 2048 // tasks in progress above which no new stage is started
+	maxCandidates   = 256  // candidates listed for a rerun
+	endRetention    = 10 * time.Minute
+	maxSiteCapacity = 1 << 16   // largest capacity of one site, in reruns
+	targetKey       = "target:" // prefix of parameters that set a stage's target
 )
 
-// nowhere is the order of a job that is promised to be refused: its id is taken by that, so that nobody can have it run.
-var nowhere = []string{"-"}
+// noCandidates is the candidate list of a job that is promised only to be refused: it occupies the id, so that no
+// dispatcher can have the job run.
+var noCandidates = []string{"-"}
 
-// Jobs is where stages run: the service of promises, in this process.
+// Jobs is the promise service in this process, which runs the stages.
 type Jobs interface {
-	// Seen is how far the group of an id is known to be, and PromiseSeen promises a job for who knew that it was to be
-	// when he had seen that much: codes.Aborted if the id was dropped since.
+	// Seen returns the log index that the group of an id is known to have reached. PromiseSeen promises a job for a
+	// caller that had observed that index when it decided to; it fails with codes.Aborted if the id was dropped since.
 	Seen(ctx context.Context, id string) (uint64, error)
 	PromiseSeen(ctx context.Context, q *promisev1.PromiseRequest, seen uint64) (*promisev1.PromiseResponse, error)
 	Await(context.Context, *promisev1.AwaitRequest) (*promisev1.AwaitResponse, error)
@@ -64,15 +65,15 @@
 
 // Options of a server.
 type Options struct {
-	Name    string // of this dispatcher
-	Policy  string // the file's text
+	Name    string // this dispatcher's name
+	Policy  string // text of the policy file
 	Version string
 	Site    policy.Site
-	// Slots is how many jobs a worker of each kind runs at once.
+	// Slots is the number of jobs that a worker of each kind runs concurrently.
 	Slots map[string]float64
 }
 
-// Server is safe for use by several goroutines.
+// Server implements the pipeline service. It is safe for concurrent use.
 type Server struct {
 	pipelinev1.UnimplementedPipelinesServer
 	o       Options
@@ -80,51 +81,51 @@
 	jobs    Jobs
 	log     *slog.Logger
 	calls   chan struct{}
-	Started atomic.Int64 // stages, here
+	Started atomic.Int64 // stages started by this dispatcher
 	Reruns  atomic.Int64
 	acting  atomic.Int64
 
-	mu      sync.Mutex
-	moved   chan struct{}  // closed at each look
-	known   chan struct{}  // closed once the name table has told of workers
-	listed  bool           // likewise
-	rooms   map[string]int // what sites take at once, by zone.site, of those of which all kinds' slots are known
-	busy    map[string]bool
-	members dispatch.InstanceList
-	wg      sync.WaitGroup
+	mu             sync.Mutex
+	changed        chan struct{}  // closed and replaced after each pass of the loop
+	instancesKnown chan struct{}  // closed once discovery has listed instances
+	listed         bool           // whether instancesKnown is closed
+	capacities     map[string]int // capacity by zone.site, counting instances whose kind has known slots
+	tasks          map[string]bool
+	instances      dispatch.InstanceList
+	wg             sync.WaitGroup
 }
 
-// New returns a server; it must be run. jobs is told later, by Use.
+// New returns a server; the caller must call Use, then Run.
 func New(o Options, host replicas.Host, log *slog.Logger) *Server {
-	return &Server{o: o, host: host, log: log, calls: make(chan struct{}, mostCalls), moved: make(chan struct{}), known: make(chan struct{}), busy: map[string]bool{}}
+	return &Server{o: o, host: host, log: log, calls: make(chan struct{}, maxCalls), changed: make(chan struct{}), instancesKnown: make(chan struct{}), tasks: map[string]bool{}}
 }
 
-// Use tells where stages run; before Run.
+// Use sets the service that runs the stages; call it before Run.
 func (s *Server) Use(jobs Jobs) { s.jobs = jobs }
 
-// Listed takes the name table's news, by which reruns are narrowed.
+// Listed handles an update of the instance list, which reruns select their workers from.
 func (s *Server) Listed(l dispatch.InstanceUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.members.Update(l)
+	s.instances.Update(l)
 	rooms := map[string]float64{}
-	for id, m := range s.members.Instances() {
+	for id, m := range s.instances.Instances() {
 		if p := placeOf(id, m); m.State == decide.Ready && s.o.Slots[m.Kind] > 0 {
 			rooms[p.Zone+"."+p.Site] += s.o.Slots[m.Kind] * cmp.Or(m.Size, 1)
 		}
 	}
-	s.rooms = map[string]int{}
+	s.capacities = map[string]int{}
 	for place, room := range rooms {
-		s.rooms[place] = max(1, int(min(room, mostOut)))
+		s.capacities[place] = max(1, int(min(room, maxSiteCapacity)))
 	}
-	if !s.listed && len(s.members.Instances()) > 0 {
-		close(s.known)
+	if !s.listed && len(s.instances.Instances()) > 0 {
+		close(s.instancesKnown)
 		s.listed = true
 	}
 }
 
 func (s *Server) propose(ctx context.Context, g uint32, c rerun.Command) (rerun.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposeFor)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	text, err := s.host.Propose(ctx, g, replica.Reruns, c.Encode())
 	if err != nil {
@@ -133,21 +134,21 @@
 	return rerun.DecodeResult(text)
 }
 
-// Run acts for groups while this dispatcher has their leases, until the context ends.
+// Run owns groups while this dispatcher holds their leases, until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	defer s.wg.Wait()
-	every := time.NewTicker(lookEvery)
+	every := time.NewTicker(pollEvery)
 	defer every.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C: // not by Changed, which has one taker
+		case <-every.C: // polls, since Changed supports one receiver only
 		}
 		acting := int64(0)
 		for g := range s.host.Groups() {
 			if _, until, ok := s.host.Lead(g); ok && replicas.Now() < until {
-				s.act(ctx, g)
+				s.runActions(ctx, g)
 				acting++
 			} else {
 				s.host.View(g, replica.Reruns, func(m replica.Machine) { m.(*rerun.Machine).TakeLogLines() })
@@ -155,20 +156,20 @@
 		}
 		s.acting.Store(acting)
 		s.mu.Lock()
-		close(s.moved)
-		s.moved = make(chan struct{})
+		close(s.changed)
+		s.changed = make(chan struct{})
 		s.mu.Unlock()
 	}
 }
 
-// act does what a group wants done.
-func (s *Server) act(ctx context.Context, g uint32) {
+// runActions carries out a group's pending actions.
+func (s *Server) runActions(ctx context.Context, g uint32) {
 	var actions []rerun.Action
 	var running []rerun.Execute
 	var lines []rerun.LogLine
 	knows, roomy := false, false
 	s.mu.Lock()
-	rooms := s.rooms // replaced, never changed
+	rooms := s.capacities // replaced as a whole, never modified
 	s.mu.Unlock()
 	now := time.Duration(time.Now().UnixNano())
 	if !s.host.View(g, replica.Reruns, func(m replica.Machine) {
@@ -181,71 +182,72 @@
 		s.log.Info("pipeline", "run", l.Run, "policy", l.Policy, "line", l.Rule, "text", l.Text)
 	}
 	if !knows {
-		s.once(fmt.Sprint("policy/", g), func() {
+		s.startTask(fmt.Sprint("policy/", g), func() {
 			r, err := s.propose(ctx, g, rerun.Command{Op: rerun.OpPolicy, Text: s.o.Policy, Site: &s.o.Site})
 			if err == nil && !r.OK {
-				s.log.Error("policy of reruns not taken", "group", g, "version", s.o.Version, "err", r.Why)
-				wait(ctx, callWithin)
+				s.log.Error("rerun policy rejected by the group", "group", g, "version", s.o.Version, "err", r.Why)
+				wait(ctx, callTimeout)
 			}
 		})
 	}
 	if !roomy {
-		s.once(fmt.Sprint("rooms/", g), func() { s.propose(ctx, g, rerun.Command{Op: rerun.OpCapacities, Capacities: rooms}) })
+		s.startTask(fmt.Sprint("rooms/", g), func() { s.propose(ctx, g, rerun.Command{Op: rerun.OpCapacities, Capacities: rooms}) })
 	}
 	for _, t := range running {
-		s.once(turnName(t), func() { s.turn(ctx, g, t) })
+		s.startTask(executionTask(t), func() { s.execute(ctx, g, t) })
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case rerun.Execute:
-			if s.full() {
+			if s.overloaded() {
 				continue
 			}
-			s.once(turnName(a), func() {
+			s.startTask(executionTask(a), func() {
 				r, err := s.propose(ctx, g, rerun.Command{Op: rerun.OpStart, Key: a.Key, Gen: a.Gen, Dispatcher: s.o.Name})
 				if err == nil && r.OK {
 					if s.Started.Add(1); !a.First {
 						s.Reruns.Add(1)
 					}
-					s.turn(ctx, g, a)
+					s.execute(ctx, g, a)
 				}
 			})
 		case rerun.Deliver:
-			s.once(fmt.Sprintf("letters/%d/%d", g, a.To), func() {
+			s.startTask(fmt.Sprintf("letters/%d/%d", g, a.To), func() {
 				if r, err := s.propose(ctx, a.To, rerun.Command{Op: rerun.OpMessages, Group: g, Messages: a.Messages}); err == nil && r.Seq > 0 {
 					s.propose(ctx, g, rerun.Command{Op: rerun.OpConfirmed, Group: a.To, Seq: r.Seq})
 				}
 			})
 		case rerun.WaitUntil:
 			if now >= a.At {
-				s.once(fmt.Sprint("tick/", g), func() { s.propose(ctx, g, rerun.Command{Op: rerun.OpTick}) })
+				s.startTask(fmt.Sprint("tick/", g), func() { s.propose(ctx, g, rerun.Command{Op: rerun.OpTick}) })
 			}
 		}
 	}
 }
 
-func turnName(t rerun.Execute) string { return fmt.Sprintf("turn/%s@%d", t.Key, t.Gen) }
+func executionTask(t rerun.Execute) string { return fmt.Sprintf("turn/%s@%d", t.Key, t.Gen) }
 
-// full tells whether no new stage is to be started here. What has been, and all else, goes on: the groups bound it.
-func (s *Server) full() bool {
+// overloaded reports whether no new stage may be started here. Started ones and everything else continue: the groups
+// bound their number.
+func (s *Server) overloaded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.busy) >= mostBusy
+	return len(s.tasks) >= maxTasks
 }
 
-// once does something in a goroutine of its own, unless it is being done.
-func (s *Server) once(name string, do func()) {
+// startTask runs a task in a goroutine of its own, unless a task of that name is running.
+func (s *Server) startTask(name string, do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.busy[name] {
+	if s.tasks[name] {
 		return
 	}
-	s.busy[name] = true
+	s.tasks[name] = true
 	s.wg.Go(func() {
 		do()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.busy, name)
+		delete(s.tasks, name)
 	})
 }
 
@@ -256,17 +258,17 @@
 	}
 }
 
-// jobID is what a generation's job is promised as: the same whoever acts.
+// jobID is the id under which a generation's job is promised, the same at every dispatcher.
 func jobID(key string, gen int64) string {
 	sum := sha256.Sum256([]byte(key))
 	return "pl." + hex.EncodeToString(sum[:16]) + "." + strconv.FormatInt(gen, 10)
 }
 
-// Told is what a stage's worker is told in the body of its job.
+// Told is the body of a stage's job, as its worker receives it.
 type Told struct {
 	Run        string            `json:"run"`
 	Stage      string            `json:"stage"`
-	Output     string            `json:"output"` // its key: where it is to be put is by that and the generation
+	Output     string            `json:"output"` // the output's key; it and the generation determine where to store the output
 	Generation int64             `json:"generation"`
 	Inputs     []Input           `json:"inputs,omitempty"`
 	Params     map[string]string `json:"params,omitempty"`
@@ -279,9 +281,9 @@
 	Generation int64  `json:"generation"`
 }
 
-// Outcome is what a stage's worker gives as its job's result. A result of another form is a success with that text.
+// Outcome is the result that a stage's worker returns. Any other text is a success with that text.
 type Outcome struct {
-	Outcome policy.Cause `json:"outcome"` // failed, bad_input or output_lost; empty or "ok": it went well
+	Outcome policy.Cause `json:"outcome"` // failed, bad_input or output_lost; empty or "ok": success
 	Input   string       `json:"input,omitempty"`
 	Text    string       `json:"text,omitempty"`
 }
@@ -291,8 +293,8 @@
 	return parts[min(2, len(parts)-1)]
 }
 
-// left is the time that a turn has yet, whoever takes it up.
-func left(t rerun.Execute) time.Duration {
+// timeLeft is the remaining time of an execution, whichever dispatcher continues it.
+func timeLeft(t rerun.Execute) time.Duration {
 	left := time.Until(time.Unix(0, int64(t.Deadline)))
 	if t.Within > 0 {
 		left = min(left, t.Within, time.Until(time.Unix(0, int64(t.Began+t.Within))))
@@ -300,8 +302,9 @@
 	return left
 }
 
-// turn has a generation made, or takes up the making of it, and tells the group how that ended.
-func (s *Server) turn(ctx context.Context, g uint32, t rerun.Execute) {
+// execute has a generation made, or continues an execution that another dispatcher started, and reports the result
+// to the group.
+func (s *Server) execute(ctx context.Context, g uint32, t rerun.Execute) {
 	id := jobID(t.Key, t.Gen)
 	told := Told{Run: t.Run, Stage: t.Name, Output: t.Key, Generation: t.Gen, Params: map[string]string{}}
 	for i, key := range t.Inputs {
@@ -315,30 +318,30 @@
 			target = v
 		}
 	}
-	body, _ := json.Marshal(told) // plain data: it cannot fail
-	if t.Began == 0 {             // it has just been started
+	body, _ := json.Marshal(told) // plain data: this cannot fail
+	if t.Began == 0 {             // started just now
 		t.Began = time.Duration(time.Now().UnixNano())
 	}
-	if narrows(t) { // a process that has just begun knows of no workers, which must not count as none left
+	if isNarrowed(t) { // a new process knows no instances yet, which must not count as none left
 		select {
-		case <-s.known:
-		case <-time.After(left(t)):
+		case <-s.instancesKnown:
+		case <-time.After(timeLeft(t)):
 		case <-ctx.Done():
 			return
 		}
 	}
-	order, narrowed := s.narrow(t)
+	order, narrowed := s.candidates(t)
 	end := rerun.Command{Op: rerun.OpEnd, Key: t.Key, Gen: t.Gen}
-	never, why := policy.NeverRan, "" // where its job is refused
-	if narrowed && len(order) == 0 && left(t) >= time.Millisecond {
-		order, never, why = nowhere, policy.Refused, fmt.Sprintf("no worker of class %s is left by %s", t.Class, t.Where)
+	never, why := policy.NeverRan, "" // for a job that is refused
+	if narrowed && len(order) == 0 && timeLeft(t) >= time.Millisecond {
+		order, never, why = noCandidates, policy.Refused, fmt.Sprintf("no worker of class %s is left by %s", t.Class, t.Where)
 	}
 	job := &promisev1.PromiseRequest{Id: id, Job: &promisev1.Job{
-		Class: t.Class, Tenant: t.Tenant, Payload: body, WorkUs: uint64(t.Work.Microseconds()), Target: target, WithinMs: 1, KeepMs: uint64(keepEnd.Milliseconds()), Order: order,
+		Class: t.Class, Tenant: t.Tenant, Payload: body, WorkUs: uint64(t.Work.Microseconds()), Target: target, WithinMs: 1, KeepMs: uint64(endRetention.Milliseconds()), Order: order,
 	}}
-	for ; ctx.Err() == nil; wait(ctx, pause) {
-		// What was known of the job's group before the turn is known to be under way: another dispatcher may have it end,
-		// and forget its job, while this one is held up. Promised then, it would run a second time.
+	for ; ctx.Err() == nil; wait(ctx, retryPause) {
+		// The job's group must be observed before the execution is confirmed as current: another dispatcher may see the job
+		// end and forget it while this one is delayed. Promised after that, it would run a second time.
 		seen, err := s.jobs.Seen(ctx, id)
 		if err != nil {
 			continue
@@ -350,54 +353,54 @@
 		if !r.OK {
 			return
 		}
-		if left := left(t); why == "" && left >= time.Millisecond {
+		if left := timeLeft(t); why == "" && left >= time.Millisecond {
 			job.Job.WithinMs = uint64(left.Milliseconds())
-		} else if job.Job.WithinMs, job.Job.Order = 1, nowhere; why == "" { // perhaps it was promised before, unheard: that counts
+		} else if job.Job.WithinMs, job.Job.Order = 1, noCandidates; why == "" { // it may have been promised before without an answer; that promise stays valid
 			why = "its time was over before it could be begun"
 		}
 		_, err = s.jobs.PromiseSeen(ctx, job, seen)
 		code := status.Code(err)
-		if err == nil || code == codes.AlreadyExists { // promised by whoever acted before, whose list was another
+		if err == nil || code == codes.AlreadyExists { // promised by an earlier owner, with its own candidate list
 			break
 		}
 		if code == codes.InvalidArgument {
 			end.Cause, end.Text = policy.Refused, status.Convert(err).Message()
-			if t.Once { // by the settings here; those of another that took it up may be others
+			if t.Once { // refused by the settings here; another dispatcher that promised it may have others
 				end.Cause = policy.MayHaveRun
 			}
-			s.end(ctx, g, end)
+			s.reportEnd(ctx, g, end)
 			return
 		}
 	}
 	end, over := s.await(ctx, id, end)
 	if !over {
-		return // whoever acts next takes it up
+		return // the next owner continues it
 	}
 	if !end.OK && end.Cause == policy.NeverRan {
 		end.Cause, end.Text = never, cmp.Or(why, end.Text)
 	}
-	s.end(ctx, g, end)
+	s.reportEnd(ctx, g, end)
 	s.jobs.Forget(ctx, &promisev1.ForgetRequest{Id: id})
 }
 
-// await waits for a job's end; false: this dispatcher ends first.
+// await waits for a job's end; it returns false if this dispatcher stops first.
 func (s *Server) await(ctx context.Context, id string, end rerun.Command) (rerun.Command, bool) {
 	for ctx.Err() == nil {
-		a, err := s.jobs.Await(ctx, &promisev1.AwaitRequest{Id: id, WaitMs: uint32(mostAwait.Milliseconds())})
-		if status.Code(err) == codes.NotFound { // its end was kept no longer, or its group is lost
+		a, err := s.jobs.Await(ctx, &promisev1.AwaitRequest{Id: id, WaitMs: uint32(maxAwait.Milliseconds())})
+		if status.Code(err) == codes.NotFound { // its end is no longer kept, or its group is lost
 			end.Cause, end.Text = policy.MayHaveRun, "nothing is kept of it"
 			return end, true
 		}
 		if err != nil || a.End == nil {
-			wait(ctx, pause)
+			wait(ctx, retryPause)
 			continue
 		}
-		place := s.place(a.End.Instance)
+		place := s.workerPlace(a.End.Instance)
 		end.Place, end.Text = &place, a.End.Reason
 		switch a.End.Kind {
 		case promisev1.Kind_KIND_DONE:
 			var o Outcome
-			if json.Unmarshal(a.End.Result, &o) != nil { // a text of its own
+			if json.Unmarshal(a.End.Result, &o) != nil { // plain text
 				o = Outcome{Text: string(a.End.Result)}
 			}
 			end.OK, end.Text, end.Input = true, o.Text, o.Input
@@ -419,21 +422,21 @@
 	return end, false
 }
 
-// end tells a group how a turn ended, until it has heard.
-func (s *Server) end(ctx context.Context, g uint32, c rerun.Command) {
+// reportEnd reports the end of an execution to its group, until the group has it.
+func (s *Server) reportEnd(ctx context.Context, g uint32, c rerun.Command) {
 	for ctx.Err() == nil {
 		if _, err := s.propose(ctx, g, c); err == nil {
 			return
 		}
-		wait(ctx, pause)
+		wait(ctx, retryPause)
 	}
 }
 
-// place is where a worker stands.
-func (s *Server) place(worker string) policy.Place {
+// workerPlace returns the place of a worker.
+func (s *Server) workerPlace(worker string) policy.Place {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return placeOf(worker, s.members.Instances()[worker])
+	return placeOf(worker, s.instances.Instances()[worker])
 }
 
 func placeOf(worker string, m dispatch.Instance) policy.Place {
@@ -444,23 +447,23 @@
 	return p
 }
 
-// narrows tells whether a turn may not go to all workers of its class.
-func narrows(t rerun.Execute) bool {
+// isNarrowed reports whether an execution is restricted to some of the workers of its class.
+func isNarrowed(t rerun.Execute) bool {
 	return !t.First && t.Where != "" && t.Where != policy.Anywhere && t.FailedPlace.Worker != ""
 }
 
-// narrow is the workers that a rerun may go to; false: it is as the class says. It takes away from those that the
-// class allows, ready ones of its kind: those of the place where it failed last always, and where it failed before or
-// sites that often do as long as others are left.
-func (s *Server) narrow(t rerun.Execute) (order []string, narrowed bool) {
-	if !narrows(t) {
+// candidates returns the workers that a rerun may use; false: those that the class allows. It starts from the ready
+// workers of the class's kind, always excludes the place of the last failure, and excludes places of earlier
+// failures and suspect sites as long as others are left.
+func (s *Server) candidates(t rerun.Execute) (order []string, narrowed bool) {
+	if !isNarrowed(t) {
 		return nil, false
 	}
 	kind := s.o.Site.Classes[t.Class].Kind
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	best := -1
-	for id, m := range s.members.Instances() {
+	for id, m := range s.instances.Instances() {
 		at, rank := placeOf(id, m), 0
 		if m.State != decide.Ready || kind != "" && kind != m.Kind || !t.Where.Allows(t.FailedPlace, at) {
 			continue
@@ -480,7 +483,7 @@
 	}
 	slices.Sort(order)
 	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	return order[:min(len(order), mostOrder)], true
+	return order[:min(len(order), maxCandidates)], true
 }
 
 // Submit answers once a majority has the run on disk.
@@ -498,7 +501,7 @@
 	for k, v := range q.Targets {
 		params[targetKey+k] = v
 	}
-	r, err := s.ask(ctx, q.Id, rerun.Command{Op: rerun.OpSubmit, ID: q.Id, Pipeline: q.Pipeline, Tenant: q.Tenant, Params: params})
+	r, err := s.proposeWithRetry(ctx, q.Id, rerun.Command{Op: rerun.OpSubmit, ID: q.Id, Pipeline: q.Pipeline, Tenant: q.Tenant, Params: params})
 	switch {
 	case err != nil:
 		return nil, err
@@ -514,9 +517,10 @@
 	return nil, status.Error(codes.InvalidArgument, r.Why)
 }
 
-// ask has a run's group agree on a command, again and again: each is such that twice does no harm.
-func (s *Server) ask(ctx context.Context, id string, c rerun.Command) (rerun.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// proposeWithRetry has a run's group agree on a command, retrying until it does: all of these commands are
+// idempotent.
+func (s *Server) proposeWithRetry(ctx context.Context, id string, c rerun.Command) (rerun.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for {
 		r, err := s.propose(ctx, rerun.GroupOfRun(id, s.host.Groups()), c)
@@ -526,7 +530,7 @@
 		if errors.Is(err, replica.ErrTooLarge) {
 			return r, status.Error(codes.InvalidArgument, "it is too large")
 		}
-		wait(ctx, pause)
+		wait(ctx, retryPause)
 		if ctx.Err() != nil {
 			return r, status.Error(codes.Unavailable, "no majority answers: call again with the same id")
 		}
@@ -541,11 +545,11 @@
 	default:
 		return nil, status.Error(codes.ResourceExhausted, "as many calls wait as may")
 	}
-	until := time.Now().Add(min(time.Duration(q.WaitMs)*time.Millisecond, mostAwait))
+	until := time.Now().Add(min(time.Duration(q.WaitMs)*time.Millisecond, maxAwait))
 	group := rerun.GroupOfRun(q.Id, s.host.Groups())
 	for {
 		s.mu.Lock()
-		moved := s.moved
+		moved := s.changed
 		s.mu.Unlock()
 		open := false
 		here := s.host.View(group, replica.Reruns, func(m replica.Machine) {
@@ -553,7 +557,7 @@
 			open = r != nil && r.Answer == nil
 		})
 		if !here || !open || !time.Now().Before(until) {
-			r, err := s.ask(ctx, q.Id, rerun.Command{Op: rerun.OpRead, ID: q.Id})
+			r, err := s.proposeWithRetry(ctx, q.Id, rerun.Command{Op: rerun.OpRead, ID: q.Id})
 			switch {
 			case err != nil:
 				return nil, err
@@ -567,7 +571,7 @@
 			case !time.Now().Before(until) || ctx.Err() != nil:
 				return &pipelinev1.AwaitResponse{}, nil
 			}
-			wait(ctx, min(farPause, time.Until(until)))
+			wait(ctx, min(remotePollPause, time.Until(until)))
 			continue
 		}
 		select {
@@ -579,9 +583,9 @@
 	}
 }
 
-// Explain tells of a run.
+// Explain returns the description of a run.
 func (s *Server) Explain(ctx context.Context, q *pipelinev1.ExplainRequest) (*pipelinev1.ExplainResponse, error) {
-	r, err := s.ask(ctx, q.Id, rerun.Command{Op: rerun.OpRead, ID: q.Id})
+	r, err := s.proposeWithRetry(ctx, q.Id, rerun.Command{Op: rerun.OpRead, ID: q.Id})
 	if err != nil {
 		return nil, err
 	}
@@ -592,22 +596,22 @@
 	return &pipelinev1.ExplainResponse{Text: string(text)}, err
 }
 
-// CallOff takes a run back.
+// CallOff cancels a run.
 func (s *Server) CallOff(ctx context.Context, q *pipelinev1.CallOffRequest) (*pipelinev1.CallOffResponse, error) {
-	r, err := s.ask(ctx, q.Id, rerun.Command{Op: rerun.OpCallOff, ID: q.Id})
+	r, err := s.proposeWithRetry(ctx, q.Id, rerun.Command{Op: rerun.OpCallOff, ID: q.Id})
 	if err == nil && !r.OK {
 		err = status.Error(codes.NotFound, r.Why)
 	}
 	return &pipelinev1.CallOffResponse{}, err
 }
 
-// Explained is a run as this dispatcher's own copy of its group has it; false: there is none here.
+// Explained returns the description of a run from the local replica; false: this dispatcher has none.
 func (s *Server) Explained(id string) (e rerun.Explained, ok bool) {
 	s.host.View(rerun.GroupOfRun(id, s.host.Groups()), replica.Reruns, func(m replica.Machine) { e, ok = m.(*rerun.Machine).Explain(id) })
 	return e, ok
 }
 
-// Figures is what operators go by.
+// Figures returns the counters, one a line.
 func (s *Server) Figures() string {
 	runs, open := 0, 0
 	for g := range s.host.Groups() {
--- a/internal/net/pipelines/pipelines_test.go
+++ b/internal/net/pipelines/pipelines_test.go
@@ -39,16 +39,16 @@
 work = "1s"
 `
 
-// jobs is the table of promises alone, and workers that are done at once.
+// jobs is the promise table without dispatchers, with workers that finish at once.
 type jobs struct {
 	t      *testing.T
 	host   *replicas.Alone
 	ran    atomic.Int64
-	before func() // a promise is applied
+	before func() // called before the next promise is applied
 	down   func() bool
 	asked  []*promisev1.PromiseRequest
 
-	owner sync.Mutex // held by the one who acts for the table: an intent said again is no second run, and has the same answer
+	owner sync.Mutex // held by the table's owner: a repeated intent is no second run and has the same answer
 }
 
 func (j *jobs) do(c promise.Command) promise.Answer {
@@ -85,7 +85,7 @@
 	case !a.OK:
 		return nil, status.Error(codes.Internal, a.Text)
 	}
-	if len(q.Job.Order) == 1 && q.Job.Order[0] == nowhere[0] {
+	if len(q.Job.Order) == 1 && q.Job.Order[0] == noCandidates[0] {
 		j.do(promise.Command{Op: promise.OpEnd, ID: q.Id, Index: a.Receipt.Index, Kind: promise.Refused, Reason: "turned away until its time was over"})
 	} else if j.do(promise.Command{Op: promise.OpIntent, ID: q.Id, Index: a.Receipt.Index, Submission: 1, Instance: "s-1"}).OK {
 		j.ran.Add(1)
@@ -111,36 +111,36 @@
 	return &promisev1.ForgetResponse{}, nil
 }
 
-// Two dispatchers have the same turn in hand, as when the lease on its group moves: however late the one comes to promise
-// its job, the other having had it end and forgotten it, it runs once.
-func TestTurnInTwoHandsRunsOnce(t *testing.T) {
+// Two dispatchers have the same execution, as while the lease on its group moves. However late one promises the job,
+// after the other one has seen it end and has forgotten it, it runs once.
+func TestExecutionAtTwoDispatchersRunsOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// late plays the one that is late; run has the other one do it all.
+		// late acts as the delayed dispatcher; run has the other one do the whole execution.
 		late func(j *jobs, late *Server, turn rerun.Execute, run func())
 		ran  int64
 		ends string
 	}{
-		{"it looked before the end and promises after it", func(_ *jobs, late *Server, turn rerun.Execute, run func()) {
+		{"checked before the end and promises after it", func(_ *jobs, late *Server, turn rerun.Execute, run func()) {
 			run()
-			late.turn(t.Context(), 0, turn)
+			late.execute(t.Context(), 0, turn)
 		}, 1, "done"},
-		{"its promise is under way all that time", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
+		{"its promise is in progress meanwhile", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
 			j.before = run
-			late.turn(t.Context(), 0, turn)
+			late.execute(t.Context(), 0, turn)
 		}, 1, "done"},
-		{"both promise, and one is slow to wait", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
+		{"both promise, and one awaits late", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
 			j.before = func() { go run() }
-			late.turn(t.Context(), 0, turn)
+			late.execute(t.Context(), 0, turn)
 		}, 1, "done"},
-		{"no worker is left as one knows them: said only if nobody has promised it", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
+		{"no worker left in one view: counts only if the job was not promised", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
 			turn.First, turn.Where, turn.FailedPlace = false, policy.OtherSite, policy.Place{Worker: "s-9", Site: "1"}
 			j.before = run
-			late.turn(t.Context(), 0, turn)
+			late.execute(t.Context(), 0, turn)
 		}, 1, "done"},
-		{"no worker is left, and it cannot be promised any more then", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
+		{"no worker left, and the job cannot be promised afterwards", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
 			turn.First, turn.Where, turn.FailedPlace = false, policy.OtherSite, policy.Place{Worker: "s-9", Site: "1"}
-			late.turn(t.Context(), 0, turn)
+			late.execute(t.Context(), 0, turn)
 			run()
 		}, 0, "dead"},
 	} {
@@ -163,8 +163,8 @@
 			}
 			var turn rerun.Execute
 			host.View(0, replica.Reruns, func(m replica.Machine) { turn = m.(*rerun.Machine).Running("")[0] })
-			c.late(j, b, turn, func() { a.turn(t.Context(), 0, turn) })
-			require.Equal(t, c.ran, j.ran.Load(), "it ran")
+			c.late(j, b, turn, func() { a.execute(t.Context(), 0, turn) })
+			require.Equal(t, c.ran, j.ran.Load(), "runs of the job")
 			answer, err := a.propose(t.Context(), 0, rerun.Command{Op: rerun.OpRead, ID: "lec"})
 			require.NoError(t, err)
 			text, _ := json.Marshal(answer)
@@ -174,8 +174,9 @@
 	}
 }
 
-// begun is a host on which a run's only stage, which must not run twice, was started so long ago, and a server that takes it up.
-func begun(t *testing.T, ago time.Duration) (*jobs, *Server, rerun.Execute) {
+// startedRun returns a host on which a run's only stage, which must not run twice, was started that long ago, and a
+// server that continues it.
+func startedRun(t *testing.T, ago time.Duration) (*jobs, *Server, rerun.Execute) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux {
 		return replica.Mux{replica.Promises: promise.New(), replica.Reruns: rerun.New(rerun.Config{Groups: 1})}
 	})
@@ -198,21 +199,21 @@
 	return j, s, turn
 }
 
-// Guards against a stage that another dispatcher has started, and died, being given its whole time anew: it would run on
-// when it is long late.
-func TestTurnThatIsTakenUpHasTheTimeThatIsLeft(t *testing.T) {
-	j, s, turn := begun(t, 20*time.Second)
-	s.turn(t.Context(), 0, turn)
+// Guards against a stage that was started by a dispatcher which died getting its whole time again: it would run on
+// long after its deadline.
+func TestContinuedExecutionHasRemainingTime(t *testing.T) {
+	j, s, turn := startedRun(t, 20*time.Second)
+	s.execute(t.Context(), 0, turn)
 	require.Len(t, j.asked, 1)
 	require.LessOrEqual(t, j.asked[0].Job.WithinMs, uint64(10_000))
 	require.EqualValues(t, 1, j.ran.Load())
 }
 
-// Guards against a stage whose job nobody could promise in its time being late, as if it may have run.
-func TestTurnThatCouldNotBePromisedNeverRan(t *testing.T) {
-	j, s, turn := begun(t, 30*time.Second-30*time.Millisecond)
-	j.down = func() bool { return len(j.asked) == 1 } // until its time is over
-	s.turn(t.Context(), 0, turn)
+// Guards against a stage whose job could not be promised in time counting as one that may have run.
+func TestExecutionNotPromisedInTimeNeverRan(t *testing.T) {
+	j, s, turn := startedRun(t, 30*time.Second-30*time.Millisecond)
+	j.down = func() bool { return len(j.asked) == 1 } // until its deadline
+	s.execute(t.Context(), 0, turn)
 	require.Zero(t, j.ran.Load())
 	r, err := s.propose(t.Context(), 0, rerun.Command{Op: rerun.OpRead, ID: "lec"})
 	require.NoError(t, err)
@@ -220,39 +221,39 @@
 	require.Equal(t, policy.NeverRan, r.Answer.Cause, "%+v", r.Answer)
 }
 
-// Guards against stages that were started having nobody who promises or awaits their jobs, because whoever acts has much in
-// hand: they were late. Only new ones wait.
-func TestStartedTurnsAreTakenUpHoweverMuchIsInHand(t *testing.T) {
-	j, s, _ := begun(t, 0)
+// Guards against started stages whose jobs no dispatcher promises or awaits because the owner is overloaded: they
+// missed their deadlines. Only new stages have to wait.
+func TestStartedExecutionsContinueUnderOverload(t *testing.T) {
+	j, s, _ := startedRun(t, 0)
 	s.o.Version = "1"
-	for i := range mostBusy {
-		s.busy[fmt.Sprint("turn/", i)] = true
+	for i := range maxTasks {
+		s.tasks[fmt.Sprint("turn/", i)] = true
 	}
 	r, err := s.propose(t.Context(), 0, rerun.Command{Op: rerun.OpSubmit, ID: "new", Pipeline: "one"})
 	require.NoError(t, err)
 	require.True(t, r.OK, r.Why)
-	s.act(t.Context(), 0)
+	s.runActions(t.Context(), 0)
 	s.wg.Wait()
 	require.EqualValues(t, 1, j.ran.Load())
 	require.Zero(t, s.Started.Load())
-	clear(s.busy)
-	s.act(t.Context(), 0)
+	clear(s.tasks)
+	s.runActions(t.Context(), 0)
 	s.wg.Wait()
 	require.EqualValues(t, 2, j.ran.Load())
 	require.EqualValues(t, 1, s.Started.Load())
 }
 
-// A rerun goes back to no place where it failed before, nor to sites that often fail, while others are left; the place
-// where it failed last it never goes back to. Who has not been told of any worker does not know that none is left.
-func TestNarrow(t *testing.T) {
+// A rerun avoids places of earlier failures and suspect sites while others are left, and always the place of the
+// last failure. A server that knows no instances yet does not conclude that none is left.
+func TestCandidates(t *testing.T) {
 	s := New(Options{Site: policy.Site{Classes: map[string]policy.Class{"light": {Kind: "m2"}}}}, nil, slog.New(slog.DiscardHandler))
 	at := func(id string, cell int) policy.Place {
 		return policy.Place{Worker: id, Kind: "m2", Zone: "a", Site: strconv.Itoa(cell)}
 	}
 	turn := rerun.Execute{Execution: rerun.Execution{OutputRequest: rerun.OutputRequest{Class: "light", Where: policy.OtherSite, FailedPlace: at("w1", 1)}}}
 	select {
-	case <-s.known:
-		t.Fatal("nothing was told yet")
+	case <-s.instancesKnown:
+		t.Fatal("no instances were listed yet")
 	default:
 	}
 	l := dispatch.InstanceUpdate{Complete: true}
@@ -260,7 +261,7 @@
 		l.Instances = append(l.Instances, dispatch.Instance{ID: id, Kind: "m2", Zone: "a", Cell: i + 1, State: decide.Ready})
 	}
 	s.Listed(l)
-	<-s.known
+	<-s.instancesKnown
 	for _, c := range []struct {
 		avoid, doubt []policy.Place
 		want         []string
@@ -272,18 +273,18 @@
 		{[]policy.Place{at("w2", 2), at("w3", 3), at("w4", 4), at("w5", 5)}, nil, []string{"w2", "w3", "w4", "w5"}},
 	} {
 		turn.FailedPlaces, turn.SuspectSites = c.avoid, c.doubt
-		order, narrowed := s.narrow(turn)
+		order, narrowed := s.candidates(turn)
 		require.True(t, narrowed)
 		require.ElementsMatch(t, c.want, order)
 	}
 	turn.First = true
-	_, narrowed := s.narrow(turn)
+	_, narrowed := s.candidates(turn)
 	require.False(t, narrowed)
 }
 
-// Who acts for a group has it know what sites take at once, as the name table and the kinds' slots say; small changes
-// are not told.
-func TestRoomsOfSites(t *testing.T) {
+// The owner of a group keeps it informed of the sites' capacities, computed from the instance list and the kinds'
+// slots; small changes are not proposed.
+func TestSiteCapacities(t *testing.T) {
 	host := replicas.NewAlone(1, func(uint32) replica.Mux {
 		return replica.Mux{replica.Promises: promise.New(), replica.Reruns: rerun.New(rerun.Config{Groups: 1})}
 	})
@@ -295,7 +296,7 @@
 			l.Instances = append(l.Instances, dispatch.Instance{ID: fmt.Sprint("w", i), Kind: "m2", Zone: "a", Cell: 1, Size: 1.5, State: decide.Ready})
 		}
 		s.Listed(l)
-		s.act(t.Context(), 0)
+		s.runActions(t.Context(), 0)
 		s.wg.Wait()
 	}
 	room := func() (room map[string]int) {
--- a/internal/net/promises/recording_test.go
+++ b/internal/net/promises/recording_test.go
@@ -23,7 +23,7 @@
 type slowHost struct {
 	replicas.Host
 	proposals  chan chan struct{} // of waiting proposals; nil: none waits
-	noMajority atomic.Bool        // majority
+	noMajority atomic.Bool        // no majority answers
 	waiting    atomic.Int64
 }
 
@@ -35,9 +35,9 @@
 			return nil, replica.ErrUnknown
 		}
 		if h.proposals != nil {
-			goOn := make(chan struct{})
-			h.proposals <- goOn
-			<-goOn
+			release := make(chan struct{})
+			h.proposals <- release
+			<-release
 		}
 	}
 	return h.Host.Propose(ctx, g, machine, cmd)
@@ -48,7 +48,7 @@
 	h[0].term.Store(1)
 	_, err := s[0].Promise(t.Context(), &promisev1.PromiseRequest{Id: id, Job: job("once")})
 	require.NoError(t, err)
-	m := receive(t, c[0].submitted, "it is handed in")
+	m := receive(t, c[0].submitted, "the job is submitted")
 	m.Gate.RequestSend(&dispatch.Attempt{Command: m, Instance: "s-1", Deadline: m.Deadline})
 	require.True(t, receive(t, c[0].allowed, "its intent is committed")())
 	return dispatch.Callback{ID: m.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}
@@ -63,24 +63,24 @@
 func TestCallbackIsAnsweredOnceRecorded(t *testing.T) {
 	s, c, h := pair(t)
 	host := &slowHost{Host: h[1], proposals: make(chan chan struct{})}
-	news := sendOnce(t, s, c, h, "j")
+	callback := sendOnce(t, s, c, h, "j")
 	called := idleServer(host, c[1])
 	answered := make(chan bool, 2)
 	for range 2 { // reported twice, it is proposed once
-		go func() { answered <- called.Keep(news) }()
+		go func() { answered <- called.Keep(callback) }()
 	}
-	goOn := receive(t, host.proposals, "its word is proposed")
+	release := receive(t, host.proposals, "the report is proposed")
 	require.Empty(t, answered)
-	close(goOn)
+	close(release)
 	for range 2 {
 		require.True(t, receive(t, answered, "it is answered"))
 	}
-	require.True(t, called.Keep(news), "the record knows its end")
+	require.True(t, called.Keep(callback), "the table has its end")
 	require.True(t, called.Keep(dispatch.Callback{ID: "another's", From: "s-1", State: dispatch.Done}))
-	require.True(t, called.Keep(dispatch.Callback{ID: news.ID, From: "s-1", State: dispatch.Running}))
+	require.True(t, called.Keep(dispatch.Callback{ID: callback.ID, From: "s-1", State: dispatch.Running}))
 	host.proposals = nil
-	unknown := strings.Replace(news.ID, "j~", "k~", 1)
-	require.True(t, called.Keep(dispatch.Callback{ID: unknown, From: "s-1", State: dispatch.Done}), "no such promise: to call again helps nobody")
+	unknown := strings.Replace(callback.ID, "j~", "k~", 1)
+	require.True(t, called.Keep(dispatch.Callback{ID: unknown, From: "s-1", State: dispatch.Done}), "no such promise: a repeated call would not help")
 }
 
 // Guards against callbacks that are answered although no majority has committed their reports, or that block
@@ -89,14 +89,14 @@
 	s, c, h := pair(t)
 	host := &slowHost{Host: h[1]}
 	host.noMajority.Store(true)
-	news := sendOnce(t, s, c, h, "j")
+	callback := sendOnce(t, s, c, h, "j")
 	called := idleServer(host, c[1])
 	var all sync.WaitGroup
 	var kept atomic.Int64
 	began := time.Now()
 	for i := range 10_000 {
 		all.Go(func() {
-			n := news
+			n := callback
 			if i > 0 {
 				n.ID = promise.WireID(fmt.Sprint("unknown-", i), 1, 1)
 			}
@@ -110,7 +110,7 @@
 	require.Less(t, time.Since(began), 20*time.Second)
 	require.LessOrEqual(t, host.waiting.Load(), int64(maxUnanswered))
 	host.noMajority.Store(false)
-	require.Eventually(t, func() bool { return called.Keep(news) }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return called.Keep(callback) }, 20*time.Second, time.Millisecond)
 	r, err := s[0].Await(t.Context(), &promisev1.AwaitRequest{Id: "j", WaitMs: 20_000})
 	require.NoError(t, err)
 	require.Equal(t, promisev1.Kind_KIND_DONE, r.End.Kind)
--- a/internal/net/promises/unsent_test.go
+++ b/internal/net/promises/unsent_test.go
@@ -21,7 +21,7 @@
 	h[0].term.Store(1)
 	_, err := s[0].Promise(t.Context(), &promisev1.PromiseRequest{Id: "j", Job: &promisev1.Job{Class: "once", Payload: []byte("work"), WithinMs: 4000}})
 	require.NoError(t, err)
-	m := receive(t, c[0].submitted, "it is handed in")
+	m := receive(t, c[0].submitted, "the job is submitted")
 	return m, &dispatch.Attempt{Command: m, Instance: "s-1", Deadline: m.Deadline}
 }
 
@@ -53,7 +53,7 @@
 // loseLease takes a dispatcher's lease away and waits until it has abandoned its job.
 func loseLease(t *testing.T, c *core, h *fakeHost) {
 	h.term.Store(0)
-	receive(t, c.abandoned, "it is left alone")
+	receive(t, c.abandoned, "the job is abandoned")
 }
 
 // intents returns the number of the job's intents in the table.
@@ -81,7 +81,7 @@
 	select {
 	case <-c[1].submitted:
 	case e := <-ended:
-		t.Fatalf("nothing went out, and it ended: %v", e)
+		t.Fatalf("no attempt was sent, and the promise ended: %v", e)
 	}
 }
 
@@ -103,7 +103,7 @@
 			close(let)
 			receive(t, over, "its intent is committed")
 			requireResubmitted(t, s, c, h)
-			require.Empty(t, c[0].allowed, "nothing went out")
+			require.Empty(t, c[0].allowed, "no attempt was sent")
 		})
 	}
 }
@@ -198,6 +198,6 @@
 	select {
 	case <-c[0].abandoned: // another submission has it
 	case <-c[0].allowed:
-		require.Never(t, func() bool { return intents(s[0]) == 0 }, 2*time.Second, time.Millisecond, "it has gone out, and its intent is taken away")
+		require.Never(t, func() bool { return intents(s[0]) == 0 }, 2*time.Second, time.Millisecond, "it was sent, and its intent was removed")
 	}
 }
