--- a/internal/net/accord/server.go
+++ b/internal/net/accord/server.go
@@ -1,5 +1,6 @@
-// Package accord has one dispatcher go by what all have agreed on: it beats in the root group of the record, acts on
-// what it hears there, and takes to it what people ask for here. internal/accord decides.
+// Package accord makes one dispatcher follow the settings and cordons that all have agreed on: it sends heartbeats
+// to the replicated root group, applies what the answers say, and proposes there what operators request here. The
+// decisions are in caperrelay/internal/accord.
 package accord
 
 import (
@@ -20,83 +21,84 @@
 )
 
 const (
-	tickEach     = 10 * time.Millisecond
-	beatPatience = 400 * time.Millisecond
-	opPatience   = 800 * time.Millisecond // of an operator: the call's answer must not take much longer
-	hupPatience  = 5 * time.Second        // with a version that is proposed
-	againAfter   = 300 * time.Millisecond // a cordon that is not agreed yet
-	driveEach    = 50 * time.Millisecond
-	actPatience  = 2 * time.Second // then acting is tried anew
-	pauseGap     = time.Second     // of ticks: the process stood still, and did nothing
-	lateSpan     = 30 * time.Second
-	mostTexts    = 8
-	mostSteps    = 64
+	tickInterval     = 10 * time.Millisecond
+	heartbeatTimeout = 400 * time.Millisecond
+	operatorTimeout  = 800 * time.Millisecond // for an operator's command, whose answer must not take much longer
+	proposalTimeout  = 5 * time.Second        // for the proposal of a version after a reload
+	cordonRetryPause = 300 * time.Millisecond // between proposals of a cordon that is not agreed yet
+	monitorInterval  = 50 * time.Millisecond
+	applyTimeout     = 2 * time.Second // after which applying is started again
+	maxTickGap       = time.Second     // a longer time between ticks means that the process was stopped and did nothing
+	latenessWindow   = 30 * time.Second
+	maxTexts         = 8
+	maxSteps         = 64
 )
 
-// Rules is what the dispatcher does by it. Its methods must not block.
+// Rules applies agreed versions and cordons in the dispatcher. Its methods must not block.
 type Rules interface {
-	// Check says whether the dispatcher could go by a version. It is called on a goroutine of its own, and may read files.
+	// Check reports whether the dispatcher could apply a version. It is called on a goroutine of its own and may read
+	// files.
 	Check(text []byte) error
-	// Own is the text of its own file's settings, for the first version.
+	// Own returns the settings from this dispatcher's own file, used for the first version.
 	Own() []byte
-	// Act has it go by what two versions both allow, which may be the same; nil: there is none yet, and its own count.
-	// floor: by still less. done is called once, from any goroutine.
+	// Act applies what two versions, which may be the same, both allow; nil: there is no version yet, and the own
+	// settings apply. floor: restricts it further, to the floor of the two. done is called once, from any goroutine.
 	Act(low, high []byte, floor bool, done func(error))
-	// Leave leaves instances out; only: and uses all others again.
+	// Leave excludes instances; only: and includes all others again.
 	Leave(ids []string, only bool)
 }
 
 // Options of a server.
 type Options struct {
 	Name string
-	File string // for what outlives the process
+	File string // for state that the next process needs
 }
 
-// Step is a change of what the dispatcher goes by.
+// Step is a change of the versions in effect.
 type Step struct {
 	At int64 `json:"at_us"` // Unix
 	accord.EffectiveVersions
 }
 
-// Server is safe for use by several goroutines.
+// Server connects a dispatcher to the root group. It is safe for concurrent use.
 type Server struct {
-	o     Options
-	host  replicas.Host
-	rules Rules
-	log   *slog.Logger
-	ops   sync.Mutex // one proposal at a time: they are numbered in their order
-	files sync.Mutex
-
-	mu      sync.Mutex
-	cancel  context.CancelFunc
-	ended   chan struct{}
-	member  *accord.Member
-	driver  *accord.Monitor
-	texts   map[uint64][]byte // of versions that may be gone by now
-	left    string            // instances as last told
-	heard   bool
-	acting  *accord.EffectiveVersions // asked for, and not yet done
-	asked   time.Duration
-	due     time.Duration // when a lease ran out: what is asked for is late since then
-	check   uint64        // looked at just now
-	steps   []Step
-	last    time.Duration // tick
-	worst   time.Duration // lateness of this half a minute
-	before  time.Duration // and of the one before
-	turned  time.Duration // when it began
-	pauses  int64
-	lost    int64 // beats without an answer
-	beats   int64
-	floors  int64
-	refused int64 // versions of this dispatcher's
-	past    []accord.Outcome
-	members int
-	drive   time.Duration
-	first   bool          // the first version is being proposed
-	retry   time.Duration // of cordons
-}
-
-// New returns a server. What an earlier process has kept is read at once, for Kept.
+	o      Options
+	host   replicas.Host
+	rules  Rules
+	log    *slog.Logger
+	opMu   sync.Mutex // one proposal at a time, so that their numbers follow their order
+	fileMu sync.Mutex
+
+	mu              sync.Mutex
+	cancel          context.CancelFunc
+	ended           chan struct{}
+	member          *accord.Member
+	monitor         *accord.Monitor
+	texts           map[uint64][]byte // of versions that the member may no longer hold
+	lastCordons     string            // cordons last passed to Rules.Leave
+	confirmed       bool
+	applying        *accord.EffectiveVersions // requested from Rules.Act and not done yet
+	applyRequested  time.Duration
+	floorDue        time.Duration // when the lease ran out; the requested change to the floor counts as late since then
+	lastChecked     uint64        // highest version whose check was started
+	steps           []Step
+	lastTick        time.Duration // tick
+	lateness        time.Duration // largest lateness in the current window
+	prevLateness    time.Duration // and in the previous one
+	windowStart     time.Duration // start of the current window
+	pauses          int64
+	heartbeatsLost  int64 // heartbeats without an answer
+	heartbeats      int64
+	floors          int64
+	refused         int64 // refused versions that this dispatcher proposed
+	lastOutcomes    []accord.Outcome
+	members         int
+	nextMonitor     time.Duration
+	proposingFirst  bool          // the first version is being proposed
+	nextCordonRetry time.Duration // when cordons are next proposed again
+}
+
+// New returns a server. The state kept by an earlier process is read at once, for Start and LeftOut.
 func New(o Options, logger *slog.Logger) (*Server, error) {
 	if err := accord.CheckID(o.Name); err != nil {
 		return nil, fmt.Errorf("node.name: %w", err)
@@ -107,17 +109,17 @@
 	if err == nil {
 		err = json.Unmarshal(text, &kept)
 	}
-	if err != nil && !errors.Is(err, os.ErrNotExist) { // the others tell it anew; until then it is on the floor anyway
-		logger.Warn("accord: what was kept is not used", "file", o.File, "err", err)
+	if err != nil && !errors.Is(err, os.ErrNotExist) { // the group sends it again; until then this dispatcher uses the floor anyway
+		logger.Warn("accord: saved state not used", "file", o.File, "err", err)
 		kept = accord.Saved{}
 	}
 	s.member = accord.NewMember(accord.Process{Name: o.Name, Boot: rand.Uint64()}, kept)
-	s.know()
+	s.cacheTexts()
 	s.steps = []Step{{time.Now().UnixMicro(), s.member.Effective()}}
 	return s, nil
 }
 
-// Start is what to go by from the start on: the floor of two versions, nil where there are none.
+// Start returns the versions to apply at startup, as the floor of both; nil where there are none.
 func (s *Server) Start() (low, high []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,26 +127,27 @@
 	return s.texts[a.Low], s.texts[a.High]
 }
 
-// LeftOut is which instances were left out last, as far as this dispatcher has heard.
+// LeftOut returns the instances last known to be cordoned.
 func (s *Server) LeftOut() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.member.Directive(0).Cordons
 }
 
-// Use has it go by rules, speak to the root group at host, and log; it must come before anything else but Start.
+// Use sets the rules, the host of the root group and the log. It must be called before any method but Start and
+// LeftOut.
 func (s *Server) Use(r Rules, host replicas.Host, l *slog.Logger) {
 	s.rules, s.host, s.log = r, host, l
 }
 
-// Agreed is the text of the version that is agreed on, as far as it is known here; nil: there is none.
+// Agreed returns the text of the agreed version as known here; nil: there is none.
 func (s *Server) Agreed() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.member.Agreed().Text
 }
 
-// Open begins, once the program runs.
+// Open starts the loop, once the program runs.
 func (s *Server) Open(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,12 +156,12 @@
 	}
 	ctx, s.cancel = context.WithCancel(ctx)
 	s.ended = make(chan struct{})
-	s.driver = accord.NewMonitor()
-	s.last = replicas.Now()
+	s.monitor = accord.NewMonitor()
+	s.lastTick = replicas.Now()
 	go s.run(ctx, s.ended)
 }
 
-// Close has it hear nothing more: its lease runs out, and it goes by the floor from then on.
+// Close stops the loop: the lease runs out, and the dispatcher changes to the floor then.
 func (s *Server) Close() {
 	s.mu.Lock()
 	cancel, ended := s.cancel, s.ended
@@ -170,9 +173,9 @@
 	}
 }
 
-// know keeps the texts that may be acted on. The lock is held, or nobody else has the server yet.
-func (s *Server) know() {
-	if len(s.texts) > mostTexts {
+// cacheTexts keeps the texts of versions that may be applied. The lock is held, except in New.
+func (s *Server) cacheTexts() {
+	if len(s.texts) > maxTexts {
 		did := s.member.Effective()
 		for n := range s.texts {
 			if n != did.Low && n != did.High {
@@ -188,10 +191,10 @@
 	}
 }
 
-// run is the loop. After its end it only sees to it that the floor is reached.
+// run is the loop. After it ends, applyFloor makes sure that the floor is applied.
 func (s *Server) run(ctx context.Context, ended chan struct{}) {
 	defer close(ended)
-	every := time.NewTicker(tickEach)
+	every := time.NewTicker(tickInterval)
 	defer every.Stop()
 	for ctx.Err() == nil {
 		s.tick(ctx)
@@ -200,23 +203,23 @@
 		case <-every.C:
 		}
 	}
-	go s.fall()
+	go s.applyFloor()
 }
 
-// fall takes a dispatcher that hears nothing any more to the floor.
-func (s *Server) fall() {
+// applyFloor changes to the floor once the loop has ended and the lease has run out.
+func (s *Server) applyFloor() {
 	for {
 		s.mu.Lock()
 		now := replicas.Now()
 		again := s.cancel == nil && !s.member.Effective().Floor
 		if again {
-			s.act(now)
+			s.apply(now)
 		}
 		s.mu.Unlock()
 		if !again {
 			return
 		}
-		time.Sleep(tickEach)
+		time.Sleep(tickInterval)
 	}
 }
 
@@ -224,52 +227,53 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := replicas.Now()
-	if gap := now - s.last; gap > pauseGap {
+	if gap := now - s.lastTick; gap > maxTickGap {
 		s.pauses++
 	} else {
-		s.worst = max(s.worst, gap-tickEach)
+		s.lateness = max(s.lateness, gap-tickInterval)
 	}
-	if now-s.turned > lateSpan {
-		s.turned, s.before, s.worst = now, s.worst, 0
+	if now-s.windowStart > latenessWindow {
+		s.windowStart, s.prevLateness, s.lateness = now, s.lateness, 0
 	}
-	s.act(now)
-	s.last = now
-	if s.acting == nil { // else it is not known which of two it goes by, and a beat says that
+	s.apply(now)
+	s.lastTick = now
+	if s.applying == nil { // otherwise it is unknown which of two versions is in effect, and a heartbeat states that
 		if c, ok := s.member.NextHeartbeat(now); ok {
-			s.beats++
-			go s.beat(ctx, c)
+			s.heartbeats++
+			go s.heartbeat(ctx, c)
 		}
 	}
 	o := s.member.Directive(now)
-	if o.ToCheck != nil && s.check < o.ToCheck.Number {
-		s.check = o.ToCheck.Number
-		go s.look(*o.ToCheck)
+	if o.ToCheck != nil && s.lastChecked < o.ToCheck.Number {
+		s.lastChecked = o.ToCheck.Number
+		go s.checkVersion(*o.ToCheck)
 	}
-	s.leave(o.Cordons)
+	s.applyCordons(o.Cordons)
 	leased := s.member.HasLease(now)
-	if p, _ := s.member.Pending(); leased && p == nil && s.member.Agreed().Number == 0 && !s.first {
-		s.first = true
+	if p, _ := s.member.Pending(); leased && p == nil && s.member.Agreed().Number == 0 && !s.proposingFirst {
+		s.proposingFirst = true
 		go func() {
 			s.Propose(ctx, s.rules.Own())
 			s.mu.Lock()
-			s.first = false
+			s.proposingFirst = false
 			s.mu.Unlock()
 		}()
 	}
-	if id := s.member.UnconfirmedCordon(); id != "" && leased && now > s.retry {
-		s.retry = now + againAfter
-		go s.again()
+	if id := s.member.UnconfirmedCordon(); id != "" && leased && now > s.nextCordonRetry {
+		s.nextCordonRetry = now + cordonRetryPause
+		go s.retryCordon()
 	}
-	if now > s.drive {
-		s.drive = now + driveEach
-		s.watch(ctx)
+	if now > s.nextMonitor {
+		s.nextMonitor = now + monitorInterval
+		s.monitorProcesses(ctx)
 	}
 }
 
-// watch puts those out who are gone, if this dispatcher acts for the root group: one is enough.
-func (s *Server) watch(ctx context.Context) {
+// monitorProcesses removes processes that are gone, if this dispatcher leads the root group: one such dispatcher is
+// enough.
+func (s *Server) monitorProcesses(ctx context.Context) {
 	if _, until, ok := s.host.Lead(replica.Root); !ok || replicas.Now() > until {
-		s.driver = accord.NewMonitor()
+		s.monitor = accord.NewMonitor()
 		return
 	}
 	var lines []accord.ProcessEntry
@@ -279,14 +283,14 @@
 	}) {
 		return
 	}
-	for _, c := range s.driver.Check(replicas.Now(), accord.Process{Name: s.o.Name}, lines, pending) {
-		go s.propose(ctx, c, beatPatience)
+	for _, c := range s.monitor.Check(replicas.Now(), accord.Process{Name: s.o.Name}, lines, pending) {
+		go s.propose(ctx, c, heartbeatTimeout)
 	}
 }
 
-// act has the dispatcher go by what is due. The lock is held.
-func (s *Server) act(now time.Duration) {
-	if s.acting != nil && now < s.asked+actPatience {
+// apply requests the change to the versions that are due. The lock is held.
+func (s *Server) apply(now time.Duration) {
+	if s.applying != nil && now < s.applyRequested+applyTimeout {
 		return
 	}
 	did, o := s.member.Effective(), s.member.Directive(now)
@@ -294,10 +298,10 @@
 		return
 	}
 	want := o.Effective
-	s.acting, s.asked, s.due = &want, now, 0
+	s.applying, s.applyRequested, s.floorDue = &want, now, 0
 	if want.Floor && !did.Floor {
-		if s.due = s.member.LeaseEnd(); now-s.last > pauseGap || s.due == 0 {
-			s.due = now // it stood still until now
+		if s.floorDue = s.member.LeaseEnd(); now-s.lastTick > maxTickGap || s.floorDue == 0 {
+			s.floorDue = now // the process was stopped until now
 		}
 	}
 	low, high := o.Low, o.High
@@ -307,25 +311,25 @@
 	if high == nil {
 		high = s.texts[want.High]
 	}
-	s.rules.Act(low, high, want.Floor, func(err error) { s.done(&want, err) })
+	s.rules.Act(low, high, want.Floor, func(err error) { s.applyDone(&want, err) })
 }
 
-func (s *Server) done(a *accord.EffectiveVersions, err error) {
+func (s *Server) applyDone(a *accord.EffectiveVersions, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.acting != a { // it took so long that it was asked for anew
+	if s.applying != a { // superseded by a later request after a time-out
 		return
 	}
-	s.acting = nil
+	s.applying = nil
 	if err != nil {
 		s.member.ApplyFailed(*a, err.Error())
-		s.log.Error("accord: this dispatcher cannot go by it", "low", a.Low, "high", a.High, "floor", a.Floor, "err", err)
+		s.log.Error("accord: cannot apply versions", "low", a.Low, "high", a.High, "floor", a.Floor, "err", err)
 		return
 	}
-	if s.due > 0 {
-		s.worst = max(s.worst, replicas.Now()-s.due)
-		if bound := accord.LeaseExpiry + s.worst; bound > accord.ConflictBound {
-			s.log.Error("accord: the stated bound is passed: this machine is too slow for it", "bound", bound, "stated", accord.ConflictBound)
+	if s.floorDue > 0 {
+		s.lateness = max(s.lateness, replicas.Now()-s.floorDue)
+		if bound := accord.LeaseExpiry + s.lateness; bound > accord.ConflictBound {
+			s.log.Error("accord: stated conflict bound exceeded; this machine is too slow", "bound", bound, "stated", accord.ConflictBound)
 		}
 	}
 	if a.Floor {
@@ -333,22 +337,23 @@
 	}
 	s.member.Applied(*a)
 	s.steps = append(s.steps, Step{time.Now().UnixMicro(), *a})
-	s.steps = s.steps[max(0, len(s.steps)-mostSteps):]
-	s.log.Info("accord: goes by", "low", a.Low, "high", a.High, "floor", a.Floor)
+	s.steps = s.steps[max(0, len(s.steps)-maxSteps):]
+	s.log.Info("accord: versions applied", "low", a.Low, "high", a.High, "floor", a.Floor)
 }
 
-// leave has instances left out, and used again once that is sure. The lock is held.
-func (s *Server) leave(ids []string) {
-	text := fmt.Sprint(s.heard, ids)
-	if text == s.left {
+// applyCordons excludes the cordoned instances, and includes others again once a lease has confirmed the list. The
+// lock is held.
+func (s *Server) applyCordons(ids []string) {
+	text := fmt.Sprint(s.confirmed, ids)
+	if text == s.lastCordons {
 		return
 	}
-	s.left = text
-	s.rules.Leave(ids, s.heard)
+	s.lastCordons = text
+	s.rules.Leave(ids, s.confirmed)
 }
 
-// look looks at a version.
-func (s *Server) look(v accord.Version) {
+// checkVersion checks whether a version can be applied here.
+func (s *Server) checkVersion(v accord.Version) {
 	why := ""
 	if err := s.rules.Check(v.Text); err != nil {
 		why = err.Error()
@@ -359,7 +364,7 @@
 	s.member.VersionChecked(v.Number, why)
 }
 
-// propose has a command taken in, and reads its answer.
+// propose proposes a command and returns its answer.
 func (s *Server) propose(ctx context.Context, c accord.Command, patience time.Duration) (accord.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
@@ -370,35 +375,35 @@
 	return accord.ReadAnswer(result)
 }
 
-func (s *Server) beat(ctx context.Context, c accord.Command) {
-	a, err := s.propose(ctx, c, beatPatience)
+func (s *Server) heartbeat(ctx context.Context, c accord.Command) {
+	a, err := s.propose(ctx, c, heartbeatTimeout)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.lost++
+		s.heartbeatsLost++
 		s.member.HeartbeatLost()
 		return
 	}
 	changed := s.member.HandleAnswer(a)
 	if s.member.HasLease(replicas.Now()) {
-		s.heard = true
+		s.confirmed = true
 	}
 	if a.Refused != "" {
-		s.log.Warn("accord: not heard by the others", "why", a.Refused)
+		s.log.Warn("accord: heartbeat refused", "why", a.Refused)
 	}
-	s.know()
+	s.cacheTexts()
 	s.members = a.Members
-	s.outcomes(a.Outcomes)
-	s.act(replicas.Now())
+	s.logOutcomes(a.Outcomes)
+	s.apply(replicas.Now())
 	if changed {
-		go s.keep()
+		go s.save()
 	}
 }
 
-// outcomes logs what became of versions.
-func (s *Server) outcomes(past []accord.Outcome) {
+// logOutcomes logs which versions were agreed or refused.
+func (s *Server) logOutcomes(past []accord.Outcome) {
 	for _, p := range past {
-		known := len(s.past) > 0 && p.Number <= s.past[len(s.past)-1].Number
+		known := len(s.lastOutcomes) > 0 && p.Number <= s.lastOutcomes[len(s.lastOutcomes)-1].Number
 		switch {
 		case known:
 		case p.Why == "":
@@ -410,28 +415,28 @@
 			s.log.Warn("accord: version refused", "version", p.Number, "by", p.By, "why", p.Why)
 		}
 	}
-	s.past = past
+	s.lastOutcomes = past
 }
 
-// keep has what the next process is to know on the disk; of several the last counts.
-func (s *Server) keep() error {
-	s.files.Lock()
-	defer s.files.Unlock()
+// save writes the state for the next process to disk; of concurrent calls the last state is kept.
+func (s *Server) save() error {
+	s.fileMu.Lock()
+	defer s.fileMu.Unlock()
 	s.mu.Lock()
 	k := s.member.Save()
 	s.mu.Unlock()
 	text, err := json.Marshal(k)
 	if err == nil {
-		err = replace(s.o.File, text)
+		err = replaceFile(s.o.File, text)
 	}
 	if err != nil {
-		s.log.Error("accord: not kept for the next process", "file", s.o.File, "err", err)
+		s.log.Error("accord: state not saved", "file", s.o.File, "err", err)
 	}
 	return err
 }
 
-// replace has a file hold a text: who reads it finds the old one or this.
-func replace(path string, text []byte) error {
+// replaceFile replaces a file atomically.
+func replaceFile(path string, text []byte) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return err
 	}
@@ -449,46 +454,47 @@
 	return err
 }
 
-// again proposes what is left out here and not yet agreed.
-func (s *Server) again() {
-	if !s.ops.TryLock() {
+// retryCordon proposes a cordon that applies here and is not agreed yet.
+func (s *Server) retryCordon() {
+	if !s.opMu.TryLock() {
 		return
 	}
-	defer s.ops.Unlock()
+	defer s.opMu.Unlock()
 	s.mu.Lock()
 	id := s.member.UnconfirmedCordon()
 	s.mu.Unlock()
 	if id != "" {
-		s.cordon(id, true)
+		s.proposeCordon(id, true)
 	}
 }
 
-// Cordon leaves an instance out at all dispatchers, or uses it again. Out counts here at once, agreed or not.
+// Cordon excludes an instance at all dispatchers, or includes it again. An exclusion applies here at once, agreed or
+// not.
 func (s *Server) Cordon(id string, out bool) error {
-	s.ops.Lock()
-	defer s.ops.Unlock()
-	return s.cordon(id, out)
+	s.opMu.Lock()
+	defer s.opMu.Unlock()
+	return s.proposeCordon(id, out)
 }
 
-// cordon does it; s.ops is held.
-func (s *Server) cordon(id string, out bool) error {
+// proposeCordon implements Cordon; s.opMu is held.
+func (s *Server) proposeCordon(id string, out bool) error {
 	s.mu.Lock()
 	c, err := s.member.Cordon(id, out)
 	if err == nil {
-		s.leave(s.member.Directive(replicas.Now()).Cordons)
+		s.applyCordons(s.member.Directive(replicas.Now()).Cordons)
 	}
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	a, err := s.propose(context.Background(), c, opPatience)
+	a, err := s.propose(context.Background(), c, operatorTimeout)
 	if err == nil && a.Refused != "" {
 		err = errors.New(a.Refused)
 	}
 	if err == nil {
 		s.mu.Lock()
 		s.member.HandleCordonAnswer(*c.Cordon, a)
-		s.leave(s.member.Directive(replicas.Now()).Cordons)
+		s.applyCordons(s.member.Directive(replicas.Now()).Cordons)
 		s.mu.Unlock()
 		s.log.Info("accord: cordon agreed", "id", id, "out", out, "index", a.Index)
 		return nil
@@ -497,17 +503,17 @@
 	if !out {
 		return fmt.Errorf("not done, as the others have not agreed: %w", err)
 	}
-	if kept := s.keep(); kept != nil {
+	if kept := s.save(); kept != nil {
 		err = errors.Join(err, kept)
 	}
 	return fmt.Errorf("done here, and at the others once they are heard: %w", err)
 }
 
-// Propose has all go by other settings. It returns once the group has taken them in, or not; what becomes of them is in
-// the log and the status.
+// Propose proposes settings for all dispatchers. It returns once the group has accepted or refused the proposal; the
+// outcome is in the log and the status.
 func (s *Server) Propose(ctx context.Context, text []byte) error {
-	s.ops.Lock()
-	defer s.ops.Unlock()
+	s.opMu.Lock()
+	defer s.opMu.Unlock()
 	s.mu.Lock()
 	if string(s.member.Agreed().Text) == string(text) {
 		s.mu.Unlock()
@@ -515,7 +521,7 @@
 	}
 	c := s.member.Propose(text)
 	s.mu.Unlock()
-	a, err := s.propose(ctx, c, hupPatience)
+	a, err := s.propose(ctx, c, proposalTimeout)
 	if err == nil && a.Refused != "" {
 		err = errors.New(a.Refused)
 	}
@@ -532,37 +538,37 @@
 	return nil
 }
 
-// Status is how things stand, for operators.
+// Status is the state of the server as shown to operators.
 type Status struct {
 	Acts    accord.EffectiveVersions `json:"acts"`
 	Agreed  uint64                   `json:"agreed"`
 	Pending uint64                   `json:"pending,omitempty"`
 	Phase   accord.Phase             `json:"phase,omitempty"`
 	Leased  bool                     `json:"leased"`
-	Fault   string                   `json:"fault,omitempty"` // why this dispatcher cannot go by what is agreed
+	Fault   string                   `json:"fault,omitempty"` // why this dispatcher cannot apply the agreed version
 	Members int                      `json:"members"`
 	Cordons []string                 `json:"cordons"`
-	Mine    []string                 `json:"not_agreed,omitempty"` // left out here only
-	Bound   float64                  `json:"bound_ms"`             // reckoned: for so long two may contradict each other at most
+	Mine    []string                 `json:"not_agreed,omitempty"` // cordons that apply here only
+	Bound   float64                  `json:"bound_ms"`             // computed bound on how long two dispatchers may contradict each other
 	Lease   float64                  `json:"lease_ms"`
 	Drift   float64                  `json:"drift_ms"`
-	Late    float64                  `json:"late_ms"` // the worst that this loop was in the last half a minute or whole one
+	Late    float64                  `json:"late_ms"` // largest lateness of this loop in the current and the previous window
 	Stated  float64                  `json:"stated_ms"`
 	Past    []accord.Outcome         `json:"past,omitempty"`
 	Steps   []Step                   `json:"steps"`
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Status is how things stand.
+// Status returns the state of the server.
 func (s *Server) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, late := replicas.Now(), max(s.worst, s.before)
+	now, late := replicas.Now(), max(s.lateness, s.prevLateness)
 	v := Status{
 		Acts: s.member.Effective(), Agreed: s.member.Agreed().Number, Leased: s.member.HasLease(now), Fault: s.member.Fault(), Members: s.members,
-		Cordons: s.member.Directive(now).Cordons, Mine: s.member.Save().LocalCordons, Past: s.past, Steps: append([]Step{}, s.steps...),
-		Bound: ms(accord.LeaseExpiry + late), Lease: ms(accord.Lease), Drift: ms(accord.LeaseExpiry - accord.Lease), Late: ms(late), Stated: ms(accord.ConflictBound),
+		Cordons: s.member.Directive(now).Cordons, Mine: s.member.Save().LocalCordons, Past: s.lastOutcomes, Steps: append([]Step{}, s.steps...),
+		Bound: milliseconds(accord.LeaseExpiry + late), Lease: milliseconds(accord.Lease), Drift: milliseconds(accord.LeaseExpiry - accord.Lease), Late: milliseconds(late), Stated: milliseconds(accord.ConflictBound),
 	}
 	if p, phase := s.member.Pending(); p != nil {
 		v.Pending, v.Phase = p.Number, phase
@@ -570,12 +576,12 @@
 	return v
 }
 
-// Figures is what operators go by.
+// Figures returns the counters, one a line.
 func (s *Server) Figures() string {
 	v := s.Status()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	one := map[bool]int{true: 1}
 	return fmt.Sprintf("proxy.accord.version=%d\nproxy.accord.pending=%d\nproxy.accord.floor=%d\nproxy.accord.bound_ms=%.0f\nproxy.accord.bound_passed=%d\nproxy.accord.cordons=%d\nproxy.accord.beats=%d\nproxy.accord.beats_lost=%d\nproxy.accord.floors=%d\nproxy.accord.refused=%d\nproxy.accord.fault=%d\nproxy.accord.pauses=%d\n",
-		v.Agreed, v.Pending, one[v.Acts.Floor], v.Bound, one[v.Bound > v.Stated], len(v.Cordons), s.beats, s.lost, s.floors, s.refused, one[v.Fault != ""], s.pauses)
+		v.Agreed, v.Pending, one[v.Acts.Floor], v.Bound, one[v.Bound > v.Stated], len(v.Cordons), s.heartbeats, s.heartbeatsLost, s.floors, s.refused, one[v.Fault != ""], s.pauses)
 }
--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -77,7 +77,7 @@
 	list     *memberlist.Memberlist // nil: not active
 	nodes    map[string]*memberlist.Node
 	watch    members.WatchStatus
-	cancel   context.CancelFunc    // nil: closed
+	cancel   context.CancelFunc    // nil: stopped
 	peerMeta map[string]parsedMeta // parsed metadata, by name of the peer
 
 	joins, seenAtJoin int
@@ -185,7 +185,7 @@
 		return
 	}
 	s.lists.Watch(false) // stops the watch started without peers; from now on it follows the role
-	looked := time.Time{}
+	scanned := time.Time{}
 	for every := time.NewTicker(tick); ; {
 		select {
 		case <-ctx.Done():
@@ -194,8 +194,8 @@
 		case <-every.C:
 		}
 		s.event(func(m *members.State, now time.Time) {
-			if now.Sub(looked) >= peerScanEvery && s.peersChanged.Swap(false) {
-				looked = now
+			if now.Sub(scanned) >= peerScanEvery && s.peersChanged.Swap(false) {
+				scanned = now
 				m.SetPeers(now, s.livingPeers())
 			}
 			m.Tick(now)
@@ -237,7 +237,7 @@
 	}
 	s.list, s.state, s.nodes = list, members.New(s.o.Config, time.Now()), map[string]*memberlist.Node{}
 	s.peerMeta, s.joinAt, s.joinWait = map[string]parsedMeta{}, time.Time{}, joinMinPause
-	s.log.Info("among other dispatchers", "listen", s.o.Listen)
+	s.log.Info("members: listening", "listen", s.o.Listen)
 	return nil
 }
 
@@ -332,7 +332,7 @@
 			s.lists.Take(a.InstanceUpdate)
 		case members.ShowStatus:
 			s.watch = a.Watch
-			s.log.Info("members: list service", "watch", a.Watch.String())
+			s.log.Info("members: discovery", "watch", a.Watch.String())
 			go s.list.UpdateNode(dialTimeout)
 		case members.LogLine:
 			if a.Peer != "" {
@@ -353,7 +353,7 @@
 	text, err := json.Marshal(m)
 	text = append([]byte(s.o.Name+"\n"), text...)
 	if err != nil || len(text) > maxMessage {
-		s.log.Error("members: not sent", "bytes", len(text), "err", err)
+		s.log.Error("members: message not sent", "bytes", len(text), "err", err)
 		return
 	}
 	if len(text) <= maxDatagram && (m.Update == nil || m.Update.Heartbeat) {
--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -167,21 +167,21 @@
 	var actions []rerun.Action
 	var running []rerun.Execute
 	var lines []rerun.LogLine
-	knows, roomy := false, false
+	policyKnown, capacitiesCurrent := false, false
 	s.mu.Lock()
 	rooms := s.capacities // replaced as a whole, never modified
 	s.mu.Unlock()
 	now := time.Duration(time.Now().UnixNano())
 	if !s.host.View(g, replica.Reruns, func(m replica.Machine) {
 		r := m.(*rerun.Machine)
-		actions, running, lines, knows, roomy = r.Actions(), r.Running(""), r.TakeLogLines(), r.HasPolicy(s.o.Version), r.CapacitiesCurrent(rooms)
+		actions, running, lines, policyKnown, capacitiesCurrent = r.Actions(), r.Running(""), r.TakeLogLines(), r.HasPolicy(s.o.Version), r.CapacitiesCurrent(rooms)
 	}) {
 		return
 	}
 	for _, l := range lines {
 		s.log.Info("pipeline", "run", l.Run, "policy", l.Policy, "line", l.Rule, "text", l.Text)
 	}
-	if !knows {
+	if !policyKnown {
 		s.startTask(fmt.Sprint("policy/", g), func() {
 			r, err := s.propose(ctx, g, rerun.Command{Op: rerun.OpPolicy, Text: s.o.Policy, Site: &s.o.Site})
 			if err == nil && !r.OK {
@@ -190,7 +190,7 @@
 			}
 		})
 	}
-	if !roomy {
+	if !capacitiesCurrent {
 		s.startTask(fmt.Sprint("rooms/", g), func() { s.propose(ctx, g, rerun.Command{Op: rerun.OpCapacities, Capacities: rooms}) })
 	}
 	for _, t := range running {
@@ -306,20 +306,20 @@
 // to the group.
 func (s *Server) execute(ctx context.Context, g uint32, t rerun.Execute) {
 	id := jobID(t.Key, t.Gen)
-	told := Told{Run: t.Run, Stage: t.Name, Output: t.Key, Generation: t.Gen, Params: map[string]string{}}
+	jobBody := Told{Run: t.Run, Stage: t.Name, Output: t.Key, Generation: t.Gen, Params: map[string]string{}}
 	for i, key := range t.Inputs {
-		told.Inputs = append(told.Inputs, Input{stageOf(key), key, t.InputGens[i]})
+		jobBody.Inputs = append(jobBody.Inputs, Input{stageOf(key), key, t.InputGens[i]})
 	}
 	target := ""
 	for k, v := range t.Params {
 		if stage, is := strings.CutPrefix(k, targetKey); !is {
-			told.Params[k] = v
+			jobBody.Params[k] = v
 		} else if stage == t.Name {
 			target = v
 		}
 	}
-	body, _ := json.Marshal(told) // plain data: this cannot fail
-	if t.Began == 0 {             // started just now
+	body, _ := json.Marshal(jobBody) // plain data: this cannot fail
+	if t.Began == 0 {                // started just now
 		t.Began = time.Duration(time.Now().UnixNano())
 	}
 	if isNarrowed(t) { // a new process knows no instances yet, which must not count as none left
@@ -332,9 +332,9 @@
 	}
 	order, narrowed := s.candidates(t)
 	end := rerun.Command{Op: rerun.OpEnd, Key: t.Key, Gen: t.Gen}
-	never, why := policy.NeverRan, "" // for a job that is refused
+	refusedCause, why := policy.NeverRan, "" // for a job that is refused
 	if narrowed && len(order) == 0 && timeLeft(t) >= time.Millisecond {
-		order, never, why = noCandidates, policy.Refused, fmt.Sprintf("no worker of class %s is left by %s", t.Class, t.Where)
+		order, refusedCause, why = noCandidates, policy.Refused, fmt.Sprintf("no worker of class %s is left by %s", t.Class, t.Where)
 	}
 	job := &promisev1.PromiseRequest{Id: id, Job: &promisev1.Job{
 		Class: t.Class, Tenant: t.Tenant, Payload: body, WorkUs: uint64(t.Work.Microseconds()), Target: target, WithinMs: 1, KeepMs: uint64(endRetention.Milliseconds()), Order: order,
@@ -377,7 +377,7 @@
 		return // the next owner continues it
 	}
 	if !end.OK && end.Cause == policy.NeverRan {
-		end.Cause, end.Text = never, cmp.Or(why, end.Text)
+		end.Cause, end.Text = refusedCause, cmp.Or(why, end.Text)
 	}
 	s.reportEnd(ctx, g, end)
 	s.jobs.Forget(ctx, &promisev1.ForgetRequest{Id: id})
--- a/internal/net/pipelines/pipelines_test.go
+++ b/internal/net/pipelines/pipelines_test.go
@@ -117,30 +117,30 @@
 	for _, c := range []struct {
 		name string
 		// late acts as the delayed dispatcher; run has the other one do the whole execution.
-		late func(j *jobs, late *Server, turn rerun.Execute, run func())
+		late func(j *jobs, late *Server, execution rerun.Execute, run func())
 		ran  int64
 		ends string
 	}{
-		{"checked before the end and promises after it", func(_ *jobs, late *Server, turn rerun.Execute, run func()) {
+		{"checked before the end and promises after it", func(_ *jobs, late *Server, execution rerun.Execute, run func()) {
 			run()
-			late.execute(t.Context(), 0, turn)
+			late.execute(t.Context(), 0, execution)
 		}, 1, "done"},
-		{"its promise is in progress meanwhile", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
+		{"its promise is in progress meanwhile", func(j *jobs, late *Server, execution rerun.Execute, run func()) {
 			j.before = run
-			late.execute(t.Context(), 0, turn)
+			late.execute(t.Context(), 0, execution)
 		}, 1, "done"},
-		{"both promise, and one awaits late", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
+		{"both promise, and one awaits late", func(j *jobs, late *Server, execution rerun.Execute, run func()) {
 			j.before = func() { go run() }
-			late.execute(t.Context(), 0, turn)
+			late.execute(t.Context(), 0, execution)
 		}, 1, "done"},
-		{"no worker left in one view: counts only if the job was not promised", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
-			turn.First, turn.Where, turn.FailedPlace = false, policy.OtherSite, policy.Place{Worker: "s-9", Site: "1"}
+		{"no worker left in one view: counts only if the job was not promised", func(j *jobs, late *Server, execution rerun.Execute, run func()) {
+			execution.First, execution.Where, execution.FailedPlace = false, policy.OtherSite, policy.Place{Worker: "s-9", Site: "1"}
 			j.before = run
-			late.execute(t.Context(), 0, turn)
+			late.execute(t.Context(), 0, execution)
 		}, 1, "done"},
-		{"no worker left, and the job cannot be promised afterwards", func(j *jobs, late *Server, turn rerun.Execute, run func()) {
-			turn.First, turn.Where, turn.FailedPlace = false, policy.OtherSite, policy.Place{Worker: "s-9", Site: "1"}
-			late.execute(t.Context(), 0, turn)
+		{"no worker left, and the job cannot be promised afterwards", func(j *jobs, late *Server, execution rerun.Execute, run func()) {
+			execution.First, execution.Where, execution.FailedPlace = false, policy.OtherSite, policy.Place{Worker: "s-9", Site: "1"}
+			late.execute(t.Context(), 0, execution)
 			run()
 		}, 0, "dead"},
 	} {
@@ -161,9 +161,9 @@
 				require.NoError(t, err)
 				require.True(t, r.OK, r.Why)
 			}
-			var turn rerun.Execute
-			host.View(0, replica.Reruns, func(m replica.Machine) { turn = m.(*rerun.Machine).Running("")[0] })
-			c.late(j, b, turn, func() { a.execute(t.Context(), 0, turn) })
+			var execution rerun.Execute
+			host.View(0, replica.Reruns, func(m replica.Machine) { execution = m.(*rerun.Machine).Running("")[0] })
+			c.late(j, b, execution, func() { a.execute(t.Context(), 0, execution) })
 			require.Equal(t, c.ran, j.ran.Load(), "runs of the job")
 			answer, err := a.propose(t.Context(), 0, rerun.Command{Op: rerun.OpRead, ID: "lec"})
 			require.NoError(t, err)
@@ -194,16 +194,16 @@
 		require.NoError(t, err)
 		require.True(t, r.OK, r.Why)
 	}
-	var turn rerun.Execute
-	host.View(0, replica.Reruns, func(m replica.Machine) { turn = m.(*rerun.Machine).Running("")[0] })
-	return j, s, turn
+	var execution rerun.Execute
+	host.View(0, replica.Reruns, func(m replica.Machine) { execution = m.(*rerun.Machine).Running("")[0] })
+	return j, s, execution
 }
 
 // Guards against a stage that was started by a dispatcher which died getting its whole time again: it would run on
 // long after its deadline.
 func TestContinuedExecutionHasRemainingTime(t *testing.T) {
-	j, s, turn := startedRun(t, 20*time.Second)
-	s.execute(t.Context(), 0, turn)
+	j, s, execution := startedRun(t, 20*time.Second)
+	s.execute(t.Context(), 0, execution)
 	require.Len(t, j.asked, 1)
 	require.LessOrEqual(t, j.asked[0].Job.WithinMs, uint64(10_000))
 	require.EqualValues(t, 1, j.ran.Load())
@@ -211,9 +211,9 @@
 
 // Guards against a stage whose job could not be promised in time counting as one that may have run.
 func TestExecutionNotPromisedInTimeNeverRan(t *testing.T) {
-	j, s, turn := startedRun(t, 30*time.Second-30*time.Millisecond)
+	j, s, execution := startedRun(t, 30*time.Second-30*time.Millisecond)
 	j.down = func() bool { return len(j.asked) == 1 } // until its deadline
-	s.execute(t.Context(), 0, turn)
+	s.execute(t.Context(), 0, execution)
 	require.Zero(t, j.ran.Load())
 	r, err := s.propose(t.Context(), 0, rerun.Command{Op: rerun.OpRead, ID: "lec"})
 	require.NoError(t, err)
@@ -250,7 +250,7 @@
 	at := func(id string, cell int) policy.Place {
 		return policy.Place{Worker: id, Kind: "m2", Zone: "a", Site: strconv.Itoa(cell)}
 	}
-	turn := rerun.Execute{Execution: rerun.Execution{OutputRequest: rerun.OutputRequest{Class: "light", Where: policy.OtherSite, FailedPlace: at("w1", 1)}}}
+	execution := rerun.Execute{Execution: rerun.Execution{OutputRequest: rerun.OutputRequest{Class: "light", Where: policy.OtherSite, FailedPlace: at("w1", 1)}}}
 	select {
 	case <-s.instancesKnown:
 		t.Fatal("no instances were listed yet")
@@ -263,8 +263,8 @@
 	s.Listed(l)
 	<-s.instancesKnown
 	for _, c := range []struct {
-		avoid, doubt []policy.Place
-		want         []string
+		failed, suspect []policy.Place
+		want            []string
 	}{
 		{nil, nil, []string{"w2", "w3", "w4", "w5"}},
 		{[]policy.Place{at("w2", 2)}, nil, []string{"w3", "w4", "w5"}},
@@ -272,13 +272,13 @@
 		{[]policy.Place{at("w2", 2), at("w4", 4), at("w5", 5)}, []policy.Place{{Zone: "a", Site: "3"}}, []string{"w3"}},
 		{[]policy.Place{at("w2", 2), at("w3", 3), at("w4", 4), at("w5", 5)}, nil, []string{"w2", "w3", "w4", "w5"}},
 	} {
-		turn.FailedPlaces, turn.SuspectSites = c.avoid, c.doubt
-		order, narrowed := s.candidates(turn)
+		execution.FailedPlaces, execution.SuspectSites = c.failed, c.suspect
+		order, narrowed := s.candidates(execution)
 		require.True(t, narrowed)
 		require.ElementsMatch(t, c.want, order)
 	}
-	turn.First = true
-	_, narrowed := s.candidates(turn)
+	execution.First = true
+	_, narrowed := s.candidates(execution)
 	require.False(t, narrowed)
 }
 
@@ -290,7 +290,7 @@
 	})
 	o := Options{Name: "d1", Policy: oneStage, Version: "1", Site: policy.Site{Classes: map[string]policy.Class{"publish": {Once: true}}}, Slots: map[string]float64{"m2": 4}}
 	s := New(o, host, slog.New(slog.DiscardHandler))
-	look := func(workers int) {
+	list := func(workers int) {
 		l := dispatch.InstanceUpdate{Complete: true, Instances: []dispatch.Instance{{ID: "x", Kind: "unknown", Zone: "b", State: decide.Ready}}}
 		for i := range workers {
 			l.Instances = append(l.Instances, dispatch.Instance{ID: fmt.Sprint("w", i), Kind: "m2", Zone: "a", Cell: 1, Size: 1.5, State: decide.Ready})
@@ -311,10 +311,10 @@
 		})
 		return room
 	}
-	look(10)
+	list(10)
 	require.Equal(t, map[string]int{"a.1": 60}, room())
-	look(9)
+	list(9)
 	require.Equal(t, map[string]int{"a.1": 60}, room())
-	look(5)
+	list(5)
 	require.Equal(t, map[string]int{"a.1": 30}, room())
 }
--- a/internal/net/promises/recording.go
+++ b/internal/net/promises/recording.go
@@ -41,7 +41,7 @@
 		return b
 	}
 	if len(s.recordings) >= maxRecordings {
-		s.DroppedBooks.Add(1)
+		s.DroppedRecordings.Add(1)
 		return nil
 	}
 	b := &recording{committed: make(chan struct{})}
@@ -68,7 +68,7 @@
 		}
 		if a, err := s.propose(ctx, g, c); err == nil {
 			if a.OK {
-				s.Booked.Add(1)
+				s.Recorded.Add(1)
 			}
 			s.wake()
 			return true
@@ -79,7 +79,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			s.DroppedBooks.Add(1)
+			s.DroppedRecordings.Add(1)
 			return false
 		case <-time.After(recordRetryPause):
 		}
@@ -122,7 +122,7 @@
 	case <-b.committed:
 		return true
 	case <-timer.C:
-		s.Unkept.Add(1)
+		s.Unrecorded.Add(1)
 		s.log.Warn("report on a promised job not committed in time; its instance has to call again", "job", n.ID, "instance", n.From, "kind", c.Kind)
 		return false
 	}
@@ -236,7 +236,7 @@
 		case settled:
 			s.sends.drop(sending)
 		case intended:
-			s.Unsent.Add(1)
+			s.NeverSent.Add(1)
 			s.log.Info("attempt of a promised job was never sent; reporting it to the group", "job", sending.Job, "instance", sending.Instance)
 			s.record(g, c)
 		}
--- a/internal/net/promises/sendlog.go
+++ b/internal/net/promises/sendlog.go
@@ -27,7 +27,7 @@
 	bootIDFile     = "/proc/sys/kernel/random/boot_id"
 
 	maxSendLog  = 1 << 20  // bytes after which the file is rewritten without obsolete lines
-	maxReadBack = 64 << 20 // bytes that are read at startup
+	maxReadBack = 64 << 20 // bytes of the largest file that is read at startup
 )
 
 var sendLogSums = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -74,10 +74,10 @@
 	ctx            context.Context
 	lastUnsentScan time.Duration // time of the last scan for attempts that never ran
 
-	Promised, Intents, Booked, Ends, Left, DroppedBooks atomic.Int64
-	Unsent, Unkept                                      atomic.Int64 // attempts reported as never sent; callbacks that have to be made again
-	acting                                              atomic.Int64
-	yielded                                             atomic.Bool
+	Promised, Intents, Recorded, Ends, Abandoned, DroppedRecordings atomic.Int64
+	NeverSent, Unrecorded                                           atomic.Int64 // attempts reported as never sent; callbacks that have to be made again
+	acting                                                          atomic.Int64
+	yielded                                                         atomic.Bool
 }
 
 // submissionKey identifies one submission.
@@ -232,7 +232,7 @@
 			}
 		case promise.Abandon:
 			if h := s.dropSubmission(a.ID, a.Submission); h != nil {
-				s.Left.Add(1)
+				s.Abandoned.Add(1)
 				s.core.Abandon(h.cmd)
 			}
 		case promise.EndReported:
@@ -392,5 +392,5 @@
 	books := len(s.recordings)
 	s.mu.Unlock()
 	return fmt.Sprintf("proxy.promise.kept=%d\nproxy.promise.open=%d\nproxy.promise.bytes=%d\nproxy.promise.groups_acted_for=%d\nproxy.promise.receipts=%d\nproxy.promise.intents=%d\nproxy.promise.booked=%d\nproxy.promise.left=%d\nproxy.promise.unbooked=%d\nproxy.promise.books_dropped=%d\nproxy.promise.never_sent=%d\nproxy.promise.calls_unkept=%d\n",
-		jobs, open, bytes, s.acting.Load(), s.Promised.Load(), s.Intents.Load(), s.Booked.Load(), s.Left.Load(), books, s.DroppedBooks.Load(), s.Unsent.Load(), s.Unkept.Load())
+		jobs, open, bytes, s.acting.Load(), s.Promised.Load(), s.Intents.Load(), s.Recorded.Load(), s.Abandoned.Load(), books, s.DroppedRecordings.Load(), s.NeverSent.Load(), s.Unrecorded.Load())
 }
