--- a/internal/net/accord/server.go
+++ b/internal/net/accord/server.go
@@ -74,15 +74,15 @@
 	ended           chan struct{}
 	member          *accord.Member
 	monitor         *accord.Monitor
-	texts           map[uint64][]byte // of versions that the member may no longer hold
-	lastCordons     string            // cordons last passed to Rules.Leave
-	confirmed       bool
+	texts           map[uint64][]byte         // of versions that the member may no longer hold
+	lastCordons     string                    // cordons last passed to Rules.Leave
+	confirmed       bool                      // this process has had a lease
 	applying        *accord.EffectiveVersions // requested from Rules.Act and not done yet
 	applyRequested  time.Duration
 	floorDue        time.Duration // when the lease ran out; the requested change to the floor counts as late since then
 	lastChecked     uint64        // highest version whose check was started
 	steps           []Step
-	lastTick        time.Duration // tick
+	lastTick        time.Duration // time of the last tick
 	lateness        time.Duration // largest lateness in the current window
 	prevLateness    time.Duration // and in the previous one
 	windowStart     time.Duration // start of the current window
@@ -98,22 +98,22 @@
 	nextCordonRetry time.Duration // when cordons are next proposed again
 }
 
-// New returns a server. The state kept by an earlier process is read at once, for Start and LeftOut.
+// New returns a server. The state saved by an earlier process is read at once, for Start and LeftOut.
 func New(o Options, logger *slog.Logger) (*Server, error) {
 	if err := accord.CheckID(o.Name); err != nil {
 		return nil, fmt.Errorf("node.name: %w", err)
 	}
 	s := &Server{o: o, log: logger, texts: map[uint64][]byte{}}
-	var kept accord.Saved
+	var saved accord.Saved
 	text, err := os.ReadFile(o.File)
 	if err == nil {
-		err = json.Unmarshal(text, &kept)
+		err = json.Unmarshal(text, &saved)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) { // the group sends it again; until then this dispatcher uses the floor anyway
 		logger.Warn("accord: saved state not used", "file", o.File, "err", err)
-		kept = accord.Saved{}
+		saved = accord.Saved{}
 	}
-	s.member = accord.NewMember(accord.Process{Name: o.Name, Boot: rand.Uint64()}, kept)
+	s.member = accord.NewMember(accord.Process{Name: o.Name, Boot: rand.Uint64()}, saved)
 	s.cacheTexts()
 	s.steps = []Step{{time.Now().UnixMicro(), s.member.Effective()}}
 	return s, nil
@@ -176,9 +176,9 @@
 // cacheTexts keeps the texts of versions that may be applied. The lock is held, except in New.
 func (s *Server) cacheTexts() {
 	if len(s.texts) > maxTexts {
-		did := s.member.Effective()
+		current := s.member.Effective()
 		for n := range s.texts {
-			if n != did.Low && n != did.High {
+			if n != current.Low && n != current.High {
 				delete(s.texts, n)
 			}
 		}
@@ -211,12 +211,12 @@
 	for {
 		s.mu.Lock()
 		now := replicas.Now()
-		again := s.cancel == nil && !s.member.Effective().Floor
-		if again {
+		pending := s.cancel == nil && !s.member.Effective().Floor
+		if pending {
 			s.apply(now)
 		}
 		s.mu.Unlock()
-		if !again {
+		if !pending {
 			return
 		}
 		time.Sleep(tickInterval)
@@ -293,13 +293,13 @@
 	if s.applying != nil && now < s.applyRequested+applyTimeout {
 		return
 	}
-	did, o := s.member.Effective(), s.member.Directive(now)
-	if o.Effective == did {
+	current, o := s.member.Effective(), s.member.Directive(now)
+	if o.Effective == current {
 		return
 	}
 	want := o.Effective
 	s.applying, s.applyRequested, s.floorDue = &want, now, 0
-	if want.Floor && !did.Floor {
+	if want.Floor && !current.Floor {
 		if s.floorDue = s.member.LeaseEnd(); now-s.lastTick > maxTickGap || s.floorDue == 0 {
 			s.floorDue = now // the process was stopped until now
 		}
@@ -418,7 +418,7 @@
 	s.lastOutcomes = past
 }
 
-// save writes the state for the next process to disk; of concurrent calls the last state is kept.
+// save writes the state for the next process to disk; of concurrent calls the last state is saved.
 func (s *Server) save() error {
 	s.fileMu.Lock()
 	defer s.fileMu.Unlock()
@@ -503,8 +503,8 @@
 	if !out {
 		return fmt.Errorf("not done, as the others have not agreed: %w", err)
 	}
-	if kept := s.save(); kept != nil {
-		err = errors.Join(err, kept)
+	if saved := s.save(); saved != nil {
+		err = errors.Join(err, saved)
 	}
 	return fmt.Errorf("done here, and at the others once they are heard: %w", err)
 }
--- a/internal/net/operators/operators.go
+++ b/internal/net/operators/operators.go
@@ -48,8 +48,8 @@
 }
 
 // New returns a server.
-func New(desk Handler, logger *slog.Logger) *Server {
-	return &Server{handler: desk, log: logger, slots: make(chan struct{}, maxCallers)}
+func New(handler Handler, logger *slog.Logger) *Server {
+	return &Server{handler: handler, log: logger, slots: make(chan struct{}, maxCallers)}
 }
 
 // Serve accepts callers until the listener is closed.
@@ -135,20 +135,20 @@
 	if len(words) == 0 {
 		return "ERR an empty call\n"
 	}
-	call, rest := words[0], words[1:]
-	do := map[string]func() error{"health": s.handler.Health, "quiesce": s.handler.Quiesce, "resume": s.handler.Resume}[call]
-	about := map[string]func(string) error{"cordon": s.handler.Cordon, "uncordon": s.handler.Uncordon}[call]
+	command, args := words[0], words[1:]
+	action := map[string]func() error{"health": s.handler.Health, "quiesce": s.handler.Quiesce, "resume": s.handler.Resume}[command]
+	instanceAction := map[string]func(string) error{"cordon": s.handler.Cordon, "uncordon": s.handler.Uncordon}[command]
 	switch {
-	case call == "counters" && len(rest) == 0:
+	case command == "counters" && len(args) == 0:
 		return s.handler.Figures() + "END\n"
-	case do != nil && len(rest) == 0:
-		return formatResult(do())
-	case about != nil && len(rest) == 1:
-		return formatResult(about(rest[0]))
-	case do != nil || about != nil || call == "counters":
+	case action != nil && len(args) == 0:
+		return formatResult(action())
+	case instanceAction != nil && len(args) == 1:
+		return formatResult(instanceAction(args[0]))
+	case action != nil || instanceAction != nil || command == "counters":
 		return "ERR wrong number of words\n"
-	case len(rest) == 0:
-		if text := s.handler.Show(call); text != "" {
+	case len(args) == 0:
+		if text := s.handler.Show(command); text != "" {
 			return text + "\nEND\n"
 		}
 	}
--- a/internal/net/operators/operators_test.go
+++ b/internal/net/operators/operators_test.go
@@ -71,12 +71,12 @@
 // Guards against callers that never finish their line and occupy all slots: the longest waiting one is disconnected.
 func TestSilentCallersAreDisconnected(t *testing.T) {
 	dial := serve(t)
-	var mute []net.Conn
+	var silent []net.Conn
 	for range maxCallers {
-		mute = append(mute, dial())
-		io.WriteString(mute[len(mute)-1], "hea")
+		silent = append(silent, dial())
+		io.WriteString(silent[len(silent)-1], "hea")
 	}
 	require.Equal(t, "OK\n", ask(t, dial(), "health\n"))
-	require.Equal(t, "ERR the call did not come in time\n", ask(t, mute[0], ""))
-	require.Equal(t, "OK\n", ask(t, mute[maxCallers-1], "lth\n"), "the last caller still gets its answer")
+	require.Equal(t, "ERR the call did not come in time\n", ask(t, silent[0], ""))
+	require.Equal(t, "OK\n", ask(t, silent[maxCallers-1], "lth\n"), "the last caller still gets its answer")
 }
--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -83,7 +83,7 @@
 	calls   chan struct{}
 	Started atomic.Int64 // stages started by this dispatcher
 	Reruns  atomic.Int64
-	acting  atomic.Int64
+	acting  atomic.Int64 // groups that this dispatcher owns
 
 	mu             sync.Mutex
 	changed        chan struct{}  // closed and replaced after each pass of the loop
@@ -108,15 +108,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.instances.Update(l)
-	rooms := map[string]float64{}
+	capacities := map[string]float64{}
 	for id, m := range s.instances.Instances() {
 		if p := placeOf(id, m); m.State == decide.Ready && s.o.Slots[m.Kind] > 0 {
-			rooms[p.Zone+"."+p.Site] += s.o.Slots[m.Kind] * cmp.Or(m.Size, 1)
+			capacities[p.Zone+"."+p.Site] += s.o.Slots[m.Kind] * cmp.Or(m.Size, 1)
 		}
 	}
 	s.capacities = map[string]int{}
-	for place, room := range rooms {
-		s.capacities[place] = max(1, int(min(room, maxSiteCapacity)))
+	for place, capacity := range capacities {
+		s.capacities[place] = max(1, int(min(capacity, maxSiteCapacity)))
 	}
 	if !s.listed && len(s.instances.Instances()) > 0 {
 		close(s.instancesKnown)
@@ -169,12 +169,12 @@
 	var lines []rerun.LogLine
 	policyKnown, capacitiesCurrent := false, false
 	s.mu.Lock()
-	rooms := s.capacities // replaced as a whole, never modified
+	capacities := s.capacities // replaced as a whole, never modified
 	s.mu.Unlock()
 	now := time.Duration(time.Now().UnixNano())
 	if !s.host.View(g, replica.Reruns, func(m replica.Machine) {
 		r := m.(*rerun.Machine)
-		actions, running, lines, policyKnown, capacitiesCurrent = r.Actions(), r.Running(""), r.TakeLogLines(), r.HasPolicy(s.o.Version), r.CapacitiesCurrent(rooms)
+		actions, running, lines, policyKnown, capacitiesCurrent = r.Actions(), r.Running(""), r.TakeLogLines(), r.HasPolicy(s.o.Version), r.CapacitiesCurrent(capacities)
 	}) {
 		return
 	}
@@ -191,7 +191,7 @@
 		})
 	}
 	if !capacitiesCurrent {
-		s.startTask(fmt.Sprint("rooms/", g), func() { s.propose(ctx, g, rerun.Command{Op: rerun.OpCapacities, Capacities: rooms}) })
+		s.startTask(fmt.Sprint("rooms/", g), func() { s.propose(ctx, g, rerun.Command{Op: rerun.OpCapacities, Capacities: capacities}) })
 	}
 	for _, t := range running {
 		s.startTask(executionTask(t), func() { s.execute(ctx, g, t) })
@@ -549,7 +549,7 @@
 	group := rerun.GroupOfRun(q.Id, s.host.Groups())
 	for {
 		s.mu.Lock()
-		moved := s.changed
+		changed := s.changed
 		s.mu.Unlock()
 		open := false
 		here := s.host.View(group, replica.Reruns, func(m replica.Machine) {
@@ -577,7 +577,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, status.FromContextError(ctx.Err()).Err()
-		case <-moved:
+		case <-changed:
 		case <-time.After(time.Until(until)):
 		}
 	}
--- a/internal/net/pipelines/pipelines_test.go
+++ b/internal/net/pipelines/pipelines_test.go
@@ -299,7 +299,7 @@
 		s.runActions(t.Context(), 0)
 		s.wg.Wait()
 	}
-	room := func() (room map[string]int) {
+	capacities := func() (capacities map[string]int) {
 		host.View(0, replica.Reruns, func(m replica.Machine) {
 			var state struct {
 				Room map[string]int `json:"Room"`
@@ -307,14 +307,14 @@
 			text, err := m.(*rerun.Machine).Snapshot()
 			require.NoError(t, err)
 			require.NoError(t, json.Unmarshal(text, &state))
-			room = state.Room
+			capacities = state.Room
 		})
-		return room
+		return capacities
 	}
 	list(10)
-	require.Equal(t, map[string]int{"a.1": 60}, room())
+	require.Equal(t, map[string]int{"a.1": 60}, capacities())
 	list(9)
-	require.Equal(t, map[string]int{"a.1": 60}, room())
+	require.Equal(t, map[string]int{"a.1": 60}, capacities())
 	list(5)
-	require.Equal(t, map[string]int{"a.1": 30}, room())
+	require.Equal(t, map[string]int{"a.1": 30}, capacities())
 }
--- a/internal/net/promises/recording.go
+++ b/internal/net/promises/recording.go
@@ -187,7 +187,7 @@
 
 // trackProposal starts tracking the sending of an attempt whose intent is about to be proposed, if its job must not
 // run twice. For a proposal that an attempt never ran it returns the attempt's send record, or nil if there is none.
-func (s *Server) trackProposal(g uint32, c promise.Command) (over *promise.SendRecord) {
+func (s *Server) trackProposal(g uint32, c promise.Command) (record *promise.SendRecord) {
 	switch c.Op {
 	case promise.OpIntent:
 		s.Intents.Add(1)
--- a/internal/net/promises/sendlog.go
+++ b/internal/net/promises/sendlog.go
@@ -197,8 +197,8 @@
 
 func sumOf(text []byte) string { return fmt.Sprintf("%08x", crc32.Checksum(text, sendLogSums)) }
 
-func formatLine(of any) []byte {
-	text, _ := json.Marshal(of) // plain data: this cannot fail
+func formatLine(v any) []byte {
+	text, _ := json.Marshal(v) // plain data: this cannot fail
 	return fmt.Appendf(nil, "%s %s\n", sumOf(text), text)
 }
 
@@ -310,11 +310,11 @@
 }
 
 // abandon prevents any further attempt of a submission from beginning.
-func (l *sendLog) abandon(job string, of *attempts, mono time.Duration) {
+func (l *sendLog) abandon(job string, tracked *attempts, mono time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records.Abandon(job, mono) // the file already lists requested attempts as not begun
-	of.each(func(sending *promise.SendRecord) {
+	tracked.each(func(sending *promise.SendRecord) {
 		if sending.State == promise.Requested { // its record was dropped after its deadline
 			l.records.NeverRan(sending, mono)
 		}
@@ -322,11 +322,11 @@
 }
 
 // allUnsent reports whether attempts are tracked and none of them has run or can still run.
-func (l *sendLog) allUnsent(of *attempts) bool {
+func (l *sendLog) allUnsent(tracked *attempts) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	followed, unsent := 0, 0
-	of.each(func(sending *promise.SendRecord) {
+	tracked.each(func(sending *promise.SendRecord) {
 		if followed++; sending.State == promise.NeverSent {
 			unsent++
 		}
@@ -353,13 +353,13 @@
 	return known
 }
 
-// unreported returns the attempts that never ran and whose groups are due to be notified; all: regardless of the
-// time.
-func (l *sendLog) unreported(mono time.Duration, all bool) (due []promise.SendRecord) {
+// unreported returns the attempts that never ran and whose groups are due to be notified; now: without the usual
+// delay.
+func (l *sendLog) unreported(mono time.Duration, now bool) (due []promise.SendRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records.Expire(unixNow())
-	if all {
+	if now {
 		mono = math.MaxInt64 / 2
 	}
 	for _, sending := range l.records.DueReports(mono) {
--- a/internal/net/promises/sendlog_test.go
+++ b/internal/net/promises/sendlog_test.go
@@ -53,7 +53,7 @@
 func TestNoAttemptBeginsAfterLogHandover(t *testing.T) {
 	dir := t.TempDir()
 	older := openLog(t, dir)
-	waits, begun := older.request("waits~1~1", "s-1", 1, later()), older.request("begun~2~1", "s-1", 1, later())
+	waiting, begun := older.request("waits~1~1", "s-1", 1, later()), older.request("begun~2~1", "s-1", 1, later())
 	require.True(t, older.begin(begun))
 	newer := newSendLog(dir, slog.New(slog.DiscardHandler))
 	newer.open()
@@ -61,7 +61,7 @@
 	older.close()
 	newer.open()
 	require.Len(t, newer.unreported(0, true), 1)
-	require.False(t, older.begin(waits))
+	require.False(t, older.begin(waiting))
 	left := newer.request("left~3~1", "s-1", 1, later())
 	newer.abandon("left~3~1", &attempts{}, 0)
 	require.False(t, newer.begin(left))
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -76,8 +76,8 @@
 
 	Promised, Intents, Recorded, Ends, Abandoned, DroppedRecordings atomic.Int64
 	NeverSent, Unrecorded                                           atomic.Int64 // attempts reported as never sent; callbacks that have to be made again
-	acting                                                          atomic.Int64
-	yielded                                                         atomic.Bool
+	acting                                                          atomic.Int64 // groups that this dispatcher owns
+	yielded                                                         atomic.Bool  // a newer process has taken over or is about to
 }
 
 // submissionKey identifies one submission.
@@ -95,7 +95,7 @@
 	number  int
 	startBy time.Duration // Unix time after which the job must not be started
 	cmd     *dispatch.Command
-	pending map[int]*dispatch.Attempt // that wait for their intents to be committed; used by the loop alone
+	pending map[int]*dispatch.Attempt // attempts that wait for their intents to be committed; used by the loop alone
 	sends   attempts
 }
 
@@ -204,12 +204,12 @@
 	for _, a := range o.Actions() {
 		switch a := a.(type) {
 		case promise.Propose:
-			over := s.trackProposal(g, a.Command)
+			record := s.trackProposal(g, a.Command)
 			ctx := s.ctx
 			go func() {
 				answer, err := s.propose(ctx, g, a.Command)
-				if over != nil && err == nil && answer.OK {
-					s.sends.confirmed(over)
+				if record != nil && err == nil && answer.OK {
+					s.sends.confirmed(record)
 				}
 				s.post(func() { o.ProposalDone(clock(), a.Seq, answer, err != nil); s.runActions(g, o) })
 			}()
@@ -389,8 +389,8 @@
 		})
 	}
 	s.mu.Lock()
-	books := len(s.recordings)
+	pending := len(s.recordings)
 	s.mu.Unlock()
 	return fmt.Sprintf("proxy.promise.kept=%d\nproxy.promise.open=%d\nproxy.promise.bytes=%d\nproxy.promise.groups_acted_for=%d\nproxy.promise.receipts=%d\nproxy.promise.intents=%d\nproxy.promise.booked=%d\nproxy.promise.left=%d\nproxy.promise.unbooked=%d\nproxy.promise.books_dropped=%d\nproxy.promise.never_sent=%d\nproxy.promise.calls_unkept=%d\n",
-		jobs, open, bytes, s.acting.Load(), s.Promised.Load(), s.Intents.Load(), s.Recorded.Load(), s.Abandoned.Load(), books, s.DroppedRecordings.Load(), s.NeverSent.Load(), s.Unrecorded.Load())
+		jobs, open, bytes, s.acting.Load(), s.Promised.Load(), s.Intents.Load(), s.Recorded.Load(), s.Abandoned.Load(), pending, s.DroppedRecordings.Load(), s.NeverSent.Load(), s.Unrecorded.Load())
 }
--- a/internal/net/promises/service.go
+++ b/internal/net/promises/service.go
@@ -195,7 +195,7 @@
 func (s *Server) waitForEnd(ctx context.Context, id string, until time.Time) {
 	for time.Now().Before(until) {
 		s.mu.Lock()
-		moved := s.changed
+		changed := s.changed
 		s.mu.Unlock()
 		open := false
 		wait := min(time.Until(until), time.Second)
@@ -203,18 +203,18 @@
 			e := m.(*promise.Machine).Entry(id)
 			open = e != nil && e.End == nil
 		}) {
-			moved, wait = nil, min(wait, remotePollPause)
+			changed, wait = nil, min(wait, remotePollPause)
 		} else if !open {
 			return
 		}
 		timer := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
-		case <-moved:
+		case <-changed:
 		case <-timer.C:
 		}
 		timer.Stop()
-		if ctx.Err() != nil || moved == nil {
+		if ctx.Err() != nil || changed == nil {
 			return
 		}
 	}
