--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -85,7 +85,7 @@
 	joinAt            time.Time
 	joining           bool
 
-	counts struct{ told, asked, passed, garbage int64 }
+	counts struct{ received, requested, forwarded, unreadable int64 }
 }
 
 // New returns a server that has not joined yet.
@@ -318,13 +318,13 @@
 		switch a := a.(type) {
 		case members.Send:
 			if !a.Heartbeat {
-				s.counts.passed++
+				s.counts.forwarded++
 			}
 			s.send(a.To, message{Update: &a.Update})
 		case members.Ack:
 			s.send(a.To, message{Source: a.Source, Version: a.Version})
 		case members.RequestList:
-			s.counts.asked++
+			s.counts.requested++
 			s.send(a.To, message{})
 		case members.SetWatch:
 			s.lists.Watch(a.Watch)
@@ -386,12 +386,12 @@
 	s.event(func(state *members.State, now time.Time) {
 		switch {
 		case from == s.o.Name || s.nodes[from] == nil && err != nil:
-			s.counts.garbage++
+			s.counts.unreadable++
 		case err != nil:
-			s.counts.garbage++
+			s.counts.unreadable++
 			state.UnreadableMessage(now, from, fmt.Errorf("what it tells cannot be read (%w)", err))
 		case m.Update != nil:
-			s.counts.told++
+			s.counts.received++
 			state.HandleUpdate(now, from, *m.Update)
 		case m.Source != "":
 			state.HandleAck(from, m.Source, m.Version)
@@ -424,7 +424,7 @@
 	}
 	v := s.state.View(time.Now())
 	return fmt.Sprintf("proxy.members.peers=%d\nproxy.members.watches=%d\nproxy.members.term=%d\nproxy.members.revision=%d\nproxy.members.age_ms=%d\nproxy.members.told=%d\nproxy.members.asked=%d\nproxy.members.passed=%d\nproxy.members.garbage=%d\n",
-		len(v.Peers), map[bool]int{true: 1}[s.watch == members.Watching], v.Term, v.Revision, v.Age.Milliseconds(), s.counts.told, s.counts.asked, s.counts.passed, s.counts.garbage)
+		len(v.Peers), map[bool]int{true: 1}[s.watch == members.Watching], v.Term, v.Revision, v.Age.Milliseconds(), s.counts.received, s.counts.requested, s.counts.forwarded, s.counts.unreadable)
 }
 
 // delegate implements memberlist's callbacks. Some are called with memberlist's locks held.
--- a/internal/net/promises/server_test.go
+++ b/internal/net/promises/server_test.go
@@ -112,7 +112,7 @@
 	require.Nil(t, r.End)
 	require.Empty(t, c[1].submitted)
 	require.False(t, s[1].Stray(dispatch.Callback{ID: "another's", From: "s-1", State: dispatch.Done}))
-	require.True(t, s[1].Stray(dispatch.Callback{ID: m.ID, From: "s-3", State: dispatch.Done, Result: []byte("nobody sent it there")}))
+	require.True(t, s[1].Stray(dispatch.Callback{ID: m.ID, From: "s-3", State: dispatch.Done, Result: []byte("never sent there")}))
 	require.True(t, s[1].Stray(dispatch.Callback{ID: m.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
 	for _, s := range s {
 		r, err := s.Await(t.Context(), &promisev1.AwaitRequest{Id: "j", WaitMs: 20_000})
