--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -389,7 +389,7 @@
 			s.counts.unreadable++
 		case err != nil:
 			s.counts.unreadable++
-			state.UnreadableMessage(now, from, fmt.Errorf("what it tells cannot be read (%w)", err))
+			state.UnreadableMessage(now, from, fmt.Errorf("unreadable message: %w", err))
 		case m.Update != nil:
 			s.counts.received++
 			state.HandleUpdate(now, from, *m.Update)
