--- a/internal/gang/orders/orders_test.go
+++ b/internal/gang/orders/orders_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-var depth = flag.Int("gang.depth", 9, "commands that the check goes")
+var depth = flag.Int("gang.depth", 9, "depth of the check, in commands")
 
-// Each state within a depth, with messages in any order, late, twice and lost, whoever coordinates and wherever a group's
-// copies are moved: no account is passed, what is to start is held everywhere, and no group commits or keeps what its
-// gang's home has not. Faults put in are found, each by its name.
+// Checks all states within a depth. Messages come in any order, late, twice or never, with any number of coordinators,
+// and groups move between machines. No account may be overdrawn, a gang that is about to start must hold its slots in
+// all groups, and no group may commit or keep holds that the gang's home has not. Each injected fault must be found.
 func TestCommitmentInEveryOrder(t *testing.T) {
-	s := Explore(Sound, *depth)
-	t.Logf("depth %d: %d states, in %d a gang is about to start", *depth, s.States, s.Going)
-	require.Empty(t, s.Fault)
-	require.NotZero(t, s.Going)
-	for _, bug := range Mutants {
-		s := Explore(bug, *depth)
-		t.Logf("%s: %s, after %d states", bug, s.Fault, s.States)
-		require.NotEmpty(t, s.Fault, bug)
+	s := Explore(NoFault, *depth)
+	t.Logf("depth %d: %d states, in %d a gang is about to start", *depth, s.States, s.Starting)
+	require.Empty(t, s.Violation)
+	require.NotZero(t, s.Starting)
+	for _, mutant := range Mutants {
+		s := Explore(mutant, *depth)
+		t.Logf("%s: %s, after %d states", mutant, s.Violation, s.States)
+		require.NotEmpty(t, s.Violation, mutant)
 	}
 }
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -1,5 +1,5 @@
-// Package gangs takes gangs from callers and has their members start: the sockets, clocks and goroutines around
-// caperrelay/internal/gang, on the groups that a replicas.Host keeps.
+// Package gangs is the gang service: the connections, clocks and goroutines around package caperrelay/internal/gang,
+// which uses the replicated groups of a replicas.Host.
 package gangs
 
 import (
@@ -31,110 +31,110 @@
 )
 
 const (
-	busy      = 8 * time.Millisecond // between steps while a gang is under way
-	idle      = 100 * time.Millisecond
-	pingEvery = 400 * time.Millisecond
-	sayWithin = 300 * time.Millisecond // a dispatcher to another
-	askWithin = 2 * time.Second        // a group
-	mostAsked = 256                    // commands and words under way
-	looking   = 100 * time.Millisecond // between two looks at a gang that is awaited, where its home has no copy here
-	awaitMost = 30 * time.Second
-	heldAhead = time.Minute // that dispatchers tell each other of what is held: no job of another kind runs for longer
-	mostHeld  = 1024        // that one tells
-	mostText  = 512 << 10
+	activeInterval     = 8 * time.Millisecond // between steps while gangs are open
+	idleInterval       = 100 * time.Millisecond
+	pingInterval       = 400 * time.Millisecond
+	messageTimeout     = 300 * time.Millisecond // of a message to another dispatcher
+	proposeTimeout     = 2 * time.Second        // of a command to a group
+	maxOutstanding     = 256                    // commands and messages without an answer
+	awaitInterval      = 100 * time.Millisecond // between queries about an awaited gang
+	maxAwait           = 30 * time.Second
+	reservationHorizon = time.Minute // how far ahead dispatchers report holds to each other: no other job runs for longer
+	maxReservations    = 1024        // that one dispatcher reports
+	maxMessageSize     = 512 << 10
 )
 
-// Partner lends slots at its sites.
+// Partner is a partner that lends slots of the encoders at its sites.
 type Partner struct {
 	Name  string
 	Sites []string
-	Slots int     // at once; 0: no bound
-	Share float64 // of its encoders' slots; 0: no bound
-	Hours float64 // slot-hours in a day of UTC; 0: no bound
+	Slots int     // at one time; 0: unlimited
+	Share float64 // of its encoders' slots; 0: unlimited
+	Hours float64 // slot-hours per UTC day; 0: unlimited
 }
 
-// Options of a server.
+// Options are the options of a server.
 type Options struct {
-	Name, Site string
-	Peers      map[string]string // the other dispatchers' control addresses, by name
-	Slots      map[string]float64
-	Partners   []Partner
-	Keys       func(peer string) credentials.TransportCredentials // nil: plain text
-	Cold       time.Duration                                      // of an encoder, until it is warm
-	Once       map[string]bool                                    // classes: whether a job must not run twice
-	TellsStart bool                                               // encoders tell when a job begins to run
-	Ahead      time.Duration                                      // put to the clock, for trials of clocks that are apart
+	Name, Site  string
+	Peers       map[string]string // control addresses of the other dispatchers, by name
+	Slots       map[string]float64
+	Partners    []Partner
+	Credentials func(peer string) credentials.TransportCredentials // nil: plain text
+	WarmUp      time.Duration                                      // how long an encoder takes to warm up
+	OnceClasses map[string]bool                                    // by class: whether a job must not run twice
+	TellsStart  bool                                               // encoders report when a job begins to run
+	ClockOffset time.Duration                                      // added to the clock, to test clocks that differ
 }
 
 // Core is the dispatcher's loop.
 type Core interface {
 	Submit(*dispatch.Command)
 	ClientGone(*dispatch.Command)
-	// CancelJob has an encoder drop what another dispatcher sent.
+	// CancelJob has an encoder drop a job that another dispatcher sent.
 	CancelJob(instance, id string)
-	// SetReservations says what is held of an encoder.
+	// SetReservations sets an encoder's slots and the reservations on them.
 	SetReservations(id string, slots float64, spans []decide.Reservation)
 }
 
-// Server is a dispatcher's part in gangs.
+// Server is a dispatcher's part of the gang service.
 type Server struct {
 	gangv1.UnimplementedGangsServer
 	gangv1.UnimplementedPeersServer
-	o     Options
-	host  replicas.Host
-	core  Core
-	log   *slog.Logger
-	clock string // its name: of this process alone
-	began time.Duration
-	in    chan func()
-	room  chan struct{} // for what is under way
-	peers map[string]gangv1.PeersClient
-	conns []*grpc.ClientConn
-
-	// Members start in time whatever the groups' disks do: they have a loop of their own.
-	starts  sync.Mutex // of s and sent; nothing is waited for under it
-	s       *gang.Starter
-	sent    map[string]*dispatch.Command
-	stirred chan struct{} // that loop has something to look at
-
-	// The coordinating loop's own.
-	c       *gang.Coordinator
-	homes   map[string]uint32 // of gangs that are coordinated here
-	pinged  time.Duration
-	leads   []uint32
-	held    map[string][]gang.Taken // by dispatcher: what its groups hold
-	spans   map[string]string       // by encoder: what the loop was told
-	set     map[string]uint64       // accounts that were set from here: generations
-	active  bool
-	ends    context.CancelFunc
-	stopped chan struct{}
-	mu      sync.Mutex // of ends and stopped
-
-	tables sync.Mutex // of what follows
-	table  dispatch.InstanceList
-	out    map[string]bool // left out by hand
-
-	errors  atomic.Int64
-	figures atomic.Pointer[string]
-	once    atomic.Pointer[map[string]bool]
-}
-
-// New returns a server that does nothing before Open.
+	options     Options
+	host        replicas.Host
+	core        Core
+	log         *slog.Logger
+	clockName   string // unique to this process
+	clockBase   time.Duration
+	inbox       chan func()
+	outstanding chan struct{} // semaphore for commands and messages without an answer
+	peers       map[string]gangv1.PeersClient
+	conns       []*grpc.ClientConn
+
+	// The starter has a goroutine of its own, so that members start in time even if the groups' disks are slow.
+	starterMu      sync.Mutex // guards starter and sent; must not be held while waiting
+	starter        *gang.Starter
+	sent           map[string]*dispatch.Command
+	starterChanged chan struct{} // wakes the starter's goroutine
+
+	// Used by the coordinator's loop only.
+	coordinator         *gang.Coordinator
+	homes               map[string]uint32 // gangs coordinated here, and their home groups
+	pingTime            time.Duration
+	ledGroups           []uint32
+	reservations        map[string][]gang.Reservation // by dispatcher: holds in the groups that it leads
+	appliedReservations map[string]string             // by encoder: the reservations that the dispatcher's loop has, as text
+	setGenerations      map[string]uint64             // by account: the generation proposed from here
+	active              bool
+	cancel              context.CancelFunc
+	stopped             chan struct{}
+	mu                  sync.Mutex // guards cancel and stopped
+
+	listMu    sync.Mutex // guards the fields below
+	instances dispatch.InstanceList
+	cordoned  map[string]bool // instance IDs
+
+	overruns    atomic.Int64
+	counters    atomic.Pointer[string]
+	onceClasses atomic.Pointer[map[string]bool]
+}
+
+// New returns a server, which is inactive until Open.
 func New(o Options, host replicas.Host, core Core, logger *slog.Logger) (*Server, error) {
 	clock := fmt.Sprintf("%s/%08x", o.Name, rand.Uint32())
 	s := &Server{
-		o: o, host: host, core: core, log: logger, clock: clock, began: time.Duration(time.Now().UnixNano()) + o.Ahead - replicas.Now(), in: make(chan func(), 1024), room: make(chan struct{}, mostAsked),
-		peers: map[string]gangv1.PeersClient{}, c: gang.NewCoordinator(clock), s: gang.NewStarter(), out: map[string]bool{},
-		sent: map[string]*dispatch.Command{}, stirred: make(chan struct{}, 1), homes: map[string]uint32{}, set: map[string]uint64{},
-		held: map[string][]gang.Taken{}, spans: map[string]string{},
+		options: o, host: host, core: core, log: logger, clockName: clock, clockBase: time.Duration(time.Now().UnixNano()) + o.ClockOffset - replicas.Now(), inbox: make(chan func(), 1024), outstanding: make(chan struct{}, maxOutstanding),
+		peers: map[string]gangv1.PeersClient{}, coordinator: gang.NewCoordinator(clock), starter: gang.NewStarter(), cordoned: map[string]bool{},
+		sent: map[string]*dispatch.Command{}, starterChanged: make(chan struct{}, 1), homes: map[string]uint32{}, setGenerations: map[string]uint64{},
+		reservations: map[string][]gang.Reservation{}, appliedReservations: map[string]string{},
 	}
-	s.once.Store(&o.Once)
+	s.onceClasses.Store(&o.OnceClasses)
 	for name, at := range o.Peers {
 		creds := insecure.NewCredentials()
-		if o.Keys != nil {
-			creds = o.Keys(name)
+		if o.Credentials != nil {
+			creds = o.Credentials(name)
 		}
-		conn, err := grpc.NewClient("passthrough:///"+at, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostText)))
+		conn, err := grpc.NewClient("passthrough:///"+at, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)))
 		if err != nil {
 			return nil, fmt.Errorf("gangs: peer %s: %w", name, err)
 		}
@@ -143,56 +143,57 @@
 	return s, nil
 }
 
-// Register has a listener serve gangs.
+// Register registers the gang services with a gRPC server.
 func (s *Server) Register(r grpc.ServiceRegistrar) {
 	gangv1.RegisterGangsServer(r, s)
 	gangv1.RegisterPeersServer(r, s)
 }
 
-// Open begins.
+// Open starts the server's goroutines.
 func (s *Server) Open(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ends != nil {
+	if s.cancel != nil {
 		return
 	}
-	ctx, s.ends = context.WithCancel(ctx)
+	ctx, s.cancel = context.WithCancel(ctx)
 	s.stopped = make(chan struct{})
 	go func(stopped chan struct{}) {
 		defer close(stopped)
-		var both sync.WaitGroup
-		both.Go(func() { s.run(ctx) })
-		both.Go(func() { s.runStarts(ctx) })
-		both.Wait()
+		var loops sync.WaitGroup
+		loops.Go(func() { s.run(ctx) })
+		loops.Go(func() { s.runStarter(ctx) })
+		loops.Wait()
 	}(s.stopped)
 }
 
-// Close ends: another process goes on.
+// Close stops the server's goroutines, since another process takes over.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ends != nil {
-		s.ends()
+	if s.cancel != nil {
+		s.cancel()
 		<-s.stopped
-		s.ends = nil
+		s.cancel = nil
 	}
 }
 
-// now is Unix time by a clock that goes on steadily, also while the machine is suspended. A step of the wall clock counts
-// from the next process on.
-func (s *Server) now() time.Duration { return s.began + replicas.Now() }
+// now returns Unix time by a monotonic clock that also runs while the machine is suspended. A step of the system clock
+// takes effect in the next process only.
+func (s *Server) now() time.Duration { return s.clockBase + replicas.Now() }
 
-// post has the loop do something. A loop that is far behind is waited for: it asks for a result once, and takes what has none
-// for under way. It must not be called from there.
+// post runs a function in the coordinator's loop. If the loop is behind, post blocks: the coordinator proposes a
+// command once and considers it outstanding until its result arrives, so results must not be dropped. It must not be
+// called from the loop.
 func (s *Server) post(ctx context.Context, do func()) {
 	select {
-	case s.in <- do:
+	case s.inbox <- do:
 		return
 	default:
-		s.errors.Add(1)
+		s.overruns.Add(1)
 	}
 	select {
-	case s.in <- do:
+	case s.inbox <- do:
 	case <-ctx.Done():
 	}
 }
@@ -201,95 +202,96 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		wait := idle
+		wait := idleInterval
 		if s.active {
-			wait = busy
+			wait = activeInterval
 		}
 		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
-		case do := <-s.in:
+		case do := <-s.inbox:
 			do()
 		case <-timer.C:
 			s.step(ctx)
 		}
 		for more := true; more; {
 			select {
-			case do := <-s.in:
+			case do := <-s.inbox:
 				do()
 			default:
 				more = false
 			}
 		}
-		s.act(ctx)
+		s.runActions(ctx)
 	}
 }
 
-// runStarts sends and calls off members when it is time.
-func (s *Server) runStarts(ctx context.Context) {
+// runStarter runs the starter: it sends and cancels members when due.
+func (s *Server) runStarter(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		s.starts.Lock()
-		wait := idle
-		if at, some := s.s.Next(); some {
+		s.starterMu.Lock()
+		wait := idleInterval
+		if at, found := s.starter.NextDue(); found {
 			wait = max(0, min(wait, at-s.now()))
 		}
-		s.starts.Unlock()
+		s.starterMu.Unlock()
 		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.stirred:
+		case <-s.starterChanged:
 		case <-timer.C:
 		}
-		s.starts.Lock()
-		s.s.Tick(s.now())
-		acts := s.s.Did()
-		s.starts.Unlock()
-		s.start(acts)
+		s.starterMu.Lock()
+		s.starter.Tick(s.now())
+		actions := s.starter.TakeActions()
+		s.starterMu.Unlock()
+		s.runStarterActions(actions)
 	}
 }
 
-// tellStarts has the starter take what is told once, however far its loop is behind.
-func (s *Server) tellStarts(do func()) {
-	s.starts.Lock()
+// updateStarter updates the starter at once, however far its goroutine is behind, since some events are reported only
+// once.
+func (s *Server) updateStarter(do func()) {
+	s.starterMu.Lock()
 	do()
-	s.starts.Unlock()
+	s.starterMu.Unlock()
 	select {
-	case s.stirred <- struct{}{}:
-	default: // it will look anyway
+	case s.starterChanged <- struct{}{}:
+	default: // already woken
 	}
 }
 
-// word has the own starter take a word.
-func (s *Server) word(w gang.Word) gang.Said {
-	s.starts.Lock()
-	said := s.s.Word(s.now(), w)
-	s.starts.Unlock()
-	s.tellStarts(func() {})
-	said.Now, said.Clock, said.Site = s.now(), s.clock, s.o.Site
-	return said
+// handleMessage has the local starter process a message.
+func (s *Server) handleMessage(msg gang.Message) gang.Reply {
+	s.starterMu.Lock()
+	reply := s.starter.Handle(s.now(), msg)
+	s.starterMu.Unlock()
+	s.updateStarter(func() {})
+	reply.Now, reply.Clock, reply.Site = s.now(), s.clockName, s.options.Site
+	return reply
 }
 
-// group is the one that keeps a key's account, or a gang's home.
-func (s *Server) group(key string) uint32 { return replica.GroupOf(key, s.host.Groups()) }
+// groupOf returns the group that keeps a key's account or is a gang's home.
+func (s *Server) groupOf(key string) uint32 { return replica.GroupOf(key, s.host.Groups()) }
 
-func (s *Server) home(id string) uint32 { return s.group("gang/" + id) }
+func (s *Server) homeOf(id string) uint32 { return s.groupOf("gang/" + id) }
 
-// encoders is the list in the planner's terms.
+// encoders returns the instance list as the planner sees it.
 func (s *Server) encoders() (all []gang.Encoder) {
-	s.tables.Lock()
-	defer s.tables.Unlock()
-	for _, m := range s.table.Instances() {
-		e := gang.Encoder{ID: m.ID, Site: m.Zone, Kind: m.Kind, Out: m.State != decide.Ready || s.out[m.ID], Slots: int(s.o.Slots[m.Kind]), Gen: 1}
+	s.listMu.Lock()
+	defer s.listMu.Unlock()
+	for _, m := range s.instances.Instances() {
+		e := gang.Encoder{ID: m.ID, Site: m.Zone, Kind: m.Kind, Excluded: m.State != decide.Ready || s.cordoned[m.ID], Slots: int(s.options.Slots[m.Kind]), Gen: 1}
 		if !m.Started.IsZero() {
 			e.Gen = uint64(m.Started.UnixMicro())
-			e.Warm = time.Duration(m.Started.Add(s.o.Cold).UnixNano())
+			e.WarmAt = time.Duration(m.Started.Add(s.options.WarmUp).UnixNano())
 		}
-		e.Group = s.group(e.Account())
-		for _, p := range s.o.Partners {
+		e.Group = s.groupOf(e.Account())
+		for _, p := range s.options.Partners {
 			for _, site := range p.Sites {
 				if site == m.Zone {
 					e.Partner = p.Name
@@ -304,15 +306,15 @@
 func (s *Server) step(ctx context.Context) {
 	now := s.now()
 	all := s.encoders()
-	if now-s.pinged > pingEvery {
-		s.pinged = now
-		s.tell(ctx, s.o.Name, gang.Word{}, 0)
+	if now-s.pingTime > pingInterval {
+		s.pingTime = now
+		s.sendMessage(ctx, s.options.Name, gang.Message{}, 0)
 		for name := range s.peers {
-			s.tell(ctx, name, gang.Word{}, 0)
+			s.sendMessage(ctx, name, gang.Message{}, 0)
 		}
 	}
-	s.hold(now, all)
-	s.active, s.leads = false, nil
+	s.applyReservations(now, all)
+	s.active, s.ledGroups = false, nil
 	states := map[string]int{}
 	homes := map[string]uint32{}
 	for g := range s.host.Groups() {
@@ -322,13 +324,13 @@
 		}
 		var open *gang.Machine
 		s.host.View(g, replica.Gangs, func(m replica.Machine) {
-			k, ours := m.(*gang.Machine)
+			machine, ours := m.(*gang.Machine)
 			if !ours {
 				return
 			}
-			s.accounts(ctx, g, k, all)
-			open = k.Open()
-			for _, e := range k.Entries() {
+			s.setAccounts(ctx, g, machine, all)
+			open = machine.OpenGangs()
+			for _, e := range machine.Entries() {
 				states[string(e.State)]++
 				if e.State == gang.Ended {
 					states[e.Verdict]++
@@ -338,82 +340,82 @@
 		if open == nil {
 			continue
 		}
-		s.leads = append(s.leads, g)
-		s.c.Step(now, g, open, all)
+		s.ledGroups = append(s.ledGroups, g)
+		s.coordinator.Step(now, g, open, all)
 		for id := range open.Entries() {
 			homes[id], s.active = g, true
 		}
 	}
 	s.homes = homes
-	s.tellFigures(states)
+	s.updateCounters(states)
 }
 
-// taken is what is held at the groups that are led from here.
-func (s *Server) taken(now time.Duration) (all []gang.Taken) {
-	for _, g := range s.leads {
+// ownReservations returns the holds in the groups that this dispatcher leads.
+func (s *Server) ownReservations(now time.Duration) (all []gang.Reservation) {
+	for _, g := range s.ledGroups {
 		s.host.View(g, replica.Gangs, func(m replica.Machine) {
-			if k, ours := m.(*gang.Machine); ours {
-				all = append(all, k.Taken(now+heldAhead, mostHeld-len(all))...)
+			if machine, ours := m.(*gang.Machine); ours {
+				all = append(all, machine.Reservations(now+reservationHorizon, maxReservations-len(all))...)
 			}
 		})
 	}
 	return all
 }
 
-// accounts opens those of the groups that are led from here.
-func (s *Server) accounts(ctx context.Context, g uint32, k *gang.Machine, all []gang.Encoder) {
+// setAccounts opens or updates the accounts of a group that this dispatcher leads.
+func (s *Server) setAccounts(ctx context.Context, g uint32, machine *gang.Machine, all []gang.Encoder) {
 	set := func(r gang.Resource) {
-		if have, known := k.Resources[r.ID]; known && have.Gen >= r.Gen || s.set[r.ID] >= r.Gen {
+		if existing, known := machine.Resources[r.ID]; known && existing.Gen >= r.Gen || s.setGenerations[r.ID] >= r.Gen {
 			return
 		}
-		s.set[r.ID] = r.Gen
+		s.setGenerations[r.ID] = r.Gen
 		s.propose(ctx, g, gang.Command{Op: "set", Resource: &r}, func(_ gang.Result, ok bool) {
 			if !ok {
-				delete(s.set, r.ID)
+				delete(s.setGenerations, r.ID)
 			}
 		})
 	}
-	theirs := map[string]int{}
+	partnerSlots := map[string]int{}
 	for _, e := range all {
-		theirs[e.Partner] += e.Slots
+		partnerSlots[e.Partner] += e.Slots
 		if e.Group == g {
 			set(gang.Resource{ID: e.Account(), Slots: e.Slots, Gen: e.Gen})
 		}
 	}
-	for _, p := range s.o.Partners {
-		id := gang.Lender(p.Name)
-		if s.group(id) != g || theirs[p.Name] == 0 {
+	for _, p := range s.options.Partners {
+		id := gang.PartnerAccount(p.Name)
+		if s.groupOf(id) != g || partnerSlots[p.Name] == 0 {
 			continue
 		}
-		now, known := k.Resources[id]
+		current, known := machine.Resources[id]
 		if !known {
-			now = gang.Resource{ID: id, Most: p.Slots, Share: p.Share, Hours: p.Hours}
+			current = gang.Resource{ID: id, MaxSlots: p.Slots, Share: p.Share, SlotHours: p.Hours}
 		}
-		if next := now.Lent(theirs[p.Name]); !known || next.Slots != now.Slots {
+		if next := current.ForEncoderSlots(partnerSlots[p.Name]); !known || next.Slots != current.Slots {
 			next.Gen++
 			set(next)
 		}
 	}
 }
 
-// propose has a group take a command; done is called from the loop.
+// propose proposes a command to a group; done is called in the coordinator's loop.
 func (s *Server) propose(ctx context.Context, g uint32, c gang.Command, done func(gang.Result, bool)) {
 	select {
-	case s.room <- struct{}{}:
+	case s.outstanding <- struct{}{}:
 	default:
 		done(gang.Result{}, false)
 		return
 	}
 	go func() {
-		r, err := s.ask(ctx, g, c)
-		<-s.room
-		s.post(context.Background(), func() { done(r, err == nil) }) // at most as many wait as there is room for, and one look
+		r, err := s.apply(ctx, g, c)
+		<-s.outstanding
+		s.post(context.Background(), func() { done(r, err == nil) }) // not dropped: at most maxOutstanding results and one view can wait
 	}()
 }
 
-// ask has a group take a command.
-func (s *Server) ask(ctx context.Context, g uint32, c gang.Command) (gang.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+// apply has a group apply a command and returns the result.
+func (s *Server) apply(ctx context.Context, g uint32, c gang.Command) (gang.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	text, err := s.host.Propose(ctx, g, replica.Gangs, c.Encode())
 	if err != nil {
@@ -422,57 +424,57 @@
 	return gang.Decode(text)
 }
 
-// act does what the coordinator wants.
-func (s *Server) act(ctx context.Context) {
-	for _, a := range s.c.Did() {
+// runActions carries out the coordinator's actions.
+func (s *Server) runActions(ctx context.Context) {
+	for _, a := range s.coordinator.TakeActions() {
 		switch a := a.(type) {
 		case gang.Propose:
-			s.propose(ctx, a.Group, a.Command, func(r gang.Result, ok bool) { s.c.Answered(s.now(), a.Key, r, ok) })
-		case gang.Look:
-			s.look(ctx)
-		case gang.Tell:
-			s.tell(ctx, a.To, a.Word, s.homes[a.Gang])
+			s.propose(ctx, a.Group, a.Command, func(r gang.Result, ok bool) { s.coordinator.HandleResult(s.now(), a.Key, r, ok) })
+		case gang.FetchView:
+			s.fetchView(ctx)
+		case gang.Send:
+			s.sendMessage(ctx, a.To, a.Message, s.homes[a.Gang])
 		}
 	}
 }
 
-// look gathers what all groups hold.
-func (s *Server) look(ctx context.Context) {
-	v := gang.View{Self: s.o.Name, Lenders: map[string]gang.LenderAt{}, Accounts: map[string]gang.Resource{}}
-	for _, p := range s.o.Partners {
-		v.Lenders[p.Name] = gang.LenderAt{Group: s.group(gang.Lender(p.Name))}
+// fetchView queries all groups for their accounts and holds.
+func (s *Server) fetchView(ctx context.Context) {
+	v := gang.View{Self: s.options.Name, PartnerAccounts: map[string]gang.AccountLocation{}, Accounts: map[string]gang.Resource{}}
+	for _, p := range s.options.Partners {
+		v.PartnerAccounts[p.Name] = gang.AccountLocation{Group: s.groupOf(gang.PartnerAccount(p.Name))}
 	}
-	v.Starters = s.c.Lives(s.now())
+	v.Starters = s.coordinator.LiveDispatchers(s.now())
 	go func() {
 		for g := range s.host.Groups() {
 			var r gang.Result
-			took := s.host.View(g, replica.Gangs, func(m replica.Machine) {
-				if k, ours := m.(*gang.Machine); ours {
-					r = k.Look()
+			local := s.host.View(g, replica.Gangs, func(m replica.Machine) {
+				if machine, ours := m.(*gang.Machine); ours {
+					r = machine.Query()
 				}
 			})
-			if !took {
+			if !local {
 				var err error
-				if r, err = s.ask(ctx, g, gang.Command{Op: "look"}); err != nil {
-					continue // its encoders are not known, and nothing is planned there
+				if r, err = s.apply(ctx, g, gang.Command{Op: "look"}); err != nil {
+					continue // its accounts stay unknown, so nothing is planned at its encoders
 				}
 			}
 			for _, x := range r.Resources {
 				v.Accounts[x.ID] = x
 			}
-			v.Standing = append(v.Standing, r.Standing...)
+			v.RoundHolds = append(v.RoundHolds, r.RoundHolds...)
 		}
-		s.post(context.Background(), func() { s.c.Viewed(s.now(), v) })
+		s.post(context.Background(), func() { s.coordinator.SetView(s.now(), v) })
 	}()
 }
 
-// tell tells a dispatcher a word, perhaps this one.
-func (s *Server) tell(ctx context.Context, to string, w gang.Word, home uint32) {
+// sendMessage sends a message to a dispatcher, possibly this one.
+func (s *Server) sendMessage(ctx context.Context, to string, msg gang.Message, home uint32) {
 	sent := s.now()
-	if to == s.o.Name {
-		said := s.word(w)
-		s.held[to] = s.taken(sent)
-		s.c.Said(s.now(), sent, to, w, said, home)
+	if to == s.options.Name {
+		reply := s.handleMessage(msg)
+		s.reservations[to] = s.ownReservations(sent)
+		s.coordinator.HandleReply(s.now(), sent, to, msg, reply, home)
 		return
 	}
 	peer := s.peers[to]
@@ -480,56 +482,56 @@
 		return
 	}
 	select {
-	case s.room <- struct{}{}:
+	case s.outstanding <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, sayWithin)
+		ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 		defer cancel()
-		text, _ := json.Marshal(w) // plain data: it cannot fail
+		text, _ := json.Marshal(msg) // cannot fail for plain data
 		sent := s.now()
 		r, err := peer.Tell(ctx, &gangv1.TellRequest{Word: text})
-		came := s.now()
-		<-s.room
-		var said gang.Said
-		if err != nil || json.Unmarshal(r.GetSaid(), &said) != nil {
+		received := s.now()
+		<-s.outstanding
+		var reply gang.Reply
+		if err != nil || json.Unmarshal(r.GetSaid(), &reply) != nil {
 			return
 		}
-		s.post(ctx, func() { // it is told again
-			if w.Kind == "" {
-				s.held[to] = said.Held
+		s.post(ctx, func() { // may be dropped: the message is repeated
+			if msg.Kind == "" {
+				s.reservations[to] = reply.Reservations
 			}
-			s.c.Said(came, sent, to, w, said, home)
+			s.coordinator.HandleReply(received, sent, to, msg, reply, home)
 		})
 	}()
 }
 
-// Tell takes another dispatcher's word.
+// Tell handles a message from another dispatcher.
 func (s *Server) Tell(ctx context.Context, q *gangv1.TellRequest) (*gangv1.TellResponse, error) {
-	var w gang.Word
-	if len(q.GetWord()) > mostText || json.Unmarshal(q.GetWord(), &w) != nil {
+	var msg gang.Message
+	if len(q.GetWord()) > maxMessageSize || json.Unmarshal(q.GetWord(), &msg) != nil {
 		return nil, status.Error(codes.InvalidArgument, "not a word")
 	}
-	said := s.word(w)
-	if w.Kind == "" { // asked for the clock alone
-		answer := make(chan []gang.Taken, 1)
-		s.post(ctx, func() { answer <- s.taken(s.now()) })
+	reply := s.handleMessage(msg)
+	if msg.Kind == "" { // asks for the clock and the holds only
+		answer := make(chan []gang.Reservation, 1)
+		s.post(ctx, func() { answer <- s.ownReservations(s.now()) })
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case said.Held = <-answer:
+		case reply.Reservations = <-answer:
 		}
-		said.Now = s.now()
+		reply.Now = s.now()
 	}
-	text, _ := json.Marshal(said)
+	text, _ := json.Marshal(reply)
 	return &gangv1.TellResponse{Said: text}, nil
 }
 
-// start sends and calls off members.
-func (s *Server) start(acts []gang.Act) {
-	for _, a := range acts {
-		switch a.Do {
+// runStarterActions sends and cancels members.
+func (s *Server) runStarterActions(actions []gang.StarterAction) {
+	for _, a := range actions {
+		switch a.Kind {
 		case gang.Launch:
 			m := a.Member
 			cmd := &dispatch.Command{
@@ -540,92 +542,93 @@
 				}},
 			}
 			cmd.Client = &client{s, a.Key}
-			s.starts.Lock()
+			s.starterMu.Lock()
 			s.sent[a.Key] = cmd
-			s.starts.Unlock()
+			s.starterMu.Unlock()
 			s.core.Submit(cmd)
-		case gang.GiveUp:
-			s.starts.Lock()
+		case gang.CancelSent:
+			s.starterMu.Lock()
 			cmd := s.sent[a.Key]
 			delete(s.sent, a.Key)
-			s.starts.Unlock()
+			s.starterMu.Unlock()
 			if cmd != nil {
 				s.core.ClientGone(cmd)
 			}
-		case gang.TakeBack:
+		case gang.CancelJob:
 			s.core.CancelJob(a.Encoder, a.Key)
 		}
 	}
 }
 
-// client is a member as the loop knows it.
+// client is the client of a member's command in the dispatcher's loop.
 type client struct {
 	*Server
 	key string
 }
 
-// Started says that its encoder has it, and runs it where encoders tell.
+// Started records that an encoder has the member; it counts as running unless encoders report that separately.
 func (c *client) Started(_ string, runs bool) {
-	if runs || !c.o.TellsStart {
-		c.tellStarts(func() { c.s.Began(c.now(), c.key) })
+	if runs || !c.options.TellsStart {
+		c.updateStarter(func() { c.starter.MemberStarted(c.now(), c.key) })
 	}
 }
 
-// Answer takes its end.
+// Answer records the member's end.
 func (c *client) Answer(a dispatch.Answer) {
-	fate, why := gang.MayRun, "failed"
+	memberStatus, reason := gang.MayHaveRun, "failed"
 	switch a.Verdict {
 	case dispatch.Served:
-		fate, why = gang.Done, ""
+		memberStatus, reason = gang.Done, ""
 	case dispatch.Refused:
-		fate, why = gang.NeverRan, "refused"
+		memberStatus, reason = gang.NeverRan, "refused"
 	case dispatch.Unusable:
-		fate, why = gang.NeverRan, "no encoder can do it as it stands"
+		memberStatus, reason = gang.NeverRan, "no encoder can do it as it stands"
 	}
-	c.tellStarts(func() {
+	c.updateStarter(func() {
 		delete(c.sent, c.key)
-		c.s.Over(c.now(), c.key, fate, why)
+		c.starter.MemberEnded(c.now(), c.key, memberStatus, reason)
 	})
 }
 
-// HandOver says that another process has it: what becomes of it is not known here.
+// HandOver records that another process has taken the member over: its outcome is unknown here.
 func (c *client) HandOver(bool) {
-	c.tellStarts(func() {
+	c.updateStarter(func() {
 		delete(c.sent, c.key)
-		c.s.Over(c.now(), c.key, gang.MayRun, "it changed hands")
+		c.starter.MemberEnded(c.now(), c.key, gang.MayHaveRun, "it changed hands")
 	})
 }
 
-// Stray takes a call of an encoder that matches nothing in the loop's hand: a process before this one may have sent the member.
-func (s *Server) Stray(n dispatch.Callback) bool {
-	s.starts.Lock()
-	_, ours := s.s.Of(n.ID)
-	s.starts.Unlock()
-	fate, why := gang.MayRun, "failed"
+// HandleUnmatchedCallback handles a callback that matches no attempt of the dispatcher's loop: an earlier process may have sent the
+// member. It reports whether the member is known here.
+func (s *Server) HandleUnmatchedCallback(n dispatch.Callback) bool {
+	s.starterMu.Lock()
+	_, ours := s.starter.GangOf(n.ID)
+	s.starterMu.Unlock()
+	memberStatus, reason := gang.MayHaveRun, "failed"
 	switch n.State {
 	case dispatch.Done:
-		fate, why = gang.Done, ""
+		memberStatus, reason = gang.Done, ""
 	case dispatch.Errored, dispatch.Lost, dispatch.Returned:
 	default:
 		return ours
 	}
 	if ours {
-		s.tellStarts(func() { s.s.Over(s.now(), n.ID, fate, why) })
+		s.updateStarter(func() { s.starter.MemberEnded(s.now(), n.ID, memberStatus, reason) })
 	}
 	return ours
 }
 
-// Submit takes a gang.
+// Submit submits a gang.
 func (s *Server) Submit(ctx context.Context, q *gangv1.SubmitRequest) (*gangv1.Gang, error) {
 	us := func(n uint64) time.Duration { return time.Duration(min(n, 1<<53)) * time.Microsecond }
 	spec := gang.Spec{
-		ID: q.GetId(), NotBefore: us(q.GetNotBeforeUs()), LatestStart: us(q.GetLatestStartUs()), Skew: us(q.GetSkewUs()), After: gang.After(q.GetAfter()),
+		ID: q.GetId(), NotBefore: us(q.GetNotBeforeUs()), LatestStart: us(q.GetLatestStartUs()), Skew: us(q.GetSkewUs()), OnDeath: gang.DeathPolicy(q.GetAfter()),
 	}
-	if strings.ContainsAny(spec.ID, "/?#% \r\n") { // it becomes part of jobs' ids
+	if strings.ContainsAny(spec.ID, "/?#% \r\n") { // the ID becomes part of job IDs
 		return nil, status.Error(codes.InvalidArgument, "id: letters, digits and -_. only")
 	}
 	for i, m := range q.GetMembers() {
-		once, known := (*s.once.Load())[m.GetClass()]
+		once, known := (*s.onceClasses.Load())[m.GetClass()]
 		if !known {
 			return nil, status.Errorf(codes.InvalidArgument, "member %d: class %q is not known", i, m.GetClass())
 		}
@@ -634,58 +637,58 @@
 			Once: once, Target: m.GetTarget(), Payload: m.GetPayload(),
 		})
 	}
-	if _, err := spec.Check(s.now()); err != nil {
+	if _, err := spec.Validate(s.now()); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	return s.answer(ctx, spec.ID, gang.Command{Op: "submit", Spec: &spec})
+	return s.applyToGang(ctx, spec.ID, gang.Command{Op: "submit", Spec: &spec})
 }
 
-// Cancel calls one off.
+// Cancel cancels a gang.
 func (s *Server) Cancel(ctx context.Context, q *gangv1.CancelRequest) (*gangv1.Gang, error) {
-	return s.answer(ctx, q.GetId(), gang.Command{Op: "cancel", Gang: q.GetId()})
+	return s.applyToGang(ctx, q.GetId(), gang.Command{Op: "cancel", Gang: q.GetId()})
 }
 
-func (s *Server) answer(ctx context.Context, id string, c gang.Command) (*gangv1.Gang, error) {
-	r, err := s.ask(ctx, s.home(id), c)
+func (s *Server) applyToGang(ctx context.Context, id string, c gang.Command) (*gangv1.Gang, error) {
+	r, err := s.apply(ctx, s.homeOf(id), c)
 	switch {
 	case errors.Is(err, context.Canceled):
 		return nil, status.Error(codes.Canceled, err.Error())
-	case err != nil: // a submission may be repeated: the same id is the same gang
+	case err != nil: // the client may repeat a submission: the same ID means the same gang
 		return nil, status.Error(codes.Unavailable, err.Error())
-	case r.Gone:
+	case r.NotFound:
 		return nil, status.Error(codes.NotFound, r.Err)
 	case r.Full:
 		return nil, status.Error(codes.ResourceExhausted, r.Err)
 	case r.Entry == nil:
 		return nil, status.Error(codes.InvalidArgument, r.Err)
 	}
-	return told(r.Entry), nil
+	return toProto(r.Entry), nil
 }
 
-// told is a gang as callers are told of it.
-func told(e *gang.Entry) *gangv1.Gang {
-	g := &gangv1.Gang{Id: e.Spec.ID, State: string(e.State), Verdict: e.Verdict, Why: e.Why, Plans: uint32(e.Plans), Moves: uint32(e.Moves)}
+// toProto returns a gang's status for clients.
+func toProto(e *gang.Entry) *gangv1.Gang {
+	g := &gangv1.Gang{Id: e.Spec.ID, State: string(e.State), Verdict: e.Verdict, Why: e.Reason, Plans: uint32(e.Plans), Moves: uint32(e.Moves)}
 	if e.Plan != nil {
 		g.StartUs, g.Encoders = uint64(e.Plan.Start/time.Microsecond), e.Plan.Encoders
 	}
-	for _, i := range e.MayRun {
+	for _, i := range e.MayHaveRun {
 		g.MayHaveRun = append(g.MayHaveRun, uint32(i))
 	}
 	for _, i := range e.Dead {
 		g.Dead = append(g.Dead, uint32(i))
 	}
-	if e.Decided > 0 {
-		g.WaitedUs = uint64((e.Decided - e.Age) / time.Microsecond)
+	if e.HeldAt > 0 {
+		g.WaitedUs = uint64((e.HeldAt - e.SubmittedAt) / time.Microsecond)
 	}
 	return g
 }
 
-// Await waits for another state.
+// Await waits until a gang has ended or its state differs from the one that the client has seen.
 func (s *Server) Await(ctx context.Context, q *gangv1.AwaitRequest) (*gangv1.Gang, error) {
-	every := time.NewTicker(looking)
-	defer every.Stop()
-	for until := time.Now().Add(awaitMost); ; {
-		g, err := s.answer(ctx, q.GetId(), gang.Command{Op: "ask", Gang: q.GetId()})
+	ticker := time.NewTicker(awaitInterval)
+	defer ticker.Stop()
+	for until := time.Now().Add(maxAwait); ; {
+		g, err := s.applyToGang(ctx, q.GetId(), gang.Command{Op: "ask", Gang: q.GetId()})
 		if err != nil && status.Code(err) != codes.Unavailable {
 			return nil, err
 		}
@@ -696,17 +699,17 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-every.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// Lend changes what a partner lends.
+// Lend changes how much a partner lends.
 func (s *Server) Lend(ctx context.Context, q *gangv1.LendRequest) (*gangv1.LendResponse, error) {
-	id := gang.Lender(q.GetPartner())
-	g := s.group(id)
+	id := gang.PartnerAccount(q.GetPartner())
+	g := s.groupOf(id)
 	for range 3 {
-		r, err := s.ask(ctx, g, gang.Command{Op: "look"})
+		r, err := s.apply(ctx, g, gang.Command{Op: "look"})
 		if err != nil {
 			return nil, status.Error(codes.Unavailable, err.Error())
 		}
@@ -716,7 +719,7 @@
 				slots += e.Slots
 			}
 		}
-		next := gang.Resource{ID: id, Most: int(q.GetSlots()), Share: q.GetShare(), Hours: q.GetHours()}.Lent(slots)
+		next := gang.Resource{ID: id, MaxSlots: int(q.GetSlots()), Share: q.GetShare(), SlotHours: q.GetHours()}.ForEncoderSlots(slots)
 		for _, x := range r.Resources {
 			if x.ID == id {
 				next.Gen = x.Gen + 1
@@ -725,54 +728,54 @@
 		if next.Gen == 0 {
 			return nil, status.Errorf(codes.NotFound, "%q lends nothing", q.GetPartner())
 		}
-		if r, err = s.ask(ctx, g, gang.Command{Op: "set", Resource: &next}); err == nil && r.OK {
+		if r, err = s.apply(ctx, g, gang.Command{Op: "set", Resource: &next}); err == nil && r.OK {
 			return &gangv1.LendResponse{}, nil
 		}
 	}
 	return nil, status.Error(codes.Aborted, "others change it as well")
 }
 
-// Retune takes which classes there are, and whether a job of each must not run twice.
-func (s *Server) Retune(once map[string]bool) { s.once.Store(&once) }
+// SetClasses sets the classes, and for each whether a job must not run twice.
+func (s *Server) SetClasses(once map[string]bool) { s.onceClasses.Store(&once) }
 
-// Listed takes the name table's news.
+// Listed updates the instance list.
 func (s *Server) Listed(l dispatch.InstanceUpdate) {
-	s.tables.Lock()
-	defer s.tables.Unlock()
-	s.table.Update(l)
+	s.listMu.Lock()
+	defer s.listMu.Unlock()
+	s.instances.Update(l)
 }
 
-// Cordoned takes all that are left out by hand.
+// Cordoned sets the cordoned instances.
 func (s *Server) Cordoned(ids []string) {
-	s.tables.Lock()
-	defer s.tables.Unlock()
-	clear(s.out)
+	s.listMu.Lock()
+	defer s.listMu.Unlock()
+	clear(s.cordoned)
 	for _, id := range ids {
-		s.out[id] = true
+		s.cordoned[id] = true
 	}
 }
 
-func (s *Server) tellFigures(states map[string]int) {
+func (s *Server) updateCounters(states map[string]int) {
 	var b strings.Builder
-	for _, name := range []gang.State{gang.Waiting, gang.Preparing, gang.Held, gang.Going, gang.Off, gang.Running, gang.Ended} {
+	for _, name := range []gang.State{gang.Waiting, gang.Preparing, gang.Held, gang.Starting, gang.StartFailed, gang.Running, gang.Ended} {
 		fmt.Fprintf(&b, "proxy.gangs.%s=%d\n", name, states[string(name)])
 	}
-	for _, name := range []string{gang.Completed, gang.NotStarted, gang.DeadAfter, gang.Cancelled} {
+	for _, name := range []string{gang.Completed, gang.NotStarted, gang.DiedAfterStart, gang.Cancelled} {
 		fmt.Fprintf(&b, "proxy.gangs.%s=%d\n", name, states[name])
 	}
-	s.starts.Lock()
-	t := s.s.Stats
-	s.starts.Unlock()
-	fmt.Fprintf(&b, "proxy.gangs.members_sent=%d\nproxy.gangs.members_late=%d\nproxy.gangs.members_called_off=%d\nproxy.gangs.members_left_alone=%d\n", t.Launched, t.Late, t.GivenUp, t.Alone)
+	s.starterMu.Lock()
+	t := s.starter.Stats
+	s.starterMu.Unlock()
+	fmt.Fprintf(&b, "proxy.gangs.members_sent=%d\nproxy.gangs.members_late=%d\nproxy.gangs.members_called_off=%d\nproxy.gangs.members_left_alone=%d\n", t.Launched, t.Late, t.CalledOff, t.Unconfirmed)
 	fmt.Fprintf(&b, "proxy.gangs.wounds=%d\nproxy.gangs.clock_error_us=%d\nproxy.gangs.clock_jumps=%d\nproxy.gangs.clock_off_ms=%d\nproxy.gangs.overruns=%d\n",
-		s.c.Stats.Wounds, s.c.Stats.WorstError.Microseconds(), s.c.Stats.Jumps+t.Jumps, (s.now() - s.o.Ahead - time.Duration(time.Now().UnixNano())).Milliseconds(), s.errors.Load())
+		s.coordinator.Stats.Wounds, s.coordinator.Stats.MaxClockError.Microseconds(), s.coordinator.Stats.ClockJumps+t.ClockJumps, (s.now() - s.options.ClockOffset - time.Duration(time.Now().UnixNano())).Milliseconds(), s.overruns.Load())
 	text := b.String()
-	s.figures.Store(&text)
+	s.counters.Store(&text)
 }
 
-// Figures is what operators go by.
+// Figures returns the operators' counters.
 func (s *Server) Figures() string {
-	if text := s.figures.Load(); text != nil {
+	if text := s.counters.Load(); text != nil {
 		return *text
 	}
 	return ""
--- a/internal/net/replicas/cost_test.go
+++ b/internal/net/replicas/cost_test.go
@@ -17,11 +17,11 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// led waits until each group has been led.
-func (w *town) led() {
+// awaitLeaders waits until each group has had a leader.
+func (w *cluster) awaitLeaders() {
 	w.Helper()
 	seen := map[uint32]bool{}
-	w.await("all groups are led", func() bool {
+	w.await("all groups have had a leader", func() bool {
 		for _, s := range w.hosts {
 			for g := range w.groups {
 				if _, _, ok := s.Lead(g); ok {
@@ -33,8 +33,8 @@
 	})
 }
 
-// calm is which part of the replicas takes no ticks.
-func (w *town) calm() float64 {
+// hibernatingShare returns the share of replicas that hibernate.
+func (w *cluster) hibernatingShare() float64 {
 	n, all := 0, 0
 	for _, s := range w.hosts {
 		for _, g := range s.Standing().Groups {
@@ -46,31 +46,31 @@
 	return float64(n) / float64(all)
 }
 
-// What ten daemons with a thousand groups cost while nothing is told: parts of a core for each daemon.
+// Measures the idle cost of ten daemons with up to a thousand groups, as a share of a core for each daemon.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range []uint32{10, 100, 1000} {
 		b.Run(fmt.Sprint("groups=", groups), func(b *testing.B) {
-			w := newTown(b, 10, groups)
-			w.led()
+			w := newCluster(b, 10, groups)
+			w.awaitLeaders()
 			const settle, over = 10 * time.Second, 5 * time.Second
 			<-time.After(settle)
 			for b.Loop() {
 				before, writes := cpu(b), w.writes()
 				<-time.After(over)
 				b.ReportMetric(100*float64(cpu(b)-before)/float64(over)/10, "%core/daemon")
-				b.ReportMetric(100*w.calm(), "%calm")
+				b.ReportMetric(100*w.hibernatingShare(), "%calm")
 				b.ReportMetric(float64(w.writes()-writes)/over.Seconds()/10, "writes/s/daemon")
 			}
 		})
 	}
 }
 
-// How many batches, of two calls of fdatasync each, a thousand commands told by so many at once take.
+// Measures batches per command, of two calls of fdatasync each, with 1 to 256 concurrent callers.
 func BenchmarkCommit(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint("callers=", callers), func(b *testing.B) {
-			w := newTown(b, 3, 16)
-			w.led()
+			w := newCluster(b, 3, 16)
+			w.awaitLeaders()
 			writes, n := w.writes(), 0
 			began := time.Now()
 			for b.Loop() {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (w *town) writes() (n int64) {
+func (w *cluster) writes() (n int64) {
 	for _, s := range w.hosts {
 		s.mu.Lock()
 		n += s.store.writes.Load()
--- a/internal/net/replicas/server_test.go
+++ b/internal/net/replicas/server_test.go
@@ -21,38 +21,41 @@
 	"caperrelay/internal/replica"
 )
 
-// list is a machine that keeps what it is told.
-type list struct {
+// recordingMachine is a machine that records all commands and answers the read "?".
+type recordingMachine struct {
 	Lines []string `json:"Lines"`
 }
 
-func (l *list) Apply(_ uint64, _ time.Duration, cmd []byte) []byte {
+func (l *recordingMachine) Apply(_ uint64, _ time.Duration, cmd []byte) []byte {
 	l.Lines = append(l.Lines, string(cmd))
 	return fmt.Append(nil, len(l.Lines))
 }
-func (l *list) Snapshot() ([]byte, error) { return json.Marshal(l) }
-func (l *list) Restore(text []byte) error { *l = list{}; return json.Unmarshal(text, l) }
+func (l *recordingMachine) Snapshot() ([]byte, error) { return json.Marshal(l) }
+func (l *recordingMachine) Restore(text []byte) error {
+	*l = recordingMachine{}
+	return json.Unmarshal(text, l)
+}
 
-func (l *list) Read(cmd []byte) ([]byte, bool) {
+func (l *recordingMachine) Read(cmd []byte) ([]byte, bool) {
 	return fmt.Append(nil, len(l.Lines)), string(cmd) == "?"
 }
 
-// town is daemons in one process, each with a listener and a folder.
-type town struct {
+// cluster runs several daemons in one process, each with a listener and a store folder.
+type cluster struct {
 	testing.TB
-	groups uint32
-	hosts  []*Server
-	repair func(*Options)
-	at     []net.Listener
-	dirs   []string
+	groups    uint32
+	hosts     []*Server
+	repair    func(*Options)
+	listeners []net.Listener
+	dirs      []string
 }
 
-func newTown(t testing.TB, n int, groups uint32) *town {
-	w := &town{TB: t, groups: groups, hosts: make([]*Server, n)}
+func newCluster(t testing.TB, n int, groups uint32) *cluster {
+	w := &cluster{TB: t, groups: groups, hosts: make([]*Server, n)}
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		w.at = append(w.at, l)
+		w.listeners = append(w.listeners, l)
 		w.dirs = append(w.dirs, t.TempDir())
 	}
 	for i := range n {
@@ -62,11 +65,11 @@
 	return w
 }
 
-// serve has a listener pass calls on to whichever host is open behind it.
-func (w *town) serve(i int) {
+// serve creates a host behind a listener.
+func (w *cluster) serve(i int) {
 	g := grpc.NewServer()
 	peers := map[string]string{}
-	for j, l := range w.at {
+	for j, l := range w.listeners {
 		if j != i {
 			peers[fmt.Sprint("n", j)] = l.Addr().String()
 		}
@@ -74,7 +77,7 @@
 	self := replica.Member{Name: fmt.Sprint("n", i), Machine: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i)}
 	o := Options{
 		Self: self, Dir: w.dirs[i], Peers: peers, Groups: w.groups, Copies: 3,
-		Machines: func(uint32) replica.Mux { return replica.Mux{0: &list{}} },
+		Machines: func(uint32) replica.Mux { return replica.Mux{0: &recordingMachine{}} },
 	}
 	if w.repair != nil {
 		w.repair(&o)
@@ -83,23 +86,23 @@
 	require.NoError(w, err)
 	s.Register(g)
 	w.hosts[i] = s
-	go g.Serve(w.at[i])
+	go g.Serve(w.listeners[i])
 	w.Cleanup(g.Stop)
 }
 
-func (w *town) open(i int) {
+func (w *cluster) open(i int) {
 	w.hosts[i].Open(context.Background())
 	w.Cleanup(w.hosts[i].Close)
 }
 
-// await looks again and again until something holds.
-func (w *town) await(what string, holds func() bool) {
+// await polls until a condition holds.
+func (w *cluster) await(what string, holds func() bool) {
 	w.Helper()
 	require.Eventually(w, holds, 40*time.Second, 10*time.Millisecond, what)
 }
 
-// propose tells a command until it is known to be taken in; it may be there twice.
-func (w *town) propose(i int, group uint32, cmd string) {
+// propose repeats a command until it is confirmed; it may be applied twice.
+func (w *cluster) propose(i int, group uint32, cmd string) {
 	w.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
@@ -110,57 +113,57 @@
 	require.NoError(w, err)
 }
 
-func (w *town) lines(i int, group uint32) (out []string) {
-	w.hosts[i].View(group, 0, func(m replica.Machine) { out = slices.Clone(m.(*list).Lines) })
+func (w *cluster) lines(i int, group uint32) (out []string) {
+	w.hosts[i].View(group, 0, func(m replica.Machine) { out = slices.Clone(m.(*recordingMachine).Lines) })
 	return slices.Compact(out)
 }
 
-// Three daemons found their groups; a command told to any is taken in by all, and by who was away.
+// Three daemons bootstrap their groups. A command proposed at any daemon reaches all, including one that was down.
 func TestCommandsReachAll(t *testing.T) {
-	w := newTown(t, 3, 4)
+	w := newCluster(t, 3, 4)
 	for i := range 3 {
 		w.propose(i, 1, fmt.Sprint("c", i))
 	}
 	want := []string{"c0", "c1", "c2"}
 	for i := range 3 {
-		w.await("it is there", func() bool { return slices.Equal(w.lines(i, 1), want) })
+		w.await("all commands are applied", func() bool { return slices.Equal(w.lines(i, 1), want) })
 	}
 	w.hosts[2].Close()
 	w.propose(0, 1, "c3")
 	w.propose(1, 1, "c4")
 	w.open(2)
-	w.await("what was told meanwhile", func() bool { return slices.Equal(w.lines(2, 1), append(want, "c3", "c4")) })
+	w.await("commands proposed meanwhile are applied", func() bool { return slices.Equal(w.lines(2, 1), append(want, "c3", "c4")) })
 }
 
-// One byte of a store's file is not what it was. Wherever it is, its daemon never speaks by that store again unless
-// every record of it is as it was written, and comes back as another member, who learns all of it.
-func TestFlippedBit(t *testing.T) {
-	w := newTown(t, 3, 2)
+// A flipped bit in the store is detected by a checksum: the daemon never acts by that store and rejoins as a new
+// member, which receives everything again.
+func TestBitFlipMakesNewMember(t *testing.T) {
+	w := newCluster(t, 3, 2)
 	for i := range 20 {
-		w.propose(0, 1, fmt.Sprint("told-", i))
+		w.propose(0, 1, fmt.Sprint("item-", i))
 	}
-	w.await("all have it", func() bool { return len(w.lines(2, 1)) == 20 })
+	w.await("all commands are on n2", func() bool { return len(w.lines(2, 1)) == 20 })
 	before := w.hosts[2].Standing().Member
 	w.hosts[2].Close()
 	path := filepath.Join(w.dirs[2], storeFile)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	at := bytes.LastIndex(text, []byte("told-7"))
+	at := bytes.LastIndex(text, []byte("item-7"))
 	require.Positive(t, at)
 	for i := range len(text) - 6 { // in each copy that bbolt has of it
-		if bytes.HasPrefix(text[i:], []byte("told-7")) {
+		if bytes.HasPrefix(text[i:], []byte("item-7")) {
 			text[i+5] ^= 1
 		}
 	}
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	w.open(2)
-	w.await("it is somebody else", func() bool {
+	w.await("n2 is a new member", func() bool {
 		m := w.hosts[2].Standing().Member
 		return m.Incarnation != 0 && m.Incarnation != before.Incarnation
 	})
 	require.Contains(t, w.hosts[2].Standing().Refused, "checksum")
-	w.await("it has learnt all", func() bool { return len(w.lines(2, 1)) == 20 })
-	w.await("it votes", func() bool {
+	w.await("n2 has all commands", func() bool { return len(w.lines(2, 1)) == 20 })
+	w.await("n2 votes", func() bool {
 		for i := range 3 {
 			for _, g := range w.hosts[i].Standing().Groups {
 				old, now := fmt.Sprintf("n2/%08x", before.Incarnation), fmt.Sprintf("n2/%08x", w.hosts[2].Standing().Member.Incarnation)
@@ -175,42 +178,43 @@
 	require.NoError(t, err)
 }
 
-// A store that is empty, cut off, another daemon's, or an old copy: none is spoken by.
-func TestStoresThatAreRefused(t *testing.T) {
+// A store that is not a database, truncated, marked suspect or another daemon's is refused, and a locked one is waited
+// for.
+func TestUnusableStoresAreRefused(t *testing.T) {
 	self := replica.Member{Name: "n1", Machine: "m", Zone: "z"}
-	whole := func(dir string) []byte {
+	makeStore := func(dir string) []byte {
 		s, _, refused, err := openStore(dir, self)
 		require.NoError(t, err)
 		require.Empty(t, refused)
-		begun, _ := replica.Begin(replica.Table{Groups: 1, Copies: 1, Members: []replica.Member{s.meta.Member}}, 0, s.meta.Member)
+		initial, _ := replica.InitialState(replica.Table{Groups: 1, Copies: 1, Members: []replica.Member{s.meta.Member}}, 0, s.meta.Member)
 		for i := range 50 {
-			require.NoError(t, s.save(&replica.Write{Number: uint64(i + 1), Groups: []replica.GroupWrite{{Group: 0, Hard: begun.Hard, Snapshot: begun.Snapshot}}}))
+			require.NoError(t, s.save(&replica.Write{Number: uint64(i + 1), Groups: []replica.GroupWrite{{Group: 0, HardState: initial.HardState, Snapshot: initial.Snapshot}}}))
 		}
 		s.close()
 		text, err := os.ReadFile(filepath.Join(dir, storeFile))
 		require.NoError(t, err)
 		return text
 	}
-	for what, spoil := range map[string]func(dir string, text []byte) []byte{
-		"empty":     func(string, []byte) []byte { return []byte("x") },
-		"cut off":   func(_ string, text []byte) []byte { return text[:8192] },
-		"doubtful":  func(dir string, text []byte) []byte { (&store{dir: dir}).doubt(os.ErrInvalid); return text },
-		"another's": func(_ string, text []byte) []byte { return text },
+	for name, corrupt := range map[string]func(dir string, text []byte) []byte{
+		"not a database":   func(string, []byte) []byte { return []byte("x") },
+		"truncated":        func(_ string, text []byte) []byte { return text[:8192] },
+		"marked suspect":   func(dir string, text []byte) []byte { (&store{dir: dir}).markSuspect(os.ErrInvalid); return text },
+		"another daemon's": func(_ string, text []byte) []byte { return text },
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			text := whole(dir)
+			text := makeStore(dir)
 			first, _, refused, err := openStore(dir, self)
 			require.NoError(t, err)
-			require.Empty(t, refused, "it is whole")
-			require.EqualValues(t, 50, first.last.written)
+			require.Empty(t, refused, "the store is intact")
+			require.EqualValues(t, 50, first.lastBatch.written)
 			first.close()
-			require.NoError(t, os.WriteFile(filepath.Join(dir, storeFile), spoil(dir, text), 0o600))
-			who := self
-			if what == "another's" {
-				who.Name = "n2"
+			require.NoError(t, os.WriteFile(filepath.Join(dir, storeFile), corrupt(dir, text), 0o600))
+			member := self
+			if name == "another daemon's" {
+				member.Name = "n2"
 			}
-			s, groups, refused, err := openStore(dir, who)
+			s, groups, refused, err := openStore(dir, member)
 			require.NoError(t, err)
 			defer s.close()
 			require.NotEmpty(t, refused)
@@ -219,44 +223,44 @@
 		})
 	}
 	dir := t.TempDir()
-	whole(dir)
+	makeStore(dir)
 	s, _, _, err := openStore(dir, self)
 	require.NoError(t, err)
 	defer s.close()
 	_, _, _, err = openStore(dir, self)
-	require.ErrorIs(t, err, errTaken, "a process that takes over waits")
+	require.ErrorIs(t, err, errLocked, "a later process waits for the lock")
 	require.True(t, strings.Contains(err.Error(), "another process"))
 }
 
-// Two of three daemons are lost, and the third goes on alone with all that was told. Then the lost ones come back, with
-// their disks: together they are the old majority, but nobody listens to them, and they come to the record anew.
-func TestRepairFencesTheOld(t *testing.T) {
-	w := newTown(t, 3, 3)
+// Two of three daemons are lost, and the third continues alone with all commands after a repair. When the lost ones
+// return with their disks, they hold the old majority between them; they must be ignored and rejoin as new members.
+func TestRepairFencesOldMajority(t *testing.T) {
+	w := newCluster(t, 3, 3)
 	for i := range 6 {
 		w.propose(i%3, 1+uint32(i%2), fmt.Sprint("c", i))
 	}
-	w.await("n0 has it", func() bool { return len(w.lines(0, 1)) == 3 && len(w.lines(0, 2)) == 3 })
+	w.await("n0 has all commands", func() bool { return len(w.lines(0, 1)) == 3 && len(w.lines(0, 2)) == 3 })
 	old := map[string]bool{}
 	for i := range 3 {
 		old[fmt.Sprint(w.hosts[i].Standing().Member)] = true
 		w.hosts[i].Close()
 	}
-	w.at[0].Close()
-	at, err := net.Listen("tcp", w.at[0].Addr().String())
+	w.listeners[0].Close()
+	at, err := net.Listen("tcp", w.listeners[0].Addr().String())
 	require.NoError(t, err)
-	w.at[0] = at
+	w.listeners[0] = at
 	w.repair = func(o *Options) { o.Repair, o.Survivors = 1, []string{"n0"} }
 	w.serve(0)
 	w.open(0)
 	w.propose(0, 1, "alone")
 	require.Equal(t, []string{"c0", "c2", "c4", "alone"}, w.lines(0, 1))
-	w.await("it acts, by a term larger than whatever the old ones have had", func() bool {
+	w.await("n0 leads, in a term larger than all earlier ones", func() bool {
 		term, _, ok := w.hosts[0].Lead(1)
 		return ok && term > 1<<40
 	})
 	w.open(1)
 	w.open(2)
-	w.await("they are members anew", func() bool {
+	w.await("n1 and n2 are new members", func() bool {
 		for i := range 3 {
 			if v := w.hosts[i].Standing(); len(v.Groups) != 3 || i > 0 && old[fmt.Sprint(v.Member)] {
 				return false
@@ -264,7 +268,7 @@
 		}
 		return len(w.lines(1, 1)) == 4 && len(w.lines(2, 1)) == 4
 	})
-	w.await("all vote", func() bool {
+	w.await("all are voters", func() bool {
 		for _, g := range w.hosts[0].Standing().Groups {
 			if len(g.Voters) != 3 {
 				return false
@@ -274,16 +278,16 @@
 	})
 	w.hosts[0].Close()
 	w.propose(1, 1, "on")
-	w.await("n1 has it all", func() bool {
-		return slices.Equal([]string{"c0", "c2", "c4", "alone", "on"}, w.lines(1, 1)) // it need not be the one that acts
+	w.await("n1 has all commands", func() bool {
+		return slices.Equal([]string{"c0", "c2", "c4", "alone", "on"}, w.lines(1, 1)) // it need not be the leader
 	})
 }
 
-// A disk fails under a daemon: it confirms nothing more, the others go on, and at its next start it is somebody else.
-func TestDiskThatFails(t *testing.T) {
-	w := newTown(t, 3, 2)
+// A daemon whose disk fails confirms nothing more and the others continue; after a restart it is a new member.
+func TestFailingDisk(t *testing.T) {
+	w := newCluster(t, 3, 2)
 	w.propose(0, 1, "c0")
-	w.await("n2 has it", func() bool { return len(w.lines(2, 1)) == 1 })
+	w.await("n2 has the command", func() bool { return len(w.lines(2, 1)) == 1 })
 	before := w.hosts[2].Standing().Member
 	w.hosts[2].mu.Lock()
 	require.NoError(t, w.hosts[2].store.db.Close())
@@ -291,59 +295,60 @@
 	for i := range 10 {
 		w.propose(i%2, 1, fmt.Sprint("d", i))
 	}
-	w.await("it says so", func() bool { return w.hosts[2].Standing().Fault != "" })
+	w.await("n2 reports the fault", func() bool { return w.hosts[2].Standing().Fault != "" })
 	for g := range w.groups {
 		_, _, acts := w.hosts[2].Lead(g)
 		require.False(t, acts)
 	}
 	w.hosts[2].Close()
 	w.open(2)
-	w.await("it has learnt all as somebody else", func() bool {
+	w.await("n2 has all commands as a new member", func() bool {
 		return w.hosts[2].Standing().Member.Incarnation != before.Incarnation && len(w.lines(2, 1)) == 11
 	})
 }
 
-// The leader stands still with what was passed on to it, though its connections live: who waits is not held up until
-// the leader wakes.
-func TestPassedOnToOneThatStandsStill(t *testing.T) {
-	w := newTown(t, 3, 2)
-	w.led()
+// A leader stalls with a forwarded proposal while its connections stay open. The caller must be answered before the
+// leader resumes.
+func TestForwardToStalledLeader(t *testing.T) {
+	w := newCluster(t, 3, 2)
+	w.awaitLeaders()
 	leader := slices.IndexFunc(w.hosts, func(s *Server) bool { _, _, ok := s.Lead(1); return ok })
 	other := (leader + 1) % 3
 	w.propose(other, 1, "before")
-	w.hosts[leader].mu.Lock() // its loop holds this for each pass
+	w.hosts[leader].mu.Lock() // the loop needs it for each pass
 	defer w.hosts[leader].mu.Unlock()
 	w.propose(other, 1, "meanwhile")
-	w.await("it is told", func() bool { return slices.Contains(w.lines(other, 1), "meanwhile") })
+	w.await("the command is applied", func() bool { return slices.Contains(w.lines(other, 1), "meanwhile") })
 }
 
-// What only reads is answered by who acts, without a command, also where it was passed on; it sees all that was confirmed.
-func TestReadsCostNoCommand(t *testing.T) {
-	w := newTown(t, 3, 2)
-	w.led()
+// A read-only command is answered by the leader without a log entry, also when it was forwarded, and sees all that was
+// confirmed before it.
+func TestReadsDoNotUseLog(t *testing.T) {
+	w := newCluster(t, 3, 2)
+	w.awaitLeaders()
 	for n := 1; n <= 20; n++ {
 		w.propose(n%3, 1, fmt.Sprint("c", n))
 		at := (n + 1) % 3
 		out, err := w.hosts[at].Propose(t.Context(), 1, 0, []byte("?"))
 		require.NoError(t, err)
-		said := 0
-		fmt.Sscan(string(out), &said)
-		require.GreaterOrEqual(t, said, n)
+		count := 0
+		fmt.Sscan(string(out), &count)
+		require.GreaterOrEqual(t, count, n)
 	}
 	for i := range w.hosts {
 		require.NotContains(t, w.lines(i, 1), "?")
 	}
 }
 
-// A daemon that is about to end hands over while it is still there.
-func TestYieldHandsOver(t *testing.T) {
-	w := newTown(t, 3, 4)
-	w.led()
+// A daemon that is about to stop transfers its leadership while it is still running.
+func TestStepDownTransfersLeadership(t *testing.T) {
+	w := newCluster(t, 3, 4)
+	w.awaitLeaders()
 	for i := range w.hosts {
 		w.propose(i, 1, "before")
 	}
 	w.hosts[0].Yield()
-	w.await("it acts for nothing, and others for all", func() bool {
+	w.await("n0 leads no group, and the others lead all", func() bool {
 		for g := range w.groups {
 			_, _, mine := w.hosts[0].Lead(g)
 			_, _, one := w.hosts[1].Lead(g)
--- a/internal/net/replicas/store.go
+++ b/internal/net/replicas/store.go
@@ -24,27 +24,27 @@
 	"caperrelay/internal/replica"
 )
 
-// The files of a store's folder.
+// Files in the store's folder.
 const (
 	storeFile   = "replicas.db"
-	refusedFile = "replicas.db.refused" // the last that could not be vouched for, for people
-	doubtFile   = "doubt"               // says that the store was told to take what it may not have taken
-	lockWithin  = 50 * time.Millisecond
+	refusedFile = "replicas.db.refused" // the last store that could not be trusted, kept for inspection
+	suspectFile = "doubt"               // marks a store after a failed write, which may or may not be durable
+	lockTimeout = 50 * time.Millisecond
 )
 
 var (
-	errTaken   = errors.New("another process has the store")
-	errDamaged = errors.New("the store is damaged")
-	sums       = crc32.MakeTable(crc32.Castagnoli)
-	metaBucket = []byte("meta")
-	metaKey    = []byte("meta")
-	batchKey   = []byte("batch")
-	groupsKey  = []byte("groups")
-	hardKey    = []byte("h")
-	snapKey    = []byte("s")
+	errLocked    = errors.New("the store is locked by another process")
+	errDamaged   = errors.New("the store is damaged")
+	crcTable     = crc32.MakeTable(crc32.Castagnoli)
+	metaBucket   = []byte("meta")
+	metaKey      = []byte("meta")
+	batchKey     = []byte("batch")
+	groupsBucket = []byte("groups")
+	hardKey      = []byte("h")
+	snapKey      = []byte("s")
 )
 
-// meta is what a store holds but for groups.
+// meta is the part of a store that belongs to no group.
 type meta struct {
 	Member replica.Member    `json:"member"`
 	Table  *replica.Table    `json:"table,omitempty"`
@@ -53,32 +53,33 @@
 	Known  map[uint64]uint64 `json:"known,omitempty"`
 }
 
-// batch is what changes with every one: its number and, so that one which is missing is missed, how many groups there are.
-type batch struct {
+// batchInfo is updated by every batch: the batch's number, and the number of groups, by which a missing group is
+// detected.
+type batchInfo struct {
 	written uint64
 	groups  uint32
 }
 
-// store is what lasts: a bbolt file, each of whose records bears a checksum over its key and itself. bbolt's own
-// checksums are of its two roots only.
+// store is the durable state: a bbolt file in which each record has a checksum over its key and value. bbolt's own
+// checksums cover only its two meta pages.
 type store struct {
-	db   *bbolt.DB
-	dir  string
-	meta meta
-	last batch
-	// writes counts batches; each is two calls of fdatasync.
+	db        *bbolt.DB
+	dir       string
+	meta      meta
+	lastBatch batchInfo
+	// writes counts batches; each takes two calls of fdatasync.
 	writes atomic.Int64
 }
 
-// openStore opens the folder's store, or makes a new one: also in place of one that cannot be vouched for, which is put
-// aside. The reason for that is returned as well.
+// openStore opens the folder's store or creates one. A store that cannot be trusted is set aside and replaced by a new
+// one; refused is the reason.
 func openStore(dir string, self replica.Member) (s *store, groups map[uint32]replica.Stored, refused string, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, "", err
 	}
 	path := filepath.Join(dir, storeFile)
-	if text, err := os.ReadFile(filepath.Join(dir, doubtFile)); err == nil {
-		refused = cmp.Or(string(text), "a write of it failed")
+	if reason, err := os.ReadFile(filepath.Join(dir, suspectFile)); err == nil {
+		refused = cmp.Or(string(reason), "a write failed")
 	} else if _, err := os.Stat(path); err == nil {
 		s, groups, err = readStore(dir, self)
 		switch {
@@ -93,21 +94,21 @@
 		return nil, nil, "", err
 	}
 	if refused != "" {
-		if err := putAside(dir); err != nil {
+		if err := setAside(dir); err != nil {
 			return nil, nil, refused, err
 		}
 	}
-	s, err = makeStore(dir, self)
+	s, err = createStore(dir, self)
 	return s, nil, refused, err
 }
 
-// putAside has the next opening make a new store.
-func putAside(dir string) error {
+// setAside renames the store, so that the next opening creates a new one.
+func setAside(dir string) error {
 	err := os.Rename(filepath.Join(dir, storeFile), filepath.Join(dir, refusedFile))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	if err := os.Remove(filepath.Join(dir, doubtFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.Remove(filepath.Join(dir, suspectFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
 	return syncDir(dir)
@@ -122,29 +123,30 @@
 	return d.Sync()
 }
 
-// open opens the file. bbolt reckons which pages are free, rather than believe a record without a checksum; it does so
-// on a goroutine of its own, so a file must have been read before, read-only, where its panics can be caught.
-func open(dir string, readOnly bool) (*bbolt.DB, error) {
+// openDB opens the database file. bbolt computes the free pages instead of reading a free list, a record without a
+// checksum. It does so on a goroutine of its own, so the file must have been read before, read-only, where its panics
+// can be recovered.
+func openDB(dir string, readOnly bool) (*bbolt.DB, error) {
 	db, err := bbolt.Open(filepath.Join(dir, storeFile), 0o600, &bbolt.Options{
-		Timeout: lockWithin, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20, ReadOnly: readOnly,
+		Timeout: lockTimeout, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20, ReadOnly: readOnly,
 	})
 	if errors.Is(err, bolterrors.ErrTimeout) || errors.Is(err, syscall.EAGAIN) {
-		return nil, errTaken
+		return nil, errLocked
 	}
 	return db, err
 }
 
-// makeStore makes an empty one, with an incarnation of its own. It is made under another name first: half a store is
-// none.
-func makeStore(dir string, self replica.Member) (*store, error) {
+// createStore creates an empty store with a new incarnation. One that was created only in part lacks its meta records
+// and is refused at the next opening.
+func createStore(dir string, self replica.Member) (*store, error) {
 	self.Incarnation = rand.Uint32N(math.MaxUint32) + 1
-	db, err := open(dir, false)
+	db, err := openDB(dir, false)
 	if err != nil {
 		return nil, err
 	}
 	s := &store{db: db, dir: dir, meta: meta{Member: self, Starts: 1}}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		if _, err := tx.CreateBucketIfNotExists(groupsKey); err != nil {
+		if _, err := tx.CreateBucketIfNotExists(groupsBucket); err != nil {
 			return err
 		}
 		return s.putMeta(tx)
@@ -159,17 +161,17 @@
 	return s, nil
 }
 
-// readStore reads one. Its error is errDamaged when it cannot be vouched for.
+// readStore reads the store. Its error is errDamaged if the store cannot be trusted.
 func readStore(dir string, self replica.Member) (s *store, groups map[uint32]replica.Stored, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if r := recover(); r != nil { // bbolt's, of pages that contradict each other; its file stays open
+		if r := recover(); r != nil { // bbolt panics on pages that contradict each other; its file stays open
 			s, groups, err = nil, nil, fmt.Errorf("%w: %v", errDamaged, r)
 		}
 	}()
-	db, err := open(dir, true)
+	db, err := openDB(dir, true)
 	switch {
-	case errors.Is(err, errTaken) || errors.Is(err, os.ErrPermission):
+	case errors.Is(err, errLocked) || errors.Is(err, os.ErrPermission):
 		return nil, nil, err
 	case err != nil:
 		return nil, nil, fmt.Errorf("%w: %w", errDamaged, err)
@@ -178,32 +180,32 @@
 	groups = map[uint32]replica.Stored{}
 	err = db.View(func(tx *bbolt.Tx) error {
 		if info, err := os.Stat(db.Path()); err != nil || info.Size() < tx.Size() {
-			return cmp.Or(err, fmt.Errorf("it should have %d bytes", tx.Size()))
+			return cmp.Or(err, fmt.Errorf("file is shorter than %d bytes", tx.Size()))
 		}
 		b := tx.Bucket(metaBucket)
-		if b == nil || tx.Bucket(groupsKey) == nil {
-			return errors.New("it lacks its own records")
+		if b == nil || tx.Bucket(groupsBucket) == nil {
+			return errors.New("meta records are missing")
 		}
-		text, err := unseal(metaKey, b.Get(metaKey))
+		text, err := verifyChecksum(metaKey, b.Get(metaKey))
 		if err != nil {
 			return err
 		}
 		if err := json.Unmarshal(text, &s.meta); err != nil {
 			return err
 		}
-		if text, err = unseal(batchKey, b.Get(batchKey)); err != nil || len(text) != 12 {
-			return fmt.Errorf("its last batch: %w", cmp.Or(err, errors.New("it is cut off")))
+		if text, err = verifyChecksum(batchKey, b.Get(batchKey)); err != nil || len(text) != 12 {
+			return fmt.Errorf("last batch record: %w", cmp.Or(err, errors.New("record is truncated")))
 		}
-		s.last = batch{binary.BigEndian.Uint64(text), binary.BigEndian.Uint32(text[8:])}
-		err = tx.Bucket(groupsKey).ForEachBucket(func(k []byte) error {
-			g, err := readGroup(k, tx.Bucket(groupsKey).Bucket(k))
+		s.lastBatch = batchInfo{binary.BigEndian.Uint64(text), binary.BigEndian.Uint32(text[8:])}
+		err = tx.Bucket(groupsBucket).ForEachBucket(func(k []byte) error {
+			g, err := readGroup(k, tx.Bucket(groupsBucket).Bucket(k))
 			if err == nil {
 				groups[binary.BigEndian.Uint32(k)] = g
 			}
 			return err
 		})
-		if err == nil && len(groups) != int(s.last.groups) {
-			return fmt.Errorf("it holds %d groups, not %d", len(groups), s.last.groups)
+		if err == nil && len(groups) != int(s.lastBatch.groups) {
+			return fmt.Errorf("store has %d groups instead of %d", len(groups), s.lastBatch.groups)
 		}
 		return err
 	})
@@ -212,16 +214,16 @@
 		return nil, nil, fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	if s.meta.Member.Name != self.Name {
-		return nil, nil, fmt.Errorf("%w: it is %s's", errDamaged, s.meta.Member.Name)
+		return nil, nil, fmt.Errorf("%w: it belongs to daemon %s", errDamaged, s.meta.Member.Name)
 	}
-	// It may stand elsewhere now. The write also tells a disk that takes nothing, and makes a root of bbolt last whose
-	// own sync may have failed.
-	if s.db, err = open(dir, false); err != nil {
+	// The daemon's machine and zone may have changed. The write also detects a disk that accepts no writes, and makes a
+	// bbolt meta page durable whose own sync may have failed.
+	if s.db, err = openDB(dir, false); err != nil {
 		return nil, nil, err
 	}
 	s.meta.Member.Machine, s.meta.Member.Zone = self.Machine, self.Zone
 	s.meta.Starts++
-	if err := s.update(); err != nil {
+	if err := s.writeMeta(); err != nil {
 		s.db.Close()
 		return nil, nil, err
 	}
@@ -230,37 +232,37 @@
 
 func readGroup(k []byte, b *bbolt.Bucket) (g replica.Stored, err error) {
 	if len(k) != 4 || b == nil {
-		return g, errors.New("a group without a number")
+		return g, errors.New("group bucket without a valid number")
 	}
 	fault := func(what string, err error) error {
 		return fmt.Errorf("group %d: %s: %w", binary.BigEndian.Uint32(k), what, err)
 	}
-	text, err := unseal(sealed(k, hardKey), b.Get(hardKey))
+	text, err := verifyChecksum(recordName(k, hardKey), b.Get(hardKey))
 	if err != nil {
-		return g, fault("its state", err)
+		return g, fault("state record", err)
 	}
 	if len(text) < 8 {
-		return g, fault("its state", errors.New("it is cut off"))
+		return g, fault("state record", errors.New("record is truncated"))
 	}
 	last := binary.BigEndian.Uint64(text)
-	g.Hard = &pb.HardState{}
-	if err := proto.Unmarshal(text[8:], g.Hard); err != nil {
-		return g, fault("its state", err)
+	g.HardState = &pb.HardState{}
+	if err := proto.Unmarshal(text[8:], g.HardState); err != nil {
+		return g, fault("state record", err)
 	}
 	next := uint64(1)
 	if text := b.Get(snapKey); text != nil {
-		if text, err = unseal(sealed(k, snapKey), text); err != nil {
-			return g, fault("its snapshot", err)
+		if text, err = verifyChecksum(recordName(k, snapKey), text); err != nil {
+			return g, fault("snapshot record", err)
 		}
 		g.Snapshot = &pb.Snapshot{}
 		if err := proto.Unmarshal(text, g.Snapshot); err != nil {
-			return g, fault("its snapshot", err)
+			return g, fault("snapshot record", err)
 		}
 		next = g.Snapshot.GetMetadata().GetIndex() + 1
 	}
 	c := b.Cursor()
 	for key, text := c.Seek(entryKey(next)); len(key) == 9; key, text = c.Next() {
-		if text, err = unseal(sealed(k, key), text); err != nil {
+		if text, err = verifyChecksum(recordName(k, key), text); err != nil {
 			return g, fault(fmt.Sprint("entry ", next), err)
 		}
 		e := &pb.Entry{}
@@ -268,36 +270,37 @@
 			return g, fault(fmt.Sprint("entry ", next), err)
 		}
 		if e.GetIndex() != next || binary.BigEndian.Uint64(key[1:]) != next {
-			return g, fault(fmt.Sprint("entry ", next), errors.New("it is missing"))
+			return g, fault(fmt.Sprint("entry ", next), errors.New("record is missing"))
 		}
 		g.Entries = append(g.Entries, e)
 		next++
 	}
 	if next != last+1 {
-		return g, fault("its log", fmt.Errorf("it ends at %d, not %d", next-1, last))
+		return g, fault("log", fmt.Errorf("ends at %d instead of %d", next-1, last))
 	}
 	return g, nil
 }
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte{'e'}, index) }
 
-// sealed is a record's whole name.
-func sealed(group, key []byte) []byte { return append(append([]byte(nil), group...), key...) }
+// recordName returns a record's key with its group's number, as the checksum covers it.
+func recordName(group, key []byte) []byte { return append(append([]byte(nil), group...), key...) }
 
-// seal puts a checksum before a record, over its name too: one that stands in another's place is found out.
-func seal(name, text []byte) []byte {
-	sum := crc32.Update(crc32.Checksum(name, sums), sums, text)
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(text)), sum), text...)
+// addChecksum prefixes a record with a checksum that also covers its name, so that a record stored under another name
+// is detected.
+func addChecksum(name, data []byte) []byte {
+	sum := crc32.Update(crc32.Checksum(name, crcTable), crcTable, data)
+	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(data)), sum), data...)
 }
 
-func unseal(name, text []byte) ([]byte, error) {
-	if len(text) < 4 {
-		return nil, errors.New("it is missing")
+func verifyChecksum(name, data []byte) ([]byte, error) {
+	if len(data) < 4 {
+		return nil, errors.New("record is missing")
 	}
-	if crc32.Update(crc32.Checksum(name, sums), sums, text[4:]) != binary.BigEndian.Uint32(text) {
-		return nil, errors.New("its checksum does not match")
+	if crc32.Update(crc32.Checksum(name, crcTable), crcTable, data[4:]) != binary.BigEndian.Uint32(data) {
+		return nil, errors.New("checksum does not match")
 	}
-	return append([]byte(nil), text[4:]...), nil
+	return append([]byte(nil), data[4:]...), nil
 }
 
 func (s *store) putMeta(tx *bbolt.Tx) error {
@@ -309,28 +312,28 @@
 	if err != nil {
 		return err
 	}
-	if err := b.Put(metaKey, seal(metaKey, text)); err != nil {
+	if err := b.Put(metaKey, addChecksum(metaKey, text)); err != nil {
 		return err
 	}
 	return s.putBatch(tx)
 }
 
 func (s *store) putBatch(tx *bbolt.Tx) error {
-	text := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, s.last.written), s.last.groups)
-	return tx.Bucket(metaBucket).Put(batchKey, seal(batchKey, text))
+	text := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, s.lastBatch.written), s.lastBatch.groups)
+	return tx.Bucket(metaBucket).Put(batchKey, addChecksum(batchKey, text))
 }
 
-// update writes what is not of groups.
-func (s *store) update() error {
+// writeMeta writes the records that belong to no group.
+func (s *store) writeMeta() error {
 	s.writes.Add(1)
 	return s.db.Update(s.putMeta)
 }
 
-// save makes a batch last.
+// save writes a batch durably.
 func (s *store) save(w *replica.Write) error {
 	s.writes.Add(1)
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		all := tx.Bucket(groupsKey)
+		all := tx.Bucket(groupsBucket)
 		for _, p := range w.Groups {
 			k := binary.BigEndian.AppendUint32(nil, p.Group)
 			b := all.Bucket(k)
@@ -339,7 +342,7 @@
 					if err := all.DeleteBucket(k); err != nil {
 						return err
 					}
-					s.last.groups--
+					s.lastBatch.groups--
 				}
 				continue
 			}
@@ -348,14 +351,14 @@
 				if b, err = all.CreateBucket(k); err != nil {
 					return err
 				}
-				b.FillPercent = 0.9 // keys grow
-				s.last.groups++
+				b.FillPercent = 0.9 // keys increase
+				s.lastBatch.groups++
 			}
 			if err := saveGroup(k, b, p); err != nil {
 				return err
 			}
 		}
-		s.last.written = w.Number
+		s.lastBatch.written = w.Number
 		if w.Known == nil {
 			return s.putBatch(tx)
 		}
@@ -369,7 +372,7 @@
 	if text := b.Get(hardKey); len(text) >= 12 {
 		last, hard = binary.BigEndian.Uint64(text[4:]), append(hard, text[12:]...)
 	}
-	cut := func(from, to uint64) error { // to is not cut
+	cut := func(from, to uint64) error { // deletes entries from..to-1
 		c := b.Cursor()
 		for key, _ := c.Seek(entryKey(from)); len(key) == 9 && binary.BigEndian.Uint64(key[1:]) < to; key, _ = c.Seek(entryKey(from)) {
 			if err := c.Delete(); err != nil {
@@ -383,7 +386,7 @@
 		if err != nil {
 			return err
 		}
-		if err := b.Put(snapKey, seal(sealed(k, snapKey), text)); err != nil {
+		if err := b.Put(snapKey, addChecksum(recordName(k, snapKey), text)); err != nil {
 			return err
 		}
 		if p.Reset {
@@ -394,8 +397,8 @@
 		}
 		last = max(last, p.Snapshot.GetMetadata().GetIndex())
 	}
-	if p.Keep > 0 {
-		if err := cut(0, p.Keep); err != nil {
+	if p.KeepFrom > 0 {
+		if err := cut(0, p.KeepFrom); err != nil {
 			return err
 		}
 	}
@@ -409,27 +412,27 @@
 				return err
 			}
 			key := entryKey(e.GetIndex())
-			if err := b.Put(key, seal(sealed(k, key), text)); err != nil {
+			if err := b.Put(key, addChecksum(recordName(k, key), text)); err != nil {
 				return err
 			}
 			last = e.GetIndex()
 		}
 	}
-	if p.Hard != nil {
+	if p.HardState != nil {
 		var err error
-		if hard, err = proto.Marshal(p.Hard); err != nil {
+		if hard, err = proto.Marshal(p.HardState); err != nil {
 			return err
 		}
 	}
-	return b.Put(hardKey, seal(sealed(k, hardKey), append(binary.BigEndian.AppendUint64(nil, last), hard...)))
+	return b.Put(hardKey, addChecksum(recordName(k, hardKey), append(binary.BigEndian.AppendUint64(nil, last), hard...)))
 }
 
-// doubt has the next opening put the store aside, unless there was no room for it: bbolt writes what
-// nothing points to yet first, and had changed nothing then.
-func (s *store) doubt(why error) {
+// markSuspect makes the next opening set the store aside, unless the disk was full: bbolt first writes pages that
+// nothing refers to yet, so nothing has changed then.
+func (s *store) markSuspect(why error) {
 	full := errors.Is(why, syscall.ENOSPC) || errors.Is(why, syscall.EDQUOT) || errors.Is(why, syscall.EFBIG)
 	if !full {
-		os.WriteFile(filepath.Join(s.dir, doubtFile), []byte(why.Error()), 0o600)
+		os.WriteFile(filepath.Join(s.dir, suspectFile), []byte(why.Error()), 0o600)
 	}
 }
 
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -11,99 +11,100 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// The clock of groups. A follower that has confirmed a heartbeat gives nobody else its vote for ElectionAfter less a
-// tick, by its own clock; the leader acts for LeaseFor after it sent that heartbeat, by its own. With clocks whose rates
-// differ by less than one part in MostDrift no two act at once.
+// Timing of the groups. A follower that has confirmed a heartbeat grants no other candidate its vote for
+// ElectionTimeout less one tick, by its own clock; the leader acts for LeaseDuration after it sent that heartbeat, by
+// its own clock. While clock rates differ by less than one part in MaxDriftDivisor, no two nodes act for a group at
+// once.
 const (
-	Tick          = 50 * time.Millisecond
-	HeartbeatEach = 100 * time.Millisecond
-	ElectionAfter = 600 * time.Millisecond // and up to twice that, by chance
-	LeaseFor      = 500 * time.Millisecond
-	MostDrift     = 20
-	BeatEach      = 100 * time.Millisecond // between daemons
-	SilentAfter   = 2 * time.Second        // without a beat, a daemon counts as away
-	GoneAfter     = 30 * time.Second       // and its replicas are moved
+	Tick                    = 50 * time.Millisecond
+	HeartbeatInterval       = 100 * time.Millisecond
+	ElectionTimeout         = 600 * time.Millisecond // randomized up to twice this
+	LeaseDuration           = 500 * time.Millisecond
+	MaxDriftDivisor         = 20
+	DaemonHeartbeatInterval = 100 * time.Millisecond
+	SilenceTimeout          = 2 * time.Second  // a daemon without heartbeats counts as unavailable
+	RelocateTimeout         = 30 * time.Second // its replicas are moved to other daemons
 )
 
 const (
-	moveEach      = time.Second // in a group, between changes of who holds it
-	electionTicks = int(ElectionAfter / Tick)
-	mostTicks     = 2 * electionTicks // made up for at once
-	mostWaits     = 4096              // proposals under way here
-	mostLog       = 4 << 20           // bytes of a log before it is cut
-	mostEntries   = 4096
-	keepEntries   = 512      // behind a snapshot, for followers that are a little late
-	mostSnapshot  = 64 << 20 // bytes
-	snapshotEach  = time.Second
-	mostMoves     = 4 // groups led here that take in a new holder at once
-	mostKnown     = 4096
-	fullEach      = 10 // beats
-	nearlyThere   = 64 // entries that a learner may lack when it becomes a voter
+	confChangeInterval = time.Second // per group
+	electionTicks      = int(ElectionTimeout / Tick)
+	maxTickCatchUp     = 2 * electionTicks // ticks made up for at once
+	maxProposals       = 4096              // pending on this node
+	maxLogBytes        = 4 << 20           // log size at which it is compacted
+	maxLogEntries      = 4096
+	keepEntries        = 512 // kept behind a snapshot, for followers that lag slightly
+	maxSnapshotBytes   = 64 << 20
+	snapshotInterval   = time.Second
+	maxConcurrentMoves = 4 // groups led here that have a learner at once
+	maxKnownStores     = 4096
+	fullHeartbeatEvery = 10 // heartbeats
+	maxLearnerLag      = 64 // entries that a learner may lack when it becomes a voter
 )
 
-// It does not compile with a lease that would outlast a vote withheld.
-const _ = uint64((ElectionAfter-Tick)-(ElectionAfter-Tick)/MostDrift) - uint64(LeaseFor)
+// Compilation fails if the lease could outlast the time for which a vote is withheld.
+const _ = uint64((ElectionTimeout-Tick)-(ElectionTimeout-Tick)/MaxDriftDivisor) - uint64(LeaseDuration)
 
-// Node is one daemon's replicas. It is not safe for more than one goroutine.
+// Node holds one daemon's replicas. It is not safe for concurrent use.
 type Node struct {
-	c       Config
-	id      uint64
-	start   time.Duration
-	ticked  time.Duration
-	beaten  time.Duration
-	moved   time.Duration
-	groups  map[uint32]*group
-	order   []*group
-	names   map[uint32]string // by hash
-	peers   map[string]*peer
-	known   map[uint64]uint64
-	refs    uint64
-	waits   map[uint64]*group
-	pending []pending
-	flight  *flight
-	written uint64
-	knownAt time.Duration
-	dirty   []*group
-	beats   uint64
-	number  uint64 // of beats
-	sent    [sentBeats]sentBeat
-	told    map[uint32]uint64 // as last told
-	out     Work
-	ended   bool
-	yields  bool // it is to lead nothing
+	cfg             Config
+	id              uint64
+	startedAt       time.Duration
+	tickedAt        time.Duration
+	heartbeatAt     time.Duration
+	movedAt         time.Duration
+	groups          map[uint32]*group
+	ordered         []*group
+	nameByHash      map[uint32]string
+	peers           map[string]*peer
+	knownStores     map[uint64]uint64
+	lastRef         uint64
+	proposals       map[uint64]*group
+	pending         []pendingWrite
+	inFlight        *inFlightWrite
+	written         uint64
+	knownSavedAt    time.Duration
+	scheduled       []*group
+	heartbeatCount  uint64
+	heartbeatNumber uint64 // of the last heartbeat sent
+	sentHeartbeats  [heartbeatHistory]sentHeartbeat
+	sentLeads       map[uint32]uint64
+	out             Work
+	stopped         bool
+	steppingDown    bool // leads no group any more
 }
 
 // peer is another daemon.
 type peer struct {
-	member  Member
-	boot    uint64
-	heard   time.Duration
-	vouched bool // it knows of no later state of our store
-	leads   map[uint32]uint64
+	member         Member
+	boot           uint64
+	receivedAt     time.Duration
+	storeConfirmed bool // it knows of no later state of this node's store
+	leadTerms      map[uint32]uint64
 
-	number    uint64 // of its last beat
-	silent    bool
-	epoch     uint64        // another each time that it was silent, or another process
-	theirs    uint64        // its own of us
-	confirmed time.Duration // when the last of our beats went out that it has confirmed
+	heartbeatNumber uint64 // of its last heartbeat
+	silent          bool
+	epoch           uint64        // changes whenever the peer was silent or restarted
+	ackEpoch        uint64        // the peer's epoch of this node, as last received
+	ackedSentAt     time.Duration // when the latest of this node's heartbeats that it has acknowledged was sent
 }
 
-// New returns a node with what its store holds. Groups that the table gives it and that the store lacks begin as the
-// table says: nothing was ever promised there.
+// New returns a node with the state of its store. Groups that the table assigns to it and that the store lacks start
+// from the table's initial state: this member has never voted or confirmed anything there.
 func New(c Config, now time.Duration, stored map[uint32]Stored) (*Node, error) {
-	if c.Gone == 0 {
-		c.Gone = GoneAfter
+	if c.RelocateAfter == 0 {
+		c.RelocateAfter = RelocateTimeout
 	}
 	n := &Node{
-		c: c, id: c.Self.ID(), start: now, ticked: now, beaten: now - BeatEach, groups: map[uint32]*group{}, names: map[uint32]string{nameHash(c.Self.Name): c.Self.Name},
-		peers: map[string]*peer{}, known: map[uint64]uint64{}, refs: c.Boot << 32, waits: map[uint64]*group{},
+		cfg: c, id: c.Self.ID(), startedAt: now, tickedAt: now, heartbeatAt: now - DaemonHeartbeatInterval, groups: map[uint32]*group{}, nameByHash: map[uint32]string{nameHash(c.Self.Name): c.Self.Name},
+		peers: map[string]*peer{}, knownStores: map[uint64]uint64{}, lastRef: c.Boot << 32, proposals: map[uint64]*group{},
 		written: c.Written,
 	}
 	for id, w := range c.Known {
-		n.known[id] = w
+		n.knownStores[id] = w
 	}
 	for _, m := range c.Table.Members {
-		n.names[nameHash(m.Name)] = m.Name
+		n.nameByHash[nameHash(m.Name)] = m.Name
 	}
 	for number, s := range stored {
 		if _, err := n.add(number, s); err != nil {
@@ -112,76 +113,76 @@
 	}
 	if slices.ContainsFunc(c.Table.Members, func(m Member) bool { return m.ID() == n.id }) {
 		for number := range c.Table.Groups {
-			if s, ok := Begin(c.Table, number, c.Self); ok && n.groups[number] == nil {
+			if s, ok := InitialState(c.Table, number, c.Self); ok && n.groups[number] == nil {
 				g, err := n.add(number, s)
 				if err != nil {
 					return nil, err
 				}
-				n.queue(pending{g: g, own: GroupWrite{Group: number, Hard: s.Hard, Snapshot: s.Snapshot}})
+				n.queue(pendingWrite{group: g, groupWrite: GroupWrite{Group: number, HardState: s.HardState, Snapshot: s.Snapshot}})
 			}
 		}
 	}
 	return n, nil
 }
 
-// Tick takes the time. It is to be called at least once in Tick.
+// Tick advances the time. It must be called at least once per Tick interval.
 func (n *Node) Tick(now time.Duration) {
-	if n.ended {
+	if n.stopped {
 		return
 	}
-	ticks := int((now - n.ticked) / Tick)
-	n.ticked += time.Duration(ticks) * Tick
-	n.listen(now)
-	for _, g := range n.order {
-		if ticks > 0 && !g.quiet && n.release(g, now) {
+	ticks := int((now - n.tickedAt) / Tick)
+	n.tickedAt += time.Duration(ticks) * Tick
+	n.checkHibernating(now)
+	for _, g := range n.ordered {
+		if ticks > 0 && !g.hibernating && n.release(g, now) {
 			n.guard(g, func() {
-				for range min(ticks, mostTicks) {
+				for range min(ticks, maxTickCatchUp) {
 					g.raw.Tick()
 				}
-				n.renew(g, now)
-				n.soothe(g, now)
-				n.hand(g, now)
+				n.renewLease(g, now)
+				n.requestHibernation(g, now)
+				n.advanceTransfer(g, now)
 			})
-			n.touch(g)
+			n.schedule(g)
 		}
 	}
-	if now-n.beaten >= BeatEach {
-		n.beaten = now
-		n.beat(now)
+	if now-n.heartbeatAt >= DaemonHeartbeatInterval {
+		n.heartbeatAt = now
+		n.sendHeartbeats(now)
 	}
-	if now-n.moved >= moveEach {
-		n.moved = now
-		for _, g := range n.order {
-			n.guard(g, func() { n.move(g, now) })
+	if now-n.movedAt >= confChangeInterval {
+		n.movedAt = now
+		for _, g := range n.ordered {
+			n.guard(g, func() { n.changeMembers(g, now) })
 		}
 	}
 }
 
-// retire ends this node.
+// retire stops this node.
 func (n *Node) retire(why string) {
-	n.ended = true
+	n.stopped = true
 	n.out.Retire = why
-	for ref := range n.waits {
-		n.result(Result{Ref: ref, Err: ErrUnknown})
+	for ref := range n.proposals {
+		n.addResult(Result{Ref: ref, Err: ErrUnknown})
 	}
-	for _, g := range n.order {
-		g.leader, g.until = false, 0
+	for _, g := range n.ordered {
+		g.leader, g.leaseUntil = false, 0
 	}
 	n.out.Changed = true
 }
 
-// Step takes another daemon's message.
+// Step handles a raft message of another daemon.
 func (n *Node) Step(now time.Duration, group uint32, m *pb.Message) {
-	if n.ended || m == nil || m.GetTo() != n.id || raft.IsLocalMsg(m.GetType()) {
+	if n.stopped || m == nil || m.GetTo() != n.id || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	switch m.GetType() {
 	case pb.MessageType_MsgProp, pb.MessageType_MsgTransferLeader, pb.MessageType_MsgForgetLeader, pb.MessageType_MsgReadIndex:
-		return // not between daemons: a proposal that nobody waits for
+		return // not accepted from daemons: nobody waits for such a proposal
 	}
 	g := n.groups[group]
 	if g == nil {
-		if group >= n.c.Table.Groups || m.GetType() != pb.MessageType_MsgApp && m.GetType() != pb.MessageType_MsgHeartbeat && m.GetType() != pb.MessageType_MsgSnap {
+		if group >= n.cfg.Table.Groups || m.GetType() != pb.MessageType_MsgApp && m.GetType() != pb.MessageType_MsgHeartbeat && m.GetType() != pb.MessageType_MsgSnap {
 			return
 		}
 		var err error
@@ -189,85 +190,86 @@
 			n.note("group %d: %v", group, err)
 			return
 		}
-		g.released = true // it has promised nothing yet
+		g.released = true // a new replica has confirmed nothing yet
 	}
 	if !n.release(g, now) {
 		return
 	}
 	if s := g.raw.BasicStatus(); m.GetType() == pb.MessageType_MsgTimeoutNow && (s.Lead != m.GetFrom() || s.GetTerm() != m.GetTerm()) {
-		return // votes are then given without regard to the lease, so only who had it may say this
+		return // MsgTimeoutNow makes voters ignore the lease, so only the holder of the lease may send it
 	}
-	// A heartbeat is confirmed, so its sender is not to be taken for silent sooner than a lease by it ends.
-	if p := n.peers[n.names[uint32(m.GetFrom()>>32)]]; p != nil && p.member.ID() == m.GetFrom() && !p.silent && now-p.heard < ElectionAfter {
-		p.heard = now
+	// A heartbeat is about to be confirmed, so its sender must not be considered silent before the lease that this
+	// extends expires.
+	if p := n.peers[n.nameByHash[uint32(m.GetFrom()>>32)]]; p != nil && p.member.ID() == m.GetFrom() && !p.silent && now-p.receivedAt < ElectionTimeout {
+		p.receivedAt = now
 	}
-	if last, err := g.log.LastIndex(); m.GetType() == pb.MessageType_MsgHeartbeat && err == nil && m.GetCommit() > last && g.waiting == 0 && m.GetTerm() >= g.stored.GetTerm() {
-		n.retire(fmt.Sprintf("group %d: entries up to %d were confirmed from here, and the store holds %d", group, m.GetCommit(), last))
+	if last, err := g.log.LastIndex(); m.GetType() == pb.MessageType_MsgHeartbeat && err == nil && m.GetCommit() > last && g.pendingWrites == 0 && m.GetTerm() >= g.hardState.GetTerm() {
+		n.retire(fmt.Sprintf("group %d: this node confirmed entries up to %d, but its store ends at %d", group, m.GetCommit(), last))
 		return
 	}
 	n.guard(g, func() { g.raw.Step(m) })
-	n.touch(g)
-	if g.quiet && g.under != "" {
+	n.schedule(g)
+	if g.hibernating && g.hibernatingUnder != "" {
 		entries := m.GetEntries()
-		if g.raw.BasicStatus().GetTerm() != g.quietTerm || m.GetType() == pb.MessageType_MsgSnap || len(entries) > 0 && entries[len(entries)-1].GetIndex() > g.applied {
+		if g.raw.BasicStatus().GetTerm() != g.hibernateTerm || m.GetType() == pb.MessageType_MsgSnap || len(entries) > 0 && entries[len(entries)-1].GetIndex() > g.applied {
 			n.wake(g, now, 0)
 		}
 	}
 }
 
-// Propose has the leader take a command. The result comes under the ref that it returns.
+// Propose proposes a command to a group that this node leads. The result arrives in Work under the returned ref.
 func (n *Node) Propose(now time.Duration, group uint32, unix time.Duration, cmd []byte) (ref uint64, err error) {
 	g := n.groups[group]
 	switch {
-	case group >= n.c.Table.Groups:
+	case group >= n.cfg.Table.Groups:
 		return 0, ErrNoGroup
-	case len(cmd) > mostCommand:
+	case len(cmd) > maxCommandBytes:
 		return 0, ErrTooLarge
-	case g == nil || !g.leader || n.ended || g.halted || g.gives():
+	case g == nil || !g.leader || n.stopped || g.halted || g.transferring():
 		return 0, ErrNoLeader
-	case len(n.waits) >= mostWaits:
+	case len(n.proposals) >= maxProposals:
 		return 0, ErrDropped
 	}
-	n.refs++
+	n.lastRef++
 	err = ErrNoLeader
 	n.wake(g, now, 0)
-	g.stirred = now
-	n.guard(g, func() { err = g.raw.Propose(wrap(n.refs, unix, cmd)) })
-	n.touch(g)
+	g.activeAt = now
+	n.guard(g, func() { err = g.raw.Propose(wrap(n.lastRef, unix, cmd)) })
+	n.schedule(g)
 	if err != nil {
 		return 0, ErrDropped
 	}
-	n.waits[n.refs] = g
-	return n.refs, nil
+	n.proposals[n.lastRef] = g
+	return n.lastRef, nil
 }
 
-// Leader is who acts for a group as far as known here; empty: nobody.
+// Leader returns the daemon that leads a group, as far as known here; empty: none.
 func (n *Node) Leader(group uint32) (name string) {
-	if g := n.groups[group]; g != nil && g.leader && !g.gives() {
-		return n.c.Self.Name
+	if g := n.groups[group]; g != nil && g.leader && !g.transferring() {
+		return n.cfg.Self.Name
 	}
-	best := uint64(0)
+	latestTerm := uint64(0)
 	for _, p := range n.peers {
-		if term, leads := p.leads[group]; leads && term > best && n.ticked-p.heard < SilentAfter {
-			best, name = term, p.member.Name
+		if term, ok := p.leadTerms[group]; ok && term > latestTerm && n.tickedAt-p.receivedAt < SilenceTimeout {
+			latestTerm, name = term, p.member.Name
 		}
 	}
 	return name
 }
 
-// Lead tells whether this node acts for a group, and until when.
-func (n *Node) Lead(now time.Duration, group uint32) (term uint64, until time.Duration, ok bool) {
+// Lease reports whether this node may act for a group, and until when.
+func (n *Node) Lease(now time.Duration, group uint32) (term uint64, until time.Duration, ok bool) {
 	g := n.groups[group]
-	if g == nil || !g.leader || n.ended || g.halted || g.until <= now || g.applied < g.fresh || g.passing == g.term {
+	if g == nil || !g.leader || n.stopped || g.halted || g.leaseUntil <= now || g.applied < g.leaseIndex || g.transferTerm == g.term {
 		return 0, 0, false
 	}
-	return g.term, g.until, true
+	return g.term, g.leaseUntil, true
 }
 
-// Read answers a command that only reads where this node acts for the group: nobody else can have agreed on anything
-// that is not applied here. The answer counts while the clock, read after this, is before until.
+// Read answers a read-only command if this node holds the group's lease: then no other node can have committed anything
+// that is not applied here. The answer is valid if the clock, read after this call, is before until.
 func (n *Node) Read(now time.Duration, group uint32, cmd []byte) (result []byte, until time.Duration, ok bool) {
-	_, until, ok = n.Lead(now, group)
+	_, until, ok = n.Lease(now, group)
 	if !ok {
 		return nil, 0, false
 	}
@@ -275,7 +277,7 @@
 	return result, until, ok
 }
 
-// guard keeps the library's panics, which it has for logs that contradict themselves, to their group.
+// guard confines a panic of the raft library, which panics on inconsistent logs, to its group: the group halts here.
 func (n *Node) guard(g *group, f func()) {
 	if g.halted {
 		return
@@ -283,8 +285,8 @@
 	defer func() {
 		if r := recover(); r != nil {
 			g.halted, g.leader = true, false
-			n.note("group %d takes no further part here: %v", g.number, r)
-			n.drop(g)
+			n.note("group %d halted on this node: %v", g.number, r)
+			n.failProposals(g)
 		}
 	}()
 	f()
@@ -296,43 +298,43 @@
 	}
 }
 
-func (n *Node) result(r Result) {
-	delete(n.waits, r.Ref)
+func (n *Node) addResult(r Result) {
+	delete(n.proposals, r.Ref)
 	n.out.Results = append(n.out.Results, r)
 }
 
-// drop gives up what was proposed by a leader that is none any more: its successor may take it in.
-func (n *Node) drop(g *group) {
-	for ref, of := range n.waits {
-		if of == g {
-			n.result(Result{Ref: ref, Err: ErrUnknown})
+// failProposals ends the proposals of a leader that has lost its leadership; the next leader may still commit them.
+func (n *Node) failProposals(g *group) {
+	for ref, proposer := range n.proposals {
+		if proposer == g {
+			n.addResult(Result{Ref: ref, Err: ErrUnknown})
 		}
 	}
 }
 
-// Did takes the work that has come up.
-func (n *Node) Did(now time.Duration) Work {
-	for len(n.dirty) > 0 {
-		g := n.dirty[0]
-		n.dirty = n.dirty[1:]
-		g.dirty = false
-		n.guard(g, func() { n.ready(g, now) })
-	}
-	n.batch(now)
+// TakeWork returns the work that has accumulated.
+func (n *Node) TakeWork(now time.Duration) Work {
+	for len(n.scheduled) > 0 {
+		g := n.scheduled[0]
+		n.scheduled = n.scheduled[1:]
+		g.scheduled = false
+		n.guard(g, func() { n.handleReady(g, now) })
+	}
+	n.buildWrite(now)
 	out := n.out
 	n.out = Work{}
 	return out
 }
 
-// ready does what the library has for a group.
-func (n *Node) ready(g *group, now time.Duration) {
-	for g.raw.HasReady() && !n.ended {
+// handleReady processes what raft has ready for a group.
+func (n *Node) handleReady(g *group, now time.Duration) {
+	for g.raw.HasReady() && !n.stopped {
 		rd := g.raw.Ready()
 		if rd.SoftState != nil || rd.HardState != nil {
-			n.led(g)
+			n.updateLeadership(g)
 		}
 		for _, s := range rd.ReadStates {
-			n.confirmed(g, s)
+			n.extendLease(g, s)
 		}
 		for _, m := range rd.Messages {
 			switch m.GetTo() {
@@ -350,67 +352,68 @@
 	}
 }
 
-func (n *Node) touch(g *group) {
-	if !g.dirty {
-		g.dirty = true
-		n.dirty = append(n.dirty, g)
+func (n *Node) schedule(g *group) {
+	if !g.scheduled {
+		g.scheduled = true
+		n.scheduled = append(n.scheduled, g)
 	}
 }
 
 func (n *Node) send(g *group, m *pb.Message) {
 	if m.GetTo() == n.id {
 		g.raw.Step(m)
-		n.touch(g)
+		n.schedule(g)
 		return
 	}
-	name := n.names[uint32(m.GetTo()>>32)]
+	name := n.nameByHash[uint32(m.GetTo()>>32)]
 	if name == "" || len(n.out.Sends) > 1<<16 {
 		return
 	}
 	n.out.Sends = append(n.out.Sends, Send{To: name, Group: g.number, Raft: m})
-	if m.GetType() == pb.MessageType_MsgSnap { // what follows it is refused if it was lost, and another is sent
+	if m.GetType() == pb.MessageType_MsgSnap { // if it is lost, the follower rejects what comes next, and another snapshot is sent
 		g.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
-		n.touch(g)
+		n.schedule(g)
 	}
 }
 
-// led takes a change of who leads.
-func (n *Node) led(g *group) {
+// updateLeadership handles a change of leadership or term.
+func (n *Node) updateLeadership(g *group) {
 	s := g.raw.BasicStatus()
 	leader := s.RaftState == raft.StateLeader
 	if leader == g.leader && (!leader || s.GetTerm() == g.term) {
 		return
 	}
 	if g.leader {
-		n.drop(g)
+		n.failProposals(g)
 	}
-	g.leader, g.term, g.until, g.fresh, g.asked, g.quiet, g.stirred = leader, s.GetTerm(), 0, math.MaxUint64, 0, false, n.ticked
-	g.passing, g.passed = 0, false
-	clear(g.calm)
-	clear(g.asks)
+	g.leader, g.term, g.leaseUntil, g.leaseIndex, g.renewedAt, g.hibernating, g.activeAt = leader, s.GetTerm(), 0, math.MaxUint64, 0, false, n.tickedAt
+	g.transferTerm, g.transferSent = 0, false
+	clear(g.hibernateAcks)
+	clear(g.reads)
 	n.out.Changed = true
 }
 
-// confirmed takes that a majority has confirmed heartbeats that were sent when the read was asked for, or later.
-func (n *Node) confirmed(g *group, s raft.ReadState) {
+// extendLease handles a read state: a majority has confirmed heartbeats that were sent at or after the read request, so
+// the lease runs from the time of the request.
+func (n *Node) extendLease(g *group, s raft.ReadState) {
 	if len(s.RequestCtx) != 8 {
 		return
 	}
 	ref := binary.BigEndian.Uint64(s.RequestCtx)
-	at, ok := g.asks[ref]
+	requestedAt, ok := g.reads[ref]
 	if !ok || !g.leader {
 		return
 	}
-	for other, when := range g.asks {
-		if when <= at {
-			delete(g.asks, other)
+	for other, otherAt := range g.reads {
+		if otherAt <= requestedAt {
+			delete(g.reads, other)
 		}
 	}
-	if g.fresh == math.MaxUint64 {
-		g.fresh = s.Index
+	if g.leaseIndex == math.MaxUint64 {
+		g.leaseIndex = s.Index
 	}
-	if g.until == 0 {
+	if g.leaseUntil == 0 {
 		n.out.Changed = true
 	}
-	g.until = max(g.until, at+LeaseFor)
+	g.leaseUntil = max(g.leaseUntil, requestedAt+LeaseDuration)
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// View is a group's machine; nil: there is none here.
+// View returns a machine of a group; nil if this node does not hold it.
 func (n *Node) View(group uint32, machine byte) Machine {
 	if g := n.groups[group]; g != nil && !g.halted {
 		return g.mux[machine]
@@ -14,10 +14,10 @@
 	return nil
 }
 
-// Known is whose stores are known to hold how many batches.
-func (n *Node) Known() map[uint64]uint64 { return n.known }
+// Known returns the last known batch numbers of other stores, by member ID.
+func (n *Node) Known() map[uint64]uint64 { return n.knownStores }
 
-// Status is a group as operators see it.
+// Status is a group's status for operators.
 type Status struct {
 	Group    uint32   `json:"group"`
 	Leader   string   `json:"leader"`
@@ -30,34 +30,34 @@
 	Calm     bool     `json:"calm,omitempty"`
 }
 
-// Status is of all groups that are held here.
+// Status returns the status of all groups held here.
 func (n *Node) Status() (all []Status) {
 	names := func(ids []uint64) (out []string) {
 		for _, id := range ids {
-			out = append(out, fmt.Sprintf("%s/%08x", n.names[uint32(id>>32)], uint32(id)))
+			out = append(out, fmt.Sprintf("%s/%08x", n.nameByHash[uint32(id>>32)], uint32(id)))
 		}
 		slices.Sort(out)
 		return out
 	}
-	for _, g := range n.order {
+	for _, g := range n.ordered {
 		s := g.raw.BasicStatus()
 		all = append(all, Status{
-			Group: g.number, Leader: n.names[uint32(s.Lead>>32)], Term: s.GetTerm(), Applied: g.applied,
-			Voters: names(g.conf.GetVoters()), Learners: names(g.conf.GetLearners()), Released: g.released, Halted: g.halted, Calm: g.quiet,
+			Group: g.number, Leader: n.nameByHash[uint32(s.Lead>>32)], Term: s.GetTerm(), Applied: g.applied,
+			Voters: names(g.conf.GetVoters()), Learners: names(g.conf.GetLearners()), Released: g.released, Halted: g.halted, Calm: g.hibernating,
 		})
 	}
 	return all
 }
 
-// Counts are figures of a node.
-func (n *Node) Counts(now time.Duration) (groups, leads, halted int, written uint64) {
-	for _, g := range n.order {
-		if _, _, ok := n.Lead(now, g.number); ok {
+// Counters returns the node's counters.
+func (n *Node) Counters(now time.Duration) (groups, leads, halted int, written uint64) {
+	for _, g := range n.ordered {
+		if _, _, ok := n.Lease(now, g.number); ok {
 			leads++
 		}
 		if g.halted {
 			halted++
 		}
 	}
-	return len(n.order), leads, halted, n.written
+	return len(n.ordered), leads, halted, n.written
 }
