--- a/internal/full/pipelines.go
+++ b/internal/full/pipelines.go
@@ -27,7 +27,7 @@
 func withReruns(groups uint32, of func(uint32) replica.Mux) func(uint32) replica.Mux {
 	return func(g uint32) replica.Mux {
 		m := of(g)
-		m[replica.Reruns] = rerun.New(rerun.Config{Group: g, Groups: groups})
+		m[replica.RerunsMachine] = rerun.New(rerun.Config{Group: g, Groups: groups})
 		return m
 	}
 }
--- a/internal/full/replicas.go
+++ b/internal/full/replicas.go
@@ -24,9 +24,9 @@
 
 // machines is what each group of the record holds.
 func machines(group uint32) replica.Mux {
-	m := replica.Mux{replica.Promises: promise.New(), replica.Gangs: gang.New()}
-	if group == replica.Root {
-		m[replica.Roots] = accord.New()
+	m := replica.Mux{replica.PromisesMachine: promise.New(), replica.GangsMachine: gang.New()}
+	if group == replica.RootGroup {
+		m[replica.RootMachine] = accord.New()
 	}
 	return m
 }
@@ -35,8 +35,8 @@
 func newReplicas(f *siteconf.File, register func(func(grpc.ServiceRegistrar))) (*replicas.Server, error) {
 	r := f.Promises
 	o := replicas.Options{
-		Self: replica.Member{Name: f.Node.Name, Machine: r.Machine, Zone: r.Zone}, Dir: r.Dir, Address: f.Control.Listen, Peers: r.Peers, Through: r.Through,
-		Groups: r.Groups, Copies: r.Copies, Gone: time.Duration(r.Gone), Machines: withReruns(r.Groups, machines),
+		Self: replica.Member{Name: f.Node.Name, Machine: r.Machine, Zone: r.Zone}, Dir: r.Dir, Address: f.Control.Listen, Peers: r.Peers, AddressOverrides: r.Through,
+		Groups: r.Groups, Copies: r.Copies, RelocateAfter: time.Duration(r.Gone), Machines: withReruns(r.Groups, machines),
 		Repair: r.Repair, Survivors: r.Survivors,
 	}
 	if t := f.Control.TLS; t != nil {
@@ -56,7 +56,7 @@
 // replicasPart has the record live with the program.
 func replicasPart(s *replicas.Server) program.NewPart {
 	return func(core program.Core) (program.Part, error) {
-		s.Logged(core.Log)
+		s.SetLogger(core.Log)
 		return &record{s}, nil
 	}
 }
@@ -71,7 +71,7 @@
 	case program.Serving, program.Quiescing, program.Quiesced:
 		r.Open(ctx)
 	case program.Departing:
-		r.Yield()
+		r.StepDown()
 	case program.HandedOver, program.Stopped: // the disk is the next process's
 		r.Close()
 	}
@@ -90,7 +90,7 @@
 	if what != "replicas" {
 		return ""
 	}
-	text, err := json.Marshal(r.Standing())
+	text, err := json.Marshal(r.Status())
 	if err != nil {
 		return ""
 	}
--- a/internal/net/accord/server.go
+++ b/internal/net/accord/server.go
@@ -272,13 +272,13 @@
 // monitorProcesses removes processes that are gone, if this dispatcher leads the root group: one such dispatcher is
 // enough.
 func (s *Server) monitorProcesses(ctx context.Context) {
-	if _, until, ok := s.host.Lead(replica.Root); !ok || replicas.Now() > until {
+	if _, until, ok := s.host.Lease(replica.RootGroup); !ok || replicas.Now() > until {
 		s.monitor = accord.NewMonitor()
 		return
 	}
 	var lines []accord.ProcessEntry
 	var pending uint64
-	if !s.host.View(replica.Root, replica.Roots, func(m replica.Machine) {
+	if !s.host.View(replica.RootGroup, replica.RootMachine, func(m replica.Machine) {
 		lines, pending = m.(*accord.Machine).Processes(), m.(*accord.Machine).Pending()
 	}) {
 		return
@@ -368,7 +368,7 @@
 func (s *Server) propose(ctx context.Context, c accord.Command, patience time.Duration) (accord.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	result, err := s.host.Propose(ctx, replica.Root, replica.Roots, c.Encode())
+	result, err := s.host.Propose(ctx, replica.RootGroup, replica.RootMachine, c.Encode())
 	if err != nil {
 		return accord.Answer{}, err
 	}
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -318,12 +318,12 @@
 	states := map[string]int{}
 	homes := map[string]uint32{}
 	for g := range s.host.Groups() {
-		_, until, ok := s.host.Lead(g)
+		_, until, ok := s.host.Lease(g)
 		if !ok || replicas.Now() >= until {
 			continue
 		}
 		var open *gang.Machine
-		s.host.View(g, replica.Gangs, func(m replica.Machine) {
+		s.host.View(g, replica.GangsMachine, func(m replica.Machine) {
 			machine, ours := m.(*gang.Machine)
 			if !ours {
 				return
@@ -353,7 +353,7 @@
 // ownReservations returns the holds in the groups that this dispatcher leads.
 func (s *Server) ownReservations(now time.Duration) (all []gang.Reservation) {
 	for _, g := range s.ledGroups {
-		s.host.View(g, replica.Gangs, func(m replica.Machine) {
+		s.host.View(g, replica.GangsMachine, func(m replica.Machine) {
 			if machine, ours := m.(*gang.Machine); ours {
 				all = append(all, machine.Reservations(now+reservationHorizon, maxReservations-len(all))...)
 			}
@@ -417,7 +417,7 @@
 func (s *Server) apply(ctx context.Context, g uint32, c gang.Command) (gang.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	text, err := s.host.Propose(ctx, g, replica.Gangs, c.Encode())
+	text, err := s.host.Propose(ctx, g, replica.GangsMachine, c.Encode())
 	if err != nil {
 		return gang.Result{}, err
 	}
@@ -448,7 +448,7 @@
 	go func() {
 		for g := range s.host.Groups() {
 			var r gang.Result
-			local := s.host.View(g, replica.Gangs, func(m replica.Machine) {
+			local := s.host.View(g, replica.GangsMachine, func(m replica.Machine) {
 				if machine, ours := m.(*gang.Machine); ours {
 					r = machine.Query()
 				}
--- a/internal/net/gangs/gangs_test.go
+++ b/internal/net/gangs/gangs_test.go
@@ -24,12 +24,12 @@
 
 // sharedHost is one host as seen by several daemons, each of which leads some of the groups.
 type sharedHost struct {
-	*replicas.Alone
+	*replicas.MemoryHost
 	index, count uint32
 }
 
-func (h sharedHost) Lead(g uint32) (uint64, time.Duration, bool) {
-	term, until, ok := h.Alone.Lead(g)
+func (h sharedHost) Lease(g uint32) (uint64, time.Duration, bool) {
+	term, until, ok := h.MemoryHost.Lease(g)
 	return term, until, ok && g%h.count == h.index
 }
 
@@ -82,7 +82,7 @@
 // planned.
 func TestGangsOverSockets(t *testing.T) {
 	const n = 3
-	host := replicas.NewAlone(3, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
+	host := replicas.NewMemoryHost(3, func(uint32) replica.Mux { return replica.Mux{replica.GangsMachine: gang.New()} })
 	loop := &fakeLoop{begun: map[string]time.Time{}, ended: map[string]string{}, maxReservations: map[string]int{}}
 	var listeners []net.Listener
 	sites := map[string]string{}
@@ -155,7 +155,7 @@
 // A member's end, which the dispatcher's loop reports only once, was dropped if the starter's goroutine was behind,
 // and the gang counted as dead after its start.
 func TestMemberEndIsKeptWhileStarterLoopIsBehind(t *testing.T) {
-	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
+	host := replicas.NewMemoryHost(1, func(uint32) replica.Mux { return replica.Mux{replica.GangsMachine: gang.New()} })
 	s, err := New(Options{Name: "n1", TellsStart: true}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	start, key := s.now()+time.Hour, gang.JobID("g", 1, 0)
@@ -177,7 +177,7 @@
 // A slow loop dropped the result of a proposal, so the coordinator considered the command outstanding forever and
 // never proposed it again.
 func TestResultsWaitForSlowLoop(t *testing.T) {
-	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
+	host := replicas.NewMemoryHost(1, func(uint32) replica.Mux { return replica.Mux{replica.GangsMachine: gang.New()} })
 	s, err := New(Options{Name: "n1"}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	for range cap(s.inbox) {
@@ -200,7 +200,7 @@
 
 // A callback about a member that an earlier process had sent was lost.
 func TestCallbackOfMemberSentByEarlierProcess(t *testing.T) {
-	host := replicas.NewAlone(1, func(uint32) replica.Mux { return replica.Mux{replica.Gangs: gang.New()} })
+	host := replicas.NewMemoryHost(1, func(uint32) replica.Mux { return replica.Mux{replica.GangsMachine: gang.New()} })
 	s, err := New(Options{Name: "n1"}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	run := gang.Message{Kind: gang.Run, Gang: "g", Round: 1, Assignments: []gang.Assignment{{Encoder: "s-0"}}}
--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -127,7 +127,7 @@
 func (s *Server) propose(ctx context.Context, g uint32, c rerun.Command) (rerun.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	text, err := s.host.Propose(ctx, g, replica.Reruns, c.Encode())
+	text, err := s.host.Propose(ctx, g, replica.RerunsMachine, c.Encode())
 	if err != nil {
 		return rerun.Result{}, err
 	}
@@ -147,11 +147,11 @@
 		}
 		acting := int64(0)
 		for g := range s.host.Groups() {
-			if _, until, ok := s.host.Lead(g); ok && replicas.Now() < until {
+			if _, until, ok := s.host.Lease(g); ok && replicas.Now() < until {
 				s.runActions(ctx, g)
 				acting++
 			} else {
-				s.host.View(g, replica.Reruns, func(m replica.Machine) { m.(*rerun.Machine).TakeLogLines() })
+				s.host.View(g, replica.RerunsMachine, func(m replica.Machine) { m.(*rerun.Machine).TakeLogLines() })
 			}
 		}
 		s.acting.Store(acting)
@@ -172,7 +172,7 @@
 	capacities := s.capacities // replaced as a whole, never modified
 	s.mu.Unlock()
 	now := time.Duration(time.Now().UnixNano())
-	if !s.host.View(g, replica.Reruns, func(m replica.Machine) {
+	if !s.host.View(g, replica.RerunsMachine, func(m replica.Machine) {
 		r := m.(*rerun.Machine)
 		actions, running, lines, policyKnown, capacitiesCurrent = r.Actions(), r.Running(""), r.TakeLogLines(), r.HasPolicy(s.o.Version), r.CapacitiesCurrent(capacities)
 	}) {
@@ -552,7 +552,7 @@
 		changed := s.changed
 		s.mu.Unlock()
 		open := false
-		here := s.host.View(group, replica.Reruns, func(m replica.Machine) {
+		here := s.host.View(group, replica.RerunsMachine, func(m replica.Machine) {
 			r := m.(*rerun.Machine).Run(q.Id)
 			open = r != nil && r.Answer == nil
 		})
@@ -607,7 +607,7 @@
 
 // Explained returns the description of a run from the local replica; false: this dispatcher has none.
 func (s *Server) Explained(id string) (e rerun.Explained, ok bool) {
-	s.host.View(rerun.GroupOfRun(id, s.host.Groups()), replica.Reruns, func(m replica.Machine) { e, ok = m.(*rerun.Machine).Explain(id) })
+	s.host.View(rerun.GroupOfRun(id, s.host.Groups()), replica.RerunsMachine, func(m replica.Machine) { e, ok = m.(*rerun.Machine).Explain(id) })
 	return e, ok
 }
 
@@ -615,7 +615,7 @@
 func (s *Server) Figures() string {
 	runs, open := 0, 0
 	for g := range s.host.Groups() {
-		s.host.View(g, replica.Reruns, func(m replica.Machine) {
+		s.host.View(g, replica.RerunsMachine, func(m replica.Machine) {
 			r, o := m.(*rerun.Machine).Size()
 			runs, open = runs+r, open+o
 		})
--- a/internal/net/pipelines/pipelines_test.go
+++ b/internal/net/pipelines/pipelines_test.go
@@ -42,7 +42,7 @@
 // jobs is the promise table without dispatchers, with workers that finish at once.
 type jobs struct {
 	t      *testing.T
-	host   *replicas.Alone
+	host   *replicas.MemoryHost
 	ran    atomic.Int64
 	before func() // called before the next promise is applied
 	down   func() bool
@@ -52,7 +52,7 @@
 }
 
 func (j *jobs) do(c promise.Command) promise.Answer {
-	text, err := j.host.Propose(j.t.Context(), 0, replica.Promises, c.Bytes())
+	text, err := j.host.Propose(j.t.Context(), 0, replica.PromisesMachine, c.Bytes())
 	require.NoError(j.t, err)
 	a, err := promise.ReadAnswer(text)
 	require.NoError(j.t, err)
@@ -145,8 +145,8 @@
 		}, 0, "dead"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			host := replicas.NewAlone(1, func(uint32) replica.Mux {
-				return replica.Mux{replica.Promises: promise.New(), replica.Reruns: rerun.New(rerun.Config{Groups: 1})}
+			host := replicas.NewMemoryHost(1, func(uint32) replica.Mux {
+				return replica.Mux{replica.PromisesMachine: promise.New(), replica.RerunsMachine: rerun.New(rerun.Config{Groups: 1})}
 			})
 			j := &jobs{t: t, host: host}
 			o := Options{Name: "d1", Site: policy.Site{Classes: map[string]policy.Class{"publish": {Once: true}}}}
@@ -162,7 +162,7 @@
 				require.True(t, r.OK, r.Why)
 			}
 			var execution rerun.Execute
-			host.View(0, replica.Reruns, func(m replica.Machine) { execution = m.(*rerun.Machine).Running("")[0] })
+			host.View(0, replica.RerunsMachine, func(m replica.Machine) { execution = m.(*rerun.Machine).Running("")[0] })
 			c.late(j, b, execution, func() { a.execute(t.Context(), 0, execution) })
 			require.Equal(t, c.ran, j.ran.Load(), "runs of the job")
 			answer, err := a.propose(t.Context(), 0, rerun.Command{Op: rerun.OpRead, ID: "lec"})
@@ -177,8 +177,8 @@
 // startedRun returns a host on which a run's only stage, which must not run twice, was started that long ago, and a
 // server that continues it.
 func startedRun(t *testing.T, ago time.Duration) (*jobs, *Server, rerun.Execute) {
-	host := replicas.NewAlone(1, func(uint32) replica.Mux {
-		return replica.Mux{replica.Promises: promise.New(), replica.Reruns: rerun.New(rerun.Config{Groups: 1})}
+	host := replicas.NewMemoryHost(1, func(uint32) replica.Mux {
+		return replica.Mux{replica.PromisesMachine: promise.New(), replica.RerunsMachine: rerun.New(rerun.Config{Groups: 1})}
 	})
 	j := &jobs{t: t, host: host}
 	o := Options{Name: "d1", Site: policy.Site{Classes: map[string]policy.Class{"publish": {Once: true}}}}
@@ -188,14 +188,14 @@
 		{Op: rerun.OpPolicy, Text: strings.Replace(oneStage, `work = "1s"`, "work = \"1s\"\nwithin = \"30s\"", 1), Site: &o.Site},
 		{Op: rerun.OpSubmit, ID: "lec", Pipeline: "one"}, {Op: rerun.OpStart, Key: "r/lec/publish", Gen: 1, Dispatcher: "gone"},
 	} {
-		text, err := host.ProposeAt(time.Duration(time.Now().Add(-ago).UnixNano()), 0, replica.Reruns, c.Encode())
+		text, err := host.ProposeAt(time.Duration(time.Now().Add(-ago).UnixNano()), 0, replica.RerunsMachine, c.Encode())
 		require.NoError(t, err)
 		r, err := rerun.DecodeResult(text)
 		require.NoError(t, err)
 		require.True(t, r.OK, r.Why)
 	}
 	var execution rerun.Execute
-	host.View(0, replica.Reruns, func(m replica.Machine) { execution = m.(*rerun.Machine).Running("")[0] })
+	host.View(0, replica.RerunsMachine, func(m replica.Machine) { execution = m.(*rerun.Machine).Running("")[0] })
 	return j, s, execution
 }
 
@@ -285,8 +285,8 @@
 // The owner of a group keeps it informed of the sites' capacities, computed from the instance list and the kinds'
 // slots; small changes are not proposed.
 func TestSiteCapacities(t *testing.T) {
-	host := replicas.NewAlone(1, func(uint32) replica.Mux {
-		return replica.Mux{replica.Promises: promise.New(), replica.Reruns: rerun.New(rerun.Config{Groups: 1})}
+	host := replicas.NewMemoryHost(1, func(uint32) replica.Mux {
+		return replica.Mux{replica.PromisesMachine: promise.New(), replica.RerunsMachine: rerun.New(rerun.Config{Groups: 1})}
 	})
 	o := Options{Name: "d1", Policy: oneStage, Version: "1", Site: policy.Site{Classes: map[string]policy.Class{"publish": {Once: true}}}, Slots: map[string]float64{"m2": 4}}
 	s := New(o, host, slog.New(slog.DiscardHandler))
@@ -300,7 +300,7 @@
 		s.wg.Wait()
 	}
 	capacities := func() (capacities map[string]int) {
-		host.View(0, replica.Reruns, func(m replica.Machine) {
+		host.View(0, replica.RerunsMachine, func(m replica.Machine) {
 			var state struct {
 				Room map[string]int `json:"Room"`
 			}
--- a/internal/net/promises/recording.go
+++ b/internal/net/promises/recording.go
@@ -88,7 +88,7 @@
 
 // hasEnded reports whether the local replica has the end of a promise.
 func (s *Server) hasEnded(id string, index uint64) (yes bool) {
-	s.host.View(s.group(id), replica.Promises, func(m replica.Machine) {
+	s.host.View(s.group(id), replica.PromisesMachine, func(m replica.Machine) {
 		e := m.(*promise.Machine).Entry(id)
 		yes = e != nil && e.Index == index && e.End != nil
 	})
@@ -131,7 +131,7 @@
 // isRepeatable reports whether a promised job is known here and may safely run again: it may have been submitted to
 // one instance more than once, so only the loop can tell which submission a refusal belongs to.
 func (s *Server) isRepeatable(id string) (yes bool) {
-	s.host.View(s.group(id), replica.Promises, func(m replica.Machine) {
+	s.host.View(s.group(id), replica.PromisesMachine, func(m replica.Machine) {
 		e := m.(*promise.Machine).Entry(id)
 		yes = e != nil && s.repeats(e.Job.Class)
 	})
@@ -208,7 +208,7 @@
 
 // intents returns, for the log, the attempts that the local replica lists as possibly sent.
 func (s *Server) intents(g uint32, id string) (all []promise.Intent) {
-	s.host.View(g, replica.Promises, func(m replica.Machine) {
+	s.host.View(g, replica.PromisesMachine, func(m replica.Machine) {
 		if e := m.(*promise.Machine).Entry(id); e != nil {
 			all = append(all, e.Intents...)
 		}
@@ -230,7 +230,7 @@
 		g := s.group(c.ID)
 		intended, settled := false, !ok
 		if ok { // without a local replica it is unknown which intents exist
-			s.host.View(g, replica.Promises, func(m replica.Machine) { intended, settled = m.(*promise.Machine).HasIntent(&sending) })
+			s.host.View(g, replica.PromisesMachine, func(m replica.Machine) { intended, settled = m.(*promise.Machine).HasIntent(&sending) })
 		}
 		switch {
 		case settled:
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -180,13 +180,13 @@
 		s.reportUnsent(false)
 		acting := int64(0)
 		for g, o := range s.owners {
-			if uint32(g) == replica.Root && len(s.owners) > 1 {
+			if uint32(g) == replica.RootGroup && len(s.owners) > 1 {
 				continue // no key maps to it
 			}
 			c := clock()
-			term, until, ok := s.host.Lead(uint32(g))
+			term, until, ok := s.host.Lease(uint32(g))
 			o.SetLease(c, term, until, ok)
-			if ok && s.host.View(uint32(g), replica.Promises, func(m replica.Machine) { o.Update(c, m.(*promise.Machine)) }) {
+			if ok && s.host.View(uint32(g), replica.PromisesMachine, func(m replica.Machine) { o.Update(c, m.(*promise.Machine)) }) {
 				acting++
 			}
 			s.runActions(uint32(g), o)
@@ -257,7 +257,7 @@
 func (s *Server) propose(ctx context.Context, g uint32, c promise.Command) (promise.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	result, err := s.host.Propose(ctx, g, replica.Promises, c.Bytes())
+	result, err := s.host.Propose(ctx, g, replica.PromisesMachine, c.Bytes())
 	if err != nil {
 		return promise.Answer{}, err
 	}
@@ -383,7 +383,7 @@
 func (s *Server) Figures() string {
 	var jobs, open, bytes int
 	for g := range s.host.Groups() {
-		s.host.View(g, replica.Promises, func(m replica.Machine) {
+		s.host.View(g, replica.PromisesMachine, func(m replica.Machine) {
 			j, o, b := m.(*promise.Machine).Size()
 			jobs, open, bytes = jobs+j, open+o, bytes+b
 		})
--- a/internal/net/promises/server_test.go
+++ b/internal/net/promises/server_test.go
@@ -23,14 +23,14 @@
 
 // fakeHost is a dispatcher's view of one shared table, with or without the lease.
 type fakeHost struct {
-	*replicas.Alone
+	*replicas.MemoryHost
 	term    atomic.Uint64 // 0: no lease
 	changed chan struct{}
 	agree   atomic.Pointer[func(c promise.Command, commit func() ([]byte, error)) ([]byte, error)] // handles proposals; nil: they are committed
 }
 
 func (c *fakeHost) Propose(ctx context.Context, group uint32, machine byte, cmd []byte) ([]byte, error) {
-	commit := func() ([]byte, error) { return c.Alone.Propose(ctx, group, machine, cmd) }
+	commit := func() ([]byte, error) { return c.MemoryHost.Propose(ctx, group, machine, cmd) }
 	f := c.agree.Load()
 	if f == nil {
 		return commit()
@@ -42,7 +42,7 @@
 	return (*f)(command, commit)
 }
 
-func (c *fakeHost) Lead(uint32) (uint64, time.Duration, bool) {
+func (c *fakeHost) Lease(uint32) (uint64, time.Duration, bool) {
 	t := c.term.Load()
 	return t, replicas.Now() + 300*time.Millisecond, t > 0
 }
@@ -73,9 +73,9 @@
 }
 
 func pair(t *testing.T) (s [2]*Server, c [2]*core, h [2]*fakeHost) {
-	table := replicas.NewAlone(2, func(uint32) replica.Mux { return replica.Mux{replica.Promises: promise.New()} })
+	table := replicas.NewMemoryHost(2, func(uint32) replica.Mux { return replica.Mux{replica.PromisesMachine: promise.New()} })
 	for i := range s {
-		h[i] = &fakeHost{Alone: table, changed: make(chan struct{})}
+		h[i] = &fakeHost{MemoryHost: table, changed: make(chan struct{})}
 		c[i] = &core{make(chan *dispatch.Command, 9), make(chan *dispatch.Command, 9), make(chan *dispatch.Command, 9), make(chan func() bool, 9), make(chan *dispatch.Attempt, 9), make(chan dispatch.Callback, 9)}
 		s[i] = New(Options{Within: time.Minute, Keep: time.Minute}, h[i], c[i], slog.New(slog.DiscardHandler))
 		s[i].Retune(decide.Settings{Classes: []decide.Class{{Effect: decide.Unsafe, Deadline: 20 * time.Second}, {Deadline: time.Second}}}, wire.Names{Classes: []string{"once", "safe"}})
--- a/internal/net/promises/service.go
+++ b/internal/net/promises/service.go
@@ -131,7 +131,7 @@
 // Seen returns the log index that the group of an id is known to have reached.
 func (s *Server) Seen(ctx context.Context, id string) (uint64, error) {
 	g := s.group(id)
-	s.host.View(g, replica.Promises, func(m replica.Machine) { s.noteIndex(g, m.(*promise.Machine).Index()) })
+	s.host.View(g, replica.PromisesMachine, func(m replica.Machine) { s.noteIndex(g, m.(*promise.Machine).Index()) })
 	s.mu.Lock()
 	index := s.index[g]
 	s.mu.Unlock()
@@ -199,7 +199,7 @@
 		s.mu.Unlock()
 		open := false
 		wait := min(time.Until(until), time.Second)
-		if !s.host.View(s.group(id), replica.Promises, func(m replica.Machine) {
+		if !s.host.View(s.group(id), replica.PromisesMachine, func(m replica.Machine) {
 			e := m.(*promise.Machine).Entry(id)
 			open = e != nil && e.End == nil
 		}) {
--- a/internal/net/promises/unsent_test.go
+++ b/internal/net/promises/unsent_test.go
@@ -58,7 +58,7 @@
 
 // intents returns the number of the job's intents in the table.
 func intents(s *Server) (n int) {
-	s.host.View(s.group("j"), replica.Promises, func(m replica.Machine) {
+	s.host.View(s.group("j"), replica.PromisesMachine, func(m replica.Machine) {
 		if e := m.(*promise.Machine).Entry("j"); e != nil {
 			n = len(e.Intents)
 		}
--- a/internal/net/replicas/cost_test.go
+++ b/internal/net/replicas/cost_test.go
@@ -24,7 +24,7 @@
 	w.await("all groups have had a leader", func() bool {
 		for _, s := range w.hosts {
 			for g := range w.groups {
-				if _, _, ok := s.Lead(g); ok {
+				if _, _, ok := s.Lease(g); ok {
 					seen[g] = true
 				}
 			}
@@ -37,7 +37,7 @@
 func (w *cluster) hibernatingShare() float64 {
 	n, all := 0, 0
 	for _, s := range w.hosts {
-		for _, g := range s.Standing().Groups {
+		for _, g := range s.Status().Groups {
 			if all++; g.Calm {
 				n++
 			}
--- a/internal/net/replicas/encoded_test.go
+++ b/internal/net/replicas/encoded_test.go
@@ -8,5 +8,5 @@
 
 // TestEncodedForm fails if the JSON form of a struct changes that is stored or sent to another process.
 func TestEncodedForm(t *testing.T) {
-	wiretest.Check(t, &Standing{}, &meta{})
+	wiretest.Check(t, &Status{}, &meta{})
 }
--- a/internal/net/replicas/memoryhost.go
+++ b/internal/net/replicas/memoryhost.go
@@ -20,8 +20,8 @@
 	// View calls f with the machine's state as applied here; it returns false if there is no replica here. f must not
 	// block.
 	View(group uint32, machine byte, f func(replica.Machine)) bool
-	// Lead reports whether this daemon may act for the group, and until when by the lease clock Now.
-	Lead(group uint32) (term uint64, until time.Duration, ok bool)
+	// Lease reports whether this daemon may act for the group, and until when by the lease clock Now.
+	Lease(group uint32) (term uint64, until time.Duration, ok bool)
 	// Changed signals that something was applied, or that leadership moved, since the last signal.
 	Changed() <-chan struct{}
 }
@@ -29,9 +29,9 @@
 // memoryLease is the lease duration that a host without peers reports.
 const memoryLease = time.Second
 
-// Alone is a host with one copy of each group, in memory. It serves tests, and as the baseline for the cost of
+// MemoryHost is a host with one copy of each group, in memory. It serves tests, and as the baseline for the cost of
 // replication.
-type Alone struct {
+type MemoryHost struct {
 	changed chan struct{}
 
 	mu     sync.Mutex
@@ -40,11 +40,11 @@
 	last   []time.Duration
 }
 
-var _ Host = (*Alone)(nil)
+var _ Host = (*MemoryHost)(nil)
 
-// NewAlone returns a host in memory; machines creates the machines of a group.
-func NewAlone(groups uint32, machines func(group uint32) replica.Mux) *Alone {
-	a := &Alone{changed: make(chan struct{}, 1), index: make([]uint64, groups), last: make([]time.Duration, groups)}
+// NewMemoryHost returns a host in memory; machines creates the machines of a group.
+func NewMemoryHost(groups uint32, machines func(group uint32) replica.Mux) *MemoryHost {
+	a := &MemoryHost{changed: make(chan struct{}, 1), index: make([]uint64, groups), last: make([]time.Duration, groups)}
 	for g := range groups {
 		a.groups = append(a.groups, machines(g))
 	}
@@ -52,12 +52,12 @@
 }
 
 // Propose applies the command.
-func (a *Alone) Propose(_ context.Context, group uint32, machine byte, cmd []byte) ([]byte, error) {
+func (a *MemoryHost) Propose(_ context.Context, group uint32, machine byte, cmd []byte) ([]byte, error) {
 	return a.ProposeAt(time.Duration(time.Now().UnixNano()), group, machine, cmd)
 }
 
 // ProposeAt is Propose at a given Unix time, for tests.
-func (a *Alone) ProposeAt(at time.Duration, group uint32, machine byte, cmd []byte) ([]byte, error) {
+func (a *MemoryHost) ProposeAt(at time.Duration, group uint32, machine byte, cmd []byte) ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if group >= a.Groups() {
@@ -74,10 +74,10 @@
 }
 
 // Groups returns the number of groups.
-func (a *Alone) Groups() uint32 { return uint32(len(a.groups)) }
+func (a *MemoryHost) Groups() uint32 { return uint32(len(a.groups)) }
 
 // View calls f with a machine's state.
-func (a *Alone) View(group uint32, machine byte, f func(replica.Machine)) bool {
+func (a *MemoryHost) View(group uint32, machine byte, f func(replica.Machine)) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if group >= a.Groups() || a.groups[group][machine] == nil {
@@ -87,10 +87,10 @@
 	return true
 }
 
-// Lead always grants the lease.
-func (a *Alone) Lead(group uint32) (uint64, time.Duration, bool) {
+// Lease always grants the lease.
+func (a *MemoryHost) Lease(group uint32) (uint64, time.Duration, bool) {
 	return 1, Now() + memoryLease, group < a.Groups()
 }
 
 // Changed signals that something was applied.
-func (a *Alone) Changed() <-chan struct{} { return a.changed }
+func (a *MemoryHost) Changed() <-chan struct{} { return a.changed }
--- a/internal/net/replicas/server.go
+++ b/internal/net/replicas/server.go
@@ -37,18 +37,18 @@
 
 // Options configures a Server.
 type Options struct {
-	Self    replica.Member // the incarnation comes from the store
-	Dir     string
-	Address string            // where others reach this daemon, if their settings do not say
-	Peers   map[string]string // addresses of all other daemons, by name
-	Through map[string]string // addresses used instead of those in Peers, by name
-	Groups  uint32
-	Copies  int
+	Self             replica.Member // the incarnation comes from the store
+	Dir              string
+	Address          string            // where others reach this daemon, if their settings do not say
+	Peers            map[string]string // addresses of all other daemons, by name
+	AddressOverrides map[string]string // addresses used instead of those in Peers, by name
+	Groups           uint32
+	Copies           int
 	// Repair is the number of repairs after the loss of a majority, and Survivors are the daemons left at the last one.
 	// See replica.Repair.
-	Repair    uint32
-	Survivors []string
-	Gone      time.Duration // after this silence a daemon's replicas are moved; 0: replica.RelocateTimeout
+	Repair        uint32
+	Survivors     []string
+	RelocateAfter time.Duration // after this silence a daemon's replicas are moved; 0: replica.RelocateTimeout
 	// Machines creates the machines of a group.
 	Machines func(group uint32) replica.Mux
 	// Dial returns the TLS credentials for a peer; nil: plain text.
@@ -103,8 +103,8 @@
 	}, nil
 }
 
-// Logged sets the logger; it must be called before Open.
-func (s *Server) Logged(l *slog.Logger) { s.log = l }
+// SetLogger sets the logger; it must be called before Open.
+func (s *Server) SetLogger(l *slog.Logger) { s.log = l }
 
 // Register registers the service that peers call.
 func (s *Server) Register(r grpc.ServiceRegistrar) { replicav1.RegisterReplicasServer(r, s) }
@@ -133,10 +133,10 @@
 	}
 }
 
-// Yield transfers the leadership of all groups to other daemons, within about half a second, before this daemon stops.
+// StepDown transfers the leadership of all groups to other daemons, within about half a second, before this daemon stops.
 // It does not block. Without it, the other daemons have to wait until this one counts as silent and its leases have
 // expired.
-func (s *Server) Yield() {
+func (s *Server) StepDown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.node != nil {
@@ -171,8 +171,8 @@
 	return m != nil
 }
 
-// Lead reports whether this daemon may act for a group.
-func (s *Server) Lead(group uint32) (term uint64, until time.Duration, ok bool) {
+// Lease reports whether this daemon may act for a group.
+func (s *Server) Lease(group uint32) (term uint64, until time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.node == nil {
@@ -431,7 +431,7 @@
 		}
 	}
 	node, err := replica.New(replica.Config{
-		Self: s.store.meta.Member, Table: t, Boot: uint64(rand.Uint32()), Machines: s.opts.Machines, RelocateAfter: s.opts.Gone,
+		Self: s.store.meta.Member, Table: t, Boot: uint64(rand.Uint32()), Machines: s.opts.Machines, RelocateAfter: s.opts.RelocateAfter,
 		Written: s.store.lastBatch.written, Known: s.store.meta.Known, NewStore: newStore,
 	}, Now(), groups)
 	if err != nil {
@@ -505,7 +505,7 @@
 	if s.peers[name] != nil || name == s.opts.Self.Name || len(s.peers) >= maxPeers {
 		return
 	}
-	at := cmp.Or(s.opts.Through[name], s.opts.Peers[name], address)
+	at := cmp.Or(s.opts.AddressOverrides[name], s.opts.Peers[name], address)
 	if at == "" {
 		return
 	}
@@ -699,8 +699,8 @@
 	return s.linkCtx
 }
 
-// Standing is the host's status for operators.
-type Standing struct {
+// Status is the host's status for operators.
+type Status struct {
 	Member  replica.Member   `json:"member"`
 	Table   string           `json:"table,omitempty"`
 	Missing []string         `json:"missing,omitempty"` // configured daemons not contacted yet, before the groups start
@@ -709,8 +709,8 @@
 	Groups  []replica.Status `json:"groups,omitempty"`
 }
 
-// Standing returns the host's status.
-func (s *Server) Standing() (v Standing) {
+// Status returns the host's status.
+func (s *Server) Status() (v Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v.Fault, v.Refused, v.Member = s.fault, s.refused, s.opts.Self
--- a/internal/net/replicas/server_test.go
+++ b/internal/net/replicas/server_test.go
@@ -143,7 +143,7 @@
 		w.propose(0, 1, fmt.Sprint("item-", i))
 	}
 	w.await("all commands are on n2", func() bool { return len(w.lines(2, 1)) == 20 })
-	before := w.hosts[2].Standing().Member
+	before := w.hosts[2].Status().Member
 	w.hosts[2].Close()
 	path := filepath.Join(w.dirs[2], storeFile)
 	text, err := os.ReadFile(path)
@@ -158,15 +158,15 @@
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	w.open(2)
 	w.await("n2 is a new member", func() bool {
-		m := w.hosts[2].Standing().Member
+		m := w.hosts[2].Status().Member
 		return m.Incarnation != 0 && m.Incarnation != before.Incarnation
 	})
-	require.Contains(t, w.hosts[2].Standing().Refused, "checksum")
+	require.Contains(t, w.hosts[2].Status().Refused, "checksum")
 	w.await("n2 has all commands", func() bool { return len(w.lines(2, 1)) == 20 })
 	w.await("n2 votes", func() bool {
 		for i := range 3 {
-			for _, g := range w.hosts[i].Standing().Groups {
-				old, now := fmt.Sprintf("n2/%08x", before.Incarnation), fmt.Sprintf("n2/%08x", w.hosts[2].Standing().Member.Incarnation)
+			for _, g := range w.hosts[i].Status().Groups {
+				old, now := fmt.Sprintf("n2/%08x", before.Incarnation), fmt.Sprintf("n2/%08x", w.hosts[2].Status().Member.Incarnation)
 				if slices.Contains(g.Voters, old) || !slices.Contains(g.Voters, now) {
 					return false
 				}
@@ -242,7 +242,7 @@
 	w.await("n0 has all commands", func() bool { return len(w.lines(0, 1)) == 3 && len(w.lines(0, 2)) == 3 })
 	old := map[string]bool{}
 	for i := range 3 {
-		old[fmt.Sprint(w.hosts[i].Standing().Member)] = true
+		old[fmt.Sprint(w.hosts[i].Status().Member)] = true
 		w.hosts[i].Close()
 	}
 	w.listeners[0].Close()
@@ -255,21 +255,21 @@
 	w.propose(0, 1, "alone")
 	require.Equal(t, []string{"c0", "c2", "c4", "alone"}, w.lines(0, 1))
 	w.await("n0 leads, in a term larger than all earlier ones", func() bool {
-		term, _, ok := w.hosts[0].Lead(1)
+		term, _, ok := w.hosts[0].Lease(1)
 		return ok && term > 1<<40
 	})
 	w.open(1)
 	w.open(2)
 	w.await("n1 and n2 are new members", func() bool {
 		for i := range 3 {
-			if v := w.hosts[i].Standing(); len(v.Groups) != 3 || i > 0 && old[fmt.Sprint(v.Member)] {
+			if v := w.hosts[i].Status(); len(v.Groups) != 3 || i > 0 && old[fmt.Sprint(v.Member)] {
 				return false
 			}
 		}
 		return len(w.lines(1, 1)) == 4 && len(w.lines(2, 1)) == 4
 	})
 	w.await("all are voters", func() bool {
-		for _, g := range w.hosts[0].Standing().Groups {
+		for _, g := range w.hosts[0].Status().Groups {
 			if len(g.Voters) != 3 {
 				return false
 			}
@@ -288,22 +288,22 @@
 	w := newCluster(t, 3, 2)
 	w.propose(0, 1, "c0")
 	w.await("n2 has the command", func() bool { return len(w.lines(2, 1)) == 1 })
-	before := w.hosts[2].Standing().Member
+	before := w.hosts[2].Status().Member
 	w.hosts[2].mu.Lock()
 	require.NoError(t, w.hosts[2].store.db.Close())
 	w.hosts[2].mu.Unlock()
 	for i := range 10 {
 		w.propose(i%2, 1, fmt.Sprint("d", i))
 	}
-	w.await("n2 reports the fault", func() bool { return w.hosts[2].Standing().Fault != "" })
+	w.await("n2 reports the fault", func() bool { return w.hosts[2].Status().Fault != "" })
 	for g := range w.groups {
-		_, _, acts := w.hosts[2].Lead(g)
+		_, _, acts := w.hosts[2].Lease(g)
 		require.False(t, acts)
 	}
 	w.hosts[2].Close()
 	w.open(2)
 	w.await("n2 has all commands as a new member", func() bool {
-		return w.hosts[2].Standing().Member.Incarnation != before.Incarnation && len(w.lines(2, 1)) == 11
+		return w.hosts[2].Status().Member.Incarnation != before.Incarnation && len(w.lines(2, 1)) == 11
 	})
 }
 
@@ -312,7 +312,7 @@
 func TestForwardToStalledLeader(t *testing.T) {
 	w := newCluster(t, 3, 2)
 	w.awaitLeaders()
-	leader := slices.IndexFunc(w.hosts, func(s *Server) bool { _, _, ok := s.Lead(1); return ok })
+	leader := slices.IndexFunc(w.hosts, func(s *Server) bool { _, _, ok := s.Lease(1); return ok })
 	other := (leader + 1) % 3
 	w.propose(other, 1, "before")
 	w.hosts[leader].mu.Lock() // the loop needs it for each pass
@@ -347,12 +347,12 @@
 	for i := range w.hosts {
 		w.propose(i, 1, "before")
 	}
-	w.hosts[0].Yield()
+	w.hosts[0].StepDown()
 	w.await("n0 leads no group, and the others lead all", func() bool {
 		for g := range w.groups {
-			_, _, mine := w.hosts[0].Lead(g)
-			_, _, one := w.hosts[1].Lead(g)
-			_, _, two := w.hosts[2].Lead(g)
+			_, _, mine := w.hosts[0].Lease(g)
+			_, _, one := w.hosts[1].Lease(g)
+			_, _, two := w.hosts[2].Lease(g)
 			if mine || !one && !two {
 				return false
 			}
--- a/internal/prove/promise.go
+++ b/internal/prove/promise.go
@@ -344,7 +344,7 @@
 	return os.WriteFile(path, []byte(changed), 0o600)
 }
 
-func (s *swearing) standing(n int) (v replicas.Standing) {
+func (s *swearing) standing(n int) (v replicas.Status) {
 	json.Unmarshal([]byte(s.Daemon(n).Ask("replicas")), &v)
 	return v
 }
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -16,15 +16,15 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Root is the group that holds placement, versions of settings and cordons. No key maps to it.
-const Root uint32 = 0
+// RootGroup is the group that holds placement, versions of settings and cordons. No key maps to it.
+const RootGroup uint32 = 0
 
 // IDs of a group's machines: the first byte of a command.
 const (
-	Promises byte = 0
-	Gangs    byte = 1
-	Reruns   byte = 2
-	Roots    byte = 3
+	PromisesMachine byte = 0
+	GangsMachine    byte = 1
+	RerunsMachine   byte = 2
+	RootMachine     byte = 3
 )
 
 const (
@@ -122,7 +122,7 @@
 // is a jump consistent hash, so that a deployment with more groups moves few keys.
 func GroupOf(key string, groups uint32) uint32 {
 	if groups <= 1 {
-		return Root
+		return RootGroup
 	}
 	h := fnv.New64a()
 	h.Write([]byte(key))
--- a/internal/rerun/rerun.go
+++ b/internal/rerun/rerun.go
@@ -134,7 +134,7 @@
 // root group.
 func (m *Machine) groupOf(key string) uint32 {
 	if strings.HasPrefix(key, "b/") {
-		return replica.Root
+		return replica.RootGroup
 	}
 	if rest, own := strings.CutPrefix(key, "r/"); own {
 		id, _, _ := strings.Cut(rest, "/")
--- a/internal/rig/accord_test.go
+++ b/internal/rig/accord_test.go
@@ -166,7 +166,7 @@
 	w.await("one acts for the root group", func() bool {
 		for _, n := range among {
 			for _, g := range w.record(n).Groups {
-				if g.Group == replica.Root && g.Leader == fmt.Sprint("n", n) {
+				if g.Group == replica.RootGroup && g.Leader == fmt.Sprint("n", n) {
 					leader = n
 					return true
 				}
--- a/internal/rig/record_test.go
+++ b/internal/rig/record_test.go
@@ -26,7 +26,7 @@
 func recording(o *rig.Options) { o.Promises = true }
 
 // record is how the record stands at a daemon.
-func (w *town) record(n int) (v replicas.Standing) {
+func (w *town) record(n int) (v replicas.Status) {
 	json.Unmarshal([]byte(w.Daemon(n).Ask("replicas")), &v)
 	return v
 }
