--- a/internal/full/accord.go
+++ b/internal/full/accord.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	a.low, a.high = a.server.Start()
+	a.low, a.high = a.server.InitialVersions()
 	if _, err := a.settings(); err != nil { // of a later program, or for another file
 		a.low, a.high = nil, nil
 	}
@@ -95,8 +95,8 @@
 	return f.Platform()
 }
 
-// Own is the settings of this dispatcher's own file.
-func (a *accords) Own() []byte {
+// OwnSettings is the settings of this dispatcher's own file.
+func (a *accords) OwnSettings() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.file.Shared().Text()
@@ -147,22 +147,22 @@
 	return nil
 }
 
-// Act has the program go by it: with the file as it was read last, so that none is needed for it now.
-func (a *accords) Act(low, high []byte, floor bool, done func(error)) {
+// Apply has the program go by it: with the file as it was read last, so that none is needed for it now.
+func (a *accords) Apply(low, high []byte, floor bool, done func(error)) {
 	a.mu.Lock()
 	a.low, a.high, a.floor = low, high, floor
 	a.mu.Unlock()
 	a.core.Reload(done)
 }
 
-// Leave has the program leave instances out.
-func (a *accords) Leave(ids []string, only bool) { a.core.Cordons.SetCordons(ids, only) }
+// SetCordons has the program leave instances out.
+func (a *accords) SetCordons(ids []string, only bool) { a.core.Cordons.SetCordons(ids, only) }
 
 // part has it live with the program.
 func (a *accords) part(host replicas.Host) program.NewPart {
 	return func(core program.Core) (program.Part, error) {
 		a.core = core
-		a.server.Use(a, host, core.Log)
+		a.server.Attach(a, host, core.Log)
 		core.Cordons.SetStore(a.server)
 		return &accorded{a.server, a}, nil
 	}
--- a/internal/full/pipelines.go
+++ b/internal/full/pipelines.go
@@ -81,7 +81,7 @@
 			return nil, errors.New("pipelines: there is no service of promises")
 		}
 		s := pipelines.New(o, host, core.Log)
-		s.Use(found.jobs)
+		s.SetJobs(found.jobs)
 		beside.add(func(r grpc.ServiceRegistrar) { pipelinev1.RegisterPipelinesServer(r, s) })
 		return &pipelining{Server: s}, nil
 	}, nil
--- a/internal/full/promises.go
+++ b/internal/full/promises.go
@@ -18,11 +18,11 @@
 
 // promisesPart has jobs handed in for good. They are kept at host, and come in at the control listener by register.
 func promisesPart(f *siteconf.File, host replicas.Host, register func(func(grpc.ServiceRegistrar))) program.NewPart {
-	o := promises.Options{Within: time.Duration(f.Promises.Within), Keep: time.Duration(f.Promises.Keep), Dir: f.Promises.Dir}
+	o := promises.Options{StartWithin: time.Duration(f.Promises.Within), Retention: time.Duration(f.Promises.Keep), Dir: f.Promises.Dir}
 	return func(core program.Core) (program.Part, error) {
 		s := promises.New(o, host, core.Loop, core.Log)
-		core.Loop.OnUnmatchedCallback(s.Stray)
-		core.Loop.PersistCallbacksWith(s.Keep)
+		core.Loop.OnUnmatchedCallback(s.HandleUnmatchedCallback)
+		core.Loop.PersistCallbacksWith(s.PersistCallback)
 		register(func(r grpc.ServiceRegistrar) { promisev1.RegisterPromisesServer(r, s) })
 		return &promising{Server: s}, nil
 	}
@@ -40,7 +40,7 @@
 
 func (p *promising) Phase(ctx context.Context, phase program.Phase) error {
 	if phase == program.Serving || phase == program.HandedOver {
-		p.Yield(phase == program.HandedOver)
+		p.SetYielding(phase == program.HandedOver)
 	}
 	switch phase {
 	case program.Serving:
--- a/internal/full/serve.go
+++ b/internal/full/serve.go
@@ -153,7 +153,7 @@
 	c := f.Control
 	o := control.Options{
 		Listen: c.Listen, Daemon: f.Node.Number, Daemons: f.Node.Of, Senders: c.Senders, Silence: time.Duration(c.Silence),
-		Life: time.Duration(c.Lease), Slots: f.Slots(), New: c.New, Also: register,
+		Life: time.Duration(c.Lease), Slots: f.Slots(), New: c.New, RegisterMore: register,
 	}
 	fault := func() error { return nil }
 	if t := c.TLS; t != nil {
@@ -193,14 +193,14 @@
 	return nil
 }
 
-func (c *controls) Reloaded(next *config.Config) { c.Retune(next.Settings, next.Document) }
+func (c *controls) Reloaded(next *config.Config) { c.SetSettings(next.Settings, next.Document) }
 
 // Quiet: plug-ins go on without this daemon.
 func (*controls) Quiet() bool { return true }
 
 func (c *controls) Figures() string {
 	var s strings.Builder
-	for _, f := range c.Server.Figures() {
+	for _, f := range c.Server.Metrics() {
 		fmt.Fprintf(&s, "proxy.%s=%d\n", f.Name, f.Value)
 	}
 	n := 0
