--- a/decide/api.go
+++ b/decide/api.go
@@ -482,7 +482,7 @@
 	d.updateActiveClasses()
 	for _, w := range d.workers {
 		for range len(d.classes) - len(w.classErrors) {
-			w.classErrors, w.refusals = append(w.classErrors, tally{Count: 3}), append(w.refusals, refusal{})
+			w.classErrors, w.classBars = append(w.classErrors, tally{Count: 3}), append(w.classBars, classBar{})
 		}
 	}
 	d.blocksStale, d.mayHaveRoom, d.sortAfter = true, true, 0
--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -299,9 +299,9 @@
 	}
 }
 
-// TestPatientRequestsAreNotCancelledWhileQueued guards against giving up a promised unsafe job, which may have run,
+// TestUntilDeadlineRequestsAreNotCancelledWhileQueued guards against giving up a promised unsafe job, which may have run,
 // only because it queues at its worker past its class's aim.
-func TestPatientRequestsAreNotCancelledWhileQueued(t *testing.T) {
+func TestUntilDeadlineRequestsAreNotCancelledWhileQueued(t *testing.T) {
 	for _, patient := range []bool{false, true} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 		h.d.workers[1].ceiling = 8
@@ -324,9 +324,9 @@
 	}
 }
 
-// TestPatientRequestsAreNotRefusedAtTheirAim guards against refusing a promised job that finds no room until its
+// TestUntilDeadlineRequestsAreNotRefusedAtTheirAim guards against refusing a promised job that finds no room until its
 // class's aim: it comes again after ever longer pauses and may miss the moments when there is room.
-func TestPatientRequestsAreNotRefusedAtTheirAim(t *testing.T) {
+func TestUntilDeadlineRequestsAreNotRefusedAtTheirAim(t *testing.T) {
 	for _, patient := range []bool{false, true} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 		h.d.workers[1].ceiling = 1
@@ -356,9 +356,9 @@
 	}
 }
 
-// TestPatientRequestsWaitLongerForConfirmation guards against a promised job that is sent to a second worker, and so
+// TestUntilDeadlineRequestsWaitLongerForConfirmation guards against a promised job that is sent to a second worker, and so
 // runs twice, only because the first took longer than half of its class's aim to confirm it.
-func TestPatientRequestsWaitLongerForConfirmation(t *testing.T) {
+func TestUntilDeadlineRequestsWaitLongerForConfirmation(t *testing.T) {
 	for patient, within := range map[bool]time.Duration{false: 60 * ms, true: 260 * ms} { // just past half of the aim of 100 ms, and five times that
 		h := newReadyHarness(t, testSettings(1, false, false, false), 3)
 		h.d.confirmsAttempts = true
--- a/decide/order_test.go
+++ b/decide/candidates_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestRequestFollowsItsOwnOrder checks that a request with its own order of workers goes to the first valid one of
+// TestRequestGoesToItsCandidates checks that a request with its own order of workers goes to the first valid one of
 // them, and to no others, however free these are.
-func TestRequestFollowsItsOwnOrder(t *testing.T) {
+func TestRequestGoesToItsCandidates(t *testing.T) {
 	s := testSettings(1, false, true, false)
 	h := newReadyHarness(t, s, 4)
 	send := func(order ...uint32) (got uint32) {
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestOrderOverridesFirstJobs guards against sending a request outside its order because an uncordoned worker is due a
+// TestCandidatesOverrideFirstJobs guards against sending a request outside its order because an uncordoned worker is due a
 // first job: a rerun restricted to other sites could reach the worker that had produced bad output.
-func TestOrderOverridesFirstJobs(t *testing.T) {
+func TestCandidatesOverrideFirstJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.DispatcherCount, s.Rules.Cold, s.Rules.ColdFrom = 3, 20*time.Second, 0.14
 	h := newReadyHarness(t, s, 4)
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestOrderStillAppliesPastTheAim guards against sending a request with its own order to any worker once it has waited
+// TestCandidatesStillApplyPastTheAim guards against sending a request with its own order to any worker once it has waited
 // until its aim.
-func TestOrderStillAppliesPastTheAim(t *testing.T) {
+func TestCandidatesStillApplyPastTheAim(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newReadyHarness(t, testSettings(seed, true, false, false), 4)
 		h.d.Handle(h.now, []Event{ListDelta{Workers: []Worker{{ID: 3, State: Draining}}}})
--- a/decide/conn_test.go
+++ b/decide/conn_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestConnectionsOfFailingIdleAgesAreClosed guards against connections that are dropped without notice after some idle
+// TestConnectionsOfFailingIdleTimesAreClosed guards against connections that are dropped without notice after some idle
 // time: each costs a request, an unsafe one for good. The idle age at which sends fail, by a reset or by silence, is
 // learned, and connections of that age are closed first. A worker that fails at any age is not affected.
-func TestConnectionsOfFailingIdleAgesAreClosed(t *testing.T) {
+func TestConnectionsOfFailingIdleTimesAreClosed(t *testing.T) {
 	tests := []struct {
 		name       string
 		starts     bool
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -48,15 +48,15 @@
 	unsafeErrorMargin      = 0.1     // the same excess for jobs that must not run twice
 	zoneSamples            = 16.0    // attempts that a zone is judged by
 	zoneMargin             = 0.1     // excess of bad attempts over the best zone from which on a zone is avoided
-	answerMarginParts      = 16      // a request is answered this part of its budget early, so that a stall does not make it miss its deadline
+	answerMarginDivisor      = 16      // a request is answered this part of its budget early, so that a stall does not make it miss its deadline
 	peerGroupSize          = 32      // dispatchers that report their load to each other
 	unsafeFailShare        = 0.3     // share of failures at an idle time that bars it for unsafe jobs
-	idleAgeSamples         = 6.0     // sends that an idle time is judged by
+	idleTimeSamples         = 6.0     // sends that an idle time is judged by
 	fewHeldDivisor         = 3       // keyed requests may go to further workers while at most one request per three workers is held
 	widenPerAim            = 4.0     // further workers that a held keyed request may go to for each aim that it has waited
 	longRunFactor          = 1.5     // a job longer than this times the usual one goes anywhere, whatever its key
 	slotsPerKeyWorker      = 2.0     // slots that the jobs of a key fill on each of its workers
-	confirmAimParts        = 2       // a job's worker must confirm it within this part of the aim
+	confirmAimDivisor        = 2       // a job's worker must confirm it within this part of the aim
 	confirmDeadlineFactor  = 5       // factor on that time for a request that is kept until its deadline
 	idleDoubleWindows      = 4       // fall windows in which the usable idle time doubles
 	idleRecheck            = 8       // one in this many repeatable jobs still uses an old connection
@@ -468,7 +468,7 @@
 
 // valid reports whether a worker is reachable and valid for a request by a block's invalidate rule.
 func (d *Dispatcher) valid(r *request, w *worker, inv Invalidate) bool {
-	refused := (d.now < w.refusals[r.Class].Until || r.class.Effect == Unsafe && d.now < w.unsafeBarredUntil) && !d.outage()
+	refused := (d.now < w.classBars[r.Class].Until || r.class.Effect == Unsafe && d.now < w.unsafeBarredUntil) && !d.outage()
 	if inv.Rule != CapacityUsed && !r.Reserved && d.noRoom(w) || !w.ready() || refused || w.zone.avoided || d.openOnly && w.conns <= w.connsInUse {
 		return false
 	}
@@ -824,7 +824,7 @@
 // prompt refusal counts against the whole worker, a slow one may concern the class only. This covers
 // throttling, quotas and wrong refusals.
 func (d *Dispatcher) workerRefused(r *request, a *attempt) {
-	refusal := &a.worker.refusals[r.Class]
+	refusal := &a.worker.classBars[r.Class]
 	refusal.Doublings = min(refusal.Doublings+1, maxFailures)
 	refusal.Until = d.now + d.backoff(r.class.Aim, refusal.Doublings)
 	if d.now-a.sentAt-d.batchDelay <= d.startGrace(r, a) {
@@ -843,7 +843,7 @@
 	d.classes[class].errors.add(failed, 8*errorSamples)
 	d.errors.add(failed, 8*errorSamples)
 	if failed && w.classErrors[class].Share > d.classes[class].errors.Share+errorMargin {
-		refusal := &w.refusals[class]
+		refusal := &w.classBars[class]
 		refusal.Doublings = min(refusal.Doublings+1, maxFailures)
 		refusal.Until = d.now + d.backoff(d.classes[class].Aim, refusal.Doublings)
 	}
@@ -892,7 +892,7 @@
 	}
 	switch e.Outcome {
 	case OK:
-		w.refusals[r.Class].Doublings /= 2
+		w.classBars[r.Class].Doublings /= 2
 		d.recordJobEnd(w, r.Class, false)
 		d.learnRun(r, a)
 		d.recordLife(w)
@@ -1001,7 +1001,7 @@
 		}
 		d.liveRequests[n] = r
 		n++
-		due := d.now+max(2*d.sweepInterval(), min(d.maxBatchDelay, r.Budget/4), r.Budget/answerMarginParts) >= r.deadline // before the deadline
+		due := d.now+max(2*d.sweepInterval(), min(d.maxBatchDelay, r.Budget/4), r.Budget/answerMarginDivisor) >= r.deadline // before the deadline
 		if !r.streaming && (due || r.held && r.outstanding == 0 && len(r.attempts) > 0 && d.exhausted(r)) {
 			d.answerFinal(r)
 			continue
--- a/decide/estimate.go
+++ b/decide/estimate.go
@@ -89,7 +89,7 @@
 		w.connFreedAt = d.now
 	}
 	if (!unanswered || bad || o == OK) && o != ConnectFailed && o != NotSent {
-		d.idleFailures[d.idleBucket(a.connIdle)].add(bad, idleAgeSamples)
+		d.idleFailures[d.idleBucket(a.connIdle)].add(bad, idleTimeSamples)
 	}
 }
 
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestErrorRateIsComparedWithTheFleets checks that requests that fail at any worker cost no worker its trust and are
+// TestWorkerErrorsAreComparedWithAllWorkers checks that requests that fail at any worker cost no worker its trust and are
 // given up after a second one, while a worker that fails what others serve is found.
-func TestErrorRateIsComparedWithTheFleets(t *testing.T) {
+func TestWorkerErrorsAreComparedWithAllWorkers(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 6)
 	suspected, before := 0, h.d.trustedWorkers
 	for range 300 {
@@ -175,7 +175,7 @@
 	if suspected > 20 { // a few by chance, as a hundred requests failed
 		t.Errorf("workers lost their trust %d times, want at most 20", suspected)
 	}
-	if h.d.workers[4].refusals[0].Doublings < 2 {
+	if h.d.workers[4].classBars[0].Doublings < 2 {
 		t.Error("the worker that fails all requests is not barred")
 	}
 }
@@ -202,7 +202,7 @@
 			t.Error("unsafe request: worker valid right after an error")
 		}
 	}
-	if f := bad.refusals; f[0].Until <= h.now || f[1].Until != 0 {
+	if f := bad.classBars; f[0].Until <= h.now || f[1].Until != 0 {
 		t.Errorf("got classes 0 and 1 barred until %v and %v, want only the first barred", f[0].Until, f[1].Until)
 	}
 	h.d.now += 900 * ms
--- a/decide/moves_test.go
+++ b/decide/moves_test.go
@@ -25,9 +25,9 @@
 	require.Greater(t, late, 2*few+2)
 }
 
-// TestPatientRequestsMoveAsSeldom guards against moving a job that is waited for however late it is, as if it were
+// TestUntilDeadlineRequestsSeldomMove guards against moving a job that is waited for however late it is, as if it were
 // lost in its queue: both copies ran.
-func TestPatientRequestsMoveAsSeldom(t *testing.T) {
+func TestUntilDeadlineRequestsSeldomMove(t *testing.T) {
 	moves, suspected, _ := countMoves(t, 0, true)
 	few, _, _ := countMoves(t, 0.5, false)
 	require.Equal(t, few, moves)
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -379,10 +379,10 @@
 	}
 }
 
-// TestQueuedJobIsCancelledOnlyWhenCrowded checks that a job that still queues at its aim is given up only while more
+// TestQueuedJobIsCancelledOnlyWhenCongested checks that a job that still queues at its aim is given up only while more
 // of this dispatcher's jobs queue at workers than run: each of many dispatchers finds room for its few jobs everywhere
 // and holds none back.
-func TestQueuedJobIsCancelledOnlyWhenCrowded(t *testing.T) {
+func TestQueuedJobIsCancelledOnlyWhenCongested(t *testing.T) {
 	for i, crowded := range []bool{false, true, true} {
 		s := testSettings(1, true, false, false)
 		s.Classes[2].Stretch = 1
--- a/decide/reconfigure.go
+++ b/decide/reconfigure.go
@@ -75,7 +75,7 @@
 		c.meanRun, c.meanLogRun, c.jobs, c.maxBudget, c.errors = 0, 0, 0, 0, tally{Count: errorSamples}
 		d.startDelays = average{} // start delays include the queueing behind those jobs
 		for _, w := range d.workers {
-			w.classErrors[i], w.refusals[i] = tally{Count: 3}, refusal{}
+			w.classErrors[i], w.classBars[i] = tally{Count: 3}, classBar{}
 		}
 	}
 	return c
--- a/decide/retune_test.go
+++ b/decide/reconfigure_test.go
@@ -82,7 +82,7 @@
 		c.meanRun, c.meanLogRun, c.jobs = c.Aim.Seconds(), math.Log(c.Aim.Seconds()), 40
 	}
 	for _, wk := range h.d.workers {
-		wk.refusals[2].Until, wk.refusals[3].Until = h.now+time.Minute, h.now+time.Minute
+		wk.classBars[2].Until, wk.classBars[3].Until = h.now+time.Minute, h.now+time.Minute
 	}
 	if err := h.d.Reconfigure(withRemoved(s, 2, 1)); err != nil {
 		t.Fatal(err)
@@ -123,7 +123,7 @@
 	if err := h.d.Reconfigure(sameJobs); err != nil || h.d.classes[0].jobs != 200 || h.d.classes[0].maxBudget != 10*time.Second {
 		t.Errorf("change of worth and effect: got learned run times reset or error %v", err)
 	}
-	h.d.workers[1].refusals[0], h.d.workers[1].classErrors[0] = refusal{3, h.now + time.Minute}, tally{8, 1}
+	h.d.workers[1].classBars[0], h.d.workers[1].classErrors[0] = classBar{3, h.now + time.Minute}, tally{8, 1}
 	otherJobs := s
 	otherJobs.Classes = slices.Clone(s.Classes)
 	otherJobs.Classes[0].Aim, otherJobs.Classes[0].Deadline = 300*ms, 6*time.Second
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	h.s = otherJobs
-	if c := h.d.classes[0]; c.meanRun != 0 || c.jobs != 0 || h.d.workers[1].refusals[0].Doublings != 0 || h.d.workers[1].classErrors[0].Share != 0 {
+	if c := h.d.classes[0]; c.meanRun != 0 || c.jobs != 0 || h.d.workers[1].classBars[0].Doublings != 0 || h.d.workers[1].classErrors[0].Share != 0 {
 		t.Error("got what was learned of the old jobs, want it reset")
 	}
 	req := h.newRequest(0, 6*time.Second)
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -53,7 +53,7 @@
 	Errors            tally         `json:"Bad"`
 	UnsafeBarredUntil time.Duration `json:"Wary"`
 	ClassErrors       []tally       `json:"Errs"` // by class
-	Refusals          []refusal     `json:"Refusals"`
+	Refusals          []classBar     `json:"Refusals"`
 }
 
 // ClassSnapshot is what was learned of a class.
@@ -112,7 +112,7 @@
 		saved := WorkerSnapshot{
 			Worker: w.Worker, Ceiling: w.ceiling, Slots: w.learnedSize, Abandoned: w.abandoned, LogDeviation: w.logDeviation, DeviationWeight: w.deviationWeight,
 			Failures: w.failures, Probes: w.probes, RetryAt: w.retryAt, LastAlive: w.lastAlive, NextColdSend: w.nextColdSend, MinStartDelay: w.minStartDelay,
-			LateStarts: w.lateStarts, Errors: w.errors, UnsafeBarredUntil: w.unsafeBarredUntil, FirstJobDue: w.firstJobDue, ClassErrors: w.classErrors, Refusals: w.refusals,
+			LateStarts: w.lateStarts, Errors: w.errors, UnsafeBarredUntil: w.unsafeBarredUntil, FirstJobDue: w.firstJobDue, ClassErrors: w.classErrors, Refusals: w.classBars,
 		}
 		m.Workers = append(m.Workers, saved)
 	}
@@ -206,7 +206,7 @@
 			w.probes, w.retryAt, w.lastAlive, w.nextColdSend, w.lateStarts = saved.Probes, saved.RetryAt, saved.LastAlive, saved.NextColdSend, saved.LateStarts
 			w.errors, w.unsafeBarredUntil = saved.Errors, saved.UnsafeBarredUntil
 			copy(w.classErrors, saved.ClassErrors)
-			copy(w.refusals, saved.Refusals)
+			copy(w.classBars, saved.Refusals)
 			if saved.State == Draining { // it holds for the process, whatever an older list says
 				w.State = Draining
 			}
@@ -257,7 +257,7 @@
 		if w == nil || w.Started != savedAttempt.Worker.Started { // that process has ended
 			savedAttempt.Worker.State = Gone
 			w = &worker{Worker: savedAttempt.Worker, zone: d.zone(savedAttempt.Worker.Zone), peerLoad: &loadSum{},
-				classErrors: make([]tally, len(d.classes)), refusals: make([]refusal, len(d.classes))}
+				classErrors: make([]tally, len(d.classes)), classBars: make([]classBar, len(d.classes))}
 		}
 		a := &attempt{
 			worker: w, sentAt: savedAttempt.SentAt, lastReport: savedAttempt.LastReport, startedAt: savedAttempt.StartedAt,
--- a/decide/state.go
+++ b/decide/state.go
@@ -52,7 +52,7 @@
 	leases                        []Lease       // while cold: they allow sends out of turn
 	leaseAskedAt                  time.Duration // when a lease was last asked for
 	suspect                       condition
-	refusals                      []refusal     // by class
+	classBars                      []classBar     // by class
 	lateStarts                    tally         // share of starts that came late
 	classErrors                   []tally       // by class: share of jobs that ended in an error
 	errors                        tally         // the same of all classes together
@@ -74,8 +74,8 @@
 	connFreedAt       time.Duration
 }
 
-// refusal bars a class from a worker that has refused a job of it.
-type refusal struct {
+// classBar bars a class from a worker that has refused a job of it.
+type classBar struct {
 	Doublings int           `json:"N"` // doublings of the backoff
 	Until     time.Duration `json:"Until"`
 }
@@ -120,7 +120,7 @@
 type placementKey struct {
 	queue int
 	key   uint64
-	held  bool
+	reserved  bool
 }
 
 func (r *request) placementKey() placementKey { return placementKey{r.queue, r.Key, r.Reserved} }
@@ -349,7 +349,7 @@
 	w := &worker{
 		Worker: l, ceiling: initialCeiling, zone: d.zone(l.Zone), peerLoad: d.peerSum(l.ID), lateStarts: tally{Count: 2}, errors: tally{Count: 3},
 		cordoned:    d.cordons[l.ID],
-		classErrors: slices.Repeat([]tally{{Count: 3}}, len(d.classes)), refusals: make([]refusal, len(d.classes)),
+		classErrors: slices.Repeat([]tally{{Count: 3}}, len(d.classes)), classBars: make([]classBar, len(d.classes)),
 	}
 	if d.workers[l.ID] = w; d.preferWhileCold(w) {
 		d.queueFirstJob(w)
@@ -496,9 +496,9 @@
 // confirmWithin returns how long an attempt of the request may go without its worker's confirmation.
 func (r *request) confirmWithin() time.Duration {
 	if r.UntilDeadline {
-		return confirmDeadlineFactor * r.class.Aim / confirmAimParts
+		return confirmDeadlineFactor * r.class.Aim / confirmAimDivisor
 	}
-	return r.class.Aim / confirmAimParts
+	return r.class.Aim / confirmAimDivisor
 }
 
 // size returns how many slots a worker has: the learned size, or what it must be for the fleet to serve the
@@ -518,7 +518,7 @@
 		listed++
 		barred := true
 		for i, c := range d.classes {
-			barred = barred && (c.Removed || w.refusals[i].Until > d.now)
+			barred = barred && (c.Removed || w.classBars[i].Until > d.now)
 		}
 		if !w.ready() || w.failures > 0 || barred {
 			avoided++
--- a/decide/subscribe.go
+++ b/decide/subscribe.go
@@ -13,8 +13,8 @@
 	firstCallSpacing = 5 * time.Millisecond    // spread of the first calls, for each dispatcher
 	maxFirstSpread   = 0.3                     // limit on that spread, as a share of the time in which the rules require a call
 	retrySpread      = 2500 * time.Millisecond // spread of later calls; a call may fail 3 s after the service is back, and the next takes a while
-	unreachableParts = 64                      // a call that fails within this part of the required time did not reach the service
-	fewSpreadParts   = 16                      // dispatchers are few if a quarter of this part of the required time exceeds their spread
+	unreachableDivisor = 64                      // a call that fails within this part of the required time did not reach the service
+	fewSpreadDivisor   = 16                      // dispatchers are few if a quarter of this part of the required time exceeds their spread
 	evenRetries      = 3                       // calls that waited and failed before the service counts as overloaded
 	retryGrowth      = 3                       // factor on the spread for each further such call
 	maxRetryGrowth   = 6                       // bound on the number of those factors
@@ -31,7 +31,7 @@
 	}
 	within := d.settings.Rules.MustAskIn
 	spread := min(time.Duration(d.settings.DispatcherCount)*firstCallSpacing, time.Duration(maxFirstSpread*float64(within)))
-	few, unreachable := spread < within/fewSpreadParts/4, failed.Unreachable || d.now-d.subscribedAt < within/unreachableParts
+	few, unreachable := spread < within/fewSpreadDivisor/4, failed.Unreachable || d.now-d.subscribedAt < within/unreachableDivisor
 	if d.now-d.subscribedAt >= within { // no call takes this long: a watch has ended
 		d.subscribeFailures = 0
 	}
@@ -42,7 +42,7 @@
 	case d.subscribeFailures == 0:
 		delay = time.Duration(d.rng.Float64() * float64(spread))
 	case few:
-		delay = d.backoff(within/fewSpreadParts, 1)
+		delay = d.backoff(within/fewSpreadDivisor, 1)
 	case unreachable:
 		d.subscribeFailures = 0
 		delay = d.retryPause(1)
