--- a/decide/api.go
+++ b/decide/api.go
@@ -2,7 +2,7 @@
 // Policies. It does no input or output and reads no clock: the caller passes events and the time to
 // [Dispatcher.Handle] and carries out the actions that it returns.
 //
-// This file has the package's interface; the decisions are in decide.go and placement.go.
+// This file has the package's interface; most decisions are in decide.go and placement.go.
 package decide
 
 import (
@@ -94,11 +94,11 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Aim         time.Duration `json:"Aim"` // full worth within Aim + Stretch x own work
+	Aim         time.Duration `json:"Aim"` // an answer within Aim + Stretch times the job's own run time is in time
 	Stretch     float64       `json:"Stretch"`
 	Deadline    time.Duration `json:"Deadline"`
-	Worth       float64       `json:"Worth"`
-	LateWorth   float64       `json:"LateWorth"`
+	Worth       float64       `json:"Worth"`     // of an answer in time
+	LateWorth   float64       `json:"LateWorth"` // share of Worth that a later answer has
 	Effect      Effect        `json:"Effect"`
 	Scope       Scope         `json:"Scope"`
 	DedupWindow time.Duration `json:"Window"` // how long repeats of a Keyed request are dropped
@@ -130,8 +130,8 @@
 
 // Rules holds the parameters of the rules.
 type Rules struct {
-	AnswerSlack    time.Duration
-	DrainGrace     time.Duration
+	AnswerSlack    time.Duration // no decision depends on it
+	DrainGrace     time.Duration // time in which a draining worker finishes what it has
 	ColdFrom       float64       // share of its capacity that a worker has at its start
 	Cold           time.Duration // time in which it warms up to all of it
 	FallMultiple   float64       // times its capacity that a cold worker may get in a FallWindow
@@ -148,10 +148,10 @@
 	Window            time.Duration
 }
 
-// Prices is the deduction from the result for one unit of each.
+// Prices is the deduction from the result for one unit of each. Only CrossZone affects decisions.
 type Prices struct{ CrossZone, Waste, LateFail, Probe, Peer float64 }
 
-// Goal weighs the parts of the result. It is validated, but no decision depends on it now. The parts are the
+// Goal weighs the parts of the result. It is validated, but no decision depends on it. The parts are the
 // served share of all work, of the worst window, of the worst class and of the worst tenant, and the punctual
 // share by class and five seconds, which counts in full only while at most MissAllowed of the requests that are
 // not refused in time miss their aim.
@@ -164,9 +164,9 @@
 	Zone                             int
 	Granularity                      time.Duration
 	Classes                          []Class
-	TimingClass                      int // index of the class whose times apply where no rule sets one: the first in the settings
+	TimingClass                      int // index of the class whose times apply where no rule sets one
 	Tenants                          []Tenant
-	OverShareWorth                   float64
+	OverShareWorth                   float64 // no decision depends on it
 	Limits                           Limits
 	Rules                            Rules
 	Prices                           Prices
@@ -193,7 +193,7 @@
 	Ready
 )
 
-// Worker is one line of the worker list.
+// Worker is one entry of the worker list.
 type Worker struct {
 	ID      uint32        `json:"ID"`
 	Zone    int           `json:"Zone"`
@@ -207,7 +207,7 @@
 // Report is a worker's own load figures; a negative value is not reported.
 type Report struct {
 	Active     float64 `json:"Active"`
-	Waiting    float64 `json:"Waiting"`
+	Waiting    float64 `json:"Waiting"` // no decision depends on it
 	FreeSlots  float64 `json:"FreeSlots"`
 	FreeMemory float64 `json:"FreeMemory"`
 }
@@ -246,7 +246,7 @@
 		Workers []Worker
 		Cached  bool
 	}
-	// ListDelta changes the lines it holds.
+	// ListDelta replaces the entries that it holds and keeps the others.
 	ListDelta struct{ Workers []Worker }
 	// ListFailed: a subscription or a fetch failed; the list stays. Unreachable: the call did not reach the service. Elapsed:
 	// how long ago the call was made, whether for a Subscribe or not; 0: not known.
@@ -295,7 +295,7 @@
 		Request uint32
 		Attempt int
 	}
-	// JobProgress reports the share of the job that is done.
+	// JobProgress reports the share of the job that is done. Decisions depend on the report, not on the share.
 	JobProgress struct {
 		Request uint32
 		Attempt int
@@ -312,7 +312,7 @@
 	}
 	// RequestCancelled: the client has left, and expects no answer.
 	RequestCancelled struct{ Request uint32 }
-	// TimerFired: a timer set by a SetTimer has fired.
+	// TimerFired: a timer set by a SetTimer has fired. Its Token is ignored.
 	TimerFired struct{ Token uint64 }
 	// Probed is the result of a probe.
 	Probed struct {
@@ -371,7 +371,7 @@
 	// Send starts an attempt; attempts of a request are numbered from 0 in order.
 	Send struct {
 		Request, Worker uint32
-		Timeout         time.Duration // 0: none; the attempt may last until the client gives up
+		Timeout         time.Duration // always 0: none; the attempt may last until the client gives up
 		MaxIdle         time.Duration // a connection idle for longer must not be used; 0: no limit
 		NewConn         bool          // only a new connection may be used
 		Lease           uint64        // the lease that it uses; 0: none
@@ -388,7 +388,7 @@
 	}
 	// FailRequest is a final answer after which the job may have run.
 	FailRequest struct{ Request uint32 }
-	// SetTimer sets a timer, whose TimerFired comes after this time.
+	// SetTimer sets a timer, whose TimerFired comes after this time. Its Token is always 0.
 	SetTimer struct {
 		Token uint64
 		After time.Duration
@@ -503,7 +503,7 @@
 		case ListDelta:
 			d.updateList(e.Workers, false)
 		case ListFailed:
-			d.logCondition(&d.listLost, true, "worker list lost", "")
+			d.logCondition(&d.listLost, true, "worker list cannot be updated", "")
 			d.scheduleSubscribe(e)
 		case Request:
 			d.arrive(e)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,5 +1,6 @@
-// The decision logic is in this file and placement.go. Settings, events and actions are in api.go, the state is in
-// state.go, and what is learned from events in estimate.go.
+// Most decisions are made in this file and placement.go; lease.go, reservations.go, peers.go, subscribe.go and gated.go
+// have those of their subject. Settings, events and actions are in api.go, the state is in state.go, and what is learned
+// from events in estimate.go.
 
 package decide
 
@@ -11,22 +12,22 @@
 	"time"
 )
 
-// Dimensionless parameters; every time except the last ones is derived from the settings or learned.
+// Parameters. The times at the end are fixed; other times in this file are derived from the settings or learned.
 const (
 	initialCeiling         = 1.0     // slots a worker gets before it has shown anything
 	minCeiling             = 1.0 / 4 // a worker below one slot still gets one job; a lower ceiling would only take longer to recover
 	ceilingStep            = 0.5     // ceiling gained by a prompt start at the ceiling
-	endCeilingStep         = 0.05    // the same by an end in time, where starts are not reported: it comes a run later and is less certain
+	endCeilingStep         = 0.05    // ceiling gained by an end in time, where starts are not reported: it comes a run later and is less certain
 	promptAimShare         = 0.1     // a start later than this share of the aim is taken as queueing
 	progressSlackIntervals = 1.5     // progress intervals without a report after which a job counts as stalled
 	maxFailures            = 6       // bound on consecutive failures, and so on doublings of the readmission backoff
 	coldBudgetShare        = 0.5     // share of the cold workers' budget that is used
 	coldJobStretch         = 1.25    // how long a job at a cold worker may run, in units of the work of one turn
 	speedSamples           = 64.0    // jobs that a worker's speed is judged by
-	speedPriorJobs         = 8.0     // most jobs that the kind's speed counts for in a worker's own
-	sizePriorJobs          = 2.0     // jobs of no length added before a worker's size or its kind's speed is estimated from runs
+	speedPriorJobs         = 8.0     // bound on the weight, in jobs, of the kind's speed in a worker's own
+	sizePriorJobs          = 2.0     // jobs of run time 0 added before a worker's size or its kind's speed is estimated from runs
 	unknownKindSlowness    = 0.5     // assumed log slowness of an unknown kind, where there are several
-	speedPriorPerWorker    = 2.5     // the same per worker and dispatcher: many dispatchers see few jobs of each worker
+	speedPriorPerWorker    = 2.5     // the weight of the kind's speed for each worker per dispatcher: many dispatchers see few jobs of each worker
 	extraPerRequest        = 0.5     // further attempts for each request, where no rule sets the budget
 	extraBase              = 5.0     // further attempts besides, in the time that a client waits
 	resortDivisor          = 16      // the fleet is sorted again after one job per 16 workers, at intervals of an aim per 64 workers
@@ -34,29 +35,29 @@
 	lateStartSamples       = 8.0     // starts at a worker that its share of late ones is taken over
 	admitFactor            = 0.95    // factor on the admitted share for each request that was started late
 	admitStep              = 0.04    // share regained by each request that was started in time
-	highWorthFactor        = 1.2     // a request worth more than this times the mean class does not wait for a token
+	highWorthFactor        = 1.2     // a request worth more than this times the mean worth of the classes does not wait for a token
 	maxTokens              = 4.0     // tokens saved up, so that a rarely used dispatcher need not wait for the next
 	minAdmitted            = 0.25    // share of first attempts that is always admitted
-	unresponsiveRuns       = 4       // typical runs without a sign of life from the worker after which a job counts as unresponsive
-	unresponsiveStarts     = 2       // mean start delays added to that time, since a queue is no failure
+	unresponsiveRuns       = 4       // typical runs without a sign of life (see recordLife) from the worker after which a job counts as unresponsive
+	unresponsiveStarts     = 2       // mean start delays added to those runs, since a queue is no failure
 	firstJobSamples        = 4.0     // first jobs at unknown workers that later ones are judged by
 	firstJobProbes         = 4       // probes that an unproven worker may leave unanswered before it gets a trial
 	firstJobFailShare      = 0.5     // failed share of first jobs above which unknown workers count as unproven
 	tenantShareSlack       = 4.0 / 3 // a tenant may use its share by this factor more than the median tenant
 	errorSamples           = 8.0     // jobs at a worker that its share of errors is taken over
 	errorMargin            = 0.3     // excess over the share of errors at all workers that bars a class from a worker
-	unsafeErrorMargin      = 0.1     // the same excess for jobs that must not run twice
+	unsafeErrorMargin      = 0.1     // excess over that share that bars jobs that must not run twice
 	zoneSamples            = 16.0    // attempts that a zone is judged by
 	zoneMargin             = 0.1     // excess of bad attempts over the best zone from which on a zone is avoided
-	answerMarginDivisor      = 16      // a request is answered this part of its budget early, so that a stall does not make it miss its deadline
+	answerMarginDivisor    = 16      // a request is answered its budget divided by this early, so that a stall does not make it miss its deadline
 	peerGroupSize          = 32      // dispatchers that report their load to each other
 	unsafeFailShare        = 0.3     // share of failures at an idle time that bars it for unsafe jobs
-	idleTimeSamples         = 6.0     // sends that an idle time is judged by
+	idleTimeSamples        = 6.0     // sends that an idle time is judged by
 	fewHeldDivisor         = 3       // keyed requests may go to further workers while at most one request per three workers is held
 	widenPerAim            = 4.0     // further workers that a held keyed request may go to for each aim that it has waited
 	longRunFactor          = 1.5     // a job longer than this times the usual one goes anywhere, whatever its key
 	slotsPerKeyWorker      = 2.0     // slots that the jobs of a key fill on each of its workers
-	confirmAimDivisor        = 2       // a job's worker must confirm it within this part of the aim
+	confirmAimDivisor      = 2       // a job's worker must confirm it within the aim divided by this
 	confirmDeadlineFactor  = 5       // factor on that time for a request that is kept until its deadline
 	idleDoubleWindows      = 4       // fall windows in which the usable idle time doubles
 	idleRecheck            = 8       // one in this many repeatable jobs still uses an old connection
@@ -71,9 +72,9 @@
 
 // defaultPolicies makes a policy for each class where none are given. Requests with a key go first to the
 // workers of their key in the own zone, then to those of all zones; other requests go to the own zone, then to
-// any. Each block is best_first, and the default tag ends the policy. Workers for a key in each zone cost one
-// more fetch of the key's data per zone; with only one, each request from another zone would pay the price of
-// crossing.
+// any. Each block is best_first, and the default block follows. Workers for a key in each zone cost one more
+// fetch, per zone, of the data that the key names; with only one worker, each request from another zone would pay the
+// price of crossing.
 func defaultPolicies(s Settings) []Policy {
 	rule := Invalidate{Rule: MaxConcurrentInvocations, Threshold: math.MaxInt32}
 	if s.ReportsFreeSlots {
@@ -116,19 +117,19 @@
 // setCordon cordons a worker, whatever the list says, or removes the cordon. The worker may have been restarted
 // in the meantime, so an uncordoned one counts as new and cold, and gets a first job soon so that its use
 // shows.
-func (d *Dispatcher) setCordon(id uint32, out bool) {
+func (d *Dispatcher) setCordon(id uint32, cordoned bool) {
 	w, was := d.workers[id], d.cordons[id]
-	if d.cordons[id] = out; !out {
+	if d.cordons[id] = cordoned; !cordoned {
 		delete(d.cordons, id)
 	}
-	if w != nil && was && !out {
+	if w != nil && was && !cordoned {
 		l, listed, unlisted := w.Worker, w.lastListed, w.unlisted
 		l.Started, w.State = d.now, Gone // so that outstanding attempts find the old process gone
 		w = d.addWorker(l)
 		w.State, w.lastListed, w.unlisted, w.firstJobDue = l.State, listed, unlisted, true
 		d.queueFirstJob(w)
 	} else if w != nil {
-		w.cordoned = out
+		w.cordoned = cordoned
 	}
 	d.recount()
 	d.blocksStale, d.mayHaveRoom, d.sortAfter = true, true, 0
@@ -150,14 +151,14 @@
 	return nil
 }
 
-// updateList applies the whole worker list, or some lines of it.
-func (d *Dispatcher) updateList(lines []Worker, whole bool) {
-	d.logCondition(&d.listLost, false, "", "worker list received again")
-	d.upsert(lines, whole)
+// updateList applies entries of the worker list; whole: they are all of it.
+func (d *Dispatcher) updateList(entries []Worker, whole bool) {
+	d.logCondition(&d.listLost, false, "", "worker list is updated again")
+	d.upsert(entries, whole)
 	d.subscribeFailures, d.subscribeAt, d.blocksStale, d.mayHaveRoom = 0, 0, true, true
 }
 
-// applyState applies the state in a worker's line, or Gone where a whole list has no line for it. Draining
+// applyState applies the state in a worker's entry, or Gone where a whole list has no entry for it. Draining
 // holds for the worker's process even if an older list says otherwise. Gone removes the worker, unless the
 // rules make it advisory: then a worker that has served leaves the fleet with its first failure. This protects
 // against lists that are old or lack live workers, at the cost of one attempt at a worker that is really gone.
@@ -295,7 +296,8 @@
 		"workers are no longer overloaded")
 }
 
-// enqueue holds a request in this dispatcher: here it can still be moved, in a worker's queue it cannot.
+// enqueue holds a request in this dispatcher, where it can go to any worker that becomes valid; moving it from a worker's
+// queue would cost a further attempt.
 func (d *Dispatcher) enqueue(r *request, front bool) {
 	if r.held || r.done {
 		return
@@ -342,7 +344,7 @@
 				continue // the next request may go to other workers
 			}
 			r.class.stuck = len(r.attempts) == 0
-			if r.class.stuck || n >= d.settings.Limits.MaxAttempts { // for the rest the same workers are invalid
+			if r.class.stuck || n >= d.settings.Limits.MaxAttempts { // the same workers are invalid for the rest, or enough of them were tried
 				n += copy(d.queues[q][n:], d.queues[q][i+1:])
 				break
 			}
@@ -352,7 +354,7 @@
 	}
 }
 
-// pick returns a valid worker by the class's policy: the blocks from the top, then the default tag.
+// pick returns a valid worker by the class's policy: the blocks from the top, then the default block.
 func (d *Dispatcher) pick(r *request) *worker {
 	if d.sendForbidden(r) {
 		return nil
@@ -389,8 +391,8 @@
 	return d.firstValid(r.class.defaultBlock, r)
 }
 
-// routesByKey reports whether a request goes to the workers of its key. For a job longer than usual, the fetch
-// costs relatively little and an even load matters more.
+// routesByKey reports whether a request goes to the workers of its key. For a job longer than usual, fetching
+// the data that the key names costs relatively little and an even load matters more.
 func (d *Dispatcher) routesByKey(r *request) bool {
 	return r.Key > 0 && r.class.typical().Seconds() <= longRunFactor*cmp.Or(d.meanTypicalRun(0), math.Inf(1))
 }
@@ -452,8 +454,8 @@
 	return 1 + further + int(share*rate*cmp.Or(d.meanTypicalRun(0), r.class.mean())/slotsPerKeyWorker)
 }
 
-// lastResortWorker returns a random healthy worker, even a full one, for a request that the default tag has
-// held past its aim. It applies only while no other request waits and free slots are not reported: then the
+// lastResortWorker returns a random healthy worker, even a full one, for a request with the followup
+// Default that is held past its aim. It applies only while no other request waits and free slots are not reported: then the
 // ceilings may be wrong, otherwise the request would only lengthen a queue.
 func (d *Dispatcher) lastResortWorker(r *request) *worker {
 	if d.settings.ReportsFreeSlots && !d.settings.ReportsStart || r.class.followup == Fail || len(r.attempts) > 0 ||
@@ -505,8 +507,8 @@
 	return used+r.Slots <= max(size, r.Slots) && (!d.settings.ReportsFreeSlots || mem+r.Memory <= max(size, r.Memory))
 }
 
-// unproven reports whether a worker may not exist, as from a list of another deployment: it has never shown
-// life, and most first jobs at such workers failed. It is probed, and gets trials only after some probes went
+// unproven reports whether a worker may not exist, as from a list of another deployment: it has never given
+// a sign of life, and most first jobs at such workers failed. It is probed, and gets trials only after some probes went
 // unanswered.
 func (d *Dispatcher) unproven(w *worker) bool {
 	return w.lastAlive == 0 && d.sawLife && d.settings.Limits.Probes && d.firstJobs.Share > firstJobFailShare
@@ -525,7 +527,7 @@
 }
 
 // drawAvoidedZones draws the zones that are avoided in one pick: a zone whose share of bad attempts exceeds
-// that of the best zone by more than four prices of crossing, the more likely the larger the excess.
+// that of the best zone by more than zoneMargin and four times Prices.CrossZone, the more likely the larger the excess.
 func (d *Dispatcher) drawAvoidedZones() {
 	best := math.Inf(1)
 	for _, z := range d.zones {
@@ -786,7 +788,8 @@
 func (d *Dispatcher) allShareLoad() bool { return d.sharesLoad() && d.peerGroups() == 1 }
 
 // lowerCeiling lowers a worker's ceiling to the slots that it runs for this dispatcher, or below one slot if it
-// runs none.
+// runs none. Where all dispatchers share their load, it lowers the kind's ceiling by one step, at most to the slots
+// that a worker of the kind has run.
 func (d *Dispatcher) lowerCeiling(w *worker) {
 	if d.allShareLoad() {
 		k := d.kind(w.Kind)
@@ -835,8 +838,8 @@
 
 // recordJobEnd records whether a job ended in an error. A class is barred from a worker for a while where its
 // errors come more often than at the others; requests that fail everywhere bar nothing, and other classes are
-// not affected. Unsafe jobs are kept away from the first error above the margin on, until the worker's share of
-// errors has dropped.
+// not affected. Once an error puts the worker's share of errors above the margin, unsafe jobs are barred from it
+// until that share has dropped, or for the longest deadline after the last such error.
 func (d *Dispatcher) recordJobEnd(w *worker, class int, failed bool) {
 	w.classErrors[class].add(failed, errorSamples)
 	w.errors.add(failed, errorSamples)
@@ -854,7 +857,7 @@
 	}
 }
 
-// recordLife records a worker's sign of life.
+// recordLife records a worker's sign of life: a reported start, progress or a success.
 func (d *Dispatcher) recordLife(w *worker) {
 	d.loadChanged = d.loadChanged || w.abandoned > 0
 	w.abandoned, w.lastAlive, w.zone.lastAlive, d.sawLife = 0, d.now, d.now, true
@@ -1043,7 +1046,7 @@
 		// the worker. A repeatable request is sent elsewhere.
 		unconfirmed := d.confirmsAttempts && !a.accepted && !a.started && d.now-a.sentAt-d.batchDelay > r.confirmWithin()+d.connSetup()
 		if unconfirmed && !a.newConn && a.worker.lastAlive > a.sentAt {
-			d.silentUntil = d.now + d.settings.Limits.ConnIdle // connections of the same age may be silent too
+			d.silentUntil = d.now + d.settings.Limits.ConnIdle // other connections kept open may be silent too
 		}
 		if unconfirmed && !a.connLost && r.class.Effect == Safe && d.settings.Limits.Cancel && !d.exhausted(r) {
 			a.connLost = true
@@ -1056,7 +1059,7 @@
 			first := !a.queued
 			if a.queued = true; first {
 				d.recordConnSetup(a, 2*(d.now-a.sentAt)) // a lower bound, since it has not started yet
-				// A keyed job would need another fetch elsewhere. With more dispatchers than workers it may move, since
+				// For a keyed job the data that its key names would have to be fetched elsewhere. With more dispatchers than workers it may move, since
 				// the queue then consists of other dispatchers' jobs.
 				a.stays = !d.mayMove(r) || r.Key > 0 && (r.class.Effect != Safe || d.settings.DispatcherCount <= len(d.fleet))
 			}
--- a/decide/estimate.go
+++ b/decide/estimate.go
@@ -148,7 +148,7 @@
 // mean returns the class's mean run in seconds, its aim while none is known.
 func (c *class) mean() float64 { return max(c.meanRun, c.typical().Seconds(), 1e-3) }
 
-// cautiousMean returns the class's mean run in seconds, for use in rules: while few runs are known, a mean
+// cautiousMean returns the class's mean run in seconds, for the budget of cold workers: while few runs are known, a mean
 // below the aim is weighted with the aim.
 func (c *class) cautiousMean() float64 {
 	return max(c.mean(), (speedPriorJobs*c.Aim.Seconds()+c.jobs*c.mean())/(speedPriorJobs+c.jobs))
@@ -218,8 +218,8 @@
 	return rate
 }
 
-// meanTypicalRun returns the mean over all jobs of their classes' typical runs, in seconds; zeroJobs jobs of no
-// length are counted besides. 0 while nothing is known.
+// meanTypicalRun returns the mean over all jobs of their classes' typical runs, in seconds; zeroJobs jobs of
+// run time 0 are counted besides. 0 while nothing is known.
 func (d *Dispatcher) meanTypicalRun(zeroJobs float64) float64 {
 	run, jobs := 0.0, 0.0
 	for _, c := range d.activeClasses {
@@ -245,7 +245,8 @@
 func (d *Dispatcher) connSetup() time.Duration { return slices.Min(d.connSetups[:]) }
 
 // foreignLoad returns the slots that a worker used for dispatchers that share no load with this one, by its
-// last report, decaying as those jobs end. The more dispatchers there are, the larger its part of the load.
+// last report, decaying as those jobs end. The more dispatchers there are, the larger the part
+// of the load that peers do not report.
 func (d *Dispatcher) foreignLoad(w *worker) float64 {
 	return w.foreignSlots * math.Exp(-(d.now-w.foreignAt).Seconds()/d.longestMeanRun())
 }
--- a/decide/lease.go
+++ b/decide/lease.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Leasing says how many dispatchers, not all of them busy, share the budget for cold workers: a part in fixed
+// Leasing configures how many dispatchers, not all of them busy, share the budget for cold workers: a part in fixed
 // turns, the rest leased out piece by piece by the budget's owner. The zero value gives all of it out in turns,
 // one for each dispatcher.
 type Leasing struct {
@@ -23,7 +23,7 @@
 	// Started is the worker's start as in the list: the lease does not hold for a process started later.
 	Started time.Duration
 	Work    float64       // slot seconds
-	Until   time.Duration // by the module's clock
+	Until   time.Duration // on the time scale of Handle
 }
 
 const (
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A load message between dispatchers is a byte that is 1 if the message has the whole load, then an entry for each
+// A load message between dispatchers is a byte that is 1 if the message replaces all that the peers know of this dispatcher's load, then an entry for each
 // worker: its ID, this dispatcher's slots and memory there, and the slots used there by others as of the last report,
 // each in eighths.
 const (
@@ -22,7 +22,7 @@
 	othersLoad uint8
 }
 
-// newLoads returns a load message without entries.
+// newLoads returns a load message without entries; whole: it replaces all earlier ones.
 func newLoads(whole bool) []byte {
 	if whole {
 		return []byte{1}
@@ -35,7 +35,7 @@
 	return append(binary.BigEndian.AppendUint32(body, worker), load[0], load[1], othersLoad)
 }
 
-// parseLoads parses a load message; ok is false if it is malformed.
+// parseLoads parses a load message; whole: it replaces all earlier ones; ok is false if it is malformed.
 func parseLoads(body []byte) (whole bool, loads []peerLoad, ok bool) {
 	if len(body) < 1 || (len(body)-1)%loadBytes != 0 {
 		return false, nil, false
@@ -113,7 +113,7 @@
 	return body
 }
 
-// peerInterval returns the time between two messages with the whole load; a peer that is silent for three of
+// peerInterval returns the time between two messages that replace the earlier ones; a peer that is silent for three of
 // them is forgotten.
 func (d *Dispatcher) peerInterval() time.Duration { return d.settings.Rules.MustAskIn / 2 }
 
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -53,7 +53,7 @@
 	Errors            tally         `json:"Bad"`
 	UnsafeBarredUntil time.Duration `json:"Wary"`
 	ClassErrors       []tally       `json:"Errs"` // by class
-	Refusals          []classBar     `json:"Refusals"`
+	Refusals          []classBar    `json:"Refusals"`
 }
 
 // ClassSnapshot is what was learned of a class.
--- a/decide/state.go
+++ b/decide/state.go
@@ -17,9 +17,9 @@
 	typicalRun                time.Duration // cached result of typical
 	typicalOf                 float64       // the meanLogRun that typicalRun was computed from
 	blocks                    []*block
-	defaultBlock              *block // the default tag: all ready workers of the kind, strategy platform
+	defaultBlock              *block // for the followup Default: all ready workers of the kind, strategy platform
 	followup                  Followup
-	maxBudget                 time.Duration // the longest budget seen, taken as that of a first try
+	maxBudget                 time.Duration // the longest budget seen, assumed to be that of a first attempt by the client
 	stuck                     bool          // no worker is valid for its requests in this round
 	errors                    tally         // share of jobs, at all workers, that ended in an error
 }
@@ -36,23 +36,23 @@
 	Worker
 	ownSlots, ownMemory           float64       // slots and memory of this dispatcher's outstanding attempts
 	runningSlots                  float64       // slots of the outstanding attempts known to run
-	abandoned                     float64       // slots of attempts given up on; they count as used until the worker shows life
+	abandoned                     float64       // slots of attempts given up on; they count as used until its next sign of life
 	ceiling                       float64       // learned max_concurrent_invocations for this dispatcher
 	foreignSlots                  float64       // load of dispatchers that share no load with this one, by the last report
 	foreignAt                     time.Duration // when foreignSlots was set
 	foreignUnsent                 bool          // the peers have not received foreignSlots yet
 	learnedSize                   float64       // slots, 0 when not known
-	failures                      int           // consecutive failures; 0: trusted
+	failures                      int           // consecutive failures, halved by a sign of life; 0: trusted, above maxFailures/2: suspect
 	retryAt                       time.Duration // when an untrusted worker may get the next trial
-	lastAlive                     time.Duration // last sign of life
-	probes                        int           // sent while the worker is unproven
+	lastAlive                     time.Duration // last sign of life (see recordLife), or the first answered probe
+	probes                        int           // sent while the worker is unproven (see unproven)
 	minStartDelay                 time.Duration // least delay from sending to start, 0 when none is known
 	logDeviation, deviationWeight float64       // sum and weight of the log run times' deviation from the class's mean
 	nextColdSend                  time.Duration // while cold: this dispatcher's next turn
 	leases                        []Lease       // while cold: they allow sends out of turn
 	leaseAskedAt                  time.Duration // when a lease was last asked for
 	suspect                       condition
-	classBars                      []classBar     // by class
+	classBars                     []classBar    // by class
 	lateStarts                    tally         // share of starts that came late
 	classErrors                   []tally       // by class: share of jobs that ended in an error
 	errors                        tally         // the same of all classes together
@@ -67,14 +67,14 @@
 	rank                          float64 // sort key in blocks; the lowest goes first
 	isFull                        bool    // no request finds room here, as of batch fullInBatch
 	fullInBatch                   int
-	reservations                  []Reservation // by gangs
+	reservations                  []Reservation // as of the last WorkerReservations
 	reservableSlots               float64       // the worker's slots, as given with the reservations
 	// Connections as predicted here: in use by attempts, open, and when one was last freed.
 	connsInUse, conns int
 	connFreedAt       time.Duration
 }
 
-// classBar bars a class from a worker that has refused a job of it.
+// classBar bars a class from a worker after refusals or errors.
 type classBar struct {
 	Doublings int           `json:"N"` // doublings of the backoff
 	Until     time.Duration `json:"Until"`
@@ -118,9 +118,9 @@
 
 // placementKey groups requests without attempts for which the same workers may be valid.
 type placementKey struct {
-	queue int
-	key   uint64
-	reserved  bool
+	queue    int
+	key      uint64
+	reserved bool
 }
 
 func (r *request) placementKey() placementKey { return placementKey{r.queue, r.Key, r.Reserved} }
@@ -177,8 +177,8 @@
 	keyedDemand                      demand // all requests with a key
 	tenantDemand                     []demand
 	errors                           tally        // share of jobs that ended in an error
-	sawLife                          bool         // some worker has shown life
-	firstJobs                        tally        // failed share of the jobs at workers that have shown no life yet
+	sawLife                          bool         // some worker has given a sign of life
+	firstJobs                        tally        // failed share of the jobs at workers that have given no sign of life yet
 	liveRequests                     []*request   // by arrival; those that are done are removed at each sweep
 	queues                           [][]*request // held requests: two queues for each class, in time and late
 	queueOrder                       []int        // indexes of queues, by worth per run time
@@ -294,12 +294,12 @@
 	return most
 }
 
-// upsert applies lines of the worker list. A line with a later start is of a new process, of which nothing is
-// known.
-func (d *Dispatcher) upsert(lines []Worker, whole bool) {
+// upsert applies entries of the worker list; whole: they are all of it. An entry with a later start is of a new
+// process, of which nothing is known.
+func (d *Dispatcher) upsert(entries []Worker, whole bool) {
 	d.listCount++
 	renumbered := false
-	for _, l := range lines {
+	for _, l := range entries {
 		w := d.workers[l.ID]
 		if w != nil && l.State == Ready && l.Started < w.Started { // an old list that names an earlier process
 			w.lastListed, w.unlisted = d.listCount, false
@@ -529,7 +529,7 @@
 
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// backoff returns base doubled n-1 times with jitter, so that dispatchers don't act at the same time.
+// backoff returns base doubled n-1 times, times a random factor from 0.5 to 1.5, so that dispatchers don't act at the same time.
 func (d *Dispatcher) backoff(base time.Duration, n int) time.Duration {
 	return time.Duration(float64(base) * math.Exp2(float64(n-1)) * (0.5 + d.rng.Float64()))
 }
--- a/decide/subscribe.go
+++ b/decide/subscribe.go
@@ -10,14 +10,14 @@
 // calls and time alone. A worker that has been in the list for 6 s must be known, whatever calls failed before.
 // docs/coldstart-design.md compares the alternatives, for 3 to 3,000 dispatchers.
 const (
-	firstCallSpacing = 5 * time.Millisecond    // spread of the first calls, for each dispatcher
-	maxFirstSpread   = 0.3                     // limit on that spread, as a share of the time in which the rules require a call
-	retrySpread      = 2500 * time.Millisecond // spread of later calls; a call may fail 3 s after the service is back, and the next takes a while
-	unreachableDivisor = 64                      // a call that fails within this part of the required time did not reach the service
-	fewSpreadDivisor   = 16                      // dispatchers are few if a quarter of this part of the required time exceeds their spread
-	evenRetries      = 3                       // calls that waited and failed before the service counts as overloaded
-	retryGrowth      = 3                       // factor on the spread for each further such call
-	maxRetryGrowth   = 6                       // bound on the number of those factors
+	firstCallSpacing   = 5 * time.Millisecond    // spread of the first calls, for each dispatcher
+	maxFirstSpread     = 0.3                     // limit on that spread, as a share of the time in which the rules require a call
+	retrySpread        = 2500 * time.Millisecond // spread of later calls; a call may fail 3 s after the service is back, and the next takes a while
+	unreachableDivisor = 64                      // a call that fails within the required time divided by this did not reach the service
+	fewSpreadDivisor   = 16                      // few dispatchers retry after the required time divided by this; they are few if their spread is below a quarter of that
+	evenRetries        = 3                       // calls that waited and failed before the service counts as overloaded
+	retryGrowth        = 3                       // factor on the spread for each further such call
+	maxRetryGrowth     = 6                       // bound on the number of those factors
 )
 
 // scheduleSubscribe schedules a call for the worker list: at the start, after a watch has ended and after a
@@ -53,7 +53,7 @@
 	d.subscribeFailures++
 }
 
-// retryPause returns the time before another call, at random between half and all of this many spreads.
+// retryPause returns the time before another call, at random between half and all of spreads times retrySpread.
 func (d *Dispatcher) retryPause(spreads float64) time.Duration {
 	return time.Duration(spreads * (1 + d.rng.Float64()) / 2 * float64(retrySpread))
 }
--- a/decide/validate.go
+++ b/decide/validate.go
@@ -12,7 +12,7 @@
 		return errors.New("settings need at least one class, one dispatcher and one attempt")
 	}
 	if s.TimingClass < 0 || s.TimingClass >= len(s.Classes) || s.Classes[s.TimingClass].Removed {
-		return fmt.Errorf("first class %d is not one of the %d classes in use", s.TimingClass, len(s.Classes))
+		return fmt.Errorf("TimingClass %d is not the index of a class in use (%d classes)", s.TimingClass, len(s.Classes))
 	}
 	if len(s.Policies) != len(s.Classes) {
 		return fmt.Errorf("%d policies for %d classes", len(s.Policies), len(s.Classes))
@@ -23,7 +23,7 @@
 		}
 	}
 	if l := s.Leasing; l.Enabled && (!(l.Share > 0 && l.Share <= 1) || l.Turn >= max(1, l.Turns)) {
-		return fmt.Errorf("leasing: turn %d of %d, share %v", l.Turn, l.Turns, l.Share)
+		return fmt.Errorf("leasing: Turn %d must be below Turns %d, and Share %v above 0 and at most 1", l.Turn, l.Turns, l.Share)
 	}
 	if s.Rules.Budget != nil {
 		if err := s.Rules.Budget.check(); err != nil {
@@ -67,11 +67,11 @@
 func (b *AttemptBudget) check() error {
 	for _, v := range []float64{b.Spare, b.PerRequest} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-			return fmt.Errorf("attempt budget: %v is no number of attempts", v)
+			return fmt.Errorf("attempt budget: %v must be a finite number, at least 0", v)
 		}
 	}
 	if b.Window <= 0 {
-		return fmt.Errorf("attempt budget: window of %v", b.Window)
+		return fmt.Errorf("attempt budget: window %v must be positive", b.Window)
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 // check returns an error where the punctual part cannot be computed.
 func (g Goal) check() error {
 	if !(g.Punctual >= 0 && g.Punctual <= 1) || !(g.MissAllowed >= 0 && g.MissAllowed <= 1) {
-		return fmt.Errorf("goal: Punctual %v and MissAllowed %v are no shares", g.Punctual, g.MissAllowed)
+		return fmt.Errorf("goal: Punctual %v and MissAllowed %v must be between 0 and 1", g.Punctual, g.MissAllowed)
 	}
 	if g.Punctual > 0 && g.MissAllowed == 0 {
 		return errors.New("goal: Punctual has a weight but no MissAllowed")
