--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -8,8 +8,7 @@
 )
 
 // TestRequestWithoutAttemptsLeftIsAnsweredAtOnce checks that a request is answered in the batch in which its last
-// permitted attempt ends. A keyed one past its window and an unsafe one cancelled in a queue were once held until
-// their aim.
+// permitted attempt ends. This includes a keyed one past its window and an unsafe one cancelled in a queue.
 func TestRequestWithoutAttemptsLeftIsAnsweredAtOnce(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -265,7 +264,7 @@
 }
 
 // TestUnsentAttemptsAreNotCounted guards against a request that uses up its three attempts at once, and is refused
-// long before its deadline, while nothing can be sent: the pool of connections is full, or its only encoder has not
+// long before its deadline, while nothing can be sent: the pool of connections is full, or its only worker has not
 // confirmed that an earlier attempt was cancelled.
 func TestUnsentAttemptsAreNotCounted(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
@@ -299,16 +298,16 @@
 	}
 }
 
-// TestUntilDeadlineRequestsAreNotCancelledWhileQueued guards against giving up a promised unsafe job, which may have run,
-// only because it queues at its worker past its class's aim.
+// TestUntilDeadlineRequestsAreNotCancelledWhileQueued guards against cancelling an unsafe job with UntilDeadline,
+// which may have run, only because it queues at its worker past its class's aim.
 func TestUntilDeadlineRequestsAreNotCancelledWhileQueued(t *testing.T) {
-	for _, patient := range []bool{false, true} {
+	for _, untilDeadline := range []bool{false, true} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 		h.d.workers[1].ceiling = 8
 		var requests []*testRequest
 		for range 4 {
 			req := h.newRequest(2, time.Second)
-			req.UntilDeadline = patient
+			req.UntilDeadline = untilDeadline
 			h.handle(req.Request)
 			requests = append(requests, req)
 		}
@@ -317,17 +316,17 @@
 			h.handle(TimerFired{})
 		}
 		for i, req := range requests {
-			if len(req.attempts) != 1 || req.answered == patient {
-				t.Errorf("patient %v: request %d: got %d attempts, cancelled %v", patient, i, len(req.attempts), req.answered)
+			if len(req.attempts) != 1 || req.answered == untilDeadline {
+				t.Errorf("until deadline %v: request %d: got %d attempts, cancelled %v", untilDeadline, i, len(req.attempts), req.answered)
 			}
 		}
 	}
 }
 
-// TestUntilDeadlineRequestsAreNotRefusedAtTheirAim guards against refusing a promised job that finds no room until its
-// class's aim: it comes again after ever longer pauses and may miss the moments when there is room.
+// TestUntilDeadlineRequestsAreNotRefusedAtTheirAim guards against refusing a job with UntilDeadline that finds no room
+// until its class's aim: it comes again after ever longer pauses and may miss the moments when there is room.
 func TestUntilDeadlineRequestsAreNotRefusedAtTheirAim(t *testing.T) {
-	for _, patient := range []bool{false, true} {
+	for _, untilDeadline := range []bool{false, true} {
 		h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 		h.d.workers[1].ceiling = 1
 		_, running := h.sendRequest(2)
@@ -336,7 +335,7 @@
 		var requests []*testRequest
 		for range 3 { // more than the last resort sends
 			req := h.newRequest(2, time.Second)
-			req.UntilDeadline = patient
+			req.UntilDeadline = untilDeadline
 			h.handle(req.Request)
 			requests = append(requests, req)
 		}
@@ -345,25 +344,25 @@
 			h.handle(TimerFired{})
 		}
 		for i, req := range requests {
-			if len(req.attempts) != 0 || req.answered == patient {
-				t.Errorf("patient %v: request %d: got %d attempts, answered %v", patient, i, len(req.attempts), req.answered)
+			if len(req.attempts) != 0 || req.answered == untilDeadline {
+				t.Errorf("until deadline %v: request %d: got %d attempts, answered %v", untilDeadline, i, len(req.attempts), req.answered)
 			}
 		}
 		h.handle(h.endAttempt(running, 0, OK, nil))
-		if patient && len(requests[0].attempts) != 1 {
-			t.Errorf("patient request not sent once there was room")
+		if untilDeadline && len(requests[0].attempts) != 1 {
+			t.Errorf("request with UntilDeadline not sent once there was room")
 		}
 	}
 }
 
-// TestUntilDeadlineRequestsWaitLongerForConfirmation guards against a promised job that is sent to a second worker, and so
-// runs twice, only because the first took longer than half of its class's aim to confirm it.
+// TestUntilDeadlineRequestsWaitLongerForConfirmation guards against a job with UntilDeadline that is sent to a second
+// worker, and so runs twice, only because the first took longer than half of its class's aim to confirm it.
 func TestUntilDeadlineRequestsWaitLongerForConfirmation(t *testing.T) {
-	for patient, within := range map[bool]time.Duration{false: 60 * ms, true: 260 * ms} { // just past half of the aim of 100 ms, and five times that
+	for untilDeadline, within := range map[bool]time.Duration{false: 60 * ms, true: 260 * ms} { // just past half of the aim of 100 ms, and five times that
 		h := newReadyHarness(t, testSettings(1, false, false, false), 3)
 		h.d.confirmsAttempts = true
 		req := h.newRequest(0, time.Second)
-		req.UntilDeadline = patient
+		req.UntilDeadline = untilDeadline
 		h.handle(req.Request)
 		start := h.now
 		for cancelled := false; !cancelled; {
@@ -372,9 +371,9 @@
 				_, ok := a.(Cancel)
 				cancelled = cancelled || ok
 			}
-			require.LessOrEqual(t, h.now-start, within, "patient %v", patient)
+			require.LessOrEqual(t, h.now-start, within, "until deadline %v", untilDeadline)
 		}
-		require.Equal(t, within, h.now-start, "patient %v", patient)
+		require.Equal(t, within, h.now-start, "until deadline %v", untilDeadline)
 	}
 }
 
--- a/decide/candidates_test.go
+++ b/decide/candidates_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRequestGoesToItsCandidates checks that a request with its own order of workers goes to the first valid one of
-// them, and to no others, however free these are.
+// TestRequestGoesToItsCandidates checks that a request with Candidates goes to the first valid one of them, and to no others,
+// however free these are.
 func TestRequestGoesToItsCandidates(t *testing.T) {
 	s := testSettings(1, false, true, false)
 	h := newReadyHarness(t, s, 4)
@@ -21,7 +21,7 @@
 		return got
 	}
 	if got := send(3, 1); got != 3 {
-		t.Errorf("got worker %d, want 3, the first of the order", got)
+		t.Errorf("got worker %d, want 3, the first candidate", got)
 	}
 	if got := send(3, 1); got != 1 {
 		t.Errorf("got worker %d, want 1, as 3 is full", got)
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestCandidatesOverrideFirstJobs guards against sending a request outside its order because an uncordoned worker is due a
-// first job: a rerun restricted to other sites could reach the worker that had produced bad output.
+// TestCandidatesOverrideFirstJobs guards against sending a request to a worker outside its Candidates because that has been
+// uncordoned and is due a first job.
 func TestCandidatesOverrideFirstJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.DispatcherCount, s.Rules.Cold, s.Rules.ColdFrom = 3, 20*time.Second, 0.14
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestCandidatesStillApplyPastTheAim guards against sending a request with its own order to any worker once it has waited
+// TestCandidatesStillApplyPastTheAim guards against sending a request with Candidates to any other worker once it has waited
 // until its aim.
 func TestCandidatesStillApplyPastTheAim(t *testing.T) {
 	for seed := range uint64(20) {
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -130,7 +130,7 @@
 		}
 		h.handle(JobStarted{req.ID, 0})
 		if late := h.d.workers[1].lateStarts.Share > 0; late == cold {
-			t.Errorf("cold %v: late start counted: got %v, want the opposite", cold, late)
+			t.Errorf("cold %v: late start counted: got %v, want %v", cold, late, !cold)
 		}
 	}
 }
--- a/decide/conn_test.go
+++ b/decide/conn_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestConnectionsOfFailingIdleTimesAreClosed guards against connections that are dropped without notice after some idle
-// time: each costs a request, an unsafe one for good. The idle age at which sends fail, by a reset or by silence, is
-// learned, and connections of that age are closed first. A worker that fails at any age is not affected.
+// time: each costs a request, an unsafe one for good. The idle time at which sends fail, by a reset or by silence, is
+// learned, and connections idle for that long are closed first. A worker that fails at any idle time is not affected.
 func TestConnectionsOfFailingIdleTimesAreClosed(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -34,7 +34,7 @@
 					idle, outcome = 2*time.Second, tt.old
 				}
 				class := 2
-				if i%4 == 1 { // a safe request is the first to try an age
+				if i%4 == 1 { // a safe request is the first to try an idle time
 					class = 0
 				}
 				r := &request{Request: Request{Class: class, Slots: 1}, class: h.d.classes[class]}
@@ -48,13 +48,13 @@
 						outcome = OK
 					}
 				} else if len(h.d.actions) > 0 {
-					t.Fatal("a young connection was closed first")
+					t.Fatal("a connection idle for a short time was closed first")
 				}
 				h.d.now += 10 * ms
 				h.d.recordConnEnd(r, a, outcome)
 			}
 			if released != tt.want {
-				t.Errorf("old connection closed first: got %v, want %v", released, tt.want)
+				t.Errorf("connection idle for long closed first: got %v, want %v", released, tt.want)
 			}
 			if wk.connsInUse != 0 {
 				t.Errorf("got %d connections in use after the last end, want 0", wk.connsInUse)
@@ -119,7 +119,7 @@
 	h.now += 500 * ms
 	h.handle(TimerFired{})
 	if h.d.silentUntil > 0 {
-		t.Error("connection taken for silent while its worker may be")
+		t.Error("connection counts as silent although its worker may be the silent one")
 	}
 	reportProgress := func() { // the worker reports on another job
 		h.now += 10 * ms
--- a/decide/cordon_test.go
+++ b/decide/cordon_test.go
@@ -64,7 +64,7 @@
 			t.Errorf("dispatcher %d: got no job at the uncordoned worker", n)
 		}
 		if slices.Contains(at, 0) || len(at) > 8 {
-			t.Errorf("dispatcher %d: got jobs at %v, want 1 to 8, none at once", n, at)
+			t.Errorf("dispatcher %d: got jobs at %v, want 1 to 8, none at the moment of uncordoning", n, at)
 		}
 	}
 }
--- a/decide/deployment_sim_test.go
+++ b/decide/deployment_sim_test.go
@@ -143,11 +143,11 @@
 	adjust     func(*Settings)
 }
 
-// lectureKinds are the encoder kinds of lectureSite.
-var lectureKinds = []encoderKind{{4, 1.6}, {3, 0.97}, {5, 0.6}}
+// shortAndLongJobsKinds are the encoder kinds of shortAndLongJobsSite.
+var shortAndLongJobsKinds = []encoderKind{{4, 1.6}, {3, 0.97}, {5, 0.6}}
 
-// lectureSite models a site with short previews and long publishes.
-func lectureSite(kinds []encoderKind) siteModel {
+// shortAndLongJobsSite models a site with short jobs (class 0, previews) and long ones (class 1, publishes).
+func shortAndLongJobsSite(kinds []encoderKind) siteModel {
 	return siteModel{
 		classes: []requestClass{
 			{Class{Aim: 500 * ms, Stretch: 2.5, Deadline: 5 * time.Second, Worth: 1, Effect: Safe, Kind: Any}, 0.72, 0.335, 0.6},
@@ -174,9 +174,9 @@
 	return mean
 }
 
-// newLectureDeployment draws a deployment of lectureSite.
-func newLectureDeployment(seed uint64, dispatchers, encoders, zones int) *deployment {
-	return newDeployment(lectureSite(lectureKinds), seed, dispatchers, encoders, zones)
+// newShortAndLongJobsDeployment draws a deployment of shortAndLongJobsSite.
+func newShortAndLongJobsDeployment(seed uint64, dispatchers, encoders, zones int) *deployment {
+	return newDeployment(shortAndLongJobsSite(shortAndLongJobsKinds), seed, dispatchers, encoders, zones)
 }
 
 // newDeployment draws a deployment of a site with the given numbers of dispatchers, encoders and zones.
@@ -229,7 +229,7 @@
 	return e
 }
 
-// startDispatcher starts a dispatcher without memory and gives it the current list.
+// startDispatcher starts a dispatcher without a snapshot and gives it the current list.
 func (sim *deployment) startDispatcher(disp *simDispatcher, i int) {
 	s := sim.settings
 	s.DispatcherIndex, s.Zone, s.Seed = i, disp.zone, uint64(sim.rng.Uint32())
--- a/decide/deployment_test.go
+++ b/decide/deployment_test.go
@@ -15,7 +15,7 @@
 // traffic and treat every key as hot: 19 of 20 keys moved from encoder to encoder, and three of four previews had to
 // be fetched again.
 func TestManyDispatchersKeepKeysInPlace(t *testing.T) {
-	sim := newLectureDeployment(1, 60, 36, 2)
+	sim := newShortAndLongJobsDeployment(1, 60, 36, 2)
 	load := func(time.Duration) float64 { return 0.7 }
 	sim.playTraffic(8*time.Second, load)
 	clear(sim.jobsFetched)
@@ -30,8 +30,8 @@
 // can take then.
 type windowLoad struct {
 	ofN         float64 // of the rule's budget, N requests of mean work
-	ofBound     float64 // of N + 2 x root of N + 2
-	ofWideBound float64 // the same; for N under 30 of N + 3 x root of N + 3
+	ofBound     float64 // of N + 2*sqrt(N) + 2, which allows for random variation of N requests
+	ofWideBound float64 // the same; for N under 30 of N + 3*sqrt(N) + 3
 	at          time.Duration
 	jobs        []receivedJob // in the window with the largest ofBound
 }
@@ -65,7 +65,7 @@
 
 // describe describes a window: its load and the jobs in it, with the dispatchers that sent them.
 func (sim *deployment) describe(e *simEncoder, load windowLoad) string {
-	text := fmt.Sprintf("kind %d, %.2f s after its start, %.2f times what it bears (%.2f by the page):", e.Kind, (load.at - e.Started).Seconds(), load.ofBound, load.ofWideBound)
+	text := fmt.Sprintf("kind %d, %.2f s after its start, %.2f times the bound (%.2f times the wide bound):", e.Kind, (load.at - e.Started).Seconds(), load.ofBound, load.ofWideBound)
 	for _, job := range load.jobs {
 		text += fmt.Sprintf(" class %d %.2f s by dispatcher %d;", job.class, job.work, slices.Index(sim.dispatchers, job.dispatcher))
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-// restartDispatchers kills seven in ten dispatchers, each restarted without memory within 1.2 s.
+// restartDispatchers kills seven in ten dispatchers, each restarted without a snapshot within 1.2 s.
 func (sim *deployment) restartDispatchers() {
 	for i, disp := range sim.dispatchers {
 		if sim.rng.IntN(10) < 7 {
@@ -135,7 +135,7 @@
 	group.Wait()
 }
 
-var fullRun = flag.Bool("mass", false, "play the whole measurement of make prove-mass")
+var fullRun = flag.Bool("mass", false, "simulate the full number of fleets")
 
 // TestColdEncodersOfManyFleets plays releases in fleets of many sizes, with most dispatchers restarted in the middle,
 // and counts the cold encoders that are sent more than the rule's budget in a window. Job lengths are random, so a few
@@ -152,7 +152,7 @@
 		if *fullRun {
 			dispatchers = []int{40, 60, 80, 120}[seed%4]
 		}
-		sim := newLectureDeployment(uint64(seed)+100, dispatchers, dispatchers*(4+seed%5)/10, 1+seed%3)
+		sim := newShortAndLongJobsDeployment(uint64(seed)+100, dispatchers, dispatchers*(4+seed%5)/10, 1+seed%3)
 		sim.playRelease(seed)
 		return sim
 	}, func(sim *deployment) {
@@ -173,7 +173,7 @@
 	if !*fullRun {
 		return
 	}
-	sim := newLectureDeployment(1, 200, 120, 2)
+	sim := newShortAndLongJobsDeployment(1, 200, 120, 2)
 	sim.playTraffic(25*time.Second, func(at time.Duration) float64 {
 		if at > 8*time.Second && at < 14*time.Second {
 			return 1.1
@@ -203,23 +203,23 @@
 // with most dispatchers restarted in the middle. -mass draws about 1,700 encoders or more of each sort.
 func TestColdEncodersBearAllDispatchers(t *testing.T) {
 	t.Run("twenty to thirty", func(t *testing.T) {
-		fleetTest{20, 30, func(n, seed int) int { return n * (1 + seed%6) / 10 }, 8, 500, lectureSite(lectureKinds)}.check(t)
+		fleetTest{20, 30, func(n, seed int) int { return n * (1 + seed%6) / 10 }, 8, 500, shortAndLongJobsSite(shortAndLongJobsKinds)}.check(t)
 	})
 	t.Run("many", func(t *testing.T) {
-		fleetTest{40, 120, func(n, seed int) int { return n * (4 + seed%5) / 10 }, 4, 100, lectureSite(lectureKinds)}.check(t)
+		fleetTest{40, 120, func(n, seed int) int { return n * (4 + seed%5) / 10 }, 4, 100, shortAndLongJobsSite(shortAndLongJobsKinds)}.check(t)
 	})
 }
 
 // TestColdEncodersBearFewDispatchers checks the same bound in fleets of three to six dispatchers.
 func TestColdEncodersBearFewDispatchers(t *testing.T) {
-	fleetTest{3, 6, func(n, seed int) int { return 2*n + seed%7 }, 8, 360, lectureSite(lectureKinds)}.check(t)
+	fleetTest{3, 6, func(n, seed int) int { return 2*n + seed%7 }, 8, 360, shortAndLongJobsSite(shortAndLongJobsKinds)}.check(t)
 }
 
 // TestColdEncodersOfUnequalKinds checks the same bound with many dispatchers where the smallest kind does a quarter of
 // the work of the largest.
 func TestColdEncodersOfUnequalKinds(t *testing.T) {
 	kinds := []encoderKind{{7, 1.3}, {5, 1}, {3, 0.65}}
-	fleetTest{60, 120, func(n, seed int) int { return n * (4 + seed%5) / 10 }, 4, 100, lectureSite(kinds)}.check(t)
+	fleetTest{60, 120, func(n, seed int) int { return n * (4 + seed%5) / 10 }, 4, 100, shortAndLongJobsSite(kinds)}.check(t)
 }
 
 // shortJobSite models a site with short jobs, three classes of very unequal length and no keys.
@@ -245,8 +245,7 @@
 }
 
 // TestColdEncodersOfShortJobs checks the same bound with hundreds of dispatchers whose jobs are short and of very
-// unequal length. On sundfahrt-quay an encoder that had started 11.2 s before was sent 6.0 times what it could do, and
-// failed. Turns were planned for 0.074 s of work, the length of the shortest class, but used for jobs of 0.2 s on
+// unequal length. An encoder was sent 6.0 times what it could do, and failed: turns were planned for 0.074 s of work, the length of the shortest class, but used for jobs of 0.2 s on
 // average: 45 dispatchers sent 13 s of work in 1.2 s, where 2.7 s were planned, and with two turns each, none made up
 // for it later. The encoders that failed were of the slowest kind, planned for as if of the mean size (2.9 where it
 // did the work of 1.5).
@@ -260,7 +259,7 @@
 	if *fullRun {
 		fleets = f.fullFleets
 	}
-	cold, over, overByPage, worst := 0, 0, 0, 0.0
+	cold, over, overWideBound, worst := 0, 0, 0, 0.0
 	asked, served := 0.0, 0.0
 	playFleets(fleets, f.playFleet, func(sim *deployment) {
 		asked, served = asked+totalWorth(sim.worthAsked), served+totalWorth(sim.worthServed)
@@ -268,7 +267,7 @@
 			cold++
 			x := sim.worstWindow(e)
 			if x.ofWideBound > 1 {
-				overByPage++
+				overWideBound++
 			}
 			if worst = max(worst, x.ofBound); x.ofBound > 1 {
 				over++
@@ -276,9 +275,9 @@
 			}
 		}
 	})
-	t.Logf("prove mass: %d to %d dispatchers: %d of %d cold encoders over, the worst %.2f times (%d over by N + 3 x root of N + 3 under 30); served %.3f", f.minDispatchers, f.maxDispatchers, over, cold, worst, overByPage, served/asked)
+	t.Logf("prove mass: %d to %d dispatchers: %d of %d cold encoders over, the worst %.2f times (%d over by N + 3 x root of N + 3 under 30); served %.3f", f.minDispatchers, f.maxDispatchers, over, cold, worst, overWideBound, served/asked)
 	if over > 0 {
-		t.Errorf("%d of %d cold encoders were sent more than they bear, the worst %.2f times as much", over, cold, worst)
+		t.Errorf("%d of %d cold encoders were sent more than the bound, the worst %.2f times as much", over, cold, worst)
 	}
 }
 
--- a/decide/fleet_sim_test.go
+++ b/decide/fleet_sim_test.go
@@ -364,7 +364,7 @@
 			}
 		}
 		if got != want {
-			t.Errorf("%d dispatchers: got a turn for a long job in the first 11 s: %v, want the opposite", n, got)
+			t.Errorf("%d dispatchers: got a turn for a long job in the first 11 s: %v, want %v", n, got, want)
 		}
 	}
 }
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sendKeyed hands in a request with a key and returns the worker that it was sent to, or 0.
+// sendKeyed passes the event of a request with a key and returns the worker that it was sent to, or 0.
 func (h *harness) sendKeyed(key uint64) (uint32, *testRequest) {
 	h.t.Helper()
 	req := h.newRequest(0, time.Second)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestKeyedRequestsPreferTheirOwnZone checks that a keyed request leaves its zone only when the worker of its key
-// there has no room: each crossing has a price.
+// TestKeyedRequestsPreferTheirOwnZone checks that a keyed request goes to a worker of its own zone while that has
+// room.
 func TestKeyedRequestsPreferTheirOwnZone(t *testing.T) {
 	for key := range uint64(20) {
 		s := testSettings(1, true, false, false)
@@ -83,7 +83,7 @@
 		before := h.d.keyWorkers(r)
 		h.d.now += r.class.Aim
 		if further := h.d.keyWorkers(r) > before; further == manyWait {
-			t.Errorf("many wait %v: may go to more workers: got %v, want the opposite", manyWait, further)
+			t.Errorf("many wait %v: may go to more workers: got %v, want %v", manyWait, further, !manyWait)
 		}
 	}
 }
@@ -122,13 +122,13 @@
 			h.handle(TimerFired{})
 		}
 		if moved := len(req.attempts) > 1; moved == alive {
-			t.Errorf("worker alive %v: moved: got %v, want the opposite", alive, moved)
+			t.Errorf("worker alive %v: moved: got %v, want %v", alive, moved, !alive)
 		}
 	}
 }
 
-// TestLateRequestIsQueuedOnce guards against a queue that grows with each sweep: each once added another entry for a
-// late request, tens of thousands on a busy day.
+// TestLateRequestIsQueuedOnce guards against a queue that grows with each sweep: each added another entry for a late
+// request.
 func TestLateRequestIsQueuedOnce(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
 	_, running := h.sendRequest(0)
@@ -182,7 +182,7 @@
 
 // TestErrorsBarOneClassAtAWorker guards against a worker that starts each job, which restores its trust, and fails
 // those of one class, yet is sent more of them. Unsafe requests avoid it from the first error on until others have
-// succeeded there: one was sent after two errors of its class, and again half a second later.
+// succeeded there.
 func TestErrorsBarOneClassAtAWorker(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
 	for range 20 {
@@ -235,9 +235,8 @@
 	}
 }
 
-// TestFullWorkerOfAKeyIsNoReasonToCrossZones guards against crossings that cost more than they bring: where crossings
-// have a price, jobs went to another zone as soon as the worker of their key was full, twice as many as before. They
-// may cross when their zone fails.
+// TestFullWorkerOfAKeyIsNoReasonToCrossZones guards against crossings that cost more than they gain. Where crossings
+// have a price, a full worker of their key sends no jobs to another zone; they may cross when their zone fails.
 func TestFullWorkerOfAKeyIsNoReasonToCrossZones(t *testing.T) {
 	for _, price := range []float64{0, 0.1} {
 		s := testSettings(1, true, false, false)
--- a/decide/lease_test.go
+++ b/decide/lease_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestFixedTurnsKeepToTheirShare checks that the fixed turns of all places together stay within their share of the
+// TestFixedTurnsKeepToTheirShare checks that all fixed turns together stay within their share of the
 // budget.
 func TestFixedTurnsKeepToTheirShare(t *testing.T) {
 	for _, turn := range []int{0, 63, -1} {
@@ -82,10 +82,10 @@
 		warmth := s.Rules.ColdFrom
 		gap := (h.d.coldBudgetAt(wk, h.d.now, 0.01) - h.d.now).Seconds()
 		if warmth += (1 - warmth) * gap / s.Rules.Cold.Seconds(); gap*0.25/64*coldBudgetShare*s.Rules.FallMultiple*warmth < 0.0099 {
-			t.Errorf("got a turn for 10 ms of work every %v s, more than the share of one place", gap)
+			t.Errorf("got a turn for 10 ms of work every %v s, more than the share of one turn", gap)
 		}
 		if h.d.coldTurn(wk, &request{Request: Request{Slots: 1}, class: h.d.classes[0]}) && turn < 0 {
-			t.Error("a dispatcher without a place got a turn")
+			t.Error("a dispatcher without a fixed turn got one")
 		}
 	}
 	s := testSettings(1, false, true, false)
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -47,7 +47,7 @@
 			h.handle(tt.events...)
 			h.now += time.Second // the fleet has been sorted again by then
 			if got, _ := h.sendRequest(0); (got == 1) != tt.want {
-				t.Errorf("got worker %d, which is not as wanted", got)
+				t.Errorf("worker used: got %v, want %v", got == 1, tt.want)
 			}
 		})
 	}
@@ -119,11 +119,11 @@
 }
 
 // TestListIsRequestedAgainAfterAFailure checks when a lost list is requested again. A pushed list comes from an agent
-// on the same machine and is requested well within the grace period of a drain. Of a service, first calls are spread
-// by 5 ms for each dispatcher over at most 3 s, later ones over 2.5 s: a list that the service has had for 6 s counts
-// as known, and a call may still fail 3 s after the service is back. Only after three calls that waited and failed,
-// which takes longer than it is down, does the spread grow threefold with each call; where calls reach nobody it never
-// grows.
+// on the same machine and is requested well within the grace period of a drain. A service gets first calls spread by
+// 5 ms for each dispatcher, over at most 3 s. Later calls are spread over 2.5 s: a worker that has been in the list for
+// 6 s must be known, and a call may still fail 3 s after the service is back. After three calls that waited and failed,
+// longer than the service is usually down, the spread grows threefold with each call. It does not grow where calls fail
+// to reach the service.
 func TestListIsRequestedAgainAfterAFailure(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.DispatcherCount, s.Rules.DrainGrace, s.Rules.MustAskIn = 300, time.Second, 10*time.Second
--- a/decide/many_dispatchers_test.go
+++ b/decide/many_dispatchers_test.go
@@ -111,10 +111,10 @@
 			t.Errorf("slow refusal %v: got the worker valid for the class that it refused", slow)
 		}
 		if shedding := h.d.admitted < 1; shedding == slow {
-			t.Errorf("slow refusal %v: taken for overload: got %v, want the opposite", slow, shedding)
+			t.Errorf("slow refusal %v: taken for overload: got %v, want %v", slow, shedding, !slow)
 		}
 		if got := h.d.valid(other, h.d.workers[1], Invalidate{Rule: Overload}); got != slow {
-			t.Errorf("slow refusal %v: valid for another class: got %v, want the same", slow, got)
+			t.Errorf("slow refusal %v: valid for another class: got %v, want %v", slow, got, slow)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 // back as of the others.
 func TestAdmissionUnderOverload(t *testing.T) {
 	for i, late := range []bool{true, false, true} {
-		class := 2 * (i / 2) // worth 5, 9 and 10
+		class := 2 * (i / 2) // class 0 (worth 5) twice, then class 2 (worth 10)
 		h := newReadyHarness(t, manyDispatchers(true, false, false), 100)
 		sent := 0
 		for i := range 120 {
@@ -238,7 +238,7 @@
 		h.d.sortAfter = 0
 		h.handle()
 		if left := h.d.classes[0].blocks[2].members[0].ID != first; left != late {
-			t.Errorf("late starts %v: the first choice changed: %v, want the same", late, left)
+			t.Errorf("late starts %v: the first choice changed: got %v, want %v", late, left, late)
 		}
 	}
 }
--- a/decide/moves_test.go
+++ b/decide/moves_test.go
@@ -18,15 +18,15 @@
 }
 
 // TestRequestsWithoutLateWorthMove checks that a job whose class earns nothing late does move: otherwise it is lost in
-// its queue, and its client retries. Moving only few of such jobs cost 0.04 to 0.06 of the score on the fleet's days.
+// its queue, and its client retries.
 func TestRequestsWithoutLateWorthMove(t *testing.T) {
 	late, _, _ := countMoves(t, 0, false)
 	few, _, _ := countMoves(t, 0.5, false)
 	require.Greater(t, late, 2*few+2)
 }
 
-// TestUntilDeadlineRequestsSeldomMove guards against moving a job that is waited for however late it is, as if it were
-// lost in its queue: both copies ran.
+// TestUntilDeadlineRequestsSeldomMove guards against moving a job with UntilDeadline as if it were lost in its queue:
+// both copies ran.
 func TestUntilDeadlineRequestsSeldomMove(t *testing.T) {
 	moves, suspected, _ := countMoves(t, 0, true)
 	few, _, _ := countMoves(t, 0.5, false)
@@ -36,7 +36,7 @@
 
 // countMoves lets 200 jobs queue at first and counts those that moved, the workers suspected otherwise, and the
 // windows of the rule on attempts.
-func countMoves(t *testing.T, lateWorth float64, patient bool) (moves, suspected, windows int) {
+func countMoves(t *testing.T, lateWorth float64, untilDeadline bool) (moves, suspected, windows int) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].LateWorth = lateWorth
 	h := newReadyHarness(t, s, 40)
@@ -44,7 +44,7 @@
 	for range 200 {
 		h.now += 10 * ms
 		req := h.newRequest(0, time.Second)
-		req.UntilDeadline = patient
+		req.UntilDeadline = untilDeadline
 		first := h.handle(req.Request)[0].(Send).Worker
 		h.now += 60 * ms
 		h.handle(TimerFired{})
@@ -60,9 +60,9 @@
 	return moves, suspected, int((h.now-start)/h.d.budget.Window) + 1
 }
 
-// TestHungJobIgnoresTheLimitOnMoves checks that a job whose worker shows no sign of life does not count as queued, and
+// TestUnresponsiveWorkersJobIgnoresTheLimitOnMoves checks that a job whose worker shows no sign of life does not count as queued, and
 // is repeated beyond the limit on moves.
-func TestHungJobIgnoresTheLimitOnMoves(t *testing.T) {
+func TestUnresponsiveWorkersJobIgnoresTheLimitOnMoves(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].LateWorth = 1
 	h := newReadyHarness(t, s, 40)
@@ -81,10 +81,10 @@
 	require.Positive(t, h.d.workers[first].failures)
 }
 
-// TestQueueBehindOthersJobsIsNotAHang guards against running jobs twice: one of many dispatchers has a job or two at a
+// TestQueueBehindOthersJobsIsNotUnresponsive guards against running jobs twice: one of many dispatchers has a job or two at a
 // worker and hears nothing while jobs of others run there, so where jobs queued for longer than four run times, each
-// counted as hung and was moved.
-func TestQueueBehindOthersJobsIsNotAHang(t *testing.T) {
+// counted as unresponsive and was moved.
+func TestQueueBehindOthersJobsIsNotUnresponsive(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].LateWorth = 0.5
 	h := newReadyHarness(t, s, 40)
@@ -167,8 +167,7 @@
 }
 
 // TestStalledWorkerGetsNoMoreJobs guards against filling a worker that has stopped: one that had shown room for many
-// jobs was sent as many until the first of them counted as hung, four run times later. On days with planned restarts
-// each new process of a dispatcher lost a ceiling of jobs to each such worker.
+// jobs was sent as many until the first of them counted as unresponsive, four run times later.
 func TestStalledWorkerGetsNoMoreJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].LateWorth = 0.5
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -11,7 +11,7 @@
 	"without keys":      func(*Request, int) {},
 	"with many keys":    func(r *Request, n int) { r.Key = uint64(n) + 1 },
 	"with one key":      func(r *Request, _ int) { r.Key = 1 },
-	"with an order":     func(r *Request, n int) { r.Candidates = []uint32{uint32(n%50) + 1} },
+	"with candidates":   func(r *Request, n int) { r.Candidates = []uint32{uint32(n%50) + 1} },
 	"over their share":  func(r *Request, _ int) { r.Tenant = 0 },
 	"of unequal demand": func(r *Request, n int) { r.Key, r.Slots = 1, 1+float64(n)/1000 },
 }
@@ -53,7 +53,7 @@
 // TestHeldRequestsCostLittleWithoutEvents guards against scanning all workers for each held request with a key at
 // every step of the timer: a dispatcher with many held requests fell behind until answers were lost.
 func TestHeldRequestsCostLittleWithoutEvents(t *testing.T) {
-	const steps, held, most = 60, 160, 500 // workers checked in a batch: 50 us at 0.1 us each
+	const steps, held, most = 60, 160, 500 // workers checked in a batch
 	for kind := range heldRequestKinds {
 		for _, workers := range []int{50, 200, 800} {
 			d, now := newFullDispatcher(t, workers, held, kind)
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -21,7 +21,7 @@
 	return h
 }
 
-// sendRequest hands in a request of a class and returns the worker that it was sent to, or 0.
+// sendRequest passes the event of a request of a class and returns the worker that it was sent to, or 0.
 func (h *harness) sendRequest(class int) (uint32, *testRequest) {
 	h.t.Helper()
 	req := h.newRequest(class, time.Second)
@@ -33,7 +33,7 @@
 	return 0, req
 }
 
-// labelsFor returns a label that selects workers by ID.
+// labelsFor returns labels that select workers by ID.
 func labelsFor(ids ...uint32) []Label { return []Label{{Zone: Any, Kind: Any, IDs: ids}} }
 
 // withPolicy returns the settings with the same policy for each class.
@@ -74,7 +74,7 @@
 		t.Fatalf("got worker %d, want 1 of the first block", got)
 	}
 	if got, req := h.sendRequest(0); got < 2 || req.answered {
-		t.Errorf("got worker %d, want another than 1, by the default tag", got)
+		t.Errorf("got worker %d, want another than 1, by the default block", got)
 	}
 }
 
@@ -262,8 +262,8 @@
 		h.handle(TimerFired{}, JobStarted{req.ID, 0})
 		h.now += 8 * ms
 		h.handle(TimerFired{}, h.endAttempt(req, 0, OK, nil))
-		if trusted := h.d.workers[1].ceiling > initialCeiling; trusted != stalled {
-			t.Errorf("own stall %v: ceiling raised %v, want the same", stalled, trusted)
+		if raised := h.d.workers[1].ceiling > initialCeiling; raised != stalled {
+			t.Errorf("own stall %v: ceiling raised: got %v, want %v", stalled, raised, stalled)
 		}
 	}
 }
@@ -299,7 +299,7 @@
 		late          bool
 	}{
 		{"little time", false, false, 300 * ms, false},
-		{"a second try's time", false, false, 800 * ms, true},
+		{"most of the budget left, as of a retry", false, false, 800 * ms, true},
 		{"marked", true, true, 300 * ms, true},
 		{"not marked", true, false, 800 * ms, false},
 	}
@@ -379,18 +379,18 @@
 	}
 }
 
-// TestQueuedJobIsCancelledOnlyWhenCongested checks that a job that still queues at its aim is given up only while more
+// TestQueuedJobIsCancelledOnlyWhenCongested checks that a job that still queues at its aim is cancelled only while more
 // of this dispatcher's jobs queue at workers than run: each of many dispatchers finds room for its few jobs everywhere
 // and holds none back.
 func TestQueuedJobIsCancelledOnlyWhenCongested(t *testing.T) {
-	for i, crowded := range []bool{false, true, true} {
+	for i, congested := range []bool{false, true, true} {
 		s := testSettings(1, true, false, false)
 		s.Classes[2].Stretch = 1
 		s.Limits.Cancel = i < 2 // what cannot be cancelled is waited for: it would run anyway, and again for the client's retry
 		h := newReadyHarness(t, s, 3)
 		_, req := h.sendRequest(2)
 		for range 2 {
-			if _, other := h.sendRequest(2); !crowded {
+			if _, other := h.sendRequest(2); !congested {
 				h.handle(JobStarted{other.ID, 0})
 			}
 		}
@@ -398,8 +398,8 @@
 			h.now += 20 * ms
 			h.handle(TimerFired{})
 		}
-		if want := crowded && s.Limits.Cancel; req.answered != want {
-			t.Errorf("crowded %v: answered: got %v, want %v", crowded, req.answered, want)
+		if want := congested && s.Limits.Cancel; req.answered != want {
+			t.Errorf("congested %v: answered: got %v, want %v", congested, req.answered, want)
 		}
 	}
 }
@@ -581,7 +581,7 @@
 }
 
 // TestRefusedRequestsLeaveTheQueue guards against refused requests that stay in their queue behind all held ones:
-// under a rush there were thousands, and each new request scanned them.
+// under overload each new request scanned all of them.
 func TestRefusedRequestsLeaveTheQueue(t *testing.T) {
 	s := testSettings(1, false, false, false)
 	s.Limits.MaxOpen = 9
--- a/decide/reconfigure_test.go
+++ b/decide/reconfigure_test.go
@@ -89,14 +89,14 @@
 	}
 	removedFirst := withRemoved(s, 2, 1)
 	if removedFirst.TimingClass = 1; h.d.Reconfigure(removedFirst) == nil {
-		t.Error("removed class as the first: got no error")
+		t.Error("removed class as TimingClass: got no error")
 	}
 	d := h.d
 	_, avoided := d.WorkerCounts()
 	for name, gotWant := range map[string][2]any{
-		"pace": {d.pace(), 200 * ms}, "longest deadline": {d.longestDeadline(), 4 * time.Second}, "longest run": {math.Round(1000 * d.longestMeanRun()), 300.0},
-		"agreed rate": {d.agreedRate(), 7.0}, "usual run": {d.meanTypicalRun(0) < 0.31, true}, "mean worth": {d.meanWorth(), 2.5}, "avoided": {avoided, 3},
-		"span of attempts": {d.budget.Window, 4 * time.Second},
+		"pace": {d.pace(), 200 * ms}, "longest deadline": {d.longestDeadline(), 4 * time.Second}, "longestMeanRun": {math.Round(1000 * d.longestMeanRun()), 300.0},
+		"agreed rate": {d.agreedRate(), 7.0}, "meanTypicalRun": {d.meanTypicalRun(0) < 0.31, true}, "mean worth": {d.meanWorth(), 2.5}, "avoided": {avoided, 3},
+		"budget.Window": {d.budget.Window, 4 * time.Second},
 	} {
 		if gotWant[0] != gotWant[1] {
 			t.Errorf("%s: got %v, want %v", name, gotWant[0], gotWant[1])
@@ -163,7 +163,7 @@
 
 // TestStateDerivedFromOldSettingsIsReset guards against state computed from old settings: turns of cold workers
 // planned for hundreds of dispatchers when there is one, or for workers that are cold only by the new rules, and
-// failures at idle ages measured in parts of the old idle time.
+// failures at idle times measured in parts of the old limit.
 func TestStateDerivedFromOldSettingsIsReset(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.DispatcherCount, s.Limits.ConnIdle, s.Limits.ConnectTimeout = 400, 64*time.Second, 2*time.Second
@@ -184,7 +184,7 @@
 		t.Fatal(err)
 	}
 	if d := h.d; d.workers[1].nextColdSend != 0 || d.idleFailures[4].Count != 0 || d.connSetup() != 50*ms || d.maxBatchDelay != 500*ms || !slices.IsSorted(d.queueOrder) {
-		t.Errorf("got turn %v, idle ages %v, set-up time %v, stall %v; want them reset or bounded", d.workers[1].nextColdSend, d.idleFailures, d.connSetup(), d.maxBatchDelay)
+		t.Errorf("got turn %v, failures by idle time %v, set-up time %v, stall %v; want them reset or bounded", d.workers[1].nextColdSend, d.idleFailures, d.connSetup(), d.maxBatchDelay)
 	}
 	warm := next
 	warm.Rules.Cold = 0
--- a/decide/reserved_test.go
+++ b/decide/reserved_test.go
@@ -10,9 +10,9 @@
 func TestReservedSlotsStayFree(t *testing.T) {
 	s := testSettings(1, false, true, false)
 	h := newReadyHarness(t, s, 1)
-	send := func(work time.Duration, held bool) bool {
+	send := func(work time.Duration, reserved bool) bool {
 		req := h.newRequest(0, 10*time.Second)
-		req.Work, req.Reserved = work, held
+		req.Work, req.Reserved = work, reserved
 		sent := false
 		for _, a := range h.d.Handle(h.now, []Event{req.Request}) {
 			if a, ok := a.(Send); ok && a.Request == req.ID {
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestCeilingDoesNotBlockReservedSlots guards against a gang member that waits although slots are reserved for it: its
+// TestCeilingDoesNotBlockReservedSlots guards against a request that waits although slots are reserved for it: its
 // dispatcher has sent that worker one job before and does not know of a second slot.
 func TestCeilingDoesNotBlockReservedSlots(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 1)
@@ -64,7 +64,7 @@
 			sent = sent || send
 		}
 		if !sent {
-			t.Errorf("gang member %d not sent at once", n)
+			t.Errorf("request %d with a reservation not sent at once", n)
 		}
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// varyRules varies the rules by seed: in every second group of four seeds a worker's absence from the list is only
-// advice, every third seed allows two attempts, and every second group of eight bounds further attempts.
+// varyRules varies the rules by seed: in every second group of four seeds a worker's absence from the list is
+// advisory, every third seed allows two attempts, and every second group of eight bounds further attempts.
 func varyRules(s Settings) Settings {
 	s.Rules.GoneIsAdvisory = s.Seed/4%2 == 1
 	if s.Seed%3 == 0 { // a low limit on attempts
@@ -111,7 +111,7 @@
 		c := h.s.Classes[req.Class]
 		for i, att := range req.attempts {
 			if c.Effect != Safe && !(att.over && att.neverRan) {
-				h.t.Fatalf("rule 2: request %d refused though attempt %d may have run", a.Request, i)
+				h.t.Fatalf("repeat rule: request %d refused though attempt %d may have run", a.Request, i)
 			}
 		}
 		h.recordAnswer(a.Request)
@@ -129,10 +129,10 @@
 	req, to := h.requests[a.Request], h.list[a.Worker]
 	c := h.s.Classes[req.Class]
 	if req.answered || h.now >= req.due {
-		h.t.Fatalf("rule 1: request %d sent after its answer or deadline", a.Request)
+		h.t.Fatalf("answer rule: request %d sent after its answer or deadline", a.Request)
 	}
 	if to.State == Draining || h.drained[a.Worker] == to.Started+1 || to.State == Gone && !h.s.Rules.GoneIsAdvisory {
-		h.t.Fatalf("rule 3: request %d sent to worker %d in state %d", a.Request, a.Worker, to.State)
+		h.t.Fatalf("list rule: request %d sent to worker %d in state %d", a.Request, a.Worker, to.State)
 	}
 	if h.cordoned[a.Worker] {
 		h.t.Fatalf("request %d sent to worker %d, which is cordoned", a.Request, a.Worker)
@@ -147,11 +147,11 @@
 		risky := !(att.over && att.neverRan)
 		if risky && c.Effect == Unsafe ||
 			risky && c.Effect == Keyed && (h.now-att.sent >= c.DedupWindow || att.worker.Zone != to.Zone) {
-			h.t.Fatalf("rule 2: request %d repeated though attempt %d may have run", a.Request, i)
+			h.t.Fatalf("repeat rule: request %d repeated though attempt %d may have run", a.Request, i)
 		}
 	}
 	if to.Started > 0 && h.now-to.Started < h.s.Rules.Cold {
-		// Rule 4, loosely: this dispatcher's half of the budget of a cold worker with 4 slots, in jobs of the
+		// A loose bound: this dispatcher's half of the budget of a cold worker with 4 slots, in jobs of the
 		// shortest run time that the harness plays.
 		h.coldSends[a.Worker] = append(h.coldSends[a.Worker], h.now)
 		recent := 0
@@ -162,7 +162,7 @@
 		}
 		budget := h.s.Rules.FallMultiple * 4 * h.s.Rules.FallWindow.Seconds() / float64(h.s.DispatcherCount) / 0.05
 		if float64(recent) > budget {
-			h.t.Fatalf("rule 4: %d jobs sent to cold worker %d in one window", recent, a.Worker)
+			h.t.Fatalf("cold worker rule: %d jobs sent to cold worker %d in one window", recent, a.Worker)
 		}
 	}
 	further := req.sent() > 0
@@ -183,7 +183,8 @@
 	return n
 }
 
-// checkAttemptBudget checks rule 5 for the window that ends now: the bound on attempts beyond each request's first.
+// checkAttemptBudget checks the attempt budget for the window that ends now: the bound on attempts beyond each request's
+// first.
 func (h *harness) checkAttemptBudget() {
 	b := h.s.Rules.Budget
 	if b == nil {
@@ -201,14 +202,14 @@
 		}
 	}
 	if allowed := b.Spare + b.PerRequest*float64(requests); float64(further) > allowed {
-		h.t.Fatalf("rule 5: got %d further attempts in a window, want at most %v", further, allowed)
+		h.t.Fatalf("attempt budget: got %d further attempts in a window, want at most %v", further, allowed)
 	}
 }
 
-// recordAnswer records the final answer to a request, which must be the only one (rule 1).
+// recordAnswer records the final answer to a request, which must be the only one.
 func (h *harness) recordAnswer(id uint32) {
 	if req := h.requests[id]; req.answered {
-		h.t.Fatalf("rule 1: request %d answered twice", id)
+		h.t.Fatalf("answer rule: request %d answered twice", id)
 	} else {
 		req.answered = true
 	}
@@ -235,7 +236,7 @@
 	return AttemptEnded{req.ID, n, o, req.answered, r, 0}
 }
 
-// step advances the clock by one timer granule and plays random events; load is the chance that a request arrives.
+// step advances the clock by Settings.Granularity and plays random events; load is the chance that a request arrives.
 func (h *harness) step(load float64) {
 	h.now += h.s.Granularity
 	var events []Event
@@ -274,7 +275,7 @@
 	h.handle(events...)
 	for _, id := range h.active {
 		if req := h.requests[id]; !req.answered && h.now > req.due+h.s.Rules.AnswerSlack {
-			h.t.Fatalf("rule 1: request %d not answered by its deadline", id)
+			h.t.Fatalf("answer rule: request %d not answered by its deadline", id)
 		}
 	}
 	h.active = slices.DeleteFunc(h.active, func(id uint32) bool {
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -53,7 +53,7 @@
 	Errors            tally         `json:"Bad"`
 	UnsafeBarredUntil time.Duration `json:"Wary"`
 	ClassErrors       []tally       `json:"Errs"` // by class
-	Refusals          []classBar    `json:"Refusals"`
+	ClassBars         []classBar    `json:"Refusals"`
 }
 
 // ClassSnapshot is what was learned of a class.
@@ -112,7 +112,7 @@
 		saved := WorkerSnapshot{
 			Worker: w.Worker, Ceiling: w.ceiling, Slots: w.learnedSize, Abandoned: w.abandoned, LogDeviation: w.logDeviation, DeviationWeight: w.deviationWeight,
 			Failures: w.failures, Probes: w.probes, RetryAt: w.retryAt, LastAlive: w.lastAlive, NextColdSend: w.nextColdSend, MinStartDelay: w.minStartDelay,
-			LateStarts: w.lateStarts, Errors: w.errors, UnsafeBarredUntil: w.unsafeBarredUntil, FirstJobDue: w.firstJobDue, ClassErrors: w.classErrors, Refusals: w.classBars,
+			LateStarts: w.lateStarts, Errors: w.errors, UnsafeBarredUntil: w.unsafeBarredUntil, FirstJobDue: w.firstJobDue, ClassErrors: w.classErrors, ClassBars: w.classBars,
 		}
 		m.Workers = append(m.Workers, saved)
 	}
@@ -206,7 +206,7 @@
 			w.probes, w.retryAt, w.lastAlive, w.nextColdSend, w.lateStarts = saved.Probes, saved.RetryAt, saved.LastAlive, saved.NextColdSend, saved.LateStarts
 			w.errors, w.unsafeBarredUntil = saved.Errors, saved.UnsafeBarredUntil
 			copy(w.classErrors, saved.ClassErrors)
-			copy(w.classBars, saved.Refusals)
+			copy(w.classBars, saved.ClassBars)
 			if saved.State == Draining { // it holds for the process, whatever an older list says
 				w.State = Draining
 			}
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// handOver replaces the dispatcher by a new process that receives the old one's memory as JSON.
+// handOver replaces the dispatcher by a new process that receives the old one's state as JSON.
 func (h *harness) handOver() {
 	h.t.Helper()
 	text, err := json.Marshal(h.d.Snapshot())
@@ -28,7 +28,7 @@
 		}
 	}
 	h.timers = nil
-	for id, out := range h.cordoned { // the daemon restores cordons first
+	for id, out := range h.cordoned { // the caller of a new process passes the cordons first
 		h.handle(Cordon{Worker: id, Out: out})
 	}
 	h.handle(ListFull{Workers: lines, Cached: true})
