--- a/decide/candidates_test.go
+++ b/decide/candidates_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRequestGoesToItsCandidates checks that a request with Candidates goes to the first valid one of them, and to no others,
-// however free these are.
+// TestRequestGoesToItsCandidates checks that a request with Candidates goes to the first valid one of them, and to no
+// others, however free these are.
 func TestRequestGoesToItsCandidates(t *testing.T) {
 	s := testSettings(1, false, true, false)
 	h := newReadyHarness(t, s, 4)
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestCandidatesOverrideFirstJobs guards against sending a request to a worker outside its Candidates because that has been
-// uncordoned and is due a first job.
+// TestCandidatesOverrideFirstJobs guards against sending a request to a worker outside its Candidates because that has
+// been uncordoned and is due a first job.
 func TestCandidatesOverrideFirstJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.DispatcherCount, s.Rules.Cold, s.Rules.ColdFrom = 3, 20*time.Second, 0.14
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestCandidatesStillApplyPastTheAim guards against sending a request with Candidates to any other worker once it has waited
-// until its aim.
+// TestCandidatesStillApplyPastTheAim guards against sending a request with Candidates to any other worker once it has
+// waited until its aim.
 func TestCandidatesStillApplyPastTheAim(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newReadyHarness(t, testSettings(seed, true, false, false), 4)
--- a/decide/conn_test.go
+++ b/decide/conn_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestConnectionsOfFailingIdleTimesAreClosed guards against connections that are dropped without notice after some idle
-// time: each costs a request, an unsafe one for good. The idle time at which sends fail, by a reset or by silence, is
-// learned, and connections idle for that long are closed first. A worker that fails at any idle time is not affected.
+// TestConnectionsOfFailingIdleTimesAreClosed guards against connections that are dropped without notice after some
+// idle time: each costs a request, an unsafe one for good. The idle time at which sends fail, by a reset or by
+// silence, is learned, and connections idle for that long are closed first. A worker that fails at any idle time is
+// not affected.
 func TestConnectionsOfFailingIdleTimesAreClosed(t *testing.T) {
 	tests := []struct {
 		name       string
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,6 +1,6 @@
-// Most decisions are made in this file and placement.go; lease.go, reservations.go, peers.go, subscribe.go and gated.go
-// have those of their subject. Settings, events and actions are in api.go, the state is in state.go, and what is learned
-// from events in estimate.go.
+// Most decisions are made in this file and placement.go; lease.go, reservations.go, peers.go, subscribe.go and
+// gated.go have those of their subject. Settings, events and actions are in api.go, the state is in state.go, and what
+// is learned from events in estimate.go.
 
 package decide
 
@@ -296,8 +296,8 @@
 		"workers are no longer overloaded")
 }
 
-// enqueue holds a request in this dispatcher, where it can go to any worker that becomes valid; moving it from a worker's
-// queue would cost a further attempt.
+// enqueue holds a request in this dispatcher, where it can go to any worker that becomes valid; moving it from a
+// worker's queue would cost a further attempt.
 func (d *Dispatcher) enqueue(r *request, front bool) {
 	if r.held || r.done {
 		return
@@ -454,9 +454,9 @@
 	return 1 + further + int(share*rate*cmp.Or(d.meanTypicalRun(0), r.class.mean())/slotsPerKeyWorker)
 }
 
-// lastResortWorker returns a random healthy worker, even a full one, for a request with the followup
-// Default that is held past its aim. It applies only while no other request waits and free slots are not reported: then the
-// ceilings may be wrong, otherwise the request would only lengthen a queue.
+// lastResortWorker returns a random healthy worker, even a full one, for a request with the followup Default that is
+// held past its aim. It applies only while no other request waits and free slots are not reported: then the ceilings
+// may be wrong, otherwise the request would only lengthen a queue.
 func (d *Dispatcher) lastResortWorker(r *request) *worker {
 	if d.settings.ReportsFreeSlots && !d.settings.ReportsStart || r.class.followup == Fail || len(r.attempts) > 0 ||
 		d.heldCount() > 1 || d.waitingJobs > 0 {
@@ -507,8 +507,8 @@
 	return used+r.Slots <= max(size, r.Slots) && (!d.settings.ReportsFreeSlots || mem+r.Memory <= max(size, r.Memory))
 }
 
-// unproven reports whether a worker may not exist, as from a list of another deployment: it has never given
-// a sign of life, and most first jobs at such workers failed. It is probed, and gets trials only after some probes went
+// unproven reports whether a worker may not exist, as from a list of another deployment: it has never given a sign of
+// life, and most first jobs at such workers failed. It is probed, and gets trials only after some probes went
 // unanswered.
 func (d *Dispatcher) unproven(w *worker) bool {
 	return w.lastAlive == 0 && d.sawLife && d.settings.Limits.Probes && d.firstJobs.Share > firstJobFailShare
@@ -526,8 +526,8 @@
 	}
 }
 
-// drawAvoidedZones draws the zones that are avoided in one pick: a zone whose share of bad attempts exceeds
-// that of the best zone by more than zoneMargin and four times Prices.CrossZone, the more likely the larger the excess.
+// drawAvoidedZones draws the zones that are avoided in one pick: a zone whose share of bad attempts exceeds that of
+// the best zone by more than zoneMargin and four times Prices.CrossZone, the more likely the larger the excess.
 func (d *Dispatcher) drawAvoidedZones() {
 	best := math.Inf(1)
 	for _, z := range d.zones {
--- a/decide/deployment_test.go
+++ b/decide/deployment_test.go
@@ -245,10 +245,10 @@
 }
 
 // TestColdEncodersOfShortJobs checks the same bound with hundreds of dispatchers whose jobs are short and of very
-// unequal length. An encoder was sent 6.0 times what it could do, and failed: turns were planned for 0.074 s of work, the length of the shortest class, but used for jobs of 0.2 s on
-// average: 45 dispatchers sent 13 s of work in 1.2 s, where 2.7 s were planned, and with two turns each, none made up
-// for it later. The encoders that failed were of the slowest kind, planned for as if of the mean size (2.9 where it
-// did the work of 1.5).
+// unequal length. An encoder was sent 6.0 times what it could do, and failed: turns were planned for 0.074 s of work,
+// the length of the shortest class, but used for jobs of 0.2 s on average: 45 dispatchers sent 13 s of work in 1.2 s,
+// where 2.7 s were planned, and with two turns each, none made up for it later. The encoders that failed were of the
+// slowest kind, planned for as if of the mean size (2.9 where it did the work of 1.5).
 func TestColdEncodersOfShortJobs(t *testing.T) {
 	fleetTest{270, 300, func(n, _ int) int { return n * 55 / 100 }, 2, 12, shortJobSite()}.check(t)
 }
--- a/decide/estimate.go
+++ b/decide/estimate.go
@@ -148,8 +148,8 @@
 // mean returns the class's mean run in seconds, its aim while none is known.
 func (c *class) mean() float64 { return max(c.meanRun, c.typical().Seconds(), 1e-3) }
 
-// cautiousMean returns the class's mean run in seconds, for the budget of cold workers: while few runs are known, a mean
-// below the aim is weighted with the aim.
+// cautiousMean returns the class's mean run in seconds, for the budget of cold workers: while few runs are known, a
+// mean below the aim is weighted with the aim.
 func (c *class) cautiousMean() float64 {
 	return max(c.mean(), (speedPriorJobs*c.Aim.Seconds()+c.jobs*c.mean())/(speedPriorJobs+c.jobs))
 }
--- a/decide/keys_test.go
+++ b/decide/keys_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestWorkerErrorsAreComparedWithAllWorkers checks that requests that fail at any worker cost no worker its trust and are
-// given up after a second one, while a worker that fails what others serve is found.
+// TestWorkerErrorsAreComparedWithAllWorkers checks that requests that fail at any worker cost no worker its trust and
+// are given up after a second one, while a worker that fails what others serve is found.
 func TestWorkerErrorsAreComparedWithAllWorkers(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 6)
 	suspected, before := 0, h.d.trustedWorkers
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -119,11 +119,11 @@
 }
 
 // TestListIsRequestedAgainAfterAFailure checks when a lost list is requested again. A pushed list comes from an agent
-// on the same machine and is requested well within the grace period of a drain. A service gets first calls spread by
-// 5 ms for each dispatcher, over at most 3 s. Later calls are spread over 2.5 s: a worker that has been in the list for
-// 6 s must be known, and a call may still fail 3 s after the service is back. After three calls that waited and failed,
-// longer than the service is usually down, the spread grows threefold with each call. It does not grow where calls fail
-// to reach the service.
+// on the same machine and is requested well within the grace period of a drain. A service gets first calls spread by 5
+// ms for each dispatcher, over at most 3 s. Later calls are spread over 2.5 s: a worker that has been in the list for
+// 6 s must be known, and a call may still fail 3 s after the service is back. After three calls that waited and
+// failed, longer than the service is usually down, the spread grows threefold with each call. It does not grow where
+// calls fail to reach the service.
 func TestListIsRequestedAgainAfterAFailure(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.DispatcherCount, s.Rules.DrainGrace, s.Rules.MustAskIn = 300, time.Second, 10*time.Second
--- a/decide/moves_test.go
+++ b/decide/moves_test.go
@@ -60,8 +60,8 @@
 	return moves, suspected, int((h.now-start)/h.d.budget.Window) + 1
 }
 
-// TestUnresponsiveWorkersJobIgnoresTheLimitOnMoves checks that a job whose worker shows no sign of life does not count as queued, and
-// is repeated beyond the limit on moves.
+// TestUnresponsiveWorkersJobIgnoresTheLimitOnMoves checks that a job whose worker shows no sign of life does not count
+// as queued, and is repeated beyond the limit on moves.
 func TestUnresponsiveWorkersJobIgnoresTheLimitOnMoves(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].LateWorth = 1
@@ -81,9 +81,9 @@
 	require.Positive(t, h.d.workers[first].failures)
 }
 
-// TestQueueBehindOthersJobsIsNotUnresponsive guards against running jobs twice: one of many dispatchers has a job or two at a
-// worker and hears nothing while jobs of others run there, so where jobs queued for longer than four run times, each
-// counted as unresponsive and was moved.
+// TestQueueBehindOthersJobsIsNotUnresponsive guards against running jobs twice: one of many dispatchers has a job or
+// two at a worker and hears nothing while jobs of others run there, so where jobs queued for longer than four run
+// times, each counted as unresponsive and was moved.
 func TestQueueBehindOthersJobsIsNotUnresponsive(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.Classes[0].LateWorth = 0.5
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A load message between dispatchers is a byte that is 1 if the message replaces all that the peers know of this dispatcher's load, then an entry for each
-// worker: its ID, this dispatcher's slots and memory there, and the slots used there by others as of the last report,
-// each in eighths.
+// A load message between dispatchers is a byte that is 1 if the message replaces all that the peers know of this
+// dispatcher's load, then an entry for each worker: its ID, this dispatcher's slots and memory there, and the slots
+// used there by others as of the last report, each in eighths.
 const (
 	loadBytes     = 7               // size of an entry
 	maxLoadsBytes = 256 - loadBytes // no entry is added to a longer message
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -379,9 +379,9 @@
 	}
 }
 
-// TestQueuedJobIsCancelledOnlyWhenCongested checks that a job that still queues at its aim is cancelled only while more
-// of this dispatcher's jobs queue at workers than run: each of many dispatchers finds room for its few jobs everywhere
-// and holds none back.
+// TestQueuedJobIsCancelledOnlyWhenCongested checks that a job that still queues at its aim is cancelled only while
+// more of this dispatcher's jobs queue at workers than run: each of many dispatchers finds room for its few jobs
+// everywhere and holds none back.
 func TestQueuedJobIsCancelledOnlyWhenCongested(t *testing.T) {
 	for i, congested := range []bool{false, true, true} {
 		s := testSettings(1, true, false, false)
--- a/decide/reconfigure.go
+++ b/decide/reconfigure.go
@@ -104,8 +104,8 @@
 	return all
 }
 
-// moveWorker sets a worker's zone from its entry in the list, and reports whether the entry has another zone or
-// kind than before. A process keeps its zone and kind, so a difference means that new settings number them differently.
+// moveWorker sets a worker's zone from its entry in the list, and reports whether the entry has another zone or kind
+// than before. A process keeps its zone and kind, so a difference means that new settings number them differently.
 func (d *Dispatcher) moveWorker(w *worker, l Worker) (renumbered bool) {
 	renumbered = w.Zone != l.Zone || w.Kind != l.Kind
 	if w.zone.id != l.Zone {
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -183,8 +183,8 @@
 	return n
 }
 
-// checkAttemptBudget checks the attempt budget for the window that ends now: the bound on attempts beyond each request's
-// first.
+// checkAttemptBudget checks the attempt budget for the window that ends now: the bound on attempts beyond each
+// request's first.
 func (h *harness) checkAttemptBudget() {
 	b := h.s.Rules.Budget
 	if b == nil {
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -162,7 +162,8 @@
 	return a
 }
 
-// warmStart uses the state of an earlier process where nothing better is known yet. It never makes a worker count as warm or healthy.
+// warmStart uses the state of an earlier process where nothing better is known yet. It never makes a worker count as
+// warm or healthy.
 func (d *Dispatcher) warmStart(m Snapshot) {
 	sane := func(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 	for i, saved := range m.Classes[:min(len(m.Classes), len(d.classes))] {
--- a/decide/state.go
+++ b/decide/state.go
@@ -484,8 +484,8 @@
 	return coldBudgetShare * d.settings.Rules.FallMultiple * d.size(w) * min(1, math.Exp(-d.kindSlowness(w)))
 }
 
-// lateStartAllowance returns how long after its aim a request's job may still start and end in time. It is 0 unless the
-// request is unsafe: one that can be sent again, or has not been sent yet, gives up its place in a queue sooner.
+// lateStartAllowance returns how long after its aim a request's job may still start and end in time. It is 0 unless
+// the request is unsafe: one that can be sent again, or has not been sent yet, gives up its place in a queue sooner.
 func (r *request) lateStartAllowance() time.Duration {
 	if r.class.Effect != Unsafe {
 		return 0
@@ -529,7 +529,8 @@
 
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// backoff returns base doubled n-1 times, times a random factor from 0.5 to 1.5, so that dispatchers don't act at the same time.
+// backoff returns base doubled n-1 times, times a random factor from 0.5 to 1.5, so that dispatchers don't act at the
+// same time.
 func (d *Dispatcher) backoff(base time.Duration, n int) time.Duration {
 	return time.Duration(float64(base) * math.Exp2(float64(n-1)) * (0.5 + d.rng.Float64()))
 }
--- a/decide/subscribe.go
+++ b/decide/subscribe.go
@@ -6,9 +6,9 @@
 )
 
 // The schedule of calls for the worker list. One service answers all dispatchers, one call after another. Its capacity
-// is not known, and dispatchers share no state, so a call is timed by the number of dispatchers, the results of earlier
-// calls and time alone. A worker that has been in the list for 6 s must be known, whatever calls failed before.
-// docs/coldstart-design.md compares the alternatives, for 3 to 3,000 dispatchers.
+// is not known, and dispatchers share no state, so a call is timed by the number of dispatchers, the results of
+// earlier calls and time alone. A worker that has been in the list for 6 s must be known, whatever calls failed
+// before. docs/coldstart-design.md compares the alternatives, for 3 to 3,000 dispatchers.
 const (
 	firstCallSpacing   = 5 * time.Millisecond    // spread of the first calls, for each dispatcher
 	maxFirstSpread     = 0.3                     // limit on that spread, as a share of the time in which the rules require a call
