--- a/decide/state.go
+++ b/decide/state.go
@@ -42,7 +42,7 @@
 	foreignAt                     time.Duration // when foreignSlots was set
 	foreignUnsent                 bool          // the peers have not received foreignSlots yet
 	learnedSize                   float64       // slots, 0 when not known
-	failures                      int           // consecutive failures, halved by a sign of life; 0: trusted, above maxFailures/2: suspect
+	failures                      int           // consecutive failures, halved by a sign of life; 0: trusted, else untrusted, above maxFailures/2 also suspect
 	retryAt                       time.Duration // when an untrusted worker may get the next trial
 	lastAlive                     time.Duration // last sign of life (see recordLife), or the first answered probe
 	probes                        int           // sent while the worker is unproven (see unproven)
