--- a/decide/order_test.go
+++ b/decide/candidates_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestRequestFollowsItsOwnOrder checks that a request with its own order of workers goes to the first valid one of
-// them, and to no others, however free these are.
-func TestRequestFollowsItsOwnOrder(t *testing.T) {
+// TestRequestGoesToItsCandidates checks that a request with Candidates goes to the first valid one of them, and to no
+// others, however free these are.
+func TestRequestGoesToItsCandidates(t *testing.T) {
 	s := testSettings(1, false, true, false)
 	h := newReadyHarness(t, s, 4)
 	send := func(order ...uint32) (got uint32) {
@@ -21,7 +21,7 @@
 		return got
 	}
 	if got := send(3, 1); got != 3 {
-		t.Errorf("got worker %d, want 3, the first of the order", got)
+		t.Errorf("got worker %d, want 3, the first candidate", got)
 	}
 	if got := send(3, 1); got != 1 {
 		t.Errorf("got worker %d, want 1, as 3 is full", got)
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestOrderOverridesFirstJobs guards against sending a request outside its order because an uncordoned worker is due a
-// first job: a rerun restricted to other sites could reach the worker that had produced bad output.
-func TestOrderOverridesFirstJobs(t *testing.T) {
+// TestCandidatesOverrideFirstJobs guards against sending a request to a worker outside its Candidates because that has
+// been uncordoned and is due a first job.
+func TestCandidatesOverrideFirstJobs(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.DispatcherCount, s.Rules.Cold, s.Rules.ColdFrom = 3, 20*time.Second, 0.14
 	h := newReadyHarness(t, s, 4)
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestOrderStillAppliesPastTheAim guards against sending a request with its own order to any worker once it has waited
-// until its aim.
-func TestOrderStillAppliesPastTheAim(t *testing.T) {
+// TestCandidatesStillApplyPastTheAim guards against sending a request with Candidates to any other worker once it has
+// waited until its aim.
+func TestCandidatesStillApplyPastTheAim(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newReadyHarness(t, testSettings(seed, true, false, false), 4)
 		h.d.Handle(h.now, []Event{ListDelta{Workers: []Worker{{ID: 3, State: Draining}}}})
--- a/decide/retune_test.go
+++ b/decide/reconfigure_test.go
@@ -82,21 +82,21 @@
 		c.meanRun, c.meanLogRun, c.jobs = c.Aim.Seconds(), math.Log(c.Aim.Seconds()), 40
 	}
 	for _, wk := range h.d.workers {
-		wk.refusals[2].Until, wk.refusals[3].Until = h.now+time.Minute, h.now+time.Minute
+		wk.classBars[2].Until, wk.classBars[3].Until = h.now+time.Minute, h.now+time.Minute
 	}
 	if err := h.d.Reconfigure(withRemoved(s, 2, 1)); err != nil {
 		t.Fatal(err)
 	}
 	removedFirst := withRemoved(s, 2, 1)
 	if removedFirst.TimingClass = 1; h.d.Reconfigure(removedFirst) == nil {
-		t.Error("removed class as the first: got no error")
+		t.Error("removed class as TimingClass: got no error")
 	}
 	d := h.d
 	_, avoided := d.WorkerCounts()
 	for name, gotWant := range map[string][2]any{
-		"pace": {d.pace(), 200 * ms}, "longest deadline": {d.longestDeadline(), 4 * time.Second}, "longest run": {math.Round(1000 * d.longestMeanRun()), 300.0},
-		"agreed rate": {d.agreedRate(), 7.0}, "usual run": {d.meanTypicalRun(0) < 0.31, true}, "mean worth": {d.meanWorth(), 2.5}, "avoided": {avoided, 3},
-		"span of attempts": {d.budget.Window, 4 * time.Second},
+		"pace": {d.pace(), 200 * ms}, "longest deadline": {d.longestDeadline(), 4 * time.Second}, "longestMeanRun": {math.Round(1000 * d.longestMeanRun()), 300.0},
+		"agreed rate": {d.agreedRate(), 7.0}, "meanTypicalRun": {d.meanTypicalRun(0) < 0.31, true}, "mean worth": {d.meanWorth(), 2.5}, "avoided": {avoided, 3},
+		"budget.Window": {d.budget.Window, 4 * time.Second},
 	} {
 		if gotWant[0] != gotWant[1] {
 			t.Errorf("%s: got %v, want %v", name, gotWant[0], gotWant[1])
@@ -123,7 +123,7 @@
 	if err := h.d.Reconfigure(sameJobs); err != nil || h.d.classes[0].jobs != 200 || h.d.classes[0].maxBudget != 10*time.Second {
 		t.Errorf("change of worth and effect: got learned run times reset or error %v", err)
 	}
-	h.d.workers[1].refusals[0], h.d.workers[1].classErrors[0] = refusal{3, h.now + time.Minute}, tally{8, 1}
+	h.d.workers[1].classBars[0], h.d.workers[1].classErrors[0] = classBar{3, h.now + time.Minute}, tally{8, 1}
 	otherJobs := s
 	otherJobs.Classes = slices.Clone(s.Classes)
 	otherJobs.Classes[0].Aim, otherJobs.Classes[0].Deadline = 300*ms, 6*time.Second
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	h.s = otherJobs
-	if c := h.d.classes[0]; c.meanRun != 0 || c.jobs != 0 || h.d.workers[1].refusals[0].Doublings != 0 || h.d.workers[1].classErrors[0].Share != 0 {
+	if c := h.d.classes[0]; c.meanRun != 0 || c.jobs != 0 || h.d.workers[1].classBars[0].Doublings != 0 || h.d.workers[1].classErrors[0].Share != 0 {
 		t.Error("got what was learned of the old jobs, want it reset")
 	}
 	req := h.newRequest(0, 6*time.Second)
@@ -163,7 +163,7 @@
 
 // TestStateDerivedFromOldSettingsIsReset guards against state computed from old settings: turns of cold workers
 // planned for hundreds of dispatchers when there is one, or for workers that are cold only by the new rules, and
-// failures at idle ages measured in parts of the old idle time.
+// failures at idle times measured in parts of the old limit.
 func TestStateDerivedFromOldSettingsIsReset(t *testing.T) {
 	s := testSettings(1, true, false, false)
 	s.DispatcherCount, s.Limits.ConnIdle, s.Limits.ConnectTimeout = 400, 64*time.Second, 2*time.Second
@@ -184,7 +184,7 @@
 		t.Fatal(err)
 	}
 	if d := h.d; d.workers[1].nextColdSend != 0 || d.idleFailures[4].Count != 0 || d.connSetup() != 50*ms || d.maxBatchDelay != 500*ms || !slices.IsSorted(d.queueOrder) {
-		t.Errorf("got turn %v, idle ages %v, set-up time %v, stall %v; want them reset or bounded", d.workers[1].nextColdSend, d.idleFailures, d.connSetup(), d.maxBatchDelay)
+		t.Errorf("got turn %v, failures by idle time %v, set-up time %v, stall %v; want them reset or bounded", d.workers[1].nextColdSend, d.idleFailures, d.connSetup(), d.maxBatchDelay)
 	}
 	warm := next
 	warm.Rules.Cold = 0
