--- a/decide/api.go
+++ b/decide/api.go
@@ -130,15 +130,15 @@
 
 // Rules holds the parameters of the rules.
 type Rules struct {
-	AnswerSlack    time.Duration // no decision depends on it
-	DrainGrace     time.Duration // time in which a draining worker finishes what it has
-	ColdFrom       float64       // share of its capacity that a worker has at its start
-	Cold           time.Duration // time in which it warms up to all of it
-	FallMultiple   float64       // times its capacity that a cold worker may get in a FallWindow
-	FallWindow     time.Duration
-	MustAskIn      time.Duration  // time in which the worker list must be subscribed to
-	Budget         *AttemptBudget // nil: the rules set none
-	GoneIsAdvisory bool           // the list's state Gone is only advisory; Draining binds
+	AnswerSlack     time.Duration // no decision depends on it
+	DrainGrace      time.Duration // time in which a draining worker finishes what it has
+	ColdFrom        float64       // share of its capacity that a worker has at its start
+	Cold            time.Duration // time in which it warms up to all of it
+	FallMultiple    float64       // times its capacity that a cold worker may get in a FallWindow
+	FallWindow      time.Duration
+	SubscribeWithin time.Duration  // time in which the worker list must be subscribed to
+	Budget          *AttemptBudget // nil: the rules set none
+	GoneIsAdvisory  bool           // the list's state Gone is only advisory; Draining binds
 }
 
 // AttemptBudget bounds attempts beyond each request's first: in any Window, Spare of them plus PerRequest for
@@ -322,8 +322,8 @@
 	}
 	// Cordon: an operator cordons a worker, or removes its cordon.
 	Cordon struct {
-		Worker uint32
-		Out    bool
+		Worker   uint32
+		Cordoned bool
 	}
 	// WorkerReservations replaces a worker's reservations, for requests of any dispatcher. From its start on a reservation counts as
 	// used; until then its slots may be used by requests that end in time: of known work, or with an earlier deadline.
@@ -532,7 +532,7 @@
 		case PeerMessage:
 			d.peerMessage(e)
 		case Cordon:
-			d.setCordon(e.Worker, e.Out)
+			d.setCordon(e.Worker, e.Cordoned)
 		case Lease:
 			d.addLease(e)
 		case WorkerReservations:
--- a/decide/candidates_test.go
+++ b/decide/candidates_test.go
@@ -41,7 +41,7 @@
 	s := testSettings(1, true, false, false)
 	s.DispatcherCount, s.Rules.Cold, s.Rules.ColdFrom = 3, 20*time.Second, 0.14
 	h := newReadyHarness(t, s, 4)
-	h.handle(Cordon{Worker: 2, Out: true})
+	h.handle(Cordon{Worker: 2, Cordoned: true})
 	h.now += time.Second
 	h.handle(Cordon{Worker: 2})
 	for end := h.now + uncordonedWithin; h.now < end; {
--- a/decide/cordon_test.go
+++ b/decide/cordon_test.go
@@ -15,7 +15,7 @@
 		playRandomEventsWith(t, s, 1500, func(h *harness, i int) {
 			if id := uint32(h.rng.IntN(6) + 1); i%31 == 30 {
 				h.cordoned[id] = !h.cordoned[id]
-				h.handle(Cordon{Worker: id, Out: h.cordoned[id]})
+				h.handle(Cordon{Worker: id, Cordoned: h.cordoned[id]})
 			}
 			if i%97 == 96 {
 				h.handOver()
@@ -32,7 +32,7 @@
 		s.DispatcherCount, s.DispatcherIndex = 3, n
 		s.Rules.Cold, s.Rules.ColdFrom = 20*time.Second, 0.14
 		h := newReadyHarness(t, s, 4)
-		h.handle(Cordon{Worker: 2, Out: true}, Cordon{Worker: 2, Out: true})
+		h.handle(Cordon{Worker: 2, Cordoned: true}, Cordon{Worker: 2, Cordoned: true})
 		if listed, avoided := h.d.WorkerCounts(); listed != 4 || avoided != 1 {
 			t.Errorf("got %d workers listed and %d avoided, want 4 and 1", listed, avoided)
 		}
@@ -73,7 +73,7 @@
 // uncordoned worker counts as cold as well.
 func TestUncordonedWorkerIsQueuedOnce(t *testing.T) {
 	h := newReadyHarness(t, testSettings(1, true, false, false), 2)
-	h.handle(Cordon{Worker: 1, Out: true})
+	h.handle(Cordon{Worker: 1, Cordoned: true})
 	h.handle(Cordon{Worker: 1})
 	if n := len(h.d.firstJobQueue); n != 1 {
 		t.Errorf("got %d entries for one worker, want 1", n)
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -126,7 +126,7 @@
 // calls fail to reach the service.
 func TestListIsRequestedAgainAfterAFailure(t *testing.T) {
 	s := testSettings(1, true, false, false)
-	s.DispatcherCount, s.Rules.DrainGrace, s.Rules.MustAskIn = 300, time.Second, 10*time.Second
+	s.DispatcherCount, s.Rules.DrainGrace, s.Rules.SubscribeWithin = 300, time.Second, 10*time.Second
 	delayUntilCall := func(h *harness, failed ListFailed, waits time.Duration) (after time.Duration) {
 		h.now += waits
 		failedAt := h.now
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -115,7 +115,7 @@
 
 // peerInterval returns the time between two messages that replace the earlier ones; a peer that is silent for three of
 // them is forgotten.
-func (d *Dispatcher) peerInterval() time.Duration { return d.settings.Rules.MustAskIn / 2 }
+func (d *Dispatcher) peerInterval() time.Duration { return d.settings.Rules.SubscribeWithin / 2 }
 
 // peerGroup returns the number of the group of dispatchers that report their load to each other and so can
 // share one order of workers. With hundreds of dispatchers, messages to all would cost more than the jobs.
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -25,7 +25,7 @@
 		Limits: Limits{MaxAttempts: 3, MaxOpen: 1000, Cancel: true, ParallelAttempts: true, RetryAfter: true,
 			PeerMessages: peers, MaxRetryAfter: time.Second},
 		Rules: Rules{AnswerSlack: 8 * ms, DrainGrace: 100 * ms, ColdFrom: 0.3, Cold: 5 * time.Second,
-			FallMultiple: 3, FallWindow: time.Second, MustAskIn: 10 * time.Second},
+			FallMultiple: 3, FallWindow: time.Second, SubscribeWithin: 10 * time.Second},
 		Subscribe: true, ReportsStart: starts, ReportsFreeSlots: reports, ProgressInterval: 500 * ms,
 	}
 }
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -29,7 +29,7 @@
 	}
 	h.timers = nil
 	for id, out := range h.cordoned { // the caller of a new process passes the cordons first
-		h.handle(Cordon{Worker: id, Out: out})
+		h.handle(Cordon{Worker: id, Cordoned: out})
 	}
 	h.handle(ListFull{Workers: lines, Cached: true})
 	h.handle(Restore{Snapshot: m})
--- a/decide/subscribe.go
+++ b/decide/subscribe.go
@@ -29,7 +29,7 @@
 	if failed.Elapsed > 0 { // the call may have been made by the discovery client
 		d.subscribedAt = d.now - failed.Elapsed
 	}
-	within := d.settings.Rules.MustAskIn
+	within := d.settings.Rules.SubscribeWithin
 	spread := min(time.Duration(d.settings.DispatcherCount)*firstCallSpacing, time.Duration(maxFirstSpread*float64(within)))
 	few, unreachable := spread < within/fewSpreadDivisor/4, failed.Unreachable || d.now-d.subscribedAt < within/unreachableDivisor
 	if d.now-d.subscribedAt >= within { // no call takes this long: a watch has ended
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -59,7 +59,7 @@
 	l, err := New(decide.Settings{
 		DispatcherCount: 1, Granularity: time.Millisecond, Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
 		Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any}},
-		Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, MustAskIn: time.Second},
+		Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, SubscribeWithin: time.Second},
 	}, wire.Names{Classes: []string{"safe"}}, f, f, f, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	return l
--- a/internal/dispatch/input.go
+++ b/internal/dispatch/input.go
@@ -132,7 +132,7 @@
 
 // Cordon reports that an operator cordons or uncordons an instance.
 func (l *Loop) Cordon(id string, out bool) {
-	l.post(func(l *Loop) { l.queueEvent(decide.Cordon{Worker: l.workerID(id), Out: out}) })
+	l.post(func(l *Loop) { l.queueEvent(decide.Cordon{Worker: l.workerID(id), Cordoned: out}) })
 }
 
 // SetReservations sets the time spans, in Unix time, during which slots of an instance are reserved, whichever dispatcher
--- a/internal/dispatch/settings_test.go
+++ b/internal/dispatch/settings_test.go
@@ -53,7 +53,7 @@
 		},
 		Rules: decide.Rules{
 			DrainGrace: span("grace", 50, 900), ColdFrom: 0.05 + 0.9*share("cold from"), Cold: span("cold", 0, 9000), FallMultiple: 1 + 2*share("fall"),
-			FallWindow: span("window", 100, 2000), MustAskIn: span("ask", 300, 9000), GoneIsAdvisory: yes("advice"),
+			FallWindow: span("window", 100, 2000), SubscribeWithin: span("ask", 300, 9000), GoneIsAdvisory: yes("advice"),
 		},
 		Prices: decide.Prices{CrossZone: share("cross"), Waste: share("waste")},
 	}
@@ -320,7 +320,7 @@
 		return decide.Settings{
 			DispatcherCount: 1, Granularity: time.Millisecond, Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
 			Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any, Effect: decide.Keyed, Scope: decide.ScopeZone, DedupWindow: time.Hour}},
-			Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, MustAskIn: time.Second},
+			Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, SubscribeWithin: time.Second},
 		}, wire.Names{Classes: []string{"keyed"}, Zones: zones}
 	}
 	newLoop := func(f *fleet, zones ...string) *Loop {
--- a/internal/fleetmodel/draw.go
+++ b/internal/fleetmodel/draw.go
@@ -224,7 +224,7 @@
 	}
 	s.Rules = decide.Rules{
 		AnswerSlack: r.time(0.005, 0.05), DrainGrace: r.time(0.2, 1.5), ColdFrom: r.between(0.1, 0.4), Cold: r.time(5, 25),
-		FallMultiple: r.between(2, 4), FallWindow: time.Second, MustAskIn: 10 * time.Second, GoneIsAdvisory: r.yes(0.2),
+		FallMultiple: r.between(2, 4), FallWindow: time.Second, SubscribeWithin: 10 * time.Second, GoneIsAdvisory: r.yes(0.2),
 	}
 	if r.yes(0.2) {
 		s.Rules.Budget = &decide.AttemptBudget{Spare: r.between(1, 10), PerRequest: r.between(0.1, 0.5), Window: r.time(1, 10)}
--- a/internal/fleetmodel/grid.go
+++ b/internal/fleetmodel/grid.go
@@ -27,7 +27,7 @@
 			},
 			Rules: decide.Rules{
 				AnswerSlack: 8 * time.Millisecond, DrainGrace: 750 * time.Millisecond, ColdFrom: 0.14, Cold: 24 * time.Second,
-				FallMultiple: 3, FallWindow: time.Second, MustAskIn: 10 * time.Second,
+				FallMultiple: 3, FallWindow: time.Second, SubscribeWithin: 10 * time.Second,
 			},
 		},
 	}
--- a/internal/net/clients/disconnect_test.go
+++ b/internal/net/clients/disconnect_test.go
@@ -39,7 +39,7 @@
 	l, err := dispatch.New(decide.Settings{
 		DispatcherCount: 1, Granularity: time.Millisecond, Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
 		Classes: []decide.Class{{Aim: time.Minute, Deadline: time.Hour, Worth: 1, Kind: decide.Any}},
-		Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, MustAskIn: time.Second},
+		Rules:   decide.Rules{Cold: time.Second, FallWindow: time.Second, SubscribeWithin: time.Second},
 	}, wire.Names{Classes: []string{"safe"}}, f, f, dispatch.NoOtherProcess{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	l.UpdateInstances(dispatch.InstanceUpdate{Instances: []dispatch.Instance{{ID: "s-1", State: decide.Ready}}}, true)
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -103,7 +103,7 @@
 // clockSettings derives the clock's settings. A pushed list comes from an agent on this machine, which has received
 // it already; otherwise it comes from a service that many dispatchers call.
 func clockSettings(s decide.Settings) listclock.Settings {
-	t := listclock.Settings{Mode: listclock.Watched, MaxAge: s.Rules.MustAskIn, DrainGrace: s.Rules.DrainGrace, Spread: time.Duration(s.DispatcherCount) * callSpacing}
+	t := listclock.Settings{Mode: listclock.Watched, MaxAge: s.Rules.SubscribeWithin, DrainGrace: s.Rules.DrainGrace, Spread: time.Duration(s.DispatcherCount) * callSpacing}
 	if s.ListPushed {
 		t.Mode = listclock.Pushed
 	}
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -45,7 +45,7 @@
 func (l lostWatch) Unwrap() error { return l.error }
 
 func testSettings(dispatchers int, pushed bool) decide.Settings {
-	return decide.Settings{DispatcherCount: dispatchers, ListPushed: pushed, Rules: decide.Rules{MustAskIn: 10 * time.Second, DrainGrace: 500 * time.Millisecond}}
+	return decide.Settings{DispatcherCount: dispatchers, ListPushed: pushed, Rules: decide.Rules{SubscribeWithin: 10 * time.Second, DrainGrace: 500 * time.Millisecond}}
 }
 
 const (
--- a/internal/net/plain/site.go
+++ b/internal/net/plain/site.go
@@ -102,7 +102,7 @@
 		Limits: decide.Limits{
 			MaxAttempts: 3, MaxOpen: 20_000, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, ConnectTimeout: 2 * time.Second, ConnIdle: time.Minute,
 		},
-		Rules: decide.Rules{FallWindow: time.Second, Cold: time.Second, ColdFrom: 1, FallMultiple: 3, DrainGrace: 750 * time.Millisecond, MustAskIn: 10 * time.Second},
+		Rules: decide.Rules{FallWindow: time.Second, Cold: time.Second, ColdFrom: 1, FallMultiple: 3, DrainGrace: 750 * time.Millisecond, SubscribeWithin: 10 * time.Second},
 		Goal:  decide.Goal{Whole: 1},
 	}
 	n := wire.Names{Zones: []string{"here"}}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -139,7 +139,7 @@
 		Rules: decide.Rules{
 			AnswerSlack: us(r.AnswerSlackUs), DrainGrace: us(r.DrainGraceUs), ColdFrom: r.ColdFrom,
 			Cold: us(r.ColdUs), FallMultiple: r.FallMultiple, FallWindow: us(r.FallUs),
-			MustAskIn: us(r.MustAskInUs), GoneIsAdvisory: r.GoneIsAdvice,
+			SubscribeWithin: us(r.MustAskInUs), GoneIsAdvisory: r.GoneIsAdvice,
 		},
 		Prices: decide.Prices{
 			CrossZone: d.CrossZone, Waste: d.Waste, LateFail: d.LateFail, Probe: d.Probe, Peer: d.Peer,
