--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,4 @@
-// Package config is the one place where the program's configuration is read,
-// checked and given defaults.
+// Package config reads the program's configuration, checks it and fills in defaults.
 package config
 
 import (
@@ -21,44 +20,44 @@
 	"caperrelay/internal/wire"
 )
 
-// Defaults and floors of the limits, for a configuration that names none.
+// Defaults and minimums of the limits.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastMemoryMB   = 32
-	leastSockets    = 128
+	minMemoryMB   = 32
+	minSockets    = 128
 	defaultConnect  = time.Second
 	defaultIdle     = 30 * time.Second
 )
 
-// Config is all that a dispatcher is told at its start.
+// Config is the configuration that a dispatcher starts with.
 type Config struct {
 	Name      string
-	Listen    string // service clients and call-backs come here
-	Discovery string // the name table's peer
-	Admin     string // operators call here; empty: nowhere
-	Dir       string // for what processes of one dispatcher leave each other
+	Listen    string // address for clients and callbacks
+	Discovery string // address of the discovery service
+	Admin     string // address of the operators' interface; empty: none
+	Dir       string // directory for files that successive processes of one dispatcher share
 	Limits    Limits
-	Known     dispatch.InstanceUpdate // as last held; may be out of date
+	Known     dispatch.InstanceUpdate // the last known instance list; may be out of date
 	Settings  decide.Settings
 	Names     wire.Names
 
-	Document []byte // the settings' text
+	Document []byte // the settings as JSON
 
 	getenv func(string) string
 	read   func() ([]byte, error)
 	adjust func(*decide.Settings)
-	text   []byte // of the file that counts
+	text   []byte // of the configuration in force
 }
 
-// Limits is what the machine allows.
+// Limits holds the machine resources that the dispatcher may use.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
 	Sockets  int
 }
 
-// file is PROXY_CONFIG as it is written.
+// file is the JSON form of the file that PROXY_CONFIG names.
 type file struct {
 	Name      string `json:"Name"`
 	Listen    string `json:"Listen"`
@@ -75,7 +74,7 @@
 }
 
 // Load reads the PROXY_* variables through getenv and the file that PROXY_CONFIG
-// names. A variable that is set wins over the file's key. Errors name the faulty key.
+// names. A variable that is set overrides the file's key. Errors name the invalid key.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -90,8 +89,8 @@
 	})
 }
 
-// LoadBy is Load of a text that comes from elsewhere, at each reload anew. adjust adds what the text has
-// no word for to the settings; nil: nothing.
+// LoadBy is like Load, but gets the file's text from read, which each reload calls again. If adjust is not nil, it sets
+// settings that the text cannot express.
 func LoadBy(getenv func(string) string, adjust func(*decide.Settings), read func() ([]byte, error)) (*Config, error) {
 	text, err := read()
 	if err != nil {
@@ -99,9 +98,9 @@
 	}
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) && wrong.Field != "" {
-			return nil, fmt.Errorf("%s: a JSON %s cannot be a %s", wrong.Field, wrong.Value, wrong.Type)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) && typeErr.Field != "" {
+			return nil, fmt.Errorf("%s: a JSON %s cannot be a %s", typeErr.Field, typeErr.Value, typeErr.Type)
 		}
 		return nil, fmt.Errorf("PROXY_CONFIG: %s: %w", getenv("PROXY_CONFIG"), err)
 	}
@@ -116,9 +115,9 @@
 	return c, nil
 }
 
-// Reload reads the file anew, while the program runs. Its discovery wins over the variable,
-// which still tells the address of the start. A file that lacks a key which the one that counts
-// has is taken for unfinished.
+// Reload reads the file again while the program runs. The file's discovery address overrides the variable, which
+// still holds the address of the program's start. A file that lacks a key of the configuration in force is rejected,
+// as it may be only partly written.
 func (c *Config) Reload() (*Config, error) {
 	next, err := LoadBy(func(name string) string {
 		if name == "PROXY_DISCOVERY" {
@@ -129,40 +128,40 @@
 	if err != nil {
 		return nil, err
 	}
-	var has, had map[string]any
-	if err := errors.Join(json.Unmarshal(next.text, &has), json.Unmarshal(c.text, &had)); err != nil {
+	var updated, current map[string]any
+	if err := errors.Join(json.Unmarshal(next.text, &updated), json.Unmarshal(c.text, &current)); err != nil {
 		return nil, err
 	}
-	for _, key := range []string{"known", "admin_addr"} { // may be left out
-		delete(had, key)
+	for _, key := range []string{"known", "admin_addr"} { // optional
+		delete(current, key)
 	}
-	return next, lacks(has, had, "")
+	return next, checkKeysKept(updated, current, "")
 }
 
-// Running says that another configuration counts from now on.
+// Running records that next is in force from now on.
 func (c *Config) Running(next *Config) { c.text = next.text }
 
-// lacks names a key that one value has and the other has not. Elements of an array must have the
-// keys that all elements had.
-func lacks(has, had any, at string) error {
-	switch had := had.(type) {
+// checkKeysKept returns an error that names a key of current which updated lacks. Each element of a list must have the
+// keys that all elements of the current list have in common.
+func checkKeysKept(updated, current any, path string) error {
+	switch current := current.(type) {
 	case map[string]any:
-		has, ok := has.(map[string]any)
-		for _, key := range slices.Sorted(maps.Keys(had)) {
-			name := strings.TrimPrefix(at+"."+key, ".")
-			if value, found := has[key]; !ok || !found {
+		updated, ok := updated.(map[string]any)
+		for _, key := range slices.Sorted(maps.Keys(current)) {
+			name := strings.TrimPrefix(path+"."+key, ".")
+			if value, found := updated[key]; !ok || !found {
 				return fmt.Errorf("%s: missing", name)
-			} else if err := lacks(value, had[key], name); err != nil {
+			} else if err := checkKeysKept(value, current[key], name); err != nil {
 				return err
 			}
 		}
 	case []any:
-		has, ok := has.([]any)
+		updated, ok := updated.([]any)
 		if !ok {
-			return fmt.Errorf("%s: no list", at)
+			return fmt.Errorf("%s: not a list", path)
 		}
-		for i, value := range has {
-			if err := lacks(value, common(had), fmt.Sprintf("%s[%d]", at, i)); err != nil {
+		for i, value := range updated {
+			if err := checkKeysKept(value, commonKeys(current), fmt.Sprintf("%s[%d]", path, i)); err != nil {
 				return err
 			}
 		}
@@ -170,8 +169,8 @@
 	return nil
 }
 
-// common is an object with the keys that all of a list's elements have, nil if those are no objects.
-func common(list []any) any {
+// commonKeys returns an object with the keys that all elements of list have, or nil if an element is not an object.
+func commonKeys(list []any) any {
 	var keys map[string]any
 	for _, element := range list {
 		object, ok := element.(map[string]any)
@@ -189,8 +188,7 @@
 	return keys
 }
 
-// AtRestart names the keys in which another configuration differs and that count from the
-// next start on only.
+// AtRestart returns the keys whose values differ in next and take effect only at the next start.
 func (c *Config) AtRestart(next *Config) (keys []string) {
 	for _, k := range []struct {
 		key  string
@@ -206,7 +204,7 @@
 	return keys
 }
 
-// checkSettings refuses what no dispatcher can go by.
+// checkSettings rejects settings that a dispatcher cannot work with.
 func checkSettings(s decide.Settings, n wire.Names) error {
 	if s.Limits.MaxAttempts < 1 {
 		return fmt.Errorf("settings.Permissions.AttemptsCap: %d is no number of attempts", s.Limits.MaxAttempts)
@@ -229,6 +227,7 @@
 	return nil
 }
 
+// check validates the file and merges it with the variables and the defaults.
 func (f *file) check(getenv func(string) string) (*Config, error) {
 	c := &Config{
 		Name: cmp.Or(getenv("PROXY_NAME"), f.Name), Dir: cmp.Or(getenv("TMPDIR"), os.TempDir()),
@@ -255,24 +254,24 @@
 	switch l := c.Limits; {
 	case !(l.Cores > 0):
 		return nil, fmt.Errorf("limits.cores: %v is no number of cores", l.Cores)
-	case l.MemoryMB < leastMemoryMB:
-		return nil, fmt.Errorf("limits.memory_mb: %d is under the least, %d", l.MemoryMB, leastMemoryMB)
-	case l.Sockets < leastSockets:
-		return nil, fmt.Errorf("limits.sockets: %d is under the least, %d", l.Sockets, leastSockets)
+	case l.MemoryMB < minMemoryMB:
+		return nil, fmt.Errorf("limits.memory_mb: %d is under the least, %d", l.MemoryMB, minMemoryMB)
+	case l.Sockets < minSockets:
+		return nil, fmt.Errorf("limits.sockets: %d is under the least, %d", l.Sockets, minSockets)
 	}
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
 	if c.Settings, c.Names, err = wire.ParseSettings(f.Settings); err != nil {
-		return nil, err // it names settings itself
+		return nil, err // it already names the settings key
 	}
 	c.Document = f.Settings
 	if err := checkSettings(c.Settings, c.Names); err != nil {
 		return nil, err
 	}
-	// On sockets a list that is pushed comes by a watch too: of the agent on this machine.
+	// With real connections a pushed instance list arrives through a watch, too: on the agent of this machine.
 	c.Settings.Subscribe = true
-	// Without these every connection would fail at once, or be closed as soon as it is idle.
+	// With zero values each connection would fail at once, or be closed as soon as it is idle.
 	limits := &c.Settings.Limits
 	limits.ConnectTimeout = cmp.Or(limits.ConnectTimeout, defaultConnect)
 	limits.ConnIdle = cmp.Or(limits.ConnIdle, defaultIdle)
@@ -290,8 +289,9 @@
 	return c, nil
 }
 
-func address(key, variable string, getenv func(string) string, inFile string) (string, error) {
-	a := cmp.Or(getenv(variable), inFile)
+// address returns the host and port that variable holds, or else the file's value.
+func address(key, variable string, getenv func(string) string, fileValue string) (string, error) {
+	a := cmp.Or(getenv(variable), fileValue)
 	if a == "" {
 		return "", fmt.Errorf("%s: missing (%s or the key %s)", key, variable, key)
 	}
@@ -305,9 +305,9 @@
 	return a, nil
 }
 
-func orDefault[T any](p *T, d T) T {
+func orDefault[T any](p *T, fallback T) T {
 	if p == nil {
-		return d
+		return fallback
 	}
 	return *p
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon runs the dispatcher as the platform starts it: by its environment, until a signal.
+// Package daemon runs the dispatcher as the platform starts it: configured by environment variables, until a signal.
 package daemon
 
 import (
@@ -12,7 +12,7 @@
 	"caperrelay/internal/program"
 )
 
-// Run serves by the PROXY_* variables of an environment until a signal to end comes.
+// Run serves with the configuration that the PROXY_* variables give, until a signal ends the process.
 func Run(getenv func(string) string) error {
 	signals := Signals()
 	c, err := config.Load(getenv)
@@ -30,15 +30,15 @@
 	return p.Run(signals)
 }
 
-// Signals is the signals that a dispatcher obeys.
+// Signals returns a channel of the signals that a dispatcher handles.
 func Signals() <-chan os.Signal {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return signals
 }
 
-// Logger writes events to standard error, one a line: format is "text" or "json", level "debug",
-// "info", "warn" or "error"; empty ones are text and info.
+// Logger returns a logger that writes to standard error, one event per line. format is "text" or "json", level "debug",
+// "info", "warn" or "error". The defaults are text and info.
 func Logger(format, level string) (*slog.Logger, error) {
 	o := &slog.HandlerOptions{}
 	if level != "" {
@@ -50,9 +50,9 @@
 	}
 	switch format {
 	case "", "text":
-		return slog.New(slog.NewTextHandler(newLines(os.Stderr), o)), nil
+		return slog.New(slog.NewTextHandler(newLineWriter(os.Stderr), o)), nil
 	case "json":
-		return slog.New(slog.NewJSONHandler(newLines(os.Stderr), o)), nil
+		return slog.New(slog.NewJSONHandler(newLineWriter(os.Stderr), o)), nil
 	}
 	return nil, fmt.Errorf("WINGLB_LOG: %q is neither text nor json", format)
 }
--- a/internal/daemon/lines.go
+++ b/internal/daemon/lines.go
@@ -9,58 +9,58 @@
 )
 
 const (
-	linePatience = 20 * time.Millisecond // with whoever reads the log, once until it has caught up
-	mostLines    = 1024                  // that wait for it; the next are lost, and how many is told
+	writeTimeout = 20 * time.Millisecond // for the reader of the log; waited once until the reader has caught up
+	maxQueued    = 1024                  // queued lines; further ones are dropped, and their number is logged
 )
 
-// lines hands a log's lines to a reader that may stand still, without waiting for it: the log is a pipe where another
-// program keeps it, and one line in a full pipe held up everything, the operators' answers first.
-type lines struct {
-	to     io.Writer
-	queue  chan line
+// lineWriter writes log lines through a queue, so that a stalled reader of the log does not block the program. The log may be
+// a pipe to another program, and one write to a full pipe blocked everything, the operators' answers first.
+type lineWriter struct {
+	out     io.Writer
+	queue  chan logLine
 	behind atomic.Bool // nobody waits until all is written
-	lost   atomic.Int64
+	dropped   atomic.Int64
 }
 
-type line struct {
+type logLine struct {
 	text    []byte
-	written chan struct{} // closed once it is
+	written chan struct{} // closed once the line is written
 }
 
-func newLines(to io.Writer) *lines {
-	l := &lines{to: to, queue: make(chan line, mostLines)}
+func newLineWriter(to io.Writer) *lineWriter {
+	l := &lineWriter{out: to, queue: make(chan logLine, maxQueued)}
 	go l.run()
 	return l
 }
 
-// Write never fails. A line is written when it returns, unless the reader is behind.
-func (l *lines) Write(text []byte) (int, error) {
-	next := line{bytes.Clone(text), make(chan struct{})}
+// Write never fails. The line is written when Write returns, unless the reader is behind.
+func (l *lineWriter) Write(text []byte) (int, error) {
+	next := logLine{bytes.Clone(text), make(chan struct{})}
 	select {
 	case l.queue <- next:
 	default:
-		l.lost.Add(1)
+		l.dropped.Add(1)
 		return len(text), nil
 	}
 	if !l.behind.Load() {
 		select {
 		case <-next.written:
-		case <-time.After(linePatience):
+		case <-time.After(writeTimeout):
 			l.behind.Store(true)
 		}
 	}
 	return len(text), nil
 }
 
-func (l *lines) run() {
+func (l *lineWriter) run() {
 	for next := range l.queue {
-		l.to.Write(next.text) // whom could a fault be told?
+		l.out.Write(next.text) // an error cannot be reported anywhere
 		close(next.written)
 		if len(l.queue) == 0 {
 			l.behind.Store(false)
 		}
-		if n := l.lost.Swap(0); n > 0 {
-			fmt.Fprintf(l.to, "winglb: %d lines of the log are lost: nobody read it\n", n)
+		if n := l.dropped.Swap(0); n > 0 {
+			fmt.Fprintf(l.out, "winglb: %d lines of the log are lost: nobody read it\n", n)
 		}
 	}
 }
--- a/internal/daemon/lines_test.go
+++ b/internal/daemon/lines_test.go
@@ -10,14 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A log that nobody reads held up whoever wrote a line, under the lock that operators' answers need: a process that took
-// over was never ready. Nothing waits for it; what the pipe and the queue hold comes, and how much does not is told.
-func TestLogThatNobodyReads(t *testing.T) {
+// A log pipe that nobody reads must not block writers. It once did, under the lock that operators' answers need, so that
+// a process taking over was never ready. The lines that fit into the pipe and the queue arrive, and the number of dropped
+// lines is logged.
+func TestUnreadLogDoesNotBlock(t *testing.T) {
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
 	defer r.Close()
 	defer w.Close()
-	l := newLines(w)
+	l := newLineWriter(w)
 	const all = 20_000 // far beyond what a pipe and the queue hold
 	for i := range all {
 		fmt.Fprintf(l, "line %d\n", i)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot keeps what a dispatcher would like to find after its machine was off: the last list, who is left
-// out by hand and what was learned. It is advice: whatever is wrong with it, the dispatcher starts without.
+// Package snapshot stores what helps a dispatcher to restart after its machine was off: the last instance list, the
+// cordons and what was learned about instances. A snapshot is optional: without a valid one the dispatcher still starts.
 package snapshot
 
 import (
@@ -17,12 +17,12 @@
 	"caperrelay/internal/dispatch"
 )
 
-// Format is of what is written. One of another format, by an older or newer program, is not read.
+// Format is the version of the stored form. A snapshot of another version, from an older or newer program, is not read.
 const Format = 1
 
 const (
-	lockWithin = 200 * time.Millisecond // another process of this dispatcher may have the file
-	mostText   = 16 << 20
+	lockTimeout = 200 * time.Millisecond // another process of this dispatcher may hold the file's lock
+	maxSize   = 16 << 20
 )
 
 var (
@@ -30,32 +30,32 @@
 	entry  = []byte("last")
 )
 
-// Content is one snapshot.
+// Content is the payload of one snapshot.
 type Content struct {
 	Format  int                     `json:"Format"`
-	Node    string                  `json:"Node"` // whose it is
+	Node    string                  `json:"Node"` // name of the dispatcher that wrote it
 	Written time.Time               `json:"Written"`
 	List    dispatch.InstanceUpdate `json:"List"`
 	Cordons []string                `json:"Cordons"`
 	Learned dispatch.HandoverState  `json:"Learned"` // without commands
 }
 
-// ErrNone says that nothing was written yet.
+// ErrNone means that no snapshot has been written yet.
 var ErrNone = errors.New("no snapshot yet")
 
-// Read reads a file's snapshot. Whatever stands in the file, it returns an error and does not panic.
+// Read returns the snapshot in a file. It returns an error and does not panic, however the file is damaged.
 func Read(path, node string) (c *Content, err error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil, ErrNone
 	}
-	// A file that was cut short is read through a mapping that ends before it: the fault becomes a panic.
+	// bbolt maps the file into memory. Reads past the end of a truncated file fault; the fault becomes a panic.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
 			c, err = nil, fmt.Errorf("not readable: %v", fault)
 		}
 	}()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWithin, ReadOnly: true})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: true})
 	if err != nil {
 		return nil, err
 	}
@@ -71,12 +71,13 @@
 	return c, err
 }
 
-// decode checks what was read: the sum of the text before it, its format and whose it is.
+// decode parses a stored entry, which is a checksum and a JSON body. It checks the checksum, the format and the
+// dispatcher's name.
 func decode(text []byte, node string) (*Content, error) {
 	switch {
 	case text == nil:
 		return nil, ErrNone
-	case len(text) < sha256.Size || len(text) > mostText:
+	case len(text) < sha256.Size || len(text) > maxSize:
 		return nil, fmt.Errorf("%d bytes: torn", len(text))
 	}
 	body := text[sha256.Size:]
@@ -100,17 +101,17 @@
 	return c, json.Unmarshal(body, c)
 }
 
-// File is a snapshot's file while this process has it.
+// File is a snapshot file that this process has locked.
 type File struct{ db *bbolt.DB }
 
-// Open takes the file. One that is no store is put aside.
+// Open opens and locks the file. If it is no valid store, it is renamed and replaced by an empty one.
 func Open(path string) (*File, error) {
 	f, err := open(path)
 	if err == nil || errors.Is(err, bolterrors.ErrTimeout) {
 		return f, err
 	}
-	if moved := os.Rename(path, path+".bad"); moved != nil {
-		return nil, errors.Join(err, moved)
+	if renameErr := os.Rename(path, path+".bad"); renameErr != nil {
+		return nil, errors.Join(err, renameErr)
 	}
 	return open(path)
 }
@@ -122,11 +123,11 @@
 			err = fmt.Errorf("no store: %v", fault)
 		}
 	}()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWithin})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, err
 	}
-	if err := db.Update(func(tx *bbolt.Tx) error { // a torn store shows it here at the latest
+	if err := db.Update(func(tx *bbolt.Tx) error { // a damaged store fails here at the latest
 		_, err := tx.CreateBucketIfNotExists(bucket)
 		return err
 	}); err != nil {
@@ -135,7 +136,7 @@
 	return &File{db}, nil
 }
 
-// Write writes a snapshot in the place of the last.
+// Write replaces the last snapshot.
 func (f *File) Write(c *Content) error {
 	c.Format = Format
 	body, err := json.Marshal(c)
@@ -144,11 +145,11 @@
 	}
 	sum := sha256.Sum256(body)
 	text := append(sum[:], body...)
-	if len(text) > mostText {
+	if len(text) > maxSize {
 		return fmt.Errorf("%d bytes: too many", len(text))
 	}
 	return f.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(entry, text) })
 }
 
-// Close lets go of the file.
+// Close closes and unlocks the file.
 func (f *File) Close() error { return f.db.Close() }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -22,8 +22,9 @@
 	require.NoError(t, f.Close())
 }
 
-// What was written is read again; nothing, another dispatcher's and another program's are errors, and no more.
-func TestReadsItsOwn(t *testing.T) {
+// A snapshot is read back as it was written. A missing one, one of another dispatcher, a locked file and a wrong checksum
+// give errors.
+func TestReadOwnSnapshot(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "snapshot")
 	_, err := Read(path, "n1")
 	require.ErrorIs(t, err, ErrNone)
@@ -37,7 +38,7 @@
 	f, err := Open(path)
 	require.NoError(t, err)
 	_, err = Read(path, "n1")
-	require.ErrorIs(t, err, bolterrors.ErrTimeout, "another process has it")
+	require.ErrorIs(t, err, bolterrors.ErrTimeout, "another process holds the lock")
 	require.NoError(t, f.Close())
 
 	next, err := json.Marshal(map[string]any{"Format": 2, "Node": "n1", "List": "of another form"})
@@ -46,22 +47,22 @@
 	require.ErrorContains(t, err, "sum")
 }
 
-// A file that is torn, or is anything else, never ends the program, and a new one takes its place.
-func TestAnyFileIsSurvived(t *testing.T) {
+// A damaged file never panics the program, and Open replaces it.
+func TestDamagedFile(t *testing.T) {
 	dir := t.TempDir()
-	whole := filepath.Join(dir, "whole")
-	write(t, whole, &Content{Node: "n1", Cordons: make([]string, 9000)})
-	text, err := os.ReadFile(whole)
+	intact := filepath.Join(dir, "whole")
+	write(t, intact, &Content{Node: "n1", Cordons: make([]string, 9000)})
+	text, err := os.ReadFile(intact)
 	require.NoError(t, err)
 	rapid.Check(t, func(t *rapid.T) {
 		path := filepath.Join(dir, "torn")
-		torn := append([]byte{}, text...)
+		damaged := append([]byte{}, text...)
 		for range rapid.IntRange(0, 5).Draw(t, "writes") {
-			at := rapid.IntRange(0, len(torn)-1).Draw(t, "at")
-			copy(torn[at:], rapid.SliceOfN(rapid.Byte(), 1, 600).Draw(t, "bytes"))
+			at := rapid.IntRange(0, len(damaged)-1).Draw(t, "at")
+			copy(damaged[at:], rapid.SliceOfN(rapid.Byte(), 1, 600).Draw(t, "bytes"))
 		}
-		torn = torn[:rapid.IntRange(0, len(torn)).Draw(t, "length")]
-		require.NoError(t, os.WriteFile(path, torn, 0o600))
+		damaged = damaged[:rapid.IntRange(0, len(damaged)).Draw(t, "length")]
+		require.NoError(t, os.WriteFile(path, damaged, 0o600))
 		Read(path, "n1")
 		f, err := Open(path)
 		if err == nil {
--- a/internal/wire/numbers_test.go
+++ b/internal/wire/numbers_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A day in service and its replay in the simulator number the same things alike. Hashed
-// names put keys elsewhere: one day lost 0.04 of G by that time after time.
+// A day in service and its replay in the simulator use the same numbers. With hashed names the keys went to other
+// workers, and one day scored 0.04 of G less each time.
 func TestNamesReadAsTheirNumbers(t *testing.T) {
 	if n, ok := WorkerNumber("s-0badcafe"); n != 0x0badcafe || !ok {
 		t.Errorf("s-0badcafe: %x %v", n, ok)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,7 +10,7 @@
 	"caperrelay/decide"
 )
 
-// profile is the part of the settings text that the module uses.
+// profile is the part of the settings text that package decide uses.
 type profile struct {
 	Balancers      int     `json:"Balancers"`
 	SlotNo         int     `json:"SlotNo"`
@@ -92,17 +92,17 @@
 	Skus  []string `json:"Skus"`
 }
 
-// Names gives the names that the settings use, each at its number.
+// Names holds the names in the settings. The index of a name is its number.
 type Names struct {
 	Classes []string `json:"Classes"`
 	Tenants []string `json:"Tenants"`
 	Zones   []string `json:"Zones"`
 	Kinds   []string `json:"Kinds"`
-	Reports []string `json:"Reports"` // the fields of load reports; none: there are no reports
+	Reports []string `json:"Reports"` // the fields of load reports; empty: there are no reports
 }
 
-// ParseSettings reads the settings text. It is the one reader of settings: the
-// adapter gets the text in its first message, a real dispatcher in its configuration.
+// ParseSettings parses the settings text, which the simulator's adapter gets in its first message and a real dispatcher
+// in its configuration. All settings are read here.
 func ParseSettings(text []byte) (decide.Settings, Names, error) {
 	s, _, names, err := parseAll(text)
 	return s, names, err
@@ -110,8 +110,7 @@
 
 func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// parseSettings reads the settings text; it returns the names of the load
-// report's values beside them.
+// parseSettings parses the settings text and also returns the names of a load report's values, in order.
 func parseSettings(text []byte) (decide.Settings, []string, error) {
 	s, fields, _, err := parseAll(text)
 	return s, fields, err
@@ -126,15 +125,15 @@
 		return decide.Settings{}, nil, Names{}, fmt.Errorf("settings: %w", err)
 	}
 	names := Names{Zones: p.Zones, Kinds: p.Skus}
-	m, d, r := p.Permissions, p.Deductions, p.Rules
+	perm, deduct, r := p.Permissions, p.Deductions, p.Rules
 	s := decide.Settings{
 		DispatcherIndex: p.SlotNo, DispatcherCount: p.Balancers, Zone: p.Zone,
 		Granularity: us(p.GranularityUs), OverShareWorth: p.OverShareWorth,
 		Limits: decide.Limits{
-			MaxAttempts: m.AttemptsCap, MaxOpen: m.OpenCap, Cancel: m.Cancelling, ParallelAttempts: m.ParallelTries,
-			Probes: m.Probes, PeerMessages: m.PeerMessages, RetryAfter: m.RetryAfter,
-			MaxRetryAfter: us(m.MaxRetryAfterUs), ConnIdle: us(m.ConnIdleUs),
-			ConnectTimeout: us(m.ConnectTimeoutUs),
+			MaxAttempts: perm.AttemptsCap, MaxOpen: perm.OpenCap, Cancel: perm.Cancelling, ParallelAttempts: perm.ParallelTries,
+			Probes: perm.Probes, PeerMessages: perm.PeerMessages, RetryAfter: perm.RetryAfter,
+			MaxRetryAfter: us(perm.MaxRetryAfterUs), ConnIdle: us(perm.ConnIdleUs),
+			ConnectTimeout: us(perm.ConnectTimeoutUs),
 		},
 		Rules: decide.Rules{
 			AnswerSlack: us(r.AnswerSlackUs), DrainGrace: us(r.DrainGraceUs), ColdFrom: r.ColdFrom,
@@ -142,7 +141,7 @@
 			MustAskIn: us(r.MustAskInUs), GoneIsAdvisory: r.GoneIsAdvice,
 		},
 		Prices: decide.Prices{
-			CrossZone: d.CrossZone, Waste: d.Waste, LateFail: d.LateFail, Probe: d.Probe, Peer: d.Peer,
+			CrossZone: deduct.CrossZone, Waste: deduct.Waste, LateFail: deduct.LateFail, Probe: deduct.Probe, Peer: deduct.Peer,
 		},
 		Goal:         decide.Goal(p.ObjectiveMix),
 		Subscribe:    p.Discovery == "subscribe",
@@ -200,7 +199,7 @@
 	}
 )
 
-// orZero reads a setting that may be absent.
+// orZero returns the value of a setting, or zero if it is absent.
 func orZero[T int64 | float64](p *T) T {
 	if p == nil {
 		return 0
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A real dispatcher meets names where the adapter meets numbers: each name's place in the
-// settings is its number.
-func TestNamesStandAtTheirNumbers(t *testing.T) {
+// A real dispatcher receives names where the simulator's adapter receives numbers: the index of a name in the settings
+// is its number.
+func TestNameIndexIsNumber(t *testing.T) {
 	s, names, err := ParseSettings([]byte(`{"Zones": ["a", "b"], "Skus": ["m1", "m2"], "Tenants": [{"Name": "acme", "QuotaPerS": 8}],
 		"RequestClasses": [{"Name": "preview", "Effect": "free"}, {"Name": "publish", "Effect": "single_shot"}]}`))
 	require.NoError(t, err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -23,13 +23,13 @@
 	maxFrame   = 1 << 30
 )
 
-// Event codes.
+// Event codes, by the simulator's names.
 const (
 	evHello, evDirectoryUpdate, evJobIn, evStarted, evReportBack, evLapsed = 16, 17, 18, 19, 20, 21
 	evFired, evProbed, evNeighbour, evStop, evDirectory, evStatusNote      = 22, 23, 24, 25, 26, 27
 )
 
-// Action codes.
+// Action codes, by the simulator's names.
 const (
 	acRelay, acBusy, acRespondError, acCallOff, acNotifyMe, acInspect = 16, 17, 18, 19, 20, 21
 	acRelease, acMemoTo, acWriteLog, acTail                           = 22, 23, 24, 26
@@ -37,13 +37,13 @@
 
 const allPeers = math.MaxUint16
 
-// Hello starts an instance.
+// Hello starts a simulated dispatcher instance.
 type Hello struct{ Settings decide.Settings }
 
-// Stop kills an instance.
+// Stop kills a simulated dispatcher instance.
 type Stop struct{}
 
-// Item is one thing that a batch says to an instance: a [Hello], a [Stop] or a
+// Item is one message of a batch to an instance: a [Hello], a [Stop] or a
 // decide.Event.
 type Item struct {
 	Instance int
@@ -57,23 +57,23 @@
 	Items  []Item
 }
 
-// Reply is what one instance does.
+// Reply holds the actions of one instance.
 type Reply struct {
 	Instance int
 	Actions  []decide.Action
 }
 
-// Decoder reads batches. It keeps the numbered worker lists of the process and
-// the report layout that each instance's settings gave.
+// Decoder reads batches. It keeps the worker lists that it was sent, by number, and
+// the load report layout from the settings of each instance.
 type Decoder struct {
 	r       io.Reader
-	sheets  map[uint8][]decide.Worker
+	workerLists  map[uint8][]decide.Worker
 	layouts map[int][]string
 }
 
-// NewDecoder reads batches from r.
+// NewDecoder returns a decoder that reads batches from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{r: r, sheets: map[uint8][]decide.Worker{}, layouts: map[int][]string{}}
+	return &Decoder{r: r, workerLists: map[uint8][]decide.Worker{}, layouts: map[int][]string{}}
 }
 
 // Next returns the next batch, or io.EOF at a clean end of input.
@@ -105,7 +105,7 @@
 	}
 	tail := body[count*eventSize:]
 	for i := range int(count) {
-		it, err := d.record(body[i*eventSize:(i+1)*eventSize], tail)
+		it, err := d.decodeRecord(body[i*eventSize:(i+1)*eventSize], tail)
 		if err != nil {
 			return nil, fmt.Errorf("batch %d record %d: %w", b.Number, i, err)
 		}
@@ -116,17 +116,18 @@
 	return b, nil
 }
 
-// rec reads the fields of a record.
-type rec []byte
+// record is a record with fields at fixed offsets.
+type record []byte
 
-func (r rec) u16(at int) int           { return int(binary.BigEndian.Uint16(r[at:])) }
-func (r rec) u32(at int) uint32        { return binary.BigEndian.Uint32(r[at:]) }
-func (r rec) u64(at int) uint64        { return binary.BigEndian.Uint64(r[at:]) }
-func (r rec) f32(at int) float64       { return float64(math.Float32frombits(r.u32(at))) }
-func (r rec) us(at int) time.Duration  { return time.Duration(r.u32(at)) * time.Microsecond }
-func (r rec) us8(at int) time.Duration { return time.Duration(r.u64(at)) * time.Microsecond }
+func (r record) u16(at int) int           { return int(binary.BigEndian.Uint16(r[at:])) }
+func (r record) u32(at int) uint32        { return binary.BigEndian.Uint32(r[at:]) }
+func (r record) u64(at int) uint64        { return binary.BigEndian.Uint64(r[at:]) }
+func (r record) f32(at int) float64       { return float64(math.Float32frombits(r.u32(at))) }
+func (r record) us(at int) time.Duration  { return time.Duration(r.u32(at)) * time.Microsecond }
+func (r record) us8(at int) time.Duration { return time.Duration(r.u64(at)) * time.Microsecond }
 
-func (r rec) span(at, unit int, tail []byte) ([]byte, error) {
+// span returns the part of the tail whose offset and count, in units, are stored at an offset of the record.
+func (r record) span(at, unit int, tail []byte) ([]byte, error) {
 	from, n := uint64(r.u32(at)), uint64(r.u32(at+4))
 	if from+n*uint64(unit) > uint64(len(tail)) {
 		return nil, fmt.Errorf("tail of %d bytes has no %d x %d bytes at %d", len(tail), n, unit, from)
@@ -134,7 +135,7 @@
 	return tail[from : from+n*uint64(unit)], nil
 }
 
-func (d *Decoder) record(b rec, tail []byte) (Item, error) {
+func (d *Decoder) decodeRecord(b record, tail []byte) (Item, error) {
 	it := Item{Instance: b.u16(1)}
 	var err error
 	switch code := b[0]; code {
@@ -153,9 +154,9 @@
 		it.What = Stop{}
 	case evDirectory:
 		it.Instance = 0
-		err = d.directory(b, tail)
+		err = d.decodeList(b, tail)
 	case evDirectoryUpdate:
-		it.What, err = d.directoryUpdate(b)
+		it.What, err = d.decodeListUpdate(b)
 	case evJobIn:
 		q := decide.Request{
 			ID: b.u32(3), Class: b.u16(7), Tenant: int(b.u32(9)), Key: b.u64(13),
@@ -177,8 +178,8 @@
 		}
 	case evReportBack:
 		out := decide.AttemptEnded{Request: b.u32(3), RequestEnded: b[7] != 0, Attempt: int(b[13])}
-		if out.Outcome, err = outcome(b[12]); err == nil {
-			out.Report, err = d.report(it.Instance, b[22:])
+		if out.Outcome, err = decodeOutcome(b[12]); err == nil {
+			out.Report, err = d.decodeReport(it.Instance, b[22:])
 		}
 		it.What = out
 	case evLapsed:
@@ -187,8 +188,8 @@
 		it.What = decide.TimerFired{Token: b.u64(3)}
 	case evProbed:
 		out := decide.Probed{Worker: b.u32(3)}
-		if out.Outcome, err = outcome(b[7]); err == nil {
-			out.Report, err = d.report(it.Instance, b[12:])
+		if out.Outcome, err = decodeOutcome(b[7]); err == nil {
+			out.Report, err = d.decodeReport(it.Instance, b[12:])
 		}
 		it.What = out
 	case evNeighbour:
@@ -201,14 +202,14 @@
 	return it, err
 }
 
-func (d *Decoder) directory(b rec, tail []byte) error {
-	lines, err := b.span(2, entrySize, tail)
+func (d *Decoder) decodeList(b record, tail []byte) error {
+	entries, err := b.span(2, entrySize, tail)
 	if err != nil {
 		return err
 	}
-	ws := make([]decide.Worker, 0, len(lines)/entrySize)
-	for ; len(lines) > 0; lines = lines[entrySize:] {
-		e := rec(lines)
+	ws := make([]decide.Worker, 0, len(entries)/entrySize)
+	for ; len(entries) > 0; entries = entries[entrySize:] {
+		e := record(entries)
 		if e[22] > 2 {
 			return fmt.Errorf("unknown worker state %d", e[22])
 		}
@@ -217,16 +218,16 @@
 			Kind: e.u16(16), ID: e.u32(18), State: decide.WorkerState(e[22]),
 		})
 	}
-	d.sheets[b[1]] = ws
+	d.workerLists[b[1]] = ws
 	return nil
 }
 
-func (d *Decoder) directoryUpdate(b rec) (decide.Event, error) {
+func (d *Decoder) decodeListUpdate(b record) (decide.Event, error) {
 	mode := b[11]
 	if mode == 4 {
 		return decide.ListFailed{}, nil
 	}
-	ws, ok := d.sheets[b[12]]
+	ws, ok := d.workerLists[b[12]]
 	if !ok {
 		return nil, fmt.Errorf("directory %d was never given", b[12])
 	}
@@ -239,14 +240,14 @@
 	return nil, fmt.Errorf("unknown list mode %d", mode)
 }
 
-func outcome(code byte) (decide.Outcome, error) {
+func decodeOutcome(code byte) (decide.Outcome, error) {
 	if code > 7 {
 		return 0, fmt.Errorf("unknown outcome %d", code)
 	}
 	return decide.Outcome(code), nil
 }
 
-func (d *Decoder) report(instance int, b rec) (*decide.Report, error) {
+func (d *Decoder) decodeReport(instance int, b record) (*decide.Report, error) {
 	n := int(b[0])
 	if n == 0 {
 		return nil, nil
@@ -264,15 +265,15 @@
 	}), nil
 }
 
-// reportFields are names of a report's fields that other pages use for those of the wire's page.
+// reportFields maps the names of load report fields in other specifications to those of the simulator's wire.
 var reportFields = map[string]string{
 	"inflight": "active", "queue": "waiting", "util": "cpu", "latency_ms": "avg_ms", "qps": "rps", "eps": "err_rps",
 }
 
-// ReportField is the wire's name of a report's field.
+// ReportField returns the wire's name of a load report field.
 func ReportField(name string) string { return cmp.Or(reportFields[name], name) }
 
-// Report is a load report of fields by the wire's names, those that the module has a word for.
+// Report builds a load report from fields with the wire's names. Fields that package decide does not use are ignored.
 func Report(fields iter.Seq2[string, float64]) *decide.Report {
 	r := &decide.Report{Active: -1, Waiting: -1, FreeSlots: -1, FreeMemory: -1}
 	for name, v := range fields {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,7 +23,7 @@
 	return b
 }
 
-// rec pads the fields of a record to its size.
+// pad decodes the fields of a record and pads them to its size.
 func pad(t testing.TB, size int, s string) []byte {
 	b := unhex(t, s)
 	return append(b, make([]byte, size-len(b))...)
@@ -197,7 +197,7 @@
 		{`{"SpareAttempts": 1, "ExtraPerRequest": 0.15, "BudgetSpanUs": 10000000}`,
 			&decide.AttemptBudget{Spare: 1, PerRequest: 0.15, Window: 10 * time.Second}},
 		{`{"BudgetSpanUs": 10000000}`, &decide.AttemptBudget{Window: 10 * time.Second}},
-		{`{"SpareAttempts": 1}`, &decide.AttemptBudget{Spare: 1}}, // which New refuses
+		{`{"SpareAttempts": 1}`, &decide.AttemptBudget{Spare: 1}}, // decide.New rejects it
 	}
 	for _, tt := range tests {
 		s, _, err := parseSettings([]byte(`{"Rules": ` + tt.rules + `, ` + class + `}`))
