--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,8 +24,8 @@
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	minMemoryMB   = 32
-	minSockets    = 128
+	minMemoryMB     = 32
+	minSockets      = 128
 	defaultConnect  = time.Second
 	defaultIdle     = 30 * time.Second
 )
--- a/internal/daemon/lines.go
+++ b/internal/daemon/lines.go
@@ -17,9 +17,9 @@
 // a pipe to another program, and one write to a full pipe blocked everything, the operators' answers first.
 type lineWriter struct {
 	out     io.Writer
-	queue  chan logLine
-	behind atomic.Bool // nobody waits until all is written
-	dropped   atomic.Int64
+	queue   chan logLine
+	behind  atomic.Bool // nobody waits until all is written
+	dropped atomic.Int64
 }
 
 type logLine struct {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -22,7 +22,7 @@
 
 const (
 	lockTimeout = 200 * time.Millisecond // another process of this dispatcher may hold the file's lock
-	maxSize   = 16 << 20
+	maxSize     = 16 << 20
 )
 
 var (
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -66,9 +66,9 @@
 // Decoder reads batches. It keeps the worker lists that it was sent, by number, and
 // the load report layout from the settings of each instance.
 type Decoder struct {
-	r       io.Reader
-	workerLists  map[uint8][]decide.Worker
-	layouts map[int][]string
+	r           io.Reader
+	workerLists map[uint8][]decide.Worker
+	layouts     map[int][]string
 }
 
 // NewDecoder returns a decoder that reads batches from r.
