--- a/internal/siteconf/gangs.go
+++ b/internal/siteconf/gangs.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// Gangs has dispatchers take jobs whose members start together at several sites. The record of [promises] keeps them.
+// Gangs configures gangs: jobs whose members start together at several sites. They are stored in the record of [promises].
 type Gangs struct {
 	Partners []Partner `toml:"partner"`
-	Clock    Duration  `toml:"clock"` // by which this dispatcher's is put ahead: for trials of clocks that are apart
+	Clock    Duration  `toml:"clock"` // offset added to this dispatcher's clock, for tests with clock skew
 }
 
-// Partner lends slots of the encoders at its sites. What is not said has no bound.
+// Partner lends slots of the encoders at its sites. A bound that is left out does not apply.
 type Partner struct {
 	Name  string   `toml:"name"`
 	Sites []string `toml:"sites"`
-	Slots int      `toml:"slots"` // to gangs at once
-	Share Percent  `toml:"share"` // of the slots of its encoders, at once
-	Hours float64  `toml:"hours"` // slot-hours in a day of UTC
+	Slots int      `toml:"slots"` // lent at once
+	Share Percent  `toml:"share"` // of its encoders' slots, lent at once
+	Hours float64  `toml:"hours"` // slot-hours lent per UTC day
 }
 
-// checkGangs finds what no gang could be kept by.
+// checkGangs validates [gangs].
 func (f *File) checkGangs() error {
 	g := f.Gangs
 	if g == nil {
@@ -29,7 +29,7 @@
 	if len(f.Kinds) == 0 {
 		return f.at("kind", "missing: gangs hold slots, so each kind of encoder must say how many it has")
 	}
-	lends := map[string]string{}
+	lenders := map[string]string{}
 	for i, p := range g.Partners {
 		at := func(key string) string { return fmt.Sprintf("gangs.partner[%d].%s", i, key) }
 		switch {
@@ -46,10 +46,10 @@
 			if f.zone(s) < 0 {
 				return f.at(at("sites"), "%q is none of site.zones", s)
 			}
-			if lends[s] != "" {
-				return f.at(at("sites"), "%q is %s's already", s, lends[s])
+			if lenders[s] != "" {
+				return f.at(at("sites"), "%q is %s's already", s, lenders[s])
 			}
-			lends[s] = p.Name
+			lenders[s] = p.Name
 		}
 	}
 	return nil
--- a/internal/siteconf/pipelines.go
+++ b/internal/siteconf/pipelines.go
@@ -1,12 +1,12 @@
 package siteconf
 
-// Pipelines has dispatchers take runs of pipelines, and run their failed stages again as a policy says. The record of
-// [promises] keeps them.
+// Pipelines configures runs of pipelines, whose failed stages are rerun according to a policy. Runs are stored in the
+// record of [promises].
 type Pipelines struct {
-	File string `toml:"file"` // the policy: docs/reruns.md
+	File string `toml:"file"` // the rerun policy: docs/reruns.md
 }
 
-// checkPipelines finds what no pipelines could run by. The policy itself is read by internal/rerun/policy.
+// checkPipelines validates [pipelines]. The policy itself is read by internal/rerun/policy.
 func (f *File) checkPipelines() error {
 	switch p := f.Pipelines; {
 	case p == nil:
--- a/internal/siteconf/shared.go
+++ b/internal/siteconf/shared.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Shared is what all dispatchers of a deployment must have alike: with [promises] it is a version that they agree on.
-// All else in a file is one dispatcher's own.
+// Shared holds the settings that must be the same at all dispatchers of a deployment. With [promises] the dispatchers
+// agree on a version of them. The rest of a file belongs to one dispatcher.
 type Shared struct {
 	Site     Site     `json:"Site"`
 	Rules    Rules    `json:"Rules"`
@@ -19,35 +19,35 @@
 	Tenants  []Tenant `json:"Tenants"`
 }
 
-// Shared is the file's part of it.
+// Shared returns the shared settings of the file.
 func (f *File) Shared() Shared {
 	return Shared{f.Site, f.Rules, f.Attempts, slices.Clone(f.Kinds), slices.Clone(f.Classes), slices.Clone(f.Tenants)}
 }
 
-// Text is a form of it that is the same for the same settings.
+// Text returns an encoding that is the same for equal settings.
 func (s Shared) Text() []byte {
 	text, err := json.Marshal(s)
-	if err != nil { // of figures that are none, which Parse refuses
+	if err != nil { // not-a-number values, which Parse rejects
 		return nil
 	}
 	return text
 }
 
-// ReadShared reads that.
+// ReadShared decodes the result of Text.
 func ReadShared(text []byte) (s Shared, err error) {
 	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields() // of a later program: what it says would be lost unseen
+	d.DisallowUnknownFields() // a later program's fields must not be dropped silently
 	if err := d.Decode(&s); err != nil {
 		return s, fmt.Errorf("the version cannot be read here: %w", err)
 	}
 	return s, nil
 }
 
-// With is the file with other shared settings, checked as a file is.
+// With returns a copy of the file with other shared settings. It is checked like a file.
 func (f *File) With(s Shared) (*File, error) {
 	g := *f
 	g.Site, g.Rules, g.Attempts, g.Kinds, g.Classes, g.Tenants = s.Site, s.Rules, s.Attempts, s.Kinds, s.Classes, s.Tenants
-	g.lines = nil // they are of the file
+	g.lines = nil // line numbers apply only to the file as read
 	copies := []any{&g.Control, &g.Members, &g.Snapshot, &g.Promises, &g.Gangs, &g.Pipelines}
 	for _, p := range copies {
 		fork(p)
@@ -59,7 +59,7 @@
 	return &g, nil
 }
 
-// fork has a table be a copy, as check fills in what is missing.
+// fork replaces a table by a copy, as check writes defaults into it.
 func fork(p any) {
 	switch t := p.(type) {
 	case **Control:
@@ -95,8 +95,8 @@
 	}
 }
 
-// Lacks is a fault if this file has no class of that name, which a version brings: the dispatcher would be without it
-// after a start by its file alone.
+// Lacks returns an error if the version has a class that this file lacks: after a start with its file alone the dispatcher
+// would not have it.
 func (f *File) Lacks(s Shared) error {
 	for _, c := range s.Classes {
 		if !slices.ContainsFunc(f.Classes, func(o Class) bool { return o.Name == c.Name }) {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// least of two where 0 stands for no bound.
+// least returns the lower of two bounds, where 0 means no bound.
 func least[T ~int | ~int64](a, b T) T {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -114,7 +114,8 @@
 	return a
 }
 
-// fixed is a field in which no value is stricter than another, as it says how things are and not what is allowed.
+// fixed returns an error if the values of a field differ that describes the deployment and restricts nothing, so that
+// neither value is stricter.
 func fixed(key string, a, b any) error {
 	if fmt.Sprint(a) != fmt.Sprint(b) {
 		return fmt.Errorf("%s: neither of %v and %v is the stricter, so it cannot be changed while dispatchers run: stop all, then start them with the new file", key, a, b)
@@ -122,8 +123,9 @@
 	return nil
 }
 
-// Stricter is what two versions both allow. Where a field allows nothing (what a class is worth, the grain of the
-// clock), the first wins until the other counts alone. An error names a field that has no stricter value.
+// Stricter returns settings that allow only what both versions allow. For a field that restricts nothing (a class's worth,
+// the timer resolution) a's value is taken until the other version is in force alone. An error names a field that has no
+// stricter value.
 func Stricter(a, b Shared) (Shared, error) {
 	s := a
 	for _, err := range []error{
@@ -156,7 +158,7 @@
 		}
 		s.Kinds = append(s.Kinds, Kind{k.Name, min(k.Slots, b.Kinds[i].Slots)})
 	}
-	s.Kinds = append(s.Kinds, b.Kinds[len(a.Kinds):]...) // new ones are nobody's yet; the numbers of the others stay
+	s.Kinds = append(s.Kinds, b.Kinds[len(a.Kinds):]...) // nothing uses new kinds yet, and the others keep their indexes
 	for i, k := range s.Kinds {
 		if b.Kinds[i].Name != k.Name {
 			return s, fmt.Errorf("kind: %q and %q have changed places: new kinds come last", b.Kinds[i].Name, k.Name)
@@ -165,7 +167,7 @@
 	for _, c := range a.Classes {
 		i := slices.IndexFunc(b.Classes, func(o Class) bool { return o.Name == c.Name })
 		if i < 0 {
-			continue // one of them does not have it: it is refused
+			continue // not in both: commands of this class are refused
 		}
 		o := b.Classes[i]
 		if c.Effect != o.Effect {
@@ -191,21 +193,20 @@
 	return s, nil
 }
 
-// Floor is what a dispatcher goes by that does not know which version counts: its own settings, but it begins each
-// command once, with no copies and no probes, so that it repeats nothing whatever a class's effect has become, and adds
-// to no load.
+// Floor returns the settings for a dispatcher that does not know which version is in force: one attempt per command, no
+// parallel attempts and no probes. So it repeats no command, whatever the effect of its class is now, and adds no load.
 func Floor(s Shared) Shared {
 	s.Attempts.Most, s.Attempts.Copies, s.Attempts.Probes = 1, false, false
 	return s
 }
 
-// As JSON these are bare numbers of their smallest units, so that a version is read as it was written to the last bit.
+// In JSON these types are plain numbers, so that a version is decoded exactly as it was encoded.
 
-// UnmarshalJSON reads it.
+// UnmarshalJSON parses nanoseconds.
 func (d *Duration) UnmarshalJSON(text []byte) error { return json.Unmarshal(text, (*int64)(d)) }
 
-// UnmarshalJSON reads it.
+// UnmarshalJSON parses a fraction of 1.
 func (p *Percent) UnmarshalJSON(text []byte) error { return json.Unmarshal(text, (*float64)(p)) }
 
-// UnmarshalJSON reads it.
+// UnmarshalJSON parses a number per second.
 func (r *Rate) UnmarshalJSON(text []byte) error { return json.Unmarshal(text, (*float64)(r)) }
--- a/internal/siteconf/shared_test.go
+++ b/internal/siteconf/shared_test.go
@@ -9,38 +9,37 @@
 	"pgregory.net/rapid"
 )
 
-// drawn is a version. Classes and tenants are some of a few; fields without a stricter value are alike.
+// drawn draws a version. Its classes and tenants are a subset of a few; fields without a stricter value are constant.
 func drawn(t *rapid.T) Shared {
-	whole := func(most int) int { return rapid.IntRange(0, most).Draw(t, "n") }
-	span := func() Duration { return Duration(time.Duration(1+whole(9)) * time.Millisecond) }
+	number := func(limit int) int { return rapid.IntRange(0, limit).Draw(t, "n") }
+	span := func() Duration { return Duration(time.Duration(1+number(9)) * time.Millisecond) }
 	yes := func() bool { return rapid.Bool().Draw(t, "yes") }
 	f := defaults()
 	s := f.Shared()
-	s.Site.Zones, s.Site.Crossing, s.Site.Grain = []string{"a"}, float64(whole(3)), span()
-	s.Rules.DrainGrace, s.Rules.ColdFrom, s.Rules.Cold, s.Rules.FallMultiple = span(), Percent(whole(9))/10, span(), float64(1+whole(4))
-	s.Attempts = Attempts{Most: 1 + whole(3), Open: whole(3), Copies: yes(), Probes: yes(), Connect: span(), Idle: span(), MaxRetryAfter: span()}
-	s.Kinds = []Kind{{"m2", float64(1 + whole(3))}}
+	s.Site.Zones, s.Site.Crossing, s.Site.Grain = []string{"a"}, float64(number(3)), span()
+	s.Rules.DrainGrace, s.Rules.ColdFrom, s.Rules.Cold, s.Rules.FallMultiple = span(), Percent(number(9))/10, span(), float64(1+number(4))
+	s.Attempts = Attempts{Most: 1 + number(3), Open: number(3), Copies: yes(), Probes: yes(), Connect: span(), Idle: span(), MaxRetryAfter: span()}
+	s.Kinds = []Kind{{"m2", float64(1 + number(3))}}
 	for i := range 3 {
 		if i == 0 || yes() {
 			aim := span()
 			s.Classes = append(s.Classes, Class{
-				Name: fmt.Sprint("c", i), Effect: []string{"repeat", "once"}[whole(1)], Aim: aim, Stretch: float64(whole(3)), Deadline: aim + span(),
-				Worth: float64(1 + whole(3)), Kind: []string{"", "m2"}[whole(1)],
+				Name: fmt.Sprint("c", i), Effect: []string{"repeat", "once"}[number(1)], Aim: aim, Stretch: float64(number(3)), Deadline: aim + span(),
+				Worth: float64(1 + number(3)), Kind: []string{"", "m2"}[number(1)],
 			})
 		}
 		if yes() {
-			s.Tenants = append(s.Tenants, Tenant{fmt.Sprint("t", i), Rate(1 + whole(9))})
+			s.Tenants = append(s.Tenants, Tenant{fmt.Sprint("t", i), Rate(1 + number(9))})
 		}
 	}
 	return s
 }
 
-// What two versions both allow adds nothing to either: held against it again it stays as it is, whichever comes first;
-// and a file takes it.
+// Combining the result of Stricter with either version again does not change it, in either order, and a file accepts it.
 func TestStricter(t *testing.T) {
 	f, err := Parse("f.toml", []byte("[node]\nname = \"n\"\nlisten = \"h:1\"\ndiscovery = \"h:2\"\n[site]\nzones = [\"a\"]\n[[class]]\nname = \"c0\"\neffect = \"once\"\naim = \"1s\"\ndeadline = \"1s\"\nworth = 1\n"))
 	require.NoError(t, err)
-	same := func(t *rapid.T, a, b Shared) { // what allows nothing is the first one's
+	same := func(t *rapid.T, a, b Shared) { // fields that restrict nothing come from the first version
 		b.Site.Grain = a.Site.Grain
 		for i := range b.Classes {
 			if i < len(a.Classes) {
--- a/internal/siteconf/siteconf.go
+++ b/internal/siteconf/siteconf.go
@@ -1,6 +1,6 @@
-// Package siteconf reads the operator's own configuration: TOML, for installations other than the
-// platform's, whose JSON stays as it is. It becomes that JSON, so that one reader checks the settings,
-// and what the JSON has no word for. Each fault is one line with file, line, key and what to write.
+// Package siteconf reads the TOML configuration of installations other than the platform's, which uses JSON. The file is
+// converted to that JSON, so that the settings have one reader, and to options that the JSON cannot express. Each error is
+// one line with file, line, key and what to write instead.
 package siteconf
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Error is a fault of the file.
+// Error is an error in the file.
 type Error struct {
 	File string
 	Line int
@@ -37,10 +37,10 @@
 	return fmt.Sprintf("%s: %s", at, e.Text)
 }
 
-// Duration is a time with its unit, as "20ms".
+// Duration is a duration with its unit, such as "20ms".
 type Duration time.Duration
 
-// UnmarshalText reads it.
+// UnmarshalText parses a duration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	t, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -58,10 +58,10 @@
 
 func (d Duration) us() int64 { return time.Duration(d).Microseconds() }
 
-// Size is a number of bytes with its unit, as "192MB".
+// Size is a number of bytes with its unit, such as "192MB".
 type Size int64
 
-// UnmarshalText reads it.
+// UnmarshalText parses a size.
 func (s *Size) UnmarshalText(text []byte) error {
 	for _, u := range []struct {
 		unit string
@@ -77,10 +77,10 @@
 	return fmt.Errorf(`%q is no size: write one such as "192MB"`, text)
 }
 
-// Percent is a share, as "14%".
+// Percent is a share, written such as "14%" and stored as a fraction of 1.
 type Percent float64
 
-// UnmarshalText reads it.
+// UnmarshalText parses a percentage.
 func (p *Percent) UnmarshalText(text []byte) error {
 	number, ok := strings.CutSuffix(string(text), "%")
 	n, err := strconv.ParseFloat(number, 64)
@@ -91,10 +91,10 @@
 	return nil
 }
 
-// Rate is so many a second, as "50/s".
+// Rate is a number per second, written such as "50/s".
 type Rate float64
 
-// UnmarshalText reads it.
+// UnmarshalText parses a rate.
 func (r *Rate) UnmarshalText(text []byte) error {
 	number, ok := strings.CutSuffix(string(text), "/s")
 	n, err := strconv.ParseFloat(number, 64)
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// File is the file as it is written. README.md and deploy/site.sample.toml tell its keys.
+// File is the decoded file. README.md and deploy/site.sample.toml describe its keys. Errors for values of the wrong type
+// contain the names of these types and fields.
 type File struct {
 	Node      Node       `toml:"node"`
 	Limits    Limits     `toml:"limits"`
@@ -129,7 +130,7 @@
 	lines map[string]int
 }
 
-// Node is who this dispatcher is and where it listens.
+// Node identifies this dispatcher and holds its addresses.
 type Node struct {
 	Name      string `toml:"name"`
 	Listen    string `toml:"listen"`
@@ -141,24 +142,24 @@
 	Zone      string `toml:"zone"`
 }
 
-// Limits is what the machine allows.
+// Limits holds the machine resources that the dispatcher may use.
 type Limits struct {
 	Cores   float64 `toml:"cores"`
 	Memory  Size    `toml:"memory"`
 	Sockets int     `toml:"sockets"`
 }
 
-// Site is what all dispatchers of a deployment have alike.
+// Site holds properties of a deployment that are the same for all its dispatchers.
 type Site struct {
 	Zones      []string `toml:"zones" json:"Zones"`
-	TellsStart bool     `toml:"tells_start" json:"TellsStart"` // encoders call back when a job starts
-	Progress   Duration `toml:"progress" json:"Progress"`      // and so often while it runs
-	Rated      bool     `toml:"rated" json:"Rated"`            // sizes in the name table mean something
-	Grain      Duration `toml:"grain" json:"Grain"`            // of the decisions' clock
-	Crossing   float64  `toml:"crossing" json:"Crossing"`      // price of a send to another zone, in parts of a job's worth
+	TellsStart bool     `toml:"tells_start" json:"TellsStart"` // encoders send a callback when a job starts
+	Progress   Duration `toml:"progress" json:"Progress"`      // interval of progress callbacks while it runs
+	Rated      bool     `toml:"rated" json:"Rated"`            // sizes in the instance list are meaningful
+	Grain      Duration `toml:"grain" json:"Grain"`            // timer resolution of the decisions
+	Crossing   float64  `toml:"crossing" json:"Crossing"`      // price of sending to another zone, as a fraction of a job's worth
 }
 
-// Rules are the figures of the rules.
+// Rules holds the parameters of the encoders' drain, cold start and fall.
 type Rules struct {
 	DrainGrace   Duration `toml:"drain_grace" json:"DrainGrace"`
 	ColdFrom     Percent  `toml:"cold_from" json:"ColdFrom"`
@@ -167,7 +168,7 @@
 	FallWindow   Duration `toml:"fall_window" json:"FallWindow"`
 }
 
-// Attempts is what a command may cost.
+// Attempts limits the attempts at a command and the connections that they use.
 type Attempts struct {
 	Most          int      `toml:"most" json:"Most"`
 	Open          int      `toml:"open" json:"Open"`
@@ -202,74 +203,74 @@
 	Rate Rate   `toml:"rate" json:"Rate"`
 }
 
-// Control is the stream to plug-ins.
+// Control configures the listener for plug-ins and other daemons.
 type Control struct {
 	Listen  string   `toml:"listen"`
 	Senders int      `toml:"senders"`
 	Silence Duration `toml:"silence"`
 	Lease   Duration `toml:"lease"`
-	New     bool     `toml:"new"` // the deployment begins anew: nobody can hold a place
+	New     bool     `toml:"new"` // the deployment starts from scratch: no plug-in can hold a lease
 	TLS     *TLS     `toml:"tls"`
 }
 
-// Front is a listener for plain HTTP/1.1 requests, which routes send to pools.
+// Front configures a listener for plain HTTP/1.1 requests, which routes distribute to pools.
 type Front struct {
 	Listen  string   `toml:"listen"`
-	Routes  string   `toml:"routes"` // a TOML file as winglb import nginx -o writes it
+	Routes  string   `toml:"routes"` // a TOML file in the format that winglb import nginx -o writes
 	Nginx   string   `toml:"nginx"`  // or an nginx file, read at each start and reload
-	Within  Duration `toml:"within"` // of a request, all attempts
+	Within  Duration `toml:"within"` // time limit of a request, over all attempts
 	Clients int      `toml:"clients"`
 }
 
-// Members is this dispatcher among others that tell each other of the worker list.
+// Members configures the sharing of the instance list among dispatchers.
 type Members struct {
 	Listen   string            `toml:"listen"`   // TCP and UDP
-	Join     []string          `toml:"join"`     // where others are found
-	Through  map[string]string `toml:"through"`  // where named ones are reached from here, if not at their own addresses
-	Watchers int               `toml:"watchers"` // of the list service, in each zone
-	FanOut   int               `toml:"fan_out"`  // whom each tells of a change
+	Join     []string          `toml:"join"`     // addresses of other dispatchers to contact first
+	Through  map[string]string `toml:"through"`  // addresses by name, of dispatchers that cannot be reached from here at their own
+	Watchers int               `toml:"watchers"` // number of dispatchers per zone that watch discovery
+	FanOut   int               `toml:"fan_out"`  // number of peers to which each forwards a change
 }
 
-// Snapshot is the lasting copy of what this dispatcher knows.
+// Snapshot configures the persistent copy of this dispatcher's state.
 type Snapshot struct {
 	File  string   `toml:"file"`
 	Every Duration `toml:"every"`
-	Keep  Duration `toml:"keep"` // one older than this is not used
+	Keep  Duration `toml:"keep"` // an older snapshot is not used
 }
 
-// Promises is the record of what was promised, which daemons keep together: each holds replicas of some of its groups.
-// They call each other at their control listeners.
+// Promises configures the replicated record of promised jobs. Each daemon holds replicas of some of its groups. Daemons
+// call each other at their control listeners.
 type Promises struct {
-	Dir     string            `toml:"dir"`     // on a disk that lasts, this daemon's alone
-	Machine string            `toml:"machine"` // what fails together; empty: the daemon's name
+	Dir     string            `toml:"dir"`     // on a persistent disk, used by this daemon only
+	Machine string            `toml:"machine"` // failure domain; empty: the daemon's name
 	Zone    string            `toml:"zone"`    // empty: node.zone
 	Peers   map[string]string `toml:"peers"`   // the control listeners of all other daemons, by name
-	Through map[string]string `toml:"through"` // where named ones are reached from here, if not at their own addresses
-	Groups  uint32            `toml:"groups"`  // the same at all daemons, for good
+	Through map[string]string `toml:"through"` // addresses by name, of daemons that cannot be reached from here at their own
+	Groups  uint32            `toml:"groups"`  // the same at all daemons; cannot be changed later
 	Copies  int               `toml:"copies"`
-	Within  Duration          `toml:"within"` // for jobs that bring none: later than this after the receipt they are begun no more
-	Keep    Duration          `toml:"keep"`   // how long an end is kept, likewise
-	Gone    Duration          `toml:"gone"`   // a daemon that is away for so long has its replicas moved
-	// Repair counts the times that a lost majority was given up, and Survivors are the daemons that were left the last time.
+	Within  Duration          `toml:"within"` // default start limit: a job is not started later than this after its receipt
+	Keep    Duration          `toml:"keep"`   // default time for which the end of a job is kept
+	Gone    Duration          `toml:"gone"`   // the replicas of a daemon that is unreachable for this long are moved
+	// Repair counts the repairs after a permanently lost majority. Survivors names the daemons left at the last repair.
 	Repair    uint32   `toml:"repair"`
 	Survivors []string `toml:"survivors"`
 }
 
-// TLS is the keys of a listener.
+// TLS names the key files of a listener.
 type TLS struct {
 	Certificate string   `toml:"certificate"`
 	Key         string   `toml:"key"`
 	ClientCA    string   `toml:"client_ca"`
-	Names       []string `toml:"names"` // that a client's certificate may bear
+	Names       []string `toml:"names"` // accepted in a client's certificate
 }
 
-// Log is what is written of the program's doings.
+// Log configures the program's log.
 type Log struct {
 	Format string `toml:"format"`
 	Level  string `toml:"level"`
 }
 
-// defaults is a file in which nothing was written.
+// defaults returns the values for keys that the file leaves out.
 func defaults() File {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return File{
@@ -280,7 +281,7 @@
 	}
 }
 
-// Load reads a file.
+// Load reads and checks a file.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -289,15 +290,15 @@
 	return Parse(path, text)
 }
 
-// Parse reads a file's text. Its error names line, key and mend.
+// Parse parses and checks a file's text. Its error names the line, the key and a correction.
 func Parse(path string, text []byte) (*File, error) {
 	f := defaults()
 	var bare []bareNumber
 	f.path, f.text = path, strings.Split(string(text), "\n")
 	f.lines, bare = lines(text)
-	for _, n := range bare { // the library would take them for numbers of our smallest units
-		if mend, ok := units[n.key[strings.LastIndexByte(n.key, '.')+1:]]; ok {
-			return nil, f.at(n.key, "it needs a unit, in quotes: "+mend, n.text)
+	for _, n := range bare { // the library would accept them as numbers of the smallest unit
+		if correction, ok := units[n.key[strings.LastIndexByte(n.key, '.')+1:]]; ok {
+			return nil, f.at(n.key, "it needs a unit, in quotes: "+correction, n.text)
 		}
 	}
 	d := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
@@ -310,7 +311,7 @@
 	return &f, nil
 }
 
-// fault puts a library's error in our form.
+// fault converts an error of the TOML library to an [Error].
 func (f *File) fault(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
@@ -319,14 +320,14 @@
 		key := strings.Join(e.Key(), ".")
 		return &Error{f.path, row, key, "no such key" + near(key)}
 	}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		row, _ := wrong.Position()
-		key := strings.Join(wrong.Key(), ".")
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		row, _ := decodeErr.Position()
+		key := strings.Join(decodeErr.Key(), ".")
 		if key == "" {
 			key = f.keyAt(row)
 		}
-		text := strings.TrimPrefix(wrong.Error(), "toml: ")
+		text := strings.TrimPrefix(decodeErr.Error(), "toml: ")
 		if strings.Contains(text, "cannot decode TOML") || strings.Contains(text, "into struct field") || strings.Contains(text, "incompatible types") {
 			text = "a value of the wrong type: " + text
 		}
@@ -335,7 +336,7 @@
 	return &Error{File: f.path, Text: strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
-// keyAt is the key of a line, as far as it can be made out.
+// keyAt returns the key on a line, or "" if none can be determined.
 func (f *File) keyAt(line int) string {
 	for key, n := range f.lines {
 		if n == line {
@@ -350,7 +351,7 @@
 	return ""
 }
 
-// units has the keys whose values need one, and what to write.
+// units maps the keys whose values need a unit to a format for the correction.
 var units = func() map[string]string {
 	all := map[string]string{"memory": `write "%sMB"`, "cold_from": `write "%s%%"`, "late_worth": `write "%s%%"`, "rate": `write "%s/s"`}
 	for _, key := range strings.Fields("aim deadline progress grain drain_grace cold fall_window connect idle max_retry_after silence lease within every keep gone") {
@@ -359,21 +360,21 @@
 	return all
 }()
 
-// bareNumber is a value without quotes.
+// bareNumber is a numeric value without quotes.
 type bareNumber struct{ key, text string }
 
-// words of the file's keys, for guesses at what was meant.
+// words lists the parts of the file's keys, for suggestions after a misspelt key.
 var words = strings.Fields(`node limits site rules attempts kind class tenant control log name listen discovery admin seed number of zone cores
 memory sockets zones tells_start progress rated grain crossing drain_grace cold_from cold fall_multiple fall_window most open copies probes
 connect idle max_retry_after slots effect aim stretch deadline worth late_worth rate senders silence lease new tls front routes nginx within clients members join through watchers fan_out promises gangs pipelines partner sites share hours snapshot file every keep certificate key client_ca names format level`)
 
-// near guesses which key was meant.
+// near returns the suggestion for a misspelt key.
 func near(key string) string {
 	last := key[strings.LastIndexByte(key, '.')+1:]
-	best, least := "", 3
+	best, minDistance := "", 3
 	for _, w := range words {
-		if d := distance(last, w); d < least {
-			best, least = w, d
+		if d := distance(last, w); d < minDistance {
+			best, minDistance = w, d
 		}
 	}
 	if best == "" {
@@ -382,28 +383,28 @@
 	return fmt.Sprintf("; write %q, or remove it", best)
 }
 
-// distance is Levenshtein's.
+// distance returns the Levenshtein distance.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		last := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			cost := last
+			cost := diagonal
 			if a[i] != b[j] {
 				cost++
 			}
-			last = row[j+1]
-			row[j+1] = min(cost, row[j]+1, last+1)
+			diagonal = row[j+1]
+			row[j+1] = min(cost, row[j]+1, diagonal+1)
 		}
 	}
 	return row[len(b)]
 }
 
-// lines is on which line each key stands, as "class[1].aim".
+// lines returns the line of each key, with keys such as "class[1].aim", and the numeric values without quotes.
 func lines(text []byte) (at map[string]int, bare []bareNumber) {
 	at = map[string]int{}
 	counts := map[string]int{}
@@ -442,7 +443,7 @@
 	return at, bare
 }
 
-// at is an error at a key.
+// at returns an error at the line of a key or else of the nearest enclosing table.
 func (f *File) at(key, format string, args ...any) error {
 	line, ok := f.lines[key]
 	for at := key; !ok && strings.Contains(at, "."); {
@@ -452,7 +453,8 @@
 	return &Error{f.path, line, key, fmt.Sprintf(format, args...)}
 }
 
-// check finds what no dispatcher could go by, but for what the reader of settings finds.
+// check validates the file and fills in defaults of optional tables. Package wire and package config check the settings
+// further.
 func (f *File) check() error {
 	switch {
 	case f.Node.Name == "":
@@ -582,7 +584,7 @@
 	return nil
 }
 
-// checkPromises finds what no record could be kept by.
+// checkPromises validates [promises] and fills in its defaults.
 func (f *File) checkPromises() error {
 	p := f.Promises
 	if p == nil {
@@ -636,10 +638,10 @@
 	return -1
 }
 
-// Platform is the file in the form of the platform's JSON, PROXY_CONFIG.
+// Platform returns the file in the JSON form of the platform's PROXY_CONFIG.
 func (f *File) Platform() ([]byte, error) {
 	type object = map[string]any
-	classes, tenants := []object{}, []object{} // an empty list is a list
+	classes, tenants := []object{}, []object{} // encoded as [], not null
 	var kinds []int
 	var stretch []float64
 	var skus []string
@@ -684,7 +686,7 @@
 	})
 }
 
-// Slots is how many jobs a warm encoder of each kind runs at once.
+// Slots returns, for each kind, how many jobs a warm encoder runs at once. The kind "" has one.
 func (f *File) Slots() map[string]float64 {
 	slots := map[string]float64{"": 1}
 	for _, k := range f.Kinds {
--- a/internal/siteconf/siteconf_test.go
+++ b/internal/siteconf/siteconf_test.go
@@ -18,21 +18,21 @@
 	return string(text)
 }
 
-// The documented sample is good, and means in the platform's form what it says.
-func TestSampleMeansWhatItSays(t *testing.T) {
+// The documented sample is valid and converts to the platform's form with the same values.
+func TestSampleConverts(t *testing.T) {
 	f, err := Parse("site.toml", []byte(sample(t)))
 	require.NoError(t, err)
 	text, err := f.Platform()
 	require.NoError(t, err)
-	var whole struct {
+	var converted struct {
 		Admin    string             `json:"admin_addr"`
 		Limits   map[string]float64 `json:"Limits"`
 		Settings json.RawMessage    `json:"Settings"`
 	}
-	require.NoError(t, json.Unmarshal(text, &whole))
-	require.Equal(t, "127.0.0.1:9800", whole.Admin)
-	require.Equal(t, 192.0, whole.Limits["memory_mb"])
-	s, n, err := wire.ParseSettings(whole.Settings)
+	require.NoError(t, json.Unmarshal(text, &converted))
+	require.Equal(t, "127.0.0.1:9800", converted.Admin)
+	require.Equal(t, 192.0, converted.Limits["memory_mb"])
+	s, n, err := wire.ParseSettings(converted.Settings)
 	require.NoError(t, err)
 	require.Equal(t, []string{"preview", "publish"}, n.Classes)
 	require.Equal(t, 0.14, s.Rules.ColdFrom)
@@ -46,11 +46,11 @@
 	require.Equal(t, 64, f.Control.Senders)
 }
 
-// Each fault is one line with file, line, key and what to write; never a crash, never silence.
-func TestFaultsNameLineKeyAndMend(t *testing.T) {
+// Each error is one line with file, line, key and a correction.
+func TestErrorsNameLineKeyAndCorrection(t *testing.T) {
 	for _, c := range []struct {
 		from, to string // a change of the sample
-		line     string // the key's line, as it then stands
+		line     string // the key's line after the change
 		want     []string
 	}{
 		{`aim = "500ms"`, `aim = 500`, `aim = 500`, []string{"class", "aim", `write "500ms"`}},
@@ -95,7 +95,7 @@
 	}
 }
 
-// No text makes it panic.
+// No text makes Parse panic or hang.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[node]\nname = 1"))
 	f.Add([]byte("[[class]]\n[[class]]\naim = \"1s\""))
--- a/internal/siteconf/strict.go
+++ b/internal/siteconf/strict.go
@@ -7,18 +7,19 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Strict is another file of the operator's, read as strictly as the main one: each fault has file, line, key and mend.
+// Strict is another TOML file of the operator, read as strictly as the main one: each error has file, line, key and a
+// correction.
 type Strict struct{ file File }
 
-// ReadStrict reads a text into a struct. units has the keys whose values are no bare numbers, and what to write
-// instead, with a verb for the number; words has the keys that there are, for guesses.
+// ReadStrict decodes a text into a struct. units maps the keys whose values need a unit to a format for the correction,
+// with a verb for the number. words lists the known keys, for suggestions.
 func ReadStrict(path string, text []byte, into any, units map[string]string, words []string) (*Strict, error) {
 	s := &Strict{File{path: path, text: strings.Split(string(text), "\n")}}
 	var bare []bareNumber
 	s.file.lines, bare = lines(text)
 	for _, n := range bare {
-		if mend, ok := units[n.key[strings.LastIndexByte(n.key, '.')+1:]]; ok {
-			return nil, s.At(n.key, "it needs a unit, in quotes: "+mend, n.text)
+		if correction, ok := units[n.key[strings.LastIndexByte(n.key, '.')+1:]]; ok {
+			return nil, s.At(n.key, "it needs a unit, in quotes: "+correction, n.text)
 		}
 	}
 	if err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(into); err != nil {
@@ -31,18 +32,18 @@
 	return s, nil
 }
 
-// At is a fault at a key, such as "class[1].aim". Array tables are counted over the whole file.
+// At returns an error at a key such as "class[1].aim". Array tables are numbered over the whole file.
 func (s *Strict) At(key, format string, args ...any) error { return s.file.at(key, format, args...) }
 
-// Line is where a key stands; 0: nowhere.
+// Line returns the line of a key, or 0 if the file does not have it.
 func (s *Strict) Line(key string) int { return s.file.lines[key] }
 
-// Nearest guesses which word was meant, as a mend; none is near: otherwise.
+// Nearest returns a suggestion of the word closest to a misspelt one, or otherwise if none is close.
 func Nearest(word string, words []string, otherwise string) string {
-	best, least := "", 3
+	best, minDistance := "", 3
 	for _, w := range words {
-		if d := distance(word, w); d < least {
-			best, least = w, d
+		if d := distance(word, w); d < minDistance {
+			best, minDistance = w, d
 		}
 	}
 	if best == "" {
