--- a/internal/full/accord.go
+++ b/internal/full/accord.go
@@ -17,8 +17,8 @@
 	"caperrelay/internal/siteconf"
 )
 
-// accords has the program go by settings and cordons that all dispatchers have agreed on. The file is what this one
-// proposes; of what all must have alike it counts only as long as nothing was ever agreed.
+// accords makes the program use the shared settings and the cordons that all dispatchers have agreed on. This dispatcher
+// proposes the shared settings of its file and uses them directly only until a first version is agreed.
 type accords struct {
 	path   string
 	getenv func(string) string
@@ -26,11 +26,11 @@
 	server *accord.Server
 	core   program.Core
 
-	mu        sync.Mutex
-	file      *siteconf.File // as last read without a fault
-	fresh     bool           // it is to be read anew
-	low, high []byte         // what to go by both; nil: nothing
-	floor     bool
+	mu         sync.Mutex
+	file       *siteconf.File // as last read successfully
+	rereadFile bool           // the file must be read again
+	low, high  []byte         // the versions in force; nil: none
+	floor      bool
 }
 
 func newAccords(path string, f *siteconf.File, getenv func(string) string, adjust func(*decide.Settings)) (*accords, error) {
@@ -41,52 +41,52 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	a.low, a.high = a.server.Start()
-	if _, err := a.settings(); err != nil { // of a later program, or for another file
+	if _, err := a.settings(); err != nil { // from a later program, or not valid with this file
 		a.low, a.high = nil, nil
 	}
 	return a, nil
 }
 
-// settings is the file with what is to be gone by. The lock is held, or nobody else has it yet.
+// settings returns the file with the shared settings in force. The caller holds mu, or has not shared a yet.
 func (a *accords) settings() (*siteconf.File, error) {
 	s := a.file.Shared()
-	var known []siteconf.Shared
+	var versions []siteconf.Shared
 	for _, text := range [][]byte{a.low, a.high} {
 		if text != nil {
-			one, err := siteconf.ReadShared(text)
+			version, err := siteconf.DecodeShared(text)
 			if err != nil {
 				return nil, err
 			}
-			known = append(known, one)
+			versions = append(versions, version)
 		}
 	}
-	if len(known) > 0 {
-		s = known[0]
+	if len(versions) > 0 {
+		s = versions[0]
 	}
-	if len(known) > 1 && string(a.low) != string(a.high) {
+	if len(versions) > 1 && string(a.low) != string(a.high) {
 		var err error
-		if s, err = siteconf.Stricter(known[0], known[1]); err != nil {
+		if s, err = siteconf.Stricter(versions[0], versions[1]); err != nil {
 			return nil, err
 		}
 	}
 	if a.floor {
-		s = siteconf.Floor(s)
+		s = siteconf.Restricted(s)
 	}
-	return a.file.With(s)
+	return a.file.WithShared(s)
 }
 
-// platform is the text of what counts, in the platform's form.
+// platform returns the configuration in force in the platform's JSON form.
 func (a *accords) platform() ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.fresh {
-		a.fresh = false
+	if a.rereadFile {
+		a.rereadFile = false
 		f, err := siteconf.Load(a.path)
 		if err != nil {
 			return nil, err
 		}
 		a.file = f
-		go a.server.Propose(context.Background(), f.Shared().Text())
+		go a.server.Propose(context.Background(), f.Shared().Encode())
 	}
 	f, err := a.settings()
 	if err != nil {
@@ -95,17 +95,17 @@
 	return f.Platform()
 }
 
-// Own is the settings of this dispatcher's own file.
+// Own returns the shared settings of this dispatcher's file.
 func (a *accords) Own() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.file.Shared().Text()
+	return a.file.Shared().Encode()
 }
 
-// Check says whether this dispatcher could go by a version, alone and beside what is agreed. The file counts as it now
-// is: who starts by it must be able to do the same.
+// Check returns an error if this dispatcher cannot use a version, alone or combined with the agreed one. It checks with the
+// file as it is on disk, as a dispatcher that starts with it must be able to use the version, too.
 func (a *accords) Check(text []byte) error {
-	next, err := siteconf.ReadShared(text)
+	next, err := siteconf.DecodeShared(text)
 	if err != nil {
 		return err
 	}
@@ -113,12 +113,12 @@
 	if err != nil {
 		return err
 	}
-	if err := f.Lacks(next); err != nil {
+	if err := f.CheckClasses(next); err != nil {
 		return err
 	}
 	all := []siteconf.Shared{next}
-	if now := a.server.Agreed(); now != nil {
-		before, err := siteconf.ReadShared(now)
+	if agreed := a.server.Agreed(); agreed != nil {
+		before, err := siteconf.DecodeShared(agreed)
 		if err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 		all = append(all, both)
 	}
 	for _, s := range all {
-		g, err := f.With(s)
+		g, err := f.WithShared(s)
 		if err != nil {
 			return err
 		}
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// Act has the program go by it: with the file as it was read last, so that none is needed for it now.
+// Act makes the program use the versions. It uses the file as last read, so that the file need not be readable now.
 func (a *accords) Act(low, high []byte, floor bool, done func(error)) {
 	a.mu.Lock()
 	a.low, a.high, a.floor = low, high, floor
@@ -155,53 +155,53 @@
 	a.core.Reload(done)
 }
 
-// Leave has the program leave instances out.
+// Leave cordons instances in the program.
 func (a *accords) Leave(ids []string, only bool) { a.core.Cordons.SetCordons(ids, only) }
 
-// part has it live with the program.
+// part returns the constructor of the program's part.
 func (a *accords) part(host replicas.Host) program.NewPart {
 	return func(core program.Core) (program.Part, error) {
 		a.core = core
 		a.server.Use(a, host, core.Log)
 		core.Cordons.SetStore(a.server)
-		return &accorded{a.server, a}, nil
+		return &accordPart{a.server, a}, nil
 	}
 }
 
-// accorded is the accord as a part.
-type accorded struct {
+// accordPart runs the accord server as a part of the program.
+type accordPart struct {
 	*accord.Server
-	a *accords
+	accords *accords
 }
 
-func (*accorded) Name() string { return "accord" }
+func (*accordPart) Name() string { return "accord" }
 
-func (p *accorded) Phase(ctx context.Context, phase program.Phase) error {
+func (p *accordPart) Phase(ctx context.Context, phase program.Phase) error {
 	switch phase {
 	case program.Serving, program.Quiescing, program.Quiesced:
 		p.Open(ctx)
-	case program.HandedOver, program.Stopped: // the next process is heard in this one's place
+	case program.HandedOver, program.Stopped: // the next process takes part instead
 		p.Close()
 	}
 	return nil
 }
 
-// Asked: the file's settings are proposed to all.
-func (p *accorded) Asked() {
-	p.a.mu.Lock()
-	defer p.a.mu.Unlock()
-	p.a.fresh = true
+// Asked makes the next reload read the file and propose its shared settings to all dispatchers.
+func (p *accordPart) Asked() {
+	p.accords.mu.Lock()
+	defer p.accords.mu.Unlock()
+	p.accords.rereadFile = true
 }
 
-func (*accorded) Listed(dispatch.InstanceUpdate) {}
-func (*accorded) Cordoned([]string)              {}
-func (*accorded) Reloaded(*config.Config)        {}
+func (*accordPart) Listed(dispatch.InstanceUpdate) {}
+func (*accordPart) Cordoned([]string)              {}
+func (*accordPart) Reloaded(*config.Config)        {}
 
-// Quiet: the others go on without this one.
-func (*accorded) Quiet() bool { return true }
+// Quiet returns true: the other daemons continue without this one.
+func (*accordPart) Quiet() bool { return true }
 
-// Show is what the operators' call accord prints.
-func (p *accorded) Show(what string) string {
+// Show returns the output of the operators' command accord.
+func (p *accordPart) Show(what string) string {
 	if what != "accord" {
 		return ""
 	}
--- a/internal/full/front.go
+++ b/internal/full/front.go
@@ -21,25 +21,25 @@
 	"caperrelay/internal/siteconf"
 )
 
-// Disk reads an nginx file and what it includes.
+// Disk reads nginx files from the file system.
 type Disk struct{}
 
 // Read reads a file.
 func (Disk) Read(path string) ([]byte, error) { return os.ReadFile(path) }
 
-// Glob finds files.
+// Glob returns the files that match a pattern.
 func (Disk) Glob(pattern string) ([]string, error) { return filepath.Glob(pattern) }
 
-// ImportNginx reads an nginx file.
+// ImportNginx converts an nginx file and the files that it includes to routes.
 func ImportNginx(file string) (*routes.Config, *nginx.Report, error) {
-	all, err := nginx.Parse(Disk{}, filepath.ToSlash(file))
+	parsed, err := nginx.Parse(Disk{}, filepath.ToSlash(file))
 	if err != nil {
 		return nil, nil, err
 	}
-	return nginx.Import(all)
+	return nginx.Import(parsed)
 }
 
-// ReadRoutes reads routes as winglb import writes them.
+// ReadRoutes reads routes in the format that winglb import writes.
 func ReadRoutes(file string) (*routes.Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -48,13 +48,13 @@
 	c := &routes.Config{}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(c); err != nil {
 		var unknown *toml.StrictMissingError
-		var wrong *toml.DecodeError
+		var decodeErr *toml.DecodeError
 		if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 			row, _ := unknown.Errors[0].Position()
 			return nil, fmt.Errorf("%s:%d: %v: no such key", file, row, unknown.Errors[0].Key())
-		} else if errors.As(err, &wrong) {
-			row, _ := wrong.Position()
-			return nil, fmt.Errorf("%s:%d: %w", file, row, wrong)
+		} else if errors.As(err, &decodeErr) {
+			row, _ := decodeErr.Position()
+			return nil, fmt.Errorf("%s:%d: %w", file, row, decodeErr)
 		}
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -69,7 +69,7 @@
 	return ReadRoutes(f.Routes)
 }
 
-// frontPart makes a listener for plain HTTP a part of the program.
+// frontPart returns the constructor of a listener for plain HTTP.
 func frontPart(f siteconf.Front) program.NewPart {
 	return func(core program.Core) (program.Part, error) {
 		c, err := readFront(f)
@@ -81,12 +81,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return &front{config: f, site: s, log: log}, nil
+		return &plainFront{config: f, site: s, log: log}, nil
 	}
 }
 
-// front is a site as a part. Its routes are read anew at each reload.
-type front struct {
+// plainFront runs a listener for plain HTTP as a part of the program. Its routes are read again at each reload.
+type plainFront struct {
 	config  siteconf.Front
 	site    *plain.Site
 	log     *slog.Logger
@@ -94,9 +94,9 @@
 	loaded  bool
 }
 
-func (*front) Name() string { return "front" }
+func (*plainFront) Name() string { return "front" }
 
-func (p *front) Phase(ctx context.Context, phase program.Phase) error {
+func (p *plainFront) Phase(ctx context.Context, phase program.Phase) error {
 	switch phase {
 	case program.Serving:
 		if !p.running {
@@ -113,11 +113,11 @@
 	return nil
 }
 
-func (*front) Listed(dispatch.InstanceUpdate) {}
-func (*front) Cordoned([]string)              {}
+func (*plainFront) Listed(dispatch.InstanceUpdate) {}
+func (*plainFront) Cordoned([]string)              {}
 
-func (p *front) Reloaded(*config.Config) {
-	if !p.loaded { // the first is what it was made of
+func (p *plainFront) Reloaded(*config.Config) {
+	if !p.loaded { // the first call follows the construction, which has read the routes
 		p.loaded = true
 		return
 	}
@@ -134,9 +134,9 @@
 	}()
 }
 
-func (p *front) Quiet() bool { return p.site.Front.Quiet() }
+func (p *plainFront) Quiet() bool { return p.site.Front.Quiet() }
 
-func (p *front) Figures() string {
+func (p *plainFront) Figures() string {
 	b := &p.site.Loop.Counters
 	return fmt.Sprintf("proxy.front.taken=%d\nproxy.front.attempts=%d\nproxy.front.in_progress=%d\n", b.Received.Load(), b.Sent.Load(), p.site.Loop.Pending())
 }
--- a/internal/full/gangs.go
+++ b/internal/full/gangs.go
@@ -17,15 +17,16 @@
 	"caperrelay/internal/siteconf"
 )
 
-// gangsPart has jobs taken whose members start together. host keeps them, and they come in at the control listener.
+// gangsPart returns the constructor of the gang service. host stores the gangs; register adds the service to the control
+// listener.
 func gangsPart(f *siteconf.File, host replicas.Host, register func(func(grpc.ServiceRegistrar))) (program.NewPart, error) {
 	o := gangs.Options{Name: f.Node.Name, Site: f.Node.Zone, Peers: map[string]string{}, Slots: f.Slots(), WarmUp: time.Duration(f.Rules.Cold), TellsStart: f.Site.TellsStart, OnceClasses: map[string]bool{}}
 	o.ClockOffset = time.Duration(f.Gangs.Clock)
-	for name, at := range f.Promises.Peers {
-		o.Peers[name] = at
+	for name, address := range f.Promises.Peers {
+		o.Peers[name] = address
 	}
-	for name, at := range f.Promises.Through {
-		o.Peers[name] = at
+	for name, address := range f.Promises.Through {
+		o.Peers[name] = address
 	}
 	for _, c := range f.Classes {
 		o.OnceClasses[c.Name] = c.Effect == "once"
@@ -47,16 +48,16 @@
 		}
 		register(s.Register)
 		core.Loop.OnUnmatchedCallback(s.HandleUnmatchedCallback)
-		return &ganging{s}, nil
+		return &gangPart{s}, nil
 	}, nil
 }
 
-// ganging is the service of gangs as a part.
-type ganging struct{ *gangs.Server }
+// gangPart runs the gang service as a part of the program.
+type gangPart struct{ *gangs.Server }
 
-func (*ganging) Name() string { return "gangs" }
+func (*gangPart) Name() string { return "gangs" }
 
-func (p *ganging) Phase(ctx context.Context, phase program.Phase) error {
+func (p *gangPart) Phase(ctx context.Context, phase program.Phase) error {
 	switch phase {
 	case program.Serving, program.Quiescing, program.Quiesced:
 		p.Open(ctx)
@@ -66,8 +67,8 @@
 	return nil
 }
 
-// Reloaded takes which classes there are.
-func (p *ganging) Reloaded(c *config.Config) {
+// Reloaded passes on which classes there are and which of them must not run twice.
+func (p *gangPart) Reloaded(c *config.Config) {
 	once := map[string]bool{}
 	for i, name := range c.Names.Classes {
 		if !c.Settings.Classes[i].Removed {
@@ -77,5 +78,5 @@
 	p.SetClasses(once)
 }
 
-// Quiet: others coordinate and tell members; what was sent from here is in the loop's hands.
-func (*ganging) Quiet() bool { return true }
+// Quiet returns true: other daemons coordinate the gangs, and the loop accounts for what was sent from here.
+func (*gangPart) Quiet() bool { return true }
--- a/internal/full/members.go
+++ b/internal/full/members.go
@@ -13,7 +13,7 @@
 	"caperrelay/internal/siteconf"
 )
 
-// membersPart has dispatchers tell each other of the worker list.
+// membersPart returns the constructor of the part that shares the instance list among dispatchers.
 func membersPart(f *siteconf.File) program.NewPart {
 	m := f.Members
 	return func(core program.Core) (program.Part, error) {
@@ -22,38 +22,38 @@
 			Listen: m.Listen, Join: m.Join, Through: m.Through,
 		}, core.Lists, core.Log)
 		core.Lists.SetSharer(s)
-		return &among{s}, nil
+		return &memberPart{s}, nil
 	}
 }
 
-// among is the dispatcher among others as a part.
-type among struct{ *members.Server }
+// memberPart runs the sharing of the instance list as a part of the program.
+type memberPart struct{ *members.Server }
 
-func (*among) Name() string { return "members" }
+func (*memberPart) Name() string { return "members" }
 
-func (a *among) Phase(ctx context.Context, p program.Phase) error {
+func (a *memberPart) Phase(ctx context.Context, p program.Phase) error {
 	switch p {
 	case program.Starting, program.Serving, program.Quiescing, program.Quiesced:
-		a.Open(ctx) // from the start on: a process that waits for its list is not to call for it by itself
+		a.Open(ctx) // already at the start: a process that waits for its list must not query discovery itself
 	case program.HandedOver, program.Stopped:
 		a.Close()
 	}
 	return nil
 }
 
-// The list service's own news come by way of Sharer.
-func (*among) Listed(dispatch.InstanceUpdate) {}
-func (*among) Cordoned([]string)              {}
+// Listed does nothing: updates from discovery arrive through the sharer.
+func (*memberPart) Listed(dispatch.InstanceUpdate) {}
+func (*memberPart) Cordoned([]string)              {}
 
-func (a *among) Reloaded(c *config.Config) {
+func (a *memberPart) Reloaded(c *config.Config) {
 	a.Retune(fmt.Sprintf("%x", sha256.Sum256(c.Document))[:12])
 }
 
-// Quiet: the others go on without this one.
-func (*among) Quiet() bool { return true }
+// Quiet returns true: the other daemons continue without this one.
+func (*memberPart) Quiet() bool { return true }
 
-// Show is what the operators' calls members and lists print.
-func (a *among) Show(what string) string {
+// Show returns the output of the operators' command members.
+func (a *memberPart) Show(what string) string {
 	if what != "members" {
 		return ""
 	}
--- a/internal/full/pipelines.go
+++ b/internal/full/pipelines.go
@@ -23,7 +23,7 @@
 	promisev1 "caperrelay/proto/winglb/promise/v1"
 )
 
-// withReruns adds runs of pipelines to what each group of the record holds.
+// withReruns adds the state machine of pipeline runs to those of each group.
 func withReruns(groups uint32, of func(uint32) replica.Mux) func(uint32) replica.Mux {
 	return func(g uint32) replica.Mux {
 		m := of(g)
@@ -32,7 +32,8 @@
 	}
 }
 
-// Pipelines reads the policy of reruns that a site's file names; nil: it names none.
+// Pipelines reads the rerun policy that a site's file names, and returns it with its text. The policy is nil if the file
+// names none.
 func Pipelines(f *siteconf.File) (*policy.Policy, string, error) {
 	if f.Pipelines == nil {
 		return nil, "", nil
@@ -56,48 +57,48 @@
 	return site
 }
 
-// captured is the service of promises, as it is served at the control listener.
-type captured struct{ jobs pipelines.Jobs }
+// promiseCapture is a registrar that captures the promise service.
+type promiseCapture struct{ jobs pipelines.Jobs }
 
-// RegisterService keeps it.
-func (c *captured) RegisterService(d *grpc.ServiceDesc, impl any) {
+// RegisterService stores the promise service and ignores all others.
+func (c *promiseCapture) RegisterService(d *grpc.ServiceDesc, impl any) {
 	if d.ServiceName == promisev1.Promises_ServiceDesc.ServiceName {
 		c.jobs, _ = impl.(pipelines.Jobs)
 	}
 }
 
-// pipelinesPart has runs of pipelines taken. host keeps them, their stages run as promised jobs, and they come in at the
-// control listener.
-func pipelinesPart(f *siteconf.File, host replicas.Host, beside *services) (program.NewPart, error) {
+// pipelinesPart returns the constructor of the pipeline service. host stores the runs, their stages run as promised jobs,
+// and the service is added to the control listener.
+func pipelinesPart(f *siteconf.File, host replicas.Host, registered *serviceList) (program.NewPart, error) {
 	p, text, err := Pipelines(f)
 	if err != nil {
 		return nil, err
 	}
 	o := pipelines.Options{Name: f.Node.Name, Policy: text, Version: p.Version, Site: policySite(f), Slots: f.Slots()}
 	return func(core program.Core) (program.Part, error) {
-		var found captured
-		beside.register(&found)
+		var found promiseCapture
+		registered.register(&found)
 		if found.jobs == nil {
 			return nil, errors.New("pipelines: there is no service of promises")
 		}
 		s := pipelines.New(o, host, core.Log)
 		s.Use(found.jobs)
-		beside.add(func(r grpc.ServiceRegistrar) { pipelinev1.RegisterPipelinesServer(r, s) })
-		return &pipelining{Server: s}, nil
+		registered.add(func(r grpc.ServiceRegistrar) { pipelinev1.RegisterPipelinesServer(r, s) })
+		return &pipelinePart{Server: s}, nil
 	}, nil
 }
 
-// pipelining is the service of pipelines as a part.
-type pipelining struct {
+// pipelinePart runs the pipeline service as a part of the program.
+type pipelinePart struct {
 	*pipelines.Server
 	mu     sync.Mutex
 	cancel context.CancelFunc
 	ended  chan struct{}
 }
 
-func (*pipelining) Name() string { return "pipelines" }
+func (*pipelinePart) Name() string { return "pipelines" }
 
-func (p *pipelining) Phase(ctx context.Context, phase program.Phase) error {
+func (p *pipelinePart) Phase(ctx context.Context, phase program.Phase) error {
 	switch phase {
 	case program.Serving:
 		p.mu.Lock()
@@ -107,7 +108,7 @@
 			p.ended = make(chan struct{})
 			go func(ended chan struct{}) { defer close(ended); p.Run(ctx) }(p.ended)
 		}
-	case program.HandedOver, program.Departing, program.Stopped: // whoever acts next takes up what runs
+	case program.HandedOver, program.Departing, program.Stopped: // the daemon that leads next continues the runs
 		p.mu.Lock()
 		cancel, ended := p.cancel, p.ended
 		p.cancel = nil
@@ -120,22 +121,22 @@
 	return nil
 }
 
-func (*pipelining) Cordoned([]string) {}
+func (*pipelinePart) Cordoned([]string) {}
 
-// Reloaded: a new policy counts from the daemon's next start on.
-func (*pipelining) Reloaded(*config.Config) {}
+// Reloaded does nothing: a new policy takes effect at the daemon's next start.
+func (*pipelinePart) Reloaded(*config.Config) {}
 
-// Quiet: the others go on without this one.
-func (*pipelining) Quiet() bool { return true }
+// Quiet returns true: the other daemons continue without this one.
+func (*pipelinePart) Quiet() bool { return true }
 
-// Show is what the operators' call explain:RUN prints.
-func (p *pipelining) Show(what string) string {
-	id, is := strings.CutPrefix(what, "explain:")
-	if !is {
+// Show returns the output of the operators' command explain:RUN.
+func (p *pipelinePart) Show(what string) string {
+	id, ok := strings.CutPrefix(what, "explain:")
+	if !ok {
 		return ""
 	}
-	e, ok := p.Explained(id)
-	if !ok {
+	e, known := p.Explained(id)
+	if !known {
 		return fmt.Sprintf("no copy of run %q is here: ask another daemon", id)
 	}
 	text, err := json.MarshalIndent(e, "", " ")
--- a/internal/full/promises.go
+++ b/internal/full/promises.go
@@ -16,7 +16,8 @@
 	promisev1 "caperrelay/proto/winglb/promise/v1"
 )
 
-// promisesPart has jobs handed in for good. They are kept at host, and come in at the control listener by register.
+// promisesPart returns the constructor of the promise service. host stores the jobs; register adds the service to the
+// control listener.
 func promisesPart(f *siteconf.File, host replicas.Host, register func(func(grpc.ServiceRegistrar))) program.NewPart {
 	o := promises.Options{Within: time.Duration(f.Promises.Within), Keep: time.Duration(f.Promises.Keep), Dir: f.Promises.Dir}
 	return func(core program.Core) (program.Part, error) {
@@ -24,21 +25,21 @@
 		core.Loop.OnUnmatchedCallback(s.Stray)
 		core.Loop.PersistCallbacksWith(s.Keep)
 		register(func(r grpc.ServiceRegistrar) { promisev1.RegisterPromisesServer(r, s) })
-		return &promising{Server: s}, nil
+		return &promisePart{Server: s}, nil
 	}
 }
 
-// promising is the service of promises as a part.
-type promising struct {
+// promisePart runs the promise service as a part of the program.
+type promisePart struct {
 	*promises.Server
 	mu     sync.Mutex
 	cancel context.CancelFunc
 	ended  chan struct{}
 }
 
-func (*promising) Name() string { return "promises" }
+func (*promisePart) Name() string { return "promises" }
 
-func (p *promising) Phase(ctx context.Context, phase program.Phase) error {
+func (p *promisePart) Phase(ctx context.Context, phase program.Phase) error {
 	if phase == program.Serving || phase == program.HandedOver {
 		p.Yield(phase == program.HandedOver)
 	}
@@ -51,7 +52,7 @@
 			p.ended = make(chan struct{})
 			go func() { defer close(p.ended); p.Run(ctx) }()
 		}
-	case program.HandedOver, program.Departing, program.Stopped: // what runs is told of to whichever dispatcher is called
+	case program.HandedOver, program.Departing, program.Stopped: // encoders report running jobs to whichever dispatcher they reach
 		p.mu.Lock()
 		cancel, ended := p.cancel, p.ended
 		p.cancel = nil
@@ -64,6 +65,6 @@
 	return nil
 }
 
-func (*promising) Listed(dispatch.InstanceUpdate) {}
-func (*promising) Cordoned([]string)              {}
-func (p *promising) Reloaded(c *config.Config)    { p.Retune(c.Settings, c.Names) }
+func (*promisePart) Listed(dispatch.InstanceUpdate) {}
+func (*promisePart) Cordoned([]string)              {}
+func (p *promisePart) Reloaded(c *config.Config)    { p.Retune(c.Settings, c.Names) }
--- a/internal/full/replicas.go
+++ b/internal/full/replicas.go
@@ -22,8 +22,8 @@
 	"caperrelay/internal/siteconf"
 )
 
-// machines is what each group of the record holds.
-func machines(group uint32) replica.Mux {
+// stateMachines returns the state machines of a group of the replicated record.
+func stateMachines(group uint32) replica.Mux {
 	m := replica.Mux{replica.Promises: promise.New(), replica.Gangs: gang.New()}
 	if group == replica.Root {
 		m[replica.Roots] = accord.New()
@@ -31,12 +31,12 @@
 	return m
 }
 
-// newReplicas makes this daemon's part of the record, which others call at the control listener.
+// newReplicas returns this daemon's replicas of the record. register adds their service to the control listener.
 func newReplicas(f *siteconf.File, register func(func(grpc.ServiceRegistrar))) (*replicas.Server, error) {
 	r := f.Promises
 	o := replicas.Options{
 		Self: replica.Member{Name: f.Node.Name, Machine: r.Machine, Zone: r.Zone}, Dir: r.Dir, Address: f.Control.Listen, Peers: r.Peers, Through: r.Through,
-		Groups: r.Groups, Copies: r.Copies, Gone: time.Duration(r.Gone), Machines: withReruns(r.Groups, machines),
+		Groups: r.Groups, Copies: r.Copies, Gone: time.Duration(r.Gone), Machines: withReruns(r.Groups, stateMachines),
 		Repair: r.Repair, Survivors: r.Survivors,
 	}
 	if t := f.Control.TLS; t != nil {
@@ -53,40 +53,40 @@
 	return s, err
 }
 
-// replicasPart has the record live with the program.
+// replicasPart returns the constructor of the part that runs the replicas.
 func replicasPart(s *replicas.Server) program.NewPart {
 	return func(core program.Core) (program.Part, error) {
 		s.Logged(core.Log)
-		return &record{s}, nil
+		return &replicaPart{s}, nil
 	}
 }
 
-// record is the replicas as a part.
-type record struct{ *replicas.Server }
+// replicaPart runs the replicas as a part of the program.
+type replicaPart struct{ *replicas.Server }
 
-func (*record) Name() string { return "replicas" }
+func (*replicaPart) Name() string { return "replicas" }
 
-func (r *record) Phase(ctx context.Context, p program.Phase) error {
+func (r *replicaPart) Phase(ctx context.Context, p program.Phase) error {
 	switch p {
 	case program.Serving, program.Quiescing, program.Quiesced:
 		r.Open(ctx)
 	case program.Departing:
 		r.Yield()
-	case program.HandedOver, program.Stopped: // the disk is the next process's
+	case program.HandedOver, program.Stopped: // the next process uses the disk
 		r.Close()
 	}
 	return nil
 }
 
-func (*record) Listed(dispatch.InstanceUpdate) {}
-func (*record) Cordoned([]string)              {}
-func (*record) Reloaded(*config.Config)        {}
+func (*replicaPart) Listed(dispatch.InstanceUpdate) {}
+func (*replicaPart) Cordoned([]string)              {}
+func (*replicaPart) Reloaded(*config.Config)        {}
 
-// Quiet: the others go on without this one.
-func (*record) Quiet() bool { return true }
+// Quiet returns true: the other daemons continue without this one.
+func (*replicaPart) Quiet() bool { return true }
 
-// Show is what the operators' call replicas prints.
-func (r *record) Show(what string) string {
+// Show returns the output of the operators' command replicas.
+func (r *replicaPart) Show(what string) string {
 	if what != "replicas" {
 		return ""
 	}
--- a/internal/full/serve.go
+++ b/internal/full/serve.go
@@ -1,5 +1,4 @@
-// Package full is what winglb-full adds to the daemon: the operator's own configuration and the parts
-// that it switches on.
+// Package full holds what winglb-full adds to the daemon: the TOML configuration and the optional parts that it enables.
 package full
 
 import (
@@ -26,21 +25,21 @@
 	"caperrelay/internal/siteconf"
 )
 
-// Site is a configuration with what it switches on.
+// Site is a configuration and the optional parts that it enables.
 type Site struct {
 	File   *siteconf.File
 	Config *config.Config
 	Parts  []program.NewPart
 }
 
-// Load reads and checks a TOML file. Variables PROXY_* count as they do for the platform's file.
+// Load reads and checks a TOML file. Variables PROXY_* override it as they do for the platform's file.
 func Load(path string, getenv func(string) string) (*Site, error) {
 	f, err := siteconf.Load(path)
 	if err != nil {
 		return nil, err
 	}
 	adjust := func(s *decide.Settings) {
-		if f.Control != nil { // the daemon's own sends to cold encoders go by leases too
+		if f.Control != nil { // the daemon's own sends to cold encoders need leases, too
 			s.Leasing = decide.Leasing{Enabled: true, Turn: -1, Turns: f.Control.Senders, Share: lease.TurnsShare}
 		}
 	}
@@ -52,7 +51,7 @@
 		return f.Platform()
 	}
 	var agreed *accords
-	if f.Promises != nil { // what all must have alike is agreed on
+	if f.Promises != nil { // the dispatchers agree on the shared settings
 		if agreed, err = newAccords(path, f, getenv, adjust); err != nil {
 			return nil, err
 		}
@@ -63,29 +62,29 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	s := &Site{File: f, Config: c}
-	beside := &services{}
+	registered := &serviceList{}
 	if f.Control != nil {
-		part, err := controlPart(f, beside.register)
+		part, err := controlPart(f, registered.register)
 		if err != nil {
 			return nil, err
 		}
 		s.Parts = append(s.Parts, part)
 	}
 	if f.Promises != nil {
-		host, err := newReplicas(f, beside.add)
+		host, err := newReplicas(f, registered.add)
 		if err != nil {
 			return nil, err
 		}
-		s.Parts = append(s.Parts, replicasPart(host), agreed.part(host), promisesPart(f, host, beside.add))
+		s.Parts = append(s.Parts, replicasPart(host), agreed.part(host), promisesPart(f, host, registered.add))
 		if f.Pipelines != nil {
-			part, err := pipelinesPart(f, host, beside)
+			part, err := pipelinesPart(f, host, registered)
 			if err != nil {
 				return nil, err
 			}
 			s.Parts = append(s.Parts, part)
 		}
 		if f.Gangs != nil {
-			part, err := gangsPart(f, host, beside.add)
+			part, err := gangsPart(f, host, registered.add)
 			if err != nil {
 				return nil, err
 			}
@@ -104,10 +103,10 @@
 	return s, nil
 }
 
-// Serve runs a dispatcher by a TOML file until a signal to end comes.
+// Serve runs a dispatcher with a TOML file until a signal ends it.
 func Serve(path string, getenv func(string) string) error {
 	signals := daemon.Signals()
-	if file := getenv("WINGLB_CPU_PROFILE"); file != "" { // for whoever asks where the time goes
+	if file := getenv("WINGLB_CPU_PROFILE"); file != "" { // for profiling
 		out, err := os.Create(file)
 		if err != nil {
 			return err
@@ -133,35 +132,37 @@
 	return p.Run(signals)
 }
 
-// New makes the program of a site.
+// New returns the program of a site.
 func (s *Site) New(logger *slog.Logger) (*program.Program, error) {
 	return program.New(s.Config, logger, s.Parts...)
 }
 
-// services is what parts have served at the control listener.
-type services struct{ all []func(grpc.ServiceRegistrar) }
+// serviceList collects the gRPC services that parts offer at the control listener.
+type serviceList struct{ registrations []func(grpc.ServiceRegistrar) }
 
-func (s *services) add(f func(grpc.ServiceRegistrar)) { s.all = append(s.all, f) }
-func (s *services) register(r grpc.ServiceRegistrar) {
-	for _, f := range s.all {
+func (s *serviceList) add(f func(grpc.ServiceRegistrar)) {
+	s.registrations = append(s.registrations, f)
+}
+func (s *serviceList) register(r grpc.ServiceRegistrar) {
+	for _, f := range s.registrations {
 		f(r)
 	}
 }
 
-// controlPart makes the stream to plug-ins a part of the program.
+// controlPart returns the constructor of the control server, which serves plug-ins and other daemons.
 func controlPart(f *siteconf.File, register func(grpc.ServiceRegistrar)) (program.NewPart, error) {
 	c := f.Control
 	o := control.Options{
 		Listen: c.Listen, Daemon: f.Node.Number, Daemons: f.Node.Of, Senders: c.Senders, Silence: time.Duration(c.Silence),
 		Life: time.Duration(c.Lease), Slots: f.Slots(), New: c.New, Also: register,
 	}
-	fault := func() error { return nil }
+	keyError := func() error { return nil }
 	if t := c.TLS; t != nil {
 		pair, err := keys.Load(keys.Files{Certificate: t.Certificate, Key: t.Key, CA: t.ClientCA, AcceptedNames: t.Names})
 		if err != nil {
 			return nil, fmt.Errorf("control.tls: %w", err)
 		}
-		o.TLS, fault = credentials.NewTLS(pair.ServerConfig()), pair.ReloadError
+		o.TLS, keyError = credentials.NewTLS(pair.ServerConfig()), pair.ReloadError
 	}
 	return func(core program.Core) (program.Part, error) {
 		s, err := control.New(o, core.Config.Settings, core.Loop, core.Log)
@@ -169,21 +170,21 @@
 			return nil, err
 		}
 		core.Loop.SetLeaser(s)
-		return &controls{Server: s, fault: fault, log: core.Log}, nil
+		return &controlServer{Server: s, keyError: keyError, log: core.Log}, nil
 	}, nil
 }
 
-// controls is the control server as a part.
-type controls struct {
+// controlServer runs the control server as a part of the program.
+type controlServer struct {
 	*control.Server
-	fault func() error // of keys that have changed
-	log   *slog.Logger
-	told  atomic.Bool
+	keyError       func() error // of the last reload of the key files
+	log            *slog.Logger
+	keyErrorLogged atomic.Bool
 }
 
-func (*controls) Name() string { return "control" }
+func (*controlServer) Name() string { return "control" }
 
-func (c *controls) Phase(_ context.Context, p program.Phase) error {
+func (c *controlServer) Phase(_ context.Context, p program.Phase) error {
 	switch p {
 	case program.Serving, program.Quiescing, program.Quiesced:
 		return c.Open()
@@ -193,24 +194,24 @@
 	return nil
 }
 
-func (c *controls) Reloaded(next *config.Config) { c.Retune(next.Settings, next.Document) }
+func (c *controlServer) Reloaded(next *config.Config) { c.Retune(next.Settings, next.Document) }
 
-// Quiet: plug-ins go on without this daemon.
-func (*controls) Quiet() bool { return true }
+// Quiet returns true: plug-ins continue without this daemon.
+func (*controlServer) Quiet() bool { return true }
 
-func (c *controls) Figures() string {
+func (c *controlServer) Figures() string {
 	var s strings.Builder
 	for _, f := range c.Server.Figures() {
 		fmt.Fprintf(&s, "proxy.%s=%d\n", f.Name, f.Value)
 	}
 	n := 0
-	if err := c.fault(); err != nil {
+	if err := c.keyError(); err != nil {
 		n = 1
-		if !c.told.Swap(true) {
-			c.log.Error("keys: the ones before go on to count", "err", err)
+		if !c.keyErrorLogged.Swap(true) {
+			c.log.Error("key files not reloaded; the previous keys stay in use", "err", err)
 		}
 	} else {
-		c.told.Store(false)
+		c.keyErrorLogged.Store(false)
 	}
 	fmt.Fprintf(&s, "proxy.control.keys_fault=%d\n", n)
 	return s.String()
--- a/internal/full/snapshot.go
+++ b/internal/full/snapshot.go
@@ -16,11 +16,11 @@
 	"caperrelay/internal/snapshot"
 )
 
-// snapshotPart keeps a lasting snapshot, and starts from the last one.
+// snapshotPart returns the constructor of the part that writes snapshots and restores the last one at the start.
 func snapshotPart(f *siteconf.File) program.NewPart {
 	o := f.Snapshot
 	return func(core program.Core) (program.Part, error) {
-		s := &snapshots{path: o.File, node: f.Node.Name, every: time.Duration(o.Every), loop: core.Loop, log: core.Log}
+		s := &snapshotWriter{path: o.File, node: f.Node.Name, every: time.Duration(o.Every), loop: core.Loop, log: core.Log}
 		last, err := snapshot.Read(o.File, f.Node.Name)
 		switch age := time.Duration(0); {
 		case errors.Is(err, snapshot.ErrNone):
@@ -31,7 +31,7 @@
 				core.Log.Warn("snapshot not used", "file", o.File, "err", fmt.Sprintf("it is %v old", age.Round(time.Second)))
 				break
 			}
-			core.Log.Info("snapshot taken up", "age", age.Round(time.Millisecond), "encoders", len(last.List.Instances))
+			core.Log.Info("snapshot restored", "age", age.Round(time.Millisecond), "encoders", len(last.List.Instances))
 			s.last = last
 			if len(core.Config.Known.Instances) == 0 {
 				core.Config.Known.Instances = last.List.Instances
@@ -41,13 +41,13 @@
 	}
 }
 
-// snapshots is the lasting snapshot as a part. It is written behind: nothing waits for the disk.
-type snapshots struct {
+// snapshotWriter writes snapshots as a part of the program. It writes in the background, so that nothing waits for the disk.
+type snapshotWriter struct {
 	path, node string
 	every      time.Duration
 	loop       *dispatch.Loop
 	log        *slog.Logger
-	last       *snapshot.Content // as found at the start; nil: none
+	last       *snapshot.Content // read at the start and not restored yet; nil: none
 	written    atomic.Int64
 
 	mu      sync.Mutex
@@ -57,9 +57,9 @@
 	ended   chan struct{}
 }
 
-func (*snapshots) Name() string { return "snapshot" }
+func (*snapshotWriter) Name() string { return "snapshot" }
 
-func (s *snapshots) Phase(ctx context.Context, p program.Phase) error {
+func (s *snapshotWriter) Phase(ctx context.Context, p program.Phase) error {
 	switch p {
 	case program.Serving, program.Quiescing, program.Quiesced:
 		s.mu.Lock()
@@ -80,28 +80,28 @@
 		s.mu.Unlock()
 		if cancel != nil {
 			cancel()
-			<-ended // the file is free for the next process
+			<-ended // the file is closed for the next process
 		}
 	}
 	return nil
 }
 
-func (s *snapshots) run(ctx context.Context, ended chan struct{}) {
+func (s *snapshotWriter) run(ctx context.Context, ended chan struct{}) {
 	defer close(ended)
-	every := time.NewTicker(s.every)
-	defer every.Stop()
+	ticker := time.NewTicker(s.every)
+	defer ticker.Stop()
 	var file *snapshot.File
 	defer func() {
 		if file != nil {
 			file.Close()
 		}
 	}()
-	faulty := false
+	failed := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
 		err := error(nil)
 		if file == nil {
@@ -110,14 +110,14 @@
 		if err == nil {
 			err = s.write(ctx, file)
 		}
-		if err != nil && !faulty {
+		if err != nil && !failed {
 			s.log.Warn("snapshot not written", "file", s.path, "err", err)
 		}
-		faulty = err != nil
+		failed = err != nil
 	}
 }
 
-func (s *snapshots) write(ctx context.Context, file *snapshot.File) error {
+func (s *snapshotWriter) write(ctx context.Context, file *snapshot.File) error {
 	learned := make(chan dispatch.HandoverState, 1)
 	s.loop.ExportLearned(func(h dispatch.HandoverState) { learned <- h })
 	c := &snapshot.Content{Node: s.node, Written: time.Now()}
@@ -136,28 +136,28 @@
 	return nil
 }
 
-func (s *snapshots) Listed(l dispatch.InstanceUpdate) {
+func (s *snapshotWriter) Listed(l dispatch.InstanceUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Update(l)
 }
 
-func (s *snapshots) Cordoned(ids []string) {
+func (s *snapshotWriter) Cordoned(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cordons = ids
 }
 
-// LeftOut is who was left out by hand when the last snapshot was written.
-func (s *snapshots) LeftOut() []string {
+// LeftOut returns the cordons in the last snapshot.
+func (s *snapshotWriter) LeftOut() []string {
 	if s.last == nil {
 		return nil
 	}
 	return s.last.Cordons
 }
 
-func (*snapshots) Reloaded(*config.Config) {}
-func (*snapshots) Quiet() bool             { return true }
-func (s *snapshots) Figures() string {
+func (*snapshotWriter) Reloaded(*config.Config) {}
+func (*snapshotWriter) Quiet() bool             { return true }
+func (s *snapshotWriter) Figures() string {
 	return fmt.Sprintf("proxy.snapshot.written=%d\n", s.written.Load())
 }
--- a/internal/siteconf/gangs.go
+++ b/internal/siteconf/gangs.go
@@ -24,30 +24,30 @@
 		return nil
 	}
 	if f.Promises == nil {
-		return f.at("gangs", "a [promises] table is needed: its record keeps what is held, by all dispatchers")
+		return f.errorAt("gangs", "a [promises] table is needed: its record keeps what is held, by all dispatchers")
 	}
 	if len(f.Kinds) == 0 {
-		return f.at("kind", "missing: gangs hold slots, so each kind of encoder must say how many it has")
+		return f.errorAt("kind", "missing: gangs hold slots, so each kind of encoder must say how many it has")
 	}
 	lenders := map[string]string{}
 	for i, p := range g.Partners {
 		at := func(key string) string { return fmt.Sprintf("gangs.partner[%d].%s", i, key) }
 		switch {
 		case p.Name == "":
-			return f.at(at("name"), "missing")
+			return f.errorAt(at("name"), "missing")
 		case len(p.Sites) == 0:
-			return f.at(at("sites"), `missing: write sites = ["a"], of site.zones`)
+			return f.errorAt(at("sites"), `missing: write sites = ["a"], of site.zones`)
 		case p.Slots < 0 || p.Slots > 1<<20 || !(p.Hours >= 0):
-			return f.at(at("slots"), "less than none, or too many")
+			return f.errorAt(at("slots"), "less than none, or too many")
 		case p.Slots == 0 && p.Share == 0 && p.Hours == 0:
-			return f.at(at("slots"), `missing: write one of slots = 8, share = "50%%" and hours = 100, or leave the partner out: then it lends all`)
+			return f.errorAt(at("slots"), `missing: write one of slots = 8, share = "50%%" and hours = 100, or leave the partner out: then it lends all`)
 		}
 		for _, s := range p.Sites {
-			if f.zone(s) < 0 {
-				return f.at(at("sites"), "%q is none of site.zones", s)
+			if f.zoneIndex(s) < 0 {
+				return f.errorAt(at("sites"), "%q is none of site.zones", s)
 			}
 			if lenders[s] != "" {
-				return f.at(at("sites"), "%q is %s's already", s, lenders[s])
+				return f.errorAt(at("sites"), "%q is %s's already", s, lenders[s])
 			}
 			lenders[s] = p.Name
 		}
--- a/internal/siteconf/pipelines.go
+++ b/internal/siteconf/pipelines.go
@@ -11,9 +11,9 @@
 	switch p := f.Pipelines; {
 	case p == nil:
 	case p.File == "":
-		return f.at("pipelines.file", `missing: write file = "reruns.toml", the policy of reruns`)
+		return f.errorAt("pipelines.file", `missing: write file = "reruns.toml", the policy of reruns`)
 	case f.Promises == nil:
-		return f.at("pipelines", "a [promises] table is needed: its record keeps the runs, and stages run as promised jobs")
+		return f.errorAt("pipelines", "a [promises] table is needed: its record keeps the runs, and stages run as promised jobs")
 	}
 	return nil
 }
--- a/internal/siteconf/shared.go
+++ b/internal/siteconf/shared.go
@@ -24,8 +24,8 @@
 	return Shared{f.Site, f.Rules, f.Attempts, slices.Clone(f.Kinds), slices.Clone(f.Classes), slices.Clone(f.Tenants)}
 }
 
-// Text returns an encoding that is the same for equal settings.
-func (s Shared) Text() []byte {
+// Encode returns an encoding that is the same for equal settings.
+func (s Shared) Encode() []byte {
 	text, err := json.Marshal(s)
 	if err != nil { // not-a-number values, which Parse rejects
 		return nil
@@ -33,8 +33,8 @@
 	return text
 }
 
-// ReadShared decodes the result of Text.
-func ReadShared(text []byte) (s Shared, err error) {
+// DecodeShared decodes the result of Shared.Encode.
+func DecodeShared(text []byte) (s Shared, err error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields() // a later program's fields must not be dropped silently
 	if err := d.Decode(&s); err != nil {
@@ -43,14 +43,14 @@
 	return s, nil
 }
 
-// With returns a copy of the file with other shared settings. It is checked like a file.
-func (f *File) With(s Shared) (*File, error) {
+// WithShared returns a copy of the file with other shared settings. It is checked like a file.
+func (f *File) WithShared(s Shared) (*File, error) {
 	g := *f
 	g.Site, g.Rules, g.Attempts, g.Kinds, g.Classes, g.Tenants = s.Site, s.Rules, s.Attempts, s.Kinds, s.Classes, s.Tenants
 	g.lines = nil // line numbers apply only to the file as read
 	copies := []any{&g.Control, &g.Members, &g.Snapshot, &g.Promises, &g.Gangs, &g.Pipelines}
 	for _, p := range copies {
-		fork(p)
+		copyTable(p)
 	}
 	g.Fronts = slices.Clone(f.Fronts)
 	if err := g.check(); err != nil {
@@ -59,8 +59,8 @@
 	return &g, nil
 }
 
-// fork replaces a table by a copy, as check writes defaults into it.
-func fork(p any) {
+// copyTable replaces a table by a copy, as check writes defaults into it.
+func copyTable(p any) {
 	switch t := p.(type) {
 	case **Control:
 		if *t != nil {
@@ -95,28 +95,28 @@
 	}
 }
 
-// Lacks returns an error if the version has a class that this file lacks: after a start with its file alone the dispatcher
+// CheckClasses returns an error if the version has a class that this file lacks: after a start with its file alone the dispatcher
 // would not have it.
-func (f *File) Lacks(s Shared) error {
+func (f *File) CheckClasses(s Shared) error {
 	for _, c := range s.Classes {
 		if !slices.ContainsFunc(f.Classes, func(o Class) bool { return o.Name == c.Name }) {
-			return f.at("class", "the version has a class %q, and this file has none: bring the file up to date, then ask again", c.Name)
+			return f.errorAt("class", "the version has a class %q, and this file has none: bring the file up to date, then ask again", c.Name)
 		}
 	}
 	return nil
 }
 
-// least returns the lower of two bounds, where 0 means no bound.
-func least[T ~int | ~int64](a, b T) T {
+// lowerBound returns the lower of two bounds, where 0 means no bound.
+func lowerBound[T ~int | ~int64](a, b T) T {
 	if a == 0 || b != 0 && b < a {
 		return b
 	}
 	return a
 }
 
-// fixed returns an error if the values of a field differ that describes the deployment and restricts nothing, so that
+// checkUnchanged returns an error if the values of a field differ that describes the deployment and restricts nothing, so that
 // neither value is stricter.
-func fixed(key string, a, b any) error {
+func checkUnchanged(key string, a, b any) error {
 	if fmt.Sprint(a) != fmt.Sprint(b) {
 		return fmt.Errorf("%s: neither of %v and %v is the stricter, so it cannot be changed while dispatchers run: stop all, then start them with the new file", key, a, b)
 	}
@@ -129,11 +129,11 @@
 func Stricter(a, b Shared) (Shared, error) {
 	s := a
 	for _, err := range []error{
-		fixed("site.zones", strings.Join(a.Site.Zones, ","), strings.Join(b.Site.Zones, ",")),
-		fixed("site.tells_start", a.Site.TellsStart, b.Site.TellsStart),
-		fixed("site.progress", a.Site.Progress, b.Site.Progress),
-		fixed("site.rated", a.Site.Rated, b.Site.Rated),
-		fixed("rules.fall_window", a.Rules.FallWindow, b.Rules.FallWindow),
+		checkUnchanged("site.zones", strings.Join(a.Site.Zones, ","), strings.Join(b.Site.Zones, ",")),
+		checkUnchanged("site.tells_start", a.Site.TellsStart, b.Site.TellsStart),
+		checkUnchanged("site.progress", a.Site.Progress, b.Site.Progress),
+		checkUnchanged("site.rated", a.Site.Rated, b.Site.Rated),
+		checkUnchanged("rules.fall_window", a.Rules.FallWindow, b.Rules.FallWindow),
 	} {
 		if err != nil {
 			return s, err
@@ -145,9 +145,9 @@
 	s.Rules.Cold = max(a.Rules.Cold, b.Rules.Cold)
 	s.Rules.FallMultiple = min(a.Rules.FallMultiple, b.Rules.FallMultiple)
 	s.Attempts = Attempts{
-		Most: min(a.Attempts.Most, b.Attempts.Most), Open: least(a.Attempts.Open, b.Attempts.Open),
+		Most: min(a.Attempts.Most, b.Attempts.Most), Open: lowerBound(a.Attempts.Open, b.Attempts.Open),
 		Copies: a.Attempts.Copies && b.Attempts.Copies, Probes: a.Attempts.Probes && b.Attempts.Probes,
-		Connect: least(a.Attempts.Connect, b.Attempts.Connect), Idle: least(a.Attempts.Idle, b.Attempts.Idle),
+		Connect: lowerBound(a.Attempts.Connect, b.Attempts.Connect), Idle: lowerBound(a.Attempts.Idle, b.Attempts.Idle),
 		MaxRetryAfter: min(a.Attempts.MaxRetryAfter, b.Attempts.MaxRetryAfter),
 	}
 	s.Kinds, s.Classes, s.Tenants = nil, nil, nil
@@ -193,9 +193,9 @@
 	return s, nil
 }
 
-// Floor returns the settings for a dispatcher that does not know which version is in force: one attempt per command, no
+// Restricted returns the settings for a dispatcher that does not know which version is in force: one attempt per command, no
 // parallel attempts and no probes. So it repeats no command, whatever the effect of its class is now, and adds no load.
-func Floor(s Shared) Shared {
+func Restricted(s Shared) Shared {
 	s.Attempts.Most, s.Attempts.Copies, s.Attempts.Probes = 1, false, false
 	return s
 }
--- a/internal/siteconf/shared_test.go
+++ b/internal/siteconf/shared_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawn draws a version. Its classes and tenants are a subset of a few; fields without a stricter value are constant.
-func drawn(t *rapid.T) Shared {
+// drawVersion draws a version. Its classes and tenants are a subset of a few; fields without a stricter value are constant.
+func drawVersion(t *rapid.T) Shared {
 	number := func(limit int) int { return rapid.IntRange(0, limit).Draw(t, "n") }
 	span := func() Duration { return Duration(time.Duration(1+number(9)) * time.Millisecond) }
 	yes := func() bool { return rapid.Bool().Draw(t, "yes") }
@@ -46,12 +46,12 @@
 				b.Classes[i].Worth = a.Classes[i].Worth
 			}
 		}
-		if string(a.Text()) != string(b.Text()) {
-			t.Fatalf("%s\n%s", a.Text(), b.Text())
+		if string(a.Encode()) != string(b.Encode()) {
+			t.Fatalf("%s\n%s", a.Encode(), b.Encode())
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := drawn(t), drawn(t)
+		a, b := drawVersion(t), drawVersion(t)
 		both, err := Stricter(a, b)
 		if err != nil {
 			t.Fatal(err)
@@ -64,13 +64,13 @@
 		if len(both.Tenants)+len(other.Tenants) == 2*len(both.Tenants) {
 			same(t, both, other)
 		}
-		if _, err := f.With(both); err != nil {
+		if _, err := f.WithShared(both); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := f.With(Floor(both)); err != nil {
+		if _, err := f.WithShared(Restricted(both)); err != nil {
 			t.Fatal(err)
 		}
-		if read, err := ReadShared(both.Text()); err != nil || string(read.Text()) != string(both.Text()) {
+		if read, err := DecodeShared(both.Encode()); err != nil || string(read.Encode()) != string(both.Encode()) {
 			t.Fatal(err)
 		}
 	})
--- a/internal/siteconf/siteconf.go
+++ b/internal/siteconf/siteconf.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func (d Duration) us() int64 { return time.Duration(d).Microseconds() }
+func (d Duration) microseconds() int64 { return time.Duration(d).Microseconds() }
 
 // Size is a number of bytes with its unit, such as "192MB".
 type Size int64
@@ -295,15 +295,15 @@
 	f := defaults()
 	var bare []bareNumber
 	f.path, f.text = path, strings.Split(string(text), "\n")
-	f.lines, bare = lines(text)
+	f.lines, bare = keyLines(text)
 	for _, n := range bare { // the library would accept them as numbers of the smallest unit
 		if correction, ok := units[n.key[strings.LastIndexByte(n.key, '.')+1:]]; ok {
-			return nil, f.at(n.key, "it needs a unit, in quotes: "+correction, n.text)
+			return nil, f.errorAt(n.key, "it needs a unit, in quotes: "+correction, n.text)
 		}
 	}
 	d := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	if err := d.Decode(&f); err != nil {
-		return nil, f.fault(err)
+		return nil, f.convertError(err)
 	}
 	if err := f.check(); err != nil {
 		return nil, err
@@ -311,14 +311,14 @@
 	return &f, nil
 }
 
-// fault converts an error of the TOML library to an [Error].
-func (f *File) fault(err error) error {
+// convertError converts an error of the TOML library to an [Error].
+func (f *File) convertError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 		e := unknown.Errors[0]
 		row, _ := e.Position()
 		key := strings.Join(e.Key(), ".")
-		return &Error{f.path, row, key, "no such key" + near(key)}
+		return &Error{f.path, row, key, "no such key" + suggestKey(key)}
 	}
 	var decodeErr *toml.DecodeError
 	if errors.As(err, &decodeErr) {
@@ -363,16 +363,16 @@
 // bareNumber is a numeric value without quotes.
 type bareNumber struct{ key, text string }
 
-// words lists the parts of the file's keys, for suggestions after a misspelt key.
-var words = strings.Fields(`node limits site rules attempts kind class tenant control log name listen discovery admin seed number of zone cores
+// knownKeys lists the parts of the file's keys, for suggestions after a misspelt key.
+var knownKeys = strings.Fields(`node limits site rules attempts kind class tenant control log name listen discovery admin seed number of zone cores
 memory sockets zones tells_start progress rated grain crossing drain_grace cold_from cold fall_multiple fall_window most open copies probes
 connect idle max_retry_after slots effect aim stretch deadline worth late_worth rate senders silence lease new tls front routes nginx within clients members join through watchers fan_out promises gangs pipelines partner sites share hours snapshot file every keep certificate key client_ca names format level`)
 
-// near returns the suggestion for a misspelt key.
-func near(key string) string {
+// suggestKey returns the suggestion for a misspelt key.
+func suggestKey(key string) string {
 	last := key[strings.LastIndexByte(key, '.')+1:]
 	best, minDistance := "", 3
-	for _, w := range words {
+	for _, w := range knownKeys {
 		if d := distance(last, w); d < minDistance {
 			best, minDistance = w, d
 		}
@@ -404,8 +404,8 @@
 	return row[len(b)]
 }
 
-// lines returns the line of each key, with keys such as "class[1].aim", and the numeric values without quotes.
-func lines(text []byte) (at map[string]int, bare []bareNumber) {
+// keyLines returns the line of each key, with keys such as "class[1].aim", and the numeric values without quotes.
+func keyLines(text []byte) (at map[string]int, bare []bareNumber) {
 	at = map[string]int{}
 	counts := map[string]int{}
 	prefix := ""
@@ -443,8 +443,8 @@
 	return at, bare
 }
 
-// at returns an error at the line of a key or else of the nearest enclosing table.
-func (f *File) at(key, format string, args ...any) error {
+// errorAt returns an error at the line of a key or else of the nearest enclosing table.
+func (f *File) errorAt(key, format string, args ...any) error {
 	line, ok := f.lines[key]
 	for at := key; !ok && strings.Contains(at, "."); {
 		at = at[:strings.LastIndexByte(at, '.')]
@@ -458,54 +458,54 @@
 func (f *File) check() error {
 	switch {
 	case f.Node.Name == "":
-		return f.at("node.name", `missing: write name = "n1"`)
+		return f.errorAt("node.name", `missing: write name = "n1"`)
 	case f.Node.Listen == "":
-		return f.at("node.listen", `missing: write listen = "host:port"`)
+		return f.errorAt("node.listen", `missing: write listen = "host:port"`)
 	case f.Node.Discovery == "":
-		return f.at("node.discovery", `missing: write discovery = "host:port"`)
+		return f.errorAt("node.discovery", `missing: write discovery = "host:port"`)
 	case f.Node.Of < 1 || f.Node.Number < 0 || f.Node.Number >= f.Node.Of:
-		return f.at("node.number", "%d of %d: dispatchers are numbered from 0, below node.of", f.Node.Number, f.Node.Of)
+		return f.errorAt("node.number", "%d of %d: dispatchers are numbered from 0, below node.of", f.Node.Number, f.Node.Of)
 	case len(f.Site.Zones) == 0:
-		return f.at("site.zones", `missing: write zones = ["a"]`)
-	case f.zone(f.Node.Zone) < 0 && f.Node.Zone != "":
-		return f.at("node.zone", "%q is none of site.zones", f.Node.Zone)
+		return f.errorAt("site.zones", `missing: write zones = ["a"]`)
+	case f.zoneIndex(f.Node.Zone) < 0 && f.Node.Zone != "":
+		return f.errorAt("node.zone", "%q is none of site.zones", f.Node.Zone)
 	case len(f.Classes) == 0:
-		return f.at("class", "missing: at least one [[class]] is needed")
+		return f.errorAt("class", "missing: at least one [[class]] is needed")
 	case f.Limits.Memory < 32<<20:
-		return f.at("limits.memory", `under "32MB"`)
+		return f.errorAt("limits.memory", `under "32MB"`)
 	}
 	seen := map[string]bool{}
 	for i, c := range f.Classes {
 		at := func(key string) string { return fmt.Sprintf("class[%d].%s", i, key) }
 		switch {
 		case c.Name == "":
-			return f.at(at("name"), "missing")
+			return f.errorAt(at("name"), "missing")
 		case seen[c.Name]:
-			return f.at(at("name"), "%q is there twice", c.Name)
+			return f.errorAt(at("name"), "%q is there twice", c.Name)
 		case c.Effect != "repeat" && c.Effect != "once":
-			return f.at(at("effect"), `%q: write "repeat" (may run again) or "once" (must not run twice)`, c.Effect)
+			return f.errorAt(at("effect"), `%q: write "repeat" (may run again) or "once" (must not run twice)`, c.Effect)
 		case c.Aim == 0:
-			return f.at(at("aim"), `missing: write aim = "200ms", the time within which it has its full worth`)
+			return f.errorAt(at("aim"), `missing: write aim = "200ms", the time within which it has its full worth`)
 		case c.Deadline < c.Aim:
-			return f.at(at("deadline"), "%v is before the aim, %v", time.Duration(c.Deadline), time.Duration(c.Aim))
+			return f.errorAt(at("deadline"), "%v is before the aim, %v", time.Duration(c.Deadline), time.Duration(c.Aim))
 		case c.Worth <= 0:
-			return f.at(at("worth"), "missing: write worth = 1")
-		case c.Kind != "" && f.kind(c.Kind) < 0:
-			return f.at(at("kind"), "%q is no [[kind]]", c.Kind)
+			return f.errorAt(at("worth"), "missing: write worth = 1")
+		case c.Kind != "" && f.kindIndex(c.Kind) < 0:
+			return f.errorAt(at("kind"), "%q is no [[kind]]", c.Kind)
 		}
 		seen[c.Name] = true
 	}
 	for i, k := range f.Kinds {
-		if k.Name == "" || f.kind(k.Name) != i {
-			return f.at(fmt.Sprintf("kind[%d].name", i), "missing, or there twice")
+		if k.Name == "" || f.kindIndex(k.Name) != i {
+			return f.errorAt(fmt.Sprintf("kind[%d].name", i), "missing, or there twice")
 		}
 		if f.Control != nil && !(k.Slots > 0) {
-			return f.at(fmt.Sprintf("kind[%d].slots", i), "missing: a control listener leases the room of cold encoders, so it must know how many jobs a warm one runs at once")
+			return f.errorAt(fmt.Sprintf("kind[%d].slots", i), "missing: a control listener leases the room of cold encoders, so it must know how many jobs a warm one runs at once")
 		}
 	}
 	for i, t := range f.Tenants {
 		if t.Name == "" {
-			return f.at(fmt.Sprintf("tenant[%d].name", i), "missing")
+			return f.errorAt(fmt.Sprintf("tenant[%d].name", i), "missing")
 		}
 	}
 	for i := range f.Fronts {
@@ -514,24 +514,24 @@
 		w.Within, w.Clients = cmp.Or(w.Within, Duration(time.Minute)), cmp.Or(w.Clients, 256)
 		switch {
 		case w.Listen == "":
-			return f.at(at("listen"), `missing: write listen = "host:port"`)
+			return f.errorAt(at("listen"), `missing: write listen = "host:port"`)
 		case (w.Routes == "") == (w.Nginx == ""):
-			return f.at(at("routes"), "one of routes (a TOML file) and nginx (an nginx file) is needed")
+			return f.errorAt(at("routes"), "one of routes (a TOML file) and nginx (an nginx file) is needed")
 		case w.Clients < 1 || w.Clients > 100_000:
-			return f.at(at("clients"), "%d: from 1 to 100000 connections", w.Clients)
+			return f.errorAt(at("clients"), "%d: from 1 to 100000 connections", w.Clients)
 		}
 	}
 	if m := f.Members; m != nil {
 		m.Watchers, m.FanOut = cmp.Or(m.Watchers, 2), cmp.Or(m.FanOut, 4)
 		switch host, port, err := net.SplitHostPort(m.Listen); {
 		case err != nil || net.ParseIP(host) == nil || port == "" || port == "0":
-			return f.at("members.listen", `%q: write listen = "address:port", the address at which the others reach this dispatcher`, m.Listen)
+			return f.errorAt("members.listen", `%q: write listen = "address:port", the address at which the others reach this dispatcher`, m.Listen)
 		case m.Watchers < 1 || m.Watchers > 16:
-			return f.at("members.watchers", "%d: from 1 to 16 in each zone", m.Watchers)
+			return f.errorAt("members.watchers", "%d: from 1 to 16 in each zone", m.Watchers)
 		case m.FanOut < 2 || m.FanOut > 32:
-			return f.at("members.fan_out", "%d: from 2 to 32", m.FanOut)
+			return f.errorAt("members.fan_out", "%d: from 2 to 32", m.FanOut)
 		case f.Node.Of > 1 && len(m.Join) == 0:
-			return f.at("members.join", `missing: write join = ["host:port"], the addresses of some others`)
+			return f.errorAt("members.join", `missing: write join = ["host:port"], the addresses of some others`)
 		}
 	}
 	if err := f.checkPromises(); err != nil {
@@ -547,9 +547,9 @@
 		w.Every, w.Keep = cmp.Or(w.Every, Duration(5*time.Second)), cmp.Or(w.Keep, Duration(24*time.Hour))
 		switch {
 		case w.File == "":
-			return f.at("snapshot.file", `missing: write file = "path", on a disk that lasts`)
+			return f.errorAt("snapshot.file", `missing: write file = "path", on a disk that lasts`)
 		case w.Every < Duration(100*time.Millisecond):
-			return f.at("snapshot.every", `%v: at least "100ms"`, time.Duration(w.Every))
+			return f.errorAt("snapshot.every", `%v: at least "100ms"`, time.Duration(w.Every))
 		}
 	}
 	c := f.Control
@@ -561,24 +561,24 @@
 	c.Lease = cmp.Or(c.Lease, Duration(400*time.Millisecond))
 	switch {
 	case c.Listen == "":
-		return f.at("control.listen", `missing: write listen = "host:port"`)
+		return f.errorAt("control.listen", `missing: write listen = "host:port"`)
 	case len(f.Kinds) == 0:
-		return f.at("kind", "missing: a control listener must know each kind of encoder and its slots")
+		return f.errorAt("kind", "missing: a control listener must know each kind of encoder and its slots")
 	case c.Senders < f.Node.Of || c.Senders > 4096:
-		return f.at("control.senders", "%d: from node.of to 4096", c.Senders)
+		return f.errorAt("control.senders", "%d: from node.of to 4096", c.Senders)
 	case c.Silence < Duration(100*time.Millisecond) || c.Silence > Duration(600*time.Millisecond):
-		return f.at("control.silence", `%v: from "100ms" to "600ms", or a drain might be heard of too late`, time.Duration(c.Silence))
+		return f.errorAt("control.silence", `%v: from "100ms" to "600ms", or a drain might be heard of too late`, time.Duration(c.Silence))
 	case c.Lease < Duration(50*time.Millisecond) || c.Lease > Duration(2*time.Second):
-		return f.at("control.lease", `%v: from "50ms" to "2s"`, time.Duration(c.Lease))
+		return f.errorAt("control.lease", `%v: from "50ms" to "2s"`, time.Duration(c.Lease))
 	}
 	if t := c.TLS; t != nil {
 		for key, value := range map[string]string{"certificate": t.Certificate, "key": t.Key, "client_ca": t.ClientCA} {
 			if value == "" {
-				return f.at("control.tls."+key, "missing: the path of a PEM file")
+				return f.errorAt("control.tls."+key, "missing: the path of a PEM file")
 			}
 		}
 		if len(t.Names) == 0 {
-			return f.at("control.tls.names", `missing: the names that clients' certificates may bear, such as ["portal"]`)
+			return f.errorAt("control.tls.names", `missing: the names that clients' certificates may bear, such as ["portal"]`)
 		}
 	}
 	return nil
@@ -595,32 +595,32 @@
 	p.Within, p.Keep = cmp.Or(p.Within, Duration(time.Hour)), cmp.Or(p.Keep, Duration(24*time.Hour))
 	switch {
 	case p.Within > Duration(24*time.Hour):
-		return f.at("promises.within", `%v: at most "24h"`, time.Duration(p.Within))
+		return f.errorAt("promises.within", `%v: at most "24h"`, time.Duration(p.Within))
 	case p.Keep > Duration(7*24*time.Hour):
-		return f.at("promises.keep", `%v: at most "168h"`, time.Duration(p.Keep))
+		return f.errorAt("promises.keep", `%v: at most "168h"`, time.Duration(p.Keep))
 	case f.Control == nil:
-		return f.at("promises", "a [control] table is needed: daemons call each other at its address")
+		return f.errorAt("promises", "a [control] table is needed: daemons call each other at its address")
 	case p.Dir == "":
-		return f.at("promises.dir", `missing: write dir = "path", a folder of this daemon's own on a disk that lasts`)
+		return f.errorAt("promises.dir", `missing: write dir = "path", a folder of this daemon's own on a disk that lasts`)
 	case p.Copies != 1 && p.Copies != 3 && p.Copies != 5:
-		return f.at("promises.copies", "%d: write 3 or 5; 1 keeps nothing when a disk is lost", p.Copies)
+		return f.errorAt("promises.copies", "%d: write 3 or 5; 1 keeps nothing when a disk is lost", p.Copies)
 	case p.Groups < 2 || p.Groups > 4096:
-		return f.at("promises.groups", "%d: from 2 to 4096, one of them the root's", p.Groups)
+		return f.errorAt("promises.groups", "%d: from 2 to 4096, one of them the root's", p.Groups)
 	case p.Gone < Duration(5*time.Second):
-		return f.at("promises.gone", `%v: at least "5s"`, time.Duration(p.Gone))
+		return f.errorAt("promises.gone", `%v: at least "5s"`, time.Duration(p.Gone))
 	case len(p.Peers)+1 < p.Copies:
-		return f.at("promises.peers", "%d daemons with this one, fewer than promises.copies, %d: name all others with their control listeners", len(p.Peers)+1, p.Copies)
+		return f.errorAt("promises.peers", "%d daemons with this one, fewer than promises.copies, %d: name all others with their control listeners", len(p.Peers)+1, p.Copies)
 	case p.Repair > 0 && len(p.Survivors) == 0:
-		return f.at("promises.survivors", "missing: a repair must name all daemons that are left, first who has most of each group")
+		return f.errorAt("promises.survivors", "missing: a repair must name all daemons that are left, first who has most of each group")
 	case p.Peers[f.Node.Name] != "":
-		return f.at("promises.peers", "%q is this daemon itself", f.Node.Name)
+		return f.errorAt("promises.peers", "%q is this daemon itself", f.Node.Name)
 	}
 	return nil
 }
 
-func (f *File) zone(name string) int { return index(f.Site.Zones, name) }
+func (f *File) zoneIndex(name string) int { return indexOf(f.Site.Zones, name) }
 
-func index(list []string, name string) int {
+func indexOf(list []string, name string) int {
 	for i, s := range list {
 		if s == name {
 			return i
@@ -629,7 +629,7 @@
 	return -1
 }
 
-func (f *File) kind(name string) int {
+func (f *File) kindIndex(name string) int {
 	for i, k := range f.Kinds {
 		if k.Name == name {
 			return i
@@ -651,9 +651,9 @@
 	for _, c := range f.Classes {
 		effect := map[string]string{"repeat": "free", "once": "single_shot"}[c.Effect]
 		classes = append(classes, object{
-			"Name": c.Name, "Effect": effect, "AimUs": c.Aim.us(), "DeadlineUs": c.Deadline.us(), "Points": c.Worth, "LateWorth": float64(c.LateWorth),
+			"Name": c.Name, "Effect": effect, "AimUs": c.Aim.microseconds(), "DeadlineUs": c.Deadline.microseconds(), "Points": c.Worth, "LateWorth": float64(c.LateWorth),
 		})
-		kinds = append(kinds, f.kind(c.Kind))
+		kinds = append(kinds, f.kindIndex(c.Kind))
 		stretch = append(stretch, c.Stretch)
 	}
 	for _, t := range f.Tenants {
@@ -665,18 +665,18 @@
 	}
 	a, r := f.Attempts, f.Rules
 	settings := object{
-		"Balancers": f.Node.Of, "SlotNo": f.Node.Number, "Zone": max(0, f.zone(f.Node.Zone)), "Zones": f.Site.Zones, "Skus": skus,
-		"GranularityUs": f.Site.Grain.us(), "Discovery": "subscribe", "Weights": weights,
+		"Balancers": f.Node.Of, "SlotNo": f.Node.Number, "Zone": max(0, f.zoneIndex(f.Node.Zone)), "Zones": f.Site.Zones, "Skus": skus,
+		"GranularityUs": f.Site.Grain.microseconds(), "Discovery": "subscribe", "Weights": weights,
 		"Deductions": object{"CrossZone": f.Site.Crossing}, "ObjectiveMix": object{"Whole": 1}, "LoadReport": object{"Via": "silent"},
-		"Domain":         object{"ClassKind": kinds, "ClassStretch": stretch, "ProgressUs": f.Site.Progress.us(), "TellsStart": f.Site.TellsStart},
+		"Domain":         object{"ClassKind": kinds, "ClassStretch": stretch, "ProgressUs": f.Site.Progress.microseconds(), "TellsStart": f.Site.TellsStart},
 		"RequestClasses": classes, "Tenants": tenants,
 		"Permissions": object{
 			"AttemptsCap": a.Most, "OpenCap": a.Open, "Cancelling": true, "ParallelTries": a.Copies, "Probes": a.Probes,
-			"RetryAfter": a.MaxRetryAfter > 0, "MaxRetryAfterUs": a.MaxRetryAfter.us(), "ConnIdleUs": a.Idle.us(), "ConnectTimeoutUs": a.Connect.us(),
+			"RetryAfter": a.MaxRetryAfter > 0, "MaxRetryAfterUs": a.MaxRetryAfter.microseconds(), "ConnIdleUs": a.Idle.microseconds(), "ConnectTimeoutUs": a.Connect.microseconds(),
 		},
 		"Rules": object{
-			"AnswerSlackUs": 8000, "DrainGraceUs": r.DrainGrace.us(), "ColdFrom": float64(r.ColdFrom), "ColdUs": r.Cold.us(),
-			"FallMultiple": r.FallMultiple, "FallUs": r.FallWindow.us(), "MustAskInUs": 10_000_000,
+			"AnswerSlackUs": 8000, "DrainGraceUs": r.DrainGrace.microseconds(), "ColdFrom": float64(r.ColdFrom), "ColdUs": r.Cold.microseconds(),
+			"FallMultiple": r.FallMultiple, "FallUs": r.FallWindow.microseconds(), "MustAskInUs": 10_000_000,
 		},
 	}
 	return json.Marshal(object{
--- a/internal/siteconf/strict.go
+++ b/internal/siteconf/strict.go
@@ -16,14 +16,14 @@
 func ReadStrict(path string, text []byte, into any, units map[string]string, words []string) (*Strict, error) {
 	s := &Strict{File{path: path, text: strings.Split(string(text), "\n")}}
 	var bare []bareNumber
-	s.file.lines, bare = lines(text)
+	s.file.lines, bare = keyLines(text)
 	for _, n := range bare {
 		if correction, ok := units[n.key[strings.LastIndexByte(n.key, '.')+1:]]; ok {
 			return nil, s.At(n.key, "it needs a unit, in quotes: "+correction, n.text)
 		}
 	}
 	if err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(into); err != nil {
-		fault := s.file.fault(err)
+		fault := s.file.convertError(err)
 		if e, ok := fault.(*Error); ok && strings.HasPrefix(e.Text, "no such key") {
 			e.Text = "no such key" + Nearest(e.Key[strings.LastIndexByte(e.Key, '.')+1:], words, "; remove it")
 		}
@@ -33,7 +33,9 @@
 }
 
 // At returns an error at a key such as "class[1].aim". Array tables are numbered over the whole file.
-func (s *Strict) At(key, format string, args ...any) error { return s.file.at(key, format, args...) }
+func (s *Strict) At(key, format string, args ...any) error {
+	return s.file.errorAt(key, format, args...)
+}
 
 // Line returns the line of a key, or 0 if the file does not have it.
 func (s *Strict) Line(key string) int { return s.file.lines[key] }
