--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -80,7 +80,7 @@
 	if path == "" {
 		return nil, errors.New("PROXY_CONFIG: not set; it names the JSON file of the configuration")
 	}
-	return LoadBy(getenv, nil, func() ([]byte, error) {
+	return LoadFrom(getenv, nil, func() ([]byte, error) {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			err = fmt.Errorf("PROXY_CONFIG: %w", err)
@@ -89,9 +89,9 @@
 	})
 }
 
-// LoadBy is like Load, but gets the file's text from read, which each reload calls again. If adjust is not nil, it sets
+// LoadFrom is like Load, but gets the file's text from read, which each reload calls again. If adjust is not nil, it sets
 // settings that the text cannot express.
-func LoadBy(getenv func(string) string, adjust func(*decide.Settings), read func() ([]byte, error)) (*Config, error) {
+func LoadFrom(getenv func(string) string, adjust func(*decide.Settings), read func() ([]byte, error)) (*Config, error) {
 	text, err := read()
 	if err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 // still holds the address of the program's start. A file that lacks a key of the configuration in force is rejected,
 // as it may be only partly written.
 func (c *Config) Reload() (*Config, error) {
-	next, err := LoadBy(func(name string) string {
+	next, err := LoadFrom(func(name string) string {
 		if name == "PROXY_DISCOVERY" {
 			return ""
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,7 +40,7 @@
 	require.Equal(t, Limits{1, defaultMemoryMB, defaultSockets}, c.Limits)
 }
 
-func TestErrorsNameTheFaultyKey(t *testing.T) {
+func TestErrorsNameTheInvalidKey(t *testing.T) {
 	_, err := Load(func(string) string { return "" })
 	require.ErrorContains(t, err, "PROXY_CONFIG")
 	for _, tt := range []struct{ from, to, key string }{
--- a/internal/full/accord.go
+++ b/internal/full/accord.go
@@ -30,11 +30,11 @@
 	file       *siteconf.File // as last read successfully
 	rereadFile bool           // the file must be read again
 	low, high  []byte         // the versions in force; nil: none
-	floor      bool
+	restricted bool           // use the restricted settings: it is not known which version is in force
 }
 
 func newAccords(path string, f *siteconf.File, getenv func(string) string, adjust func(*decide.Settings)) (*accords, error) {
-	a := &accords{path: path, file: f, getenv: getenv, adjust: adjust, floor: true}
+	a := &accords{path: path, file: f, getenv: getenv, adjust: adjust, restricted: true}
 	var err error
 	a.server, err = accord.New(accord.Options{Name: f.Node.Name, File: filepath.Join(f.Promises.Dir, "accord.json")}, slog.Default())
 	if err != nil {
@@ -69,7 +69,7 @@
 			return nil, err
 		}
 	}
-	if a.floor {
+	if a.restricted {
 		s = siteconf.Restricted(s)
 	}
 	return a.file.WithShared(s)
@@ -133,7 +133,7 @@
 		if err != nil {
 			return err
 		}
-		c, err := config.LoadBy(a.getenv, a.adjust, g.Platform)
+		c, err := config.LoadFrom(a.getenv, a.adjust, g.Platform)
 		if err != nil {
 			return err
 		}
@@ -150,7 +150,7 @@
 // Act makes the program use the versions. It uses the file as last read, so that the file need not be readable now.
 func (a *accords) Act(low, high []byte, floor bool, done func(error)) {
 	a.mu.Lock()
-	a.low, a.high, a.floor = low, high, floor
+	a.low, a.high, a.restricted = low, high, floor
 	a.mu.Unlock()
 	a.core.Reload(done)
 }
--- a/internal/full/front.go
+++ b/internal/full/front.go
@@ -21,18 +21,18 @@
 	"caperrelay/internal/siteconf"
 )
 
-// Disk reads nginx files from the file system.
-type Disk struct{}
+// FileSystem reads nginx files from the file system.
+type FileSystem struct{}
 
 // Read reads a file.
-func (Disk) Read(path string) ([]byte, error) { return os.ReadFile(path) }
+func (FileSystem) Read(path string) ([]byte, error) { return os.ReadFile(path) }
 
 // Glob returns the files that match a pattern.
-func (Disk) Glob(pattern string) ([]string, error) { return filepath.Glob(pattern) }
+func (FileSystem) Glob(pattern string) ([]string, error) { return filepath.Glob(pattern) }
 
 // ImportNginx converts an nginx file and the files that it includes to routes.
 func ImportNginx(file string) (*routes.Config, *nginx.Report, error) {
-	parsed, err := nginx.Parse(Disk{}, filepath.ToSlash(file))
+	parsed, err := nginx.Parse(FileSystem{}, filepath.ToSlash(file))
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/full/serve.go
+++ b/internal/full/serve.go
@@ -57,7 +57,7 @@
 		}
 		read = agreed.platform
 	}
-	c, err := config.LoadBy(getenv, adjust, read)
+	c, err := config.LoadFrom(getenv, adjust, read)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/siteconf/shared.go
+++ b/internal/siteconf/shared.go
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// lowerBound returns the lower of two bounds, where 0 means no bound.
-func lowerBound[T ~int | ~int64](a, b T) T {
+// minBound returns the lower of two bounds, where 0 means no bound.
+func minBound[T ~int | ~int64](a, b T) T {
 	if a == 0 || b != 0 && b < a {
 		return b
 	}
@@ -145,9 +145,9 @@
 	s.Rules.Cold = max(a.Rules.Cold, b.Rules.Cold)
 	s.Rules.FallMultiple = min(a.Rules.FallMultiple, b.Rules.FallMultiple)
 	s.Attempts = Attempts{
-		Most: min(a.Attempts.Most, b.Attempts.Most), Open: lowerBound(a.Attempts.Open, b.Attempts.Open),
+		Most: min(a.Attempts.Most, b.Attempts.Most), Open: minBound(a.Attempts.Open, b.Attempts.Open),
 		Copies: a.Attempts.Copies && b.Attempts.Copies, Probes: a.Attempts.Probes && b.Attempts.Probes,
-		Connect: lowerBound(a.Attempts.Connect, b.Attempts.Connect), Idle: lowerBound(a.Attempts.Idle, b.Attempts.Idle),
+		Connect: minBound(a.Attempts.Connect, b.Attempts.Connect), Idle: minBound(a.Attempts.Idle, b.Attempts.Idle),
 		MaxRetryAfter: min(a.Attempts.MaxRetryAfter, b.Attempts.MaxRetryAfter),
 	}
 	s.Kinds, s.Classes, s.Tenants = nil, nil, nil
--- a/internal/siteconf/shared_test.go
+++ b/internal/siteconf/shared_test.go
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestNoStricter(t *testing.T) {
+func TestStricterErrors(t *testing.T) {
 	for key, change := range map[string]func(*Shared){
 		"site.zones":        func(s *Shared) { s.Site.Zones = []string{"a", "b"} },
 		"site.tells_start":  func(s *Shared) { s.Site.TellsStart = !s.Site.TellsStart },
--- a/internal/siteconf/siteconf.go
+++ b/internal/siteconf/siteconf.go
@@ -27,14 +27,14 @@
 }
 
 func (e *Error) Error() string {
-	at := e.File
+	position := e.File
 	if e.Line > 0 {
-		at += ":" + strconv.Itoa(e.Line)
+		position += ":" + strconv.Itoa(e.Line)
 	}
 	if e.Key != "" {
-		return fmt.Sprintf("%s: %s: %s", at, e.Key, e.Text)
+		return fmt.Sprintf("%s: %s: %s", position, e.Key, e.Text)
 	}
-	return fmt.Sprintf("%s: %s", at, e.Text)
+	return fmt.Sprintf("%s: %s", position, e.Text)
 }
 
 // Duration is a duration with its unit, such as "20ms".
@@ -159,7 +159,7 @@
 	Crossing   float64  `toml:"crossing" json:"Crossing"`      // price of sending to another zone, as a fraction of a job's worth
 }
 
-// Rules holds the parameters of the encoders' drain, cold start and fall.
+// Rules holds the drain grace period and the capacity and overload limits of cold encoders.
 type Rules struct {
 	DrainGrace   Duration `toml:"drain_grace" json:"DrainGrace"`
 	ColdFrom     Percent  `toml:"cold_from" json:"ColdFrom"`
@@ -405,8 +405,8 @@
 }
 
 // keyLines returns the line of each key, with keys such as "class[1].aim", and the numeric values without quotes.
-func keyLines(text []byte) (at map[string]int, bare []bareNumber) {
-	at = map[string]int{}
+func keyLines(text []byte) (lines map[string]int, bare []bareNumber) {
+	lines = map[string]int{}
 	counts := map[string]int{}
 	prefix := ""
 	p := unstable.Parser{}
@@ -425,30 +425,30 @@
 		switch e.Kind {
 		case unstable.Table:
 			prefix = key
-			at[key] = line
+			lines[key] = line
 		case unstable.ArrayTable:
 			prefix = fmt.Sprintf("%s[%d]", key, counts[key])
 			counts[key]++
-			at[prefix] = line
+			lines[prefix] = line
 		case unstable.KeyValue:
 			if prefix != "" {
 				key = prefix + "." + key
 			}
-			at[key] = line
+			lines[key] = line
 			if v := e.Value(); v.Kind == unstable.Integer || v.Kind == unstable.Float {
 				bare = append(bare, bareNumber{key, string(v.Data)})
 			}
 		}
 	}
-	return at, bare
+	return lines, bare
 }
 
 // errorAt returns an error at the line of a key or else of the nearest enclosing table.
 func (f *File) errorAt(key, format string, args ...any) error {
 	line, ok := f.lines[key]
-	for at := key; !ok && strings.Contains(at, "."); {
-		at = at[:strings.LastIndexByte(at, '.')]
-		line, ok = f.lines[at]
+	for parent := key; !ok && strings.Contains(parent, "."); {
+		parent = parent[:strings.LastIndexByte(parent, '.')]
+		line, ok = f.lines[parent]
 	}
 	return &Error{f.path, line, key, fmt.Sprintf(format, args...)}
 }
--- a/internal/siteconf/siteconf_test.go
+++ b/internal/siteconf/siteconf_test.go
@@ -82,14 +82,14 @@
 			require.Contains(t, text, c.from)
 			text = strings.Replace(text, c.from, c.to, 1)
 			_, err := Parse("site.toml", []byte(text))
-			var fault *Error
-			require.ErrorAs(t, err, &fault)
+			var fileErr *Error
+			require.ErrorAs(t, err, &fileErr)
 			require.NotContains(t, err.Error(), "\n")
 			for _, w := range c.want {
 				require.ErrorContains(t, err, w)
 			}
 			if !strings.Contains(c.want[0], "[1].name") && c.from != `aim = "500ms"` || c.to != "" && c.from == `aim = "500ms"` {
-				require.Contains(t, strings.Split(text, "\n")[max(0, fault.Line-1)], c.line, "line %d: %v", fault.Line, err)
+				require.Contains(t, strings.Split(text, "\n")[max(0, fileErr.Line-1)], c.line, "line %d: %v", fileErr.Line, err)
 			}
 		})
 	}
--- a/internal/siteconf/strict.go
+++ b/internal/siteconf/strict.go
@@ -23,11 +23,11 @@
 		}
 	}
 	if err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(into); err != nil {
-		fault := s.file.convertError(err)
-		if e, ok := fault.(*Error); ok && strings.HasPrefix(e.Text, "no such key") {
+		fileErr := s.file.convertError(err)
+		if e, ok := fileErr.(*Error); ok && strings.HasPrefix(e.Text, "no such key") {
 			e.Text = "no such key" + Nearest(e.Key[strings.LastIndexByte(e.Key, '.')+1:], words, "; remove it")
 		}
-		return nil, fault
+		return nil, fileErr
 	}
 	return s, nil
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -26,8 +26,8 @@
 )
 
 var (
-	bucket = []byte("winglb")
-	entry  = []byte("last")
+	bucketName = []byte("winglb")
+	entryKey   = []byte("last")
 )
 
 // Content is the payload of one snapshot.
@@ -61,11 +61,11 @@
 	}
 	defer db.Close()
 	err = db.View(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucket)
+		b := tx.Bucket(bucketName)
 		if b == nil {
 			return ErrNone
 		}
-		c, err = decode(b.Get(entry), node)
+		c, err = decode(b.Get(entryKey), node)
 		return err
 	})
 	return c, err
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	if err := db.Update(func(tx *bbolt.Tx) error { // a damaged store fails here at the latest
-		_, err := tx.CreateBucketIfNotExists(bucket)
+		_, err := tx.CreateBucketIfNotExists(bucketName)
 		return err
 	}); err != nil {
 		return nil, errors.Join(err, db.Close())
@@ -148,7 +148,7 @@
 	if len(text) > maxSize {
 		return fmt.Errorf("%d bytes: too many", len(text))
 	}
-	return f.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(entry, text) })
+	return f.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketName).Put(entryKey, text) })
 }
 
 // Close closes and unlocks the file.
--- a/internal/wire/numbers_test.go
+++ b/internal/wire/numbers_test.go
@@ -4,7 +4,7 @@
 
 // A day in service and its replay in the simulator use the same numbers. With hashed names the keys went to other
 // workers, and one day scored 0.04 of G less each time.
-func TestNamesReadAsTheirNumbers(t *testing.T) {
+func TestNamesParseAsNumbers(t *testing.T) {
 	if n, ok := WorkerNumber("s-0badcafe"); n != 0x0badcafe || !ok {
 		t.Errorf("s-0badcafe: %x %v", n, ok)
 	}
