--- a/internal/daemon/linewriter.go
+++ b/internal/daemon/linewriter.go
@@ -18,7 +18,7 @@
 type lineWriter struct {
 	out     io.Writer
 	queue   chan logLine
-	behind  atomic.Bool // nobody waits until all is written
+	behind  atomic.Bool // Write does not wait until the queue is empty
 	dropped atomic.Int64
 }
 
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -78,11 +78,11 @@
 	case text == nil:
 		return nil, ErrNone
 	case len(text) < sha256.Size || len(text) > maxSize:
-		return nil, fmt.Errorf("%d bytes: torn", len(text))
+		return nil, fmt.Errorf("entry of %d bytes: truncated or too long", len(text))
 	}
 	body := text[sha256.Size:]
 	if sum := sha256.Sum256(body); string(sum[:]) != string(text[:sha256.Size]) {
-		return nil, errors.New("its sum is wrong: torn")
+		return nil, errors.New("checksum mismatch")
 	}
 	var head struct {
 		Format int    `json:"Format"`
@@ -93,9 +93,9 @@
 	}
 	switch {
 	case head.Format != Format:
-		return nil, fmt.Errorf("of format %d, this program's is %d", head.Format, Format)
+		return nil, fmt.Errorf("format %d, this program reads format %d", head.Format, Format)
 	case head.Node != node:
-		return nil, fmt.Errorf("of %q, this is %q", head.Node, node)
+		return nil, fmt.Errorf("snapshot of %q, this dispatcher is %q", head.Node, node)
 	}
 	c := &Content{}
 	return c, json.Unmarshal(body, c)
@@ -120,7 +120,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
-			err = fmt.Errorf("no store: %v", fault)
+			err = fmt.Errorf("not a valid store: %v", fault)
 		}
 	}()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
@@ -146,7 +146,7 @@
 	sum := sha256.Sum256(body)
 	text := append(sum[:], body...)
 	if len(text) > maxSize {
-		return fmt.Errorf("%d bytes: too many", len(text))
+		return fmt.Errorf("snapshot of %d bytes: too large", len(text))
 	}
 	return f.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketName).Put(entryKey, text) })
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -50,12 +50,12 @@
 // A damaged file never panics the program, and Open replaces it.
 func TestDamagedFile(t *testing.T) {
 	dir := t.TempDir()
-	intact := filepath.Join(dir, "whole")
+	intact := filepath.Join(dir, "intact")
 	write(t, intact, &Content{Node: "n1", Cordons: make([]string, 9000)})
 	text, err := os.ReadFile(intact)
 	require.NoError(t, err)
 	rapid.Check(t, func(t *rapid.T) {
-		path := filepath.Join(dir, "torn")
+		path := filepath.Join(dir, "damaged")
 		damaged := append([]byte{}, text...)
 		for range rapid.IntRange(0, 5).Draw(t, "writes") {
 			at := rapid.IntRange(0, len(damaged)-1).Draw(t, "at")
