--- a/internal/full/pipelines.go
+++ b/internal/full/pipelines.go
@@ -108,7 +108,7 @@
 			p.ended = make(chan struct{})
 			go func(ended chan struct{}) { defer close(ended); p.Run(ctx) }(p.ended)
 		}
-	case program.HandedOver, program.Departing, program.Stopped: // the daemon that leads next continues the runs
+	case program.HandedOver, program.Departing, program.Stopped: // the process or daemon that acts for the groups next continues the runs
 		p.mu.Lock()
 		cancel, ended := p.cancel, p.ended
 		p.cancel = nil
--- a/internal/siteconf/siteconf.go
+++ b/internal/siteconf/siteconf.go
@@ -209,7 +209,7 @@
 	Senders int      `toml:"senders"`
 	Silence Duration `toml:"silence"`
 	Lease   Duration `toml:"lease"`
-	New     bool     `toml:"new"` // the deployment starts from scratch: no plug-in can hold a lease
+	New     bool     `toml:"new"` // the deployment starts from scratch: no sender can have a place yet, so places are given without waiting
 	TLS     *TLS     `toml:"tls"`
 }
 
