--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -16,7 +16,7 @@
 	Received, Cancelled, Sent, Probes, UnmatchedCallbacks atomic.Int64
 	ConfigLoads, ConfigLoadErrors                         atomic.Int64 // configuration files accepted and rejected
 	written                                               atomic.Int64 // attempts sent completely
-	listed, skipped                                       atomic.Int64 // instances, as the decision module counts them
+	listed, avoided                                       atomic.Int64 // instances, as the decision module counts them
 	pending                                               atomic.Int64 // commands received and not yet answered
 	answers                                               [numVerdicts]atomic.Int64
 	outcomes                                              [decide.NotSent + 1]atomic.Int64
@@ -114,7 +114,7 @@
 	add("upstream_tries", b.written.Load())
 	add("in_progress", b.pending.Load())
 	add("known_encoders", b.listed.Load())
-	add("skipped_encoders", b.skipped.Load())
+	add("skipped_encoders", b.avoided.Load())
 	add("loads", b.ConfigLoads.Load())
 	add("load_errors", b.ConfigLoadErrors.Load())
 	for e, name := range connEndNames {
@@ -139,7 +139,7 @@
 	decide.ConnectFailed: "connect_failed", decide.Reset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "moot",
 }
 
-// internalCounters returns all other counters.
+// internalCounters returns the counters that are not among the operators' (operatorCounters).
 func (b *Counters) internalCounters() (all []counter) {
 	add := func(name string, n *atomic.Int64) { all = append(all, counter{name, n.Load()}) }
 	add("commands_taken_in", &b.Received)
@@ -181,9 +181,9 @@
 
 // sampleFleet updates the instance counts now and at every interval.
 func (l *Loop) sampleFleet() {
-	listed, skipped := l.mod.WorkerCounts()
+	listed, avoided := l.mod.WorkerCounts()
 	l.Counters.listed.Store(int64(listed))
-	l.Counters.skipped.Store(int64(skipped))
+	l.Counters.avoided.Store(int64(avoided))
 	l.timers.At(time.Now().Add(fleetSampleInterval), l.sampleFleet)
 }
 
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -233,7 +233,7 @@
 			return nil, fmt.Errorf("location: unknown modifier %q", loc.Modifier)
 		}
 		if duplicate {
-			return nil, fmt.Errorf("location %s is a duplicate or not allowed here", loc)
+			return nil, fmt.Errorf("location %s is defined twice or, being a named location, is inside another location", loc)
 		}
 	}
 	return l, nil
--- a/winglb/hostile_test.go
+++ b/winglb/malformed_test.go
@@ -26,7 +26,7 @@
 	"caperrelay/winglb"
 )
 
-// attach opens a control stream by hand.
+// attach opens a control stream without a plug-in.
 func attach(t *testing.T, address string) grpc.BidiStreamingClient[controlv1.FromSender, controlv1.ToSender] {
 	cc, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	require.NoError(t, err)
@@ -44,11 +44,11 @@
 	return &controlv1.FromSender{Kind: &controlv1.FromSender_Hello{Hello: h}}
 }
 
-// Case 6: what a daemon cannot make sense of ends that stream with a clear error, and disturbs no other.
+// Case 6: a malformed message ends its stream with a clear error and affects no other stream.
 func TestMalformedMessagesEndTheirStreamOnly(t *testing.T) {
-	var all atomic.Int32
-	e := script(t, &all)
-	c := daemon(t, e.address)
+	var total atomic.Int32
+	e := startEncoder(t, &total)
+	c := startControl(t, e.address)
 	good := attach(t, c.Address())
 	require.NoError(t, good.Send(hello(func(h *controlv1.Hello) { h.Name = "good" })))
 	m, err := good.Recv()
@@ -79,7 +79,7 @@
 		"want of no work":  {[]*controlv1.FromSender{hello(nil), want(func(w *controlv1.Want) { w.WorkUs = 1 << 60 })}, codes.InvalidArgument},
 		"want of nothing":  {[]*controlv1.FromSender{hello(nil), want(func(w *controlv1.Want) { w.Instance = "" })}, codes.InvalidArgument},
 		"want of none":     {[]*controlv1.FromSender{hello(nil), {Kind: &controlv1.FromSender_Want{}}}, codes.InvalidArgument},
-		"done of none":     {[]*controlv1.FromSender{hello(nil), {Kind: &controlv1.FromSender_Done{}}}, codes.OK}, // an empty one: of no lease
+		"done of none":     {[]*controlv1.FromSender{hello(nil), {Kind: &controlv1.FromSender_Done{}}}, codes.OK}, // encoded as an empty message, which names no lease
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := attach(t, c.Address())
@@ -103,40 +103,40 @@
 			require.NotEmpty(t, status.Convert(err).Message())
 		})
 	}
-	// Bytes that are no HTTP/2 at all.
+	// Bytes that are not HTTP/2.
 	nc, err := net.Dial("tcp", c.Address())
 	require.NoError(t, err)
 	fmt.Fprint(nc, "GET / HTTP/1.1\r\n\r\n")
 	nc.Close()
 	c.Listed(teller.Members(2, decide.Draining, e.address))
-	for told := false; !told; {
+	for received := false; !received; {
 		m, err := good.Recv()
 		require.NoError(t, err)
-		told = m.GetList() != nil && m.GetList().Members[0].State == controlv1.State_STATE_DRAINING
+		received = m.GetList() != nil && m.GetList().Members[0].State == controlv1.State_STATE_DRAINING
 	}
 }
 
-// deceiver is a daemon that tells plug-ins nonsense after a good welcome.
-type deceiver struct {
+// faultyDaemon is a daemon that answers each hello with an invalid message.
+type faultyDaemon struct {
 	controlv1.UnimplementedControlServer
-	lies []*controlv1.ToSender
-	came atomic.Int32
+	messages []*controlv1.ToSender
+	attached atomic.Int32
 }
 
-func (d *deceiver) Attach(s grpc.BidiStreamingServer[controlv1.FromSender, controlv1.ToSender]) error {
+func (d *faultyDaemon) Attach(s grpc.BidiStreamingServer[controlv1.FromSender, controlv1.ToSender]) error {
 	if _, err := s.Recv(); err != nil {
 		return err
 	}
-	s.Send(d.lies[int(d.came.Add(1)-1)%len(d.lies)])
+	s.Send(d.messages[int(d.attached.Add(1)-1)%len(d.messages)])
 	<-s.Context().Done()
 	return nil
 }
 
-// A daemon that tells nonsense is left, and what another tells goes on to count.
-func TestPlugInLeavesADaemonThatTellsNonsense(t *testing.T) {
+// The plug-in detaches from a daemon that sends invalid messages, and goes on with another one.
+func TestPlugInDetachesFromADaemonThatSendsInvalidMessages(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d := &deceiver{lies: []*controlv1.ToSender{
+	d := &faultyDaemon{messages: []*controlv1.ToSender{
 		{},
 		{Kind: &controlv1.ToSender_Beat{}},
 		{Kind: &controlv1.ToSender_Welcome{}},
@@ -147,28 +147,28 @@
 	controlv1.RegisterControlServer(server, d)
 	go server.Serve(l)
 	t.Cleanup(server.Stop)
-	var all atomic.Int32
-	c := daemon(t, script(t, &all).address)
+	var total atomic.Int32
+	c := startControl(t, startEncoder(t, &total).address)
 	lb, err := winglb.New(winglb.Config{Name: "p", Daemons: []string{l.Addr().String(), c.Address()}, Class: "preview"})
 	require.NoError(t, err)
 	defer lb.Close()
 	conn, err := grpc.NewClient("winglb:///x", lb.DialOptions()...)
 	require.NoError(t, err)
 	defer conn.Close()
-	require.Eventually(t, func() bool { return int(d.came.Load()) > len(d.lies) }, 20*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return int(d.attached.Load()) > len(d.messages) }, 20*time.Second, 5*time.Millisecond)
 	_, err = jobv1.NewJobsClient(conn).Run(t.Context(), &jobv1.RunRequest{})
 	require.NoError(t, err)
 	require.Equal(t, 1, lb.Attached())
 }
 
-// With keys, only a plug-in whose certificate bears one of the names is told anything.
-func TestCertificateOfAnotherNameGetsInNowhere(t *testing.T) {
+// With TLS, only a plug-in whose certificate has one of the configured names can attach.
+func TestCertificateWithAnotherNameIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	a, err := authority.New(dir, "ca")
 	require.NoError(t, err)
 	cert, key, err := a.Issue("daemon", time.Now().Add(time.Hour))
 	require.NoError(t, err)
-	r := site(t, rig.Options{Encoders: 2, Slots: 2, Daemons: 1, TLS: fmt.Sprintf("[control.tls]\ncertificate = %q\nkey = %q\nclient_ca = %q\nnames = [\"portal\"]", cert, key, a.CA)})
+	r := startRig(t, rig.Options{Encoders: 2, Slots: 2, Daemons: 1, TLS: fmt.Sprintf("[control.tls]\ncertificate = %q\nkey = %q\nclient_ca = %q\nnames = [\"portal\"]", cert, key, a.CA)})
 	client := func(name string) *winglb.Balancer {
 		cert, key, err := a.Issue(name, time.Now().Add(time.Hour))
 		require.NoError(t, err)
@@ -179,15 +179,15 @@
 		t.Cleanup(lb.Close)
 		return lb
 	}
-	portal, guest := client("portal"), client("guest")
+	portal, rejected := client("portal"), client("guest")
 	require.Eventually(t, func() bool { return portal.Attached() == 1 }, 10*time.Second, 5*time.Millisecond)
-	conn, err := grpc.NewClient("winglb:///x", guest.DialOptions()...)
+	conn, err := grpc.NewClient("winglb:///x", rejected.DialOptions()...)
 	require.NoError(t, err)
 	defer conn.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	_, err = jobv1.NewJobsClient(conn).Run(ctx, &jobv1.RunRequest{WorkUs: 1000})
 	require.Equal(t, codes.DeadlineExceeded, status.Code(err))
-	require.Zero(t, guest.Attached())
+	require.Zero(t, rejected.Attached())
 	require.EqualValues(t, 1, r.Daemon(0).Figure("control.senders"))
 }
