--- a/internal/full/accord.go
+++ b/internal/full/accord.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	a.low, a.high = a.server.Start()
+	a.low, a.high = a.server.InitialVersions()
 	if _, err := a.settings(); err != nil { // from a later program, or not valid with this file
 		a.low, a.high = nil, nil
 	}
@@ -95,8 +95,8 @@
 	return f.Platform()
 }
 
-// Own returns the shared settings of this dispatcher's file.
-func (a *accords) Own() []byte {
+// OwnSettings returns the shared settings of this dispatcher's file.
+func (a *accords) OwnSettings() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.file.Shared().Encode()
@@ -147,22 +147,22 @@
 	return nil
 }
 
-// Act makes the program use the versions. It uses the file as last read, so that the file need not be readable now.
-func (a *accords) Act(low, high []byte, floor bool, done func(error)) {
+// Apply makes the program use the versions. It uses the file as last read, so that the file need not be readable now.
+func (a *accords) Apply(low, high []byte, floor bool, done func(error)) {
 	a.mu.Lock()
 	a.low, a.high, a.restricted = low, high, floor
 	a.mu.Unlock()
 	a.core.Reload(done)
 }
 
-// Leave cordons instances in the program.
-func (a *accords) Leave(ids []string, only bool) { a.core.Cordons.SetCordons(ids, only) }
+// SetCordons cordons instances in the program.
+func (a *accords) SetCordons(ids []string, only bool) { a.core.Cordons.SetCordons(ids, only) }
 
 // part returns the constructor of the program's part.
 func (a *accords) part(host replicas.Host) program.NewPart {
 	return func(core program.Core) (program.Part, error) {
 		a.core = core
-		a.server.Use(a, host, core.Log)
+		a.server.Attach(a, host, core.Log)
 		core.Cordons.SetStore(a.server)
 		return &accordPart{a.server, a}, nil
 	}
--- a/internal/full/pipelines.go
+++ b/internal/full/pipelines.go
@@ -82,7 +82,7 @@
 			return nil, errors.New("pipelines: there is no service of promises")
 		}
 		s := pipelines.New(o, host, core.Log)
-		s.Use(found.jobs)
+		s.SetJobs(found.jobs)
 		registered.add(func(r grpc.ServiceRegistrar) { pipelinev1.RegisterPipelinesServer(r, s) })
 		return &pipelinePart{Server: s}, nil
 	}, nil
--- a/internal/full/promises.go
+++ b/internal/full/promises.go
@@ -19,11 +19,11 @@
 // promisesPart returns the constructor of the promise service. host stores the jobs; register adds the service to the
 // control listener.
 func promisesPart(f *siteconf.File, host replicas.Host, register func(func(grpc.ServiceRegistrar))) program.NewPart {
-	o := promises.Options{Within: time.Duration(f.Promises.Within), Keep: time.Duration(f.Promises.Keep), Dir: f.Promises.Dir}
+	o := promises.Options{StartWithin: time.Duration(f.Promises.Within), Retention: time.Duration(f.Promises.Keep), Dir: f.Promises.Dir}
 	return func(core program.Core) (program.Part, error) {
 		s := promises.New(o, host, core.Loop, core.Log)
-		core.Loop.OnUnmatchedCallback(s.Stray)
-		core.Loop.PersistCallbacksWith(s.Keep)
+		core.Loop.OnUnmatchedCallback(s.HandleUnmatchedCallback)
+		core.Loop.PersistCallbacksWith(s.PersistCallback)
 		register(func(r grpc.ServiceRegistrar) { promisev1.RegisterPromisesServer(r, s) })
 		return &promisePart{Server: s}, nil
 	}
@@ -41,7 +41,7 @@
 
 func (p *promisePart) Phase(ctx context.Context, phase program.Phase) error {
 	if phase == program.Serving || phase == program.HandedOver {
-		p.Yield(phase == program.HandedOver)
+		p.SetYielding(phase == program.HandedOver)
 	}
 	switch phase {
 	case program.Serving:
--- a/internal/full/serve.go
+++ b/internal/full/serve.go
@@ -154,7 +154,7 @@
 	c := f.Control
 	o := control.Options{
 		Listen: c.Listen, Daemon: f.Node.Number, Daemons: f.Node.Of, Senders: c.Senders, Silence: time.Duration(c.Silence),
-		Life: time.Duration(c.Lease), Slots: f.Slots(), New: c.New, Also: register,
+		Life: time.Duration(c.Lease), Slots: f.Slots(), New: c.New, RegisterMore: register,
 	}
 	keyError := func() error { return nil }
 	if t := c.TLS; t != nil {
@@ -194,14 +194,14 @@
 	return nil
 }
 
-func (c *controlServer) Reloaded(next *config.Config) { c.Retune(next.Settings, next.Document) }
+func (c *controlServer) Reloaded(next *config.Config) { c.SetSettings(next.Settings, next.Document) }
 
 // Quiet returns true: plug-ins continue without this daemon.
 func (*controlServer) Quiet() bool { return true }
 
 func (c *controlServer) Figures() string {
 	var s strings.Builder
-	for _, f := range c.Server.Figures() {
+	for _, f := range c.Server.Metrics() {
 		fmt.Fprintf(&s, "proxy.%s=%d\n", f.Name, f.Value)
 	}
 	n := 0
--- a/internal/net/accord/server.go
+++ b/internal/net/accord/server.go
@@ -39,13 +39,13 @@
 	// Check reports whether the dispatcher could apply a version. It is called on a goroutine of its own and may read
 	// files.
 	Check(text []byte) error
-	// Own returns the settings from this dispatcher's own file, used for the first version.
-	Own() []byte
-	// Act applies what two versions, which may be the same, both allow; nil: there is no version yet, and the own
+	// OwnSettings returns the settings from this dispatcher's own file, used for the first version.
+	OwnSettings() []byte
+	// Apply applies what two versions, which may be the same, both allow; nil: there is no version yet, and the own
 	// settings apply. floor: restricts it further, to the floor of the two. done is called once, from any goroutine.
-	Act(low, high []byte, floor bool, done func(error))
-	// Leave excludes instances; only: and includes all others again.
-	Leave(ids []string, only bool)
+	Apply(low, high []byte, floor bool, done func(error))
+	// SetCordons excludes instances; only: and includes all others again.
+	SetCordons(ids []string, only bool)
 }
 
 // Options of a server.
@@ -98,7 +98,7 @@
 	nextCordonRetry time.Duration // when cordons are next proposed again
 }
 
-// New returns a server. The state saved by an earlier process is read at once, for Start and LeftOut.
+// New returns a server. The state saved by an earlier process is read at once, for InitialVersions and LeftOut.
 func New(o Options, logger *slog.Logger) (*Server, error) {
 	if err := accord.CheckID(o.Name); err != nil {
 		return nil, fmt.Errorf("node.name: %w", err)
@@ -119,8 +119,8 @@
 	return s, nil
 }
 
-// Start returns the versions to apply at startup, as the floor of both; nil where there are none.
-func (s *Server) Start() (low, high []byte) {
+// InitialVersions returns the versions to apply at startup, as the floor of both; nil where there are none.
+func (s *Server) InitialVersions() (low, high []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.member.Effective()
@@ -134,9 +134,9 @@
 	return s.member.Directive(0).Cordons
 }
 
-// Use sets the rules, the host of the root group and the log. It must be called before any method but Start and
+// Attach sets the rules, the host of the root group and the log. It must be called before any method but Start and
 // LeftOut.
-func (s *Server) Use(r Rules, host replicas.Host, l *slog.Logger) {
+func (s *Server) Attach(r Rules, host replicas.Host, l *slog.Logger) {
 	s.rules, s.host, s.log = r, host, l
 }
 
@@ -253,7 +253,7 @@
 	if p, _ := s.member.Pending(); leased && p == nil && s.member.Agreed().Number == 0 && !s.proposingFirst {
 		s.proposingFirst = true
 		go func() {
-			s.Propose(ctx, s.rules.Own())
+			s.Propose(ctx, s.rules.OwnSettings())
 			s.mu.Lock()
 			s.proposingFirst = false
 			s.mu.Unlock()
@@ -311,7 +311,7 @@
 	if high == nil {
 		high = s.texts[want.High]
 	}
-	s.rules.Act(low, high, want.Floor, func(err error) { s.applyDone(&want, err) })
+	s.rules.Apply(low, high, want.Floor, func(err error) { s.applyDone(&want, err) })
 }
 
 func (s *Server) applyDone(a *accord.EffectiveVersions, err error) {
@@ -349,7 +349,7 @@
 		return
 	}
 	s.lastCordons = text
-	s.rules.Leave(ids, s.confirmed)
+	s.rules.SetCordons(ids, s.confirmed)
 }
 
 // checkVersion checks whether a version can be applied here.
@@ -540,22 +540,22 @@
 
 // Status is the state of the server as shown to operators.
 type Status struct {
-	Acts    accord.EffectiveVersions `json:"acts"`
-	Agreed  uint64                   `json:"agreed"`
-	Pending uint64                   `json:"pending,omitempty"`
-	Phase   accord.Phase             `json:"phase,omitempty"`
-	Leased  bool                     `json:"leased"`
-	Fault   string                   `json:"fault,omitempty"` // why this dispatcher cannot apply the agreed version
-	Members int                      `json:"members"`
-	Cordons []string                 `json:"cordons"`
-	Mine    []string                 `json:"not_agreed,omitempty"` // cordons that apply here only
-	Bound   float64                  `json:"bound_ms"`             // computed bound on how long two dispatchers may contradict each other
-	Lease   float64                  `json:"lease_ms"`
-	Drift   float64                  `json:"drift_ms"`
-	Late    float64                  `json:"late_ms"` // largest lateness of this loop in the current and the previous window
-	Stated  float64                  `json:"stated_ms"`
-	Past    []accord.Outcome         `json:"past,omitempty"`
-	Steps   []Step                   `json:"steps"`
+	Effective     accord.EffectiveVersions `json:"acts"`
+	Agreed        uint64                   `json:"agreed"`
+	Pending       uint64                   `json:"pending,omitempty"`
+	Phase         accord.Phase             `json:"phase,omitempty"`
+	Leased        bool                     `json:"leased"`
+	Fault         string                   `json:"fault,omitempty"` // why this dispatcher cannot apply the agreed version
+	Members       int                      `json:"members"`
+	Cordons       []string                 `json:"cordons"`
+	LocalCordons  []string                 `json:"not_agreed,omitempty"` // cordons that apply here only
+	ConflictBound float64                  `json:"bound_ms"`             // computed bound on how long two dispatchers may contradict each other
+	Lease         float64                  `json:"lease_ms"`
+	Drift         float64                  `json:"drift_ms"`
+	Lateness      float64                  `json:"late_ms"` // largest lateness of this loop in the current and the previous window
+	StatedBound   float64                  `json:"stated_ms"`
+	Outcomes      []accord.Outcome         `json:"past,omitempty"`
+	Steps         []Step                   `json:"steps"`
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
@@ -566,9 +566,9 @@
 	defer s.mu.Unlock()
 	now, late := replicas.Now(), max(s.lateness, s.prevLateness)
 	v := Status{
-		Acts: s.member.Effective(), Agreed: s.member.Agreed().Number, Leased: s.member.HasLease(now), Fault: s.member.Fault(), Members: s.members,
-		Cordons: s.member.Directive(now).Cordons, Mine: s.member.Save().LocalCordons, Past: s.lastOutcomes, Steps: append([]Step{}, s.steps...),
-		Bound: milliseconds(accord.LeaseExpiry + late), Lease: milliseconds(accord.Lease), Drift: milliseconds(accord.LeaseExpiry - accord.Lease), Late: milliseconds(late), Stated: milliseconds(accord.ConflictBound),
+		Effective: s.member.Effective(), Agreed: s.member.Agreed().Number, Leased: s.member.HasLease(now), Fault: s.member.Fault(), Members: s.members,
+		Cordons: s.member.Directive(now).Cordons, LocalCordons: s.member.Save().LocalCordons, Outcomes: s.lastOutcomes, Steps: append([]Step{}, s.steps...),
+		ConflictBound: milliseconds(accord.LeaseExpiry + late), Lease: milliseconds(accord.Lease), Drift: milliseconds(accord.LeaseExpiry - accord.Lease), Lateness: milliseconds(late), StatedBound: milliseconds(accord.ConflictBound),
 	}
 	if p, phase := s.member.Pending(); p != nil {
 		v.Pending, v.Phase = p.Number, phase
@@ -583,5 +583,5 @@
 	defer s.mu.Unlock()
 	one := map[bool]int{true: 1}
 	return fmt.Sprintf("proxy.accord.version=%d\nproxy.accord.pending=%d\nproxy.accord.floor=%d\nproxy.accord.bound_ms=%.0f\nproxy.accord.bound_passed=%d\nproxy.accord.cordons=%d\nproxy.accord.beats=%d\nproxy.accord.beats_lost=%d\nproxy.accord.floors=%d\nproxy.accord.refused=%d\nproxy.accord.fault=%d\nproxy.accord.pauses=%d\n",
-		v.Agreed, v.Pending, one[v.Acts.Floor], v.Bound, one[v.Bound > v.Stated], len(v.Cordons), s.heartbeats, s.heartbeatsLost, s.floors, s.refused, one[v.Fault != ""], s.pauses)
+		v.Agreed, v.Pending, one[v.Effective.Floor], v.ConflictBound, one[v.ConflictBound > v.StatedBound], len(v.Cordons), s.heartbeats, s.heartbeatsLost, s.floors, s.refused, one[v.Fault != ""], s.pauses)
 }
--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -51,8 +51,8 @@
 	// Slots of a warm encoder by kind; "" stands for all other kinds.
 	Slots map[string]float64
 	TLS   credentials.TransportCredentials // nil: plain text
-	// Also registers other services at the same address; nil: none.
-	Also func(grpc.ServiceRegistrar)
+	// RegisterMore registers other services at the same address; nil: none.
+	RegisterMore func(grpc.ServiceRegistrar)
 	// New marks a new deployment without earlier senders: places are assigned without a waiting time.
 	New bool
 }
@@ -135,8 +135,8 @@
 	}
 	c.address, c.grpc = l.Addr().String(), grpc.NewServer(options...)
 	controlv1.RegisterControlServer(c.grpc, c)
-	if c.options.Also != nil {
-		c.options.Also(c.grpc)
+	if c.options.RegisterMore != nil {
+		c.options.RegisterMore(c.grpc)
 	}
 	go c.grpc.Serve(l)
 	return nil
@@ -144,7 +144,7 @@
 
 // maxStreams returns the limit of concurrent streams on a connection.
 func (c *Server) maxStreams() uint32 {
-	if c.options.Also != nil {
+	if c.options.RegisterMore != nil {
 		return 256 // each waiting call takes one
 	}
 	return 4
@@ -177,8 +177,8 @@
 // now returns the time since the start, by the monotonic clock.
 func (c *Server) now() time.Duration { return time.Since(c.start) }
 
-// Retune gives new settings to the senders and the granter. document is the text of the settings.
-func (c *Server) Retune(s decide.Settings, document []byte) {
+// SetSettings gives new settings to the senders and the granter. document is the text of the settings.
+func (c *Server) SetSettings(s decide.Settings, document []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.granter.SetTerms(c.now(), c.terms(s))
@@ -473,14 +473,14 @@
 	}
 }
 
-// Figure is a metric.
-type Figure struct {
+// Metric is a metric.
+type Metric struct {
 	Name  string
 	Value int64
 }
 
-// Figures returns the metrics of the control service.
-func (c *Server) Figures() []Figure {
+// Metrics returns the metrics of the control service.
+func (c *Server) Metrics() []Metric {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.granter.Stats
@@ -489,7 +489,7 @@
 		attached[s.key] = true
 	}
 	orphans := c.granter.Orphans(c.now(), func(key string) bool { return attached[key] })
-	return []Figure{
+	return []Metric{
 		{"control.senders", int64(len(c.senders))}, {"control.refused", c.refused.Load()},
 		{"control.leases_asked", int64(s.Asked)}, {"control.leases_granted", int64(s.Granted)}, {"control.leases_denied", int64(s.Denied)},
 		{"control.leases_spent", int64(s.Spent)}, {"control.leases_returned", int64(s.Returned)}, {"control.leases_expired", int64(s.Expired)},
--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -45,10 +45,10 @@
 	pushPullEvery = 2 * time.Second
 )
 
-// Lists receives instance lists and starts and stops this dispatcher's own watch.
-type Lists interface {
+// ListControl receives instance lists and starts and stops this dispatcher's own watch.
+type ListControl interface {
 	Watch(on bool)
-	Take(dispatch.InstanceUpdate)
+	ApplyList(dispatch.InstanceUpdate)
 }
 
 // Options of a server.
@@ -67,7 +67,7 @@
 // Server is this dispatcher as a member of the cluster. It is safe for concurrent use.
 type Server struct {
 	o            Options
-	lists        Lists
+	lists        ListControl
 	log          *slog.Logger
 	peersChanged atomic.Bool // the live peers may have changed
 	sends        chan struct{}
@@ -89,7 +89,7 @@
 }
 
 // New returns a server that has not joined yet.
-func New(o Options, lists Lists, logger *slog.Logger) *Server {
+func New(o Options, lists ListControl, logger *slog.Logger) *Server {
 	return &Server{o: o, lists: lists, log: logger, sends: make(chan struct{}, maxSends)}
 }
 
@@ -329,7 +329,7 @@
 		case members.SetWatch:
 			s.lists.Watch(a.Watch)
 		case members.ApplyList:
-			s.lists.Take(a.InstanceUpdate)
+			s.lists.ApplyList(a.InstanceUpdate)
 		case members.ShowStatus:
 			s.watch = a.Watch
 			s.log.Info("members: discovery", "watch", a.Watch.String())
--- a/internal/net/pipelines/encoded_test.go
+++ b/internal/net/pipelines/encoded_test.go
@@ -8,5 +8,5 @@
 
 // TestEncodedForm fails where the JSON form of a struct changes that is stored or sent to another process.
 func TestEncodedForm(t *testing.T) {
-	wiretest.Check(t, &Outcome{}, &Told{})
+	wiretest.Check(t, &Outcome{}, &JobBody{})
 }
--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -95,13 +95,13 @@
 	wg             sync.WaitGroup
 }
 
-// New returns a server; the caller must call Use, then Run.
+// New returns a server; the caller must call SetJobs, then Run.
 func New(o Options, host replicas.Host, log *slog.Logger) *Server {
 	return &Server{o: o, host: host, log: log, calls: make(chan struct{}, maxCalls), changed: make(chan struct{}), instancesKnown: make(chan struct{}), tasks: map[string]bool{}}
 }
 
-// Use sets the service that runs the stages; call it before Run.
-func (s *Server) Use(jobs Jobs) { s.jobs = jobs }
+// SetJobs sets the service that runs the stages; call it before Run.
+func (s *Server) SetJobs(jobs Jobs) { s.jobs = jobs }
 
 // Listed handles an update of the instance list, which reruns select their workers from.
 func (s *Server) Listed(l dispatch.InstanceUpdate) {
@@ -264,8 +264,8 @@
 	return "pl." + hex.EncodeToString(sum[:16]) + "." + strconv.FormatInt(gen, 10)
 }
 
-// Told is the body of a stage's job, as its worker receives it.
-type Told struct {
+// JobBody is the body of a stage's job, as its worker receives it.
+type JobBody struct {
 	Run        string            `json:"run"`
 	Stage      string            `json:"stage"`
 	Output     string            `json:"output"` // the output's key; it and the generation determine where to store the output
@@ -306,7 +306,7 @@
 // to the group.
 func (s *Server) execute(ctx context.Context, g uint32, t rerun.Execute) {
 	id := jobID(t.Key, t.Gen)
-	jobBody := Told{Run: t.Run, Stage: t.Name, Output: t.Key, Generation: t.Gen, Params: map[string]string{}}
+	jobBody := JobBody{Run: t.Run, Stage: t.Name, Output: t.Key, Generation: t.Gen, Params: map[string]string{}}
 	for i, key := range t.Inputs {
 		jobBody.Inputs = append(jobBody.Inputs, Input{stageOf(key), key, t.InputGens[i]})
 	}
--- a/internal/net/pipelines/pipelines_test.go
+++ b/internal/net/pipelines/pipelines_test.go
@@ -151,8 +151,8 @@
 			j := &jobs{t: t, host: host}
 			o := Options{Name: "d1", Site: policy.Site{Classes: map[string]policy.Class{"publish": {Once: true}}}}
 			a, b := New(o, host, slog.New(slog.DiscardHandler)), New(o, host, slog.New(slog.DiscardHandler))
-			a.Use(j)
-			b.Use(j)
+			a.SetJobs(j)
+			b.SetJobs(j)
 			b.Listed(dispatch.InstanceUpdate{Complete: true, Instances: []dispatch.Instance{{ID: "s-9", Cell: 1, State: decide.Ready}}})
 			for _, command := range []rerun.Command{
 				{Op: rerun.OpPolicy, Text: oneStage, Site: &o.Site}, {Op: rerun.OpSubmit, ID: "lec", Pipeline: "one"}, {Op: rerun.OpStart, Key: "r/lec/publish", Gen: 1, Dispatcher: "d1"},
@@ -183,7 +183,7 @@
 	j := &jobs{t: t, host: host}
 	o := Options{Name: "d1", Site: policy.Site{Classes: map[string]policy.Class{"publish": {Once: true}}}}
 	s := New(o, host, slog.New(slog.DiscardHandler))
-	s.Use(j)
+	s.SetJobs(j)
 	for _, c := range []rerun.Command{
 		{Op: rerun.OpPolicy, Text: strings.Replace(oneStage, `work = "1s"`, "work = \"1s\"\nwithin = \"30s\"", 1), Site: &o.Site},
 		{Op: rerun.OpSubmit, ID: "lec", Pipeline: "one"}, {Op: rerun.OpStart, Key: "r/lec/publish", Gen: 1, Dispatcher: "gone"},
--- a/internal/net/promises/recording.go
+++ b/internal/net/promises/recording.go
@@ -95,10 +95,10 @@
 	return yes
 }
 
-// Keep commits an instance's report on a promised job before the instance is answered: an instance that was answered
+// PersistCallback commits an instance's report on a promised job before the instance is answered: an instance that was answered
 // does not call again, and its report would be lost with this process. It waits for recordWait at most; on false the
 // instance has to call again. Reports that end nothing, and those on jobs that are not promised, need no commit.
-func (s *Server) Keep(n dispatch.Callback) bool {
+func (s *Server) PersistCallback(n dispatch.Callback) bool {
 	c, promised, ends := commandOf(n)
 	if !promised || !ends || c.Kind == promise.Refused && s.isRepeatable(c.ID) {
 		return true
@@ -138,9 +138,9 @@
 	return yes
 }
 
-// Stray takes a callback that matches no command of this dispatcher: the dispatcher that receives it commits it. It
+// HandleUnmatchedCallback takes a callback that matches no command of this dispatcher: the dispatcher that receives it commits it. It
 // returns whether the job is a promised one.
-func (s *Server) Stray(n dispatch.Callback) bool {
+func (s *Server) HandleUnmatchedCallback(n dispatch.Callback) bool {
 	c, promised, ends := commandOf(n)
 	if promised && ends {
 		s.record(s.group(c.ID), c)
--- a/internal/net/promises/recording_test.go
+++ b/internal/net/promises/recording_test.go
@@ -67,7 +67,7 @@
 	called := idleServer(host, c[1])
 	answered := make(chan bool, 2)
 	for range 2 { // reported twice, it is proposed once
-		go func() { answered <- called.Keep(callback) }()
+		go func() { answered <- called.PersistCallback(callback) }()
 	}
 	release := receive(t, host.proposals, "the report is proposed")
 	require.Empty(t, answered)
@@ -75,12 +75,12 @@
 	for range 2 {
 		require.True(t, receive(t, answered, "it is answered"))
 	}
-	require.True(t, called.Keep(callback), "the table has its end")
-	require.True(t, called.Keep(dispatch.Callback{ID: "another's", From: "s-1", State: dispatch.Done}))
-	require.True(t, called.Keep(dispatch.Callback{ID: callback.ID, From: "s-1", State: dispatch.Running}))
+	require.True(t, called.PersistCallback(callback), "the table has its end")
+	require.True(t, called.PersistCallback(dispatch.Callback{ID: "another's", From: "s-1", State: dispatch.Done}))
+	require.True(t, called.PersistCallback(dispatch.Callback{ID: callback.ID, From: "s-1", State: dispatch.Running}))
 	host.proposals = nil
 	unknown := strings.Replace(callback.ID, "j~", "k~", 1)
-	require.True(t, called.Keep(dispatch.Callback{ID: unknown, From: "s-1", State: dispatch.Done}), "no such promise: a repeated call would not help")
+	require.True(t, called.PersistCallback(dispatch.Callback{ID: unknown, From: "s-1", State: dispatch.Done}), "no such promise: a repeated call would not help")
 }
 
 // Guards against callbacks that are answered although no majority has committed their reports, or that block
@@ -100,7 +100,7 @@
 			if i > 0 {
 				n.ID = promise.WireID(fmt.Sprint("unknown-", i), 1, 1)
 			}
-			if called.Keep(n) {
+			if called.PersistCallback(n) {
 				kept.Add(1)
 			}
 		})
@@ -110,7 +110,7 @@
 	require.Less(t, time.Since(began), 20*time.Second)
 	require.LessOrEqual(t, host.waiting.Load(), int64(maxUnanswered))
 	host.noMajority.Store(false)
-	require.Eventually(t, func() bool { return called.Keep(callback) }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return called.PersistCallback(callback) }, 20*time.Second, time.Millisecond)
 	r, err := s[0].Await(t.Context(), &promisev1.AwaitRequest{Id: "j", WaitMs: 20_000})
 	require.NoError(t, err)
 	require.Equal(t, promisev1.Kind_KIND_DONE, r.End.Kind)
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -42,8 +42,8 @@
 
 // Options of a server.
 type Options struct {
-	// Within and Keep are the defaults for jobs that set none.
-	Within, Keep time.Duration
+	// StartWithin and Retention are the defaults for jobs that set none.
+	StartWithin, Retention time.Duration
 	// Dir is the folder of the send log, which tells the next process which attempts were begun; empty: not stored.
 	Dir string
 }
@@ -271,8 +271,8 @@
 	return len(s.recordings) == 0
 }
 
-// Yield states whether a newer process is taking over.
-func (s *Server) Yield(yes bool) { s.yielded.Store(yes) }
+// SetYielding states whether a newer process is taking over.
+func (s *Server) SetYielding(yes bool) { s.yielded.Store(yes) }
 
 // submit submits a job to the dispatcher.
 func (s *Server) submit(g uint32, a promise.Submit) {
--- a/internal/net/promises/server_test.go
+++ b/internal/net/promises/server_test.go
@@ -77,7 +77,7 @@
 	for i := range s {
 		h[i] = &fakeHost{MemoryHost: table, changed: make(chan struct{})}
 		c[i] = &core{make(chan *dispatch.Command, 9), make(chan *dispatch.Command, 9), make(chan *dispatch.Command, 9), make(chan func() bool, 9), make(chan *dispatch.Attempt, 9), make(chan dispatch.Callback, 9)}
-		s[i] = New(Options{Within: time.Minute, Keep: time.Minute}, h[i], c[i], slog.New(slog.DiscardHandler))
+		s[i] = New(Options{StartWithin: time.Minute, Retention: time.Minute}, h[i], c[i], slog.New(slog.DiscardHandler))
 		s[i].Retune(decide.Settings{Classes: []decide.Class{{Effect: decide.Unsafe, Deadline: 20 * time.Second}, {Deadline: time.Second}}}, wire.Names{Classes: []string{"once", "safe"}})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -111,9 +111,9 @@
 	require.NoError(t, err)
 	require.Nil(t, r.End)
 	require.Empty(t, c[1].submitted)
-	require.False(t, s[1].Stray(dispatch.Callback{ID: "another's", From: "s-1", State: dispatch.Done}))
-	require.True(t, s[1].Stray(dispatch.Callback{ID: m.ID, From: "s-3", State: dispatch.Done, Result: []byte("never sent there")}))
-	require.True(t, s[1].Stray(dispatch.Callback{ID: m.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
+	require.False(t, s[1].HandleUnmatchedCallback(dispatch.Callback{ID: "another's", From: "s-1", State: dispatch.Done}))
+	require.True(t, s[1].HandleUnmatchedCallback(dispatch.Callback{ID: m.ID, From: "s-3", State: dispatch.Done, Result: []byte("never sent there")}))
+	require.True(t, s[1].HandleUnmatchedCallback(dispatch.Callback{ID: m.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
 	for _, s := range s {
 		r, err := s.Await(t.Context(), &promisev1.AwaitRequest{Id: "j", WaitMs: 20_000})
 		require.NoError(t, err)
@@ -138,7 +138,7 @@
 	again := receive(t, c[1].submitted, "the job is submitted again")
 	require.True(t, again.Retry)
 	require.NotEqual(t, first.ID, again.ID)
-	require.True(t, s[0].Stray(dispatch.Callback{ID: first.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
+	require.True(t, s[0].HandleUnmatchedCallback(dispatch.Callback{ID: first.ID, From: "s-1", State: dispatch.Done, Result: []byte("result")}))
 	require.Equal(t, again.ID, receive(t, c[1].callbacks, "the loop gets the callback").ID)
 	require.Equal(t, again, receive(t, c[1].gone, "and cancels the command"))
 }
--- a/internal/net/promises/service.go
+++ b/internal/net/promises/service.go
@@ -107,10 +107,10 @@
 		Work: boundedDuration(q.Job.WorkUs, time.Microsecond), StartWithin: boundedDuration(q.Job.WithinMs, time.Millisecond), Retention: boundedDuration(q.Job.KeepMs, time.Millisecond),
 	}
 	if j.StartWithin == 0 {
-		j.StartWithin = s.o.Within
+		j.StartWithin = s.o.StartWithin
 	}
 	if j.Retention == 0 {
-		j.Retention = s.o.Keep
+		j.Retention = s.o.Retention
 	}
 	if err := promise.CheckID(q.Id); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
--- a/internal/net/promises/unsent_test.go
+++ b/internal/net/promises/unsent_test.go
@@ -89,8 +89,11 @@
 // lost its lease, or had handed over to a newer process, while the attempt still waited at its gate.
 func TestIntentCommittedTooLateIsWithdrawn(t *testing.T) {
 	for name, ends := range map[string]func(*Server, *core, *fakeHost, *dispatch.Command){
-		"lease lost":    func(_ *Server, c *core, h *fakeHost, _ *dispatch.Command) { loseLease(t, c, h) },
-		"newer process": func(s *Server, _ *core, _ *fakeHost, m *dispatch.Command) { s.Yield(true); m.Client.HandOver(true) },
+		"lease lost": func(_ *Server, c *core, h *fakeHost, _ *dispatch.Command) { loseLease(t, c, h) },
+		"newer process": func(s *Server, _ *core, _ *fakeHost, m *dispatch.Command) {
+			s.SetYielding(true)
+			m.Client.HandOver(true)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -28,14 +28,14 @@
 	SetSharer(Sharer)
 	// Watch starts or stops this process's watch.
 	Watch(on bool)
-	// Take applies a list.
-	Take(dispatch.InstanceUpdate)
+	// ApplyList applies a list.
+	ApplyList(dispatch.InstanceUpdate)
 }
 
 type listControl struct{ p *Program }
 
-func (l listControl) SetSharer(s Sharer)                { l.p.sharer = s }
-func (l listControl) Take(list dispatch.InstanceUpdate) { l.p.receiveList(list) }
+func (l listControl) SetSharer(s Sharer)                     { l.p.sharer = s }
+func (l listControl) ApplyList(list dispatch.InstanceUpdate) { l.p.receiveList(list) }
 
 func (l listControl) Watch(on bool) {
 	if on {
--- a/internal/prove/rerun.go
+++ b/internal/prove/rerun.go
@@ -286,9 +286,9 @@
 	for _, r := range runs {
 		f.work++
 		if r.Stage == "publish" {
-			if published[r.Told.Run]++; published[r.Told.Run] > 1 {
+			if published[r.JobBody.Run]++; published[r.JobBody.Run] > 1 {
 				f.twice++
-				fmt.Fprintf(progress, "  %s published twice: generation %d at %v: %+v\n", r.Told.Run, r.Generation, r.Began, explained[r.Told.Run])
+				fmt.Fprintf(progress, "  %s published twice: generation %d at %v: %+v\n", r.JobBody.Run, r.Generation, r.Began, explained[r.JobBody.Run])
 			}
 		}
 		if r.Stage == "package" && r.Outcome.Outcome == "" && !r.Ended.IsZero() && slices.ContainsFunc(r.Inputs, func(i pipelines.Input) bool { return i.Generation > 1 }) && (verdict.IsZero() || r.Ended.Before(verdict)) {
@@ -300,10 +300,10 @@
 		}
 		generations[key] = true
 		if r.Stage != "ingest" {
-			if stages[r.Told.Run] == nil {
-				stages[r.Told.Run] = map[string]int{}
+			if stages[r.JobBody.Run] == nil {
+				stages[r.JobBody.Run] = map[string]int{}
 			}
-			stages[r.Told.Run][r.Stage]++
+			stages[r.JobBody.Run][r.Stage]++
 		}
 	}
 	last := map[string]workersim.Run{} // of each output, the run of its newest generation that reached a worker
@@ -398,7 +398,7 @@
 			}
 			out := span{r.Began, r.Began} // one that no package had came to nothing by itself, when its dispatcher died
 			for _, p := range runs {
-				if p.Told.Run != r.Told.Run || p.Stage != "package" || !slices.ContainsFunc(p.Inputs, func(i pipelines.Input) bool { return i.Stage == r.Stage && i.Generation == 2 }) {
+				if p.JobBody.Run != r.JobBody.Run || p.Stage != "package" || !slices.ContainsFunc(p.Inputs, func(i pipelines.Input) bool { return i.Stage == r.Stage && i.Generation == 2 }) {
 					continue
 				}
 				if out.to == out.from {
--- a/internal/prove/rerun_persons.go
+++ b/internal/prove/rerun_persons.go
@@ -50,7 +50,7 @@
 		}
 		var its []workersim.Run
 		for _, r := range runs {
-			if r.Told.Run == id && r.Stage == a.Stage {
+			if r.JobBody.Run == id && r.Stage == a.Stage {
 				its = append(its, r)
 			}
 		}
--- a/internal/prove/rerun_persons_test.go
+++ b/internal/prove/rerun_persons_test.go
@@ -16,7 +16,7 @@
 
 // stageRun is one at a worker, done or not.
 func stageRun(run, stage string, done bool) workersim.Run {
-	r := workersim.Run{Worker: workersim.Worker{ID: "s-1"}, Told: pipelines.Told{Run: run, Stage: stage}, Began: time.Unix(1, 0)}
+	r := workersim.Run{Worker: workersim.Worker{ID: "s-1"}, JobBody: pipelines.JobBody{Run: run, Stage: stage}, Began: time.Unix(1, 0)}
 	if done {
 		r.Ended = r.Began.Add(time.Second)
 	}
--- a/internal/rerun/workersim/cluster.go
+++ b/internal/rerun/workersim/cluster.go
@@ -31,7 +31,7 @@
 // Run is one run of a stage, as recorded by its worker.
 type Run struct {
 	Worker Worker
-	pipelines.Told
+	pipelines.JobBody
 	Class        string
 	Daemon       int       // that sent it
 	Began, Ended time.Time // Ended is zero if it was killed or cancelled
@@ -227,7 +227,7 @@
 		run := &Run{Worker: worker, Class: req.Header.Get("X-Service-Class"), Daemon: daemon, Began: time.Now()}
 		body, err := io.ReadAll(io.LimitReader(req.Body, 1<<20))
 		if err == nil {
-			err = json.Unmarshal(body, &run.Told)
+			err = json.Unmarshal(body, &run.JobBody)
 		}
 		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
@@ -289,5 +289,5 @@
 
 // String describes a run for test output.
 func (r Run) String() string {
-	return fmt.Sprintf("%s %s@%d at %s %s", r.Told.Run, r.Told.Stage, r.Generation, r.Worker.ID, strings.TrimSpace(string(r.Outcome.Outcome)+" "+r.Outcome.Input))
+	return fmt.Sprintf("%s %s@%d at %s %s", r.JobBody.Run, r.JobBody.Stage, r.Generation, r.Worker.ID, strings.TrimSpace(string(r.Outcome.Outcome)+" "+r.Outcome.Input))
 }
--- a/internal/rig/accord_test.go
+++ b/internal/rig/accord_test.go
@@ -40,7 +40,7 @@
 	w.Helper()
 	for _, n := range daemons {
 		w.await(fmt.Sprintf("n%d acts on version %d alone", n, version), func() bool {
-			a := w.accord(n).Acts
+			a := w.accord(n).Effective
 			return a.Low == version && a.High == version && !a.Floor
 		})
 	}
@@ -61,7 +61,7 @@
 	for _, n := range daemons {
 		w.await(fmt.Sprintf("n%d leaves %v out", n, ids), func() bool {
 			v := w.accord(n)
-			return slices.Equal(v.Cordons, ids) && len(v.Mine) == 0 && w.Daemon(n).Figure("skipped_encoders") == int64(len(ids))
+			return slices.Equal(v.Cordons, ids) && len(v.LocalCordons) == 0 && w.Daemon(n).Figure("skipped_encoders") == int64(len(ids))
 		})
 	}
 }
@@ -75,7 +75,7 @@
 	w.out([]string{first}, 0, 1, 2)
 
 	w.off(2, true)
-	w.await("n2 is on the floor", func() bool { return w.accord(2).Acts.Floor })
+	w.await("n2 is on the floor", func() bool { return w.accord(2).Effective.Floor })
 	require.Contains(t, w.Daemon(2).Ask("cordon "+second), "ERR done here")
 	require.Contains(t, w.Daemon(2).Ask("uncordon "+first), "ERR not done")
 	require.Equal(t, []string{first, second}, w.accord(2).Cordons)
@@ -210,7 +210,7 @@
 	w.Helper()
 	bound := 0.0
 	for n := range daemons {
-		bound = max(bound, w.accord(n).Bound)
+		bound = max(bound, w.accord(n).ConflictBound)
 	}
 	w.Logf("contradiction_ms_max=%.1f bound_ms=%.0f stated_ms=%d", float64(worst.Microseconds())/1000, bound, decisions.ConflictBound.Milliseconds())
 	require.Less(w, worst, decisions.ConflictBound)
@@ -257,10 +257,10 @@
 	}
 	w.asks(0)
 	w.await("it is refused", func() bool {
-		past := w.accord(4).Past
+		past := w.accord(4).Outcomes
 		return len(past) > 0 && past[len(past)-1].Number == 2
 	})
-	why := w.accord(4).Past
+	why := w.accord(4).Outcomes
 	require.Contains(t, why[len(why)-1].Why, "n2: ")
 	require.Contains(t, why[len(why)-1].Why, `class "extra"`)
 	w.acting(1, all(five)...)
@@ -275,7 +275,7 @@
 	w.await("the change is under way, or over", func() bool { v := w.accord(1); return v.Pending == 4 || v.Agreed == 4 })
 	w.off(3, true)
 	w.acting(4, all(five, 3)...)
-	w.await("n3 is on the floor", func() bool { return w.accord(3).Acts.Floor })
+	w.await("n3 is on the floor", func() bool { return w.accord(3).Effective.Floor })
 	require.Equal(t, 200, w.job(3, "preview"), "it serves all the same")
 	w.off(3, false)
 	w.acting(4, 3)
--- a/internal/rig/pipelines_test.go
+++ b/internal/rig/pipelines_test.go
@@ -141,8 +141,8 @@
 	once := map[string]int{}
 	for _, run := range p.Runs() {
 		if run.Stage == "publish" {
-			once[run.Told.Run]++
-			require.Equal(t, 1, once[run.Told.Run], "what must not run twice did: %v", p.Runs())
+			once[run.JobBody.Run]++
+			require.Equal(t, 1, once[run.JobBody.Run], "what must not run twice did: %v", p.Runs())
 		}
 	}
 	require.NotEqual(t, []any{bad.Zone, bad.Cell}, []any{anew.Zone, anew.Cell}, "another site")
--- a/internal/standin/teller/teller.go
+++ b/internal/standin/teller/teller.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Retune(s, whole.Settings)
+	c.SetSettings(s, whole.Settings)
 	c.Listed(Members(1, decide.Ready, addresses...))
 	return c, c.Open()
 }
--- a/winglb/updates_test.go
+++ b/winglb/updates_test.go
@@ -95,7 +95,7 @@
 		t.Fatal("the call did not end after Close")
 	}
 	require.Eventually(t, func() bool {
-		for _, f := range c.Figures() {
+		for _, f := range c.Metrics() {
 			if f.Name == "control.senders" {
 				return f.Value == 0
 			}
