--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -61,7 +61,7 @@
 			at[it.Instance] = i
 			groups = append(groups, instanceEvents{instance: it.Instance})
 		}
-		switch what := it.What.(type) {
+		switch what := it.Message.(type) {
 		case wire.Stop:
 			delete(instances, it.Instance)
 			groups[i].events = nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -138,8 +138,8 @@
 	return next, checkKeysKept(updated, current, "")
 }
 
-// Running records that next is in force from now on.
-func (c *Config) Running(next *Config) { c.text = next.text }
+// SetInForce records that next is in force from now on.
+func (c *Config) SetInForce(next *Config) { c.text = next.text }
 
 // checkKeysKept returns an error that names a key of current which updated lacks. Each element of a list must have the
 // keys that all elements of the current list have in common.
@@ -188,8 +188,8 @@
 	return keys
 }
 
-// AtRestart returns the keys whose values differ in next and take effect only at the next start.
-func (c *Config) AtRestart(next *Config) (keys []string) {
+// KeysChangedAtRestart returns the keys whose values differ in next and take effect only at the next start.
+func (c *Config) KeysChangedAtRestart(next *Config) (keys []string) {
 	for _, k := range []struct {
 		key  string
 		same bool
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -70,7 +70,7 @@
 	next, err := c.Reload()
 	require.NoError(t, err)
 	require.Equal(t, []any{"10.2.0.1:8500", "127.0.0.9:1"}, []any{next.Discovery, next.Listen})
-	require.Equal(t, []string{"limits"}, c.AtRestart(next))
+	require.Equal(t, []string{"limits"}, c.KeysChangedAtRestart(next))
 	for from, to := range map[string]string{
 		validConfig: "", `}]}}`: `}]}`, `"Tenants":[{"Name":"acme"}]`: `"Tenants":[]`, // an empty list is valid
 		`"discovery":"10.2.0.1:8500",`: ``, `"seed":"8c1f30d27a5be964",`: ``, `"Balancers":2,`: ``, `"cores":1.0,`: ``,
@@ -87,7 +87,7 @@
 	write(strings.Replace(validConfig, `"Tenants":[{"Name":"acme"}]`, `"Tenants":[{"Name":"acme","QuotaPerS":5}]`, 1))
 	next, err = c.Reload()
 	require.NoError(t, err)
-	c.Running(next)
+	c.SetInForce(next)
 	write(validConfig)
 	_, err = c.Reload()
 	require.ErrorContains(t, err, "settings.Tenants[0].QuotaPerS: missing", "it is compared with the configuration in force")
--- a/internal/full/accord.go
+++ b/internal/full/accord.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return f.Platform()
+	return f.PlatformJSON()
 }
 
 // OwnSettings returns the shared settings of this dispatcher's file.
@@ -133,7 +133,7 @@
 		if err != nil {
 			return err
 		}
-		c, err := config.LoadFrom(a.getenv, a.adjust, g.Platform)
+		c, err := config.LoadFrom(a.getenv, a.adjust, g.PlatformJSON)
 		if err != nil {
 			return err
 		}
--- a/internal/full/serve.go
+++ b/internal/full/serve.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return f.Platform()
+		return f.PlatformJSON()
 	}
 	var agreed *accords
 	if f.Promises != nil { // the dispatchers agree on the shared settings
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -330,12 +330,12 @@
 	p.loads.SetFields(next.Names.Reports)
 	p.watcher.UpdateSettings(next.Settings)
 	p.pool.SetTimeouts(next.Settings.Limits.ConnectTimeout, next.Settings.Limits.ConnIdle)
-	if keys := p.config.AtRestart(next); len(keys) > 0 {
+	if keys := p.config.KeysChangedAtRestart(next); len(keys) > 0 {
 		p.log.Warn("configuration changes that take effect at the next start", "keys", keys)
 	}
 	p.loop.Counters.ConfigLoads.Add(1)
 	p.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", next.Names.Classes)
-	p.config.Running(next)
+	p.config.SetInForce(next)
 	p.eachPart(func(t Part) { t.Reloaded(next) })
 	p.mu.Lock()
 	moved := next.Discovery != p.discovery
--- a/internal/rerun/policy/condition.go
+++ b/internal/rerun/policy/condition.go
@@ -121,7 +121,7 @@
 			for _, v := range variables {
 				names = append(names, v.name)
 			}
-			hint = siteconf.Nearest(wrong, names, "; the names are "+strings.Join(names, ", "))
+			hint = siteconf.SuggestNearest(wrong, names, "; the names are "+strings.Join(names, ", "))
 		} else {
 			hint = `; write for example cause.kind == "failed" && cause.ran < duration("10s")`
 		}
@@ -265,12 +265,12 @@
 	}
 	for _, k := range r.When.compared["cause.kind"] {
 		if !Cause(k).Known() {
-			return l.doc.At(at("when"), "%q is no cause%s", k, siteconf.Nearest(k, causeNames(), "; the causes are "+strings.Join(causeNames(), ", ")))
+			return l.doc.At(at("when"), "%q is no cause%s", k, siteconf.SuggestNearest(k, causeNames(), "; the causes are "+strings.Join(causeNames(), ", ")))
 		}
 	}
 	for _, s := range r.When.compared["cause.input.stage"] {
 		if !slices.Contains(needs, s) {
-			return l.doc.At(at("when"), "%q is no input of %q%s", s, on.Name, siteconf.Nearest(s, needs, "; it needs "+cmp.Or(strings.Join(needs, ", "), "nothing")))
+			return l.doc.At(at("when"), "%q is no input of %q%s", s, on.Name, siteconf.SuggestNearest(s, needs, "; it needs "+cmp.Or(strings.Join(needs, ", "), "nothing")))
 		}
 	}
 	var holds []Facts
--- a/internal/rerun/policy/policy.go
+++ b/internal/rerun/policy/policy.go
@@ -191,7 +191,7 @@
 
 // loader loads one pipeline.
 type loader struct {
-	doc                   *siteconf.Strict
+	doc                   *siteconf.StrictFile
 	prefix                string
 	firstStage, firstRule int // index in the file of this pipeline's first stage and rule
 	config                pipelineConfig
@@ -261,7 +261,7 @@
 		case s.Class == "":
 			return l.doc.At(at+".class", "missing: write the class of commands by which its workers are chosen, one of %s", strings.Join(classes, ", "))
 		case !known:
-			return l.doc.At(at+".class", "%q is no [[class]]%s", s.Class, siteconf.Nearest(s.Class, classes, ": write one of "+strings.Join(classes, ", ")))
+			return l.doc.At(at+".class", "%q is no [[class]]%s", s.Class, siteconf.SuggestNearest(s.Class, classes, ": write one of "+strings.Join(classes, ", ")))
 		case s.Work <= 0:
 			return l.doc.At(at+".work", `missing: write work = "2m", what one run of it takes at most`)
 		}
@@ -270,7 +270,7 @@
 		}
 		for _, n := range s.Needs {
 			if l.stageIndex(n) < 0 {
-				return l.doc.At(at+".needs", "%q is no stage of %q%s", n, l.config.Name, siteconf.Nearest(n, l.stageNames(), "; remove it"))
+				return l.doc.At(at+".needs", "%q is no stage of %q%s", n, l.config.Name, siteconf.SuggestNearest(n, l.stageNames(), "; remove it"))
 			}
 		}
 		l.pipeline.Stages = append(l.pipeline.Stages, &Stage{
@@ -352,7 +352,7 @@
 	for _, name := range l.config.Result {
 		i := l.pipeline.Stage(name)
 		if i < 0 {
-			return l.errorAt("result", "%q is no stage%s", name, siteconf.Nearest(name, l.stageNames(), "; remove it"))
+			return l.errorAt("result", "%q is no stage%s", name, siteconf.SuggestNearest(name, l.stageNames(), "; remove it"))
 		}
 		l.pipeline.Stages[i].Result, wanted[i] = true, true
 		for _, upstream := range l.pipeline.Stages[i].Upstream {
@@ -398,7 +398,7 @@
 		case t.On == "":
 			return l.doc.At(at("on"), "missing: write the stage whose failure it applies to, one of %s", strings.Join(l.stageNames(), ", "))
 		case r.On < 0:
-			return l.doc.At(at("on"), "%q is no stage%s", t.On, siteconf.Nearest(t.On, l.stageNames(), ": write one of "+strings.Join(l.stageNames(), ", ")))
+			return l.doc.At(at("on"), "%q is no stage%s", t.On, siteconf.SuggestNearest(t.On, l.stageNames(), ": write one of "+strings.Join(l.stageNames(), ", ")))
 		case t.When == "":
 			return l.doc.At(at("when"), `missing: write when = 'cause.kind == "failed"'`)
 		case t.Most == 0:
@@ -410,7 +410,7 @@
 		case !slices.Contains([]string{"", "dead", "person"}, t.Else):
 			return l.doc.At(at("else"), `%q: write "dead" or "person"`, t.Else)
 		case t.Where != "" && !slices.Contains(WhereValues, r.Where):
-			return l.doc.At(at("where"), "%q%s", t.Where, siteconf.Nearest(t.Where, wheres, ": write one of "+strings.Join(wheres, ", ")))
+			return l.doc.At(at("where"), "%q%s", t.Where, siteconf.SuggestNearest(t.Where, wheres, ": write one of "+strings.Join(wheres, ", ")))
 		}
 		if r.Where == "" {
 			r.Where = Anywhere
--- a/internal/siteconf/siteconf.go
+++ b/internal/siteconf/siteconf.go
@@ -638,8 +638,8 @@
 	return -1
 }
 
-// Platform returns the file in the JSON form of the platform's PROXY_CONFIG.
-func (f *File) Platform() ([]byte, error) {
+// PlatformJSON returns the file in the JSON form of the platform's PROXY_CONFIG.
+func (f *File) PlatformJSON() ([]byte, error) {
 	type object = map[string]any
 	classes, tenants := []object{}, []object{} // encoded as [], not null
 	var kinds []int
--- a/internal/siteconf/siteconf_test.go
+++ b/internal/siteconf/siteconf_test.go
@@ -22,7 +22,7 @@
 func TestSampleConverts(t *testing.T) {
 	f, err := Parse("site.toml", []byte(sample(t)))
 	require.NoError(t, err)
-	text, err := f.Platform()
+	text, err := f.PlatformJSON()
 	require.NoError(t, err)
 	var converted struct {
 		Admin    string             `json:"admin_addr"`
@@ -105,7 +105,7 @@
 		go func() {
 			file, err := Parse("f", text)
 			if err == nil {
-				_, err = file.Platform()
+				_, err = file.PlatformJSON()
 			} else {
 				err = nil
 			}
--- a/internal/standin/teller/teller.go
+++ b/internal/standin/teller/teller.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := f.Platform()
+	text, err := f.PlatformJSON()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -47,7 +47,7 @@
 // decide.Event.
 type Item struct {
 	Instance int
-	What     any
+	Message  any
 }
 
 // Batch is one frame from the simulator.
@@ -109,7 +109,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("batch %d record %d: %w", b.Number, i, err)
 		}
-		if it.What != nil {
+		if it.Message != nil {
 			b.Items = append(b.Items, it)
 		}
 	}
@@ -149,14 +149,14 @@
 			return it, err
 		}
 		s.Seed = b.u64(3)
-		it.What = Hello{s}
+		it.Message = Hello{s}
 	case evStop:
-		it.What = Stop{}
+		it.Message = Stop{}
 	case evDirectory:
 		it.Instance = 0
 		err = d.decodeList(b, tail)
 	case evDirectoryUpdate:
-		it.What, err = d.decodeListUpdate(b)
+		it.Message, err = d.decodeListUpdate(b)
 	case evJobIn:
 		q := decide.Request{
 			ID: b.u32(3), Class: b.u16(7), Tenant: int(b.u32(9)), Key: b.u64(13),
@@ -166,36 +166,36 @@
 			q.Work = b.us(25)
 		}
 		q.Retry = b[37]&2 != 0
-		it.What = q
+		it.Message = q
 	case evStarted:
-		it.What = decide.StreamStarted{Request: b.u32(3), Attempt: int(b[7])}
+		it.Message = decide.StreamStarted{Request: b.u32(3), Attempt: int(b[7])}
 	case evStatusNote:
 		switch kind := b[11]; kind {
 		case 1:
-			it.What = decide.JobStarted{Request: b.u32(3), Attempt: int(b[16])}
+			it.Message = decide.JobStarted{Request: b.u32(3), Attempt: int(b[16])}
 		case 2:
-			it.What = decide.JobProgress{Request: b.u32(3), Attempt: int(b[16]), Share: b.f32(12)}
+			it.Message = decide.JobProgress{Request: b.u32(3), Attempt: int(b[16]), Share: b.f32(12)}
 		}
 	case evReportBack:
 		out := decide.AttemptEnded{Request: b.u32(3), RequestEnded: b[7] != 0, Attempt: int(b[13])}
 		if out.Outcome, err = decodeOutcome(b[12]); err == nil {
 			out.Report, err = d.decodeReport(it.Instance, b[22:])
 		}
-		it.What = out
+		it.Message = out
 	case evLapsed:
-		it.What = decide.RequestCancelled{Request: b.u32(3)}
+		it.Message = decide.RequestCancelled{Request: b.u32(3)}
 	case evFired:
-		it.What = decide.TimerFired{Token: b.u64(3)}
+		it.Message = decide.TimerFired{Token: b.u64(3)}
 	case evProbed:
 		out := decide.Probed{Worker: b.u32(3)}
 		if out.Outcome, err = decodeOutcome(b[7]); err == nil {
 			out.Report, err = d.decodeReport(it.Instance, b[12:])
 		}
-		it.What = out
+		it.Message = out
 	case evNeighbour:
 		var body []byte
 		body, err = b.span(7, 1, tail)
-		it.What = decide.PeerMessage{Peer: int(b.u32(3)), Body: body}
+		it.Message = decide.PeerMessage{Peer: int(b.u32(3)), Body: body}
 	default:
 		err = fmt.Errorf("unknown event code %d", code)
 	}
