--- a/internal/net/plain/front.go
+++ b/internal/net/plain/front.go
@@ -1,8 +1,8 @@
-// Package plain is the front for plain HTTP/1.1: requests that routes send to pools, answered as they
-// come back. Each is a command of a loop of its own, whose workers are the pools' members; the choice of
-// member, retries and refusals are the decision module's.
+// Package plain serves plain HTTP/1.1: it forwards requests to the pools that the routes select and relays
+// the responses. Each request is a command of a separate dispatch loop, whose workers are the members of the
+// pools; package decide handles retries and refusals.
 //
-// Bodies are held whole for now, 64 KiB at most each way.
+// Request and response bodies are buffered in memory, at most 64 KiB each.
 package plain
 
 import (
@@ -31,64 +31,64 @@
 	"caperrelay/internal/routes"
 )
 
-// The patience with a client.
+// Timeouts on client connections.
 const (
-	idlePatience  = 75 * time.Second // between requests
-	readPatience  = 60 * time.Second // for a request
-	writePatience = 60 * time.Second // for an answer
-	lingerFor     = 500 * time.Millisecond
+	idleTimeout   = 75 * time.Second // between two requests
+	readTimeout   = 60 * time.Second // to read a request
+	writeTimeout  = 60 * time.Second // to write a response
+	lingerTimeout = 500 * time.Millisecond
 )
 
-// Front serves one listener.
+// Front serves plain HTTP on one listener.
 type Front struct {
-	listen string
-	table  atomic.Pointer[routes.Table]
-	core   Core
-	pools  atomic.Pointer[Pools] // nil: the module alone chooses
-	limits atomic.Pointer[Limits]
-	within time.Duration // of a request
-	log    *slog.Logger
-	slots  chan struct{}
-	ids    atomic.Uint64
-	boot   uint64
+	listen         string
+	table          atomic.Pointer[routes.Table]
+	core           Core
+	pools          atomic.Pointer[Pools] // nil: package decide alone selects the member
+	limits         atomic.Pointer[Limits]
+	requestTimeout time.Duration // longest time for one request
+	log            *slog.Logger
+	connSlots      chan struct{}
+	lastID         atomic.Uint64
+	idPrefix       uint64
 
 	mu       sync.Mutex
-	listener net.Listener      // nil: it does not listen
-	address  string            // once it has listened
-	conns    map[net.Conn]bool // true: a request is under way
-	away     bool
+	listener net.Listener      // nil: not listening
+	address  string            // of the last listener
+	conns    map[net.Conn]bool // true: a request is in progress
+	closing  bool
 	wg       sync.WaitGroup
 }
 
-// Core is where requests go.
+// Core handles the requests; it is implemented by dispatch.Loop.
 type Core interface {
 	Submit(*dispatch.Command)
 	ClientGone(*dispatch.Command)
 }
 
-// New returns a front for at most so many connections.
-func New(address string, t *routes.Table, p *Pools, l *Limits, core Core, within time.Duration, most int, logger *slog.Logger) *Front {
-	f := &Front{listen: address, core: core, within: within, log: logger, slots: make(chan struct{}, most), boot: rand.Uint64(), conns: map[net.Conn]bool{}}
-	f.Reroute(t, p, l)
+// New returns a front that serves at most maxConns connections at once.
+func New(address string, t *routes.Table, p *Pools, l *Limits, core Core, within time.Duration, maxConns int, logger *slog.Logger) *Front {
+	f := &Front{listen: address, core: core, requestTimeout: within, log: logger, connSlots: make(chan struct{}, maxConns), idPrefix: rand.Uint64(), conns: map[net.Conn]bool{}}
+	f.SetRoutes(t, p, l)
 	return f
 }
 
-// Address is where it listens, or did last.
+// Address returns the address of the listener, or of the last one after Leave.
 func (f *Front) Address() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.address
 }
 
-// Reroute has requests from now on go by other routes and pools.
-func (f *Front) Reroute(t *routes.Table, p *Pools, l *Limits) {
+// SetRoutes replaces routes, pools and limits for all later requests.
+func (f *Front) SetRoutes(t *routes.Table, p *Pools, l *Limits) {
 	f.limits.Store(l)
 	f.pools.Store(p)
 	f.table.Store(t)
 }
 
-// Open listens and serves. It may be called again after Leave, for the same address. The process that takes
-// over, or that this one took over from, may listen there too for a moment.
+// Open listens and serves. After Leave it may be called again and reuses the address. During a handover the
+// other process may listen on the same address for a short time.
 func (f *Front) Open() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,22 +99,22 @@
 	if err != nil {
 		return err
 	}
-	f.listener, f.address, f.away = l, l.Addr().String(), false
-	go f.serveAll(l)
+	f.listener, f.address, f.closing = l, l.Addr().String(), false
+	go f.acceptLoop(l)
 	return nil
 }
 
-// serveAll accepts connections until the listener is closed.
-func (f *Front) serveAll(l net.Listener) {
+// acceptLoop accepts connections until the listener is closed.
+func (f *Front) acceptLoop(l net.Listener) {
 	for {
-		f.slots <- struct{}{}
+		f.connSlots <- struct{}{}
 		nc, err := l.Accept()
 		if err != nil {
-			<-f.slots
+			<-f.connSlots
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			f.log.Warn("accept", "err", err)
+			f.log.Warn("accepting an HTTP connection failed", "err", err)
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
@@ -127,12 +127,12 @@
 			f.mu.Lock()
 			delete(f.conns, nc)
 			f.mu.Unlock()
-			<-f.slots
+			<-f.connSlots
 		})
 	}
 }
 
-// Leave has no more connections taken; those between two requests end, others with their answer.
+// Leave stops listening. Idle connections are closed at once, others after their current response.
 func (f *Front) Leave() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,7 +140,7 @@
 		f.listener.Close()
 		f.listener = nil
 	}
-	f.away = true
+	f.closing = true
 	for nc, busy := range f.conns {
 		if !busy {
 			nc.SetReadDeadline(time.Unix(1, 0))
@@ -148,7 +148,7 @@
 	}
 }
 
-// Quiet tells whether no request is under way.
+// Quiet reports whether no request is in progress.
 func (f *Front) Quiet() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,25 +160,25 @@
 	return true
 }
 
-// enter notes whether a request is under way on a connection; false: it is to end.
-func (f *Front) enter(nc net.Conn, busy bool) bool {
+// setBusy records whether a request is in progress on a connection. It returns false if the connection must close.
+func (f *Front) setBusy(nc net.Conn, busy bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conns[nc] = busy
-	return busy || !f.away
+	return busy || !f.closing
 }
 
 func (f *Front) serve(nc net.Conn) {
 	br := bufio.NewReaderSize(nc, http1.MaxLine)
 	for {
-		if nc.SetReadDeadline(time.Now().Add(idlePatience)) != nil || !f.enter(nc, false) {
+		if nc.SetReadDeadline(time.Now().Add(idleTimeout)) != nil || !f.setBusy(nc, false) {
 			return
 		}
 		if _, err := br.Peek(1); err != nil {
 			return
 		}
-		f.enter(nc, true)
-		if nc.SetReadDeadline(time.Now().Add(readPatience)) != nil {
+		f.setBusy(nc, true)
+		if nc.SetReadDeadline(time.Now().Add(readTimeout)) != nil {
 			return
 		}
 		q, err := http1.ReadRequest(br, func() error {
@@ -200,18 +200,18 @@
 	}
 }
 
-// linger reads on for a moment: closing over bytes unread would reset the connection, and the answer with it.
+// linger discards input for a short time: closing with unread bytes would reset the connection and lose the response.
 func linger(nc net.Conn) {
-	if tcp, ok := nc.(*net.TCPConn); ok && tcp.CloseWrite() == nil && nc.SetReadDeadline(time.Now().Add(lingerFor)) == nil {
+	if tcp, ok := nc.(*net.TCPConn); ok && tcp.CloseWrite() == nil && nc.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
 		io.CopyN(io.Discard, nc, 4*http1.MaxBody)
 	}
 }
 
-// perHop are the fields that are one connection's own.
-var perHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
+// hopByHop lists the header fields that are not forwarded.
+var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// onward is a head without what is one connection's own, and what its Connection field names.
-func onward(h http1.Header) (out http1.Header) {
+// endToEnd returns the header without hop-by-hop fields and without those that its Connection field names.
+func endToEnd(h http1.Header) (out http1.Header) {
 	var named []string
 	for _, f := range h {
 		if strings.EqualFold(f.Name, "Connection") {
@@ -220,18 +220,18 @@
 			}
 		}
 	}
-	same := func(list []string, name string) bool {
+	contains := func(list []string, name string) bool {
 		return slices.ContainsFunc(list, func(s string) bool { return strings.EqualFold(s, name) })
 	}
 	for _, f := range h {
-		if !same(perHop, f.Name) && !same(named, f.Name) {
+		if !contains(hopByHop, f.Name) && !contains(named, f.Name) {
 			out = append(out, f)
 		}
 	}
 	return out
 }
 
-// handle serves one request; false: the connection is to end.
+// handle serves one request. It returns false if the connection must close.
 func (f *Front) handle(nc net.Conn, br *bufio.Reader, q *http1.Request) bool {
 	if q.Header.Conflicts("Host") {
 		return reply(nc, q, 400, nil, []byte("more than one Host\n"), true)
@@ -242,48 +242,48 @@
 		Listen: local, Host: q.Header.Get("Host"), Method: q.Method, Target: q.Target, Remote: remote, Header: q.Header.Get,
 	})
 	if d.Pool == "" {
-		return answerHere(nc, q, d)
+		return replyFromRoutes(nc, q, d)
 	}
 	x := &Exchange{Method: q.Method, Target: d.URI, Host: d.Pool, Body: q.Body}
-	set := func(name string) bool {
+	overridden := func(name string) bool {
 		return strings.EqualFold(name, "Host") || slices.ContainsFunc(d.Headers, func(h [2]string) bool { return strings.EqualFold(h[0], name) })
 	}
-	for _, h := range onward(q.Header) {
-		if !set(h.Name) {
+	for _, h := range endToEnd(q.Header) {
+		if !overridden(h.Name) {
 			x.Header = append(x.Header, h)
 		}
 	}
 	for _, h := range d.Headers {
-		value := clean(h[1])
+		value := stripControls(h[1])
 		switch {
 		case strings.EqualFold(h[0], "Host"):
 			x.Host = value
-		case value != "" && !slices.ContainsFunc(perHop, func(s string) bool { return strings.EqualFold(s, h[0]) }):
+		case value != "" && !slices.ContainsFunc(hopByHop, func(s string) bool { return strings.EqualFold(s, h[0]) }):
 			x.Header = append(x.Header, http1.Field{Name: h[0], Value: value})
 		}
 	}
-	within := time.Now().Add(f.within)
-	if d.Timeout > 0 && d.Timeout < f.within {
-		within = time.Now().Add(d.Timeout)
+	deadline := time.Now().Add(f.requestTimeout)
+	if d.Timeout > 0 && d.Timeout < f.requestTimeout {
+		deadline = time.Now().Add(d.Timeout)
 	}
-	hold, cancelHold := context.WithDeadline(context.Background(), within)
-	leave, ok := f.limits.Load().Enter(hold, d.Limits)
-	cancelHold()
+	limitCtx, cancelLimitCtx := context.WithDeadline(context.Background(), deadline)
+	release, ok := f.limits.Load().Acquire(limitCtx, d.Limits)
+	cancelLimitCtx()
 	if !ok {
 		return reply(nc, q, 503, nil, []byte("too many requests\n"), q.Close)
 	}
-	defer leave()
-	class := d.Pool + repeatable
-	if !mayRepeat(q.Method) && !d.RetryNonIdempotent || d.Tries == 1 { // with one try there is no second anyway, and the failure is told at once
-		class = d.Pool + once
+	defer release()
+	class := d.Pool + repeatableSuffix
+	if !idempotent(q.Method) && !d.RetryNonIdempotent || d.Tries == 1 { // with a single try, a failure is reported without a retry
+		class = d.Pool + onceSuffix
 	}
-	x.began, x.deadline = time.Now(), within
+	x.start, x.deadline = time.Now(), deadline
 	w := &waiter{answer: make(chan dispatch.Answer, 1)}
 	cmd := &dispatch.Command{
-		ID: strconv.FormatUint(f.boot, 36) + "-" + strconv.FormatUint(f.ids.Add(1), 36), Class: class, Payload: x, Client: w, Deadline: within,
+		ID: strconv.FormatUint(f.idPrefix, 36) + "-" + strconv.FormatUint(f.lastID.Add(1), 36), Class: class, Payload: x, Client: w, Deadline: deadline,
 	}
 	if p := f.pools.Load(); p != nil {
-		if cmd.Candidates = p.Order(d.Pool, cmd.ID, pools.Criteria{Key: d.Key, Remote: remote}); cmd.Candidates == nil {
+		if cmd.Candidates = p.Candidates(d.Pool, cmd.ID, pools.Criteria{Key: d.Key, Remote: remote}); cmd.Candidates == nil {
 			return reply(nc, q, 502, nil, []byte("no such pool\n"), q.Close)
 		} else if len(cmd.Candidates) == 0 {
 			return reply(nc, q, 502, nil, []byte("no server of the pool is up\n"), q.Close)
@@ -291,7 +291,7 @@
 		if d.Tries > 0 && d.Tries < len(cmd.Candidates) {
 			cmd.Candidates = cmd.Candidates[:d.Tries]
 		}
-		x.done = func(instance string, failed bool) {
+		x.attemptDone = func(instance string, failed bool) {
 			if instance == cmd.Candidates[0] {
 				p.Done(d.Pool, cmd.ID, failed)
 			}
@@ -299,33 +299,33 @@
 		defer p.Done(d.Pool, cmd.ID, false)
 	}
 	f.core.Submit(cmd)
-	// A client that goes away while it waits is owed nothing more.
-	gone := make(chan struct{})
-	stop := make(chan struct{})
+	// If the client closes the connection while it waits, the command is cancelled.
+	clientGone := make(chan struct{})
+	watchDone := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		defer close(stop)
+		defer close(watchDone)
 		nc.SetReadDeadline(time.Time{})
 		if _, err := br.Peek(1); err != nil && ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			close(gone)
+			close(clientGone)
 		}
 	}()
 	defer func() {
 		cancel()
-		nc.SetReadDeadline(time.Unix(1, 0)) // wakes the look
-		<-stop
+		nc.SetReadDeadline(time.Unix(1, 0)) // unblocks Peek
+		<-watchDone
 	}()
 	select {
 	case a := <-w.answer:
 		return f.relay(nc, q, a, x)
-	case <-gone:
+	case <-clientGone:
 		f.core.ClientGone(cmd)
 		return false
 	}
 }
 
-// mayRepeat tells whether a method may be sent again where it is not known to have run.
-func mayRepeat(method string) bool {
+// idempotent reports whether a request with this method may be sent again when it may have run.
+func idempotent(method string) bool {
 	switch method {
 	case "GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE":
 		return true
@@ -333,19 +333,19 @@
 	return false
 }
 
-// The classes of a pool.
+// Suffixes of the two classes of a pool.
 const (
-	repeatable = "/repeat"
-	once       = "/once"
+	repeatableSuffix = "/repeat"
+	onceSuffix       = "/once"
 )
 
-// waiter is a command's client.
+// waiter receives the answer of a command; it implements the client interface of package dispatch.
 type waiter struct{ answer chan dispatch.Answer }
 
 func (w *waiter) Answer(a dispatch.Answer) { w.answer <- a }
 func (w *waiter) HandOver(bool)            {}
 
-// relay hands an answer to the client.
+// relay writes the answer of a command to the client.
 func (f *Front) relay(nc net.Conn, q *http1.Request, a dispatch.Answer, x *Exchange) bool {
 	switch a.Verdict {
 	case dispatch.Served:
@@ -353,7 +353,7 @@
 		if q.Method == "HEAD" || p.Status == 304 {
 			return replyHead(nc, p, q.Close)
 		}
-		return reply(nc, q, p.Status, onward(p.Header), p.Body, q.Close)
+		return reply(nc, q, p.Status, endToEnd(p.Header), p.Body, q.Close)
 	case dispatch.Refused:
 		var h http1.Header
 		if a.RetryAfter > 0 {
@@ -372,13 +372,13 @@
 	return reply(nc, q, 502, nil, []byte("no server answered\n"), q.Close)
 }
 
-// answerHere gives the answer that the routes themselves have.
-func answerHere(nc net.Conn, q *http1.Request, d routes.Decision) bool {
+// replyFromRoutes writes a response that the routes give without a pool.
+func replyFromRoutes(nc net.Conn, q *http1.Request, d routes.Decision) bool {
 	switch {
-	case d.Status == 444: // nginx's own: nothing is said
+	case d.Status == 444: // nginx: close without a response
 		return false
 	case d.Status >= 300 && d.Status < 400 && d.Text != "":
-		return reply(nc, q, d.Status, http1.Header{{Name: "Location", Value: clean(d.Text)}}, nil, q.Close)
+		return reply(nc, q, d.Status, http1.Header{{Name: "Location", Value: stripControls(d.Text)}}, nil, q.Close)
 	case d.Status < 200:
 		return reply(nc, q, 500, nil, nil, q.Close)
 	}
@@ -389,8 +389,8 @@
 	return reply(nc, q, d.Status, http1.Header{{Name: "Content-Type", Value: "text/plain"}}, []byte(text), q.Close)
 }
 
-// clean keeps a value from ending its line.
-func clean(s string) string {
+// stripControls removes control characters, so that a value cannot end its header line.
+func stripControls(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return -1
@@ -399,9 +399,9 @@
 	}, s)
 }
 
-// replyHead writes an answer that has no body, with the length that the server gave for the one it would have.
+// replyHead writes a response without a body and keeps the Content-Length that the server sent.
 func replyHead(nc net.Conn, p *http1.Response, end bool) bool {
-	h := onward(p.Header)
+	h := endToEnd(p.Header)
 	if end {
 		h = append(h, http1.Field{Name: "Connection", Value: "close"})
 	}
@@ -411,19 +411,19 @@
 		length = fmt.Sprintf("Content-Length: %d\r\n", n)
 	}
 	text = bytes.Replace(text, []byte("Content-Length: 0\r\n"), []byte(length), 1)
-	if nc.SetWriteDeadline(time.Now().Add(writePatience)) != nil {
+	if nc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return false
 	}
 	_, err := nc.Write(text)
 	return err == nil && !end
 }
 
-// reply writes an answer; false: the connection is to end.
+// reply writes a response. It returns false if the connection must close.
 func reply(nc net.Conn, q *http1.Request, status int, h http1.Header, body []byte, end bool) bool {
 	if end {
 		h = append(h, http1.Field{Name: "Connection", Value: "close"})
 	}
-	if nc.SetWriteDeadline(time.Now().Add(writePatience)) != nil {
+	if nc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return false
 	}
 	text := http1.AppendResponse(nil, status, h, body)
--- a/internal/net/plain/limits.go
+++ b/internal/net/plain/limits.go
@@ -9,7 +9,7 @@
 	"caperrelay/internal/routes"
 )
 
-// Limits is the state of a site's zones. Several goroutines may use it.
+// Limits holds the state of the limit zones of a site. It is safe for concurrent use.
 type Limits struct {
 	mu    sync.Mutex
 	start time.Time
@@ -18,23 +18,23 @@
 	conns map[string]*limits.Conns
 }
 
-// NewLimits makes a configuration's zones. Those that another had alike go on with what they know.
-func NewLimits(c *routes.Config, before *Limits) (*Limits, error) {
+// NewLimits creates the zones of a configuration. Rate zones that are unchanged from previous keep their state.
+func NewLimits(c *routes.Config, previous *Limits) (*Limits, error) {
 	l := &Limits{start: time.Now(), zones: map[string]routes.Zone{}, rates: map[string]*limits.Rate{}, conns: map[string]*limits.Conns{}}
-	if before != nil {
-		before.mu.Lock()
-		defer before.mu.Unlock()
-		l.start = before.start
+	if previous != nil {
+		previous.mu.Lock()
+		defer previous.mu.Unlock()
+		l.start = previous.start
 	}
 	for _, z := range c.Zones {
 		l.zones[z.Name] = z
 		var err error
-		switch same := before != nil && before.zones[z.Name] == z; {
-		case same && z.Rate > 0:
-			l.rates[z.Name] = before.rates[z.Name]
+		switch unchanged := previous != nil && previous.zones[z.Name] == z; {
+		case unchanged && z.Rate > 0:
+			l.rates[z.Name] = previous.rates[z.Name]
 		case z.Rate > 0:
 			l.rates[z.Name], err = limits.NewRate(z.Rate, z.MaxKeys)
-		default: // what is under way leaves where it entered
+		default: // requests in progress release the zone that they entered
 			l.conns[z.Name], err = limits.NewConns(z.MaxKeys)
 		}
 		if err != nil {
@@ -44,16 +44,16 @@
 	return l, nil
 }
 
-// Enter asks for one request. It waits its turn, for as long as the context lets it; leave must be called once
-// the request has ended, where it was let in.
-func (l *Limits) Enter(ctx context.Context, all []routes.KeyedLimit) (leave func(), ok bool) {
+// Acquire applies the limits to one request. It waits as long as the rate limits demand or until the context
+// ends. If ok, release must be called when the request has ended.
+func (l *Limits) Acquire(ctx context.Context, all []routes.KeyedLimit) (release func(), ok bool) {
 	if len(all) == 0 {
 		return func() {}, true
 	}
 	l.mu.Lock()
 	now, wait := time.Since(l.start), time.Duration(0)
 	var entered []routes.KeyedLimit
-	leave = func() {
+	release = func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for _, x := range entered {
@@ -84,7 +84,7 @@
 		}
 	}
 	if !ok {
-		leave()
+		release()
 	}
-	return leave, ok
+	return release, ok
 }
--- a/internal/net/plain/story_test.go
+++ b/internal/net/plain/plain_test.go
@@ -19,17 +19,18 @@
 	"caperrelay/internal/routes"
 )
 
-// server is a stand-in for a pool's server: it counts what comes and answers by its script.
+// server is a test server of a pool: it counts requests and responds by a script.
 type server struct {
 	net.Listener
-	came  atomic.Int32
-	conns atomic.Int32
-	mu    sync.Mutex
-	last  *http1.Request
+	requests atomic.Int32
+	conns    atomic.Int32
+	mu       sync.Mutex
+	last     *http1.Request
 }
 
-// serve answers each request with what script writes; nil: "ok NAME". false ends the connection.
-func serve(t *testing.T, name string, script func(c net.Conn, q *http1.Request) bool) *server {
+// startServer starts a server that responds with what script writes; nil: "ok NAME". If script returns false, the
+// connection is closed.
+func startServer(t *testing.T, name string, script func(c net.Conn, q *http1.Request) bool) *server {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &server{Listener: l}
@@ -48,7 +49,7 @@
 					if err != nil {
 						return
 					}
-					s.came.Add(1)
+					s.requests.Add(1)
 					s.mu.Lock()
 					s.last = q
 					s.mu.Unlock()
@@ -64,10 +65,10 @@
 	return s
 }
 
-func (s *server) at() string { return s.Addr().String() }
+func (s *server) address() string { return s.Addr().String() }
 
-// site starts a front for routes.
-func site(t *testing.T, c *routes.Config) *Site {
+// newSite starts a front for a configuration.
+func newSite(t *testing.T, c *routes.Config) *Site {
 	s, err := NewSite("127.0.0.1:0", c, 10*time.Second, 200, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -81,16 +82,16 @@
 	return s
 }
 
-// one is routes of one pool for all.
-func one(method string, members ...routes.Member) *routes.Config {
+// onePool returns a configuration that sends all requests to one pool.
+func onePool(method string, members ...routes.Member) *routes.Config {
 	return &routes.Config{
 		Pools:   []routes.Pool{{Name: "p", Method: method, Key: "$request_uri", Members: members}},
 		Servers: []routes.Server{{Listen: []routes.Listen{{Address: ":0"}}, Locations: []routes.Location{{Pattern: "/", Pass: "http://p"}}}},
 	}
 }
 
-// The routes of a test listen at any port: theirs is the front's.
-func listening(c *routes.Config, s string) *routes.Config {
+// listenAt sets the listen port of all servers to that of the front, which is known only once it listens.
+func listenAt(c *routes.Config, s string) *routes.Config {
 	_, port, _ := net.SplitHostPort(s)
 	for i := range c.Servers {
 		c.Servers[i].Listen = []routes.Listen{{Address: ":" + port}}
@@ -112,7 +113,7 @@
 	return &client{t, nc, bufio.NewReader(nc)}
 }
 
-func (c *client) ask(method, target, body string) *http1.Response {
+func (c *client) do(method, target, body string) *http1.Response {
 	_, err := c.nc.Write(http1.AppendRequest(nil, method, target, http1.Header{{Name: "Host", Value: "x"}, {Name: "X-Keep", Value: "1"}, {Name: "Connection", Value: "X-Drop"}, {Name: "X-Drop", Value: "1"}}, []byte(body)))
 	require.NoError(c.t, err)
 	p, err := http1.ReadResponse(c.br, method)
@@ -120,24 +121,24 @@
 	return p
 }
 
-func begin(t *testing.T, c *routes.Config) *Site {
-	s := site(t, c)
-	require.NoError(t, s.Reload(listening(c, s.Front.Address())))
+func startSite(t *testing.T, c *routes.Config) *Site {
+	s := newSite(t, c)
+	require.NoError(t, s.Reload(listenAt(c, s.Front.Address())))
 	return s
 }
 
-// Weights hold to the request through the decision module, backups get nothing, connections are kept, and
-// what is one connection's own stays on it.
-func TestWeightsThroughTheModule(t *testing.T) {
-	a, b, c, d := serve(t, "a", nil), serve(t, "b", nil), serve(t, "c", nil), serve(t, "d", nil)
-	s := begin(t, one("", routes.Member{Address: a.at(), Weight: 5}, routes.Member{Address: b.at()}, routes.Member{Address: c.at()}, routes.Member{Address: d.at(), Backup: true}))
+// Requests are split exactly by weight, backups get none, connections are reused, and hop-by-hop fields are not
+// forwarded.
+func TestWeights(t *testing.T) {
+	a, b, c, d := startServer(t, "a", nil), startServer(t, "b", nil), startServer(t, "c", nil), startServer(t, "d", nil)
+	s := startSite(t, onePool("", routes.Member{Address: a.address(), Weight: 5}, routes.Member{Address: b.address()}, routes.Member{Address: c.address()}, routes.Member{Address: d.address(), Backup: true}))
 	k := dial(t, s)
 	for range 350 {
-		p := k.ask("GET", "/x?y=%20z", "")
+		p := k.do("GET", "/x?y=%20z", "")
 		require.Equal(t, 200, p.Status)
 		require.False(t, p.Header.Present("X-Hop"))
 	}
-	require.Equal(t, []int32{250, 50, 50, 0}, []int32{a.came.Load(), b.came.Load(), c.came.Load(), d.came.Load()})
+	require.Equal(t, []int32{250, 50, 50, 0}, []int32{a.requests.Load(), b.requests.Load(), c.requests.Load(), d.requests.Load()})
 	require.EqualValues(t, 3, a.conns.Load()+b.conns.Load()+c.conns.Load())
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -147,51 +148,51 @@
 	require.Equal(t, "p", a.last.Header.Get("Host"))
 }
 
-// A server that breaks off after it had a request: what may be repeated goes elsewhere, what may not is
-// answered 502 and comes to no second server.
-func TestWhatMayHaveRunIsNotSentAgain(t *testing.T) {
-	broken := serve(t, "broken", func(net.Conn, *http1.Request) bool { return false })
+// When a server closes the connection after it got a request, idempotent requests are retried elsewhere; others
+// are answered 502 and reach no second server.
+func TestNonIdempotentRequestsAreNotRetried(t *testing.T) {
+	broken := startServer(t, "broken", func(net.Conn, *http1.Request) bool { return false })
 	for method, want := range map[string]struct {
 		status int
 		others int32
 	}{"GET": {200, 1}, "PUT": {200, 1}, "POST": {502, 0}, "PATCH": {502, 0}} {
-		good := serve(t, "good", nil)
-		before := broken.came.Load()
-		s := begin(t, one("", routes.Member{Address: broken.at(), Weight: 2}, routes.Member{Address: good.at()}))
-		p := dial(t, s).ask(method, "/", "b")
+		good := startServer(t, "good", nil)
+		before := broken.requests.Load()
+		s := startSite(t, onePool("", routes.Member{Address: broken.address(), Weight: 2}, routes.Member{Address: good.address()}))
+		p := dial(t, s).do(method, "/", "b")
 		require.Equal(t, want.status, p.Status, method)
-		require.Equal(t, want.others, good.came.Load(), method)
-		require.EqualValues(t, 1, broken.came.Load()-before, method)
+		require.Equal(t, want.others, good.requests.Load(), method)
+		require.EqualValues(t, 1, broken.requests.Load()-before, method)
 	}
 }
 
-// Servers that cannot be reached cost nobody his request, of whatever method; with all primaries so the backup
-// serves; with none left the answer is 502 or 503 at once.
+// No request of any method fails because a server is unreachable. If all primaries are, the backup serves; with
+// no server left the answer is 502 or 503 without waiting for the deadline.
 func TestUnreachableServers(t *testing.T) {
-	gone := serve(t, "gone", nil)
+	gone := startServer(t, "gone", nil)
 	gone.Close()
-	good, backup := serve(t, "good", nil), serve(t, "backup", nil)
-	s := begin(t, one("", routes.Member{Address: gone.at(), Weight: 9}, routes.Member{Address: good.at()}, routes.Member{Address: backup.at(), Backup: true}))
+	good, backup := startServer(t, "good", nil), startServer(t, "backup", nil)
+	s := startSite(t, onePool("", routes.Member{Address: gone.address(), Weight: 9}, routes.Member{Address: good.address()}, routes.Member{Address: backup.address(), Backup: true}))
 	k := dial(t, s)
 	for range 20 {
-		require.Equal(t, 200, k.ask("POST", "/", "b").Status)
+		require.Equal(t, 200, k.do("POST", "/", "b").Status)
 	}
-	require.Zero(t, backup.came.Load())
-	s = begin(t, one("", routes.Member{Address: gone.at()}, routes.Member{Address: backup.at(), Backup: true}))
+	require.Zero(t, backup.requests.Load())
+	s = startSite(t, onePool("", routes.Member{Address: gone.address()}, routes.Member{Address: backup.address(), Backup: true}))
 	k = dial(t, s)
 	for range 5 {
-		require.Equal(t, "ok backup", string(k.ask("POST", "/", "b").Body))
+		require.Equal(t, "ok backup", string(k.do("POST", "/", "b").Body))
 	}
-	s = begin(t, one("", routes.Member{Address: gone.at()}, routes.Member{Address: gone.at()[:len(gone.at())-1] + "1", Down: true}))
+	s = startSite(t, onePool("", routes.Member{Address: gone.address()}, routes.Member{Address: gone.address()[:len(gone.address())-1] + "1", Down: true}))
 	start := time.Now()
-	p := dial(t, s).ask("GET", "/", "")
+	p := dial(t, s).do("GET", "/", "")
 	require.Contains(t, []int{502, 503}, p.Status)
 	require.Less(t, time.Since(start), 8*time.Second)
 }
 
-// A server that answers garbage, half a body, or more than it was asked for never has its bytes reach another
-// client, nor its connection used again.
-func TestServersThatAnswerBadly(t *testing.T) {
+// Bytes of a malformed, truncated or surplus response never reach another client, and the connection is not
+// reused.
+func TestMalformedResponses(t *testing.T) {
 	for name, text := range map[string]string{
 		"garbage":       "I am no HTTP\r\n\r\n",
 		"half a body":   "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
@@ -199,32 +200,32 @@
 		"a huge number": "HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n",
 		"bad chunks":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx\r\n0\r\n\r\n",
 	} {
-		bad := serve(t, "bad", func(c net.Conn, _ *http1.Request) bool {
+		bad := startServer(t, "bad", func(c net.Conn, _ *http1.Request) bool {
 			io.WriteString(c, text)
 			return false
 		})
-		s := begin(t, one("", routes.Member{Address: bad.at()}))
-		p := dial(t, s).ask("POST", "/", "b")
+		s := startSite(t, onePool("", routes.Member{Address: bad.address()}))
+		p := dial(t, s).do("POST", "/", "b")
 		require.Equal(t, 502, p.Status, name)
 	}
 	n := atomic.Int32{}
-	twice := serve(t, "twice", func(c net.Conn, q *http1.Request) bool {
+	twice := startServer(t, "twice", func(c net.Conn, q *http1.Request) bool {
 		me := fmt.Sprint("answer ", n.Add(1))
 		c.Write(append(http1.AppendResponse(nil, 200, nil, []byte(me)), http1.AppendResponse(nil, 200, nil, []byte("for nobody"))...))
 		return true
 	})
-	s := begin(t, one("", routes.Member{Address: twice.at()}))
+	s := startSite(t, onePool("", routes.Member{Address: twice.address()}))
 	k := dial(t, s)
 	for i := range 10 {
-		require.Equal(t, fmt.Sprint("answer ", i+1), string(k.ask("POST", "/", "b").Body))
+		require.Equal(t, fmt.Sprint("answer ", i+1), string(k.do("POST", "/", "b").Body))
 	}
-	require.EqualValues(t, 10, twice.conns.Load(), "its connections are not used again")
+	require.EqualValues(t, 10, twice.conns.Load(), "connections with surplus data are not reused")
 }
 
-// What two parties might read as different requests is refused, and reaches no server.
+// Requests that two parsers could read differently (request smuggling) are refused and reach no server.
 func TestSmuggling(t *testing.T) {
-	a := serve(t, "a", nil)
-	s := begin(t, one("", routes.Member{Address: a.at()}))
+	a := startServer(t, "a", nil)
+	s := startSite(t, onePool("", routes.Member{Address: a.address()}))
 	for name, text := range map[string]string{
 		"both lengths":        "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"two lengths":         "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
@@ -245,128 +246,127 @@
 		require.NoError(t, err, name)
 		require.Contains(t, []int{400, 413, 431, 501}, p.Status, name)
 		_, err = k.br.ReadByte()
-		require.Error(t, err, name+": the connection ends")
+		require.Error(t, err, name+": the connection must be closed")
 	}
-	require.Zero(t, a.came.Load())
-	k := dial(t, s) // two at once are two, in order
+	require.Zero(t, a.requests.Load())
+	k := dial(t, s) // two pipelined requests are served in order
 	io.WriteString(k.nc, "POST /1 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhiGET /2 HTTP/1.1\r\nHost: x\r\n\r\n")
 	for range 2 {
 		p, err := http1.ReadResponse(k.br, "GET")
 		require.NoError(t, err)
 		require.Equal(t, 200, p.Status)
 	}
-	require.EqualValues(t, 2, a.came.Load())
+	require.EqualValues(t, 2, a.requests.Load())
 }
 
-// A consistent hash sends a target to one server, through the module; answers of the routes need no server.
-func TestHashAndOwnAnswers(t *testing.T) {
-	a, b, c := serve(t, "a", nil), serve(t, "b", nil), serve(t, "c", nil)
-	routed := one("consistent", routes.Member{Address: a.at()}, routes.Member{Address: b.at()}, routes.Member{Address: c.at()})
+// With a consistent hash each target goes to the same server; responses given by the routes need no server.
+func TestConsistentHashAndReturn(t *testing.T) {
+	a, b, c := startServer(t, "a", nil), startServer(t, "b", nil), startServer(t, "c", nil)
+	routed := onePool("consistent", routes.Member{Address: a.address()}, routes.Member{Address: b.address()}, routes.Member{Address: c.address()})
 	routed.Servers[0].Locations = append(routed.Servers[0].Locations,
 		routes.Location{Modifier: "=", Pattern: "/health", Steps: []routes.Step{{Action: "return", Args: []string{"200", "well"}}}},
 		routes.Location{Modifier: "=", Pattern: "/moved", Steps: []routes.Step{{Action: "return", Args: []string{"301", "/there"}}}},
 		routes.Location{Pattern: "/nowhere", Pass: "http://$arg_pool"})
-	s := begin(t, routed)
+	s := startSite(t, routed)
 	k := dial(t, s)
 	seen := map[string]string{}
 	for range 3 {
 		for n := range 30 {
 			target := fmt.Sprint("/lecture/", n)
-			got := string(k.ask("GET", target, "").Body)
+			got := string(k.do("GET", target, "").Body)
 			if before, ok := seen[target]; ok {
 				require.Equal(t, before, got)
 			}
 			seen[target] = got
 		}
 	}
-	require.Greater(t, min(a.came.Load(), b.came.Load(), c.came.Load()), int32(0))
-	require.Equal(t, "well", string(k.ask("GET", "/health", "").Body))
-	p := k.ask("GET", "/moved", "")
+	require.Greater(t, min(a.requests.Load(), b.requests.Load(), c.requests.Load()), int32(0))
+	require.Equal(t, "well", string(k.do("GET", "/health", "").Body))
+	p := k.do("GET", "/moved", "")
 	require.Equal(t, []any{301, "/there"}, []any{p.Status, p.Header.Get("Location")})
-	require.Equal(t, 502, k.ask("GET", "/nowhere?pool=q", "").Status)
-	require.Empty(t, k.ask("HEAD", "/health", "").Body)
+	require.Equal(t, 502, k.do("GET", "/nowhere?pool=q", "").Status)
+	require.Empty(t, k.do("HEAD", "/health", "").Body)
 }
 
-// A member that is taken out in the middle of a long answer ends it and gets nothing new; faulty routes change
-// nothing; the front comes back at its address after it left.
+// A member that is removed during a request finishes it and gets no new ones; an invalid configuration changes
+// nothing; after Leave the front reopens at its address.
 func TestReload(t *testing.T) {
 	release := make(chan bool)
-	a := serve(t, "a", func(c net.Conn, _ *http1.Request) bool {
+	a := startServer(t, "a", func(c net.Conn, _ *http1.Request) bool {
 		<-release
 		c.Write(http1.AppendResponse(nil, 200, nil, []byte("late")))
 		return true
 	})
-	b := serve(t, "b", nil)
-	s := begin(t, one("", routes.Member{Address: a.at()}))
+	b := startServer(t, "b", nil)
+	s := startSite(t, onePool("", routes.Member{Address: a.address()}))
 	long := dial(t, s)
 	done := make(chan *http1.Response)
-	go func() { done <- long.ask("POST", "/", "b") }()
-	require.Eventually(t, func() bool { return a.came.Load() == 1 }, 10*time.Second, time.Millisecond)
-	require.NoError(t, s.Reload(listening(one("", routes.Member{Address: b.at()}), s.Front.Address())))
+	go func() { done <- long.do("POST", "/", "b") }()
+	require.Eventually(t, func() bool { return a.requests.Load() == 1 }, 10*time.Second, time.Millisecond)
+	require.NoError(t, s.Reload(listenAt(onePool("", routes.Member{Address: b.address()}), s.Front.Address())))
 	k := dial(t, s)
 	for range 20 {
-		require.Equal(t, "ok b", string(k.ask("POST", "/", "b").Body))
+		require.Equal(t, "ok b", string(k.do("POST", "/", "b").Body))
 	}
 	require.Error(t, s.Reload(&routes.Config{}))
-	require.Equal(t, "ok b", string(k.ask("GET", "/", "").Body))
+	require.Equal(t, "ok b", string(k.do("GET", "/", "").Body))
 	close(release)
 	require.Equal(t, "late", string((<-done).Body))
-	require.EqualValues(t, 1, a.came.Load())
+	require.EqualValues(t, 1, a.requests.Load())
 	before := s.Front.Address()
 	s.Front.Leave()
 	require.Eventually(t, s.Front.Quiet, 10*time.Second, time.Millisecond)
 	require.NoError(t, s.Front.Open())
 	require.Equal(t, before, s.Front.Address())
-	require.Equal(t, 200, dial(t, s).ask("GET", "/", "").Status)
+	require.Equal(t, 200, dial(t, s).do("GET", "/", "").Status)
 }
 
-// Limits and headers of the routes hold at the front: a burst beyond the rate is refused, at most so many at one
-// time, and servers see the fields that were set.
+// The front applies rate limits, concurrency limits and header settings of the routes.
 func TestLimitsAndHeaders(t *testing.T) {
 	release := make(chan bool)
-	a := serve(t, "a", func(c net.Conn, q *http1.Request) bool {
+	a := startServer(t, "a", func(c net.Conn, q *http1.Request) bool {
 		if q.Target == "/hold" {
 			<-release
 		}
 		c.Write(http1.AppendResponse(nil, 200, nil, []byte(q.Header.Get("Host")+"|"+q.Header.Get("X-Real")+"|"+q.Header.Get("X-Keep"))))
 		return true
 	})
-	c := one("", routes.Member{Address: a.at()})
+	c := onePool("", routes.Member{Address: a.address()})
 	c.Zones = []routes.Zone{{Name: "r", Key: "$arg_k", Rate: 0.001, MaxKeys: 10}, {Name: "c", Key: "$host", MaxKeys: 10}}
 	c.Servers[0].Locations = []routes.Location{
 		{Pattern: "/", Pass: "http://p", Limits: []routes.Limit{{Zone: "r", Burst: 2, NoDelay: true}}, Headers: [][2]string{{"Host", "inner"}, {"X-Real", "$remote_addr"}, {"X-Keep", ""}}},
 		{Pattern: "/hold", Pass: "http://p", Limits: []routes.Limit{{Zone: "c", MaxConcurrent: 2}}},
 	}
-	s := begin(t, c)
+	s := startSite(t, c)
 	k := dial(t, s)
 	for n := range 5 {
-		p := k.ask("GET", "/x?k=1", "")
+		p := k.do("GET", "/x?k=1", "")
 		require.Equal(t, n < 3, p.Status == 200, n)
 		if n == 0 {
 			require.Equal(t, "inner|127.0.0.1|", string(p.Body))
 		}
 	}
-	require.Equal(t, 200, k.ask("GET", "/x?k=2", "").Status, "another key")
-	require.Equal(t, 200, k.ask("GET", "/x", "").Status, "none is not counted")
-	require.NoError(t, s.Reload(listening(c, s.Front.Address())))
-	require.Equal(t, 503, k.ask("GET", "/x?k=1", "").Status, "a reload forgets nothing")
+	require.Equal(t, 200, k.do("GET", "/x?k=2", "").Status, "another key")
+	require.Equal(t, 200, k.do("GET", "/x", "").Status, "an empty key is not limited")
+	require.NoError(t, s.Reload(listenAt(c, s.Front.Address())))
+	require.Equal(t, 503, k.do("GET", "/x?k=1", "").Status, "a reload keeps the rate state")
 	done := make(chan int, 2)
-	before := a.came.Load()
+	before := a.requests.Load()
 	for range 2 {
 		h := dial(t, s)
-		go func() { done <- h.ask("GET", "/hold", "").Status }()
+		go func() { done <- h.do("GET", "/hold", "").Status }()
 	}
-	require.Eventually(t, func() bool { return a.came.Load() == before+2 }, 10*time.Second, time.Millisecond)
-	require.Equal(t, 503, k.ask("GET", "/hold", "").Status)
+	require.Eventually(t, func() bool { return a.requests.Load() == before+2 }, 10*time.Second, time.Millisecond)
+	require.Equal(t, 503, k.do("GET", "/hold", "").Status)
 	close(release)
 	require.Equal(t, []int{200, 200}, []int{<-done, <-done})
-	require.Equal(t, 200, k.ask("GET", "/hold", "").Status)
+	require.Equal(t, 200, k.do("GET", "/hold", "").Status)
 }
 
-// HEAD has the length that the server gave and no body, and the next answer on the connection is the next's; a
-// location's time ends what takes longer, with 504 for what may be lost.
-func TestHeadAndTime(t *testing.T) {
-	a := serve(t, "a", func(c net.Conn, q *http1.Request) bool {
+// The response to HEAD has the server's Content-Length and no body, and the connection stays usable. A request that
+// exceeds the timeout of its location is answered 504.
+func TestHeadAndTimeout(t *testing.T) {
+	a := startServer(t, "a", func(c net.Conn, q *http1.Request) bool {
 		if q.Method == "HEAD" {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1234\r\nX-A: 1\r\n\r\n")
 			return true
@@ -376,38 +376,38 @@
 		}
 		return true
 	})
-	c := one("", routes.Member{Address: a.at()})
+	c := onePool("", routes.Member{Address: a.address()})
 	c.Servers[0].Locations = append(c.Servers[0].Locations, routes.Location{Pattern: "/slow", Pass: "http://p", Timeout: "300ms"})
-	s := begin(t, c)
+	s := startSite(t, c)
 	k := dial(t, s)
-	p := k.ask("HEAD", "/", "")
+	p := k.do("HEAD", "/", "")
 	require.Equal(t, []any{200, "1234", "1"}, []any{p.Status, p.Header.Get("Content-Length"), p.Header.Get("X-A")})
-	require.Equal(t, "ok", string(k.ask("GET", "/", "").Body))
-	p = k.ask("POST", "/slow", "b")
+	require.Equal(t, "ok", string(k.do("GET", "/", "").Body))
+	p = k.do("POST", "/slow", "b")
 	require.Equal(t, 504, p.Status)
-	require.Equal(t, "ok", string(k.ask("GET", "/", "").Body))
+	require.Equal(t, "ok", string(k.do("GET", "/", "").Body))
 }
 
-// A location may say that a request goes to one server only, or that it may run twice whatever its method.
-func TestTriesOfALocation(t *testing.T) {
-	broken := serve(t, "broken", func(net.Conn, *http1.Request) bool { return false })
-	good := serve(t, "good", nil)
+// A location may limit a request to one try, or allow retries of non-idempotent methods.
+func TestRetrySettingsOfLocation(t *testing.T) {
+	broken := startServer(t, "broken", func(net.Conn, *http1.Request) bool { return false })
+	good := startServer(t, "good", nil)
 	for target, want := range map[string]int{"/once": 502, "/again": 200, "/plain": 502} {
-		c := one("", routes.Member{Address: broken.at(), Weight: 9}, routes.Member{Address: good.at()})
+		c := onePool("", routes.Member{Address: broken.address(), Weight: 9}, routes.Member{Address: good.address()})
 		c.Servers[0].Locations = append(c.Servers[0].Locations,
 			routes.Location{Pattern: "/once", Pass: "http://p", Tries: 1, RetryNonIdempotent: true}, routes.Location{Pattern: "/again", Pass: "http://p", RetryNonIdempotent: true})
-		require.Equal(t, want, dial(t, begin(t, c)).ask("POST", target, "b").Status, target)
+		require.Equal(t, want, dial(t, startSite(t, c)).do("POST", target, "b").Status, target)
 	}
 }
 
-// A hundred thousand routes are reloaded under load: no request is lost, and each is answered by old or new.
+// Configurations of 100,000 routes are reloaded under load; no request may fail.
 func TestLargeReloadUnderLoad(t *testing.T) {
-	a := serve(t, "a", nil)
-	c := one("", routes.Member{Address: a.at()})
-	s := begin(t, c)
+	a := startServer(t, "a", nil)
+	c := onePool("", routes.Member{Address: a.address()})
+	s := startSite(t, c)
 	stop := make(chan bool)
 	var wg sync.WaitGroup
-	var asked, lost atomic.Int32
+	var sent, failed atomic.Int32
 	for range 4 {
 		k := dial(t, s)
 		wg.Go(func() {
@@ -419,23 +419,23 @@
 				}
 				io.WriteString(k.nc, "GET /faculty/3/x HTTP/1.1\r\nHost: x\r\n\r\n")
 				p, err := http1.ReadResponse(k.br, "GET")
-				if asked.Add(1); err != nil || p.Status != 200 {
-					lost.Add(1)
+				if sent.Add(1); err != nil || p.Status != 200 {
+					failed.Add(1)
 					return
 				}
 			}
 		})
 	}
 	for n := range 3 {
-		large := one("", routes.Member{Address: a.at()})
+		large := onePool("", routes.Member{Address: a.address()})
 		for i := range 100_000 {
 			large.Servers[0].Locations = append(large.Servers[0].Locations, routes.Location{Pattern: fmt.Sprintf("/faculty/%d/%d/", i, n), Pass: "http://p"})
 		}
-		require.NoError(t, s.Reload(listening(large, s.Front.Address())))
+		require.NoError(t, s.Reload(listenAt(large, s.Front.Address())))
 	}
-	require.NoError(t, s.Reload(listening(c, s.Front.Address())))
-	require.Eventually(t, func() bool { return asked.Load() > 50 }, 20*time.Second, time.Millisecond)
+	require.NoError(t, s.Reload(listenAt(c, s.Front.Address())))
+	require.Eventually(t, func() bool { return sent.Load() > 50 }, 20*time.Second, time.Millisecond)
 	close(stop)
 	wg.Wait()
-	require.Zero(t, lost.Load(), "of %d", asked.Load())
+	require.Zero(t, failed.Load(), "of %d", sent.Load())
 }
--- a/internal/net/plain/servers.go
+++ b/internal/net/plain/servers.go
@@ -16,77 +16,78 @@
 	"caperrelay/internal/net/sock"
 )
 
-// Exchange is one request on its way to a pool's servers.
+// Exchange is one request to a pool: the payload of its command.
 type Exchange struct {
 	Method, Target, Host string
 	Header               http1.Header
 	Body                 []byte
 
-	timedOut atomic.Bool // an attempt has
-	began    time.Time
-	deadline time.Time
-	done     func(instance string, failed bool) // told how an attempt ended; may be nil
+	attemptTimedOut atomic.Bool // an attempt timed out
+	start           time.Time
+	deadline        time.Time
+	attemptDone     func(instance string, failed bool) // called when an attempt has ended; may be nil
 }
 
-// late tells whether time ran out on it: an attempt's, or its own, shortly before which the module answers.
+// late reports whether an attempt timed out or the deadline of the request is near: package decide answers shortly
+// before the deadline.
 func (x *Exchange) late() bool {
-	return x.timedOut.Load() || time.Until(x.deadline) < x.deadline.Sub(x.began)/8
+	return x.attemptTimedOut.Load() || time.Until(x.deadline) < x.deadline.Sub(x.start)/8
 }
 
-// Reports takes what comes of attempts; a loop does.
-type Reports interface {
-	AttemptEnded(_ *dispatch.Attempt, _ decide.Outcome, kept time.Duration)
+// AttemptEvents receives the events of attempts; dispatch.Loop implements it.
+type AttemptEvents interface {
+	AttemptEnded(_ *dispatch.Attempt, _ decide.Outcome, idleFor time.Duration)
 	AttemptSent(*dispatch.Attempt)
 	AttemptServed(_ *dispatch.Attempt, value any)
 	LoadReported(*dispatch.Attempt, decide.Report)
 }
 
-// Servers is the way to the members of all pools.
+// Servers sends requests to the members of all pools.
 type Servers struct {
-	reports Reports
+	events  AttemptEvents
 	connect time.Duration
-	most    int // idle connections kept to one
+	maxIdle int // idle connections kept per member
 
-	mu      sync.Mutex
-	address map[string]string // of a member by its id; one that is gone is not here
-	idle    map[string][]*kept
-	out     map[*dispatch.Attempt]*flight
-	active  map[string]int
+	mu        sync.Mutex
+	addresses map[string]string // by member ID; current members only
+	idle      map[string][]*idleConn
+	attempts  map[*dispatch.Attempt]*inFlight
+	active    map[string]int
 }
 
-// kept is a connection between two requests.
-type kept struct {
+// idleConn is a connection that can be reused, with the time since it has been idle.
+type idleConn struct {
 	net.Conn
-	br    *bufio.Reader
-	since time.Time
+	br        *bufio.Reader
+	idleSince time.Time
 }
 
-// flight is an attempt on its way.
-type flight struct {
-	cancel context.CancelFunc
-	given  atomic.Bool
+// inFlight is an attempt in progress.
+type inFlight struct {
+	cancel    context.CancelFunc
+	cancelled atomic.Bool
 }
 
-// NewServers returns a way to members that are yet to be listed.
-func NewServers(connect time.Duration, mostIdle int) *Servers {
-	return &Servers{connect: connect, most: mostIdle, address: map[string]string{}, idle: map[string][]*kept{}, out: map[*dispatch.Attempt]*flight{}, active: map[string]int{}}
+// NewServers returns Servers without members; SetMembers sets them.
+func NewServers(connect time.Duration, maxIdle int) *Servers {
+	return &Servers{connect: connect, maxIdle: maxIdle, addresses: map[string]string{}, idle: map[string][]*idleConn{}, attempts: map[*dispatch.Attempt]*inFlight{}, active: map[string]int{}}
 }
 
-// ReportTo says who takes reports. It must come before anything is sent.
-func (s *Servers) ReportTo(r Reports) { s.reports = r }
+// ReportTo sets the receiver of events. It must be called before the first Send.
+func (s *Servers) ReportTo(r AttemptEvents) { s.events = r }
 
-// Listed takes all members that there are. Nothing new goes to others from now on.
-func (s *Servers) Listed(l dispatch.InstanceUpdate) {
+// SetMembers replaces the list of members. Servers that are not in it get no more requests.
+func (s *Servers) SetMembers(l dispatch.InstanceUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	clear(s.address)
+	clear(s.addresses)
 	for _, m := range l.Instances {
 		if m.State == decide.Ready {
-			s.address[m.ID] = m.Address
+			s.addresses[m.ID] = m.Address
 		}
 	}
 	for id, all := range s.idle {
-		if s.address[id] == "" {
+		if s.addresses[id] == "" {
 			for _, k := range all {
 				k.Close()
 			}
@@ -98,54 +99,54 @@
 // Send starts an attempt.
 func (s *Servers) Send(a *dispatch.Attempt) {
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
-	f := &flight{cancel: cancel}
+	f := &inFlight{cancel: cancel}
 	s.mu.Lock()
-	s.out[a] = f
+	s.attempts[a] = f
 	s.active[a.Instance]++
 	s.mu.Unlock()
 	go func() {
 		defer cancel()
-		p, o, kept := s.exchange(ctx, a)
+		p, o, idleFor := s.exchange(ctx, a)
 		s.mu.Lock()
-		delete(s.out, a)
+		delete(s.attempts, a)
 		s.mu.Unlock()
-		if f.given.Load() {
+		if f.cancelled.Load() {
 			a.CancelConfirmed()
 		}
 		if o == decide.TimedOut {
-			a.Command.Payload.(*Exchange).timedOut.Store(true)
+			a.Command.Payload.(*Exchange).attemptTimedOut.Store(true)
 		}
 		x := a.Command.Payload.(*Exchange)
-		if x.done != nil && o != decide.NotSent && !f.given.Load() {
-			x.done(a.Instance, o != decide.OK)
+		if x.attemptDone != nil && o != decide.NotSent && !f.cancelled.Load() {
+			x.attemptDone(a.Instance, o != decide.OK)
 		}
 		s.mu.Lock()
 		s.active[a.Instance]--
 		n := s.active[a.Instance]
 		s.mu.Unlock()
-		s.reports.LoadReported(a, decide.Report{Active: float64(n + 1), Waiting: -1, FreeSlots: float64(max(0, room-n-1)), FreeMemory: -1})
+		s.events.LoadReported(a, decide.Report{Active: float64(n + 1), Waiting: -1, FreeSlots: float64(max(0, assumedConcurrency-n-1)), FreeMemory: -1})
 		if o == decide.OK {
-			s.reports.AttemptServed(a, p)
+			s.events.AttemptServed(a, p)
 			return
 		}
-		s.reports.AttemptEnded(a, o, kept)
+		s.events.AttemptEnded(a, o, idleFor)
 	}()
 }
 
-// Cancel ends an attempt by closing its connection: HTTP/1.1 has no other word for it.
+// Cancel ends an attempt by closing its connection: HTTP/1.1 has no other means to cancel a request.
 func (s *Servers) Cancel(a *dispatch.Attempt) {
 	s.mu.Lock()
-	f := s.out[a]
+	f := s.attempts[a]
 	s.mu.Unlock()
 	if f == nil {
 		a.CancelConfirmed()
 		return
 	}
-	f.given.Store(true)
+	f.cancelled.Store(true)
 	f.cancel()
 }
 
-// Probe does nothing: servers are judged by what they answer.
+// Probe does nothing: servers are judged by their responses to requests.
 func (s *Servers) Probe(string) {}
 
 // CloseIdle closes the idle connections to a member.
@@ -158,22 +159,23 @@
 	delete(s.idle, id)
 }
 
-// Subscribe does nothing: members are listed as they change.
+// Subscribe does nothing: SetMembers is called on each change.
 func (s *Servers) Subscribe() {}
 
-// take is a connection to a member: a kept one that is still open, unless a fresh one is wanted, or a new one.
-func (s *Servers) take(ctx context.Context, a *dispatch.Attempt) (*kept, time.Duration, error) {
+// connection returns an idle connection to the member that is still open, or dials one. If the attempt asks for a
+// new connection, it always dials.
+func (s *Servers) connection(ctx context.Context, a *dispatch.Attempt) (*idleConn, time.Duration, error) {
 	for {
 		s.mu.Lock()
-		address := s.address[a.Instance]
+		address := s.addresses[a.Instance]
 		all := s.idle[a.Instance]
-		var k *kept
+		var k *idleConn
 		if n := len(all); n > 0 && !a.NewConn {
 			k, s.idle[a.Instance] = all[n-1], all[:n-1]
 		}
 		s.mu.Unlock()
 		if address == "" {
-			return nil, 0, errGone
+			return nil, 0, errNotMember
 		}
 		if k == nil {
 			d := net.Dialer{Timeout: s.connect}
@@ -181,33 +183,33 @@
 			if err != nil {
 				return nil, 0, err
 			}
-			return &kept{Conn: nc, br: bufio.NewReaderSize(nc, http1.MaxLine)}, 0, nil
+			return &idleConn{Conn: nc, br: bufio.NewReaderSize(nc, http1.MaxLine)}, 0, nil
 		}
-		age := max(time.Since(k.since), 1)
+		age := max(time.Since(k.idleSince), 1)
 		if a.MaxIdle > 0 && age > a.MaxIdle || k.br.Buffered() > 0 || k.SetDeadline(time.Time{}) != nil || sock.Peek(k.Conn) != sock.Empty {
-			k.Close() // too old, closed, or it says what nobody asked for
+			k.Close() // too old, closed, or with data that no request asked for
 			continue
 		}
 		return k, age, nil
 	}
 }
 
-var errGone = errors.New("the member is no more")
+var errNotMember = errors.New("server is no longer a member of the pool")
 
-// exchange sends a request and reads the answer. Whatever is not a whole answer has the connection closed:
-// what is left on it must never be taken for another's.
+// exchange sends a request and reads the response. Unless the response is complete the connection is closed:
+// leftover bytes must never be taken for the response to another request.
 func (s *Servers) exchange(ctx context.Context, a *dispatch.Attempt) (*http1.Response, decide.Outcome, time.Duration) {
 	x := a.Command.Payload.(*Exchange)
-	k, age, err := s.take(ctx, a)
+	k, age, err := s.connection(ctx, a)
 	switch {
-	case errors.Is(err, errGone):
+	case errors.Is(err, errNotMember):
 		return nil, decide.NotSent, 0
 	case err != nil:
 		return nil, decide.ConnectFailed, 0
 	}
-	whole := false
+	reusable := false
 	defer func() {
-		if !whole {
+		if !reusable {
 			k.Close()
 		}
 	}()
@@ -218,7 +220,7 @@
 	if n, err := k.Write(text); err != nil && n < len(text) {
 		return nil, decide.ConnectFailed, age
 	}
-	s.reports.AttemptSent(a)
+	s.events.AttemptSent(a)
 	p, err := http1.ReadResponse(k.br, x.Method)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -227,26 +229,26 @@
 		return nil, decide.Reset, age
 	}
 	if !p.Close && k.br.Buffered() == 0 && ctx.Err() == nil {
-		whole = s.keep(a.Instance, k)
+		reusable = s.putIdle(a.Instance, k)
 	}
 	return p, decide.OK, age
 }
 
-// keep puts a connection among the idle ones; false: there are enough.
-func (s *Servers) keep(id string, k *kept) bool {
+// putIdle keeps a connection for reuse. It returns false if the member has enough idle ones or is gone.
+func (s *Servers) putIdle(id string, k *idleConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.idle[id]) >= s.most || s.address[id] == "" {
+	if len(s.idle[id]) >= s.maxIdle || s.addresses[id] == "" {
 		return false
 	}
-	k.since = time.Now()
+	k.idleSince = time.Now()
 	s.idle[id] = append(s.idle[id], k)
 	return true
 }
 
 // Close closes all idle connections.
 func (s *Servers) Close() {
-	s.Listed(dispatch.InstanceUpdate{Complete: true})
+	s.SetMembers(dispatch.InstanceUpdate{Complete: true})
 }
 
 var _ dispatch.Fleet = (*Servers)(nil)
--- a/internal/net/plain/site.go
+++ b/internal/net/plain/site.go
@@ -15,50 +15,51 @@
 	"caperrelay/internal/wire"
 )
 
-// room is how many requests a member without max_conns is taken to serve at once.
-const room = 512
+// assumedConcurrency is the number of concurrent requests that a member is assumed to serve.
+const assumedConcurrency = 512
 
-// Pools is the state of all pools: whose turn it is. Several goroutines may use it.
+// Pools holds the balancing state of all pools. It is safe for concurrent use.
 type Pools struct {
 	mu    sync.Mutex
-	pools map[string]*pooled
+	pools map[string]*poolState
 	start time.Time
 }
 
-type pooled struct {
+// poolState is the balancing state of one pool.
+type poolState struct {
 	*pools.Pool
-	ids   []string
-	byID  map[string]*pools.Member
-	taken map[string]*pools.Member // by command
+	ids    []string
+	byID   map[string]*pools.Member
+	picked map[string]*pools.Member // by command ID
 }
 
-// memberID names a member as an instance of the loop's.
+// memberID returns the instance ID of a member in the loop.
 func memberID(pool, address string) string { return pool + "/" + address }
 
-// NewPools compiles a configuration's pools.
+// NewPools compiles the pools of a configuration.
 func NewPools(c *routes.Config) (*Pools, error) {
-	p := &Pools{pools: map[string]*pooled{}, start: time.Now()}
+	p := &Pools{pools: map[string]*poolState{}, start: time.Now()}
 	for i := range c.Pools {
 		h := fnv.New64a()
 		h.Write([]byte(c.Pools[i].Name))
-		made, err := pools.New(&c.Pools[i], h.Sum64())
+		compiled, err := pools.New(&c.Pools[i], h.Sum64())
 		if err != nil {
 			return nil, err
 		}
-		k := &pooled{Pool: made, byID: map[string]*pools.Member{}, taken: map[string]*pools.Member{}}
-		for _, m := range made.Members() {
-			id := memberID(made.Name, m.Address)
+		k := &poolState{Pool: compiled, byID: map[string]*pools.Member{}, picked: map[string]*pools.Member{}}
+		for _, m := range compiled.Members() {
+			id := memberID(compiled.Name, m.Address)
 			k.ids = append(k.ids, id)
 			k.byID[id] = m
 		}
-		p.pools[made.Name] = k
+		p.pools[compiled.Name] = k
 	}
 	return p, nil
 }
 
-// Order is where a request goes: the member whose turn it is, then the others, backups last. It counts as
-// taken by the command until Done.
-func (p *Pools) Order(pool, command string, a pools.Criteria) []string {
+// Candidates returns the members for a request in order of preference: the one that the balancing method picks,
+// then the others, backups last. The pick counts as in use by the command until Done.
+func (p *Pools) Candidates(pool, command string, a pools.Criteria) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := p.pools[pool]
@@ -70,7 +71,7 @@
 	if !ok {
 		return []string{} // none is eligible
 	}
-	k.taken[command] = first
+	k.picked[command] = first
 	order := []string{memberID(pool, first.Address)}
 	for _, backup := range []bool{false, true} {
 		for i, m := range k.Members() {
@@ -82,21 +83,21 @@
 	return order
 }
 
-// Done says how a command ended at the member whose turn it was.
+// Done reports how a command ended at the member that Candidates picked.
 func (p *Pools) Done(pool, command string, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if k := p.pools[pool]; k != nil {
-		if m := k.taken[command]; m != nil {
-			delete(k.taken, command)
+		if m := k.picked[command]; m != nil {
+			delete(k.picked, command)
 			k.Pool.Done(time.Since(p.start), m, failed)
 		}
 	}
 }
 
-// Settings puts pools into the decision module's terms: each pool is a kind of worker, with a class for what
-// may be repeated and one for what may not.
-func Settings(c *routes.Config, within time.Duration) (decide.Settings, wire.Names, dispatch.InstanceUpdate) {
+// LoopSettings translates pools into settings of package decide: each pool is a kind of worker, with one class for
+// requests that may be repeated and one for those that may not.
+func LoopSettings(c *routes.Config, within time.Duration) (decide.Settings, wire.Names, dispatch.InstanceUpdate) {
 	s := decide.Settings{
 		DispatcherCount: 1, Granularity: 2 * time.Millisecond, ReportsFreeSlots: true,
 		Limits: decide.Limits{
@@ -110,7 +111,7 @@
 	for kind, p := range c.Pools {
 		n.Kinds = append(n.Kinds, p.Name)
 		for _, effect := range []decide.Effect{decide.Safe, decide.Unsafe} {
-			n.Classes = append(n.Classes, p.Name+map[decide.Effect]string{decide.Safe: repeatable, decide.Unsafe: once}[effect])
+			n.Classes = append(n.Classes, p.Name+map[decide.Effect]string{decide.Safe: repeatableSuffix, decide.Unsafe: onceSuffix}[effect])
 			s.Classes = append(s.Classes, decide.Class{Aim: time.Second, Stretch: 10, Deadline: within, Worth: 1, Effect: effect, Kind: kind})
 		}
 		for _, m := range p.Members {
@@ -122,18 +123,18 @@
 	return s, n, l
 }
 
-// Site is a listener with its routes, its pools and its loop.
+// Site is a front with its servers and its dispatch loop.
 type Site struct {
-	Front   *Front
-	Loop    *dispatch.Loop
-	Servers *Servers
-	within  time.Duration
-	mu      sync.Mutex // one reload at a time
-	rev     int64
+	Front          *Front
+	Loop           *dispatch.Loop
+	Servers        *Servers
+	requestTimeout time.Duration
+	mu             sync.Mutex // one reload at a time
+	revision       int64
 }
 
-// NewSite compiles a configuration and listens.
-func NewSite(address string, c *routes.Config, within time.Duration, most int, logger *slog.Logger) (*Site, error) {
+// NewSite compiles a configuration. Front.Open starts to listen.
+func NewSite(address string, c *routes.Config, within time.Duration, maxConns int, logger *slog.Logger) (*Site, error) {
 	t, p, err := compile(c)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", address, err)
@@ -142,32 +143,33 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", address, err)
 	}
-	s := &Site{Servers: NewServers(2*time.Second, 64), within: within, rev: 1}
-	settings, names, list := Settings(c, within)
+	s := &Site{Servers: NewServers(2*time.Second, 64), requestTimeout: within, revision: 1}
+	settings, names, list := LoopSettings(c, within)
 	if s.Loop, err = dispatch.New(settings, names, s.Servers, s.Servers, dispatch.NoOtherProcess{}, logger); err != nil {
 		return nil, err
 	}
 	s.Servers.ReportTo(s.Loop)
-	s.Servers.Listed(list)
+	s.Servers.SetMembers(list)
 	s.Loop.UpdateInstances(list, true)
-	s.Front = New(address, t, p, l, s.Loop, within, most, logger)
+	s.Front = New(address, t, p, l, s.Loop, within, maxConns, logger)
 	return s, nil
 }
 
+// compile checks a configuration and returns its routes and pools.
 func compile(c *routes.Config) (*routes.Table, *Pools, error) {
 	t, err := routes.Compile(c)
 	if err != nil {
 		return nil, nil, err
 	}
 	if len(c.Pools) == 0 {
-		return nil, nil, errors.New("routes without a pool")
+		return nil, nil, errors.New("the routes define no pool")
 	}
 	p, err := NewPools(c)
 	return t, p, err
 }
 
-// Reload has the site go by other routes and pools; an error changes nothing. Requests under way end where
-// they are; members that are no more get nothing new from the moment it returns. It waits for the loop.
+// Reload replaces the configuration; on an error nothing changes. Requests in progress end at the servers that have
+// them; removed members get no new requests once it has returned. It waits for the loop.
 func (s *Site) Reload(c *routes.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,14 +181,14 @@
 	if err != nil {
 		return err
 	}
-	settings, names, list := Settings(c, s.within)
-	s.rev++
-	list.Revision = s.rev
+	settings, names, list := LoopSettings(c, s.requestTimeout)
+	s.revision++
+	list.Revision = s.revision
 	if err := s.Loop.Reconfigure(settings, names); err != nil {
 		return err
 	}
-	s.Servers.Listed(list)
+	s.Servers.SetMembers(list)
 	s.Loop.UpdateInstances(list, false)
-	s.Front.Reroute(t, p, l)
+	s.Front.SetRoutes(t, p, l)
 	return nil
 }
