--- a/internal/net/plain/front.go
+++ b/internal/net/plain/front.go
@@ -1,6 +1,6 @@
 // Package plain serves plain HTTP/1.1: it forwards requests to the pools that the routes select and relays
 // the responses. Each request is a command of a separate dispatch loop, whose workers are the members of the
-// pools; package decide handles retries and refusals.
+// pools. The balancing method of the pool orders the members; package decide handles retries and refusals.
 //
 // Request and response bodies are buffered in memory, at most 64 KiB each.
 package plain
@@ -67,8 +67,8 @@
 }
 
 // New returns a front that serves at most maxConns connections at once.
-func New(address string, t *routes.Table, p *Pools, l *Limits, core Core, within time.Duration, maxConns int, logger *slog.Logger) *Front {
-	f := &Front{listen: address, core: core, requestTimeout: within, log: logger, connSlots: make(chan struct{}, maxConns), idPrefix: rand.Uint64(), conns: map[net.Conn]bool{}}
+func New(address string, t *routes.Table, p *Pools, l *Limits, core Core, requestTimeout time.Duration, maxConns int, logger *slog.Logger) *Front {
+	f := &Front{listen: address, core: core, requestTimeout: requestTimeout, log: logger, connSlots: make(chan struct{}, maxConns), idPrefix: rand.Uint64(), conns: map[net.Conn]bool{}}
 	f.SetRoutes(t, p, l)
 	return f
 }
--- a/internal/net/plain/plain_test.go
+++ b/internal/net/plain/plain_test.go
@@ -321,7 +321,8 @@
 	require.Equal(t, 200, dial(t, s).do("GET", "/", "").Status)
 }
 
-// The front applies rate limits, concurrency limits and header settings of the routes.
+// The front applies the limits and headers of the routes: requests beyond burst or concurrency limit are refused,
+// and servers get the headers that are set.
 func TestLimitsAndHeaders(t *testing.T) {
 	release := make(chan bool)
 	a := startServer(t, "a", func(c net.Conn, q *http1.Request) bool {
@@ -400,7 +401,8 @@
 	}
 }
 
-// Configurations of 100,000 routes are reloaded under load; no request may fail.
+// Configurations of 100,000 routes are reloaded under load; no request may fail: each is answered by the
+// old or the new routes.
 func TestLargeReloadUnderLoad(t *testing.T) {
 	a := startServer(t, "a", nil)
 	c := onePool("", routes.Member{Address: a.address()})
--- a/internal/net/plain/site.go
+++ b/internal/net/plain/site.go
@@ -97,7 +97,7 @@
 
 // LoopSettings translates pools into settings of package decide: each pool is a kind of worker, with one class for
 // requests that may be repeated and one for those that may not.
-func LoopSettings(c *routes.Config, within time.Duration) (decide.Settings, wire.Names, dispatch.InstanceUpdate) {
+func LoopSettings(c *routes.Config, requestTimeout time.Duration) (decide.Settings, wire.Names, dispatch.InstanceUpdate) {
 	s := decide.Settings{
 		DispatcherCount: 1, Granularity: 2 * time.Millisecond, ReportsFreeSlots: true,
 		Limits: decide.Limits{
@@ -112,7 +112,7 @@
 		n.Kinds = append(n.Kinds, p.Name)
 		for _, effect := range []decide.Effect{decide.Safe, decide.Unsafe} {
 			n.Classes = append(n.Classes, p.Name+map[decide.Effect]string{decide.Safe: repeatableSuffix, decide.Unsafe: onceSuffix}[effect])
-			s.Classes = append(s.Classes, decide.Class{Aim: time.Second, Stretch: 10, Deadline: within, Worth: 1, Effect: effect, Kind: kind})
+			s.Classes = append(s.Classes, decide.Class{Aim: time.Second, Stretch: 10, Deadline: requestTimeout, Worth: 1, Effect: effect, Kind: kind})
 		}
 		for _, m := range p.Members {
 			if !m.Down {
@@ -134,7 +134,7 @@
 }
 
 // NewSite compiles a configuration. Front.Open starts to listen.
-func NewSite(address string, c *routes.Config, within time.Duration, maxConns int, logger *slog.Logger) (*Site, error) {
+func NewSite(address string, c *routes.Config, requestTimeout time.Duration, maxConns int, logger *slog.Logger) (*Site, error) {
 	t, p, err := compile(c)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", address, err)
@@ -143,15 +143,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", address, err)
 	}
-	s := &Site{Servers: NewServers(2*time.Second, 64), requestTimeout: within, revision: 1}
-	settings, names, list := LoopSettings(c, within)
+	s := &Site{Servers: NewServers(2*time.Second, 64), requestTimeout: requestTimeout, revision: 1}
+	settings, names, list := LoopSettings(c, requestTimeout)
 	if s.Loop, err = dispatch.New(settings, names, s.Servers, s.Servers, dispatch.NoOtherProcess{}, logger); err != nil {
 		return nil, err
 	}
 	s.Servers.ReportTo(s.Loop)
 	s.Servers.SetMembers(list)
 	s.Loop.UpdateInstances(list, true)
-	s.Front = New(address, t, p, l, s.Loop, within, maxConns, logger)
+	s.Front = New(address, t, p, l, s.Loop, requestTimeout, maxConns, logger)
 	return s, nil
 }
 
--- a/internal/nginx/doc_test.go
+++ b/internal/nginx/doc_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The page's table is made from the importer's own list, so that it cannot go stale: run with
-// WINGLB_WRITE_DOCS=1 to write it anew.
-func TestPageHasTheList(t *testing.T) {
+// The table in the documentation must match the importer's list of directives. Run with WINGLB_WRITE_DOCS=1 to
+// update the page.
+func TestDocumentationTable(t *testing.T) {
 	const page, begin, end = "../../docs/import-nginx.md", "<!-- directives -->\n", "<!-- end -->\n"
 	text, err := os.ReadFile(page)
 	require.NoError(t, err)
--- a/internal/nginx/import_test.go
+++ b/internal/nginx/import_test.go
@@ -13,10 +13,10 @@
 	"caperrelay/internal/routes"
 )
 
-const head = "upstream p { server 127.0.0.1:1; }\n"
+const upstreamText = "upstream p { server 127.0.0.1:1; }\n"
 
-// Each broken file gives one clear message with file and line: what nginx would refuse it for.
-func TestBrokenFilesSayWhatIsWrong(t *testing.T) {
+// Each file that nginx would reject gives a one-line error with file and line.
+func TestInvalidFiles(t *testing.T) {
 	in := func(s string) string { return "server {\n" + s + "\n}" }
 	loc := func(s string) string { return in("location / {\n" + s + "\n}") }
 	for _, c := range []struct {
@@ -26,16 +26,16 @@
 	}{
 		{"server {", 1, `ends before the "}"`},
 		{"server {\nlisten 80;\n", 3, `ends before the "}"`},
-		{"}", 1, `without its "{"`},
-		{"server { } }", 1, `without its "{"`},
+		{"}", 1, `unmatched "}"`},
+		{"server { } }", 1, `unmatched "}"`},
 		{"upstream p { server a:1 }", 1, `not ended by ";"`},
 		{"server", 1, `not ended by ";"`},
 		{"{ }", 1, `unexpected "{"`},
 		{";", 1, `unexpected ";"`},
-		{in(`server_name "x;`), 2, "without its end"},
-		{in(`server_name 'x;`), 2, "without its end"},
-		{in(`server_name "x"y;`), 2, "after a quoted text"},
-		{"server {\nreturn 200 ${x;", 2, `without its "}"`},
+		{in(`server_name "x;`), 2, "unterminated quoted string"},
+		{in(`server_name 'x;`), 2, "unterminated quoted string"},
+		{in(`server_name "x"y;`), 2, "after a quoted string"},
+		{"server {\nreturn 200 ${x;", 2, `unterminated "${"`},
 		{"include;", 1, "include needs one path"},
 		{"include a b;", 1, "include needs one path"},
 		{"include nowhere.conf;", 1, "include:"},
@@ -111,7 +111,7 @@
 		{loc("limit_req zone=z burst=many;"), 3, "invalid parameter"},
 	} {
 		t.Run(c.text, func(t *testing.T) {
-			_, _, err := imported(c.text)
+			_, _, err := importText(c.text)
 			var e *Error
 			require.ErrorAs(t, err, &e)
 			require.NotContains(t, err.Error(), "\n")
@@ -121,14 +121,14 @@
 		})
 	}
 	_, err := Parse(files("nginx.conf", "include a/*.conf;", "a/1.conf", "include a/2.conf;", "a/2.conf", "\ninclude a/1.conf;"), "nginx.conf")
-	require.ErrorContains(t, err, "a/2.conf:2: a/1.conf includes itself, by way of nginx.conf > a/1.conf > a/2.conf > a/1.conf")
-	_, _, err = imported(head + "server { listen 80 default_server; } server { listen 80 default_server; }")
+	require.ErrorContains(t, err, "a/2.conf:2: a/1.conf includes itself, through nginx.conf > a/1.conf > a/2.conf > a/1.conf")
+	_, _, err = importText(upstreamText + "server { listen 80 default_server; } server { listen 80 default_server; }")
 	require.ErrorContains(t, err, "two default servers")
 }
 
-// Every directive of a file has a line in the report, whatever becomes of it.
-func TestNothingIsSilent(t *testing.T) {
-	_, report, err := imported(`
+// Every directive of a file has a line in the report, including unknown ones and those in unsupported blocks.
+func TestReportCoversAllDirectives(t *testing.T) {
+	_, report, err := importText(`
 worker_processes 4;
 quic_bpf on;
 events { worker_connections 10; use epoll; }
@@ -162,9 +162,9 @@
 	require.Len(t, report.Lines, 26)
 }
 
-// What is chosen and what becomes of the URI, case by case.
-func TestMeaning(t *testing.T) {
-	table, _, err := imported(`
+// Selection of server, location and pool, and the rewritten URI, case by case.
+func TestImportedRouting(t *testing.T) {
+	table, _, err := importText(`
 upstream p { server 127.0.0.1:1; }
 upstream q { server 127.0.0.1:2; }
 map $http_x_quality $pool { default p; ~*^(hd|4k) q; low p; }
@@ -264,9 +264,9 @@
 	return itoa(n/10) + itoa(n%10)
 }
 
-// The sample file means the same by way of the TOML that it is imported to.
-func TestSampleGoesThroughTOML(t *testing.T) {
-	all, err := Parse(folder("../../deploy/campus"), "nginx.conf")
+// The routes of the sample file give the same decisions after they are written to TOML and read back.
+func TestSampleRoundTripsThroughTOML(t *testing.T) {
+	all, err := Parse(diskFiles("../../deploy/campus"), "nginx.conf")
 	require.NoError(t, err)
 	c, report, err := Import(all)
 	require.NoError(t, err)
@@ -287,21 +287,23 @@
 	}
 }
 
-// folder is files of the repository.
-type folder string
+// diskFiles reads files of the repository.
+type diskFiles string
 
-func (f folder) Read(path string) ([]byte, error) { return os.ReadFile(filepath.Join(string(f), path)) }
-func (f folder) Glob(pattern string) ([]string, error) {
+func (f diskFiles) Read(path string) ([]byte, error) {
+	return os.ReadFile(filepath.Join(string(f), path))
+}
+func (f diskFiles) Glob(pattern string) ([]string, error) {
 	return filepath.Glob(filepath.Join(string(f), pattern))
 }
 
-// No text makes lexer, parser or importer panic, and no target the routes.
+// No file text may make the importer panic, and no target the imported routes.
 func FuzzImport(f *testing.F) {
-	f.Add(head+"server { location / { proxy_pass http://p/a; } location ~ (a)(b) { return 200 $1; } }", "/a/b?c")
+	f.Add(upstreamText+"server { location / { proxy_pass http://p/a; } location ~ (a)(b) { return 200 $1; } }", "/a/b?c")
 	f.Add("map $a $b { ~x$ 1; default 2; } server { if ($b = 1) { rewrite ^/(.*) /x/$1? break; } }", "//../%41")
 	f.Add("upstream u { hash $uri consistent; server a weight=2; }", "/")
 	f.Fuzz(func(t *testing.T, text, target string) {
-		table, report, err := imported(text)
+		table, report, err := importText(text)
 		if err != nil {
 			return
 		}
@@ -314,9 +316,9 @@
 	})
 }
 
-// Headers and limits hold in what is inside, unless it has its own of the kind.
+// Blocks inherit headers, limits and retry settings unless they define their own of the kind.
 func TestInheritance(t *testing.T) {
-	table, _, err := imported(`
+	table, _, err := importText(`
 limit_req_zone $remote_addr zone=r:1m rate=30r/m;
 limit_conn_zone $server_name zone=c:10k;
 limit_req zone=r burst=5 delay=2;
--- a/internal/nginx/parse.go
+++ b/internal/nginx/parse.go
@@ -1,5 +1,5 @@
-// Package nginx reads nginx's configuration language as published, and says of each directive whether
-// winglb carries its meaning. It does no I/O but by the function that reads files.
+// Package nginx parses nginx configuration files and converts them to routes and pools, with a report that states
+// for each directive whether winglb supports it. Files are read only through the interface Files.
 package nginx
 
 import (
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// Directive is one of a file.
+// Directive is one directive of a configuration file.
 type Directive struct {
-	Name  string
-	Args  []string
-	Block []*Directive // nil: it ends in a semicolon
-	Has   bool         // a block, perhaps an empty one
-	File  string
-	Line  int
+	Name     string
+	Args     []string
+	Block    []*Directive // nil: ended by a semicolon, or an empty block
+	HasBlock bool         // it has a block, possibly empty
+	File     string
+	Line     int
 }
 
-// At is where it stands.
-func (d *Directive) At() string { return fmt.Sprintf("%s:%d", d.File, d.Line) }
+// Position returns the position as file:line.
+func (d *Directive) Position() string { return fmt.Sprintf("%s:%d", d.File, d.Line) }
 
-// Error is a file that cannot be read.
+// Error is an error at a position of a configuration file.
 type Error struct {
 	File string
 	Line int
@@ -31,42 +31,42 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
-// Files reads files, and finds those that a pattern of an include means. Paths are slash-separated and
-// relative to the main file's folder, or absolute.
+// Files reads files and expands the patterns of include directives. Paths are slash-separated; relative
+// paths of includes are resolved against the folder of the main file.
 type Files interface {
 	Read(path string) ([]byte, error)
 	Glob(pattern string) ([]string, error)
 }
 
-// The bounds of what is read.
+// Limits on the size of a configuration.
 const (
-	mostFiles      = 1000
-	mostText       = 64 << 20
-	mostDirectives = 2_000_000
-	mostDepth      = 64
+	maxFiles      = 1000
+	maxTextBytes  = 64 << 20
+	maxDirectives = 2_000_000
+	maxDepth      = 64
 )
 
 type parser struct {
-	files  Files
-	main   string
-	count  int
-	text   int
-	opened int
+	files      Files
+	main       string
+	directives int
+	textBytes  int
+	filesRead  int
 }
 
-// Parse reads a file with all that it includes.
+// Parse parses a file and all files that it includes.
 func Parse(files Files, main string) ([]*Directive, error) {
 	p := &parser{files: files, main: main}
-	return p.file(main, nil, "", 0)
+	return p.parseFile(main, nil, "", 0)
 }
 
-// file reads one file. stack has those that include it.
-func (p *parser) file(name string, stack []string, from string, line int) ([]*Directive, error) {
+// parseFile parses one file. stack lists the files through which it is included.
+func (p *parser) parseFile(name string, stack []string, from string, line int) ([]*Directive, error) {
 	if slices.Contains(stack, name) {
-		return nil, &Error{from, line, fmt.Sprintf("%s includes itself, by way of %s", name, strings.Join(append(stack, name), " > "))}
+		return nil, &Error{from, line, fmt.Sprintf("%s includes itself, through %s", name, strings.Join(append(stack, name), " > "))}
 	}
-	if p.opened++; p.opened > mostFiles {
-		return nil, &Error{from, line, fmt.Sprintf("more than %d files", mostFiles)}
+	if p.filesRead++; p.filesRead > maxFiles {
+		return nil, &Error{from, line, fmt.Sprintf("more than %d files", maxFiles)}
 	}
 	text, err := p.files.Read(name)
 	if err != nil {
@@ -75,17 +75,17 @@
 		}
 		return nil, &Error{from, line, fmt.Sprintf("include: %v", err)}
 	}
-	if p.text += len(text); p.text > mostText {
-		return nil, &Error{name, 1, fmt.Sprintf("more than %d MB of text in all", mostText>>20)}
+	if p.textBytes += len(text); p.textBytes > maxTextBytes {
+		return nil, &Error{name, 1, fmt.Sprintf("more than %d MB of text in all", maxTextBytes>>20)}
 	}
 	l := &lexer{file: name, text: string(text), line: 1}
-	all, err := p.block(l, append(slices.Clone(stack), name), 0, 0)
+	all, err := p.parseBlock(l, append(slices.Clone(stack), name), 0, 0)
 	return all, err
 }
 
-// block reads directives up to the end of the file, or of the block that began on a line.
-func (p *parser) block(l *lexer, stack []string, began, depth int) (all []*Directive, err error) {
-	if depth > mostDepth {
+// parseBlock parses directives up to the end of the file (began is 0) or of the block that began on line began.
+func (p *parser) parseBlock(l *lexer, stack []string, began, depth int) (all []*Directive, err error) {
+	if depth > maxDepth {
 		return nil, &Error{l.file, l.line, "blocks are nested too deep"}
 	}
 	for {
@@ -94,20 +94,20 @@
 			return nil, err
 		}
 		switch {
-		case t.kind == end && began == 0:
+		case t.kind == endOfFile && began == 0:
 			return all, nil
-		case t.kind == end:
+		case t.kind == endOfFile:
 			return nil, &Error{l.file, l.line, fmt.Sprintf(`the file ends before the "}" of the block that began on line %d`, began)}
-		case t.kind == close && began == 0:
-			return nil, &Error{l.file, t.line, `a "}" without its "{"`}
-		case t.kind == close:
+		case t.kind == closeBrace && began == 0:
+			return nil, &Error{l.file, t.line, `unmatched "}"`}
+		case t.kind == closeBrace:
 			return all, nil
 		case t.kind != word:
 			return nil, &Error{l.file, t.line, fmt.Sprintf("unexpected %q", t.text)}
 		}
 		d := &Directive{Name: t.text, File: l.file, Line: t.line}
-		if p.count++; p.count > mostDirectives {
-			return nil, &Error{l.file, t.line, fmt.Sprintf("more than %d directives", mostDirectives)}
+		if p.directives++; p.directives > maxDirectives {
+			return nil, &Error{l.file, t.line, fmt.Sprintf("more than %d directives", maxDirectives)}
 		}
 	args:
 		for {
@@ -120,15 +120,15 @@
 				d.Args = append(d.Args, t.text)
 			case semicolon:
 				break args
-			case open:
-				d.Has = true
-				if d.Block, err = p.block(l, stack, t.line, depth+1); err != nil {
+			case openBrace:
+				d.HasBlock = true
+				if d.Block, err = p.parseBlock(l, stack, t.line, depth+1); err != nil {
 					return nil, err
 				}
 				break args
-			case end:
+			case endOfFile:
 				return nil, &Error{l.file, d.Line, fmt.Sprintf(`%q is not ended by ";"`, d.Name)}
-			case close:
+			case closeBrace:
 				return nil, &Error{l.file, t.line, fmt.Sprintf(`unexpected "}": %q on line %d is not ended by ";"`, d.Name, d.Line)}
 			}
 		}
@@ -136,7 +136,7 @@
 			all = append(all, d)
 			continue
 		}
-		if len(d.Args) != 1 || d.Has {
+		if len(d.Args) != 1 || d.HasBlock {
 			return nil, &Error{d.File, d.Line, "include needs one path"}
 		}
 		included, err := p.include(d, stack)
@@ -147,6 +147,7 @@
 	}
 }
 
+// include parses the files that an include directive names.
 func (p *parser) include(d *Directive, stack []string) (all []*Directive, err error) {
 	pattern := d.Args[0]
 	if !path.IsAbs(pattern) {
@@ -160,7 +161,7 @@
 		slices.Sort(names)
 	}
 	for _, name := range names {
-		more, err := p.file(name, stack, d.File, d.Line)
+		more, err := p.parseFile(name, stack, d.File, d.Line)
 		if err != nil {
 			return nil, err
 		}
@@ -169,49 +170,51 @@
 	return all, nil
 }
 
-type kind int
+// tokenKind is the kind of a token.
+type tokenKind int
 
 const (
-	word kind = iota
-	open
-	close
+	word tokenKind = iota
+	openBrace
+	closeBrace
 	semicolon
-	end
+	endOfFile
 )
 
 type token struct {
-	kind kind
+	kind tokenKind
 	text string
 	line int
 }
 
 type lexer struct {
 	file, text string
-	at, line   int
+	pos, line  int
 }
 
+// next returns the next token and skips white space and comments.
 func (l *lexer) next() (token, error) {
-	for l.at < len(l.text) {
-		switch c := l.text[l.at]; c {
+	for l.pos < len(l.text) {
+		switch c := l.text[l.pos]; c {
 		case '\n':
 			l.line++
-			l.at++
+			l.pos++
 		case ' ', '\t', '\r':
-			l.at++
+			l.pos++
 		case '#':
-			if i := strings.IndexByte(l.text[l.at:], '\n'); i >= 0 {
-				l.at += i
+			if i := strings.IndexByte(l.text[l.pos:], '\n'); i >= 0 {
+				l.pos += i
 			} else {
-				l.at = len(l.text)
+				l.pos = len(l.text)
 			}
 		case '{':
-			l.at++
-			return token{open, "{", l.line}, nil
+			l.pos++
+			return token{openBrace, "{", l.line}, nil
 		case '}':
-			l.at++
-			return token{close, "}", l.line}, nil
+			l.pos++
+			return token{closeBrace, "}", l.line}, nil
 		case ';':
-			l.at++
+			l.pos++
 			return token{semicolon, ";", l.line}, nil
 		case '"', '\'':
 			return l.quoted(c)
@@ -219,29 +222,29 @@
 			return l.bare()
 		}
 	}
-	return token{end, "", l.line}, nil
+	return token{endOfFile, "", l.line}, nil
 }
 
-// quoted reads a text in quotes: a backslash keeps the quote, and itself, out of its meaning.
+// quoted reads a quoted string, in which a backslash escapes the quote and itself.
 func (l *lexer) quoted(q byte) (token, error) {
-	began := l.line
+	startLine := l.line
 	var b strings.Builder
-	for l.at++; l.at < len(l.text); l.at++ {
-		switch c := l.text[l.at]; {
+	for l.pos++; l.pos < len(l.text); l.pos++ {
+		switch c := l.text[l.pos]; {
 		case c == q:
-			l.at++
-			if l.at < len(l.text) && !strings.ContainsRune(" \t\r\n;{)", rune(l.text[l.at])) {
-				return token{}, &Error{l.file, l.line, fmt.Sprintf("unexpected %q after a quoted text", l.text[l.at])}
+			l.pos++
+			if l.pos < len(l.text) && !strings.ContainsRune(" \t\r\n;{)", rune(l.text[l.pos])) {
+				return token{}, &Error{l.file, l.line, fmt.Sprintf("unexpected %q after a quoted string", l.text[l.pos])}
 			}
-			if l.at < len(l.text) && l.text[l.at] == ')' { // the end of an if's condition
-				l.at++
-				return token{word, b.String() + ")", began}, nil
+			if l.pos < len(l.text) && l.text[l.pos] == ')' { // the end of the condition of an if
+				l.pos++
+				return token{word, b.String() + ")", startLine}, nil
 			}
-			return token{word, b.String(), began}, nil
-		case c == '\\' && l.at+1 < len(l.text):
-			l.at++
-			b.WriteString(unescape(l.text[l.at]))
-			if l.text[l.at] == '\n' {
+			return token{word, b.String(), startLine}, nil
+		case c == '\\' && l.pos+1 < len(l.text):
+			l.pos++
+			b.WriteString(unescape(l.text[l.pos]))
+			if l.text[l.pos] == '\n' {
 				l.line++
 			}
 		default:
@@ -251,10 +254,10 @@
 			b.WriteByte(c)
 		}
 	}
-	return token{}, &Error{l.file, began, "a quoted text without its end"}
+	return token{}, &Error{l.file, startLine, "unterminated quoted string"}
 }
 
-// unescape is what a backslash and a byte stand for: most keep both, since regular expressions need them.
+// unescape returns the meaning of a backslash and a byte. Most pairs are kept, since regular expressions need them.
 func unescape(c byte) string {
 	switch c {
 	case '"', '\'', '\\':
@@ -269,32 +272,33 @@
 	return `\` + string(c)
 }
 
+// bare reads an unquoted word.
 func (l *lexer) bare() (token, error) {
-	began := l.line
+	startLine := l.line
 	var b strings.Builder
-	for l.at < len(l.text) {
-		c := l.text[l.at]
+	for l.pos < len(l.text) {
+		c := l.text[l.pos]
 		switch {
-		case c == '\\' && l.at+1 < len(l.text):
-			b.WriteString(unescape(l.text[l.at+1]))
-			if l.text[l.at+1] == '\n' {
+		case c == '\\' && l.pos+1 < len(l.text):
+			b.WriteString(unescape(l.text[l.pos+1]))
+			if l.text[l.pos+1] == '\n' {
 				l.line++
 			}
-			l.at += 2
+			l.pos += 2
 			continue
-		case c == '$' && l.at+1 < len(l.text) && l.text[l.at+1] == '{':
-			i := strings.IndexByte(l.text[l.at:], '}')
+		case c == '$' && l.pos+1 < len(l.text) && l.text[l.pos+1] == '{':
+			i := strings.IndexByte(l.text[l.pos:], '}')
 			if i < 0 {
-				return token{}, &Error{l.file, l.line, `a "${" without its "}"`}
+				return token{}, &Error{l.file, l.line, `unterminated "${"`}
 			}
-			b.WriteString(l.text[l.at : l.at+i+1])
-			l.at += i + 1
+			b.WriteString(l.text[l.pos : l.pos+i+1])
+			l.pos += i + 1
 			continue
 		case strings.IndexByte(" \t\r\n;{", c) >= 0:
-			return token{word, b.String(), began}, nil
+			return token{word, b.String(), startLine}, nil
 		}
 		b.WriteByte(c)
-		l.at++
+		l.pos++
 	}
-	return token{word, b.String(), began}, nil
+	return token{word, b.String(), startLine}, nil
 }
--- a/internal/nginx/oracle_test.go
+++ b/internal/nginx/reference_test.go
@@ -13,22 +13,25 @@
 	"caperrelay/internal/standin/nginxmeaning"
 )
 
-// memory is files of a test.
-type memory struct{ fstest.MapFS }
+// memoryFiles holds the files of a test.
+type memoryFiles struct{ fstest.MapFS }
 
-func (m memory) Read(path string) ([]byte, error)                { return fs.ReadFile(m.MapFS, path) }
-func (m memory) Glob(pattern string) (names []string, err error) { return fs.Glob(m.MapFS, pattern) }
+func (m memoryFiles) Read(path string) ([]byte, error) { return fs.ReadFile(m.MapFS, path) }
+func (m memoryFiles) Glob(pattern string) (names []string, err error) {
+	return fs.Glob(m.MapFS, pattern)
+}
 
-func files(pairs ...string) memory {
-	m := memory{fstest.MapFS{}}
+// files returns files from pairs of name and text.
+func files(pairs ...string) memoryFiles {
+	m := memoryFiles{fstest.MapFS{}}
 	for i := 0; i < len(pairs); i += 2 {
 		m.MapFS[pairs[i]] = &fstest.MapFile{Data: []byte(pairs[i+1])}
 	}
 	return m
 }
 
-// imported reads and imports one file.
-func imported(text string) (*routes.Table, *Report, error) {
+// importText parses and imports one file.
+func importText(text string) (*routes.Table, *Report, error) {
 	all, err := Parse(files("nginx.conf", text), "nginx.conf")
 	if err != nil {
 		return nil, nil, err
@@ -41,15 +44,15 @@
 	return t, report, err
 }
 
-// Over random files and targets the imported routes choose what the oracle does, and hand on the URI that the
-// documentation of proxy_pass says.
-func TestLocationsAsTheOracleHasThem(t *testing.T) {
+// For random files and targets the imported routes select the same location as the reference model, and forward the
+// URI that the documentation of proxy_pass specifies.
+func TestLocationsMatchReferenceModel(t *testing.T) {
 	r := rand.New(rand.NewPCG(20261201, 1))
 	redirects, passes, answered := 0, 0, 0
 	for n := range 400 {
 		all := nginxmeaning.Draw(r)
 		file := nginxmeaning.File(all)
-		table, _, err := imported(file)
+		table, _, err := importText(file)
 		require.NoError(t, err, "%s", file)
 		for range 150 {
 			raw := nginxmeaning.Target(r)
@@ -82,6 +85,6 @@
 			}
 		}
 	}
-	t.Logf("%d passed on, %d redirected, %d answered here", passes, redirects, answered)
+	t.Logf("%d forwarded, %d redirected, %d answered without a pool", passes, redirects, answered)
 	require.Greater(t, min(passes, redirects, answered), 500)
 }
