--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -111,7 +111,7 @@
 	if !slices.Contains(strings.Fields(r.contexts), context) {
 		return r, false, errorAt(d, "%q directive is not allowed here: it stands in %s, and may in %s", d.Name, context, strings.ReplaceAll(r.contexts, " ", ", "))
 	}
-	if len(d.Args) < r.minArgs || r.maxArgs >= 0 && len(d.Args) > r.maxArgs {
+	if len(d.Args) < r.min || r.max >= 0 && len(d.Args) > r.max {
 		return r, false, errorAt(d, "invalid number of arguments in %q directive: %d", d.Name, len(d.Args))
 	}
 	if block := r.block && !(d.Name == "server" && context == "upstream"); block != d.HasBlock {
--- a/internal/nginx/parse.go
+++ b/internal/nginx/parse.go
@@ -83,8 +83,8 @@
 	return all, err
 }
 
-// parseBlock parses directives up to the end of the file (began is 0) or of the block that began on line began.
-func (p *parser) parseBlock(l *lexer, stack []string, began, depth int) (all []*Directive, err error) {
+// parseBlock parses directives up to the end of the file (startLine is 0) or of the block that starts at startLine.
+func (p *parser) parseBlock(l *lexer, stack []string, startLine, depth int) (all []*Directive, err error) {
 	if depth > maxDepth {
 		return nil, &Error{l.file, l.line, "blocks are nested too deep"}
 	}
@@ -94,13 +94,13 @@
 			return nil, err
 		}
 		switch {
-		case t.kind == endOfFile && began == 0:
+		case t.kind == endOfFile && startLine == 0:
 			return all, nil
 		case t.kind == endOfFile:
-			return nil, &Error{l.file, l.line, fmt.Sprintf(`the file ends before the "}" of the block that began on line %d`, began)}
-		case t.kind == closeBrace && began == 0:
+			return nil, &Error{l.file, l.line, fmt.Sprintf(`the file ends before the "}" of the block that began on line %d`, startLine)}
+		case t.kind == close && startLine == 0:
 			return nil, &Error{l.file, t.line, `unmatched "}"`}
-		case t.kind == closeBrace:
+		case t.kind == close:
 			return all, nil
 		case t.kind != word:
 			return nil, &Error{l.file, t.line, fmt.Sprintf("unexpected %q", t.text)}
@@ -120,7 +120,7 @@
 				d.Args = append(d.Args, t.text)
 			case semicolon:
 				break args
-			case openBrace:
+			case open:
 				d.HasBlock = true
 				if d.Block, err = p.parseBlock(l, stack, t.line, depth+1); err != nil {
 					return nil, err
@@ -128,7 +128,7 @@
 				break args
 			case endOfFile:
 				return nil, &Error{l.file, d.Line, fmt.Sprintf(`%q is not ended by ";"`, d.Name)}
-			case closeBrace:
+			case close:
 				return nil, &Error{l.file, t.line, fmt.Sprintf(`unexpected "}": %q on line %d is not ended by ";"`, d.Name, d.Line)}
 			}
 		}
@@ -175,8 +175,8 @@
 
 const (
 	word tokenKind = iota
-	openBrace
-	closeBrace
+	open
+	close
 	semicolon
 	endOfFile
 )
@@ -209,10 +209,10 @@
 			}
 		case '{':
 			l.pos++
-			return token{openBrace, "{", l.line}, nil
+			return token{open, "{", l.line}, nil
 		case '}':
 			l.pos++
-			return token{closeBrace, "}", l.line}, nil
+			return token{close, "}", l.line}, nil
 		case ';':
 			l.pos++
 			return token{semicolon, ";", l.line}, nil
--- a/internal/nginx/table.go
+++ b/internal/nginx/table.go
@@ -13,11 +13,11 @@
 // rule describes a directive: the contexts in which it is allowed, its arguments, and the state that is reported
 // unless the importer handles it specially.
 type rule struct {
-	contexts         string // contexts, separated by spaces: main events http upstream server location if
-	minArgs, maxArgs int    // arguments; max -1: any number
-	block            bool
-	state            State
-	note             string // why it is not supported or what differs, and what to do
+	contexts string // contexts, separated by spaces: main events http upstream server location if
+	min, max int    // arguments; max -1: any number
+	block    bool
+	state    State
+	note     string // why it is not supported or what differs, and what to do
 }
 
 // Contexts and notes that several rules share.
