--- a/internal/net/plain/servers.go
+++ b/internal/net/plain/servers.go
@@ -25,7 +25,7 @@
 	attemptTimedOut atomic.Bool // an attempt timed out
 	start           time.Time
 	deadline        time.Time
-	attemptDone     func(instance string, failed bool) // called when an attempt has ended; may be nil
+	attemptDone     func(instance string, failed bool) // called when a sent, not cancelled attempt has ended; may be nil
 }
 
 // late reports whether an attempt timed out or the deadline of the request is near: package decide answers shortly
@@ -44,9 +44,9 @@
 
 // Servers sends requests to the members of all pools.
 type Servers struct {
-	events  AttemptEvents
-	connect time.Duration
-	maxIdle int // idle connections kept per member
+	events         AttemptEvents
+	connectTimeout time.Duration
+	maxIdle        int // idle connections kept per member
 
 	mu        sync.Mutex
 	addresses map[string]string // by member ID; current members only
@@ -70,7 +70,7 @@
 
 // NewServers returns Servers without members; SetMembers sets them.
 func NewServers(connect time.Duration, maxIdle int) *Servers {
-	return &Servers{connect: connect, maxIdle: maxIdle, addresses: map[string]string{}, idle: map[string][]*idleConn{}, attempts: map[*dispatch.Attempt]*inFlight{}, active: map[string]int{}}
+	return &Servers{connectTimeout: connect, maxIdle: maxIdle, addresses: map[string]string{}, idle: map[string][]*idleConn{}, attempts: map[*dispatch.Attempt]*inFlight{}, active: map[string]int{}}
 }
 
 // ReportTo sets the receiver of events. It must be called before the first Send.
@@ -178,7 +178,7 @@
 			return nil, 0, errNotMember
 		}
 		if k == nil {
-			d := net.Dialer{Timeout: s.connect}
+			d := net.Dialer{Timeout: s.connectTimeout}
 			nc, err := d.DialContext(ctx, "tcp", address)
 			if err != nil {
 				return nil, 0, err
--- a/internal/net/plain/site.go
+++ b/internal/net/plain/site.go
@@ -15,7 +15,8 @@
 	"caperrelay/internal/wire"
 )
 
-// assumedConcurrency is the number of concurrent requests that a member is assumed to serve.
+// assumedConcurrency is the number of concurrent requests that a member is assumed to serve; its
+// max_conns does not change it.
 const assumedConcurrency = 512
 
 // Pools holds the balancing state of all pools. It is safe for concurrent use.
--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -154,7 +154,7 @@
 	connLimits         []routes.Limit
 	dryRun             bool
 	readTimeout        string
-	tries              int // as proxy_next_upstream_tries has it
+	tries              int // value of proxy_next_upstream_tries
 	noRetry            bool
 	retryNonIdempotent bool
 }
