--- a/internal/net/plain/servers.go
+++ b/internal/net/plain/servers.go
@@ -25,7 +25,7 @@
 	attemptTimedOut atomic.Bool // an attempt timed out
 	start           time.Time
 	deadline        time.Time
-	attemptDone     func(instance string, failed bool) // called when a sent, not cancelled attempt has ended; may be nil
+	attemptDone     func(instance string, failed bool) // called when an attempt has ended, unless cancelled or NotSent; may be nil
 }
 
 // late reports whether an attempt timed out or the deadline of the request is near: package decide answers shortly
