--- a/internal/net/clients/callback_test.go
+++ b/internal/net/clients/callback_test.go
@@ -63,8 +63,8 @@
 
 func BenchmarkCallback(b *testing.B) {
 	for name, read := range map[string]func([]byte, *callback) error{
-		"quick": func(t []byte, c *callback) error { return c.parse(t) },
-		"json":  func(t []byte, c *callback) error { return json.Unmarshal(t, c) },
+		"fast": func(t []byte, c *callback) error { return c.parse(t) },
+		"json": func(t []byte, c *callback) error { return json.Unmarshal(t, c) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/net/clients/conn.go
+++ b/internal/net/clients/conn.go
@@ -62,7 +62,7 @@
 	silent                       // it has sent nothing: a client that has a request sends it at once
 	stalled                      // it has sent a part of a request
 	idleClient                   // a client's connection between two requests
-	idleEncoder                  // an encoder's connection between two callbacks: those end the waits of clients
+	idleEncoder                  // an encoder's connection between two callbacks: callbacks complete clients' commands
 	inUse
 )
 
@@ -172,7 +172,7 @@
 var errPassed = errors.New("connection passed to another process")
 
 // passOn passes the connection to the process that takes over, if there is one. Bytes received but not read go with
-// it, after p.Rest. The server's lock must be held.
+// it, in p.Received. The server's lock must be held.
 func (c *conn) passOn(p PassedConn) bool {
 	tcp, ok := c.nc.(*net.TCPConn)
 	if c.server.newer == nil || !ok {
@@ -541,7 +541,7 @@
 	return c.discardInput()
 }
 
-// discardInput does the same when the buffer is full. The amount is bounded, since a client could otherwise cause any
+// discardInput reads and discards bytes once the buffer is full. The amount is bounded, since a client could otherwise cause any
 // amount of work.
 func (c *conn) discardInput() error {
 	if c.discarded >= maxDiscarded {
--- a/internal/net/clients/disconnect_test.go
+++ b/internal/net/clients/disconnect_test.go
@@ -151,8 +151,8 @@
 	require.Equal(t, 503, roundTrip(t, client, "").Status)
 }
 
-// The disconnect of a client that floods the connection after its request could go unnoticed, and its request was
-// sent seconds later. Whether the client stays or not, its request is cancelled once more has arrived than is read:
+// Guards against missing the disconnect of a client that floods the connection after its request, and sending its
+// request seconds later. Whether the client stays or not, its request is cancelled once more has arrived than is read:
 // it gets one answer, and no further one.
 func TestFloodEndsItsRequest(t *testing.T) {
 	flood := strings.Repeat("x", maxReadAhead+maxDiscarded+http1.MaxBody)
@@ -269,8 +269,8 @@
 	}
 }
 
-// If the older process dies, the connections that it has not passed are lost. Their commands were still sent, though
-// nobody could be answered.
+// If the older process dies, the connections that it has not passed are lost. Guards against still sending
+// their commands, though nobody can be answered: they are cancelled.
 func TestConnectionsLostWithOlderProcess(t *testing.T) {
 	core, s := newServer(9)
 	cmd := &dispatch.Command{ID: "1"}
--- a/internal/net/clients/eviction_test.go
+++ b/internal/net/clients/eviction_test.go
@@ -32,7 +32,7 @@
 }
 
 // When idle clients hold all slots, they are evicted, and an encoder's connection is kept although it has been idle
-// longest: it was once evicted first. Callbacks on new connections are accepted, too.
+// longest. Guards against evicting it first. Callbacks on new connections are accepted, too.
 func TestIdleClientsAreEvictedBeforeEncoders(t *testing.T) {
 	c, _, dial := serveWith(t, 8, 0, timeouts{firstRequest: time.Minute, firstByte: time.Minute, remainder: time.Minute, linger: defaultTimeouts.linger})
 	encoder := dial()
@@ -79,7 +79,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// gatedListener counts the calls of Accept, which wait for the gate first.
+// gatedListener counts calls of Accept; each waits until the gate lets it pass.
 type gatedListener struct {
 	net.Listener
 	gate    chan struct{}
--- a/internal/net/clients/parse.go
+++ b/internal/net/clients/parse.go
@@ -33,7 +33,7 @@
 	maxDuration = 24 * time.Hour
 )
 
-// parse parses a command. The time that it leaves is converted to a deadline. The second result is whether the
+// parse parses a command. X-Time-Left is converted to a deadline. The second result is whether the
 // command may be retried even if it may have run.
 func (s *Server) parse(q *http1.Request, now time.Time) (*dispatch.Command, bool, error) {
 	h := q.Header
--- a/internal/net/clients/server.go
+++ b/internal/net/clients/server.go
@@ -23,7 +23,8 @@
 	"caperrelay/internal/wire"
 )
 
-// Timeouts of a connection.
+// Timeouts of a connection, the interval at which accepting and waiting for a slot are retried, and the limit of
+// pipelined requests.
 const (
 	idleTimeout         = 2 * time.Minute        // between requests
 	readTimeout         = 5 * time.Second        // from the first byte of a later request to its last
@@ -46,9 +47,9 @@
 // for a slot. A client that has a request sends it as soon as it is connected.
 type timeouts struct {
 	firstRequest time.Duration // for the complete first request
-	firstByte    time.Duration // while others wait: for its first byte,
-	remainder    time.Duration // for the rest of a request
-	linger       time.Duration // and for closing its half of the connection
+	firstByte    time.Duration // while others wait for a slot: for its first byte
+	remainder    time.Duration // while others wait for a slot: for the rest of a request
+	linger       time.Duration // while others wait for a slot: for closing its half of the connection
 	shutdown     time.Duration // after the answer deadline of a shutdown: for the rest of a request, or for closing its half
 }
 
@@ -106,8 +107,8 @@
 	Instance  bool           `json:"Instance,omitempty"` // its last request was a callback
 	Received  []byte         `json:"Rest,omitempty"`     // bytes read from it and not yet processed
 	Flooded   bool           `json:"Flood,omitempty"`    // bytes after those were dropped
-	CommandID string         `json:"ID,omitempty"`       // the command that its client waits for,
-	Request   *http1.Request `json:"Request,omitempty"`  // its request, unless the command was handed over separately
+	CommandID string         `json:"ID,omitempty"`       // the command that its client waits for
+	Request   *http1.Request `json:"Request,omitempty"`  // the request of that command, unless the command was handed over separately
 	Deadline  time.Time      `json:"Deadline,omitzero"`  // of that command
 }
 
@@ -173,8 +174,8 @@
 	}
 }
 
-// acquireSlot takes a slot for one more connection. While all are taken, an expendable connection is evicted, else
-// the next to be answered is closed. It checks repeatedly, because a silent connection becomes expendable only after
+// acquireSlot takes a slot for one more connection. While all are taken, an expendable connection is evicted,
+// otherwise the next client connection closes after its answer. It checks repeatedly, because a silent connection becomes expendable only after
 // a while, and accepting must never wait for the full timeout of such a peer.
 func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
@@ -395,8 +396,8 @@
 	return s.answerBy
 }
 
-// CloseUnserved is called once that time has passed: requests still being received are refused, and connections without one
-// are closed. It is called repeatedly until none is left.
+// CloseUnserved is called once answerBy has passed: requests still being received are refused, and connections
+// without a request are closed. It is called repeatedly until none is left.
 func (s *Server) CloseUnserved(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/net/clients/server_test.go
+++ b/internal/net/clients/server_test.go
@@ -154,8 +154,8 @@
 	require.Equal(t, 200, p.Status)
 }
 
-// The connection that takes the last slot has not sent a request yet. It was once taken for idle and closed at once,
-// with the request on it.
+// The connection that takes the last slot has not sent a request yet. Guards against
+// taking it for idle and closing it at once, with the request on it.
 func TestNewConnectionKeepsLastSlot(t *testing.T) {
 	_, s, dial := serve(t, 1, 0)
 	newConn := dial()
@@ -163,8 +163,8 @@
 	require.Equal(t, 200, roundTrip(t, newConn, healthRequest).Status)
 }
 
-// Peers that sent nothing, or stopped in the middle of a request, held all slots for ten seconds and blocked all
-// others. They are evicted with an answer.
+// Guards against peers that send nothing, or stop in the middle of a request, holding all slots for ten seconds and
+// blocking all others: they are evicted with an answer.
 func TestSilentPeersAreEvicted(t *testing.T) {
 	for sent, want := range map[string]state{"": waiting, healthRequest[:9]: reading} {
 		_, s, dial := serve(t, 1, 0)
@@ -178,7 +178,7 @@
 	}
 }
 
-// With free slots they are answered, too, once they time out.
+// Silent peers are answered with 408 on time-out even if slots are free.
 func TestSilentPeersTimeOut(t *testing.T) {
 	_, _, dial := serveWith(t, 9, 0, timeouts{firstRequest: time.Millisecond})
 	silentConn, stalledConn := dial(), dial()
@@ -246,7 +246,8 @@
 	return n
 }
 
-// While clients are sent away, only the first of several pipelined requests was answered, and the others were reset.
+// Guards against answering only the first of several pipelined requests while draining, and resetting the others:
+// all are answered.
 func TestPipelinedRequestsAreAnsweredWhileDraining(t *testing.T) {
 	_, s, dial := serve(t, 2, 0)
 	s.SetDraining(true)
@@ -262,7 +263,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// Unread bytes at the close of a connection reset it, and the answer is lost.
+// Guards against unread bytes that reset a connection at its close: the answer arrives even if they follow the request.
 func TestAnswerSurvivesTrailingBytes(t *testing.T) {
 	_, _, dial := serve(t, 2, 0)
 	c := dial()
@@ -290,8 +291,8 @@
 	require.Zero(t, counterValue(t, s, "ending_crossed"))
 }
 
-// When told to end, the program waited for commands for as long as their clients would, and was killed with some of
-// them unanswered. They now end in time; later commands are refused without asking the core, and peers that have sent
+// Guards against waiting at termination for commands for as long as their clients do, and being killed with some of
+// them unanswered. They end in time; later commands are refused without asking the core, and peers that have sent
 // no request or a part of one are answered, too.
 func TestShutdownAnswersInTime(t *testing.T) {
 	c, s, dial := serve(t, 9, 0)
@@ -323,8 +324,8 @@
 	}
 }
 
-// Connections from the older process were closed without an answer if there was no slot for them or their command was
-// lost with that process.
+// Connections from the older process are answered even if there is no slot for them or their command was lost with
+// that process. Guards against closing them without an answer.
 func TestPassedConnectionsAreAnswered(t *testing.T) {
 	for _, test := range []struct {
 		maxConns, status int
@@ -349,7 +350,8 @@
 	}
 }
 
-// A client that expected 100 Continue was answered 408 if the connection's last answer was some seconds old.
+// A client that expects 100 Continue is served even if the connection's last answer is some seconds old. Guards against
+// answering it 408.
 func TestContinueAfterIdleTime(t *testing.T) {
 	c, s, dial := serve(t, 2, 0)
 	idleConn := dial()
@@ -359,7 +361,7 @@
 	c.nextCommand(t)
 }
 
-// A disconnect after pipelined requests went unnoticed, and the command was sent seconds later. However much a client
+// Guards against missing a disconnect after pipelined requests and sending the command seconds later. However much a client
 // has sent, its disconnect is noticed. A client that stays gets its answer, and the answers to the pipelined requests
 // unless some of their bytes were dropped.
 func TestDisconnectAfterPipelinedRequests(t *testing.T) {
--- a/internal/net/discovery/failure_test.go
+++ b/internal/net/discovery/failure_test.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	answerDelay  = 990 * time.Millisecond // how late a call is answered
+	answerDelay  = 990 * time.Millisecond // delay of the final, successful answer
 	maxStaleness = 6 * time.Second        // a change must be known this long after discovery had it
 	response503  = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
@@ -38,16 +38,16 @@
 	return time.Now()
 }
 
-// Whenever and however a call or a watch fails, a change made right after the last time at which the list was known
-// to be current, or after a call without an answer, is known 6 s later, although the next answer takes a second and
+// A change is made right after the last time at which the list was known to be current, or after a call without an
+// answer. It is known 6 s later, whenever and however a call or a watch fails. The next answer takes a second, and
 // nobody subscribes.
 func TestChangeIsKnownWithinSixSeconds(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		fail func(c call) (current time.Time)
 	}{
-		{"refused", func(c call) time.Time { c.send(0, response503); c.Close(); return c.at }},
-		{"refused after a delay", func(c call) time.Time { time.Sleep(2900 * time.Millisecond); c.send(0, response503); return c.at }},
+		{"answered 503", func(c call) time.Time { c.send(0, response503); c.Close(); return c.at }},
+		{"answered 503 after a delay", func(c call) time.Time { time.Sleep(2900 * time.Millisecond); c.send(0, response503); return c.at }},
 		{"closed at once", func(c call) time.Time { c.Close(); return c.at }},
 		{"closed after a delay", func(c call) time.Time { time.Sleep(2900 * time.Millisecond); c.Close(); return c.at }},
 		{"silent", func(c call) time.Time { return c.at }},
--- a/internal/net/discovery/faulty_test.go
+++ b/internal/net/discovery/faulty_test.go
@@ -68,8 +68,8 @@
 	return dispatch.InstanceUpdate{}
 }
 
-// One invalid entry used to end the watch at every call, so that the dispatcher received no updates of any other
-// encoder.
+// Guards against one invalid entry ending the watch at every call, so that the dispatcher receives no updates of any
+// other encoder.
 func TestFaultyEntriesAreIgnored(t *testing.T) {
 	l := listen(t)
 	w := NewWatcher(l.Addr().String(), 0, testSettings(1, false))
@@ -105,7 +105,7 @@
 	require.EqualError(t, err, `list: member 1, "s-2": unknown phase "resting"`)
 }
 
-// A list that arrived after a newer one used to bring back an encoder that was gone.
+// Guards against a list that arrives after a newer one bringing back an encoder that is gone.
 func TestOlderListOnSameWatchIsIgnored(t *testing.T) {
 	l := listen(t)
 	w := NewWatcher(l.Addr().String(), 0, testSettings(1, false))
@@ -155,7 +155,7 @@
 	})
 }
 
-// Whitespace before a list used to be buffered without a limit until the list came.
+// Guards against buffering whitespace before a list without a limit until the list comes.
 func TestWhitespaceIsNotBuffered(t *testing.T) {
 	blanks := strings.Repeat(" \t\r\n", 1<<20)
 	w := NewWatcher("h:1", 0, testSettings(1, false))
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -69,7 +69,7 @@
 	callStarted time.Duration         // start time of the last call
 	instances   dispatch.InstanceList // as last received; used by the watch's goroutine only
 	cancelWatch context.CancelFunc    // ends the current watch
-	paused      bool                  // the current watch was ended by Rest
+	paused      bool                  // the current watch was ended by Pause
 	answered    bool                  // the call that opened the current watch succeeded
 }
 
@@ -250,8 +250,8 @@
 const (
 	endLost        watchEndReason = iota // failed; the subscriber decides when to call again
 	endSilent                            // timed out; reopen now
-	endMoved                             // address changed; call the new one now
-	endMovePending                       // failed after the address changed; the clock decides when to call the new one
+	endMoved                             // address changed; call the new address now
+	endMovePending                       // failed after the address changed; the clock decides when to call the new address
 )
 
 // watchEnded records the end of a watch and returns its reason.
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -118,7 +118,7 @@
 	require.Empty(t, s.silent)
 }
 
-// After a silence of any kind, a new call is made on a new connection before a missed change counts as late, without
+// After a silence of any kind, a new call is made on a new connection less than 5 s after the last data, without
 // a subscription, and again for as long as the silence lasts. Bytes that never complete a list do not count as an
 // update.
 func TestSilentWatchIsReplaced(t *testing.T) {
--- a/internal/net/handover/link.go
+++ b/internal/net/handover/link.go
@@ -35,7 +35,7 @@
 	files []*os.File // received and not yet assigned to their messages
 
 	mu     sync.Mutex
-	queue  chan outgoing // closed: nothing more is sent
+	queue  chan outgoing // closed: no more messages are accepted
 	closed bool
 	done   chan struct{} // closed once the writer has ended
 }
@@ -62,7 +62,7 @@
 // considered dead, and the link is closed.
 func (l *Link) Send(kind string, body any) bool { return l.SendSocket(kind, body, nil) }
 
-// SendSocket queues a message and a socket, which then belongs to the other process.
+// SendSocket queues a message and a socket, and closes the socket here after sending.
 func (l *Link) SendSocket(kind string, body any, s Socket) bool {
 	text, err := json.Marshal(body)
 	if err == nil {
@@ -171,7 +171,7 @@
 				return 0, err
 			}
 			for _, fd := range fds {
-				r.files = append(r.files, os.NewFile(uintptr(fd), "handed over"))
+				r.files = append(r.files, os.NewFile(uintptr(fd), "handover-socket"))
 			}
 		}
 	}
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -331,7 +331,7 @@
 type chunkedReader struct {
 	r         *bufio.Reader
 	remaining int64 // of the current chunk
-	any       bool  // a chunk has been read, at least in part
+	started   bool  // a chunk has been read, at least in part
 	finished  bool
 }
 
@@ -359,14 +359,14 @@
 }
 
 func (c *chunkedReader) nextChunk() error {
-	if c.any {
+	if c.started {
 		if line, err := readLine(c.r, false); err != nil {
 			return err
 		} else if line != "" {
 			return malformed(400, "chunk end")
 		}
 	}
-	c.any = true
+	c.started = true
 	line, err := readLine(c.r, false)
 	if err != nil {
 		return err
@@ -394,7 +394,7 @@
 	return s != ""
 }
 
-// IsVisible reports whether s can be written into a header line or target as it is.
+// IsVisible reports whether s consists of visible ASCII only and is not empty.
 func IsVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 127 {
--- a/internal/net/loadreport/loadreport_test.go
+++ b/internal/net/loadreport/loadreport_test.go
@@ -47,7 +47,7 @@
 	require.Nil(t, nilReader.ParseLine("TEXT x0=3"))
 }
 
-// A null value counts as absent. It was read as 0: an encoder without free slots.
+// A null value counts as absent. Guards against reading it as 0, which means no free slots.
 func TestNullIsIgnored(t *testing.T) {
 	r := New([]string{"x0", "inflight"}, slog.New(slog.DiscardHandler))
 	require.Equal(t, &decide.Report{Active: 7, Waiting: -1, FreeSlots: -1, FreeMemory: -1}, r.ParseObject([]byte(`{"x0":null,"inflight":7}`)))
--- a/internal/net/sock/sock_test.go
+++ b/internal/net/sock/sock_test.go
@@ -23,7 +23,7 @@
 	return c.(*net.TCPConn), other.(*net.TCPConn)
 }
 
-// Look returns the state of a connection and consumes nothing: neither bytes nor the end of the stream.
+// Peek returns the state of a connection and consumes nothing: neither bytes nor the end of the stream.
 func TestPeek(t *testing.T) {
 	reset := func(c *net.TCPConn) {
 		c.SetLinger(0)
--- a/internal/net/upstream/cancel_test.go
+++ b/internal/net/upstream/cancel_test.go
@@ -61,7 +61,7 @@
 	require.Empty(t, confirmed)
 }
 
-// The second cancellation does not use another idle connection, which may be as dead as the first.
+// The second cancellation does not use another idle connection, which may be broken as well.
 func TestRetriedCancellationUsesNewConnection(t *testing.T) {
 	e := listen(t)
 	p, r := newScriptedPool(t, e, 9)
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -28,7 +28,7 @@
 	progress        progress
 	response        *http1.Response // if answered
 	connIdle        time.Duration   // how long the connection had been idle before; 0: it was new
-	unknownInstance bool            // if notSent: the encoder has never been listed
+	unknownInstance bool            // if notSent: the encoder is not listed or has no address
 	malformed       bool            // if noResponse: the response was truncated or invalid
 }
 
--- a/internal/net/upstream/idle_test.go
+++ b/internal/net/upstream/idle_test.go
@@ -11,9 +11,9 @@
 	"caperrelay/internal/dispatch"
 )
 
-// A connection that was busy when its encoder changed its address, was removed or was cordoned is closed when it
+// A connection that was busy when its encoder changed its address, was removed, was cordoned or restarted is closed when it
 // becomes idle, and the next attempt goes to the encoder as listed then.
-func TestBusyConnectionsAreClosedAfterAddressChange(t *testing.T) {
+func TestOutdatedBusyConnectionsAreClosed(t *testing.T) {
 	other := listen(t)
 	restarted := func(e *encoder) dispatch.InstanceUpdate {
 		l := e.update(decide.Ready)
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -22,14 +22,14 @@
 // Retries of cancellations.
 const (
 	cancelTries      = 2                     // sent at most, each within graceTime
-	cancelRetryDelay = 10 * time.Millisecond // before the next attempt to get a free connection
+	cancelRetryDelay = 10 * time.Millisecond // before trying again to get a free connection
 )
 
 // A malformed response may be followed by a second one some milliseconds later, which would be read as the response
 // to the next request on that connection: a refused request would count as accepted, or the reverse.
 const (
 	defaultSettle     = 50 * time.Millisecond // idle time after which a connection is preferred for reuse
-	unsolicitedWindow = 30 * time.Second      // how long that applies after unsolicited data from any encoder; a rule for the one that sent it
+	unsolicitedWindow = 30 * time.Second      // how long after unsolicited data from any encoder settled connections are preferred; for the sender they are required
 )
 
 // maxEndpoints is the number of encoders above which those that are gone are removed.
@@ -273,7 +273,7 @@
 	retryUntil  time.Time // dropped after this time if there is no free connection
 	triesLeft   int       // including the current one
 	newConn     bool      // the next try must use a new connection
-	confirm     func()    // called once the encoder has answered, or if it was never listed
+	confirm     func()    // called once the encoder has answered, or if it is not listed or has no address
 }
 
 // cancelJob notifies an encoder that an attempt is cancelled. Unlike a request, a DELETE may be repeated; the second
--- a/internal/net/upstream/pool_test.go
+++ b/internal/net/upstream/pool_test.go
@@ -103,7 +103,7 @@
 	require.Equal(t, decide.OK, <-r.probed)
 	<-seen
 	require.Eventually(t, func() bool { return p.IdleConns() == 1 }, 20*time.Second, time.Millisecond)
-	p.Probe("s-2") // waits for the idle connection to be closed and replaces it
+	p.Probe("s-2") // closes the idle connection and replaces it
 	require.Equal(t, decide.OK, <-r.probed)
 	<-seen
 	require.Eventually(t, func() bool { return p.IdleConns() == 1 }, 20*time.Second, time.Millisecond)
@@ -192,8 +192,8 @@
 	require.WithinRange(t, time.Now(), a.Deadline.Add(graceTime), a.Deadline.Add(time.Minute))
 }
 
-// An attempt that waited for its connection used to be sent after another process had taken it over, cancelled it and
-// sent it elsewhere, so that two copies ran at once. Nothing that has not been started by the handover is written;
+// Guards against sending an attempt that waited for its connection after another process has taken it over, cancelled
+// it and sent it elsewhere, so that two copies run at once. Nothing that has not been started by the handover is written;
 // what has been started continues.
 func TestNothingIsSentAfterCancelUnsent(t *testing.T) {
 	p, _, seen := newAutoPool(t, 9, "s-1")
@@ -213,7 +213,7 @@
 	p.CancelUnsent()
 	send("/take", nil)
 	require.Equal(t, "/take", (<-seen).Target)
-	require.Equal(t, answered, (<-ends).progress, "the earlier one continues")
+	require.Equal(t, answered, (<-ends).progress, "the earlier one has not ended")
 }
 
 func TestNothingIsSentToUnknownInstance(t *testing.T) {
@@ -257,7 +257,7 @@
 	require.Equal(t, 4.0, (<-r.loads).FreeSlots)
 }
 
-// A second response some milliseconds after the first used to be read as the response to the next request on that
+// Guards against reading a second response some milliseconds after the first as the response to the next request on that
 // connection: here as an error of a request that the encoder had accepted. Once this has been seen, a connection is
 // reused only after it has settled.
 func TestLateSecondResponseIsDiscarded(t *testing.T) {
--- a/internal/net/upstream/response_test.go
+++ b/internal/net/upstream/response_test.go
@@ -33,7 +33,7 @@
 	for name, answer := range map[string]string{
 		"no HTTP":                   "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n",
 		"no status":                 "HTTP/1.1 abc\r\n\r\n",
-		"status below":              "HTTP/1.1 099 Low\r\n\r\n",
+		"status below 100":          "HTTP/1.1 099 Low\r\n\r\n",
 		"other version":             "HTTP/3.0 202 Accepted\r\n\r\n",
 		"endless line":              head + "X: " + strings.Repeat("x", 2*http1.MaxLine),
 		"endless head":              head + strings.Repeat(field, 8),
@@ -71,7 +71,7 @@
 	}
 }
 
-// A truncated response is a reset, whether the connection ends by FIN, by RST or by RST over unread data. The encoder
+// A truncated response is a reset, whether the connection ends by FIN or by RST. The encoder
 // is sent a cancellation, since it may have been accepting the job. A connection that breaks before the first byte of
 // a response needs none.
 func TestTruncatedResponses(t *testing.T) {
--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -22,7 +22,7 @@
 
 	mu       sync.Mutex // never held during file access, logging or messages to a peer
 	cordoned map[string]bool
-	unsaved  bool         // another process has sent changes and writes them
+	unsaved  bool         // the last change came from another process, which may end before it has written it
 	writing  bool         // a writer goroutine runs
 	waiters  []chan error // callers waiting for the next write; each has a buffer of one
 }
@@ -46,7 +46,7 @@
 	Cordon(id string, out bool) error
 }
 
-// Cordons is the interface of the program that a Keeper uses.
+// Cordons is the interface of the program that a part with a CordonStore uses.
 type Cordons interface {
 	// SetStore sets the store that cordons go through. It must be called before the program runs.
 	SetStore(CordonStore)
@@ -118,7 +118,7 @@
 		written = p.queueWrite()
 	}
 	p.cordons.mu.Unlock()
-	if p.log.Info("cordoned", "ids", ids); from != nil {
+	if p.log.Info("cordons changed", "ids", ids); from != nil {
 		return nil
 	}
 	err := errors.New("the disk does not answer")
@@ -176,7 +176,7 @@
 			err = p.cordons.write(p.cordonsFile(), text)
 		}
 		if err != nil {
-			p.log.Error("cordons", "err", err)
+			p.log.Error("cannot write cordons", "err", err)
 		}
 		for _, w := range waiters {
 			w <- err
@@ -222,7 +222,7 @@
 		err = json.Unmarshal(text, &ids)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		p.log.Error("cordons", "err", err)
+		p.log.Error("cannot read cordons", "err", err)
 	}
 	return ids
 }
--- a/internal/program/customers_test.go
+++ b/internal/program/customers_test.go
@@ -50,7 +50,7 @@
 	return names
 }
 
-// namedInSites lists the value of each name key of the site files, if the repository has any.
+// namedInSites lists the value of each name key of deploy/sites/*.toml, if the repository has any.
 func namedInSites(t *testing.T, root string) (names []string) {
 	files, err := filepath.Glob(filepath.Join(root, "deploy/sites/*.toml"))
 	require.NoError(t, err)
@@ -80,7 +80,7 @@
 	return files
 }
 
-// deployedFiles lists the source files of the programs that the deploy file's run and sim use.
+// deployedFiles lists the source files of winglb and wirehost and of their dependencies in this module.
 func deployedFiles(t *testing.T, root string) (files []string) {
 	list := exec.Command("go", "list", "-deps", "-f", `{{if .Module}}{{if .Module.Main}}{{$dir := .Dir}}{{range .GoFiles}}{{$dir}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`,
 		"./cmd/winglb", "./cmd/wirehost")
@@ -117,14 +117,14 @@
 // and sentences, but not as a whole string literal in deployed code.
 func TestNoCustomerNamesInCode(t *testing.T) {
 	const root = "../.."
-	coined, plain := map[string]bool{}, map[string]bool{}
+	uniqueNames, ordinaryWords := map[string]bool{}, map[string]bool{}
 	add := func(names ...string) {
 		for _, name := range names {
 			name = strings.ToLower(name)
 			if ordinary := !strings.ContainsAny(name, "-_0123456789"); ordinary {
-				plain[name] = true
+				ordinaryWords[name] = true
 			} else {
-				coined[name] = true
+				uniqueNames[name] = true
 			}
 		}
 	}
@@ -133,8 +133,8 @@
 		add(namesOf(settings)...)
 	}
 	add(namedInSites(t, root)...)
-	require.Greater(t, len(coined), 50)
-	require.NotEmpty(t, plain)
+	require.Greater(t, len(uniqueNames), 50)
+	require.NotEmpty(t, ordinaryWords)
 
 	files := goFiles(t, root)
 	require.Greater(t, len(files), 100)
@@ -142,14 +142,14 @@
 		text, err := os.ReadFile(file)
 		require.NoError(t, err)
 		for _, word := range words(string(bytes.ToLower(text))) {
-			require.False(t, coined[word], "%s has %q, a name of one customer", file, word)
+			require.False(t, uniqueNames[word], "%s has %q, a name of one customer", file, word)
 		}
 	}
 	deployed := deployedFiles(t, root)
 	require.True(t, slices.ContainsFunc(deployed, func(file string) bool { return strings.HasSuffix(file, "/decide/decide.go") }))
 	for _, file := range deployed {
 		for _, literal := range literals(t, file) {
-			require.False(t, plain[strings.ToLower(literal)], "%s has %q, a name of one customer", file, literal)
+			require.False(t, ordinaryWords[strings.ToLower(literal)], "%s has %q, a name of one customer", file, literal)
 		}
 	}
 }
--- a/internal/program/harness_test.go
+++ b/internal/program/harness_test.go
@@ -205,9 +205,9 @@
 	return &before
 }
 
-// sendList sends an instance list with the given entries on a watch.
-func sendList(watch net.Conn, revision int, complete bool, line string) {
-	text := fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`+"\n", revision, complete, line)
+// sendList sends an instance list with the given members on a watch.
+func sendList(watch net.Conn, revision int, complete bool, members string) {
+	text := fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`+"\n", revision, complete, members)
 	fmt.Fprint(watch, chunk(text))
 }
 
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -75,7 +75,7 @@
 	hasWatchList bool                  // watchList is in use
 }
 
-// watchLag is how long a complete list may be under way after another process has received a later one: as
+// watchLag is how long after another process has received a later list an older complete list may still arrive: as
 // documented for operators, a change in discovery is known everywhere by then. If the watch is still behind,
 // discovery has restarted its revisions.
 const watchLag = 6 * time.Second
@@ -194,8 +194,8 @@
 	}
 }
 
-// noteUnreachable records whether a call that returned nothing has shown that discovery cannot be reached. A local
-// agent that sends nothing has no list.
+// noteUnreachable records whether a call that returned nothing has shown that discovery cannot be reached. With
+// pushed lists any failure counts as unreachable: the local agent has no list.
 func (p *Program) noteUnreachable(err error) {
 	if errors.Is(err, discovery.ErrUnreachable) || p.config.Settings.ListPushed {
 		p.discoveryUnreachable.Store(true)
--- a/internal/program/operators.go
+++ b/internal/program/operators.go
@@ -20,14 +20,14 @@
 	return all
 }
 
-// counters returns all counters, for the clients' address.
+// counters returns all counters, for the counters path of the clients' listener.
 func (p *Program) counters() string {
 	all := p.loop.Counters.String()
 	p.eachPart(func(t Part) { all += t.Figures() })
 	return all
 }
 
-// Quiesce sends clients away. Pending commands are answered, and callbacks are still accepted.
+// Quiesce makes health checks fail and responses close connections. Pending commands are answered, and callbacks are still accepted.
 func (p *Program) Quiesce() error {
 	if p.enter(Quiescing, Serving) || p.Phase() == Quiescing || p.Phase() == Quiesced {
 		return nil
--- a/internal/program/part.go
+++ b/internal/program/part.go
@@ -16,7 +16,7 @@
 	Name() string
 	// Phase receives the program's phase, at the start and after each change. An error at Starting ends the
 	// program; later ones are logged. A part whose address the next process shares listens from Serving on and
-	// closes its listener at Yielded, which is its handover. At Stopped it ends.
+	// closes its listener at HandedOver, which is its handover. At Stopped it ends.
 	Phase(context.Context, Phase) error
 	// Listed receives each update of the instance list.
 	Listed(dispatch.InstanceUpdate)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -33,19 +33,21 @@
 type Phase int32
 
 // The phases, in their order. An operator can take the program from Quiescing and Quiesced back to Serving; if the
-// newer process dies, the program goes from Yielded back to Serving.
+// newer process dies, the program goes from HandedOver back to Serving.
 const (
 	Starting   Phase = iota // parts are created, no commands are accepted
 	TakingOver              // an older process has been asked to hand over
 	Serving                 // commands are accepted
-	Quiescing               // clients are sent away: the front still sends requests, and responses close connections
+	Quiescing               // health checks fail and responses close connections: the front still sends requests, and responses close connections
 	Quiesced                // the front has switched away: idle connections are closed as well
 	HandedOver              // a newer process accepts new work; this one answers pending commands
-	Departing               // termination requested: as Quiescing
-	Draining                // termination requested: as Quiesced or Yielded, until no commands are pending
+	Departing               // termination requested: health checks fail and responses close connections
+	Draining                // termination requested: as Quiesced or HandedOver, until no commands are pending
 	Stopped                 // no commands are pending and nothing listens
 )
 
+// String returns the name that operators and logs see; "relieving" (TakingOver) and "yielded" (HandedOver) are
+// fixed for them.
 func (p Phase) String() string {
 	return [...]string{
 		"starting", "relieving", "serving", "quiescing", "quiesced", "yielded", "departing", "draining", "stopped",
@@ -53,12 +55,12 @@
 }
 
 const (
-	// The front keeps sending requests for up to 0.4 s after a failed health check.
+	// The front keeps sending requests for up to 0.4 s after a failed health check; the rest is a margin.
 	frontSwitchDelay = 600 * time.Millisecond
-	// While quiesced, a client's connection that has been idle for this long is closed.
+	// While quiesced or draining, a client's connection that has been idle for this long is closed.
 	idleGrace    = 200 * time.Millisecond
 	pollInterval = 10 * time.Millisecond
-	// By then, connections whose handshake had begun have been accepted.
+	// Connections whose handshake had begun when refusal started are accepted within this time.
 	handshakeGrace = 2 * pollInterval
 
 	reservedSockets = 64  // standard files, the poller, the listener, discovery and a margin
@@ -111,7 +113,7 @@
 // connLimits is how many connections the components may use while no other process runs at the address.
 type connLimits struct{ listener, pool int }
 
-// New creates a dispatcher with the given additional parts.
+// New creates a program with the given additional parts.
 func New(c *config.Config, logger *slog.Logger, parts ...NewPart) (*Program, error) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
 	debug.SetGCPercent(collectAt)
@@ -170,7 +172,7 @@
 	p.log.Info(next.String(), "held", p.loop.Pending()) // without the lock: logging may block on a slow reader
 	p.eachPart(func(t Part) {
 		if err := t.Phase(p.ctx, next); err != nil {
-			p.log.Error("part", "name", t.Name(), "phase", next.String(), "err", err)
+			p.log.Error("part failed at a phase change", "name", t.Name(), "phase", next.String(), "err", err)
 		}
 	})
 	return true
@@ -290,8 +292,9 @@
 	}
 }
 
-// clientsDivisor: clients hold at most 1/clientsDivisor of their descriptors for requests, as documented for
-// operators. A request for which none is free is rejected unread.
+// clientsDivisor: clients use at most 1/clientsDivisor of their descriptors for requests, as documented for
+// operators; they are taken to have as many as this program's limit. A request for which none is free is rejected
+// unread.
 const clientsDivisor = 3
 
 // limitOpen lowers the limit of open commands to what the connections allow. Each open command keeps a connection,
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -66,7 +66,8 @@
 	require.Equal(t, []int{1, 1}, []int{env.counter("attempts_sent"), env.counter("attempts_reset")})
 }
 
-// A command that never ran may be refused, and each way of reporting that is counted separately.
+// A 503 with X-Unprocessed counts as full, and the command may be refused. A 500 counts as errored, and the client
+// gets a 502.
 func TestOutcomesByStatus(t *testing.T) {
 	t.Parallel()
 	for name, status := range map[string]int{"attempts_full": 503, "attempts_errored": 500} {
@@ -203,11 +204,11 @@
 // removed while a job of it runs, and a broken file has no effect at all.
 func TestReloadAppliesSettings(t *testing.T) {
 	env, accepted := startAccepting(t)
-	reload := func(text, figure, value string) {
+	reload := func(text, counter, value string) {
 		env.settings = text
 		env.configure(env.discoveryServer.Addr().String())
 		env.signals <- syscall.SIGHUP
-		env.await(func() bool { return env.operatorCounter(figure) == value })
+		env.await(func() bool { return env.operatorCounter(counter) == value })
 	}
 	pending, c := env.dial(), env.dial()
 	env.sendCommand(pending, "c1", "safe", "30000m")
@@ -317,8 +318,7 @@
 	}
 }
 
-// Guards against health checks that succeed after quiesce. They fail, requests under way and callbacks are
-// accepted, idle connections are closed, and after resume the program serves as before.
+// After quiesce, health checks fail, requests under way and callbacks are accepted, idle connections are closed, and after resume the program serves as before.
 func TestQuiesceAndResume(t *testing.T) {
 	env, accepted := startAccepting(t)
 	health := func() int {
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -40,7 +40,7 @@
 	return l.text.String()
 }
 
-// customerEnv is a program with encoders of every kind that some customers name, and the requests that those
+// customerEnv is a program with encoders of all kinds in the given customers' settings, and the requests that those
 // received.
 type customerEnv struct {
 	*testEnv
@@ -245,11 +245,11 @@
 	h.await(func() bool { return h.program.loop.Pending() == held })
 }
 
-// shortTimeLeft is the time of commands that are not served.
+// shortTimeLeft is X-Time-Left of commands that no encoder serves.
 const shortTimeLeft = "300m"
 
 // checkBroken: a command whose connection broke after it was sent is retried only as far as the class's effect
-// allows, and its status says as much.
+// allows, and its status is 502 if it may have run.
 func (h *customerEnv) checkBroken(c class) {
 	for n := 0; ; n++ {
 		status, tries := h.request("break", c.Name, shortTimeLeft)
@@ -309,7 +309,7 @@
 }
 
 // Guards against a list interpreted by the previous settings after a reload that names other zones or kinds of
-// encoder: classes that need a kind which those did not name found no encoder until discovery sent each again,
+// encoder: classes that need a kind which those did not name found no encoder until discovery sent each instance again,
 // which it may never do.
 func TestReloadReinterpretsList(t *testing.T) {
 	all := customers(t)
--- a/internal/program/settings_test.go
+++ b/internal/program/settings_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// With any valid settings the daemon starts, each command has one final response, and neither commands that may
+// With any valid settings the program starts, each command has one final response, and neither commands that may
 // have run nor instances that drain are sent to against the rules.
 func TestAnySettings(t *testing.T) {
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
--- a/internal/program/takeover.go
+++ b/internal/program/takeover.go
@@ -44,7 +44,7 @@
 	msgAttemptUpdate = "became"     // from the older: a dispatch.AttemptUpdate
 	msgCordon        = "cordoned"   // from either: a cordonChange
 	msgList          = "listed"     // from either: a sharedList, as just received
-	msgCallback      = "news"       // from either: a dispatch.Callback that matches no attempt there
+	msgCallback      = "news"       // from either: a dispatch.Callback that matches no attempt in the sending process
 )
 
 // processState is the state that the older process sends first.
@@ -203,7 +203,7 @@
 // nextStep returns the next step after the time since in a phase. fresh: discovery has sent a list. older: an
 // older process is connected. noState: one answered but sent no state; it may still be serving by a more recent list
 // than the configuration's. unreachable: discovery cannot be reached. A process that starts alone has the
-// configuration's list, which is as old as the previous process. Changes that discovery has had for longer than
+// configuration's list, which may date from the previous process's start. Changes that discovery has had for longer than
 // its propagation delay count as known to this process from its first moment, so it serves only once discovery has
 // answered or cannot be reached.
 func nextStep(phase Phase, since time.Duration, fresh, older, noState, unreachable bool) step {
--- a/internal/program/takeover_test.go
+++ b/internal/program/takeover_test.go
@@ -208,8 +208,7 @@
 // A process that already has a newer one turns callers away, and the newer one opens its own socket a moment
 // later. Guards against a process that starts in that moment giving up: it would serve alone by its
 // configuration's list, and a request whose callback reached it was never answered.
-// TestUnconfirmedAttemptsDuringHandover met that once, after 20 s; with 300 ms more before the socket is opened it
-// happens each time.
+// With 300 ms more before the socket is opened it happens each time.
 func TestRefusedNewerProcessCallsAgain(t *testing.T) {
 	env := &testEnv{t: t}
 	env.prepare("", "", func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
@@ -312,8 +311,8 @@
 	require.Equal(t, 200, env.read(c).Status)
 }
 
-// Guards against two processes replacing the cordon file through the same temporary name: one's rename accepted the
-// other's file, whose change was lost. Cordons set at either process during a handover apply at both, however
+// Guards against two processes replacing the cordon file through the same temporary name: one process
+// renamed the other's temporary file, whose change was lost. Cordons set at either process during a handover apply at both, however
 // quickly they follow, and are in the file.
 func TestCordonsAtBothProcessesDuringHandover(t *testing.T) {
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
@@ -354,7 +353,7 @@
 	})
 }
 
-// cordonsWritten reports whether no process has cordons left to write.
+// cordonsWritten reports whether this process has no cordons left to write and no older process runs.
 func (env *testEnv) cordonsWritten() bool {
 	env.program.mu.Lock()
 	alone := env.program.older == nil
--- a/internal/program/termination_test.go
+++ b/internal/program/termination_test.go
@@ -24,7 +24,7 @@
 	"caperrelay/internal/net/sock"
 )
 
-// The test binary also runs as the daemon where a test needs a process of its own that ends.
+// The test binary also runs as the program where a test needs a process of its own that ends.
 func TestMain(m *testing.M) {
 	if os.Getenv("WINGLB_ENDING") == "" {
 		os.Exit(m.Run())
@@ -45,7 +45,7 @@
 	os.Exit(0)
 }
 
-// daemonProcess is a daemon in a process of its own.
+// daemonProcess is the program in a process of its own.
 type daemonProcess struct {
 	*testing.T
 	cmd          *exec.Cmd
@@ -55,7 +55,7 @@
 	ended        chan error
 }
 
-// launch starts a daemon whose instance runs a script.
+// launch starts the program whose instance runs a script.
 func launch(t *testing.T, settings string, script func(p *daemonProcess, c net.Conn, q *http1.Request) bool) *daemonProcess {
 	p := &daemonProcess{T: t, ended: make(chan error, 1)}
 	instance := listen(t, func(c net.Conn, q *http1.Request) bool { return script(p, c, q) })
@@ -63,7 +63,7 @@
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"+unchangedList)
 		return true
 	})
-	// A socket that shares the port reserves it for the daemon, and refuses connections once that has ended.
+	// A socket that shares the port reserves it for the program, and refuses connections once that has ended.
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { syscall.Close(fd) })
@@ -92,7 +92,7 @@
 	return p
 }
 
-// terminate sends SIGTERM, and kills the process when the platform would.
+// terminate sends SIGTERM, and kills the process after the given time.
 func (p *daemonProcess) terminate(after time.Duration) {
 	p.terminatedAt = time.Now()
 	require.NoError(p, p.cmd.Process.Signal(syscall.SIGTERM))
@@ -128,7 +128,7 @@
 		{Name: "X-Account", Value: "acme"}, {Name: "X-Time-Left", Value: "30000m"}}, []byte("the work"))
 }
 
-// clientCounts counts the responses that clients received.
+// clientCounts counts the commands of all clients by outcome.
 type clientCounts struct{ sent, answered, refused, retried, unanswered, cut atomic.Int64 }
 
 // sendBatch writes a batch of commands to a connection at once and reads their responses. used: a response has
@@ -216,7 +216,7 @@
 		all.Go(func() { client(i) })
 	}
 	asked.Wait()
-	for i := range 6 { // jobs that never end; some are never sent again
+	for i := range 6 { // jobs that never end; commands of class once are never retried
 		all.Go(func() {
 			c, err := net.Dial("tcp", p.address)
 			if err != nil {
@@ -227,7 +227,7 @@
 			counts.sendBatch(c, bufio.NewReader(c), false, commandText(fmt.Sprint("hangs", i), []string{"safe", "once"}[i%2]))
 		})
 	}
-	require.NotEmpty(t, <-hang)             // with its client's whole time left, before the process gets SIGTERM
+	require.NotEmpty(t, <-hang)             // an instance has received one before SIGTERM
 	kept, err := net.Dial("tcp", p.address) // its next request is never complete
 	require.NoError(t, err)
 	defer kept.Close()
