--- a/internal/net/clients/conn.go
+++ b/internal/net/clients/conn.go
@@ -49,7 +49,7 @@
 	stateSince time.Time // when the state began; until the first answer, when it was accepted
 	evicted    bool
 	answered   bool // a request on it has been answered
-	instance   bool // its last request was a callback
+	fromInstance   bool // its last request was a callback
 	passed     bool // to another process
 	flooded    bool // bytes after a request were dropped, so no further request can be read
 }
@@ -75,7 +75,7 @@
 		return silent
 	case c.state == reading && age >= t.remainder:
 		return stalled
-	case c.state == waiting && c.answered && c.instance:
+	case c.state == waiting && c.answered && c.fromInstance:
 		return idleEncoder
 	case c.state == waiting && c.answered:
 		return idleClient
@@ -178,7 +178,7 @@
 	if c.server.newer == nil || !ok {
 		return false
 	}
-	p.Answered, p.Instance, p.Flooded = c.answered, c.instance, c.flooded
+	p.Answered, p.FromInstance, p.Flooded = c.answered, c.fromInstance, c.flooded
 	unread, _ := c.reader.Peek(c.reader.Buffered())
 	p.Received = append(p.Received, unread...)
 	c.passed = true
@@ -201,7 +201,7 @@
 		c.stateSince, deadline = now, now.Add(idleTimeout)
 	}
 	err := c.nc.SetReadDeadline(deadline)
-	if c.evicted || !isFirst && s.crowded && !c.instance { // evicted before, or crowded since the last answer
+	if c.evicted || !isFirst && s.crowded && !c.fromInstance { // evicted before, or crowded since the last answer
 		c.evict()
 	}
 	s.mu.Unlock()
@@ -242,7 +242,7 @@
 func (c *conn) handle(q *http1.Request) bool {
 	path, _, _ := strings.Cut(q.Target, "?")
 	c.server.mu.Lock()
-	c.state, c.instance = handling, path == callbackPath
+	c.state, c.fromInstance = handling, path == callbackPath
 	c.server.mu.Unlock()
 	method := "GET"
 	if path == callbackPath || path == commandPath {
@@ -253,7 +253,7 @@
 		return c.reply(404, nil, "no such path\n", q.Close)
 	case q.Method != method:
 		return c.reply(405, http1.Header{{Name: "Allow", Value: method}}, "only "+method+"\n", q.Close)
-	case path == readyPath && c.server.leaving():
+	case path == readyPath && c.server.isDraining():
 		return c.reply(503, nil, "departing\n", q.Close)
 	case path == readyPath:
 		return c.reply(200, nil, "ok\n", q.Close)
@@ -270,7 +270,7 @@
 	c.server.mu.Lock()
 	c.answered = true
 	closeConn = closeConn || c.flooded
-	closeDue := c.evicted || !c.instance && (c.server.crowded || c.server.draining && c.server.newer == nil)
+	closeDue := c.evicted || !c.fromInstance && (c.server.crowded || c.server.draining && c.server.newer == nil)
 	c.server.mu.Unlock()
 	if closeDue && !closeConn {
 		closeConn = c.extraRequests >= maxExtraRequests || !c.hasInput()
--- a/internal/net/clients/eviction_test.go
+++ b/internal/net/clients/eviction_test.go
@@ -58,8 +58,8 @@
 	encoder, client := dial(), dial()
 	require.False(t, postCallback(t, c, encoder, "1"))
 	require.Equal(t, 200, roundTrip(t, client, healthRequest).Status)
-	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.instance })
-	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered && !c.instance })
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.fromInstance })
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered && !c.fromInstance })
 	s.setCrowded(true)
 	require.False(t, postCallback(t, c, encoder, "2"))
 	require.False(t, postCallback(t, c, encoder, "3"), "nor is it closed before its next callback")
@@ -143,7 +143,7 @@
 	postCallback(t, c, encoder, "1")
 	_, err = idle.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.instance })
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.fromInstance })
 	s.mu.Lock()
 	for c := range s.conns {
 		c.state = handling // no connection is expendable
--- a/internal/net/clients/server.go
+++ b/internal/net/clients/server.go
@@ -104,7 +104,7 @@
 // PassedConn is the state of a connection that is passed to another process.
 type PassedConn struct {
 	Answered  bool           `json:"Answered,omitempty"` // a request on it has been answered
-	Instance  bool           `json:"Instance,omitempty"` // its last request was a callback
+	FromInstance  bool           `json:"Instance,omitempty"` // its last request was a callback
 	Received  []byte         `json:"Rest,omitempty"`     // bytes read from it and not yet processed
 	Flooded   bool           `json:"Flood,omitempty"`    // bytes after those were dropped
 	CommandID string         `json:"ID,omitempty"`       // the command that its client waits for
@@ -293,7 +293,7 @@
 			return
 		}
 	}
-	c := &conn{server: s, nc: nc, stateSince: time.Now(), answered: p.Answered, instance: p.Instance, received: p.Received, flooded: p.Flooded}
+	c := &conn{server: s, nc: nc, stateSince: time.Now(), answered: p.Answered, fromInstance: p.FromInstance, received: p.Received, flooded: p.Flooded}
 	switch {
 	case p.Request != nil:
 		c.state, c.firstTask = handling, func() bool { return c.handleCommand(p.Request, p.Deadline) }
@@ -406,7 +406,7 @@
 	}
 	s.pastAnswerBy = true
 	for c := range s.conns {
-		awaiting := (c.state == waiting || c.state == reading) && !c.instance
+		awaiting := (c.state == waiting || c.state == reading) && !c.fromInstance
 		if lingerExpired := c.state == lingering && now.Sub(c.stateSince) >= s.timeouts.shutdown; (awaiting || lingerExpired) && !c.evicted {
 			c.evict()
 		}
@@ -421,7 +421,7 @@
 	return s.answerBy, s.pastAnswerBy && s.newer == nil
 }
 
-func (s *Server) leaving() bool {
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining && s.newer == nil
@@ -433,7 +433,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.state == waiting && c.stateSince.Before(before) && !c.instance {
+		if c.state == waiting && c.stateSince.Before(before) && !c.fromInstance {
 			c.evict()
 		}
 	}
@@ -445,7 +445,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.state != waiting || !c.instance {
+		if c.state != waiting || !c.fromInstance {
 			return false
 		}
 	}
--- a/internal/net/discovery/faulty_test.go
+++ b/internal/net/discovery/faulty_test.go
@@ -83,13 +83,13 @@
 	}
 	fmt.Fprint(c, responseHead, list(41, true, append(faults, member("s-1", "in_service"), member("s-5", "terminating"))...))
 	require.Equal(t, map[string]decide.WorkerState{"s-1": decide.Ready, "s-5": decide.Draining}, states(s.next(t)))
-	require.EqualError(t, <-s.faulty, `list: member 0, "s-2": unknown phase "resting"`)
-	require.EqualError(t, <-s.faulty, `list: member 1: no id`)
+	require.EqualError(t, <-s.ignored, `list: member 0, "s-2": unknown phase "resting"`)
+	require.EqualError(t, <-s.ignored, `list: member 1: no id`)
 	for range maxReportedEntries - 2 {
 		var entry *EntryError
-		require.ErrorAs(t, <-s.faulty, &entry)
+		require.ErrorAs(t, <-s.ignored, &entry)
 	}
-	require.EqualError(t, <-s.faulty, `list: 2 more invalid members`)
+	require.EqualError(t, <-s.ignored, `list: 2 more invalid members`)
 
 	// The entry of s-1 is invalid, so s-1 keeps its previous state. s-9 has no previous state.
 	fmt.Fprint(c, list(42, true, member("s-1", "resting"), member("s-9", "resting"), member("s-6", "in_service")))
@@ -122,7 +122,7 @@
 		require.Equal(t, want, states(s.next(t)))
 	}
 	var older *OlderListError
-	require.ErrorAs(t, <-s.faulty, &older)
+	require.ErrorAs(t, <-s.ignored, &older)
 	require.Equal(t, OlderListError{Revision: 42, Last: 43}, *older)
 	require.Empty(t, s.lost)
 	c.Close()
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -50,8 +50,8 @@
 	// WatchLost reports that the watch, or the call that opens it, has failed, and how long after the call started. The
 	// list is unchanged.
 	WatchLost(err error, after time.Duration)
-	// ListFaulty reports that a list or an entry of one is ignored. The watch continues.
-	ListFaulty(error)
+	// ListIgnored reports that a list or an entry of one is ignored. The watch continues.
+	ListIgnored(error)
 }
 
 // Watcher watches discovery's list for changes. Its [listclock.Clock] and Subscribe determine when it calls
@@ -373,26 +373,26 @@
 		if update.Revision < last {
 			w.listIgnored()
 			lists.listEnded(rest)
-			sink.ListFaulty(&OlderListError{Revision: update.Revision, Last: last})
+			sink.ListIgnored(&OlderListError{Revision: update.Revision, Last: last})
 			continue
 		}
 		last = update.Revision
 		w.listReceived(last)
 		lists.listEnded(rest)
-		reportFaulty(sink, faulty)
+		reportInvalid(sink, faulty)
 		update = keepUnreadable(update, faulty, w.instances.Instances())
 		w.instances.Update(update)
 		sink.ListReceived(update)
 	}
 }
 
-// reportFaulty reports the invalid entries of a list, only the first ones individually.
-func reportFaulty(sink Sink, faulty []*EntryError) {
+// reportInvalid reports the invalid entries of a list, only the first ones individually.
+func reportInvalid(sink Sink, faulty []*EntryError) {
 	for _, f := range faulty[:min(len(faulty), maxReportedEntries)] {
-		sink.ListFaulty(f)
+		sink.ListIgnored(f)
 	}
 	if more := len(faulty) - maxReportedEntries; more > 0 {
-		sink.ListFaulty(fmt.Errorf("list: %d more invalid members", more))
+		sink.ListIgnored(fmt.Errorf("list: %d more invalid members", more))
 	}
 }
 
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -22,7 +22,7 @@
 	listed       chan dispatch.InstanceUpdate
 	alive        chan struct{}
 	silent, lost chan error
-	faulty       chan error
+	ignored       chan error
 }
 
 func newSink() recordingSink {
@@ -32,7 +32,7 @@
 func (s recordingSink) ListReceived(l dispatch.InstanceUpdate) { s.listed <- l }
 func (s recordingSink) Heartbeat()                             { s.alive <- struct{}{} }
 func (s recordingSink) WatchSilent(_ int, err error)           { s.silent <- err }
-func (s recordingSink) ListFaulty(err error)                   { s.faulty <- err }
+func (s recordingSink) ListIgnored(err error)                   { s.ignored <- err }
 
 func (s recordingSink) WatchLost(err error, after time.Duration) { s.lost <- lostWatch{err, after} }
 
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// ListFaulty is called when a list, or an entry of one, is ignored as invalid.
-func (p *Program) ListFaulty(err error) {
+// ListIgnored is called when a list, or an entry of one, is ignored as invalid.
+func (p *Program) ListIgnored(err error) {
 	p.log.Error("invalid instance list from discovery ignored", "err", err)
 }
 
--- a/internal/program/takeover.go
+++ b/internal/program/takeover.go
@@ -73,7 +73,7 @@
 // handoverState is what the older process hands over, except for the commands.
 type handoverState struct {
 	dispatch.HandoverState
-	Places int `json:"Places"` // connections that it still has
+	Connections int `json:"Places"` // connections that it still has
 }
 
 // callOlder connects to a process that serves the address and returns the list to begin with: that process's list
@@ -434,7 +434,7 @@
 			return err
 		}
 		h.Commands, r.commands = r.commands, nil
-		r.server.LendSlots(h.Places)
+		r.server.LendSlots(h.Connections)
 		r.loop.TakeOver(h.HandoverState)
 		r.resize()
 		r.serve(ctx)
