--- a/internal/net/clients/conn.go
+++ b/internal/net/clients/conn.go
@@ -45,13 +45,13 @@
 	unanswered    bool // a request has been received, at least in part, and is not answered yet
 
 	// Guarded by the server's lock.
-	state      state
-	stateSince time.Time // when the state began; until the first answer, when it was accepted
-	evicted    bool
-	answered   bool // a request on it has been answered
-	fromInstance   bool // its last request was a callback
-	passed     bool // to another process
-	flooded    bool // bytes after a request were dropped, so no further request can be read
+	state        state
+	stateSince   time.Time // when the state began; until the first answer, when it was accepted
+	evicted      bool
+	answered     bool // a request on it has been answered
+	fromInstance bool // its last request was a callback
+	passed       bool // to another process
+	flooded      bool // bytes after a request were dropped, so no further request can be read
 }
 
 // retention orders connections by how much they are needed while others wait for a slot, the most expendable first.
--- a/internal/net/clients/server.go
+++ b/internal/net/clients/server.go
@@ -103,13 +103,13 @@
 
 // PassedConn is the state of a connection that is passed to another process.
 type PassedConn struct {
-	Answered  bool           `json:"Answered,omitempty"` // a request on it has been answered
-	FromInstance  bool           `json:"Instance,omitempty"` // its last request was a callback
-	Received  []byte         `json:"Rest,omitempty"`     // bytes read from it and not yet processed
-	Flooded   bool           `json:"Flood,omitempty"`    // bytes after those were dropped
-	CommandID string         `json:"ID,omitempty"`       // the command that its client waits for
-	Request   *http1.Request `json:"Request,omitempty"`  // the request of that command, unless the command was handed over separately
-	Deadline  time.Time      `json:"Deadline,omitzero"`  // of that command
+	Answered     bool           `json:"Answered,omitempty"` // a request on it has been answered
+	FromInstance bool           `json:"Instance,omitempty"` // its last request was a callback
+	Received     []byte         `json:"Rest,omitempty"`     // bytes read from it and not yet processed
+	Flooded      bool           `json:"Flood,omitempty"`    // bytes after those were dropped
+	CommandID    string         `json:"ID,omitempty"`       // the command that its client waits for
+	Request      *http1.Request `json:"Request,omitempty"`  // the request of that command, unless the command was handed over separately
+	Deadline     time.Time      `json:"Deadline,omitzero"`  // of that command
 }
 
 // New returns a server for at most maxConns connections.
--- a/internal/net/discovery/encoded_test.go
+++ b/internal/net/discovery/encoded_test.go
@@ -8,5 +8,5 @@
 
 // TestEncodedForm fails if the JSON form of a struct that is stored or sent to another process changes.
 func TestEncodedForm(t *testing.T) {
-	wiretest.Check(t, &listText{}, &memberText{})
+	wiretest.Check(t, &listJSON{}, &memberJSON{})
 }
--- a/internal/net/discovery/faulty_test.go
+++ b/internal/net/discovery/faulty_test.go
@@ -70,7 +70,7 @@
 
 // Guards against one invalid entry ending the watch at every call, so that the dispatcher receives no updates of any
 // other encoder.
-func TestFaultyEntriesAreIgnored(t *testing.T) {
+func TestInvalidEntriesAreIgnored(t *testing.T) {
 	l := listen(t)
 	w := NewWatcher(l.Addr().String(), 0, testSettings(1, false))
 	s := runWatcher(t, w)
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -19,15 +19,15 @@
 // latestStart is the latest valid start time of an encoder in Unix milliseconds: the end of the year 9999.
 const latestStart = 253_402_300_799_999
 
-// listText is a list as encoded by discovery.
-type listText struct {
+// listJSON is a list as encoded by discovery.
+type listJSON struct {
 	Revision int64             `json:"revision"`
 	Complete bool              `json:"complete"`
 	Members  []json.RawMessage `json:"members"`
 }
 
-// memberText is one entry of a list.
-type memberText struct {
+// memberJSON is one entry of a list.
+type memberJSON struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
 	GRPC     string  `json:"grpc"` // extension for plug-ins
@@ -57,9 +57,9 @@
 
 // ParseList decodes a list in discovery's format. One invalid entry makes the whole list invalid.
 func ParseList(text []byte) (dispatch.InstanceUpdate, error) {
-	l, faulty, err := readList(text)
-	if err == nil && len(faulty) > 0 {
-		err = faulty[0]
+	l, invalid, err := readList(text)
+	if err == nil && len(invalid) > 0 {
+		err = invalid[0]
 	}
 	if err != nil {
 		return dispatch.InstanceUpdate{}, err
@@ -69,7 +69,7 @@
 
 // readList decodes a list. It returns the valid entries, and an error for each invalid one.
 func readList(text []byte) (dispatch.InstanceUpdate, []*EntryError, error) {
-	var in listText
+	var in listJSON
 	if err := json.Unmarshal(text, &in); err != nil {
 		return dispatch.InstanceUpdate{}, nil, fmt.Errorf("list: %w", err)
 	}
@@ -77,21 +77,21 @@
 		return dispatch.InstanceUpdate{}, nil, errors.New("list: JSON object has no members array")
 	}
 	l := dispatch.InstanceUpdate{Revision: in.Revision, Complete: in.Complete}
-	var faulty []*EntryError
+	var invalid []*EntryError
 	for i, text := range in.Members {
 		m, err := readMember(text)
 		if err != nil {
-			faulty = append(faulty, &EntryError{Index: i, ID: m.ID, Err: err})
+			invalid = append(invalid, &EntryError{Index: i, ID: m.ID, Err: err})
 			continue
 		}
 		l.Instances = append(l.Instances, m)
 	}
-	return l, faulty, nil
+	return l, invalid, nil
 }
 
 // readMember decodes an entry. For an invalid one, it returns the ID if that can be read.
 func readMember(text []byte) (dispatch.Instance, error) {
-	var in memberText
+	var in memberJSON
 	err := json.Unmarshal(text, &in) // continues after a value of the wrong type
 	invalid := dispatch.Instance{ID: in.ID}
 	state, known := phases[in.Phase]
@@ -116,11 +116,11 @@
 
 // keepUnreadable adds the previous state of instances whose entries in a complete list are invalid: the list shows
 // that they still exist.
-func keepUnreadable(l dispatch.InstanceUpdate, faulty []*EntryError, before map[string]dispatch.Instance) dispatch.InstanceUpdate {
+func keepUnreadable(l dispatch.InstanceUpdate, invalid []*EntryError, before map[string]dispatch.Instance) dispatch.InstanceUpdate {
 	if !l.Complete {
 		return l
 	}
-	for _, f := range faulty {
+	for _, f := range invalid {
 		if m, listed := before[f.ID]; listed {
 			l.Instances = append(l.Instances, m)
 		}
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -24,7 +24,7 @@
 const (
 	maxListBytes       = 4 << 20               // size limit of one list
 	maxReportedEntries = 4                     // invalid entries of one list that are reported one by one
-	callSpacing        = 20 * time.Millisecond // per dispatcher: interval over which the fleet's calls for the same cause are spread; the same as in decide
+	callSpacing        = 20 * time.Millisecond // per dispatcher: interval over which the fleet's calls for the same cause are spread
 	timerSlack         = 10 * time.Millisecond // a timer may fire this much early
 )
 
@@ -362,7 +362,7 @@
 		} else if err != nil {
 			return err
 		}
-		update, faulty, err := readList(list)
+		update, invalid, err := readList(list)
 		if err != nil {
 			return err
 		}
@@ -379,19 +379,19 @@
 		last = update.Revision
 		w.listReceived(last)
 		lists.listEnded(rest)
-		reportInvalid(sink, faulty)
-		update = keepUnreadable(update, faulty, w.instances.Instances())
+		reportInvalid(sink, invalid)
+		update = keepUnreadable(update, invalid, w.instances.Instances())
 		w.instances.Update(update)
 		sink.ListReceived(update)
 	}
 }
 
 // reportInvalid reports the invalid entries of a list, only the first ones individually.
-func reportInvalid(sink Sink, faulty []*EntryError) {
-	for _, f := range faulty[:min(len(faulty), maxReportedEntries)] {
+func reportInvalid(sink Sink, invalid []*EntryError) {
+	for _, f := range invalid[:min(len(invalid), maxReportedEntries)] {
 		sink.ListIgnored(f)
 	}
-	if more := len(faulty) - maxReportedEntries; more > 0 {
+	if more := len(invalid) - maxReportedEntries; more > 0 {
 		sink.ListIgnored(fmt.Errorf("list: %d more invalid members", more))
 	}
 }
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -22,7 +22,7 @@
 	listed       chan dispatch.InstanceUpdate
 	alive        chan struct{}
 	silent, lost chan error
-	ignored       chan error
+	ignored      chan error
 }
 
 func newSink() recordingSink {
@@ -32,7 +32,7 @@
 func (s recordingSink) ListReceived(l dispatch.InstanceUpdate) { s.listed <- l }
 func (s recordingSink) Heartbeat()                             { s.alive <- struct{}{} }
 func (s recordingSink) WatchSilent(_ int, err error)           { s.silent <- err }
-func (s recordingSink) ListIgnored(err error)                   { s.ignored <- err }
+func (s recordingSink) ListIgnored(err error)                  { s.ignored <- err }
 
 func (s recordingSink) WatchLost(err error, after time.Duration) { s.lost <- lostWatch{err, after} }
 
@@ -118,7 +118,7 @@
 	require.Empty(t, s.silent)
 }
 
-// After a silence of any kind, a new call is made on a new connection less than 5 s after the last data, without
+// After a silence of any kind, a new call is made on a new connection at most 5 s after the last data, without
 // a subscription, and again for as long as the silence lasts. Bytes that never complete a list do not count as an
 // update.
 func TestSilentWatchIsReplaced(t *testing.T) {
--- a/internal/net/loadreport/loadreport.go
+++ b/internal/net/loadreport/loadreport.go
@@ -23,7 +23,8 @@
 
 const linePrefix = "TEXT "
 
-// Limits of a report. Instances send none beyond them, and a false size would be applied to all instances of a kind.
+// Limits of a report. Instances send none beyond them. Free slots plus active jobs give an instance's size, and the
+// largest size counts for its whole kind, so a false value would affect all instances of the kind.
 const (
 	maxSize  = 1 << 10
 	maxValue = 1 << 16
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -52,7 +52,7 @@
 	IdleTimeout    time.Duration // idle time after which encoders close a connection
 }
 
-// maxIdle is how long an idle connection is kept. It is well below the limit, since a request written to a connection
+// maxIdle is how long an idle connection is kept. It is well below IdleTimeout, since a request written to a connection
 // that the encoder's machine has just closed would end as a reset.
 func (l Limits) maxIdle() time.Duration { return l.IdleTimeout * 3 / 5 }
 
--- a/internal/program/callbacks_test.go
+++ b/internal/program/callbacks_test.go
@@ -23,7 +23,7 @@
 	accepted := make(chan string, 9)
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		accepted <- id(q)
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	<-env.watches
 	pending, encoder := env.dial(), env.dial()
--- a/internal/program/harness_test.go
+++ b/internal/program/harness_test.go
@@ -77,7 +77,7 @@
 	return len(p.conns)
 }
 
-func answer(c net.Conn, status int, h ...http1.Field) bool {
+func respond(c net.Conn, status int, h ...http1.Field) bool {
 	_, err := c.Write(http1.AppendResponse(nil, status, h, nil))
 	return err == nil
 }
@@ -137,7 +137,7 @@
 	accepted := make(chan string, 9)
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		accepted <- id(q)
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	return env, accepted
 }
@@ -305,7 +305,7 @@
 	return env.read(c).Status
 }
 
-// readAnswer reads one response from a connection.
-func readAnswer(c net.Conn) (*http1.Response, error) {
+// readResponse reads one response from a connection.
+func readResponse(c net.Conn) (*http1.Response, error) {
 	return http1.ReadResponse(bufio.NewReader(c), "POST")
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -27,7 +27,7 @@
 		for _, state := range []string{"started", "done", "done"} {
 			require.Equal(t, 204, env.callback(id(q), "s-1", state, "the film"))
 		}
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	require.Equal(t, 204, env.callback("of-an-earlier-life", "s-1", "done", "x"), "of an unknown job, perhaps from before a restart")
 	c := env.dial()
@@ -49,7 +49,7 @@
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		env.callback(id(q), "s-2", "done", "not ours")
 		env.callback(id(q), "s-1", "done", "ours")
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	c := env.dial()
 	env.sendCommand(c, "c1", "safe", "30000m")
@@ -72,7 +72,7 @@
 	t.Parallel()
 	for name, status := range map[string]int{"attempts_full": 503, "attempts_errored": 500} {
 		env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
-			return answer(c, status, http1.Field{Name: "X-Unprocessed", Value: "1"})
+			return respond(c, status, http1.Field{Name: "X-Unprocessed", Value: "1"})
 		})
 		c := env.dial()
 		env.sendCommand(c, "c1", "once", "4000m")
@@ -113,7 +113,7 @@
 	accepted := make(chan string, 9)
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		accepted <- q.Method + " " + q.Target
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	c := env.dial()
 	env.sendCommand(c, "c1", "once", "30000m")
@@ -128,7 +128,7 @@
 func TestStalePooledConnectionIsNotUsed(t *testing.T) {
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		defer env.callback(id(q), "s-1", "done", "r")
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	for i := range 3 {
 		c := env.dial()
@@ -143,7 +143,7 @@
 // Once discovery has reported a drain, nothing new is sent to that instance, and a watch that breaks resumes at
 // the last revision.
 func TestDrainingInstanceGetsNothingNew(t *testing.T) {
-	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	require.Equal(t, "/catalog/members?stream=1&index=7", <-env.targets)
 	line := `{"revision":9,"complete":false,"members":[` + member("", "terminating") + "]}\n"
 	watch := <-env.watches
@@ -161,7 +161,7 @@
 func TestServesDuringDiscoveryOutage(t *testing.T) {
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		env.callback(id(q), "s-1", "done", "r")
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	for i := range 3 {
 		<-env.watches
@@ -179,7 +179,7 @@
 // whatever the environment variable said at the start, and its complete list applies. A file that cannot be read
 // changes nothing.
 func TestReloadMovesWatch(t *testing.T) {
-	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	require.Equal(t, "/catalog/members?stream=1&index=7", <-env.targets)
 	old := <-env.watches
 	env.configure("nowhere")
@@ -236,7 +236,7 @@
 	pushed := strings.Replace(defaultSettings, `"subscribe"`, `"automatic"`, 1)
 	env := startWith(t, pushed, "", func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		env.callback(id(q), "s-1", "done", "r")
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	line := func(phase string) string { return member(env.instance.Addr().String(), phase) }
 	sent := func(name string, status int) {
@@ -268,7 +268,7 @@
 // limit is reached: a connection is left for each refusal.
 func TestClientsKeepAFreeConnection(t *testing.T) {
 	env := startWith(t, strings.Replace(defaultSettings, `"OpenCap":100`, `"OpenCap":20000`, 1), "",
-		func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+		func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	maxConns := env.program.config.Limits.Sockets / clientsDivisor
 	refused := make(chan int, maxConns)
 	for i := range maxConns {
@@ -358,7 +358,7 @@
 
 // Malformed input gets a plain error response, and the program goes on.
 func TestMalformedInput(t *testing.T) {
-	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	cmd := "POST /api HTTP/1.1\r\nX-Correlation-Id: a\r\n"
 	for text, status := range map[string]int{
 		"nonsense\r\n\r\n":                                        400,
@@ -392,10 +392,10 @@
 func TestUnusableCommandDoesNotCountAgainstInstance(t *testing.T) {
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		if id(q) != "c9" {
-			return answer(c, 400)
+			return respond(c, 400)
 		}
 		env.callback(id(q), "s-1", "done", "r")
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	for i := range 3 {
 		c := env.dial()
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -55,16 +55,16 @@
 }
 
 // startFor starts a program with one customer's settings and a fleet that serves all the given settings.
-func startFor(t *testing.T, by object, served ...object) *customerEnv {
+func startFor(t *testing.T, settings object, allSettings ...object) *customerEnv {
 	h := &customerEnv{
 		testEnv: &testEnv{t: t, watches: make(chan net.Conn, 9), targets: make(chan string, 9), reportUnchanged: new(atomic.Bool)},
 		sent:    map[string][]*http1.Request{},
 	}
 	h.reportUnchanged.Store(true)
-	for _, settings := range served {
-		for i, kind := range settings["Skus"].([]any) {
+	for _, served := range allSettings {
+		for i, kind := range served["Skus"].([]any) {
 			zone := "elsewhere"
-			if zones := settings["Zones"].([]any); len(zones) > 0 {
+			if zones := served["Zones"].([]any); len(zones) > 0 {
 				zone = zones[i%len(zones)].(string)
 			}
 			h.encoder(zone, kind.(string))
@@ -74,7 +74,7 @@
 	h.discoveryServer = h.startDiscovery()
 	h.discovery = h.discoveryServer.Addr().String()
 	h.variables = map[string]string{"PROXY_CONFIG": t.TempDir() + "/config.json", "TMPDIR": t.TempDir()}
-	h.writeConfig(by)
+	h.writeConfig(settings)
 	h.run()
 	h.await(func() bool { return h.program.Phase() == Serving })
 	return h
@@ -85,7 +85,7 @@
 	name := fmt.Sprint("s-", len(h.members)+1)
 	e := listen(h.t, func(c net.Conn, q *http1.Request) bool {
 		if q.Method != "POST" {
-			return answer(c, 200)
+			return respond(c, 200)
 		}
 		h.mu.Lock()
 		h.sent[id(q)] = append(h.sent[id(q)], q)
@@ -94,11 +94,11 @@
 		case "break":
 			return false
 		case "full":
-			return answer(c, 503, http1.Field{Name: "X-Unprocessed", Value: "1"})
+			return respond(c, 503, http1.Field{Name: "X-Unprocessed", Value: "1"})
 		case "serve":
 			h.callback(id(q), name, "done", "r")
 		}
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	h.t.Cleanup(func() {
 		e.stop()
@@ -227,7 +227,7 @@
 	}
 	for _, client := range clients {
 		go func() {
-			if answer, err := readAnswer(client); err == nil && answer.Status == 503 {
+			if answer, err := readResponse(client); err == nil && answer.Status == 503 {
 				refused <- answer.Header.Get("Retry-After")
 			}
 		}()
--- a/internal/program/settings_test.go
+++ b/internal/program/settings_test.go
@@ -112,7 +112,7 @@
 func (f *scriptedFleet) script(at string) func(c net.Conn, q *http1.Request) bool {
 	return func(c net.Conn, q *http1.Request) bool {
 		if q.Method != "POST" {
-			return answer(c, 200)
+			return respond(c, 200)
 		}
 		f.mu.Lock()
 		n := len(f.attempts[id(q)])
@@ -124,9 +124,9 @@
 		load := http1.Field{Name: "X-Backend-Load", Value: []string{"TEXT x0=1, inflight=3", "rubbish"}[behaviour%2]}
 		switch behaviour {
 		case 0:
-			return answer(c, 503, http1.Field{Name: "X-Unprocessed", Value: "1"}, load)
+			return respond(c, 503, http1.Field{Name: "X-Unprocessed", Value: "1"}, load)
 		case 1:
-			return answer(c, 500, load)
+			return respond(c, 500, load)
 		case 2:
 			return false // connection broken before the 202
 		case 3:
@@ -140,7 +140,7 @@
 			f.callback(id(q), at, "started")
 			f.callback(id(q), at, "done")
 		}
-		return answer(c, 202)
+		return respond(c, 202)
 	}
 }
 
@@ -173,14 +173,14 @@
 		})
 	}
 	watches := make(chan net.Conn, 99)
-	table := listen(t, func(c net.Conn, q *http1.Request) bool {
+	discoveryServer := listen(t, func(c net.Conn, q *http1.Request) bool {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"+chunk(`{"revision":1,"complete":false,"members":[]}`+"\n"))
 		watches <- c
 		return true
 	})
-	defer table.stop()
+	defer discoveryServer.stop()
 	text, err := json.Marshal(object{
-		"name": "n1", "listen": "127.0.0.1:0", "discovery": table.Addr().String(), "seed": "1f", "settings": s,
+		"name": "n1", "listen": "127.0.0.1:0", "discovery": discoveryServer.Addr().String(), "seed": "1f", "settings": s,
 		"known": object{"revision": 1, "complete": true, "members": members},
 	})
 	require.NoError(rt, err)
--- a/internal/program/takeover.go
+++ b/internal/program/takeover.go
@@ -201,17 +201,17 @@
 )
 
 // nextStep returns the next step after the time since in a phase. fresh: discovery has sent a list. older: an
-// older process is connected. noState: one answered but sent no state; it may still be serving by a more recent list
+// older process is connected. olderSilent: one answered but sent no state; it may still be serving by a more recent list
 // than the configuration's. unreachable: discovery cannot be reached. A process that starts alone has the
 // configuration's list, which may date from the previous process's start. Changes that discovery has had for longer than
 // its propagation delay count as known to this process from its first moment, so it serves only once discovery has
 // answered or cannot be reached.
-func nextStep(phase Phase, since time.Duration, fresh, older, noState, unreachable bool) step {
+func nextStep(phase Phase, since time.Duration, fresh, older, olderSilent, unreachable bool) step {
 	late := since >= freshListTimeout+handoverTimeout
 	switch {
 	case phase == TakingOver && (!older || since >= handoverTimeout):
 		return stepServe
-	case phase == Starting && !older && (fresh || late || unreachable && !noState):
+	case phase == Starting && !older && (fresh || late || unreachable && !olderSilent):
 		return stepServe
 	case phase == Starting && older && (fresh || since >= freshListTimeout):
 		return stepAskHandover
--- a/internal/program/takeover_test.go
+++ b/internal/program/takeover_test.go
@@ -74,7 +74,7 @@
 func TestUnconfirmedAttemptsDuringHandover(t *testing.T) {
 	for confirmed, status := range map[bool]int{true: 200, false: 502} { // connection broken: the command may have run
 		reply := make(chan bool)
-		env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return <-reply && answer(c, 202) })
+		env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return <-reply && respond(c, 202) })
 		<-env.watches
 		c := env.dial()
 		env.sendCommand(c, "c1", "once", "30000m")
@@ -98,7 +98,7 @@
 	seen := make(chan *http1.Request, 9)
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		seen <- q
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	<-env.watches
 	first, pending := env.dial(), env.dial()
@@ -120,7 +120,7 @@
 
 // Where the handover socket cannot be created, a second program still shares the address.
 func TestNoHandoverSocket(t *testing.T) {
-	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	env.variables["TMPDIR"], env.variables["PROXY_LISTEN"] = "/nowhere", env.program.Address()
 	older := env.startNewer()
 	env.await(func() bool { return env.program.Phase() == Serving })
@@ -139,7 +139,7 @@
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		accepted <- id(q)
 		env.callback(id(q), "s-1", "done", "r")
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	require.Equal(t, "ERR s-9 is not known\n", env.operatorCall("cordon s-9"))
 	for range 2 {
@@ -180,7 +180,7 @@
 func TestOlderServesAgainWhenNewerDies(t *testing.T) {
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		env.callback(id(q), "s-1", "done", "r")
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	<-env.watches
 	link, err := handover.Dial(env.program.socketPath())
@@ -211,7 +211,7 @@
 // With 300 ms more before the socket is opened it happens each time.
 func TestRefusedNewerProcessCallsAgain(t *testing.T) {
 	env := &testEnv{t: t}
-	env.prepare("", "", func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env.prepare("", "", func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	socket, err := handover.Listen(handover.Path(env.variables["TMPDIR"], "127.0.0.1:0"))
 	require.NoError(t, err)
 	calls := make(chan *handover.Link, 1)
@@ -239,7 +239,7 @@
 // Guards against a moment without a handover socket, if the older process closes its socket when it has handed
 // over.
 func TestHandoverSocketStaysOpen(t *testing.T) {
-	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	newer, err := handover.Dial(env.program.socketPath())
 	require.NoError(t, err)
 	go newer.Run(func(_ handover.Message, f *os.File) {
@@ -260,7 +260,7 @@
 // Whatever file is at the socket's path, stale or half written, a program starts, and the next one finds its
 // socket.
 func TestHandoverSocketReplacesStaleFiles(t *testing.T) {
-	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 30)) // longer than a socket address holds
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	env.variables["TMPDIR"] = dir
@@ -287,7 +287,7 @@
 			return <-reply
 		}
 		env.callback(id(q), "s-1", "done", "r")
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	env.sendCommand(env.dial(), "c1", "once", "30000m")
 	env.await(func() bool { return env.operatorCounter("upstream_tries") == "1" })
@@ -315,7 +315,7 @@
 // renamed the other's temporary file, whose change was lost. Cordons set at either process during a handover apply at both, however
 // quickly they follow, and are in the file.
 func TestCordonsAtBothProcessesDuringHandover(t *testing.T) {
-	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	line := member(env.instance.Addr().String(), "in_service")
 	all := line
 	for _, other := range []string{"s-2", "s-3"} {
@@ -366,7 +366,7 @@
 // Guards against a cordon that waits for the disk before it applies, and a newer process that waits for that. It
 // applies at once, at both processes, while the disk does not answer; the operator gets an error that says so.
 func TestCordonDoesNotWaitForDisk(t *testing.T) {
-	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	<-env.watches
 	answers, writes := make(chan bool), make(chan string, 9)
 	env.program.cordons.write = func(path string, text []byte) error {
@@ -390,7 +390,7 @@
 // Guards against an update that reached only one of two processes: the other's own watch may report it seconds
 // later. It applies to both, and a repeat on the own watch does not revert it.
 func TestDrainReportedToEitherProcess(t *testing.T) {
-	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	first := <-env.watches
 	up, down := member(env.instance.Addr().String(), "in_service"), member(env.instance.Addr().String(), "terminating")
 	older := env.startNewer()
@@ -412,11 +412,11 @@
 func TestServesInTimeWhateverOlderDoes(t *testing.T) {
 	require.LessOrEqual(t, freshListTimeout+handoverTimeout, 4*time.Second)
 	for _, test := range []struct {
-		phase                 Phase
-		since                 time.Duration
-		fresh, older, noState bool
-		unreachable           bool
-		next                  step
+		phase                     Phase
+		since                     time.Duration
+		fresh, older, olderSilent bool
+		unreachable               bool
+		next                      step
 	}{
 		{Starting, 0, false, false, false, false, stepWait}, // no older process, and the list may be old
 		{Starting, 0, true, false, false, false, stepServe},
@@ -436,9 +436,9 @@
 		{TakingOver, 0, true, false, false, false, stepServe}, // the older process has ended
 		{TakingOver, handoverTimeout, true, true, false, false, stepServe},
 	} {
-		require.Equal(t, test.next, nextStep(test.phase, test.since, test.fresh, test.older, test.noState, test.unreachable), "%+v", test)
+		require.Equal(t, test.next, nextStep(test.phase, test.since, test.fresh, test.older, test.olderSilent, test.unreachable), "%+v", test)
 	}
-	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 	<-env.watches
 	env.program.handoverListener.Close()
 	silent, err := handover.Listen(env.program.socketPath()) // accepts connections and sends nothing
@@ -455,7 +455,7 @@
 func TestSlowOlderProcessHandsOver(t *testing.T) {
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		env.callback(id(q), "s-1", "done", "r")
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	<-env.watches
 	c := env.dial()
@@ -475,7 +475,7 @@
 // applies only if the watch gets no further, since discovery has then restarted its revisions.
 func TestLateCompleteListKeepsDrain(t *testing.T) {
 	for _, watchCatchesUp := range []bool{true, false} {
-		env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return answer(c, 202) })
+		env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool { return respond(c, 202) })
 		first := <-env.watches
 		up, down := member(env.instance.Addr().String(), "in_service"), member(env.instance.Addr().String(), "terminating")
 		env.startNewer()
@@ -509,7 +509,7 @@
 	env := &testEnv{t: t}
 	env.prepare("", "", func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		sent <- id(q)
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	env.reportUnchanged.Store(false)
 	env.run()
@@ -534,7 +534,7 @@
 		env := &testEnv{t: t}
 		env.prepare("", "", func(env *testEnv, c net.Conn, q *http1.Request) bool {
 			env.callback(id(q), "s-1", "done", "r")
-			return answer(c, 202)
+			return respond(c, 202)
 		})
 		env.reportUnchanged.Store(false)
 		if !silent {
@@ -557,7 +557,7 @@
 func TestTakesOverWithItsOwnDiscovery(t *testing.T) {
 	env := start(t, func(env *testEnv, c net.Conn, q *http1.Request) bool {
 		env.callback(id(q), "s-1", "done", "r")
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	require.Equal(t, "/catalog/members?stream=1&index=7", <-env.targets)
 	first := <-env.watches
--- a/internal/program/termination_test.go
+++ b/internal/program/termination_test.go
@@ -59,7 +59,7 @@
 func launch(t *testing.T, settings string, script func(p *daemonProcess, c net.Conn, q *http1.Request) bool) *daemonProcess {
 	p := &daemonProcess{T: t, ended: make(chan error, 1)}
 	instance := listen(t, func(c net.Conn, q *http1.Request) bool { return script(p, c, q) })
-	table := listen(t, func(c net.Conn, q *http1.Request) bool {
+	discoveryServer := listen(t, func(c net.Conn, q *http1.Request) bool {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"+unchangedList)
 		return true
 	})
@@ -74,7 +74,7 @@
 	p.address = fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 	file := t.TempDir() + "/config.json"
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1f","known":{"revision":7,"complete":true,"members":[%s]},"settings":%s}`,
-		p.address, table.Addr(), member(instance.Addr().String(), "in_service"), settings)
+		p.address, discoveryServer.Addr(), member(instance.Addr().String(), "in_service"), settings)
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	p.cmd = exec.Command(os.Args[0])
 	p.cmd.Env = append(os.Environ(), "WINGLB_ENDING=1", "PROXY_CONFIG="+file, "TMPDIR="+t.TempDir())
@@ -183,11 +183,11 @@
 		case q.Method == "POST":
 			p.postResult(id(q))
 		}
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	var counts clientCounts
 	var all sync.WaitGroup
-	var asked sync.WaitGroup // clients that have neither a response nor a request without one
+	var firstBatches sync.WaitGroup // of clients that have not yet ended theirs
 	client := func(i int) {
 		first := true
 		for n := 0; ; n++ {
@@ -205,17 +205,17 @@
 				ok = counts.sendBatch(c, br, used, batch...)
 				if used = true; first {
 					first = false
-					asked.Done()
+					firstBatches.Done()
 				}
 			}
 			c.Close()
 		}
 	}
 	for i := range 24 {
-		asked.Add(1)
+		firstBatches.Add(1)
 		all.Go(func() { client(i) })
 	}
-	asked.Wait()
+	firstBatches.Wait()
 	for i := range 6 { // jobs that never end; commands of class once are never retried
 		all.Go(func() {
 			c, err := net.Dial("tcp", p.address)
