--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -35,7 +35,7 @@
 // cordonChange is the message between processes about one cordon.
 type cordonChange struct {
 	ID  string `json:"ID"`
-	Out bool   `json:"Out"`
+	Cordoned bool   `json:"Out"`
 }
 
 // CordonStore stores cordons that are shared among dispatchers. The LeftOut method of its part returns them at the
@@ -86,11 +86,11 @@
 
 // applyCordon applies a change in this process and sends it to the other processes except from. The lock is held.
 func (p *Program) applyCordon(c cordonChange, from *handover.Link) (ids []string) {
-	if p.cordons.cordoned[c.ID] = c.Out; !c.Out {
+	if p.cordons.cordoned[c.ID] = c.Cordoned; !c.Cordoned {
 		delete(p.cordons.cordoned, c.ID)
 	}
-	p.pool.Cordon(c.ID, c.Out)
-	p.loop.Cordon(c.ID, c.Out)
+	p.pool.Cordon(c.ID, c.Cordoned)
+	p.loop.Cordon(c.ID, c.Cordoned)
 	p.mu.Lock()
 	for _, l := range []*handover.Link{p.older, p.newer} {
 		if l != nil && l != from {
@@ -109,7 +109,7 @@
 		return fmt.Errorf("%s is not known", c.ID)
 	}
 	if p.cordonStore != nil && from == nil {
-		return p.cordonStore.Cordon(c.ID, c.Out)
+		return p.cordonStore.Cordon(c.ID, c.Cordoned)
 	}
 	p.cordons.mu.Lock()
 	ids := p.applyCordon(c, from)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -280,6 +280,7 @@
 		case s := <-signals:
 			if s == syscall.SIGHUP {
 				p.eachPart(func(t Part) {
+					// Asked notifies a part that an operator has asked for a reload by SIGHUP.
 					if h, ok := t.(interface{ Asked() }); ok {
 						h.Asked()
 					}
