--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -34,7 +34,7 @@
 
 // cordonChange is the message between processes about one cordon.
 type cordonChange struct {
-	ID  string `json:"ID"`
+	ID       string `json:"ID"`
 	Cordoned bool   `json:"Out"`
 }
 
--- a/internal/program/lists.go
+++ b/internal/program/lists.go
@@ -202,7 +202,7 @@
 	}
 }
 
-// ListIgnored is called when a list, or an entry of one, is ignored as invalid.
+// ListIgnored is called when a list, or an entry of one, is ignored as invalid or older than the last.
 func (p *Program) ListIgnored(err error) {
 	p.log.Error("invalid instance list from discovery ignored", "err", err)
 }
--- a/internal/program/termination_test.go
+++ b/internal/program/termination_test.go
@@ -45,8 +45,8 @@
 	os.Exit(0)
 }
 
-// daemonProcess is the program in a process of its own.
-type daemonProcess struct {
+// programProcess is the program in a process of its own.
+type programProcess struct {
 	*testing.T
 	cmd          *exec.Cmd
 	address      string
@@ -56,8 +56,8 @@
 }
 
 // launch starts the program whose instance runs a script.
-func launch(t *testing.T, settings string, script func(p *daemonProcess, c net.Conn, q *http1.Request) bool) *daemonProcess {
-	p := &daemonProcess{T: t, ended: make(chan error, 1)}
+func launch(t *testing.T, settings string, script func(p *programProcess, c net.Conn, q *http1.Request) bool) *programProcess {
+	p := &programProcess{T: t, ended: make(chan error, 1)}
 	instance := listen(t, func(c net.Conn, q *http1.Request) bool { return script(p, c, q) })
 	discoveryServer := listen(t, func(c net.Conn, q *http1.Request) bool {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"+unchangedList)
@@ -93,7 +93,7 @@
 }
 
 // terminate sends SIGTERM, and kills the process after the given time.
-func (p *daemonProcess) terminate(after time.Duration) {
+func (p *programProcess) terminate(after time.Duration) {
 	p.terminatedAt = time.Now()
 	require.NoError(p, p.cmd.Process.Signal(syscall.SIGTERM))
 	kill := time.AfterFunc(after, func() { p.cmd.Process.Kill() })
@@ -101,7 +101,7 @@
 }
 
 // waitForExit waits for the process to end by itself, and returns its log with the final counters.
-func (p *daemonProcess) waitForExit() string {
+func (p *programProcess) waitForExit() string {
 	select {
 	case err := <-p.ended:
 		require.NoError(p, err, "the process did not end by itself before it was killed: %s", p.log.String())
@@ -112,7 +112,7 @@
 }
 
 // postResult posts a job's result as the instance would.
-func (p *daemonProcess) postResult(id string) {
+func (p *programProcess) postResult(id string) {
 	c, err := net.Dial("tcp", p.address)
 	if err != nil {
 		return // the process has ended
@@ -176,7 +176,7 @@
 // accepted were reset when the process ended.
 func TestTerminationAnswersEveryRequest(t *testing.T) {
 	hang := make(chan string, 99)
-	p := launch(t, strings.ReplaceAll(defaultSettings, `"TellsStart":true`, `"TellsStart":false`), func(p *daemonProcess, c net.Conn, q *http1.Request) bool {
+	p := launch(t, strings.ReplaceAll(defaultSettings, `"TellsStart":true`, `"TellsStart":false`), func(p *programProcess, c net.Conn, q *http1.Request) bool {
 		switch hangs := strings.HasPrefix(id(q), "hangs"); {
 		case hangs && q.Method == "POST":
 			hang <- id(q)
