--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -331,7 +331,7 @@
 type chunkedReader struct {
 	r         *bufio.Reader
 	remaining int64 // of the current chunk
-	started   bool  // a chunk has been read, at least in part
+	any       bool  // a chunk has been read, at least in part
 	finished  bool
 }
 
@@ -359,14 +359,14 @@
 }
 
 func (c *chunkedReader) nextChunk() error {
-	if c.started {
+	if c.any {
 		if line, err := readLine(c.r, false); err != nil {
 			return err
 		} else if line != "" {
 			return malformed(400, "chunk end")
 		}
 	}
-	c.started = true
+	c.any = true
 	line, err := readLine(c.r, false)
 	if err != nil {
 		return err
--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -118,7 +118,7 @@
 		written = p.queueWrite()
 	}
 	p.cordons.mu.Unlock()
-	if p.log.Info("cordons changed", "ids", ids); from != nil {
+	if p.log.Info("cordoned", "ids", ids); from != nil {
 		return nil
 	}
 	err := errors.New("the disk does not answer")
@@ -176,7 +176,7 @@
 			err = p.cordons.write(p.cordonsFile(), text)
 		}
 		if err != nil {
-			p.log.Error("cannot write cordons", "err", err)
+			p.log.Error("cordons", "err", err)
 		}
 		for _, w := range waiters {
 			w <- err
@@ -222,7 +222,7 @@
 		err = json.Unmarshal(text, &ids)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		p.log.Error("cannot read cordons", "err", err)
+		p.log.Error("cordons", "err", err)
 	}
 	return ids
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -172,7 +172,7 @@
 	p.log.Info(next.String(), "held", p.loop.Pending()) // without the lock: logging may block on a slow reader
 	p.eachPart(func(t Part) {
 		if err := t.Phase(p.ctx, next); err != nil {
-			p.log.Error("part failed at a phase change", "name", t.Name(), "phase", next.String(), "err", err)
+			p.log.Error("part", "name", t.Name(), "phase", next.String(), "err", err)
 		}
 	})
 	return true
