--- a/internal/net/clients/server.go
+++ b/internal/net/clients/server.go
@@ -175,8 +175,8 @@
 }
 
 // acquireSlot takes a slot for one more connection. While all are taken, an expendable connection is evicted,
-// otherwise the next client connection closes after its answer. It checks repeatedly, because a silent connection becomes expendable only after
-// a while, and accepting must never wait for the full timeout of such a peer.
+// otherwise the next client connection closes after its answer. It checks repeatedly, because a silent connection
+// becomes expendable only after a while, and accepting must never wait for the full timeout of such a peer.
 func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
