--- a/internal/net/clients/eviction_test.go
+++ b/internal/net/clients/eviction_test.go
@@ -32,7 +32,7 @@
 }
 
 // When idle clients hold all slots, they are evicted, and an encoder's connection is kept although it has been idle
-// longest: it was once evicted first. Callbacks on new connections are accepted, too.
+// longest. Guards against evicting it first. Callbacks on new connections are accepted, too.
 func TestIdleClientsAreEvictedBeforeEncoders(t *testing.T) {
 	c, _, dial := serveWith(t, 8, 0, timeouts{firstRequest: time.Minute, firstByte: time.Minute, remainder: time.Minute, linger: defaultTimeouts.linger})
 	encoder := dial()
@@ -58,8 +58,8 @@
 	encoder, client := dial(), dial()
 	require.False(t, postCallback(t, c, encoder, "1"))
 	require.Equal(t, 200, roundTrip(t, client, healthRequest).Status)
-	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.instance })
-	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered && !c.instance })
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.fromInstance })
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.answered && !c.fromInstance })
 	s.setCrowded(true)
 	require.False(t, postCallback(t, c, encoder, "2"))
 	require.False(t, postCallback(t, c, encoder, "3"), "nor is it closed before its next callback")
@@ -79,7 +79,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// gatedListener counts the calls of Accept, which wait for the gate first.
+// gatedListener counts calls of Accept; each waits until the gate lets it pass.
 type gatedListener struct {
 	net.Listener
 	gate    chan struct{}
@@ -143,7 +143,7 @@
 	postCallback(t, c, encoder, "1")
 	_, err = idle.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.instance })
+	waitForConn(t, s, func(c *conn) bool { return c.state == waiting && c.fromInstance })
 	s.mu.Lock()
 	for c := range s.conns {
 		c.state = handling // no connection is expendable
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -24,7 +24,7 @@
 const (
 	maxListBytes       = 4 << 20               // size limit of one list
 	maxReportedEntries = 4                     // invalid entries of one list that are reported one by one
-	callSpacing        = 20 * time.Millisecond // per dispatcher: interval over which the fleet's calls for the same cause are spread; the same as in decide
+	callSpacing        = 20 * time.Millisecond // per dispatcher: interval over which the fleet's calls for the same cause are spread
 	timerSlack         = 10 * time.Millisecond // a timer may fire this much early
 )
 
@@ -50,8 +50,8 @@
 	// WatchLost reports that the watch, or the call that opens it, has failed, and how long after the call started. The
 	// list is unchanged.
 	WatchLost(err error, after time.Duration)
-	// ListFaulty reports that a list or an entry of one is ignored. The watch continues.
-	ListFaulty(error)
+	// ListIgnored reports that a list or an entry of one is ignored. The watch continues.
+	ListIgnored(error)
 }
 
 // Watcher watches discovery's list for changes. Its [listclock.Clock] and Subscribe determine when it calls
@@ -69,7 +69,7 @@
 	callStarted time.Duration         // start time of the last call
 	instances   dispatch.InstanceList // as last received; used by the watch's goroutine only
 	cancelWatch context.CancelFunc    // ends the current watch
-	paused      bool                  // the current watch was ended by Rest
+	paused      bool                  // the current watch was ended by Pause
 	answered    bool                  // the call that opened the current watch succeeded
 }
 
@@ -250,8 +250,8 @@
 const (
 	endLost        watchEndReason = iota // failed; the subscriber decides when to call again
 	endSilent                            // timed out; reopen now
-	endMoved                             // address changed; call the new one now
-	endMovePending                       // failed after the address changed; the clock decides when to call the new one
+	endMoved                             // address changed; call the new address now
+	endMovePending                       // failed after the address changed; the clock decides when to call the new address
 )
 
 // watchEnded records the end of a watch and returns its reason.
@@ -362,7 +362,7 @@
 		} else if err != nil {
 			return err
 		}
-		update, faulty, err := readList(list)
+		update, invalid, err := readList(list)
 		if err != nil {
 			return err
 		}
@@ -373,26 +373,26 @@
 		if update.Revision < last {
 			w.listIgnored()
 			lists.listEnded(rest)
-			sink.ListFaulty(&OlderListError{Revision: update.Revision, Last: last})
+			sink.ListIgnored(&OlderListError{Revision: update.Revision, Last: last})
 			continue
 		}
 		last = update.Revision
 		w.listReceived(last)
 		lists.listEnded(rest)
-		reportFaulty(sink, faulty)
-		update = keepUnreadable(update, faulty, w.instances.Instances())
+		reportInvalid(sink, invalid)
+		update = keepUnreadable(update, invalid, w.instances.Instances())
 		w.instances.Update(update)
 		sink.ListReceived(update)
 	}
 }
 
-// reportFaulty reports the invalid entries of a list, only the first ones individually.
-func reportFaulty(sink Sink, faulty []*EntryError) {
-	for _, f := range faulty[:min(len(faulty), maxReportedEntries)] {
-		sink.ListFaulty(f)
+// reportInvalid reports the invalid entries of a list, only the first ones individually.
+func reportInvalid(sink Sink, invalid []*EntryError) {
+	for _, f := range invalid[:min(len(invalid), maxReportedEntries)] {
+		sink.ListIgnored(f)
 	}
-	if more := len(faulty) - maxReportedEntries; more > 0 {
-		sink.ListFaulty(fmt.Errorf("list: %d more invalid members", more))
+	if more := len(invalid) - maxReportedEntries; more > 0 {
+		sink.ListIgnored(fmt.Errorf("list: %d more invalid members", more))
 	}
 }
 
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -394,7 +394,7 @@
 	return s != ""
 }
 
-// IsVisible reports whether s can be written into a header line or target as it is.
+// IsVisible reports whether s consists of visible ASCII only and is not empty.
 func IsVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 127 {
--- a/internal/program/cordons.go
+++ b/internal/program/cordons.go
@@ -22,7 +22,7 @@
 
 	mu       sync.Mutex // never held during file access, logging or messages to a peer
 	cordoned map[string]bool
-	unsaved  bool         // another process has sent changes and writes them
+	unsaved  bool         // the last change came from another process, which may end before it has written it
 	writing  bool         // a writer goroutine runs
 	waiters  []chan error // callers waiting for the next write; each has a buffer of one
 }
@@ -34,8 +34,8 @@
 
 // cordonChange is the message between processes about one cordon.
 type cordonChange struct {
-	ID  string `json:"ID"`
-	Out bool   `json:"Out"`
+	ID       string `json:"ID"`
+	Cordoned bool   `json:"Out"`
 }
 
 // CordonStore stores cordons that are shared among dispatchers. The LeftOut method of its part returns them at the
@@ -46,7 +46,7 @@
 	Cordon(id string, out bool) error
 }
 
-// Cordons is the interface of the program that a Keeper uses.
+// Cordons is the interface of the program that a part with a CordonStore uses.
 type Cordons interface {
 	// SetStore sets the store that cordons go through. It must be called before the program runs.
 	SetStore(CordonStore)
@@ -86,11 +86,11 @@
 
 // applyCordon applies a change in this process and sends it to the other processes except from. The lock is held.
 func (p *Program) applyCordon(c cordonChange, from *handover.Link) (ids []string) {
-	if p.cordons.cordoned[c.ID] = c.Out; !c.Out {
+	if p.cordons.cordoned[c.ID] = c.Cordoned; !c.Cordoned {
 		delete(p.cordons.cordoned, c.ID)
 	}
-	p.pool.Cordon(c.ID, c.Out)
-	p.loop.Cordon(c.ID, c.Out)
+	p.pool.Cordon(c.ID, c.Cordoned)
+	p.loop.Cordon(c.ID, c.Cordoned)
 	p.mu.Lock()
 	for _, l := range []*handover.Link{p.older, p.newer} {
 		if l != nil && l != from {
@@ -109,7 +109,7 @@
 		return fmt.Errorf("%s is not known", c.ID)
 	}
 	if p.cordonStore != nil && from == nil {
-		return p.cordonStore.Cordon(c.ID, c.Out)
+		return p.cordonStore.Cordon(c.ID, c.Cordoned)
 	}
 	p.cordons.mu.Lock()
 	ids := p.applyCordon(c, from)
--- a/internal/program/termination_test.go
+++ b/internal/program/termination_test.go
@@ -24,7 +24,7 @@
 	"caperrelay/internal/net/sock"
 )
 
-// The test binary also runs as the daemon where a test needs a process of its own that ends.
+// The test binary also runs as the program where a test needs a process of its own that ends.
 func TestMain(m *testing.M) {
 	if os.Getenv("WINGLB_ENDING") == "" {
 		os.Exit(m.Run())
@@ -45,8 +45,8 @@
 	os.Exit(0)
 }
 
-// daemonProcess is a daemon in a process of its own.
-type daemonProcess struct {
+// programProcess is the program in a process of its own.
+type programProcess struct {
 	*testing.T
 	cmd          *exec.Cmd
 	address      string
@@ -55,15 +55,15 @@
 	ended        chan error
 }
 
-// launch starts a daemon whose instance runs a script.
-func launch(t *testing.T, settings string, script func(p *daemonProcess, c net.Conn, q *http1.Request) bool) *daemonProcess {
-	p := &daemonProcess{T: t, ended: make(chan error, 1)}
+// launch starts the program whose instance runs a script.
+func launch(t *testing.T, settings string, script func(p *programProcess, c net.Conn, q *http1.Request) bool) *programProcess {
+	p := &programProcess{T: t, ended: make(chan error, 1)}
 	instance := listen(t, func(c net.Conn, q *http1.Request) bool { return script(p, c, q) })
-	table := listen(t, func(c net.Conn, q *http1.Request) bool {
+	discoveryServer := listen(t, func(c net.Conn, q *http1.Request) bool {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"+unchangedList)
 		return true
 	})
-	// A socket that shares the port reserves it for the daemon, and refuses connections once that has ended.
+	// A socket that shares the port reserves it for the program, and refuses connections once that has ended.
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { syscall.Close(fd) })
@@ -74,7 +74,7 @@
 	p.address = fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 	file := t.TempDir() + "/config.json"
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1f","known":{"revision":7,"complete":true,"members":[%s]},"settings":%s}`,
-		p.address, table.Addr(), member(instance.Addr().String(), "in_service"), settings)
+		p.address, discoveryServer.Addr(), member(instance.Addr().String(), "in_service"), settings)
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	p.cmd = exec.Command(os.Args[0])
 	p.cmd.Env = append(os.Environ(), "WINGLB_ENDING=1", "PROXY_CONFIG="+file, "TMPDIR="+t.TempDir())
@@ -92,8 +92,8 @@
 	return p
 }
 
-// terminate sends SIGTERM, and kills the process when the platform would.
-func (p *daemonProcess) terminate(after time.Duration) {
+// terminate sends SIGTERM, and kills the process after the given time.
+func (p *programProcess) terminate(after time.Duration) {
 	p.terminatedAt = time.Now()
 	require.NoError(p, p.cmd.Process.Signal(syscall.SIGTERM))
 	kill := time.AfterFunc(after, func() { p.cmd.Process.Kill() })
@@ -101,7 +101,7 @@
 }
 
 // waitForExit waits for the process to end by itself, and returns its log with the final counters.
-func (p *daemonProcess) waitForExit() string {
+func (p *programProcess) waitForExit() string {
 	select {
 	case err := <-p.ended:
 		require.NoError(p, err, "the process did not end by itself before it was killed: %s", p.log.String())
@@ -112,7 +112,7 @@
 }
 
 // postResult posts a job's result as the instance would.
-func (p *daemonProcess) postResult(id string) {
+func (p *programProcess) postResult(id string) {
 	c, err := net.Dial("tcp", p.address)
 	if err != nil {
 		return // the process has ended
@@ -128,7 +128,7 @@
 		{Name: "X-Account", Value: "acme"}, {Name: "X-Time-Left", Value: "30000m"}}, []byte("the work"))
 }
 
-// clientCounts counts the responses that clients received.
+// clientCounts counts the commands of all clients by outcome.
 type clientCounts struct{ sent, answered, refused, retried, unanswered, cut atomic.Int64 }
 
 // sendBatch writes a batch of commands to a connection at once and reads their responses. used: a response has
@@ -176,18 +176,18 @@
 // accepted were reset when the process ended.
 func TestTerminationAnswersEveryRequest(t *testing.T) {
 	hang := make(chan string, 99)
-	p := launch(t, strings.ReplaceAll(defaultSettings, `"TellsStart":true`, `"TellsStart":false`), func(p *daemonProcess, c net.Conn, q *http1.Request) bool {
+	p := launch(t, strings.ReplaceAll(defaultSettings, `"TellsStart":true`, `"TellsStart":false`), func(p *programProcess, c net.Conn, q *http1.Request) bool {
 		switch hangs := strings.HasPrefix(id(q), "hangs"); {
 		case hangs && q.Method == "POST":
 			hang <- id(q)
 		case q.Method == "POST":
 			p.postResult(id(q))
 		}
-		return answer(c, 202)
+		return respond(c, 202)
 	})
 	var counts clientCounts
 	var all sync.WaitGroup
-	var asked sync.WaitGroup // clients that have neither a response nor a request without one
+	var firstBatches sync.WaitGroup // of clients that have not yet ended theirs
 	client := func(i int) {
 		first := true
 		for n := 0; ; n++ {
@@ -205,18 +205,18 @@
 				ok = counts.sendBatch(c, br, used, batch...)
 				if used = true; first {
 					first = false
-					asked.Done()
+					firstBatches.Done()
 				}
 			}
 			c.Close()
 		}
 	}
 	for i := range 24 {
-		asked.Add(1)
+		firstBatches.Add(1)
 		all.Go(func() { client(i) })
 	}
-	asked.Wait()
-	for i := range 6 { // jobs that never end; some are never sent again
+	firstBatches.Wait()
+	for i := range 6 { // jobs that never end; commands of class once are never retried
 		all.Go(func() {
 			c, err := net.Dial("tcp", p.address)
 			if err != nil {
@@ -227,7 +227,7 @@
 			counts.sendBatch(c, bufio.NewReader(c), false, commandText(fmt.Sprint("hangs", i), []string{"safe", "once"}[i%2]))
 		})
 	}
-	require.NotEmpty(t, <-hang)             // with its client's whole time left, before the process gets SIGTERM
+	require.NotEmpty(t, <-hang)             // an instance has received one before SIGTERM
 	kept, err := net.Dial("tcp", p.address) // its next request is never complete
 	require.NoError(t, err)
 	defer kept.Close()
