--- a/internal/gang/clock_test.go
+++ b/internal/gang/clock_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heldGang returns a group with a held gang of two members, planned by the clock "n0/1".
+// heldGang returns a group with a held gang of two members, whose start is given by the clock "n0/1".
 func heldGang(t *testing.T) (m *Machine, encoders []Encoder, start time.Duration) {
 	m, start = New(), epoch+2*time.Second
 	p := &Plan{Round: 1, Start: start, Clock: "n0/1", Encoders: []string{"s-0", "s-1"}, Starters: []string{"n1", "n2"}}
@@ -129,8 +129,8 @@
 	}
 }
 
-// A new leader of a home that takes over late ended gangs as not started, with members that may have run, before it
-// had asked the dispatchers, which knew that no member was sent.
+// Guards against a new leader, which takes over after the start time, ending gangs as not started, with members that may
+// have run, before it has queried the dispatchers, which know that no member was sent.
 func TestNewLeaderQueriesDispatchersBeforeSettling(t *testing.T) {
 	for _, calledOff := range []bool{false, true} { // whether the previous leader had called the gang off
 		m, encoders, start := heldGang(t)
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -46,7 +46,7 @@
 
 // The death policies.
 const (
-	ContinueOthers DeathPolicy = "go_on"    // the others go on
+	ContinueOthers DeathPolicy = "go_on"    // the others continue
 	StopAll        DeathPolicy = "stop_all" // the others are cancelled
 )
 
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -111,7 +111,7 @@
 	sim.apply(g, Command{Op: "set", Resource: &Resource{ID: PartnerAccount("tuk"), Slots: slots, Gen: gen}})
 }
 
-// startProcess starts a daemon's process. Its clock starts at the system clock, which was stepped by up to 200 ms.
+// startProcess starts a daemon's process. Its clock has a random offset of up to 200 ms.
 func (sim *simulation) startProcess(d *daemon) {
 	sim.stats["boots"]++
 	d.clock, d.offset = fmt.Sprint(d.name, "/", sim.stats["boots"]), time.Duration(sim.Int64N(int64(400*ms)))-200*ms
@@ -510,8 +510,8 @@
 	t.Log("plans made:", planCount)
 }
 
-// A gang never started if two members with equal work shared a merged hold at one encoder, although it had room for
-// both.
+// Guards against a gang that never starts because two members with equal work share a merged hold at one encoder that
+// has room for both.
 func TestEqualMembersAtOneEncoder(t *testing.T) {
 	sim := newSimulation(t, 3, 1, 4, 2)
 	one := Member{Slots: 1, Work: 500 * ms, Class: "live"}
@@ -522,8 +522,8 @@
 	require.Equal(t, []string{"s-0", "s-0", "s-0"}, e.Plan.Encoders)
 }
 
-// A dispatcher restarted while a member that it had sent was running; the new process had the encoder drop the unknown
-// member, which killed the gang.
+// Guards against a restarted dispatcher that has the encoder cancel a running member, sent by the previous process, as
+// unknown, which kills the gang.
 func TestGangSurvivesDispatcherRestart(t *testing.T) {
 	sim := newSimulation(t, 3, 1, 4, 2)
 	one := Member{Slots: 1, Work: 4 * time.Second, Class: "live"}
--- a/internal/gang/home.go
+++ b/internal/gang/home.go
@@ -57,7 +57,7 @@
 	Reason         string         `json:"why,omitempty"`   // for the last setback
 	Verdict        string         `json:"verdict,omitempty"`
 	MayHaveRun     []int          `json:"may_have_run,omitempty"` // members of a gang that did not start
-	Dead           []int          `json:"dead,omitempty"`         // members that died after the start was committed
+	Dead           []int          `json:"dead,omitempty"`         // members that died after all had started
 	HeldAt         time.Duration  `json:"decided,omitempty"`      // when all its holds were first committed
 	Moves          int            `json:"moves,omitempty"`
 	Plans          int            `json:"plans,omitempty"` // planning rounds begun
@@ -186,8 +186,8 @@
 	return ""
 }
 
-func older(age time.Duration, id string, than time.Duration, other string) bool {
-	return age < than || age == than && id < other
+func older(submittedAt time.Duration, id string, otherSubmittedAt time.Duration, other string) bool {
+	return submittedAt < otherSubmittedAt || submittedAt == otherSubmittedAt && id < other
 }
 
 func (e *Entry) setPlan(at time.Duration, p *Plan) string {
--- a/internal/gang/machine.go
+++ b/internal/gang/machine.go
@@ -143,6 +143,7 @@
 	At       time.Duration `json:"at"`
 }
 
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return json.Marshal(state{version, m.home, m.accounts, m.At})
 }
--- a/internal/gang/starter.go
+++ b/internal/gang/starter.go
@@ -17,8 +17,8 @@
 	Go      MessageKind = "go"  // the start is committed
 	Run     MessageKind = "run" // all members have started
 	CallOff MessageKind = "no"  // cancel the members
-	// CancelElsewhere goes to a different dispatcher if the one that may have sent the members does not answer: it has
-	// the encoders drop them.
+	// CancelElsewhere is sent to another dispatcher when the one that may have sent the members does not reply: it has
+	// the encoders cancel them.
 	CancelElsewhere MessageKind = "back"
 )
 
@@ -29,7 +29,7 @@
 const (
 	Launch     StarterActionKind = iota // send the member
 	CancelSent                          // cancel a member that this dispatcher has sent
-	CancelJob                           // have the encoder drop a member that another process may have sent
+	CancelJob                           // have the encoder cancel a member that another process may have sent
 )
 
 // Message is a coordinator's message to a dispatcher. It is answered by a [Reply], and repeated until the reply
@@ -69,7 +69,7 @@
 	AllRunning bool         `json:"running,omitempty"` // the dispatcher knows that all members have started
 	Status     MemberStatus `json:"fate,omitempty"`
 	Reason     string       `json:"why,omitempty"`
-	Late       int64        `json:"late,omitempty"` // microseconds from the planned start until it was sent
+	Late       int64        `json:"late,omitempty"` // microseconds from the planned start until it was sent; meaningless unless sent
 }
 
 // StarterAction is an action that a starter requests.
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -39,7 +39,7 @@
 	maxOutstanding     = 256                    // commands and messages without an answer
 	awaitInterval      = 100 * time.Millisecond // between queries about an awaited gang
 	maxAwait           = 30 * time.Second
-	reservationHorizon = time.Minute // how far ahead dispatchers report holds to each other: no other job runs for longer
+	reservationHorizon = time.Minute // how far ahead dispatchers report holds to each other: assumed longest run of other jobs
 	maxReservations    = 1024        // that one dispatcher reports
 	maxMessageSize     = 512 << 10
 )
--- a/internal/net/gangs/gangs_test.go
+++ b/internal/net/gangs/gangs_test.go
@@ -78,7 +78,7 @@
 }
 
 // Three daemons with real connections: a gang over two sites starts together; when a member of another gang is
-// refused, the other member is called off within 500 ms; and a gang that needs more than a partner lends is not
+// refused, the other member is cancelled before it ends; and a gang that needs more than a partner lends is not
 // planned.
 func TestGangsOverSockets(t *testing.T) {
 	const n = 3
@@ -152,8 +152,8 @@
 	require.Equal(t, "no room in its window", g.GetWhy())
 }
 
-// A member's end, which the dispatcher's loop reports only once, was dropped if the starter's goroutine was behind,
-// and the gang counted as dead after its start.
+// Guards against dropping a member's end, which the dispatcher's loop reports only once, while the starter's goroutine
+// is behind: the gang would count as dead after its start.
 func TestMemberEndIsKeptWhileStarterLoopIsBehind(t *testing.T) {
 	host := replicas.NewMemoryHost(1, func(uint32) replica.Mux { return replica.Mux{replica.GangsMachine: gang.New()} })
 	s, err := New(Options{Name: "n1", TellsStart: true}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
@@ -174,8 +174,8 @@
 	require.Equal(t, gang.Done, reply.Members[0].Status)
 }
 
-// A slow loop dropped the result of a proposal, so the coordinator considered the command outstanding forever and
-// never proposed it again.
+// Guards against a slow loop that drops the result of a proposal: the coordinator would consider the command outstanding
+// forever and never propose it again.
 func TestResultsWaitForSlowLoop(t *testing.T) {
 	host := replicas.NewMemoryHost(1, func(uint32) replica.Mux { return replica.Mux{replica.GangsMachine: gang.New()} })
 	s, err := New(Options{Name: "n1"}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
@@ -198,7 +198,7 @@
 	}
 }
 
-// A callback about a member that an earlier process had sent was lost.
+// Guards against losing a callback about a member that an earlier process sent.
 func TestCallbackOfMemberSentByEarlierProcess(t *testing.T) {
 	host := replicas.NewMemoryHost(1, func(uint32) replica.Mux { return replica.Mux{replica.GangsMachine: gang.New()} })
 	s, err := New(Options{Name: "n1"}, host, &fakeLoop{}, slog.New(slog.DiscardHandler))
--- a/internal/rerun/explain.go
+++ b/internal/rerun/explain.go
@@ -23,7 +23,7 @@
 	Stages   map[string]string `json:"stages"`
 }
 
-// waitingFor returns what a run waits for, and the first waiting stage.
+// waitingFor returns the first waiting stage of a run, and what each stage waits for.
 func (m *Machine) waitingFor(r *Run) (stage string, all []string) {
 	for i, s := range r.Stages {
 		name := r.pipeline.Stages[i].Name
--- a/internal/rerun/model.go
+++ b/internal/rerun/model.go
@@ -25,7 +25,7 @@
 	Cause  policy.Cause  `json:"cause,omitempty"`
 	Reason string        `json:"reason,omitempty"` // for people
 	At     time.Duration `json:"at"`               // Unix time
-	Work   time.Duration `json:"work"`             // total of the reruns that this run requested
+	Work   time.Duration `json:"work"`             // total of the reruns that this run started
 	Reruns int           `json:"reruns"`
 	Result string        `json:"result,omitempty"` // of the last of its result stages
 }
@@ -61,7 +61,7 @@
 type Stage struct {
 	UsedGen      int64          `json:"have,omitempty"` // generation of its output that the run uses
 	StaleUpTo    int64          `json:"over,omitempty"` // generations up to this one are stale
-	InputGens    []int64        `json:"of,omitempty"`   // generations of its inputs, in the order of its needs, of the requested output
+	InputGens    []int64        `json:"of,omitempty"`   // generations of the inputs of the requested output, in the order of Needs
 	Requested    bool           `json:"wants,omitempty"`
 	ByRule       bool           `json:"own,omitempty"` // requested again by a rule of this run
 	MayHaveRun   bool           `json:"ran,omitempty"` // a stage that must not run twice may have run
@@ -152,8 +152,8 @@
 // Account is a group's part of a budget, in microseconds of work.
 type Account struct {
 	Balance   int64 `json:"balance"`
-	Accrued   int64 `json:"accrued"` // total by first runs
-	Spent     int64 `json:"spent"`   // total by reruns
+	Accrued   int64 `json:"accrued"` // total added by first runs
+	Spent     int64 `json:"spent"`   // total spent on reruns
 	Requested int64 `json:"asked,omitempty"`
 	Spare     int64 `json:"spare,omitempty"` // initial balance of the budget's pool, by the policies
 }
--- a/internal/rerun/policy/policy.go
+++ b/internal/rerun/policy/policy.go
@@ -18,11 +18,11 @@
 	maxRules          = 64
 	maxUses           = 16 // uses of one rule in one run of a pipeline
 	maxOthers         = 8
-	maxNameBytes      = 64               // bytes
+	maxNameBytes      = 64
 	maxRuns           = 4096             // of all stages in one run of a pipeline
 	maxConditionBytes = 1024             // bytes of a condition
 	maxFileBytes      = 1 << 20          // bytes of a file
-	maxAge            = 8760 * time.Hour // of any duration in a condition
+	maxAge            = 8760 * time.Hour // largest output age that conditions are sampled at
 )
 
 // Site is the settings that a policy is checked against: the classes that stages refer to, the zones and the tenants.
@@ -85,7 +85,7 @@
 	MaxUses          int
 	Tenant           float64 // share of its tenant's first runs' work; 0: only the fleet's budget applies
 	KeepOld          bool    // stages that succeeded with the old output keep it
-	NeedsPerson      bool    // once the rule is exhausted, the run needs a person; otherwise it is dead
+	NeedsPerson      bool    // a run that is given up needs a person; otherwise it is dead
 }
 
 // Bound is the maximum cost of one run of a pipeline.
--- a/internal/rerun/policy/policy_test.go
+++ b/internal/rerun/policy/policy_test.go
@@ -73,7 +73,7 @@
 	p, err := Parse("reruns.toml", []byte(lecture), site)
 	require.NoError(t, err)
 	b := p.Pipelines["lecture"]
-	require.Equal(t, "pipeline lecture: at most 16 runs, 13m10s of work, within 2h0m0s: ingest 1 encode 4 captions 3 package 4 publish 4", b.String(), "the input of package may be either, and all below encode runs again")
+	require.Equal(t, "pipeline lecture: at most 16 runs, 13m10s of work, within 2h0m0s: ingest 1 encode 4 captions 3 package 4 publish 4", b.String(), "the input of package may be either, and everything downstream of encode runs again")
 }
 
 // Each error of a policy file is one line with file, line, key and fix.
--- a/internal/rerun/rerun.go
+++ b/internal/rerun/rerun.go
@@ -32,7 +32,7 @@
 	maxTracked         = 1 << 15 // fingerprints or claimants
 	maxFailedPlaces    = 8       // kept per stage
 	maxSites           = 64      // counted per stage and cause
-	maxApprovals       = 3       // of a shared output: one besides those of the run and of the worker that claim it is bad
+	maxApprovals       = 3       // of a shared output: one is left after those of the claiming run and worker are excluded
 	minSiteFailures    = 2       // before other sites are preferred
 	endedRetention     = time.Hour
 	outputRetention    = 24 * time.Hour // of an output that no run uses
@@ -303,7 +303,7 @@
 
 func trialID(r *Run, stage int) string { return fmt.Sprintf("%s/%d", r.ID, stage) }
 
-// reportVerdict reports the outcome of a trial to its fingerprint.
+// reportVerdict reports the outcome of a trial to its fingerprint; none: the outcome says nothing about the trial.
 func (m *Machine) reportVerdict(r *Run, s *Stage, good, none bool) {
 	if s.Trial == nil {
 		return
@@ -395,7 +395,7 @@
 	m.advance(r)
 }
 
-// giveUp ends the run because a rule is exhausted.
+// giveUp ends the run because no rerun can help any more: its rule is exhausted or its trials failed.
 func (m *Machine) giveUp(r *Run, i int, n *PendingRerun, why string) {
 	kind := Dead
 	if r.pipeline.Rules[n.Rule].NeedsPerson {
--- a/internal/rerun/rerun_test.go
+++ b/internal/rerun/rerun_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// twoResults is a pipeline in which publish must not run twice although notify, the other user of package, reports it as
-// bad.
+// twoResults is a pipeline in which publish, which must not run twice, and notify both use package; notify reports
+// package as bad.
 const twoResults = `[[pipeline]]
 name="two"
 result=["publish","notify"]
@@ -201,7 +201,7 @@
 		name        string
 		falseClaims bool
 		atMost      int // second opinions; with false claims: claims that are believed per claimRetention
-	}{{"honest", false, 8}, {"false claims", true, crossCheckInterval + 8}} { // the 8 that run at once
+	}{{"honest", false, 8}, {"false claims", true, crossCheckInterval + 8}} { // plus the 8 executions that may run concurrently
 		sim := newSimulation(t, 12, 4, 8)
 		sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 		seen, opinions := 0, 0
@@ -396,7 +396,7 @@
 	require.Zero(t, sent, "of %d", kept+sent)
 }
 
-// A site comes back with its outputs lost: reruns for it start with a trial and then stay within its capacity.
+// All outputs of a site are lost: reruns for them start with a trial and then stay within its capacity.
 func TestLostOutputsArePaced(t *testing.T) {
 	sim := newSimulation(t, 6, 4, 1000)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
--- a/internal/rerun/workersim/cluster.go
+++ b/internal/rerun/workersim/cluster.go
@@ -38,8 +38,8 @@
 	Outcome      pipelines.Outcome
 }
 
-// Cluster is a set of simulated workers. Work gives the duration of a run when it begins, Decide its outcome when its
-// work is done.
+// Cluster is a set of simulated workers. WorkTime returns the duration of a run when it begins, OutcomeOf its outcome
+// when its work is done.
 type Cluster struct {
 	Workers   []Worker
 	WorkTime  func(Run) time.Duration
@@ -83,7 +83,8 @@
 	return all
 }
 
-// SetDown stops a worker's process, with all its runs, or starts it again. A stopped one accepts no connections.
+// SetDown stops a worker's process or starts it again. A stopped one accepts no connections; its runs are reported as
+// lost when their work time is over.
 func (c *Cluster) SetDown(worker string, down bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rerun/workersim/cluster_test.go
+++ b/internal/rerun/workersim/cluster_test.go
@@ -42,7 +42,7 @@
 	waitLimit = time.Minute // limit for expected events; no test waits for all of it
 )
 
-// testCluster is daemons, workers, and one lecture whose first output of encode is bad. One stage run is held at the
+// testCluster holds daemons, workers, and one lecture whose first output of encode is bad. One stage run is held at the
 // worker until it is released.
 type testCluster struct {
 	*testing.T
@@ -151,7 +151,7 @@
 func (s *testCluster) awaitAnswer() *pipelinev1.Answer {
 	s.Helper()
 	var answer *pipelinev1.Answer
-	for range 2 { // every daemon gives the same answer
+	for range 2 { // a repeated query gives the same answer
 		s.retryUntil(func(ctx context.Context, c pipelinev1.PipelinesClient) error {
 			a, err := c.Await(ctx, &pipelinev1.AwaitRequest{Id: "lec", WaitMs: 1000})
 			if err != nil || a.Answer == nil {
