--- a/internal/gang/clock_test.go
+++ b/internal/gang/clock_test.go
@@ -10,7 +10,7 @@
 // heldGang returns a group with a held gang of two members, whose start is given by the clock "n0/1".
 func heldGang(t *testing.T) (m *Machine, encoders []Encoder, start time.Duration) {
 	m, start = New(), epoch+2*time.Second
-	p := &Plan{Round: 1, Start: start, Clock: "n0/1", Encoders: []string{"s-0", "s-1"}, Starters: []string{"n1", "n2"}}
+	p := &Plan{Round: 1, Start: start, Clock: "n0/1", Encoders: []string{"s-0", "s-1"}, Dispatchers: []string{"n1", "n2"}}
 	for i, id := range p.Encoders {
 		x := Encoder{ID: id, Site: []string{"a", "b"}[i], Kind: "m2", Slots: 4, Gen: 1}
 		encoders = append(encoders, x)
--- a/internal/gang/coordinator.go
+++ b/internal/gang/coordinator.go
@@ -80,9 +80,9 @@
 
 // Stats counts a coordinator's events.
 type Stats struct {
-	Wounds, Unanswered uint64
-	ClockJumps         uint64        // steps of clocks and restarts of processes
-	MaxClockError      time.Duration // of the clocks used for a start
+	Preempted, Unanswered uint64
+	ClockJumps            uint64        // steps of clocks and restarts of processes
+	MaxClockError         time.Duration // of the clocks used for a start
 }
 
 // NewCoordinator returns a coordinator without gangs. The name of its clock must be unique, also among earlier
@@ -163,7 +163,7 @@
 	case len(r.Rivals) > 0 && now-c.roundStarted[s.Gang] < prepareTimeout:
 		for _, o := range r.Rivals { // older gangs take precedence and younger ones wait, so no two wait for each other
 			if older(s.SubmittedAt, s.Gang, o.SubmittedAt, o.Gang) {
-				c.Stats.Wounds++
+				c.Stats.Preempted++
 				c.propose(now, o.Home, Command{Op: "wound", Gang: o.Gang, Round: o.Round, By: s.Gang, SubmittedAt: s.SubmittedAt})
 			}
 		}
@@ -455,7 +455,7 @@
 		}
 	}
 	if armed && len(free) == len(p.groups()) {
-		c.propose(now, group, Command{Op: "go", Gang: id, Round: p.Round, Armed: p.Starters, At: t})
+		c.propose(now, group, Command{Op: "go", Gang: id, Round: p.Round, Armed: p.Dispatchers, At: t})
 		return
 	}
 	c.sendMessages(now, e, Arm, messageInterval)
@@ -465,13 +465,13 @@
 // changed since the gang was planned, and one crash should not take both roles.
 func (c *Coordinator) replaceSelfAsStarter(now, t time.Duration, group uint32, e *Entry, encoders []Encoder) bool {
 	self, p := c.view.Self, e.Plan
-	if !slices.Contains(p.Starters, self) || t < p.Start-2*ArmLead || t > p.Start-ArmLead || !c.haveView(now, viewTTL) {
+	if !slices.Contains(p.Dispatchers, self) || t < p.Start-2*ArmLead || t > p.Start-ArmLead || !c.haveView(now, viewTTL) {
 		return false
 	}
 	v := c.view
 	v.Now, v.Encoders = now, encoders
 	next, _ := FindPlan(v, e, p)
-	if next == nil || slices.Contains(next.Starters, self) {
+	if next == nil || slices.Contains(next.Dispatchers, self) {
 		return false
 	}
 	c.proposePlan(now, group, e, next)
@@ -551,7 +551,7 @@
 func (c *Coordinator) sendMessages(now time.Duration, e *Entry, kind MessageKind, every time.Duration) {
 	p := e.Plan
 	to := map[string][]Assignment{}
-	for i, name := range p.Starters {
+	for i, name := range p.Dispatchers {
 		t := Assignment{Member: i, Encoder: p.Encoders[i]}
 		if kind == Arm {
 			t.Spec = e.Spec.Members[i]
@@ -585,7 +585,7 @@
 
 // cancelElsewhere has other dispatchers cancel members whose dispatchers do not answer.
 func (c *Coordinator) cancelElsewhere(now time.Duration, e *Entry) {
-	for i, name := range e.Plan.Starters {
+	for i, name := range e.Plan.Dispatchers {
 		if f := e.MemberStatuses[i]; f != Unknown && f != Began || now-c.dispatchers[name].lastReply < silenceTimeout {
 			continue
 		}
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -127,12 +127,12 @@
 
 // Plan says where and when a gang is to run.
 type Plan struct {
-	Round    uint64        `json:"round"`
-	Start    time.Duration `json:"start"`
-	Clock    string        `json:"clock,omitempty"` // the planner's clock, by which the start and the holds are meant
-	Encoders []string      `json:"encoders"`        // by member
-	Starters []string      `json:"starters"`        // by member: the dispatcher that sends it
-	Holds    []Hold        `json:"holds"`
+	Round       uint64        `json:"round"`
+	Start       time.Duration `json:"start"`
+	Clock       string        `json:"clock,omitempty"` // the planner's clock, by which the start and the holds are meant
+	Encoders    []string      `json:"encoders"`        // by member
+	Dispatchers []string      `json:"starters"`        // by member: the dispatcher that sends it
+	Holds       []Hold        `json:"holds"`
 }
 
 // coversMembers reports whether the holds cover each member's slots. Equal holds at one encoder are merged into one.
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -51,7 +51,7 @@
 	worstSkew       time.Duration
 	specs           map[string]Spec
 	maxOverrun      time.Duration // maximum time that members run beyond their stated work
-	cap             int           // limit for slots lent by partners, checked against running members; 0: not checked
+	maxLentSlots    int           // limit for slots lent by partners, checked against running members; 0: not checked
 }
 
 type daemon struct {
@@ -204,7 +204,7 @@
 			}
 			for _, o := range sim.daemons {
 				if o.up {
-					v.Starters = append(v.Starters, Dispatcher{o.name, []string{"a", "b"}[o.n%2]})
+					v.Dispatchers = append(v.Dispatchers, Dispatcher{o.name, []string{"a", "b"}[o.n%2]})
 				}
 			}
 			sim.schedule(3*ms, func() { c.SetView(d.time(sim.now), v) })
@@ -314,8 +314,8 @@
 // check fails if a gang has started only in part: 560 ms after the first member's start (500 ms and the error of
 // clocks), either all members run or have ended, or none runs.
 func (sim *simulation) check() {
-	if n := sim.lent(); sim.cap > 0 && n > sim.cap {
-		sim.t.Errorf("%d slots are used, and %d are lent", n, sim.cap)
+	if n := sim.lent(); sim.maxLentSlots > 0 && n > sim.maxLentSlots {
+		sim.t.Errorf("%d slots are used, and %d are lent", n, sim.maxLentSlots)
 		sim.t.FailNow()
 	}
 	first := map[string]*jobRun{}
@@ -409,7 +409,7 @@
 				switch sim.IntN(5) {
 				case 0: // its running members cannot be called off
 					for _, e := range sim.entries() {
-						if e.Plan != nil && slices.Contains(e.Plan.Starters, d.name) && sim.now > e.Plan.Start-300*ms {
+						if e.Plan != nil && slices.Contains(e.Plan.Dispatchers, d.name) && sim.now > e.Plan.Start-300*ms {
 							sim.killed[e.Spec.ID] = true
 						}
 					}
@@ -489,7 +489,7 @@
 	planCount := 0
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, rapid.Uint64().Draw(t, "seed"), 3, 4, 6)
-		sim.maxOverrun, sim.cap = time.Second, 6
+		sim.maxOverrun, sim.maxLentSlots = time.Second, 6
 		for i := range 9 {
 			var members []Member
 			for j := range 2 + sim.IntN(2) {
@@ -536,10 +536,10 @@
 	}
 	require.Equal(t, Running, e.State)
 	sim.run(500 * ms)
-	d := sim.daemons[slices.IndexFunc(sim.daemons, func(d *daemon) bool { return d.name == e.Plan.Starters[0] })]
+	d := sim.daemons[slices.IndexFunc(sim.daemons, func(d *daemon) bool { return d.name == e.Plan.Dispatchers[0] })]
 	sim.startProcess(d)
 	sim.run(4 * time.Second)
-	for i, name := range e.Plan.Starters { // the encoder reports to the process that now has the address
+	for i, name := range e.Plan.Dispatchers { // the encoder reports to the process that now has the address
 		if name == d.name {
 			d.MemberEnded(d.time(sim.now), JobID("g0", e.Plan.Round, i), Done, "")
 		}
--- a/internal/gang/home.go
+++ b/internal/gang/home.go
@@ -195,7 +195,7 @@
 	switch move := e.State == Held; {
 	case p == nil || p.Round != e.Round+1 || e.State != Waiting && !move:
 		return "another round"
-	case len(p.Encoders) != n || len(p.Starters) != n || len(p.Holds) > 2*n || !p.coversMembers(e.Spec.Members):
+	case len(p.Encoders) != n || len(p.Dispatchers) != n || len(p.Holds) > 2*n || !p.coversMembers(e.Spec.Members):
 		return "not a plan"
 	case move && (p.Start > e.Plan.Start || p.Clock != e.Plan.Clock):
 		return "a move keeps the start, or comes sooner"
--- a/internal/gang/machine.go
+++ b/internal/gang/machine.go
@@ -185,7 +185,7 @@
 	return c
 }
 
-// Reservation is a gang's hold of an encoder's slots.
+// Reservation is a hold of an encoder's slots together with its gang.
 type Reservation struct {
 	Gang string `json:"gang"`
 	Hold
--- a/internal/gang/orders/orders.go
+++ b/internal/gang/orders/orders.go
@@ -83,7 +83,7 @@
 }
 
 func plan(round uint64) *gang.Plan {
-	p := &gang.Plan{Round: round, Start: start, Encoders: []string{"s-0", "s-1"}, Starters: []string{"n0", "n1"}}
+	p := &gang.Plan{Round: round, Start: start, Encoders: []string{"s-0", "s-1"}, Dispatchers: []string{"n0", "n1"}}
 	for g := range uint32(2) {
 		p.Holds = append(p.Holds, gang.Hold{Resource: account(g), Group: g, Gen: 1, Slots: 3, From: start, Until: start + 2*time.Second})
 	}
@@ -121,7 +121,7 @@
 		}
 		if e.State == gang.Held {
 			m.send(g, gang.Command{Op: "drop", Gang: id, Round: e.Plan.Round})
-			m.send(g, gang.Command{Op: "go", Gang: id, Round: e.Plan.Round, Armed: e.Plan.Starters})
+			m.send(g, gang.Command{Op: "go", Gang: id, Round: e.Plan.Round, Armed: e.Plan.Dispatchers})
 		}
 		for _, d := range e.Unconfirmed {
 			m.send(d.Group, gang.Command{Op: d.Op, Gang: id, Round: d.Round, Group: g})
--- a/internal/gang/plan.go
+++ b/internal/gang/plan.go
@@ -31,7 +31,7 @@
 	PartnerAccounts map[string]AccountLocation // by partner; one that is missing lends without limit
 	Accounts        map[string]Resource        // as reported by their groups
 	RoundHolds      []RoundHolds               // of all groups, as reported by them
-	Starters        []Dispatcher
+	Dispatchers     []Dispatcher
 	Self            string // the planning dispatcher: it sends members only if no other can, so that one crash does not take both roles
 }
 
@@ -51,7 +51,7 @@
 // still be used, its encoders.
 func FindPlan(v View, e *Entry, keep *Plan) (*Plan, string) {
 	s := e.Spec
-	if len(v.Starters) == 0 {
+	if len(v.Dispatchers) == 0 {
 		return nil, "no dispatcher is there"
 	}
 	f := planSearch{View: v, spec: s}
@@ -132,7 +132,7 @@
 func (f *planSearch) planAt(start time.Duration) *Plan {
 	n := len(f.spec.Members)
 	f.steps, f.holds = 0, nil
-	f.plan = Plan{Start: start, Encoders: make([]string, n), Starters: make([]string, n)}
+	f.plan = Plan{Start: start, Encoders: make([]string, n), Dispatchers: make([]string, n)}
 	if !f.place(0) {
 		return nil
 	}
@@ -178,7 +178,7 @@
 		_, fits := f.accounts.fits(f.accounts.RoundHolds, f.holds[numHolds:])
 		f.accounts.RoundHolds = slices.Delete(f.accounts.RoundHolds, j, j+1)
 		if fits {
-			f.plan.Encoders[i], f.plan.Starters[i] = x.ID, f.starter(i, x)
+			f.plan.Encoders[i], f.plan.Dispatchers[i] = x.ID, f.starter(i, x)
 			if f.place(n + 1) {
 				return true
 			}
@@ -192,7 +192,7 @@
 func (f *planSearch) starter(i int, x Encoder) string {
 	var best []Dispatcher
 	nearest := 4
-	for _, d := range f.Starters {
+	for _, d := range f.Dispatchers {
 		distance := 0
 		if d.Site != x.Site {
 			distance = 1
--- a/internal/gang/restart_test.go
+++ b/internal/gang/restart_test.go
@@ -21,7 +21,7 @@
 		}
 	}
 	require.Equal(t, s, e.State)
-	return sim, e, sim.daemons[slices.IndexFunc(sim.daemons, func(d *daemon) bool { return d.name == e.Plan.Starters[0] })]
+	return sim, e, sim.daemons[slices.IndexFunc(sim.daemons, func(d *daemon) bool { return d.name == e.Plan.Dispatchers[0] })]
 }
 
 // A dispatcher restarts between the go message and the start, before it has sent anything. Its gang must not be given
--- a/internal/net/gangs/gangs.go
+++ b/internal/net/gangs/gangs.go
@@ -324,8 +324,8 @@
 		}
 		var open *gang.Machine
 		s.host.View(g, replica.GangsMachine, func(m replica.Machine) {
-			machine, ours := m.(*gang.Machine)
-			if !ours {
+			machine, ok := m.(*gang.Machine)
+			if !ok {
 				return
 			}
 			s.setAccounts(ctx, g, machine, all)
@@ -354,7 +354,7 @@
 func (s *Server) ownReservations(now time.Duration) (all []gang.Reservation) {
 	for _, g := range s.ledGroups {
 		s.host.View(g, replica.GangsMachine, func(m replica.Machine) {
-			if machine, ours := m.(*gang.Machine); ours {
+			if machine, ok := m.(*gang.Machine); ok {
 				all = append(all, machine.Reservations(now+reservationHorizon, maxReservations-len(all))...)
 			}
 		})
@@ -444,12 +444,12 @@
 	for _, p := range s.options.Partners {
 		v.PartnerAccounts[p.Name] = gang.AccountLocation{Group: s.groupOf(gang.PartnerAccount(p.Name))}
 	}
-	v.Starters = s.coordinator.LiveDispatchers(s.now())
+	v.Dispatchers = s.coordinator.LiveDispatchers(s.now())
 	go func() {
 		for g := range s.host.Groups() {
 			var r gang.Result
 			local := s.host.View(g, replica.GangsMachine, func(m replica.Machine) {
-				if machine, ours := m.(*gang.Machine); ours {
+				if machine, ok := m.(*gang.Machine); ok {
 					r = machine.Query()
 				}
 			})
@@ -602,7 +602,7 @@
 // member. It reports whether the member is known here.
 func (s *Server) HandleUnmatchedCallback(n dispatch.Callback) bool {
 	s.starterMu.Lock()
-	_, ours := s.starter.GangOf(n.ID)
+	_, known := s.starter.GangOf(n.ID)
 	s.starterMu.Unlock()
 	memberStatus, reason := gang.MayHaveRun, "failed"
 	switch n.State {
@@ -610,12 +610,12 @@
 		memberStatus, reason = gang.Done, ""
 	case dispatch.Errored, dispatch.Lost, dispatch.Returned:
 	default:
-		return ours
+		return known
 	}
-	if ours {
+	if known {
 		s.updateStarter(func() { s.starter.MemberEnded(s.now(), n.ID, memberStatus, reason) })
 	}
-	return ours
+	return known
 }
 
 // Submit submits a gang.
@@ -768,7 +768,7 @@
 	s.starterMu.Unlock()
 	fmt.Fprintf(&b, "proxy.gangs.members_sent=%d\nproxy.gangs.members_late=%d\nproxy.gangs.members_called_off=%d\nproxy.gangs.members_left_alone=%d\n", t.Launched, t.Late, t.CalledOff, t.Unconfirmed)
 	fmt.Fprintf(&b, "proxy.gangs.wounds=%d\nproxy.gangs.clock_error_us=%d\nproxy.gangs.clock_jumps=%d\nproxy.gangs.clock_off_ms=%d\nproxy.gangs.overruns=%d\n",
-		s.coordinator.Stats.Wounds, s.coordinator.Stats.MaxClockError.Microseconds(), s.coordinator.Stats.ClockJumps+t.ClockJumps, (s.now() - s.options.ClockOffset - time.Duration(time.Now().UnixNano())).Milliseconds(), s.overruns.Load())
+		s.coordinator.Stats.Preempted, s.coordinator.Stats.MaxClockError.Microseconds(), s.coordinator.Stats.ClockJumps+t.ClockJumps, (s.now() - s.options.ClockOffset - time.Duration(time.Now().UnixNano())).Milliseconds(), s.overruns.Load())
 	text := b.String()
 	s.counters.Store(&text)
 }
--- a/internal/net/gangs/gangs_test.go
+++ b/internal/net/gangs/gangs_test.go
@@ -42,39 +42,39 @@
 	maxReservations map[string]int // by encoder: maximum number of reservations set at one time
 }
 
-func (e *fakeLoop) Submit(c *dispatch.Command) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if c.Candidates[0] == e.refuse {
+func (l *fakeLoop) Submit(c *dispatch.Command) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if c.Candidates[0] == l.refuse {
 		c.Client.Answer(dispatch.Answer{Verdict: dispatch.Refused})
 		return
 	}
-	e.begun[c.ID] = time.Now()
+	l.begun[c.ID] = time.Now()
 	c.Client.(interface{ Started(string, bool) }).Started(c.Candidates[0], true)
 	time.AfterFunc(c.Work, func() {
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		if e.ended[c.ID] == "" {
-			e.ended[c.ID] = "done"
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		if l.ended[c.ID] == "" {
+			l.ended[c.ID] = "done"
 			c.Client.Answer(dispatch.Answer{Verdict: dispatch.Served})
 		}
 	})
 }
 
-func (e *fakeLoop) ClientGone(c *dispatch.Command) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.ended[c.ID] == "" {
-		e.ended[c.ID] = "cancelled"
+func (l *fakeLoop) ClientGone(c *dispatch.Command) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.ended[c.ID] == "" {
+		l.ended[c.ID] = "cancelled"
 	}
 }
 
-func (e *fakeLoop) CancelJob(string, string) {}
+func (l *fakeLoop) CancelJob(string, string) {}
 
-func (e *fakeLoop) SetReservations(id string, _ float64, spans []decide.Reservation) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.maxReservations[id] = max(e.maxReservations[id], len(spans))
+func (l *fakeLoop) SetReservations(id string, _ float64, spans []decide.Reservation) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.maxReservations[id] = max(l.maxReservations[id], len(spans))
 }
 
 // Three daemons with real connections: a gang over two sites starts together; when a member of another gang is
--- a/internal/net/gangs/reservations.go
+++ b/internal/net/gangs/reservations.go
@@ -16,8 +16,8 @@
 	ownSlots := map[string]int{}
 	s.starterMu.Lock()
 	for key, cmd := range s.sent {
-		if t, ok := s.starter.GangOf(key); ok {
-			ownSlots[t+"/"+gang.Encoder{ID: cmd.Candidates[0]}.Account()] += int(cmd.Slots)
+		if gangID, ok := s.starter.GangOf(key); ok {
+			ownSlots[gangID+"/"+gang.Encoder{ID: cmd.Candidates[0]}.Account()] += int(cmd.Slots)
 		}
 	}
 	s.starterMu.Unlock()
--- a/internal/rerun/claims.go
+++ b/internal/rerun/claims.go
@@ -23,7 +23,7 @@
 			m.send(Message{Kind: "no", To: "r/" + msg.From, Stage: msg.Stage})
 			return
 		}
-		f = &Fingerprint{MaxTrials: 1}
+		f = &Fingerprint{MaxAdmitted: 1}
 		m.state.Fingerprints[msg.To] = f
 	}
 	f.ForgetAt = m.state.At + claimRetention
@@ -35,20 +35,20 @@
 			return
 		}
 		f.Waiting = append(f.Waiting, *msg)
-		m.admitTrials(msg.To, f)
+		m.admitWaiting(msg.To, f)
 		return
 	}
-	i := slices.Index(f.Trials, msg.From)
+	i := slices.Index(f.Admitted, msg.From)
 	if i < 0 { // it may still be waiting
 		f.Waiting = slices.DeleteFunc(f.Waiting, func(w Message) bool { return fmt.Sprintf("%s/%d", w.From, w.Stage) == msg.From })
 		return
 	}
-	f.Trials = slices.Delete(f.Trials, i, i+1)
+	f.Admitted = slices.Delete(f.Admitted, i, i+1)
 	switch {
 	case msg.Text == "none":
 	case msg.OK:
 		f.FailedTrials, f.NotBefore = 0, 0
-		f.MaxTrials = min(2*f.MaxTrials, max(1, cmp.Or(m.state.Capacities[msg.To[strings.LastIndexByte(msg.To, '/')+1:]], defaultCapacity)))
+		f.MaxAdmitted = min(2*f.MaxAdmitted, max(1, cmp.Or(m.state.Capacities[msg.To[strings.LastIndexByte(msg.To, '/')+1:]], defaultCapacity)))
 		f.Waiting = slices.DeleteFunc(f.Waiting, func(w Message) bool { // runs that wait for the same output need no trial
 			if w.Key == msg.Key {
 				m.send(Message{Kind: "go", To: "r/" + w.From, Stage: w.Stage, SuspectSites: m.suspectSites(msg.To)})
@@ -56,7 +56,7 @@
 			return w.Key == msg.Key
 		})
 	default:
-		f.MaxTrials = 1
+		f.MaxAdmitted = 1
 		f.FailedTrials++
 		f.NotBefore = m.state.At + time.Second<<min(f.FailedTrials, 6)
 		if f.FailedTrials >= maxFailedTrials {
@@ -67,18 +67,18 @@
 		}
 		m.setTimer(f.NotBefore, "print", msg.To)
 	}
-	m.admitTrials(msg.To, f)
+	m.admitWaiting(msg.To, f)
 }
 
-// admitTrials admits waiting reruns as far as the limits allow.
-func (m *Machine) admitTrials(key string, f *Fingerprint) {
+// admitWaiting admits waiting reruns as far as the limits allow.
+func (m *Machine) admitWaiting(key string, f *Fingerprint) {
 	if f.FailedTrials >= maxFailedTrials && m.state.At >= f.NotBefore {
 		f.FailedTrials = 0
 	}
-	for len(f.Waiting) > 0 && (len(f.Trials) < f.MaxTrials && m.state.At >= f.NotBefore || m.faults.NoTrial) {
+	for len(f.Waiting) > 0 && (len(f.Admitted) < f.MaxAdmitted && m.state.At >= f.NotBefore || m.faults.NoTrial) {
 		w := f.Waiting[0]
 		f.Waiting = f.Waiting[1:]
-		f.Trials = append(f.Trials, fmt.Sprintf("%s/%d", w.From, w.Stage))
+		f.Admitted = append(f.Admitted, fmt.Sprintf("%s/%d", w.From, w.Stage))
 		m.send(Message{Kind: "go", To: "r/" + w.From, Stage: w.Stage, SuspectSites: m.suspectSites(key)})
 	}
 }
@@ -186,11 +186,12 @@
 	m.send(Message{Kind: "challenged", To: "r/" + msg.From, Stage: msg.Stage, OK: accepted})
 }
 
-// handleClaim applies a message to the record of a worker's claims. The first claims are believed. While those are
-// neither confirmed nor refuted, another worker checks each further one first, unless the worker has accepted its inputs
-// as often at that stage. A confirmed claim raises the trust; a worker with refuted claims is not believed for a while.
-// One claim in eight is checked anyway, as otherwise a worker with occasional false claims would never be detected. A
-// claim that confirms another worker's is not checked a third time, unless its own worker was refuted.
+// handleClaim applies a message to the record of a worker's claims. A claim is believed while fewer claims are open,
+// neither confirmed nor refuted, than Trust plus the runs at that stage whose inputs the worker accepted, divided by
+// acceptedPerClaim. Otherwise another worker checks it first, as it does one claim in crossCheckInterval in any case:
+// a worker with occasional false claims would never be detected otherwise. A confirmed claim raises the trust; a worker
+// with refuted claims is not believed for a while. A claim that confirms another worker's is not checked again, unless
+// the worker that made it is not believed.
 func (m *Machine) handleClaim(msg *Message) {
 	c := m.state.Claimants[msg.To]
 	if c == nil {
--- a/internal/rerun/messages.go
+++ b/internal/rerun/messages.go
@@ -151,7 +151,7 @@
 // as many times as the pipeline allows, and never one that must not run twice; otherwise the old output is kept.
 func (m *Machine) adoptNewer(r *Run, msg *Message) {
 	s := r.Stages[msg.Stage]
-	if msg.Gen <= s.UsedGen || s.UsedGen == 0 || s.Requested || s.Pending != nil || r.OthersReruns >= r.pipeline.Others {
+	if msg.Gen <= s.UsedGen || s.UsedGen == 0 || s.Requested || s.Pending != nil || r.OthersReruns >= r.pipeline.MaxOthersReruns {
 		return
 	}
 	for _, b := range r.pipeline.Stages[msg.Stage].Downstream {
@@ -186,7 +186,7 @@
 // facts returns the variables of a rule's condition.
 func (m *Machine) facts(r *Run, msg *Message) policy.Facts {
 	f := policy.Facts{
-		Kind: msg.Cause, Ran: msg.RunTime, At: msg.Place, Tenant: r.Tenant, Runs: r.Stages[msg.Stage].Runs, Reruns: int64(r.Reruns), RunAge: m.state.At - r.Began, Left: max(0, r.Deadline-m.state.At),
+		Kind: msg.Cause, RunTime: msg.RunTime, At: msg.Place, Tenant: r.Tenant, Runs: r.Stages[msg.Stage].Runs, Reruns: int64(r.Reruns), RunAge: m.state.At - r.Began, Left: max(0, r.Deadline-m.state.At),
 	}
 	if i := r.pipeline.Stage(msg.Input); i >= 0 && msg.Cause.NamesInput() {
 		f.Input, f.Generation, f.Age = msg.Input, r.Stages[i].UsedGen, max(0, m.state.At-r.Stages[i].MadeAt)
@@ -216,7 +216,7 @@
 	}
 	m.addHistory(r, -1, "%s", text)
 	if stage.Once {
-		if msg.Cause.Ran() && !m.faults.Unsafe {
+		if msg.Cause.MayHaveTakenEffect() && !m.faults.RerunOnceStages {
 			m.finish(r, Answer{Kind: NeedsPerson, Stage: stage.Name, Cause: msg.Cause, Reason: fmt.Sprintf("%s; it must not run twice", cmp.Or(msg.Text, text))})
 			return
 		}
@@ -262,7 +262,7 @@
 		m.giveUp(r, msg.Stage, n, fmt.Sprintf("%s, and the rule of line %d was used %d times", msg.Cause, rule.Line, rule.MaxUses))
 		return
 	}
-	if n.Target != msg.Stage && !rule.KeepOld && !m.faults.Unsafe {
+	if n.Target != msg.Stage && !rule.KeepOld && !m.faults.RerunOnceStages {
 		for _, a := range r.pipeline.Affected(rule, n.Target) {
 			if r.pipeline.Stages[a].Once && r.Stages[a].MayHaveRun {
 				m.finish(r, Answer{Kind: NeedsPerson, Stage: r.pipeline.Stages[a].Name, Cause: msg.Cause,
--- a/internal/rerun/model.go
+++ b/internal/rerun/model.go
@@ -66,7 +66,7 @@
 	ByRule       bool           `json:"own,omitempty"` // requested again by a rule of this run
 	MayHaveRun   bool           `json:"ran,omitempty"` // a stage that must not run twice may have run
 	Runs         int64          `json:"runs,omitempty"`
-	Place        policy.Place   `json:"at"`
+	Place        policy.Place   `json:"at"` // where the used output was made; during a rerun, the place to avoid
 	MadeAt       time.Duration  `json:"made,omitempty"`
 	Result       string         `json:"result,omitempty"`
 	RuleNumber   int            `json:"rule,omitempty"`  // index plus one of the rule that requested the rerun
@@ -223,9 +223,9 @@
 
 // Fingerprint is the stage, cause and place shared by failures that may have a common reason.
 type Fingerprint struct {
-	Trials       []string      `json:"trying,omitempty"` // stages of runs whose verdicts are outstanding
+	Admitted     []string      `json:"trying,omitempty"` // admitted reruns, by run and stage, whose verdicts are outstanding
 	Waiting      []Message     `json:"waiting,omitempty"`
-	MaxTrials    int           `json:"room"` // concurrent trials; doubled by a good verdict
+	MaxAdmitted  int           `json:"room"` // maximum of Admitted; doubled by a good verdict
 	FailedTrials int           `json:"bad,omitempty"`
 	NotBefore    time.Duration `json:"not,omitempty"` // no further trial starts before this
 	ForgetAt     time.Duration `json:"idle,omitempty"`
@@ -276,5 +276,7 @@
 	SuspectSites []policy.Place `json:"sites,omitempty"`
 }
 
-// Faults disables safety rules, for tests that must detect it.
-type Faults struct{ AnyGeneration, GrantTwice, NoTrial, Unsafe bool }
+// Faults disables safety rules, for tests that must detect it. AnyGeneration makes requests ask for a generation above
+// the last one, GrantTwice applies repeated budget grants again, NoTrial admits reruns without a trial, and
+// RerunOnceStages reruns stages that must not run twice.
+type Faults struct{ AnyGeneration, GrantTwice, NoTrial, RerunOnceStages bool }
--- a/internal/rerun/outputs.go
+++ b/internal/rerun/outputs.go
@@ -116,7 +116,7 @@
 		return Result{OK: true}
 	case o.Execution.Phase != Queued:
 		return refuse("not to be started")
-	case m.state.Running >= m.config.Running:
+	case m.state.Running >= m.config.MaxRunning:
 		return refuse("as many run as may")
 	case !o.Execution.First && m.firstRunQueued():
 		return refuse("first runs go first")
--- a/internal/rerun/policy/causes.go
+++ b/internal/rerun/policy/causes.go
@@ -26,8 +26,8 @@
 // NamesInput reports whether the cause names an input.
 func (c Cause) NamesInput() bool { return c == BadInput || c == OutputLost }
 
-// Ran reports whether the stage may have had an effect. It is true unless the stage is known not to have run.
-func (c Cause) Ran() bool { return c != NeverRan && c != Refused }
+// MayHaveTakenEffect reports whether the stage may have had an effect. It is true unless the stage is known not to have run.
+func (c Cause) MayHaveTakenEffect() bool { return c != NeverRan && c != Refused }
 
 // Known reports whether the cause is one of Causes.
 func (c Cause) Known() bool { return slices.Contains(Causes, c) }
--- a/internal/rerun/policy/condition.go
+++ b/internal/rerun/policy/condition.go
@@ -29,7 +29,7 @@
 	Input      string        // stage whose output is bad or lost; empty if the cause names none
 	Generation int64         // of that output
 	Age        time.Duration // of that output
-	Ran        time.Duration // duration of the failed run
+	RunTime    time.Duration // duration of the failed run
 	At         Place         // place of the failed run
 	Tenant     string
 	Runs       int64         // of the stage so far, including this one
@@ -50,7 +50,7 @@
 	{"cause.input.stage", cel.StringType, func(f *Facts) any { return f.Input }},
 	{"cause.input.generation", cel.IntType, func(f *Facts) any { return f.Generation }},
 	{"cause.input.age", cel.DurationType, func(f *Facts) any { return f.Age }},
-	{"cause.ran", cel.DurationType, func(f *Facts) any { return f.Ran }},
+	{"cause.ran", cel.DurationType, func(f *Facts) any { return f.RunTime }},
 	{"cause.worker", cel.StringType, func(f *Facts) any { return f.At.Worker }},
 	{"cause.worker_kind", cel.StringType, func(f *Facts) any { return f.At.Kind }},
 	{"cause.site", cel.StringType, func(f *Facts) any { return f.At.Site }},
@@ -92,14 +92,14 @@
 	return env
 }()
 
-// sizes gives the CEL cost estimator the maximum size of values.
-type sizes struct{}
+// sizeEstimator gives the CEL cost estimator the maximum size of values.
+type sizeEstimator struct{}
 
-func (sizes) EstimateSize(node checker.AstNode) *checker.SizeEstimate {
+func (sizeEstimator) EstimateSize(node checker.AstNode) *checker.SizeEstimate {
 	return &checker.SizeEstimate{Max: maxStringBytes}
 }
 
-func (sizes) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
+func (sizeEstimator) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
 	return nil
 }
 
@@ -130,7 +130,7 @@
 	if checked.OutputType() != cel.BoolType {
 		return nil, fmt.Errorf(`the condition must be a bool, not %s: write for example cause.kind == "failed"`, checked.OutputType())
 	}
-	cost, err := environment.EstimateCost(checked, sizes{})
+	cost, err := environment.EstimateCost(checked, sizeEstimator{})
 	if err != nil {
 		return nil, fmt.Errorf("its cost cannot be estimated: %w; write it more simply", err)
 	}
@@ -298,7 +298,7 @@
 	}
 	if on.Once {
 		for _, f := range holds {
-			if f.Kind.Ran() {
+			if f.Kind.MayHaveTakenEffect() {
 				return l.doc.At(at("when"), `%q must not run twice, and after %q it may have run: add cause.kind in ["never_ran", "refused"]; for all other causes a person decides`, on.Name, f.Kind)
 			}
 		}
@@ -372,7 +372,7 @@
 		return f.Input != "" && ints[i] >= 1 && ints[i] <= limit
 	})
 	vary("cause.input.age", len(times), func(f *Facts, i int) bool { f.Age = times[i]; return f.Input != "" && inRange(times[i], maxAge) })
-	vary("cause.ran", len(times), func(f *Facts, i int) bool { f.Ran = times[i]; return inRange(times[i], l.pipeline.Within) })
+	vary("cause.ran", len(times), func(f *Facts, i int) bool { f.RunTime = times[i]; return inRange(times[i], l.pipeline.Within) })
 	vary("run.age", len(times), func(f *Facts, i int) bool { f.RunAge = times[i]; return inRange(times[i], l.pipeline.Within) })
 	vary("run.left", len(times), func(f *Facts, i int) bool { f.Left = times[i]; return inRange(times[i], l.pipeline.Within) })
 	ranges := append([]int64{0}, ints...)
--- a/internal/rerun/policy/policy.go
+++ b/internal/rerun/policy/policy.go
@@ -17,7 +17,7 @@
 	maxStages         = 64 // of one pipeline
 	maxRules          = 64
 	maxUses           = 16 // uses of one rule in one run of a pipeline
-	maxOthers         = 8
+	maxOthersReruns   = 8
 	maxNameBytes      = 64
 	maxRuns           = 4096             // of all stages in one run of a pipeline
 	maxConditionBytes = 1024             // bytes of a condition
@@ -48,12 +48,12 @@
 
 // Pipeline is the stages of a pipeline and its rerun rules.
 type Pipeline struct {
-	Name   string
-	Within time.Duration // of a run
-	Others int           // times that reruns of other pipeline runs may make stages of a run stale
-	Stages []*Stage      // in topological order
-	Rules  []*Rule
-	Bound  Bound
+	Name            string
+	Within          time.Duration // of a run
+	MaxOthersReruns int           // times that reruns of other pipeline runs may make stages of a run stale
+	Stages          []*Stage      // in topological order
+	Rules           []*Rule
+	Bound           Bound
 }
 
 // Stage is one stage of a pipeline.
@@ -218,10 +218,10 @@
 		return nil, l.errorAt("rerun", "%d: at most %d", len(t.Rules), maxRules)
 	case t.Within <= 0:
 		return nil, l.errorAt("within", `missing: write within = "2h", after which a run ends in any case`)
-	case t.Others < 0 || t.Others > maxOthers:
-		return nil, l.errorAt("others", "%d: from 0 to %d times that other pipelines' reruns may make this one's stages stale", t.Others, maxOthers)
+	case t.Others < 0 || t.Others > maxOthersReruns:
+		return nil, l.errorAt("others", "%d: from 0 to %d times that other pipelines' reruns may make this one's stages stale", t.Others, maxOthersReruns)
 	}
-	l.pipeline = &Pipeline{Name: t.Name, Within: time.Duration(t.Within), Others: t.Others}
+	l.pipeline = &Pipeline{Name: t.Name, Within: time.Duration(t.Within), MaxOthersReruns: t.Others}
 	for _, step := range []func() error{l.loadStages, l.sortStages, l.checkResults, l.checkShared, l.loadRules, l.checkContradictions, l.computeBound} {
 		if err := step(); err != nil {
 			return nil, err
@@ -440,7 +440,7 @@
 				for _, n := range l.pipeline.Stages[r.On].Upstream {
 					upstream = append(upstream, l.pipeline.Stages[n].Name)
 				}
-				return l.doc.At(at("rerun"), `%q is not above %q, so rerunning it does not help: write "self", "cause.input"%s`, t.Rerun, t.On, list(upstream))
+				return l.doc.At(at("rerun"), `%q is not above %q, so rerunning it does not help: write "self", "cause.input"%s`, t.Rerun, t.On, orOneOf(upstream))
 			}
 		}
 		if err := l.checkWhere(r, at); err != nil {
@@ -454,7 +454,7 @@
 	return nil
 }
 
-func list(names []string) string {
+func orOneOf(names []string) string {
 	if len(names) == 0 {
 		return ""
 	}
@@ -563,7 +563,7 @@
 	}
 	for i, s := range p.Stages {
 		if s.Shared != "" || slices.ContainsFunc(s.Upstream, func(a int) bool { return p.Stages[a].Shared != "" }) {
-			b.Runs[i] += p.Others
+			b.Runs[i] += p.MaxOthersReruns
 		}
 		b.Total += b.Runs[i]
 		b.Work += time.Duration(b.Runs[i]) * s.Work
--- a/internal/rerun/rerun.go
+++ b/internal/rerun/rerun.go
@@ -42,7 +42,7 @@
 	claimRetention     = 10 * time.Minute // how long a claim that an input is bad is remembered
 	initialTrust       = 2                // claims of a worker believed without a check by another worker; doubled after a confirmed one
 	acceptedPerClaim   = 1                // runs in which the worker accepted its inputs, per additional claim believed
-	crossCheckInterval = 8                // every so many claims, another worker checks one whatever the trust
+	crossCheckInterval = 8                // one claim in this many is checked by another worker whatever the trust
 	maxTrust           = 64
 	maxRefuted         = 2                // refuted claims, after which a worker is not believed
 	defaultCapacity    = 8                // concurrent reruns per fingerprint where the capacity of the place is unknown
@@ -52,7 +52,7 @@
 // Config configures the machine of one group. It must be the same at all replicas.
 type Config struct {
 	Group, Groups uint32
-	Running       int // maximum of stages running at once for this group's outputs; 0: 256
+	MaxRunning    int // maximum of stages running at once for this group's outputs; 0: 256
 }
 
 type storedPolicy struct {
@@ -101,7 +101,7 @@
 
 // New returns an empty machine.
 func New(c Config) *Machine {
-	c.Running = cmp.Or(c.Running, 256)
+	c.MaxRunning = cmp.Or(c.MaxRunning, 256)
 	m := &Machine{config: c}
 	m.reset()
 	return m
@@ -237,7 +237,7 @@
 		if !ready {
 			continue
 		}
-		if stage.Once && s.MayHaveRun && !m.faults.Unsafe {
+		if stage.Once && s.MayHaveRun && !m.faults.RerunOnceStages {
 			m.finish(r, Answer{Kind: NeedsPerson, Stage: stage.Name, Reason: fmt.Sprintf("%s must not run twice and has been run with inputs that no longer count", stage.Name)})
 			return
 		}
--- a/internal/rerun/rerun_test.go
+++ b/internal/rerun/rerun_test.go
@@ -55,10 +55,10 @@
 func TestRerunsPropagateUpstream(t *testing.T) {
 	sim := newSimulation(t, 2, 4, 100)
 	sim.policy(policyFile("1", "5%", "10m", filmPipeline("fleet", 2, "")))
-	var narrowed []policy.Where
+	var restrictions []policy.Where
 	sim.outcome = func(sim *simulation, g Execute) Command {
 		if !g.First {
-			narrowed = append(narrowed, g.Where)
+			restrictions = append(restrictions, g.Where)
 		}
 		at := worker(1, "s1", "a")
 		switch s := stageOf(g.Key); {
@@ -78,7 +78,7 @@
 	require.Len(t, sim.started["r/r0/encode"], 3)
 	require.Len(t, sim.started["r/r0/package"], 2)
 	require.Len(t, sim.started["r/r0/publish"], 1)
-	require.Equal(t, []policy.Where{policy.OtherSite, policy.OtherSite, policy.OtherSite, ""}, narrowed, "only targets of rules are restricted; stages downstream use all workers of their class")
+	require.Equal(t, []policy.Where{policy.OtherSite, policy.OtherSite, policy.OtherSite, ""}, restrictions, "only targets of rules are restricted; stages downstream use all workers of their class")
 	require.Equal(t, 4, r.Answer.Reruns)
 }
 
@@ -241,7 +241,7 @@
 			continue
 		}
 		times := int((sim.now-startAt)/claimRetention) + 1
-		require.LessOrEqual(t, reruns, times*c.atMost, "false claims believed, in %d times 10 min", times)
+		require.LessOrEqual(t, reruns, times*c.atMost, "false claims believed, in %d periods of 10 min", times)
 		require.Less(t, reruns, seen/3/2, "of all false claims")
 	}
 }
@@ -317,7 +317,7 @@
 func TestSitesAreRatedByFailureShare(t *testing.T) {
 	sim := newSimulation(t, 16, 4, 40)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
-	made, kept, sent := 0, 0, 0
+	made, avoidedGoodSite, notAvoidedBadSite := 0, 0, 0
 	sim.outcome = func(sim *simulation, g Execute) Command {
 		switch id := strings.Split(g.Key, "/")[1]; stageOf(g.Key) {
 		case "encode":
@@ -327,8 +327,8 @@
 			} else if !g.First {
 				site = "s2"
 				if made > 100 {
-					kept += map[bool]int{true: 1}[slices.Contains(g.SuspectSites, policy.Place{Zone: "a", Site: "s0"})]
-					sent += map[bool]int{true: 1}[!slices.Contains(g.SuspectSites, policy.Place{Zone: "a", Site: "s1"})]
+					avoidedGoodSite += map[bool]int{true: 1}[slices.Contains(g.SuspectSites, policy.Place{Zone: "a", Site: "s0"})]
+					notAvoidedBadSite += map[bool]int{true: 1}[!slices.Contains(g.SuspectSites, policy.Place{Zone: "a", Site: "s1"})]
 				}
 			}
 			return Command{OK: true, Place: worker(sim.rng.IntN(20), site, "a")}
@@ -347,7 +347,7 @@
 		}
 	}
 	require.Equal(t, map[Kind]int{Done: 300}, sim.endKinds(300, runID))
-	require.Equal(t, []int{0, 0}, []int{kept, sent}, "reruns that avoid s0, reruns sent to s1")
+	require.Equal(t, []int{0, 0}, []int{avoidedGoodSite, notAvoidedBadSite}, "reruns that avoid s0, reruns sent to s1")
 }
 
 // Guards against a second opinion on a stage's input at a site where that stage's own outputs are bad, so that it has to
@@ -356,7 +356,7 @@
 	sim := newSimulation(t, 17, 4, 40)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	bad := policy.Place{Zone: "a", Site: "s0"}
-	kept, sent := 0, 0
+	avoidedBadSite, sentToBadSite := 0, 0
 	sim.outcome = func(sim *simulation, g Execute) Command {
 		id := strings.Split(g.Key, "/")[1]
 		switch stageOf(g.Key) {
@@ -367,9 +367,9 @@
 			site := "s1"
 			switch second := sim.run(id).Stages[1].CheckedClaim != nil; {
 			case second && slices.Contains(g.SuspectSites, bad):
-				kept++
+				avoidedBadSite++
 			case second:
-				sent++
+				sentToBadSite++
 				site = "s0"
 			case g.First:
 				site = []string{"s0", "s1", "s2"}[sim.rng.IntN(3)]
@@ -388,16 +388,16 @@
 			sim.finish(200_000)
 		}
 		if i == 39 { // the site has failed often by now
-			kept, sent = 0, 0
+			avoidedBadSite, sentToBadSite = 0, 0
 		}
 	}
 	require.Equal(t, map[Kind]int{Done: 200}, sim.endKinds(200, runID))
-	require.Greater(t, kept, 20)
-	require.Zero(t, sent, "of %d", kept+sent)
+	require.Greater(t, avoidedBadSite, 20)
+	require.Zero(t, sentToBadSite, "of %d", avoidedBadSite+sentToBadSite)
 }
 
 // All outputs of a site are lost: reruns for them start with a trial and then stay within its capacity.
-func TestLostOutputsArePaced(t *testing.T) {
+func TestRerunsOfLostOutputsStayWithinCapacity(t *testing.T) {
 	sim := newSimulation(t, 6, 4, 1000)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 3, "")))
 	for g := range sim.machines {
@@ -427,7 +427,7 @@
 }
 
 // Where an upstream stage stays bad, three trials show it, and all runs that wait for a verdict get their answer.
-func TestTrialsThatFail(t *testing.T) {
+func TestWaitingRunsAreDeniedAfterFailedTrials(t *testing.T) {
 	sim := newSimulation(t, 7, 4, 1000)
 	sim.policy(policyFile("1", "100%", "60m", filmPipeline("tenant:100%", 1, "")))
 	sim.outcome = func(sim *simulation, g Execute) Command {
@@ -445,7 +445,7 @@
 }
 
 // A new policy version halves the budget during runs: those keep their own version to the end.
-func TestVersionHalvesTheBudget(t *testing.T) {
+func TestRunsKeepPolicyVersion(t *testing.T) {
 	sim := newSimulation(t, 8, 4, 1000)
 	sim.policy(policyFile("1", "50%", "30s", filmPipeline("tenant:50%", 2, "")))
 	sim.outcome = func(sim *simulation, g Execute) Command {
@@ -522,7 +522,7 @@
 	for i := range n {
 		if _, known := sim.answers[runID(i)]; !known {
 			e, _ := sim.machines[GroupOfRun(runID(i), uint32(len(sim.machines)))].Explain(runID(i))
-			require.Fail(t, "ended_not_once", "%s after %v, %d events left: %+v", runID(i), sim.now-startAt, len(sim.events), e)
+			require.Fail(t, "run has no answer", "%s after %v, %d events left: %+v", runID(i), sim.now-startAt, len(sim.events), e)
 		}
 	}
 }
@@ -546,12 +546,12 @@
 			m.faults = faulty
 		}
 		sim.policy(policyFile("1", "100%", "1h", filmPipeline("fleet", 2, "")))
-		begun := false // a verdict may exist from here on
+		verdictPossible := false // from the first run of encode on
 		sim.outcome = func(sim *simulation, g Execute) Command {
 			if stageOf(g.Key) == "encode" && g.InputGens[0] == 1 {
 				return Command{Cause: policy.BadInput, Input: "ingest"}
 			}
-			begun = begun || stageOf(g.Key) == "encode"
+			verdictPossible = verdictPossible || stageOf(g.Key) == "encode"
 			return Command{OK: true, Place: worker(1, "s1", "a")}
 		}
 		sim.duration = func(sim *simulation, g Execute) time.Duration {
@@ -570,10 +570,10 @@
 			most := 0
 			for _, m := range sim.machines {
 				for _, p := range m.state.Fingerprints {
-					most = max(most, len(p.Trials))
+					most = max(most, len(p.Admitted))
 				}
 			}
-			if !begun {
+			if !verdictPossible {
 				require.LessOrEqual(t, most, 1, "trial skipped")
 			}
 		}
@@ -605,7 +605,7 @@
 		{"generation not compared", Faults{AnyGeneration: true, NoTrial: true}, shared},
 		{"trial skipped", Faults{NoTrial: true}, shared},
 		{"budget granted twice", Faults{GrantTwice: true}, grants},
-		{"unsafe rerun", Faults{Unsafe: true}, func(t require.TestingT, f Faults) {
+		{"unsafe rerun", Faults{RerunOnceStages: true}, func(t require.TestingT, f Faults) {
 			sim := newSimulation(t, 4, 3, 100)
 			for _, m := range sim.machines {
 				m.faults = f
@@ -874,7 +874,7 @@
 	require.Len(t, sim.started["r/r0/encode"], 2)
 }
 
-// Guards against ending a stage that must not run twice, as late, before the end of its promised job, which comes with
+// Guards against ending a stage that must not run twice, as late, before the end of its job, which comes with
 // the job's deadline or a second later plus the time of the replicated log. It is late if nothing was reported a minute
 // after that.
 func TestOnceStageWaitsForJobEnd(t *testing.T) {
@@ -887,7 +887,7 @@
 		cause policy.Cause
 	}{
 		{"done as its time ends", 30*time.Second + 100*time.Millisecond, Command{OK: true, Text: "published"}, Done, ""},
-		{"never sent in its time", 30*time.Second + 200*time.Millisecond, Command{Cause: policy.NeverRan, Text: "its time was over before it could be done"}, Done, ""},
+		{"not sent before its deadline", 30*time.Second + 200*time.Millisecond, Command{Cause: policy.NeverRan, Text: "its time was over before it could be done"}, Done, ""},
 		{"may have run", 31*time.Second + 500*time.Millisecond, Command{Cause: policy.MayHaveRun, Text: "may have run"}, NeedsPerson, policy.MayHaveRun},
 		{"no report", time.Hour, Command{OK: true}, NeedsPerson, policy.Late},
 	} {
--- a/internal/rerun/schedule.go
+++ b/internal/rerun/schedule.go
@@ -20,15 +20,15 @@
 	kind, key string
 }
 
-func (d timerHeap) Len() int { return len(d) }
-func (d timerHeap) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(d[i].at, d[j].at), cmp.Compare(d[i].kind, d[j].kind), cmp.Compare(d[i].key, d[j].key)) < 0
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].kind, h[j].kind), cmp.Compare(h[i].key, h[j].key)) < 0
 }
-func (d timerHeap) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *timerHeap) Push(x any)   { *d = append(*d, x.(timer)) }
-func (d *timerHeap) Pop() any {
-	last := (*d)[len(*d)-1]
-	*d = (*d)[:len(*d)-1]
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
@@ -83,8 +83,8 @@
 				delete(m.state.Outputs, d.key)
 			}
 		case "print":
-			if p := m.state.Fingerprints[d.key]; p != nil {
-				if m.admitTrials(d.key, p); len(p.Trials)+len(p.Waiting) == 0 && p.ForgetAt <= m.state.At && p.NotBefore <= m.state.At {
+			if f := m.state.Fingerprints[d.key]; f != nil {
+				if m.admitWaiting(d.key, f); len(f.Admitted)+len(f.Waiting) == 0 && f.ForgetAt <= m.state.At && f.NotBefore <= m.state.At {
 					delete(m.state.Fingerprints, d.key)
 				}
 			}
@@ -136,7 +136,7 @@
 // Actions returns what is to be done now: first runs before reruns, up to the maximum that may run at once.
 func (m *Machine) Actions() (all []Action) {
 	queued := m.executionsWhere(func(e *Execution) bool { return e.Phase == Queued })
-	capacity := m.config.Running - m.state.Running
+	capacity := m.config.MaxRunning - m.state.Running
 	for _, first := range []bool{true, false} {
 		for _, o := range queued {
 			if o.Execution.First == first && capacity > 0 {
@@ -177,4 +177,4 @@
 func (m *Machine) CurrentVersion() string { return m.state.CurrentVersion }
 
 // Size returns the number of runs, and of those without an answer.
-func (m *Machine) Size() (runs, open int) { return len(m.state.Runs), m.unfinished }
+func (m *Machine) Size() (runs, unfinished int) { return len(m.state.Runs), m.unfinished }
--- a/internal/rerun/simulation_test.go
+++ b/internal/rerun/simulation_test.go
@@ -126,7 +126,7 @@
 		},
 	}
 	for g := range groups {
-		sim.machines = append(sim.machines, New(Config{Group: g, Groups: groups, Running: running}))
+		sim.machines = append(sim.machines, New(Config{Group: g, Groups: groups, MaxRunning: running}))
 	}
 	return sim
 }
@@ -258,7 +258,7 @@
 	}
 	if a.Once {
 		for gen := range sim.started[a.Key] {
-			require.True(sim.t, sim.neverRan[fmt.Sprint(a.Key, "@", gen)], "doubled_unsafe: %s generation %d after %d", a.Key, a.Gen, gen)
+			require.True(sim.t, sim.neverRan[fmt.Sprint(a.Key, "@", gen)], "once stage ran twice: %s generation %d after %d", a.Key, a.Gen, gen)
 		}
 	}
 	sim.started[a.Key][a.Gen]++
@@ -272,7 +272,7 @@
 	sim.startedBy[a.Run][a.Name]++
 	c := sim.outcome(sim, a)
 	c.Op, c.Key, c.Gen = OpEnd, a.Key, a.Gen
-	if !c.OK && !c.Cause.Ran() {
+	if !c.OK && !c.Cause.MayHaveTakenEffect() {
 		sim.neverRan[fmt.Sprint(a.Key, "@", a.Gen)] = true
 	}
 	sim.after(sim.duration(sim, a), func() {
@@ -296,7 +296,7 @@
 		for id, r := range m.state.Runs {
 			if r.Answer != nil {
 				if before, known := sim.answers[id]; known {
-					require.Equal(sim.t, before, *r.Answer, "ended_not_once")
+					require.Equal(sim.t, before, *r.Answer, "answer of %s changed", id)
 				}
 				sim.answers[id] = *r.Answer
 			}
@@ -318,18 +318,18 @@
 		}
 		for _, p := range m.state.Fingerprints {
 			if !m.faults.NoTrial {
-				require.LessOrEqual(sim.t, len(p.Trials), max(defaultCapacity, 32), "flood")
+				require.LessOrEqual(sim.t, len(p.Admitted), max(defaultCapacity, 32), "too many concurrent reruns")
 			}
 		}
 	}
 	for name := range spent {
-		require.LessOrEqual(sim.t, spent[name], given[name], "budget_passed: %s", name)
+		require.LessOrEqual(sim.t, spent[name], given[name], "budget exceeded: %s", name)
 		require.LessOrEqual(sim.t, spent[name]+has[name], given[name], "%s was granted twice", name)
 	}
 	for id, stages := range sim.startedBy {
 		if r := sim.run(id); r != nil {
 			for i, s := range r.pipeline.Stages {
-				require.LessOrEqual(sim.t, stages[s.Name], r.pipeline.Bound.Runs[i], "bound_passed: %s of %s", s.Name, id)
+				require.LessOrEqual(sim.t, stages[s.Name], r.pipeline.Bound.Runs[i], "bound exceeded: %s of %s", s.Name, id)
 			}
 		}
 	}
--- a/internal/rerun/snapshot.go
+++ b/internal/rerun/snapshot.go
@@ -70,9 +70,9 @@
 	for key := range next.state.SiteFailures {
 		next.setTimer(next.state.At+1, "often", key)
 	}
-	for key, p := range next.state.Fingerprints {
-		next.setTimer(max(p.ForgetAt, p.NotBefore), "print", key)
-		next.setTimer(p.NotBefore, "print", key)
+	for key, f := range next.state.Fingerprints {
+		next.setTimer(max(f.ForgetAt, f.NotBefore), "print", key)
+		next.setTimer(f.NotBefore, "print", key)
 	}
 	for key, c := range next.state.Claimants {
 		next.setTimer(max(c.Since+claimRetention, c.DistrustedUntil), "claimant", key)
--- a/internal/rerun/workersim/address_test.go
+++ b/internal/rerun/workersim/address_test.go
@@ -29,7 +29,7 @@
 		if err == nil {
 			other.Close()
 		}
-		require.Error(t, err, "another listens where the worker was")
+		require.Error(t, err, "another process can listen at the worker's address")
 	}
 	require.NoError(t, p.SetDown("s-1", false))
 	for _, d := range p.servers {
--- a/internal/rerun/workersim/cluster_test.go
+++ b/internal/rerun/workersim/cluster_test.go
@@ -188,7 +188,7 @@
 		step string
 		sent bool // kill the one that sent the run
 	}{{"encode@1", false}, {"package@1", false}, {"encode@2", false}, {"encode@2", true}, {"publish@1", false}, {"publish@1", true}} {
-		t.Run(fmt.Sprint(c.step, map[bool]string{true: " its sender"}[c.sent]), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.step, map[bool]string{true: " and kill sender"}[c.sent]), func(t *testing.T) {
 			s := openCluster(t, c.step)
 			run, lost := s.awaitHeldRun()
 			if c.sent {
