--- a/internal/gang/coordinator.go
+++ b/internal/gang/coordinator.go
@@ -38,7 +38,7 @@
 	rivalRetry      = 10 * time.Millisecond  // between two attempts to prepare holds that a rival may release
 	proposeRetry    = 50 * time.Millisecond  // after a command without an answer
 	viewTTL         = 100 * time.Millisecond // for which a view counts as current
-	heldViewTTL     = 500 * time.Millisecond // the same for gangs that only wait for their start
+	heldViewTTL     = 500 * time.Millisecond // the same for gangs that only wait for their start; also between searches for an earlier start
 	messageInterval = 15 * time.Millisecond  // between messages around the start
 	runningInterval = 250 * time.Millisecond // between messages while members run
 	orphanTimeout   = 3 * time.Second        // after which an undecided hold's home is queried
@@ -78,7 +78,7 @@
 	Stats          Stats
 }
 
-// Stats counts a coordinator's events.
+// Stats counts a coordinator's events. Preempted counts requests to abort a younger gang's round (wound-wait).
 type Stats struct {
 	Preempted, Unanswered uint64
 	ClockJumps            uint64        // steps of clocks and restarts of processes
@@ -180,28 +180,28 @@
 }
 
 // HandleReply processes a dispatcher's reply to a message. sent is when the message was sent.
-func (c *Coordinator) HandleReply(now, sent time.Duration, to string, msg Message, s Reply, home uint32) {
-	k := c.measureClock(now, sent, to, s)
-	c.dispatchers[to] = dispatcherInfo{now, s.Site}
+func (c *Coordinator) HandleReply(now, sent time.Duration, to string, msg Message, r Reply, home uint32) {
+	k := c.measureClock(now, sent, to, r)
+	c.dispatchers[to] = dispatcherInfo{now, r.Site}
 	if msg.Kind == CancelElsewhere {
 		return
 	}
 	id := fmt.Sprint(msg.Gang, "/", msg.Round)
-	for _, t := range s.Members {
+	for _, m := range r.Members {
 		switch {
-		case msg.Kind == Arm && t.Armed && msg.At > 0 && k.sameStart(now, msg):
-			mark(c.armed, id, t.Member)
-		case msg.Kind == Arm && t.Status != Unknown:
-			c.propose(now, home, Command{Op: "drop", Gang: msg.Gang, Round: msg.Round, Reason: fmt.Sprintf("member %d: %s: %s", t.Member, to, t.Reason)})
+		case msg.Kind == Arm && m.Armed && msg.At > 0 && k.sameStart(now, msg):
+			mark(c.armed, id, m.Member)
+		case msg.Kind == Arm && m.Status != Unknown:
+			c.propose(now, home, Command{Op: "drop", Gang: msg.Gang, Round: msg.Round, Reason: fmt.Sprintf("member %d: %s: %s", m.Member, to, m.Reason)})
 		}
 		if msg.Kind == Arm {
 			continue
 		}
-		if t.AllRunning {
-			mark(c.confirmed, id, t.Member)
+		if m.AllRunning {
+			mark(c.confirmed, id, m.Member)
 		}
-		if t.Status != c.reported[id][t.Member] {
-			c.propose(now, home, Command{Op: "report", Gang: msg.Gang, Round: msg.Round, Member: t.Member, MemberStatus: t.Status, Reason: t.Reason, At: c.planTime(now, msg.Gang, msg.Round)})
+		if m.Status != c.reported[id][m.Member] {
+			c.propose(now, home, Command{Op: "report", Gang: msg.Gang, Round: msg.Round, Member: m.Member, MemberStatus: m.Status, Reason: m.Reason, At: c.planTime(now, msg.Gang, msg.Round)})
 		}
 	}
 }
@@ -499,10 +499,10 @@
 // recallReason returns a reason to move the gang if a partner now lends too little for its holds and those of older
 // gangs, else "". Younger gangs give way.
 func (c *Coordinator) recallReason(e *Entry) string {
-	k := accounts{Resources: c.view.Accounts}
+	a := accounts{Resources: c.view.Accounts}
 	var lent []Hold
 	for _, h := range e.Plan.Holds {
-		if r, known := k.Resources[h.Resource]; known && strings.HasPrefix(h.Resource, PartnerAccount("")) && r.Gen != h.Gen {
+		if r, known := a.Resources[h.Resource]; known && strings.HasPrefix(h.Resource, PartnerAccount("")) && r.Gen != h.Gen {
 			lent = append(lent, h)
 		}
 	}
@@ -511,12 +511,12 @@
 	}
 	for _, s := range c.view.RoundHolds {
 		if s.Committed && s.Gang != e.Spec.ID && older(s.SubmittedAt, s.Gang, e.SubmittedAt, e.Spec.ID) {
-			k.RoundHolds = append(k.RoundHolds, s)
+			a.RoundHolds = append(a.RoundHolds, s)
 		}
 	}
-	k.RoundHolds = append(k.RoundHolds, RoundHolds{Gang: e.Spec.ID, Holds: lent})
-	slices.SortStableFunc(k.RoundHolds, func(a, b RoundHolds) int { return cmp.Compare(a.Gang, b.Gang) })
-	if h, fits := k.fits(k.RoundHolds, lent); !fits {
+	a.RoundHolds = append(a.RoundHolds, RoundHolds{Gang: e.Spec.ID, Holds: lent})
+	slices.SortStableFunc(a.RoundHolds, func(a, b RoundHolds) int { return cmp.Compare(a.Gang, b.Gang) })
+	if h, fits := a.fits(a.RoundHolds, lent); !fits {
 		return h.Resource + " lends less"
 	}
 	return ""
--- a/internal/gang/home.go
+++ b/internal/gang/home.go
@@ -128,7 +128,7 @@
 			return "another round"
 		}
 		e.abortRound(at, c.Reason)
-	case "wound": // an older gang needs slots for which this one is still preparing
+	case "wound": // wound-wait: an older gang needs slots for which this one is still preparing
 		if e.State != Preparing || !current {
 			return "too late"
 		} else if !older(c.SubmittedAt, c.By, e.SubmittedAt, e.Spec.ID) {
@@ -186,6 +186,7 @@
 	return ""
 }
 
+// older reports whether a gang was submitted before another one.
 func older(submittedAt time.Duration, id string, otherSubmittedAt time.Duration, other string) bool {
 	return submittedAt < otherSubmittedAt || submittedAt == otherSubmittedAt && id < other
 }
--- a/internal/gang/starter.go
+++ b/internal/gang/starter.go
@@ -117,7 +117,7 @@
 }
 
 // ended reports whether the member's status is final.
-func (p *starterMember) ended() bool { return p.status != Unknown && p.status != Began }
+func (m *starterMember) ended() bool { return m.status != Unknown && m.status != Began }
 
 // NewStarter returns a starter without members.
 func NewStarter() *Starter { return &Starter{members: map[string]*starterMember{}} }
@@ -145,32 +145,32 @@
 			reply.Members = append(reply.Members, MemberReply{Member: t.Member})
 			continue
 		}
-		p := s.members[key]
-		if p == nil {
-			if p = cmp.Or(s.arm(now, msg, t), s.adopt(now, msg, t)); p == nil {
+		m := s.members[key]
+		if m == nil {
+			if m = cmp.Or(s.arm(now, msg, t), s.adopt(now, msg, t)); m == nil {
 				if msg.Kind != Arm { // an earlier process may have sent it
 					s.actions = append(s.actions, StarterAction{Key: key, Kind: CancelJob, Encoder: t.Encoder})
 				}
 				reply.Members = append(reply.Members, MemberReply{Member: t.Member, Status: s.unknownStatus(msg), Reason: "not known here"})
 				continue
 			}
-			s.members[key] = p
+			s.members[key] = m
 		}
 		switch {
-		case p.ended():
-		case msg.Kind == Arm && !p.goReceived:
-			p.start, p.clockError = msg.At, msg.ClockError // by the current coordinator's measurement of the clock
-		case msg.Kind == Go && !p.sent && msg.At > 0 && (msg.At-p.start).Abs() > msg.ClockError+p.clockError:
+		case m.ended():
+		case msg.Kind == Arm && !m.goReceived:
+			m.start, m.clockError = msg.At, msg.ClockError // by the current coordinator's measurement of the clock
+		case msg.Kind == Go && !m.sent && msg.At > 0 && (msg.At-m.start).Abs() > msg.ClockError+m.clockError:
 			s.Stats.ClockJumps++
-			p.status, p.reason, p.changedAt = NeverRan, "its dispatcher's clock was put to another time", now
-		case msg.Kind == Go && !p.goReceived && now < p.start:
-			p.goReceived = true
-		case msg.Kind == Run && p.sent:
-			p.allRunning = true
+			m.status, m.reason, m.changedAt = NeverRan, "its dispatcher's clock was put to another time", now
+		case msg.Kind == Go && !m.goReceived && now < m.start:
+			m.goReceived = true
+		case msg.Kind == Run && m.sent:
+			m.allRunning = true
 		case msg.Kind == CallOff:
-			s.callOff(now, p)
+			s.callOff(now, m)
 		}
-		reply.Members = append(reply.Members, MemberReply{t.Member, !p.ended() && !p.sent, p.allRunning, p.status, p.reason, (p.sentAt - p.start).Microseconds()})
+		reply.Members = append(reply.Members, MemberReply{t.Member, !m.ended() && !m.sent, m.allRunning, m.status, m.reason, (m.sentAt - m.start).Microseconds()})
 	}
 	s.Tick(now)
 	return reply
@@ -182,7 +182,7 @@
 		return nil
 	}
 	if len(s.members) >= maxStarterMembers {
-		maps.DeleteFunc(s.members, func(_ string, p *starterMember) bool { return p.ended() && now-p.changedAt > endedRetention })
+		maps.DeleteFunc(s.members, func(_ string, m *starterMember) bool { return m.ended() && now-m.changedAt > endedRetention })
 		if len(s.members) >= maxStarterMembers {
 			return nil
 		}
@@ -210,62 +210,62 @@
 }
 
 // callOff cancels a member.
-func (s *Starter) callOff(now time.Duration, p *starterMember) {
-	if p.ended() {
+func (s *Starter) callOff(now time.Duration, m *starterMember) {
+	if m.ended() {
 		return
 	}
-	if p.changedAt = now; !p.sent {
-		p.status = NeverRan
+	if m.changedAt = now; !m.sent {
+		m.status = NeverRan
 		return
 	}
 	s.Stats.CalledOff++
-	p.status, p.dropsLeft = MayHaveRun, dropRepeats
-	s.actions = append(s.actions, StarterAction{Key: JobID(p.gang, p.round, p.Member), Kind: CancelSent, Encoder: p.Encoder, Member: p.Spec})
+	m.status, m.dropsLeft = MayHaveRun, dropRepeats
+	s.actions = append(s.actions, StarterAction{Key: JobID(m.gang, m.round, m.Member), Kind: CancelSent, Encoder: m.Encoder, Member: m.Spec})
 }
 
 // Tick performs all actions that are due.
 func (s *Starter) Tick(now time.Duration) {
 	var due []string
-	for key, p := range s.members {
-		if p.dropsLeft > 0 && now >= p.changedAt+dropInterval {
-			p.dropsLeft, p.changedAt = p.dropsLeft-1, now
-			s.actions = append(s.actions, StarterAction{Key: key, Kind: CancelJob, Encoder: p.Encoder})
+	for key, m := range s.members {
+		if m.dropsLeft > 0 && now >= m.changedAt+dropInterval {
+			m.dropsLeft, m.changedAt = m.dropsLeft-1, now
+			s.actions = append(s.actions, StarterAction{Key: key, Kind: CancelJob, Encoder: m.Encoder})
 		}
-		if !p.ended() && !p.allRunning && now >= p.start {
+		if !m.ended() && !m.allRunning && now >= m.start {
 			due = append(due, key)
 		}
 	}
 	slices.Sort(due)
 	for _, key := range due {
-		switch p := s.members[key]; {
-		case !p.sent && (!p.goReceived || now > p.start+p.skew/4): // the go message did not arrive, or this process was suspended during the start
-			if p.goReceived {
+		switch m := s.members[key]; {
+		case !m.sent && (!m.goReceived || now > m.start+m.skew/4): // the go message did not arrive, or this process was suspended during the start
+			if m.goReceived {
 				s.Stats.Late++
 			}
-			p.status, p.reason, p.changedAt = NeverRan, "it was not sent in time", now
-		case !p.sent:
-			p.sent, p.sentAt, p.changedAt = true, now, now
+			m.status, m.reason, m.changedAt = NeverRan, "it was not sent in time", now
+		case !m.sent:
+			m.sent, m.sentAt, m.changedAt = true, now, now
 			s.Stats.Launched++
-			s.actions = append(s.actions, StarterAction{Key: key, Kind: Launch, Encoder: p.Encoder, Member: p.Spec})
-		case now >= p.start+ConfirmTimeout: // no confirmation that all run: the coordinator may be unreachable
+			s.actions = append(s.actions, StarterAction{Key: key, Kind: Launch, Encoder: m.Encoder, Member: m.Spec})
+		case now >= m.start+ConfirmTimeout: // no confirmation that all run: the coordinator may be unreachable
 			s.Stats.Unconfirmed++
-			p.reason = "no word that all run"
-			s.callOff(now, p)
+			m.reason = "no word that all run"
+			s.callOff(now, m)
 		}
 	}
 }
 
 // NextDue returns when the next action is due, and false if there is none.
 func (s *Starter) NextDue() (at time.Duration, found bool) {
-	for _, p := range s.members {
-		due := p.start
+	for _, m := range s.members {
+		due := m.start
 		switch {
-		case p.dropsLeft > 0:
-			due = p.changedAt + dropInterval
-		case p.ended() || p.allRunning:
+		case m.dropsLeft > 0:
+			due = m.changedAt + dropInterval
+		case m.ended() || m.allRunning:
 			continue
 		}
-		if p.sent && p.dropsLeft == 0 {
+		if m.sent && m.dropsLeft == 0 {
 			due += ConfirmTimeout
 		}
 		if !found || due < at {
@@ -278,36 +278,36 @@
 // MemberStarted records that a member's encoder has begun to run it. A member that began too late is cancelled. Half
 // of the skew is reserved for the two clocks involved, each of which may be wrong by a quarter of it.
 func (s *Starter) MemberStarted(now time.Duration, key string) {
-	switch p := s.members[key]; {
-	case p == nil || !p.sent || p.status != Unknown:
-	case now > p.start+p.skew/2:
+	switch m := s.members[key]; {
+	case m == nil || !m.sent || m.status != Unknown:
+	case now > m.start+m.skew/2:
 		s.Stats.Late++
-		p.reason = "its encoder began too late"
-		s.callOff(now, p)
+		m.reason = "its encoder began too late"
+		s.callOff(now, m)
 	default:
-		p.status, p.changedAt = Began, now
+		m.status, m.changedAt = Began, now
 	}
 }
 
 // GangOf returns the gang of a member that the starter has.
 func (s *Starter) GangOf(key string) (gang string, ok bool) {
-	p := s.members[key]
-	if p == nil {
+	m := s.members[key]
+	if m == nil {
 		return "", false
 	}
-	return p.gang, true
+	return m.gang, true
 }
 
 // MemberEnded records how a member that was sent has ended: Done, NeverRan, or MayHaveRun if neither is known.
 func (s *Starter) MemberEnded(now time.Duration, key string, status MemberStatus, reason string) {
-	p := s.members[key]
-	if p == nil || !p.sent || p.ended() {
+	m := s.members[key]
+	if m == nil || !m.sent || m.ended() {
 		return
 	}
-	if p.status == Began && status != Done {
+	if m.status == Began && status != Done {
 		status = Died
 	}
-	p.status, p.reason, p.changedAt = status, reason, now
+	m.status, m.reason, m.changedAt = status, reason, now
 }
 
 // Clock estimates how far another process's clock is ahead of the local one, from the times of messages and replies.
