--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -51,7 +51,7 @@
 	worstSkew       time.Duration
 	specs           map[string]Spec
 	maxOverrun      time.Duration // maximum time that members run beyond their stated work
-	maxLentSlots    int           // limit for slots lent by partners, checked against running members; 0: not checked
+	cap             int           // limit for slots lent by partners, checked against running members; 0: not checked
 }
 
 type daemon struct {
@@ -314,8 +314,8 @@
 // check fails if a gang has started only in part: 560 ms after the first member's start (500 ms and the error of
 // clocks), either all members run or have ended, or none runs.
 func (sim *simulation) check() {
-	if n := sim.lent(); sim.maxLentSlots > 0 && n > sim.maxLentSlots {
-		sim.t.Errorf("%d slots are used, and %d are lent", n, sim.maxLentSlots)
+	if n := sim.lent(); sim.cap > 0 && n > sim.cap {
+		sim.t.Errorf("%d slots are used, and %d are lent", n, sim.cap)
 		sim.t.FailNow()
 	}
 	first := map[string]*jobRun{}
@@ -489,7 +489,7 @@
 	planCount := 0
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, rapid.Uint64().Draw(t, "seed"), 3, 4, 6)
-		sim.maxOverrun, sim.maxLentSlots = time.Second, 6
+		sim.maxOverrun, sim.cap = time.Second, 6
 		for i := range 9 {
 			var members []Member
 			for j := range 2 + sim.IntN(2) {
--- a/internal/rerun/simulation_test.go
+++ b/internal/rerun/simulation_test.go
@@ -296,7 +296,7 @@
 		for id, r := range m.state.Runs {
 			if r.Answer != nil {
 				if before, known := sim.answers[id]; known {
-					require.Equal(sim.t, before, *r.Answer, "answer of %s changed", id)
+					require.Equal(sim.t, before, *r.Answer, "answer changed")
 				}
 				sim.answers[id] = *r.Answer
 			}
