--- a/internal/gang/home.go
+++ b/internal/gang/home.go
@@ -57,7 +57,7 @@
 	Reason         string         `json:"why,omitempty"`   // for the last setback
 	Verdict        string         `json:"verdict,omitempty"`
 	MayHaveRun     []int          `json:"may_have_run,omitempty"` // members of a gang that did not start
-	Dead           []int          `json:"dead,omitempty"`         // members that died after the start was committed
+	Dead           []int          `json:"dead,omitempty"`         // members that died after all had started
 	HeldAt         time.Duration  `json:"decided,omitempty"`      // when all its holds were first committed
 	Moves          int            `json:"moves,omitempty"`
 	Plans          int            `json:"plans,omitempty"` // planning rounds begun
@@ -128,7 +128,7 @@
 			return "another round"
 		}
 		e.abortRound(at, c.Reason)
-	case "wound": // an older gang needs slots for which this one is still preparing
+	case "wound": // wound-wait: an older gang needs slots for which this one is still preparing
 		if e.State != Preparing || !current {
 			return "too late"
 		} else if !older(c.SubmittedAt, c.By, e.SubmittedAt, e.Spec.ID) {
@@ -186,8 +186,9 @@
 	return ""
 }
 
-func older(age time.Duration, id string, than time.Duration, other string) bool {
-	return age < than || age == than && id < other
+// older reports whether a gang was submitted before another one.
+func older(submittedAt time.Duration, id string, otherSubmittedAt time.Duration, other string) bool {
+	return submittedAt < otherSubmittedAt || submittedAt == otherSubmittedAt && id < other
 }
 
 func (e *Entry) setPlan(at time.Duration, p *Plan) string {
@@ -195,7 +196,7 @@
 	switch move := e.State == Held; {
 	case p == nil || p.Round != e.Round+1 || e.State != Waiting && !move:
 		return "another round"
-	case len(p.Encoders) != n || len(p.Starters) != n || len(p.Holds) > 2*n || !p.coversMembers(e.Spec.Members):
+	case len(p.Encoders) != n || len(p.Dispatchers) != n || len(p.Holds) > 2*n || !p.coversMembers(e.Spec.Members):
 		return "not a plan"
 	case move && (p.Start > e.Plan.Start || p.Clock != e.Plan.Clock):
 		return "a move keeps the start, or comes sooner"
--- a/internal/gang/machine.go
+++ b/internal/gang/machine.go
@@ -143,6 +143,7 @@
 	At       time.Duration `json:"at"`
 }
 
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return json.Marshal(state{version, m.home, m.accounts, m.At})
 }
@@ -184,7 +185,7 @@
 	return c
 }
 
-// Reservation is a gang's hold of an encoder's slots.
+// Reservation is a hold of an encoder's slots together with its gang.
 type Reservation struct {
 	Gang string `json:"gang"`
 	Hold
--- a/internal/rerun/model.go
+++ b/internal/rerun/model.go
@@ -25,7 +25,7 @@
 	Cause  policy.Cause  `json:"cause,omitempty"`
 	Reason string        `json:"reason,omitempty"` // for people
 	At     time.Duration `json:"at"`               // Unix time
-	Work   time.Duration `json:"work"`             // total of the reruns that this run requested
+	Work   time.Duration `json:"work"`             // total of the reruns that this run started
 	Reruns int           `json:"reruns"`
 	Result string        `json:"result,omitempty"` // of the last of its result stages
 }
@@ -61,12 +61,12 @@
 type Stage struct {
 	UsedGen      int64          `json:"have,omitempty"` // generation of its output that the run uses
 	StaleUpTo    int64          `json:"over,omitempty"` // generations up to this one are stale
-	InputGens    []int64        `json:"of,omitempty"`   // generations of its inputs, in the order of its needs, of the requested output
+	InputGens    []int64        `json:"of,omitempty"`   // generations of the inputs of the requested output, in the order of Needs
 	Requested    bool           `json:"wants,omitempty"`
 	ByRule       bool           `json:"own,omitempty"` // requested again by a rule of this run
 	MayHaveRun   bool           `json:"ran,omitempty"` // a stage that must not run twice may have run
 	Runs         int64          `json:"runs,omitempty"`
-	Place        policy.Place   `json:"at"`
+	Place        policy.Place   `json:"at"` // where the used output was made; during a rerun, the place to avoid
 	MadeAt       time.Duration  `json:"made,omitempty"`
 	Result       string         `json:"result,omitempty"`
 	RuleNumber   int            `json:"rule,omitempty"`  // index plus one of the rule that requested the rerun
@@ -152,8 +152,8 @@
 // Account is a group's part of a budget, in microseconds of work.
 type Account struct {
 	Balance   int64 `json:"balance"`
-	Accrued   int64 `json:"accrued"` // total by first runs
-	Spent     int64 `json:"spent"`   // total by reruns
+	Accrued   int64 `json:"accrued"` // total added by first runs
+	Spent     int64 `json:"spent"`   // total spent on reruns
 	Requested int64 `json:"asked,omitempty"`
 	Spare     int64 `json:"spare,omitempty"` // initial balance of the budget's pool, by the policies
 }
@@ -223,9 +223,9 @@
 
 // Fingerprint is the stage, cause and place shared by failures that may have a common reason.
 type Fingerprint struct {
-	Trials       []string      `json:"trying,omitempty"` // stages of runs whose verdicts are outstanding
+	Admitted     []string      `json:"trying,omitempty"` // admitted reruns, by run and stage, whose verdicts are outstanding
 	Waiting      []Message     `json:"waiting,omitempty"`
-	MaxTrials    int           `json:"room"` // concurrent trials; doubled by a good verdict
+	MaxAdmitted  int           `json:"room"` // maximum of Admitted; doubled by a good verdict
 	FailedTrials int           `json:"bad,omitempty"`
 	NotBefore    time.Duration `json:"not,omitempty"` // no further trial starts before this
 	ForgetAt     time.Duration `json:"idle,omitempty"`
@@ -276,5 +276,7 @@
 	SuspectSites []policy.Place `json:"sites,omitempty"`
 }
 
-// Faults disables safety rules, for tests that must detect it.
-type Faults struct{ AnyGeneration, GrantTwice, NoTrial, Unsafe bool }
+// Faults disables safety rules, for tests that must detect it. AnyGeneration makes requests ask for a generation above
+// the last one, GrantTwice applies repeated budget grants again, NoTrial admits reruns without a trial, and
+// RerunOnceStages reruns stages that must not run twice.
+type Faults struct{ AnyGeneration, GrantTwice, NoTrial, RerunOnceStages bool }
