--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -144,7 +144,7 @@
 	hasList    bool // there is a list
 	version    ListVersion
 	source     string
-	receivedAt time.Time // by the source
+	receivedAt time.Time // when the source received it, by the source's clock
 	validAt    time.Time // when the list was last known to be valid: the time of the last message less its age
 
 	watch          WatchStatus
@@ -450,7 +450,8 @@
 	return 2*found < len(known)
 }
 
-// confirmed reports whether another watcher reports the same, or whether there is no other.
+// confirmed reports whether another watcher has also sent a suspect list, of the same or an older version, or whether
+// there is no other.
 func (s *State) confirmed(t Update) bool {
 	alone := len(s.otherWatchers(t.Source)) == 0 && s.watch != Watching
 	return alone || s.suspectList.Source != "" && s.suspectList.Source != t.Source && !t.Version.Before(s.suspectList.Version)
--- a/internal/net/accord/server.go
+++ b/internal/net/accord/server.go
@@ -44,7 +44,7 @@
 	// Apply applies what two versions, which may be the same, both allow; nil: there is no version yet, and the own
 	// settings apply. floor: restricts it further, to the floor of the two. done is called once, from any goroutine.
 	Apply(low, high []byte, floor bool, done func(error))
-	// SetCordons excludes instances; only: and includes all others again.
+	// SetCordons excludes instances; if only is set, all others are included again.
 	SetCordons(ids []string, only bool)
 }
 
@@ -75,9 +75,9 @@
 	member          *accord.Member
 	monitor         *accord.Monitor
 	texts           map[uint64][]byte         // of versions that the member may no longer hold
-	lastCordons     string                    // cordons last passed to Rules.Leave
+	lastCordons     string                    // cordons last passed to Rules.SetCordons
 	confirmed       bool                      // this process has had a lease
-	applying        *accord.EffectiveVersions // requested from Rules.Act and not done yet
+	applying        *accord.EffectiveVersions // requested from Rules.Apply and not done yet
 	applyRequested  time.Duration
 	floorDue        time.Duration // when the lease ran out; the requested change to the floor counts as late since then
 	lastChecked     uint64        // highest version whose check was started
@@ -134,8 +134,8 @@
 	return s.member.Directive(0).Cordons
 }
 
-// Attach sets the rules, the host of the root group and the log. It must be called before any method but Start and
-// LeftOut.
+// Attach sets the rules, the host of the root group and the log. It must be called before any method but
+// InitialVersions and LeftOut.
 func (s *Server) Attach(r Rules, host replicas.Host, l *slog.Logger) {
 	s.rules, s.host, s.log = r, host, l
 }
@@ -454,7 +454,7 @@
 	return err
 }
 
-// retryCordon proposes a cordon that applies here and is not agreed yet.
+// retryCordon proposes again a cordon that applies here and is not agreed yet.
 func (s *Server) retryCordon() {
 	if !s.opMu.TryLock() {
 		return
--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -90,7 +90,7 @@
 	once       sync.Once
 }
 
-// New returns a server. Retune and Open have to be called before it serves.
+// New returns a server. SetSettings and Open have to be called before it serves.
 func New(o Options, s decide.Settings, core Core, logger *slog.Logger) (*Server, error) {
 	if o.Daemons < 1 || o.Daemon < 0 || o.Daemon >= o.Daemons || o.Senders < o.Daemons || o.Silence <= 0 || o.Life <= 0 {
 		return nil, fmt.Errorf("control: daemon %d of %d, %d senders, silence %v, life %v", o.Daemon, o.Daemons, o.Senders, o.Silence, o.Life)
@@ -187,8 +187,8 @@
 	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
 }
 
-// senderCount returns the number of senders rounded up to a power of two, since each change of the value has all
-// of them change their settings.
+// senderCount returns the number of senders, daemons included, rounded up to a power of two, since each change of
+// the value makes all senders reconfigure.
 func (c *Server) senderCount() uint32 {
 	return 1 << bits.Len(uint(max(1, len(c.senders)+c.options.Daemons)-1))
 }
@@ -237,7 +237,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	for id, at := range c.uncordonedAt { // warm for long
+	for id, at := range c.uncordonedAt { // uncordoned long enough ago that the encoder is warm again
 		if now-at > time.Hour {
 			delete(c.uncordonedAt, id)
 		}
--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -344,7 +344,7 @@
 	}
 }
 
-// send sends a message, a small one as a datagram: if that is lost, the state machine repeats it.
+// send sends a message, a small one without instances as a datagram: if that is lost, the state machine repeats it.
 func (s *Server) send(to string, m message) {
 	node, list := s.nodes[to], s.list
 	if node == nil {
--- a/internal/net/operators/operators.go
+++ b/internal/net/operators/operators.go
@@ -86,7 +86,7 @@
 		s.waiting[0].SetReadDeadline(pastDeadline)
 	}
 	s.mu.Unlock()
-	s.slots <- struct{}{} // waits for one answerTimeout at most
+	s.slots <- struct{}{} // waits until a caller has been answered or has disconnected
 }
 
 // removeWaiting removes a caller from those whose line has not arrived.
--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -355,7 +355,8 @@
 		}
 		if left := timeLeft(t); why == "" && left >= time.Millisecond {
 			job.Job.WithinMs = uint64(left.Milliseconds())
-		} else if job.Job.WithinMs, job.Job.Order = 1, noCandidates; why == "" { // it may have been promised before without an answer; that promise stays valid
+		} else if job.Job.WithinMs, job.Job.Order = 1, noCandidates; why == "" {
+			// An earlier call may have promised the job although no answer arrived; that promise stays valid.
 			why = "its time was over before it could be begun"
 		}
 		_, err = s.jobs.PromiseSeen(ctx, job, seen)
@@ -365,7 +366,7 @@
 		}
 		if code == codes.InvalidArgument {
 			end.Cause, end.Text = policy.Refused, status.Convert(err).Message()
-			if t.Once { // refused by the settings here; another dispatcher that promised it may have others
+			if t.Once { // refused by the settings here; another dispatcher with other settings may have promised it
 				end.Cause = policy.MayHaveRun
 			}
 			s.reportEnd(ctx, g, end)
--- a/internal/net/replicas/link.go
+++ b/internal/net/replicas/link.go
@@ -112,8 +112,8 @@
 	l.messages, l.queuedBytes, l.hibernations, l.heartbeat, l.ack = nil, 0, nil, nil, nil
 }
 
-// sendHibernation queues a request to hibernate or an agreement. A dropped one is repeated after the leader's next
-// request.
+// sendHibernation queues a request to hibernate or an agreement. If a message is dropped, the leader's
+// next request starts over.
 func (l *link) sendHibernation(c replica.Hibernation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -290,7 +290,7 @@
 			l.handleAnswers(m)
 		}
 	}()
-	// Send blocks while the stream accepts nothing, so another goroutine checks that the peer still confirms.
+	// Send blocks while the stream accepts nothing, so another goroutine checks that the peer still acknowledges messages.
 	go func() {
 		ticker := time.NewTicker(silenceTimeout / 4)
 		defer ticker.Stop()
--- a/internal/net/replicas/memoryhost.go
+++ b/internal/net/replicas/memoryhost.go
@@ -29,8 +29,8 @@
 // memoryLease is the lease duration that a host without peers reports.
 const memoryLease = time.Second
 
-// MemoryHost is a host with one copy of each group, in memory. It serves tests, and as the baseline for the cost of
-// replication.
+// MemoryHost is a host with one copy of each group, in memory. It is used in tests, and as the baseline when the
+// cost of replication is measured.
 type MemoryHost struct {
 	changed chan struct{}
 
--- a/internal/net/replicas/server.go
+++ b/internal/net/replicas/server.go
@@ -44,8 +44,8 @@
 	AddressOverrides map[string]string // addresses used instead of those in Peers, by name
 	Groups           uint32
 	Copies           int
-	// Repair is the number of repairs after the loss of a majority, and Survivors are the daemons left at the last one.
-	// See replica.Repair.
+	// Repair is the generation of the table: how many repairs after the loss of a majority operators have ordered.
+	// Survivors are the daemons left at the last one. See replica.Repair.
 	Repair        uint32
 	Survivors     []string
 	RelocateAfter time.Duration // after this silence a daemon's replicas are moved; 0: replica.RelocateTimeout
@@ -75,7 +75,7 @@
 	writing      bool
 	peers        map[string]*link
 	proposals    map[uint64]func([]byte, error)
-	fault        string // why the store accepts no writes
+	fault        string // why this daemon takes part in no group
 	refused      string // why the last store was set aside
 	counters     struct{ proposed, forwarded, read, retired, dropped int64 }
 }
@@ -371,7 +371,8 @@
 	return true
 }
 
-// repair continues without a lost majority.
+// repair continues without a lost majority. A daemon that is not among the survivors sets its store aside and starts
+// with an empty one.
 func (s *Server) repair(groups map[uint32]replica.Stored) (map[uint32]replica.Stored, error) {
 	if !slices.Contains(s.opts.Survivors, s.opts.Self.Name) {
 		s.store.close()
--- a/internal/promise/machine.go
+++ b/internal/promise/machine.go
@@ -198,7 +198,7 @@
 type Answer struct {
 	OK      bool     `json:"ok"`
 	Index   uint64   `json:"index"`         // of the command
-	Code    Code     `json:"why,omitempty"` // set if the command was not done
+	Code    Code     `json:"why,omitempty"` // why OK is false; with OK it is NotEnded if the job has not ended, and is otherwise to be ignored
 	Text    string   `json:"text,omitempty"`
 	Receipt *Receipt `json:"receipt,omitempty"`
 	End     *End     `json:"end,omitempty"`
@@ -219,7 +219,7 @@
 	TooLate      Code = "late"    // the proposal was delayed for too long, or the ID was removed recently
 )
 
-// ReadAnswer decodes a result of Apply.
+// ReadAnswer decodes a result of Apply or Read.
 func ReadAnswer(text []byte) (a Answer, err error) {
 	err = json.Unmarshal(text, &a)
 	return a, err
@@ -427,7 +427,8 @@
 	return Answer{OK: true, Receipt: &e.Receipt}
 }
 
-// report applies an instance's report on an attempt. It counts whoever the owner is now.
+// report applies an instance's report on an attempt. It is accepted regardless of the current
+// owner.
 func (m *Machine) report(at time.Duration, e *Entry, c *Command) Answer {
 	if e.End != nil && !m.faults.AllowSecondEnd {
 		return Answer{Code: AlreadyEnded, End: e.End}
--- a/internal/promise/model.go
+++ b/internal/promise/model.go
@@ -33,7 +33,7 @@
 	unknownOutcomes int // number of proposals whose outcome has become unknown
 	crashes         int
 	runs            []attempt
-	callbackAcked   map[attempt]bool // whether a run's callback has been acknowledged after its commit
+	callbackAcked   map[attempt]bool // whether a run's callback has been acknowledged
 	reportedUnsent  []SendRecord     // attempts that were reported to the group as never sent
 	firstEnd        *End
 	ignoreLease     bool // senders ignore the lease
@@ -79,7 +79,7 @@
 
 type attempt struct {
 	dispatcher, submission, n int
-	instance                  string // the instance
+	instance                  string
 }
 
 type message struct {
--- a/internal/promise/owner.go
+++ b/internal/promise/owner.go
@@ -23,7 +23,7 @@
 	proposalRetryDelay = 50 * time.Millisecond  // before a proposal with an unknown outcome is repeated
 )
 
-// MayHaveRun is the reason of a job's end as failed if it must not run twice and its outcome is unknown.
+// MayHaveRun is the stored reason when a job that must not run twice ends as failed because its outcome is unknown.
 const MayHaveRun = "may have run: whoever sent it is gone, and nothing was heard of it"
 
 // Clocks holds the readings of a dispatcher's two clocks.
@@ -104,7 +104,7 @@
 	term           uint64 // 0: no lease
 	leaseEnd       time.Duration
 	lastTerm       uint64 // the term of the last lease
-	reacquisitions uint64 // how often the lease of that term was lost; proposals from before a loss do not count
+	reacquisitions uint64 // how often the lease of that term was lost; proposals from before a loss are not accepted
 	ownProposal    uint64 // the pending proposal to take ownership; 0: none
 
 	baseSubmission int // the highest submission number under earlier leases, which the dispatcher may still have
@@ -171,7 +171,7 @@
 // Submitted returns the number of jobs that are submitted to the dispatcher.
 func (o *Owner) Submitted() int { return len(o.submitted) }
 
-// HasLease reports whether the owner holds the lease at a time.
+// HasLease reports whether the owner may still act under its lease: from LeaseMargin before its end it may not.
 func (o *Owner) HasLease(c Clocks) bool {
 	return o.term > 0 && (c.Mono < o.leaseEnd-LeaseMargin || o.faults.NoLease)
 }
@@ -211,7 +211,7 @@
 	o.term, o.ownProposal, o.nextScan, o.lastSeen = 0, 0, 0, 0
 }
 
-// generation is the generation of commands: the term, and how often the lease was regained in it.
+// generation is the generation of commands: the term, and how often the lease was lost in it.
 func (o *Owner) generation() uint64 { return o.term<<generationShift + o.reacquisitions }
 
 const generationShift = 24
--- a/internal/replica/heartbeat.go
+++ b/internal/replica/heartbeat.go
@@ -76,7 +76,7 @@
 	case p.boot == b.Boot && b.Number <= p.heartbeatNumber:
 		return // delayed on a connection that has since been lost
 	case p.boot != 0 && p.member.Incarnation != b.Member.Incarnation && now-p.receivedAt < ElectionTimeout:
-		return // the previous holder of the name may still act; with the same store there is no previous holder
+		return // another daemon with this name may still hold a lease; a restart with the same store cannot
 	case p.boot != b.Boot: // a restarted peer waits for a full heartbeat to confirm its store
 		n.heartbeatCount = 0
 		n.peerSilent(p, now)
--- a/internal/replica/hibernate.go
+++ b/internal/replica/hibernate.go
@@ -23,9 +23,10 @@
 	heartbeatHistory = 32 // heartbeats whose send times are kept
 )
 
-// HeartbeatAck accompanies a heartbeat and acknowledges the receiver's latest one.
+// HeartbeatAck accompanies a heartbeat and acknowledges the latest heartbeat received from the daemon that it is
+// sent to.
 type HeartbeatAck struct {
-	Boot   uint64 // of the receiver's process
+	Boot   uint64 // of that daemon's process
 	Number uint64
 	Epoch  uint64
 }
@@ -34,7 +35,7 @@
 type Hibernation struct {
 	Group uint32
 	Term  uint64
-	Index uint64 // last log index of all replicas
+	Index uint64 // log index that every replica has reached
 	Epoch uint64 // of the follower that agrees; 0: a request
 }
 
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -53,7 +53,7 @@
 	Entries   []*pb.Entry   // replace all entries from the first one's index on
 	Snapshot  *pb.Snapshot  // nil: unchanged
 	KeepFrom  uint64        // entries before this index are deleted; 0: none
-	Reset     bool          // delete all entries first
+	Reset     bool          // with Snapshot: delete all entries first
 	Drop      bool          // delete the whole group
 }
 
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -23,7 +23,7 @@
 	MaxDriftDivisor         = 20
 	DaemonHeartbeatInterval = 100 * time.Millisecond
 	SilenceTimeout          = 2 * time.Second  // a daemon without heartbeats counts as unavailable
-	RelocateTimeout         = 30 * time.Second // its replicas are moved to other daemons
+	RelocateTimeout         = 30 * time.Second // silence after which a daemon's replicas are moved to other daemons
 )
 
 const (
@@ -71,7 +71,7 @@
 	sentLeads       map[uint32]uint64
 	out             Work
 	stopped         bool
-	steppingDown    bool // leads no group any more
+	steppingDown    bool // StepDown was called: the node transfers every group that it leads or comes to lead
 }
 
 // peer is another daemon.
@@ -84,8 +84,8 @@
 
 	heartbeatNumber uint64 // of its last heartbeat
 	silent          bool
-	epoch           uint64        // changes whenever the peer was silent or restarted
-	ackEpoch        uint64        // the peer's epoch of this node, as last received
+	epoch           uint64        // changes whenever the peer is considered silent or has restarted
+	ackEpoch        uint64        // the epoch that the peer last reported for this node
 	ackedSentAt     time.Duration // when the latest of this node's heartbeats that it has acknowledged was sent
 }
 
@@ -158,7 +158,8 @@
 	}
 }
 
-// retire stops this node.
+// retire stops this node: pending proposals end with ErrUnknown and leases are given up. why, if not empty, tells the
+// owner to set the store aside.
 func (n *Node) retire(why string) {
 	n.stopped = true
 	n.out.Retire = why
@@ -171,14 +172,14 @@
 	n.out.Changed = true
 }
 
-// Step handles a raft message of another daemon.
+// Step handles a raft message from another daemon.
 func (n *Node) Step(now time.Duration, group uint32, m *pb.Message) {
 	if n.stopped || m == nil || m.GetTo() != n.id || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	switch m.GetType() {
 	case pb.MessageType_MsgProp, pb.MessageType_MsgTransferLeader, pb.MessageType_MsgForgetLeader, pb.MessageType_MsgReadIndex:
-		return // not accepted from daemons: nobody waits for such a proposal
+		return // local requests, which other daemons have no reason to send
 	}
 	g := n.groups[group]
 	if g == nil {
@@ -198,8 +199,8 @@
 	if s := g.raw.BasicStatus(); m.GetType() == pb.MessageType_MsgTimeoutNow && (s.Lead != m.GetFrom() || s.GetTerm() != m.GetTerm()) {
 		return // MsgTimeoutNow makes voters ignore the lease, so only the holder of the lease may send it
 	}
-	// A heartbeat is about to be confirmed, so its sender must not be considered silent before the lease that this
-	// extends expires.
+	// The message may be a heartbeat that is confirmed below, so its sender must not be considered silent before the
+	// lease that the confirmation extends expires.
 	if p := n.peers[n.nameByHash[uint32(m.GetFrom()>>32)]]; p != nil && p.member.ID() == m.GetFrom() && !p.silent && now-p.receivedAt < ElectionTimeout {
 		p.receivedAt = now
 	}
@@ -303,7 +304,7 @@
 	n.out.Results = append(n.out.Results, r)
 }
 
-// failProposals ends the proposals of a leader that has lost its leadership; the next leader may still commit them.
+// failProposals ends the pending proposals of a group with ErrUnknown, as a later leader may still commit them.
 func (n *Node) failProposals(g *group) {
 	for ref, proposer := range n.proposals {
 		if proposer == g {
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// startTransfer starts a transfer to the available voter with the longest matching log among those for which may is
-// true. Without such a voter nothing changes.
+// startTransfer starts a transfer to the available voter with the longest matching log among those that allowed
+// accepts; nil accepts all. Without such a voter nothing changes.
 func (n *Node) startTransfer(g *group, now time.Duration, allowed func(id uint64) bool) {
 	if !g.leader || g.transferTerm == g.term {
 		return
--- a/internal/replica/wallclock_test.go
+++ b/internal/replica/wallclock_test.go
@@ -8,9 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A daemon whose wall clock was an hour ahead stopped the planning of gangs in its group: each proposal carries its
-// proposer's time and a group's time never decreases, so one such proposal puts the whole group an hour ahead for an
-// hour.
+// Requires that a command proposed with a correct clock does not get the time of an earlier proposal whose clock was an
+// hour ahead. Each proposal carries its proposer's time, and a group's time never decreases.
 func TestOneClockAheadIsNotTheGroupsTime(t *testing.T) {
 	w := newCluster(t, 31, 3)
 	w.awaitLeaders(5 * time.Second)
--- a/internal/replica/write.go
+++ b/internal/replica/write.go
@@ -22,7 +22,8 @@
 }
 
 // append handles a storage message of raft, whose responses are sent once it is durable. A change that a crash may
-// lose, such as a new commit index, is written only with the next change that must be durable.
+// lose, such as a new commit index, is written only with the next change that must be durable, and its
+// responses are sent at once.
 func (n *Node) append(g *group, m *pb.Message) {
 	if m.Term != nil {
 		hard := &pb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
--- a/winglb/control.go
+++ b/winglb/control.go
@@ -65,9 +65,9 @@
 	state   *controlState
 	index   int
 	address string
-	queue   chan *controlv1.FromSender // nil: not attached; guarded by leases, as is
-	epoch   uint64
-	cordons []string // last received; kept while the daemon is not attached
+	queue   chan *controlv1.FromSender // nil: not attached; guarded by controlState.leases
+	epoch   uint64                     // guarded by controlState.leases
+	cordons []string                   // last received; kept while the daemon is not attached
 }
 
 func newControlState(b *Balancer) *controlState {
@@ -298,8 +298,8 @@
 		})
 		if ok {
 			s.unspent[h] = true
-			// The picker sends nothing by an expired lease. Returning it frees its budget for other senders before
-			// the granter's own expiry.
+			// The picker sends nothing with an expired lease. Returning it frees its budget for other senders before
+			// the lease expires by the granter's clock.
 			time.AfterFunc(time.Until(s.start.Add(h.Until))+time.Millisecond, func() { s.leaseExpired(h) })
 		}
 		s.leases.Unlock()
@@ -388,7 +388,7 @@
 	close(s.balancer.ready)
 }
 
-// setCordons applies the cordons of one daemon. An instance is left out while any daemon reports it: a daemon that
+// setCordons applies the cordons of one daemon. An instance is excluded while any daemon lists it: a daemon that
 // did not get the operator's order must not undo it.
 func (l *link) setCordons(c *controlv1.Cordons) {
 	if c == nil {
@@ -444,7 +444,7 @@
 func (s *controlState) reconfigure() error {
 	d := s.parsed
 	d.Seed = s.balancer.boot
-	// The index among all senders decides which encoders this one prefers.
+	// An approximate index, drawn from the boot number, spreads the senders' preferences over the encoders.
 	d.DispatcherCount = int(max(2, s.settings.Living))
 	d.DispatcherIndex = int(s.balancer.boot % uint64(d.DispatcherCount))
 	d.Leasing = decide.Leasing{Enabled: true, Turn: int(s.place) - 1, Turns: int(max(1, s.senders)), Share: lease.TurnsShare}
--- a/winglb/promise.go
+++ b/winglb/promise.go
@@ -64,10 +64,10 @@
 	At       time.Time
 }
 
-// Promises hands in promised jobs at whichever daemon answers. It is safe for use by several goroutines.
+// Promises submits promised jobs to whichever daemon answers. It is safe for use by several goroutines.
 type Promises struct {
 	conns   []*grpc.ClientConn
-	current atomic.Uint64 // index of the daemon that answered last
+	current atomic.Uint64 // counter, advanced on failures; modulo len(conns) it is the daemon to call next
 }
 
 // NewPromises returns a client of the daemons; it uses Daemons and TLS of the configuration. It must be closed.
