--- a/internal/accord/machine.go
+++ b/internal/accord/machine.go
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// encode returns no error: its arguments are plain data whose texts were valid JSON before.
+// encode cannot fail: its arguments are plain data whose texts were valid JSON before.
 func encode(v any) []byte {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
--- a/internal/accord/member.go
+++ b/internal/accord/member.go
@@ -88,7 +88,7 @@
 	return k
 }
 
-// floor is the floor of the versions that it knows.
+// floor returns the floor of the versions that it knows: the strictest rules, which conflict with no version.
 func (m *Member) floor() EffectiveVersions {
 	a := EffectiveVersions{Low: m.agreed.Number, High: m.agreed.Number, Floor: true}
 	if m.pending != nil {
--- a/internal/members/encoded_test.go
+++ b/internal/members/encoded_test.go
@@ -6,7 +6,7 @@
 	"caperrelay/internal/wiretest"
 )
 
-// TestEncodedForm fails where the JSON form of a struct changes that is stored or sent to another process.
+// TestEncodedForm fails if the JSON encoding of a struct that is stored or sent to another process changes.
 func TestEncodedForm(t *testing.T) {
 	wiretest.Check(t, &View{}, &Update{})
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -19,18 +19,18 @@
 const (
 	heartbeatInterval    = 500 * time.Millisecond // between heartbeats of a watcher
 	watcherTimeout       = 2 * time.Second        // without a heartbeat, a watcher counts as dead
-	ackTimeout           = 200 * time.Millisecond // then a peer without an acknowledgement is bypassed
-	settleAfter          = 500 * time.Millisecond // roles are assigned once the membership has not changed for this long,
-	settlePerMissing     = 4 * time.Second        // and later by this times the missing share of the dispatchers;
-	settleDeadline       = 5 * time.Second        // but at the latest this long after the start
+	ackTimeout           = 200 * time.Millisecond // a peer that has not acknowledged for this long is bypassed
+	settleAfter          = 500 * time.Millisecond // roles are assigned once the membership has not changed for this long
+	settlePerMissing     = 4 * time.Second        // times the missing share of the dispatchers: added to settleAfter
+	settleDeadline       = 5 * time.Second        // roles are assigned at the latest this long after the start
 	minRetry             = 200 * time.Millisecond // after a watch was lost; doubled with each further failure
 	maxRetry             = 5 * time.Second
 	failingAfter         = 2 * time.Second  // without a watch, a watcher reports that, and another takes over
-	failureExpiry        = 30 * time.Second // after which it may be chosen again
+	failureExpiry        = 30 * time.Second // after which a failing watcher may be chosen again
 	olderListDelay       = 10 * time.Second // for which discovery must report an older list before that is accepted
 	requestInterval      = time.Second
 	firstRequestInterval = 400 * time.Millisecond // while there is no list at all
-	maxMissing           = 0.4                    // share of the dispatchers, up to which roles are assigned at once: if a share f is known, 1/f times as many as needed watch
+	maxMissing           = 0.4                    // largest share of missing dispatchers at which roles are assigned at once: if a share f is known, 1/f times as many as needed watch
 	distrustTime         = 30 * time.Second       // for which a peer that sent an invalid list is ignored
 	maxClockAhead        = 5 * time.Second        // how far a source's clock may be ahead of ours
 	maxRevisionJump      = 1 << 20                // revisions at once
@@ -110,11 +110,11 @@
 	}
 	// RequestList requests the complete list from a peer.
 	RequestList struct{ To string }
-	// SetWatch starts or ends the own watch.
+	// SetWatch starts or ends this dispatcher's watch.
 	SetWatch struct{ Watch bool }
 	// ApplyList applies a list.
 	ApplyList struct{ dispatch.InstanceUpdate }
-	// ShowStatus publishes the status of the own watch through the membership.
+	// ShowStatus publishes the status of this dispatcher's watch through the membership.
 	ShowStatus struct{ Watch WatchStatus }
 	// LogLine is a log message.
 	LogLine struct{ Text, Peer string }
@@ -153,7 +153,7 @@
 	tryingSince    time.Time // start of the present attempts to watch
 	retryAt        time.Time // zero: no retry is scheduled
 	failedAt       time.Time
-	olderSince     time.Time // since when the own watch has reported an older list; zero: it does not
+	olderSince     time.Time // since when this dispatcher's watch has reported an older list; zero: it does not
 	addressChanged bool
 	lastHeartbeat  time.Time
 	shownStatus    WatchStatus
@@ -175,7 +175,7 @@
 	until time.Time
 }
 
-// New returns the view of a dispatcher that starts.
+// New returns the state of a dispatcher that starts.
 func New(c Config, now time.Time) *State {
 	c.Watchers, c.FanOut = max(1, c.Watchers), max(2, c.FanOut)
 	s := &State{
@@ -274,7 +274,7 @@
 	}
 }
 
-// WatchUpdate handles an update of the own watch.
+// WatchUpdate handles an update of this dispatcher's watch.
 func (s *State) WatchUpdate(now time.Time, l dispatch.InstanceUpdate) {
 	if !s.shouldWatch {
 		return // from a watch that has ended
@@ -302,7 +302,7 @@
 	s.showStatus()
 }
 
-// WatchAlive reports that the own watch is working, with or without an update.
+// WatchAlive reports that this dispatcher's watch is working, with or without an update.
 func (s *State) WatchAlive(now time.Time) {
 	if s.shouldWatch && s.olderSince.IsZero() && s.hasList {
 		s.watch, s.failures, s.validAt = Watching, 0, now
@@ -310,7 +310,7 @@
 	}
 }
 
-// WatchLost reports that the own watch, or an attempt to start one, has ended.
+// WatchLost reports that this dispatcher's watch, or an attempt to start one, has ended.
 func (s *State) WatchLost(now time.Time) {
 	if !s.shouldWatch {
 		return
@@ -601,7 +601,7 @@
 	return missing <= maxMissing || now.Sub(s.peersChanged) >= after || now.Sub(s.started) >= settleDeadline
 }
 
-// updateRole starts or ends the own watch: the first dispatchers of a zone watch. Failing ones come last, and those that should send
+// updateRole starts or ends this dispatcher's watch: the first dispatchers of a zone watch. Failing ones come last, and those that should send
 // heartbeats and do not are skipped.
 func (s *State) updateRole(now time.Time) {
 	failing := func(name string) bool {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -196,8 +196,8 @@
 	require.LessOrEqual(t, f.calls, 24)
 }
 
-// Guards against waiting for killed watchers until the membership notices. Dispatchers that missed their heartbeats requested the list
-// from each other, and each response, which named the dead watcher as its source, counted as a sign of life.
+// Requires that killed watchers are replaced before the membership notices: a response that names a dead watcher as its
+// source must not count as a heartbeat of that watcher.
 func TestDeadWatchersAreReplacedBeforeTheMembershipNotices(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, size := range []int{8, 60} {
--- a/internal/net/accord/server.go
+++ b/internal/net/accord/server.go
@@ -41,8 +41,9 @@
 	Check(text []byte) error
 	// OwnSettings returns the settings from this dispatcher's own file, used for the first version.
 	OwnSettings() []byte
-	// Apply applies what two versions, which may be the same, both allow; nil: there is no version yet, and the own
-	// settings apply. floor: restricts it further, to the floor of the two. done is called once, from any goroutine.
+	// Apply applies what two versions, which may be the same, both allow; nil means that there is no version yet
+	// and that the own settings apply. floor restricts it further, to the floor of the two: the strictest rules, which
+	// conflict with no version. done is called once, from any goroutine.
 	Apply(low, high []byte, floor bool, done func(error))
 	// SetCordons excludes instances; if only is set, all others are included again.
 	SetCordons(ids []string, only bool)
@@ -90,7 +91,7 @@
 	heartbeatsLost  int64 // heartbeats without an answer
 	heartbeats      int64
 	floors          int64
-	refused         int64 // refused versions that this dispatcher proposed
+	refused         int64 // proposals of this dispatcher that were refused or failed
 	lastOutcomes    []accord.Outcome
 	members         int
 	nextMonitor     time.Duration
--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -47,7 +47,7 @@
 	Daemons int // number of daemons in the configuration
 	Senders int // maximum number of senders at one time
 	Silence time.Duration
-	Life    time.Duration // of a lease
+	Life    time.Duration // duration of a lease
 	// Slots of a warm encoder by kind; "" stands for all other kinds.
 	Slots map[string]float64
 	TLS   credentials.TransportCredentials // nil: plain text
--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -35,7 +35,7 @@
 	joinMaxPause   = 2 * time.Second        // doubles with each join that found no new peer
 	openRetryEvery = 100 * time.Millisecond // while an older process holds the address
 	dialTimeout    = 2 * time.Second
-	maxSends       = 64      // of lists in parallel; further ones are repeated for lack of an ack
+	maxSends       = 64      // of lists in parallel; further ones are dropped and sent again when no ack arrives
 	maxMessage     = 4 << 20 // bytes
 	maxName        = 256     // bytes of a dispatcher's name
 	maxDatagram    = 1100    // bytes of a datagram, including memberlist's own
@@ -94,7 +94,7 @@
 }
 
 // Open starts the server: it listens at once, or as soon as an older process has released the address. If it listens
-// at once, it is in force when Open returns.
+// at once, it supplies the instance lists when Open returns.
 func (s *Server) Open(ctx context.Context) {
 	s.mu.Lock()
 	if s.cancel != nil {
--- a/internal/net/operators/operators.go
+++ b/internal/net/operators/operators.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	maxCallers    = 16               // their descriptors are part of the program's reserve
+	maxCallers    = 16               // each needs a file descriptor, which the program reserves
 	maxLine       = 256              // bytes of a command line
-	lineTimeout   = 10 * time.Second // to send a line, while no other caller needs the slot: people type
+	lineTimeout   = 10 * time.Second // to send a line, while no other caller needs the slot; long enough for a line typed by hand
 	answerTimeout = time.Second
 	lingerTimeout = 100 * time.Millisecond // for the caller to read the answer before the connection is closed
 	acceptPause   = 5 * time.Millisecond
--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -56,7 +56,7 @@
 // Jobs is the promise service in this process, which runs the stages.
 type Jobs interface {
 	// Seen returns the log index that the group of an id is known to have reached. PromiseSeen promises a job for a
-	// caller that had observed that index when it decided to; it fails with codes.Aborted if the id was dropped since.
+	// caller that had observed that index when it decided to; it fails with codes.Aborted if the promise with that id was removed since.
 	Seen(ctx context.Context, id string) (uint64, error)
 	PromiseSeen(ctx context.Context, q *promisev1.PromiseRequest, seen uint64) (*promisev1.PromiseResponse, error)
 	Await(context.Context, *promisev1.AwaitRequest) (*promisev1.AwaitResponse, error)
@@ -302,7 +302,7 @@
 	return left
 }
 
-// execute has a generation made, or continues an execution that another dispatcher started, and reports the result
+// execute produces one generation of an output, or continues an execution that another dispatcher started, and reports the result
 // to the group.
 func (s *Server) execute(ctx context.Context, g uint32, t rerun.Execute) {
 	id := jobID(t.Key, t.Gen)
--- a/internal/net/pipelines/pipelines_test.go
+++ b/internal/net/pipelines/pipelines_test.go
@@ -199,8 +199,8 @@
 	return j, s, execution
 }
 
-// Guards against a stage that was started by a dispatcher which died getting its whole time again: it would run on
-// long after its deadline.
+// A stage continued after its dispatcher died must get only its remaining time: otherwise it runs on long after its
+// deadline.
 func TestContinuedExecutionHasRemainingTime(t *testing.T) {
 	j, s, execution := startedRun(t, 20*time.Second)
 	s.execute(t.Context(), 0, execution)
--- a/internal/net/promises/recording.go
+++ b/internal/net/promises/recording.go
@@ -186,7 +186,7 @@
 }
 
 // trackProposal starts tracking the sending of an attempt whose intent is about to be proposed, if its job must not
-// run twice. For a proposal that an attempt never ran it returns the attempt's send record, or nil if there is none.
+// run twice. For an OpNeverRan proposal it returns the attempt's send record, or nil if there is none.
 func (s *Server) trackProposal(g uint32, c promise.Command) (record *promise.SendRecord) {
 	switch c.Op {
 	case promise.OpIntent:
@@ -217,8 +217,8 @@
 }
 
 // reportUnsent reports to the groups attempts that never ran although their intents are committed, so that their
-// jobs are submitted again: those that this process withdrew and those that the process before had not begun. last:
-// this is the final call.
+// jobs are submitted again: those that this process withdrew and those that the previous process had not begun. last
+// is set on the final call, which ignores the usual delay.
 func (s *Server) reportUnsent(last bool) {
 	now := replicas.Now()
 	if now < s.lastUnsentScan+unsentScanEvery && !last {
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -75,7 +75,7 @@
 	lastUnsentScan time.Duration // time of the last scan for attempts that never ran
 
 	Promised, Intents, Recorded, Ends, Abandoned, DroppedRecordings atomic.Int64
-	NeverSent, Unrecorded                                           atomic.Int64 // attempts reported as never sent; callbacks that have to be made again
+	NeverSent, Unrecorded                                           atomic.Int64 // attempts reported as never sent; callbacks not answered because their commit took too long
 	acting                                                          atomic.Int64 // groups that this dispatcher owns
 	yielded                                                         atomic.Bool  // a newer process has taken over or is about to
 }
@@ -86,7 +86,7 @@
 	number int
 }
 
-// submission is a job submitted to the dispatcher: the client and the gate of its command.
+// submission is a job submitted to the dispatcher: it implements dispatch.Client and dispatch.Gate for its command.
 type submission struct {
 	server  *Server
 	group   uint32
--- a/internal/net/promises/unsent_test.go
+++ b/internal/net/promises/unsent_test.go
@@ -25,13 +25,13 @@
 	return m, &dispatch.Attempt{Command: m, Instance: "s-1", Deadline: m.Deadline}
 }
 
-// stall holds a dispatcher's proposals until let is closed, and then loses or commits them; over receives one value
+// stall holds a dispatcher's proposals until release is closed, and then loses or commits them; finished receives one value
 // for each. Later proposals are committed at once.
-func stall(h *fakeHost, lose bool, ops ...promise.Op) (asked, over, let chan bool) {
-	asked, over, let = make(chan bool, 99), make(chan bool, 99), make(chan bool)
+func stall(h *fakeHost, lose bool, ops ...promise.Op) (asked, finished, release chan bool) {
+	asked, finished, release = make(chan bool, 99), make(chan bool, 99), make(chan bool)
 	f := func(c promise.Command, commit func() ([]byte, error)) ([]byte, error) {
 		select {
-		case <-let:
+		case <-release:
 			return commit()
 		default:
 		}
@@ -39,15 +39,15 @@
 			return commit()
 		}
 		asked <- true
-		<-let
-		defer func() { over <- true }()
+		<-release
+		defer func() { finished <- true }()
 		if lose {
 			return nil, replica.ErrUnknown
 		}
 		return commit()
 	}
 	h.agree.Store(&f)
-	return asked, over, let
+	return asked, finished, release
 }
 
 // loseLease takes a dispatcher's lease away and waits until it has abandoned its job.
@@ -98,13 +98,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, c, h := pair(t)
-			asked, over, let := stall(h[0], false, promise.OpIntent)
+			asked, finished, release := stall(h[0], false, promise.OpIntent)
 			m, a := submitted(t, s, c, h)
 			m.Gate.RequestSend(a)
 			receive(t, asked, "its intent is proposed")
 			ends(s[0], c[0], h[0], m)
-			close(let)
-			receive(t, over, "its intent is committed")
+			close(release)
+			receive(t, finished, "its intent is committed")
 			requireResubmitted(t, s, c, h)
 			require.Empty(t, c[0].allowed, "no attempt was sent")
 		})
@@ -122,7 +122,7 @@
 			m, a := submitted(t, s, c, h)
 			m.Gate.RequestSend(a)
 			receive(t, c[0].allowed, "its intent is committed")
-			asked, _, let := stall(h[0], true, promise.OpNeverRan, promise.OpReport)
+			asked, _, release := stall(h[0], true, promise.OpNeverRan, promise.OpReport)
 			before := name == "lease lost before" || name == "lease lost once begun"
 			if name == "lease lost once begun" {
 				require.True(t, m.Gate.Begin(a))
@@ -137,7 +137,7 @@
 			if name == "lease lost on the way" {
 				loseLease(t, c[0], h[0])
 			}
-			close(let)
+			close(release)
 			if name == "no majority" {
 				require.Eventually(t, func() bool { return intents(s[0]) == 0 }, 3*time.Second, time.Millisecond, "the intent stays")
 			}
@@ -146,7 +146,7 @@
 	}
 }
 
-// Guards against an end as "may have run" of a job that never ran: its refusal overtook the report on its attempt.
+// A job that never ran must not end as "may have run" when its refusal arrives before the report on its attempt.
 func TestRefusedOnceItsAttemptIsKnownNotToHaveRun(t *testing.T) {
 	for name, v := range map[string]dispatch.Verdict{"no encoder can do it": dispatch.Unusable, "turned away until its time was over": dispatch.Refused} {
 		t.Run(name, func(t *testing.T) {
@@ -155,7 +155,7 @@
 			m, a := submitted(t, s, c, h)
 			m.Gate.RequestSend(a)
 			receive(t, c[0].allowed, "its intent is committed")
-			asked, _, let := stall(h[0], true, promise.OpNeverRan)
+			asked, _, release := stall(h[0], true, promise.OpNeverRan)
 			require.True(t, m.Gate.Begin(a))
 			if v == dispatch.Refused {
 				m.Client.(*submission).startBy = 0 // its deadline has passed
@@ -163,7 +163,7 @@
 			m.Client.Answer(dispatch.Answer{Verdict: v}) // by the answer to its attempt, 400 or 503; the loop notifies the gate next
 			m.Gate.NeverRan(a)
 			receive(t, asked, "that it never ran is proposed")
-			defer close(let) // the proposal stays in progress meanwhile
+			defer close(release) // the proposal stays in progress meanwhile
 			r, err := s[0].Await(t.Context(), &promisev1.AwaitRequest{Id: "j", WaitMs: 20_000})
 			require.NoError(t, err)
 			require.Equal(t, promisev1.Kind_KIND_REFUSED, r.End.Kind, r.End.Reason)
@@ -193,8 +193,8 @@
 	m, a := submitted(t, s, c, h)
 	m.Gate.RequestSend(a)
 	receive(t, c[0].allowed, "its intent is committed")
-	_, _, let := stall(h[0], true, promise.OpNeverRan)
-	defer close(let)
+	_, _, release := stall(h[0], true, promise.OpNeverRan)
+	defer close(release)
 	m.Gate.NeverRan(a)
 	s[0].Retune(decide.Settings{Classes: []decide.Class{{Effect: decide.Safe, Deadline: 20 * time.Second}}}, wire.Names{Classes: []string{"once"}})
 	m.Gate.RequestSend(&dispatch.Attempt{Command: m, Instance: a.Instance, Index: 1, Deadline: m.Deadline})
--- a/internal/net/replicas/link.go
+++ b/internal/net/replicas/link.go
@@ -215,7 +215,8 @@
 	l.down()
 }
 
-// down ends all forwarded proposals when the stream is lost. The peer may have accepted those that were sent.
+// down fails all forwarded proposals when the stream is lost: with ErrNoLeader those not sent, with ErrUnknown the
+// others, which the peer may have accepted.
 func (l *link) down() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -235,7 +236,7 @@
 	}
 }
 
-// abandonForwards ends the proposals forwarded for groups that the peer does not lead. The peer may have accepted them.
+// abandonForwards fails with ErrUnknown the proposals forwarded for groups that the peer does not lead. The peer may have accepted them.
 func (l *link) abandonForwards(leads func(group uint32) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/net/replicas/server.go
+++ b/internal/net/replicas/server.go
@@ -259,7 +259,7 @@
 	}
 }
 
-// enqueue has the loop call f; false: ctx has ended.
+// enqueue has the loop call f. It returns false if ctx has ended.
 func (s *Server) enqueue(ctx context.Context, f func(now time.Duration)) bool {
 	select {
 	case s.events <- f:
@@ -334,7 +334,7 @@
 	}
 }
 
-// openStore opens the store; false: it is locked, or cannot be read now.
+// openStore opens the store. It returns false if the store is locked or cannot be read now.
 func (s *Server) openStore() bool {
 	st, groups, refused, err := openStore(s.opts.Dir, s.opts.Self)
 	s.mu.Lock()
@@ -494,7 +494,7 @@
 	s.startNode(nil)
 }
 
-// answerOtherTable answers a peer whose table differs, or is the one before a repair.
+// answerOtherTable answers a peer whose table differs, or predates a repair.
 func (s *Server) answerOtherTable(name string) {
 	if l := s.peers[name]; l != nil && s.node != nil {
 		l.sendBootstrap(bootstrapToProto(s.bootstrapper.Message()))
--- a/internal/promise/machine.go
+++ b/internal/promise/machine.go
@@ -1,4 +1,4 @@
-// Package promise implements promised jobs, which are handed in once and kept until they are done: the replicated table of a
+// Package promise implements promised jobs, which are submitted once and kept until they are done: the replicated table of a
 // group's jobs, [Machine], and the logic of the one dispatcher that acts for the group, [Owner]. It does no I/O and reads no clock.
 package promise
 
@@ -75,7 +75,7 @@
 }
 
 func (j *Job) digest() string {
-	text, _ := json.Marshal(j) // plain data: it fails only for numbers that Check refuses
+	text, _ := json.Marshal(j) // Marshal fails only for NaN and infinities, which Check rejects
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:12])
 }
@@ -190,7 +190,7 @@
 // Bytes encodes the command.
 func (c Command) Bytes() []byte {
 	c.V = Version
-	text, _ := json.Marshal(c) // plain data: it fails only for numbers that Check refuses
+	text, _ := json.Marshal(c) // Marshal fails only for NaN and infinities, which Check rejects
 	return text
 }
 
--- a/internal/promise/machine_test.go
+++ b/internal/promise/machine_test.go
@@ -154,8 +154,8 @@
 	require.Equal(t, StaleOwner, apply(m, 9, 0, late.Command).Code)
 }
 
-// Guards against a job that stays submitted while nobody runs it: the dispatcher's answer came near the end of a lease that was
-// then renewed.
+// An answer received within the margin of a lease that is later renewed must be accepted: otherwise the job stays
+// submitted while nobody runs it.
 func TestAnswerNearExpiryOfRenewedLeaseCounts(t *testing.T) {
 	m, o, take := ownedTable(t, 3, 500*time.Millisecond)
 	first := take(at(0))
@@ -167,8 +167,8 @@
 	require.Greater(t, again[0].(Submit).Submission, first.Submission)
 }
 
-// Guards against an intent that stays though its attempt never ran, when that was reported near the end of a lease that was then
-// renewed.
+// A report within the margin of a lease that is later renewed that an attempt never ran must be accepted: otherwise the
+// intent stays.
 func TestNeverRanNearExpiryOfRenewedLeaseIsReported(t *testing.T) {
 	m, o, take := ownedTable(t, 3, 500*time.Millisecond)
 	first := take(at(0))
--- a/internal/promise/model.go
+++ b/internal/promise/model.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// This file explores all orders of events around a change of owner: two dispatchers and one job, with the worst schedules of
+// This file explores all orders of events around a change of owner: two dispatchers and one job, with all schedules of
 // dispatchers, proposals, sends and callbacks. A dispatcher that is not scheduled is paused. Times are a few ticks.
 
 const (
@@ -340,7 +340,6 @@
 	}
 }
 
-// wireID is the wire ID of the current submission.
 func (d *dispatcher) wireID() string { return WireID(jobID, 1, d.submission) }
 
 // abandon stops all further sends of the current submission.
@@ -354,7 +353,7 @@
 	d.submission, d.attempts, d.state, d.record = 0, 0, none, nil
 }
 
-// neverRan ends the last attempt as one that has not run.
+// neverRan records that the last attempt did not run.
 func (d *dispatcher) neverRan(c Clocks) {
 	d.state = none
 	if d.record != nil {
@@ -393,7 +392,7 @@
 		f(c)
 		all = append(all, c)
 	}
-	beginning := slices.ContainsFunc(w.dispatchers[:], func(d dispatcher) bool { return d.state == started }) // this takes less time than the lease's margin
+	beginning := slices.ContainsFunc(w.dispatchers[:], func(d dispatcher) bool { return d.state == started }) // sending the first byte takes less time than the lease's margin
 	if w.now < limit.ticks && !beginning {
 		try(func(w *model) { w.now++ })
 	}
@@ -529,7 +528,7 @@
 	d.state = started
 }
 
-// neverRan ends the last attempt as one that has not run.
+// neverRan records that the last attempt did not run.
 func (w *model) neverRan(i int) {
 	d := &w.dispatchers[i]
 	d.neverRan(w.clock(i))
@@ -561,7 +560,7 @@
 		w.dispatchers[i].records.faults = s
 	}
 	w.commit(message{cmd: string(Command{Op: OpPromise, ID: jobID, Job: &Job{Class: "c", StartWithin: jobTicks * tick, Retention: time.Hour}}.Bytes())})
-	w.grant(0) // the first dispatcher holds the job: the change of owner follows
+	w.grant(0) // the first dispatcher holds the job; the change of owner follows
 	w.commitAll()
 	w.update(0, true)
 	seen, front := map[uint64]bool{w.key(): true}, []*model{w}
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -60,7 +60,7 @@
 // Mux combines several machines; the first byte of a command selects one.
 type Mux map[byte]Machine
 
-// Apply applies a command to its machine. A command without a machine changes nothing and returns a result that says
+// Apply applies a command to its machine. A command for an unknown machine changes nothing and returns a result that says
 // so.
 func (m Mux) Apply(index uint64, at time.Duration, cmd []byte) []byte {
 	if len(cmd) == 0 || m[cmd[0]] == nil {
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -576,8 +576,8 @@
 	w.checkConfirmed()
 }
 
-// Guards against two leaders at once after a restart. One follower cannot receive from the leader and keeps asking for
-// votes; the other, whose confirmations hold the leader's lease, restarts and has forgotten them. It must grant no vote
+// Guards against two leaders at once after a restart. Follower A cannot receive from the leader and keeps asking for
+// votes; follower B, whose confirmations hold the leader's lease, restarts and has forgotten them. B must grant no vote
 // until that lease has expired.
 func TestRestartedVoterWaitsForLease(t *testing.T) {
 	for seed := range uint64(25) {
@@ -600,8 +600,8 @@
 	}
 }
 
-// Guards against a lease that rests on an outdated agreement to hibernate. One follower receives nothing from the
-// leader until it considers it silent; then it receives from it again, and the other follower does not. The first one's
+// Guards against a lease that rests on an outdated agreement to hibernate. Follower A receives nothing from the
+// leader until A considers the leader silent; then A receives from the leader again, and follower B does not. A's
 // acknowledgements must not extend the earlier lease.
 func TestSilenceEndsHibernation(t *testing.T) {
 	for seed := range uint64(3) {
--- a/internal/replica/raftlogger.go
+++ b/internal/replica/raftlogger.go
@@ -6,8 +6,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// raftLogger is the logger of the raft library. A fatal error must not end the daemon, so it panics, which halts the
-// group.
+// raftLogger is the logger of the raft library. Fatal panics instead of exiting; guard recovers the panic and
+// halts only the group.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)                   {}
--- a/winglb/control.go
+++ b/winglb/control.go
@@ -53,7 +53,7 @@
 	settingsFrom int // the daemon that sent the settings
 	parsed       decide.Settings
 	names        wire.Names
-	place        uint32 // this sender's fixed turn, from 1; 0: none
+	place        uint32 // this sender's number among all senders, from 1, assigned by a daemon; 0: none
 	senders      uint32
 	lastReceived time.Duration // last message of any daemon
 	started      bool
@@ -550,5 +550,5 @@
 	}
 }
 
-// Subscribe does nothing: daemons send the instance list unasked.
+// Subscribe does nothing: daemons send the instance list without a subscription.
 func (s *controlState) Subscribe() {}
--- a/winglb/failures_test.go
+++ b/winglb/failures_test.go
@@ -13,12 +13,12 @@
 	"caperrelay/internal/standin/ledger"
 )
 
-// Failures round the plug-in, at a small size; make prove-plugin has them at full size. Each test causes its failure
-// and checks the rules on the encoders' ledger.
+// Failures around the plug-in, at a small size; make prove-plugin has them at full size. Each test causes its failure
+// and checks the rules on the encoders' log of received attempts.
 
 var rules = ledger.Rules{DrainGrace: 750 * time.Millisecond, Slack: 50 * time.Millisecond}
 
-// scenario is a run of portals with an equal part of the load each, and one HTTP client of the first daemon.
+// scenario is a run of portals, which are client processes with the plug-in, with an equal part of the load each, and one HTTP client of the first daemon.
 type scenario struct {
 	*rig.Rig
 	t       *testing.T
@@ -108,7 +108,7 @@
 	}
 }
 
-// Case 1: encoders that start cold at the same time under load, shared by many processes and two daemons, are not
+// Encoders that start cold at the same time under load, shared by many processes and two daemons, are not
 // overloaded, and get work.
 func TestColdEncodersSurvive(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 6, Slots: 4, Daemons: 2, Classes: loadClasses(6, 4, 0.5), Cold: 4 * time.Second})
@@ -124,7 +124,7 @@
 	require.NotEmpty(t, sum)
 }
 
-// Case 2: one daemon is killed and restarted, then both are down for a while. The cold budget holds, and calls are
+// One daemon is killed and restarted, then both are down for a while. The cold budget holds, and calls are
 // still served.
 func TestDaemonsKilledAndRestarted(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 6, Slots: 4, Daemons: 2, Classes: loadClasses(6, 4, 0.4), Cold: 4 * time.Second})
@@ -148,7 +148,7 @@
 	require.Greater(t, float64(preview.Verdicts[load.Served]), 0.8*float64(preview.Sent), "calls were not served while no daemon was up")
 }
 
-// Case 3: a portal's process is killed while it has calls in progress and holds leases.
+// A portal's process is killed while it has calls in progress and holds leases.
 func TestPortalKilled(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 2, Classes: loadClasses(4, 4, 0.4), Cold: 20 * time.Second})
 	p := startScenario(t, r, 4, 5*time.Second)
@@ -178,7 +178,7 @@
 	return n
 }
 
-// Case 4: an encoder drains while one daemon is stopped with its streams open. The other daemon sends the update to
+// An encoder drains while one daemon is stopped with its streams open. The other daemon sends the update to
 // all portals in time.
 func TestDrainReachesPortalsWhileADaemonIsStopped(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 4, Slots: 4, Daemons: 2, Classes: loadClasses(4, 4, 0.4)})
@@ -199,7 +199,7 @@
 	p.end()
 }
 
-// Case 5: an encoder hangs, another sends GOAWAY under load, and a portal that was stopped for a while continues with
+// An encoder hangs, another sends GOAWAY under load, and a portal that was stopped for a while continues with
 // expired leases.
 func TestEncoderHangsGoAwayAndPausedPortal(t *testing.T) {
 	r := startRig(t, rig.Options{Encoders: 5, Slots: 4, Daemons: 2, Classes: loadClasses(5, 4, 0.4), Cold: 20 * time.Second})
--- a/winglb/malformed_test.go
+++ b/winglb/malformed_test.go
@@ -44,7 +44,7 @@
 	return &controlv1.FromSender{Kind: &controlv1.FromSender_Hello{Hello: h}}
 }
 
-// Case 6: a malformed message ends its stream with a clear error and affects no other stream.
+// A malformed message ends its stream with a clear error and affects no other stream.
 func TestMalformedMessagesEndTheirStreamOnly(t *testing.T) {
 	var total atomic.Int32
 	e := startEncoder(t, &total)
@@ -68,18 +68,18 @@
 		messages []*controlv1.FromSender
 		code     codes.Code
 	}{
-		"no hello":         {[]*controlv1.FromSender{want(func(*controlv1.Want) {})}, codes.InvalidArgument},
-		"empty":            {[]*controlv1.FromSender{{}}, codes.InvalidArgument},
-		"nameless":         {[]*controlv1.FromSender{hello(func(h *controlv1.Hello) { h.Name = "" })}, codes.InvalidArgument},
-		"no process":       {[]*controlv1.FromSender{hello(func(h *controlv1.Hello) { h.Boot = 0 })}, codes.InvalidArgument},
-		"a place too high": {[]*controlv1.FromSender{hello(func(h *controlv1.Hello) { h.Place = 1 << 31 })}, codes.InvalidArgument},
-		"another version":  {[]*controlv1.FromSender{hello(func(h *controlv1.Hello) { h.Version = 99 })}, codes.FailedPrecondition},
-		"two hellos":       {[]*controlv1.FromSender{hello(nil), hello(nil)}, codes.InvalidArgument},
-		"empty later":      {[]*controlv1.FromSender{hello(nil), {}}, codes.InvalidArgument},
-		"want of no work":  {[]*controlv1.FromSender{hello(nil), want(func(w *controlv1.Want) { w.WorkUs = 1 << 60 })}, codes.InvalidArgument},
-		"want of nothing":  {[]*controlv1.FromSender{hello(nil), want(func(w *controlv1.Want) { w.Instance = "" })}, codes.InvalidArgument},
-		"want of none":     {[]*controlv1.FromSender{hello(nil), {Kind: &controlv1.FromSender_Want{}}}, codes.InvalidArgument},
-		"done of none":     {[]*controlv1.FromSender{hello(nil), {Kind: &controlv1.FromSender_Done{}}}, codes.OK}, // encoded as an empty message, which names no lease
+		"no hello":             {[]*controlv1.FromSender{want(func(*controlv1.Want) {})}, codes.InvalidArgument},
+		"empty":                {[]*controlv1.FromSender{{}}, codes.InvalidArgument},
+		"nameless":             {[]*controlv1.FromSender{hello(func(h *controlv1.Hello) { h.Name = "" })}, codes.InvalidArgument},
+		"no process":           {[]*controlv1.FromSender{hello(func(h *controlv1.Hello) { h.Boot = 0 })}, codes.InvalidArgument},
+		"a place too high":     {[]*controlv1.FromSender{hello(func(h *controlv1.Hello) { h.Place = 1 << 31 })}, codes.InvalidArgument},
+		"another version":      {[]*controlv1.FromSender{hello(func(h *controlv1.Hello) { h.Version = 99 })}, codes.FailedPrecondition},
+		"two hellos":           {[]*controlv1.FromSender{hello(nil), hello(nil)}, codes.InvalidArgument},
+		"empty later":          {[]*controlv1.FromSender{hello(nil), {}}, codes.InvalidArgument},
+		"want of no work":      {[]*controlv1.FromSender{hello(nil), want(func(w *controlv1.Want) { w.WorkUs = 1 << 60 })}, codes.InvalidArgument},
+		"want of nothing":      {[]*controlv1.FromSender{hello(nil), want(func(w *controlv1.Want) { w.Instance = "" })}, codes.InvalidArgument},
+		"want of none":         {[]*controlv1.FromSender{hello(nil), {Kind: &controlv1.FromSender_Want{}}}, codes.InvalidArgument},
+		"done without a lease": {[]*controlv1.FromSender{hello(nil), {Kind: &controlv1.FromSender_Done{}}}, codes.OK}, // encoded as an empty message, which names no lease
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := attach(t, c.Address())
--- a/winglb/promise.go
+++ b/winglb/promise.go
@@ -19,14 +19,14 @@
 
 const (
 	initialTimeout    = 400 * time.Millisecond // for the first daemon, which may hang, before the next is tried
-	maxPromiseTimeout = 2 * time.Second        // upper limit of the same: a group may be without an owner for as long
+	maxPromiseTimeout = 2 * time.Second        // upper limit of that timeout: a group may be without an owner for as long
 	daemonWait        = 5 * time.Second        // how long a daemon may wait before it answers Await
 	retryPause        = 20 * time.Millisecond
 )
 
-// Promised is a job that is handed in to be kept until it is done.
+// Promised is a job that is submitted to be kept until it is done.
 type Promised struct {
-	Job // ID identifies the promise: handing in the same ID again is idempotent. Repeat is not used.
+	Job // ID identifies the promise: submitting the same ID again is idempotent. Repeat is not used.
 	// Payload is the request body for encoders and Target its URI; empty: /api.
 	Payload []byte
 	Target  string
@@ -48,14 +48,14 @@
 // EndKind is the kind of a promise's end.
 type EndKind int
 
-// Kinds of ends.
+// Kinds of outcomes.
 const (
 	EndDone    EndKind = iota + 1
 	EndFailed          // it may have run
 	EndRefused         // it never ran
 )
 
-// End is the end of a promise, which it has exactly once.
+// End is the final outcome of a promise, which has exactly one.
 type End struct {
 	Kind     EndKind
 	Reason   string
@@ -101,7 +101,7 @@
 }
 
 // untilAnswered calls f at one daemon after another, with a growing time limit, until one answers, the context ends or
-// an error comes that any other daemon would give too.
+// an error comes that every daemon would return.
 func (p *Promises) untilAnswered(ctx context.Context, within, most time.Duration, f func(context.Context, promisev1.PromisesClient) error) error {
 	for ; ; within = min(2*within, most) {
 		at := p.current.Load()
@@ -127,7 +127,7 @@
 	}
 }
 
-// Promise hands in a job. Without an error the job is promised: it will have exactly one end, even if a machine is
+// Promise submits a job. Without an error the job is promised: it will have exactly one end, even if a machine is
 // lost. After an error it may be promised as well, unless the status is InvalidArgument, AlreadyExists (the ID belongs
 // to another job) or ResourceExhausted: repeating the call finds out. Without a deadline it retries indefinitely.
 func (p *Promises) Promise(ctx context.Context, j Promised) (Receipt, error) {
