--- a/cmd/winglb-full/members.go
+++ b/cmd/winglb-full/members.go
@@ -42,7 +42,7 @@
 		return v, err
 	}
 	if reason, ok := strings.CutPrefix(string(text), "ERR "); ok {
-		return v, fmt.Errorf("%s: it tells nobody of its list ([members] is missing in its file, or it does not serve)", strings.TrimSpace(reason))
+		return v, fmt.Errorf("%s: the dispatcher does not share its instance list: [members] is missing in its file, or it does not serve", strings.TrimSpace(reason))
 	}
 	return v, json.Unmarshal([]byte(strings.TrimSuffix(string(text), "END\n")), &v)
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -158,15 +158,15 @@
 	lastHeartbeat  time.Time
 	shownStatus    WatchStatus
 
-	heartbeats  map[string]time.Time   // by watcher: time of its last heartbeat
-	expected    map[string]time.Time   // by watcher: since when heartbeats are expected from it
-	forwarded   map[string]ListVersion // by source: the last version that was forwarded
-	unacked     map[string]pendingAck  // by peer
-	distrusted  map[string]time.Time   // by peer: end of the time in which it is ignored
-	notAsked    map[string]time.Time   // by peer: end of the time in which it is not asked, since it sent a list that lacks over half of the instances
-	suspectList Update                 // the last list that lacks over half of the instances
-	requestedAt time.Time
-	correctedAt time.Time // when a watcher with an older list was last sent the newer one
+	heartbeats     map[string]time.Time   // by watcher: time of its last heartbeat
+	expected       map[string]time.Time   // by watcher: since when heartbeats are expected from it
+	forwarded      map[string]ListVersion // by source: the last version that was forwarded
+	unacked        map[string]pendingAck  // by peer
+	distrusted     map[string]time.Time   // by peer: end of the time in which it is ignored
+	noRequestUntil map[string]time.Time   // by peer: end of the time in which it is not asked, since it sent a list that lacks over half of the instances
+	suspectList    Update                 // the last list that lacks over half of the instances
+	requestedAt    time.Time
+	correctedAt    time.Time // when a watcher with an older list was last sent the newer one
 }
 
 // pendingAck is a message that waits for its acknowledgement.
@@ -181,7 +181,7 @@
 	s := &State{
 		config: c, rng: rand.New(rand.NewPCG(rank(c.Name, "seed"), uint64(now.UnixNano()))), started: now, peersChanged: now,
 		heartbeats: map[string]time.Time{}, expected: map[string]time.Time{}, forwarded: map[string]ListVersion{}, unacked: map[string]pendingAck{}, distrusted: map[string]time.Time{},
-		notAsked: map[string]time.Time{},
+		noRequestUntil: map[string]time.Time{},
 	}
 	s.SetPeers(now, nil)
 	return s
@@ -256,7 +256,7 @@
 	s.requestedAt = now
 	var near, far []string
 	for _, p := range s.peers {
-		if now.Before(s.distrusted[p.Name]) || now.Before(s.notAsked[p.Name]) {
+		if now.Before(s.distrusted[p.Name]) || now.Before(s.noRequestUntil[p.Name]) {
 			continue
 		}
 		if p.Zone == s.config.Zone {
@@ -376,7 +376,7 @@
 	newer := !s.hasList || s.version.Before(t.Version)
 	switch {
 	case t.Heartbeat && newer || newer && !t.Complete && (!s.hasList || s.version.Before(t.Base)): // an earlier update was missed
-		if now.Sub(s.requestedAt) >= ackTimeout && !now.Before(s.notAsked[from]) {
+		if now.Sub(s.requestedAt) >= ackTimeout && !now.Before(s.noRequestUntil[from]) {
 			s.requestedAt = now
 			s.emit(RequestList{from})
 		}
@@ -391,7 +391,7 @@
 				s.emit(RequestList{name})
 			}
 		}
-		s.suspectList, s.notAsked[from] = t, now.Add(distrustTime)
+		s.suspectList, s.noRequestUntil[from] = t, now.Add(distrustTime)
 		if !t.Response { // the others check it themselves
 			s.forward(now, t)
 		}
@@ -469,7 +469,7 @@
 }
 
 func (s *State) distrust(now time.Time, peer, why string) {
-	for _, of := range []map[string]time.Time{s.distrusted, s.notAsked} {
+	for _, of := range []map[string]time.Time{s.distrusted, s.noRequestUntil} {
 		maps.DeleteFunc(of, func(_ string, until time.Time) bool { return !now.Before(until) })
 	}
 	s.distrusted[peer] = now.Add(distrustTime)
@@ -687,7 +687,7 @@
 	if s.hasList {
 		v.Age = max(0, now.Sub(s.validAt))
 	}
-	for _, of := range []map[string]time.Time{s.distrusted, s.notAsked} {
+	for _, of := range []map[string]time.Time{s.distrusted, s.noRequestUntil} {
 		for name, until := range of {
 			if now.Before(until) {
 				v.Distrusted = append(v.Distrusted, name)
--- a/internal/net/accord/server.go
+++ b/internal/net/accord/server.go
@@ -330,7 +330,7 @@
 	if s.floorDue > 0 {
 		s.lateness = max(s.lateness, replicas.Now()-s.floorDue)
 		if bound := accord.LeaseExpiry + s.lateness; bound > accord.ConflictBound {
-			s.log.Error("accord: stated conflict bound exceeded; this machine is too slow", "bound", bound, "stated", accord.ConflictBound)
+			s.log.Error("accord: guaranteed conflict bound exceeded; this machine is too slow", "bound", bound, "stated", accord.ConflictBound)
 		}
 	}
 	if a.Floor {
@@ -358,7 +358,7 @@
 	why := ""
 	if err := s.rules.Check(v.Text); err != nil {
 		why = err.Error()
-		s.log.Warn("accord: version refused", "version", v.Number, "by", v.By, "err", err)
+		s.log.Warn("accord: cannot apply the proposed version", "version", v.Number, "by", v.By, "err", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -530,7 +530,7 @@
 		s.mu.Lock()
 		s.refused++
 		s.mu.Unlock()
-		s.log.Error("accord: settings not proposed", "err", err)
+		s.log.Error("accord: settings not agreed, or outcome unknown", "err", err)
 		return err
 	}
 	if a.Pending != nil {
--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -202,7 +202,7 @@
 	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_List{List: listMessage(l)}})
 }
 
-// updateEncoders passes the ready encoders to the granter.
+// updateEncoders passes the ready encoders to the granter, except those without a start time that were not uncordoned.
 func (c *Server) updateEncoders() {
 	now := c.now()
 	var members []lease.Encoder
@@ -434,8 +434,8 @@
 	return nil
 }
 
-// self is the key of the daemon's own leases.
-const self = "daemon"
+// selfKey is the key of the daemon's own leases.
+const selfKey = "daemon"
 
 // Request requests a lease for the daemon itself.
 func (c *Server) Request(instance string, process int64, work float64) {
@@ -446,7 +446,7 @@
 		return
 	}
 	requested := time.Now()
-	g := c.granter.Ask(now, self, lease.Request{Instance: instance, Process: process, Work: work})
+	g := c.granter.Ask(now, selfKey, lease.Request{Instance: instance, Process: process, Work: work})
 	if g.ID == 0 {
 		if len(c.retryAt) > 4096 {
 			clear(c.retryAt)
@@ -460,7 +460,7 @@
 	time.AfterFunc(time.Until(until)+time.Millisecond, func() { // an expired lease is not used any more
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.granter.Settle(c.now(), self, g.ID, false)
+		c.granter.Settle(c.now(), selfKey, g.ID, false)
 	})
 }
 
@@ -469,7 +469,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id, ok := l.Ref.(uint64); ok {
-		c.granter.Settle(c.now(), self, id, true)
+		c.granter.Settle(c.now(), selfKey, id, true)
 	}
 }
 
@@ -484,7 +484,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.granter.Stats
-	attached := map[string]bool{self: true}
+	attached := map[string]bool{selfKey: true}
 	for s := range c.senders {
 		attached[s.key] = true
 	}
--- a/internal/net/promises/recording.go
+++ b/internal/net/promises/recording.go
@@ -133,7 +133,7 @@
 func (s *Server) isRepeatable(id string) (yes bool) {
 	s.host.View(s.group(id), replica.PromisesMachine, func(m replica.Machine) {
 		e := m.(*promise.Machine).Entry(id)
-		yes = e != nil && s.repeats(e.Job.Class)
+		yes = e != nil && s.mayRepeat(e.Job.Class)
 	})
 	return yes
 }
@@ -191,7 +191,7 @@
 	switch c.Op {
 	case promise.OpIntent:
 		s.Intents.Add(1)
-		if h := s.submissions[submissionKey{c.ID, c.Submission}]; h != nil && !s.repeats(h.cmd.Class) {
+		if h := s.submissions[submissionKey{c.ID, c.Submission}]; h != nil && !s.mayRepeat(h.cmd.Class) {
 			h.sends.set(c.Attempt, s.sends.request(h.cmd.ID, c.Instance, c.Gen, c.Deadline))
 		}
 	case promise.OpNeverRan:
@@ -225,19 +225,19 @@
 		return
 	}
 	s.lastUnsentScan = now
-	for _, sending := range s.sends.unreported(now, last) {
-		c, ok := sending.NeverRanCommand()
+	for _, record := range s.sends.unreported(now, last) {
+		c, ok := record.NeverRanCommand()
 		g := s.group(c.ID)
 		intended, settled := false, !ok
 		if ok { // without a local replica it is unknown which intents exist
-			s.host.View(g, replica.PromisesMachine, func(m replica.Machine) { intended, settled = m.(*promise.Machine).HasIntent(&sending) })
+			s.host.View(g, replica.PromisesMachine, func(m replica.Machine) { intended, settled = m.(*promise.Machine).HasIntent(&record) })
 		}
 		switch {
 		case settled:
-			s.sends.drop(sending)
+			s.sends.drop(record)
 		case intended:
 			s.NeverSent.Add(1)
-			s.log.Info("attempt of a promised job was never sent; reporting it to the group", "job", sending.Job, "instance", sending.Instance)
+			s.log.Info("attempt of a promised job was never sent; reporting it to the group", "job", record.Job, "instance", record.Instance)
 			s.record(g, c)
 		}
 	}
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -108,7 +108,7 @@
 	}
 	s.classes.Store(&map[string]decide.Class{})
 	for range host.Groups() {
-		s.owners = append(s.owners, promise.NewOwner(s.repeats))
+		s.owners = append(s.owners, promise.NewOwner(s.mayRepeat))
 	}
 	return s
 }
@@ -124,9 +124,9 @@
 	s.classes.Store(&classes)
 }
 
-// repeats reports whether jobs of a class may be repeated freely. Keyed classes may not: workers detect duplicates
+// mayRepeat reports whether jobs of a class may be repeated freely. Keyed classes may not: workers detect duplicates
 // within one group and for a limited time only, which an owner that did not send the first attempt cannot ensure.
-func (s *Server) repeats(class string) bool {
+func (s *Server) mayRepeat(class string) bool {
 	c, ok := (*s.classes.Load())[class]
 	return ok && c.Effect == decide.Safe
 }
--- a/internal/net/replicas/link.go
+++ b/internal/net/replicas/link.go
@@ -200,7 +200,7 @@
 	for wait := redialMinDelay; ctx.Err() == nil; wait = min(redialMaxDelay, 2*wait) {
 		began := time.Now()
 		err := l.call(ctx)
-		l.down()
+		l.streamLost()
 		if time.Since(began) > redialMaxDelay {
 			wait = redialMinDelay
 		}
@@ -212,12 +212,12 @@
 		case <-t.C:
 		}
 	}
-	l.down()
+	l.streamLost()
 }
 
-// down fails all forwarded proposals when the stream is lost: with ErrNoLeader those not sent, with ErrUnknown the
+// streamLost fails all forwarded proposals when the stream is lost: with ErrNoLeader those not sent, with ErrUnknown the
 // others, which the peer may have accepted.
-func (l *link) down() {
+func (l *link) streamLost() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up, l.messages, l.queuedBytes, l.hibernations = false, nil, 0, nil
@@ -236,7 +236,8 @@
 	}
 }
 
-// abandonForwards fails with ErrUnknown the proposals forwarded for groups that the peer does not lead. The peer may have accepted them.
+// abandonForwards fails with ErrUnknown the proposals forwarded for groups that the peer does not lead. The peer may have
+// accepted them.
 func (l *link) abandonForwards(leads func(group uint32) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/net/replicas/server.go
+++ b/internal/net/replicas/server.go
@@ -591,7 +591,7 @@
 
 // retire discards the store and rejoins as a new member.
 func (s *Server) retire(why string) {
-	s.log.Error("replicas: the store cannot be trusted; this daemon rejoins as a new member", "why", why)
+	s.log.Error("replicas: the store is set aside; this daemon rejoins as a new member", "why", why)
 	if s.writing {
 		<-s.writeDone
 		s.writing = false
--- a/internal/promise/model.go
+++ b/internal/promise/model.go
@@ -197,7 +197,7 @@
 			b = append(b, l.cmd...)
 		}
 		o := d.owner
-		num(int(d.term), int(d.leaseEnd), d.submission, d.attempts, d.state, int(d.sendUntil), int(o.term), int(o.leaseEnd), int(o.lastTerm), int(o.reacquisitions), o.baseSubmission, yes(o.ownProposal > 0))
+		num(int(d.term), int(d.leaseEnd), d.submission, d.attempts, d.state, int(d.sendUntil), int(o.term), int(o.leaseEnd), int(o.lastTerm), int(o.losses), o.baseSubmission, yes(o.ownProposal > 0))
 		b = append(b, d.instance...)
 		if num(yes(d.abandoned != nil)); d.abandoned != nil {
 			num(d.abandoned.submission, d.abandoned.n, int(d.abandoned.sendUntil))
--- a/internal/promise/owner.go
+++ b/internal/promise/owner.go
@@ -101,11 +101,11 @@
 type Owner struct {
 	mayRetry func(class string) bool
 
-	term           uint64 // 0: no lease
-	leaseEnd       time.Duration
-	lastTerm       uint64 // the term of the last lease
-	reacquisitions uint64 // how often the lease of that term was lost; proposals from before a loss are not accepted
-	ownProposal    uint64 // the pending proposal to take ownership; 0: none
+	term        uint64 // 0: no lease
+	leaseEnd    time.Duration
+	lastTerm    uint64 // the term of the last lease
+	losses      uint64 // how often the lease of that term was lost; proposals from before a loss are not accepted
+	ownProposal uint64 // the pending proposal to take ownership; 0: none
 
 	baseSubmission int // the highest submission number under earlier leases, which the dispatcher may still have
 	submitted      map[string]*submission
@@ -183,7 +183,7 @@
 	}
 	if ok && c.Mono < until-LeaseMargin {
 		if term != o.lastTerm {
-			o.lastTerm, o.reacquisitions = term, 0
+			o.lastTerm, o.losses = term, 0
 		}
 		o.term, o.leaseEnd = term, until
 	}
@@ -206,13 +206,13 @@
 	clear(o.resubmits)
 	clear(o.proposals)
 	if o.term > 0 {
-		o.reacquisitions++
+		o.losses++
 	}
 	o.term, o.ownProposal, o.nextScan, o.lastSeen = 0, 0, 0, 0
 }
 
 // generation is the generation of commands: the term, and how often the lease was lost in it.
-func (o *Owner) generation() uint64 { return o.term<<generationShift + o.reacquisitions }
+func (o *Owner) generation() uint64 { return o.term<<generationShift + o.losses }
 
 const generationShift = 24
 
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -48,20 +48,20 @@
 	}
 	voters := g.conf.GetVoters()
 	lost := slices.IndexFunc(voters, func(id uint64) bool { return isLost(id, n.cfg.RelocateAfter) })
-	surplus := uint64(0)
+	toReplace := uint64(0)
 	want := Place(g.number, n.livePeers(now, n.cfg.RelocateAfter), n.cfg.Table.Copies)
 	wanted := func(id uint64) bool { return slices.ContainsFunc(want, func(m Member) bool { return m.ID() == id }) }
 	switch {
 	case lost >= 0:
-		surplus = voters[lost]
+		toReplace = voters[lost]
 	case len(want) == n.cfg.Table.Copies && now-n.startedAt >= n.cfg.RelocateAfter: // before that, some live daemons may not have sent a heartbeat yet
 		for _, id := range voters {
 			if id != n.id && !wanted(id) {
-				surplus = id
+				toReplace = id
 			}
 		}
 	}
-	if surplus == 0 && len(want) == n.cfg.Table.Copies && now-n.startedAt >= n.cfg.RelocateAfter && !wanted(n.id) {
+	if toReplace == 0 && len(want) == n.cfg.Table.Copies && now-n.startedAt >= n.cfg.RelocateAfter && !wanted(n.id) {
 		n.startTransfer(g, now, wanted) // the new leader then replaces this node
 		return
 	}
@@ -79,14 +79,14 @@
 			return
 		}
 		promotion := change(pb.ConfChangeType_ConfChangeAddNode, id)
-		if surplus != 0 && len(voters) >= n.cfg.Table.Copies {
-			propose(promotion, change(pb.ConfChangeType_ConfChangeRemoveNode, surplus))
+		if toReplace != 0 && len(voters) >= n.cfg.Table.Copies {
+			propose(promotion, change(pb.ConfChangeType_ConfChangeRemoveNode, toReplace))
 		} else {
 			propose(promotion)
 		}
 		return
 	}
-	if surplus == 0 && len(voters) >= n.cfg.Table.Copies {
+	if toReplace == 0 && len(voters) >= n.cfg.Table.Copies {
 		if len(voters) > n.cfg.Table.Copies {
 			for _, id := range voters {
 				if id != n.id && !wanted(id) {
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -47,31 +47,31 @@
 
 // Node holds one daemon's replicas. It is not safe for concurrent use.
 type Node struct {
-	cfg             Config
-	id              uint64
-	startedAt       time.Duration
-	tickedAt        time.Duration
-	heartbeatAt     time.Duration
-	movedAt         time.Duration
-	groups          map[uint32]*group
-	ordered         []*group
-	nameByHash      map[uint32]string
-	peers           map[string]*peer
-	knownStores     map[uint64]uint64
-	lastRef         uint64
-	proposals       map[uint64]*group
-	pending         []pendingWrite
-	inFlight        *inFlightWrite
-	written         uint64
-	knownSavedAt    time.Duration
-	scheduled       []*group
-	heartbeatCount  uint64
-	heartbeatNumber uint64 // of the last heartbeat sent
-	sentHeartbeats  [heartbeatHistory]sentHeartbeat
-	sentLeads       map[uint32]uint64
-	out             Work
-	stopped         bool
-	steppingDown    bool // StepDown was called: the node transfers every group that it leads or comes to lead
+	cfg                 Config
+	id                  uint64
+	startedAt           time.Duration
+	tickedAt            time.Duration
+	heartbeatAt         time.Duration
+	membershipCheckedAt time.Duration
+	groups              map[uint32]*group
+	ordered             []*group
+	nameByHash          map[uint32]string
+	peers               map[string]*peer
+	knownStores         map[uint64]uint64
+	lastRef             uint64
+	proposals           map[uint64]*group
+	pending             []pendingWrite
+	inFlight            *inFlightWrite
+	written             uint64
+	knownSavedAt        time.Duration
+	scheduled           []*group
+	heartbeatCount      uint64
+	heartbeatNumber     uint64 // of the last heartbeat sent
+	sentHeartbeats      [heartbeatHistory]sentHeartbeat
+	sentLeads           map[uint32]uint64
+	out                 Work
+	stopped             bool
+	steppingDown        bool // StepDown was called: the node transfers every group that it leads or comes to lead
 }
 
 // peer is another daemon.
@@ -150,8 +150,8 @@
 		n.heartbeatAt = now
 		n.sendHeartbeats(now)
 	}
-	if now-n.movedAt >= confChangeInterval {
-		n.movedAt = now
+	if now-n.membershipCheckedAt >= confChangeInterval {
+		n.membershipCheckedAt = now
 		for _, g := range n.ordered {
 			n.guard(g, func() { n.changeMembers(g, now) })
 		}
