--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -93,7 +93,7 @@
 // New returns a server. SetSettings and Open have to be called before it serves.
 func New(o Options, s decide.Settings, core Core, logger *slog.Logger) (*Server, error) {
 	if o.Daemons < 1 || o.Daemon < 0 || o.Daemon >= o.Daemons || o.Senders < o.Daemons || o.Silence <= 0 || o.Life <= 0 {
-		return nil, fmt.Errorf("control: daemon %d of %d, %d senders, silence %v, life %v", o.Daemon, o.Daemons, o.Senders, o.Silence, o.Life)
+		return nil, fmt.Errorf("control: invalid options: daemon %d of %d, %d senders, silence %v, life %v", o.Daemon, o.Daemons, o.Senders, o.Silence, o.Life)
 	}
 	c := &Server{
 		options: o, core: core, log: logger, start: time.Now(), epoch: uint64(time.Now().UnixNano()), senders: map[*sender]struct{}{}, uncordonedAt: map[string]time.Duration{},
--- a/internal/net/replicas/cost_test.go
+++ b/internal/net/replicas/cost_test.go
@@ -38,7 +38,7 @@
 	n, all := 0, 0
 	for _, s := range w.hosts {
 		for _, g := range s.Status().Groups {
-			if all++; g.Calm {
+			if all++; g.Hibernating {
 				n++
 			}
 		}
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -127,8 +127,8 @@
 	return names
 }
 
-// Met returns the names of all daemons from which a message has been received.
-func (f *Bootstrapper) Met() []string { return slices.Sorted(maps.Keys(f.received)) }
+// Contacted returns the names of all daemons from which a message has been received.
+func (f *Bootstrapper) Contacted() []string { return slices.Sorted(maps.Keys(f.received)) }
 
 // newTable returns the table of these members. All daemons that know the same members compute the same table.
 func newTable(members []Member, groups uint32, copies int) *Table {
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -19,15 +19,15 @@
 
 // Status is a group's status for operators.
 type Status struct {
-	Group    uint32   `json:"group"`
-	Leader   string   `json:"leader"`
-	Term     uint64   `json:"term"`
-	Applied  uint64   `json:"applied"`
-	Voters   []string `json:"voters"`
-	Learners []string `json:"learners,omitempty"`
-	Released bool     `json:"released"`
-	Halted   bool     `json:"halted,omitempty"`
-	Calm     bool     `json:"calm,omitempty"`
+	Group       uint32   `json:"group"`
+	Leader      string   `json:"leader"`
+	Term        uint64   `json:"term"`
+	Applied     uint64   `json:"applied"`
+	Voters      []string `json:"voters"`
+	Learners    []string `json:"learners,omitempty"`
+	Released    bool     `json:"released"`
+	Halted      bool     `json:"halted,omitempty"`
+	Hibernating bool     `json:"calm,omitempty"`
 }
 
 // Status returns the status of all groups held here.
@@ -43,7 +43,7 @@
 		s := g.raw.BasicStatus()
 		all = append(all, Status{
 			Group: g.number, Leader: n.nameByHash[uint32(s.Lead>>32)], Term: s.GetTerm(), Applied: g.applied,
-			Voters: names(g.conf.GetVoters()), Learners: names(g.conf.GetLearners()), Released: g.released, Halted: g.halted, Calm: g.hibernating,
+			Voters: names(g.conf.GetVoters()), Learners: names(g.conf.GetLearners()), Released: g.released, Halted: g.halted, Hibernating: g.hibernating,
 		})
 	}
 	return all
--- a/internal/replica/wallclock_test.go
+++ b/internal/replica/wallclock_test.go
@@ -9,7 +9,8 @@
 )
 
 // Requires that a command proposed with a correct clock does not get the time of an earlier proposal whose clock was an
-// hour ahead. Each proposal carries its proposer's time, and a group's time never decreases.
+// hour ahead. Each proposal carries its proposer's time, and a group's time never decreases. KNOWN-RED.txt lists
+// this test: it fails at present.
 func TestOneClockAheadIsNotTheGroupsTime(t *testing.T) {
 	w := newCluster(t, 31, 3)
 	w.awaitLeaders(5 * time.Second)
@@ -25,5 +26,5 @@
 	var at time.Duration
 	_, err = fmt.Sscanf(lines[len(lines)-1], "%d@%d right;", &index, &at)
 	require.NoError(t, err, lines)
-	require.Less(t, at, w.now+time.Minute, "the time of a command proposed by a clock that is right")
+	require.Less(t, at, w.now+time.Minute, "the time of a command proposed with a correct clock")
 }
--- a/winglb/winglb.go
+++ b/winglb/winglb.go
@@ -46,8 +46,8 @@
 	TLS *tls.Config
 	// Credentials for encoders; nil: plain text.
 	Credentials credentials.TransportCredentials
-	// Class and Tenant are the defaults for calls whose context sets none. Classes maps methods, as
-	// "/package.Service/Method", to classes.
+	// Class is used for calls whose Job has no class and whose method is not in Classes, and Tenant for calls whose Job
+	// has no tenant. Classes maps methods, as "/package.Service/Method", to classes.
 	Class, Tenant string
 	Classes       map[string]string
 	// Logger receives messages for operators; nil: nothing is logged.
