--- a/cmd/winglb-full/main.go
+++ b/cmd/winglb-full/main.go
@@ -111,15 +111,15 @@
 type proveCommand struct {
 	Name string `name:"name" arg:"" enum:"plugin,memory,import,coldstart,deployments,promise,rerun,gang" help:"Which: plugin, memory, import, coldstart, deployments, promise, rerun or gang."`
 
-	Seed  uint64 `name:"seed" default:"1" help:"Of deployments: seed of the random deployments."`
-	Drawn int    `name:"drawn" default:"40" help:"Of deployments: number of random deployments."`
+	Seed  uint64 `name:"seed" default:"1" help:"Of deployments: the seed of the drawing."`
+	Drawn int    `name:"drawn" default:"40" help:"Of deployments: how many are drawn."`
 	Only  int    `name:"only" default:"-1" help:"Of deployments: replay this one alone, from 0."`
-	Tell  bool   `name:"tell" help:"Of deployments: also print the dispatchers' logs."`
+	Tell  bool   `name:"tell" help:"Of deployments: with what dispatchers log."`
 	Small bool   `name:"small" help:"Of deployments: instead, a table of one small deployment by ways of cancelling, days and start notes."`
 
-	Plays  int `name:"plays" default:"1" help:"Of rerun: number of simulated runs; the last line has the sums over all."`
-	AtOnce int `name:"at-once" default:"1" help:"Of rerun: number of runs in parallel."`
-	Busy   int `name:"busy" default:"0" help:"Of rerun: number of extra processes that each use a processor fully."`
+	Plays  int `name:"plays" default:"1" help:"Of rerun: how many plays; the last line has the sums over all."`
+	AtOnce int `name:"at-once" default:"1" help:"Of rerun: how many of them at one time."`
+	Busy   int `name:"busy" default:"0" help:"Of rerun: processes beside them that keep a processor busy each."`
 }
 
 func (p *proveCommand) Run() error {
--- a/cmd/winglb-full/routes.go
+++ b/cmd/winglb-full/routes.go
@@ -15,7 +15,7 @@
 )
 
 type importCommand struct {
-	Nginx importNginx `name:"nginx" cmd:"" help:"Convert an nginx file to routes and pools, and report how each directive was converted."`
+	Nginx importNginx `name:"nginx" cmd:"" help:"Make routes and pools of an nginx file, and say of each directive what became of it."`
 }
 
 type importNginx struct {
@@ -77,20 +77,20 @@
 }
 
 type routesCommand struct {
-	Explain explain `name:"explain" cmd:"" help:"Explain how a request is routed: server, location, URI and pool, and why."`
+	Explain explain `name:"explain" cmd:"" help:"Say what becomes of a request: server, location, URI and pool, and why."`
 }
 
 type explain struct {
 	Nginx  string   `name:"nginx" help:"An nginx file." xor:"from" required:""`
 	Routes string   `name:"routes" help:"Routes as TOML." xor:"from" required:""`
-	Listen string   `name:"listen" default:":80" help:"The address at which the request arrives."`
-	Host   string   `name:"host" help:"The request's Host."`
-	Method string   `name:"method" default:"GET" help:"The request's method."`
+	Listen string   `name:"listen" default:":80" help:"The address that the request comes to."`
+	Host   string   `name:"host" help:"Its Host."`
+	Method string   `name:"method" default:"GET" help:"Its method."`
 	Remote string   `name:"remote" default:"127.0.0.1" help:"The client's address."`
 	Header []string `name:"header" help:"A header field, as Name: value."`
-	TLS    bool     `name:"tls" help:"The request uses TLS."`
+	TLS    bool     `name:"tls" help:"It came by TLS."`
 	JSON   bool     `name:"json" help:"Print one JSON object."`
-	URI    string   `name:"uri" arg:"" help:"The request's target, such as /a?b=c."`
+	URI    string   `name:"uri" arg:"" help:"Its target, such as /a?b=c."`
 }
 
 func (c *explain) Run() error {
