--- a/internal/net/accord/server.go
+++ b/internal/net/accord/server.go
@@ -61,7 +61,7 @@
 	accord.EffectiveVersions
 }
 
-// Server connects a dispatcher to the root group. It is safe for concurrent use.
+// Server connects a dispatcher to the root group, which agrees on settings versions and cordons. It is safe for concurrent use.
 type Server struct {
 	o      Options
 	host   replicas.Host
--- a/winglb/control.go
+++ b/winglb/control.go
@@ -476,7 +476,7 @@
 	return nil
 }
 
-// expirePlace gives up the place when no daemon has sent a message for lease.KeepFor: it may be assigned to another
+// expirePlace clears this sender's number when no daemon has sent a message for lease.KeepFor: it may be assigned to another
 // sender after that.
 func (s *controlState) expirePlace(ctx context.Context) {
 	for tick := time.NewTicker(placeCheckInterval); ; {
--- a/winglb/rig_test.go
+++ b/winglb/rig_test.go
@@ -44,7 +44,7 @@
 	publish = load.Class{Name: "publish", Rate: 10, Work: 60 * time.Millisecond, Once: true, Left: 10 * time.Second}
 )
 
-// startRig returns a rig whose daemons serve.
+// startRig returns a rig, which is a test deployment, whose daemons serve.
 func startRig(t *testing.T, o rig.Options) *rig.Rig {
 	o.Command, o.Dir = command, t.TempDir()
 	if o.Classes == nil {
