--- a/cmd/winglb-full/main.go
+++ b/cmd/winglb-full/main.go
@@ -105,7 +105,7 @@
 	case "busy":
 		rig.Spin()
 	}
-	return fmt.Errorf("no role %q", r.Role)
+	return fmt.Errorf("unknown role %q", r.Role)
 }
 
 type proveCommand struct {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -19,18 +19,18 @@
 const (
 	heartbeatInterval    = 500 * time.Millisecond // between heartbeats of a watcher
 	watcherTimeout       = 2 * time.Second        // without a heartbeat, a watcher counts as dead
-	ackTimeout           = 200 * time.Millisecond // then a peer without an acknowledgement is bypassed
-	settleAfter          = 500 * time.Millisecond // roles are assigned once the membership has not changed for this long,
-	settlePerMissing     = 4 * time.Second        // and later by this times the missing share of the dispatchers;
-	settleDeadline       = 5 * time.Second        // but at the latest this long after the start
+	ackTimeout           = 200 * time.Millisecond // a peer that has not acknowledged for this long is bypassed
+	settleAfter          = 500 * time.Millisecond // roles are assigned once the membership has not changed for this long
+	settlePerMissing     = 4 * time.Second        // times the missing share of the dispatchers: added to settleAfter
+	settleDeadline       = 5 * time.Second        // roles are assigned at the latest this long after the start
 	minRetry             = 200 * time.Millisecond // after a watch was lost; doubled with each further failure
 	maxRetry             = 5 * time.Second
 	failingAfter         = 2 * time.Second  // without a watch, a watcher reports that, and another takes over
-	failureExpiry        = 30 * time.Second // after which it may be chosen again
+	failureExpiry        = 30 * time.Second // after which a failing watcher may be chosen again
 	olderListDelay       = 10 * time.Second // for which discovery must report an older list before that is accepted
 	requestInterval      = time.Second
 	firstRequestInterval = 400 * time.Millisecond // while there is no list at all
-	maxMissing           = 0.4                    // share of the dispatchers, up to which roles are assigned at once: if a share f is known, 1/f times as many as needed watch
+	maxMissing           = 0.4                    // largest share of missing dispatchers at which roles are assigned at once: if a share f is known, 1/f times as many as needed watch
 	distrustTime         = 30 * time.Second       // for which a peer that sent an invalid list is ignored
 	maxClockAhead        = 5 * time.Second        // how far a source's clock may be ahead of ours
 	maxRevisionJump      = 1 << 20                // revisions at once
@@ -110,11 +110,11 @@
 	}
 	// RequestList requests the complete list from a peer.
 	RequestList struct{ To string }
-	// SetWatch starts or ends the own watch.
+	// SetWatch starts or ends this dispatcher's watch.
 	SetWatch struct{ Watch bool }
 	// ApplyList applies a list.
 	ApplyList struct{ dispatch.InstanceUpdate }
-	// ShowStatus publishes the status of the own watch through the membership.
+	// ShowStatus publishes the status of this dispatcher's watch through the membership.
 	ShowStatus struct{ Watch WatchStatus }
 	// LogLine is a log message.
 	LogLine struct{ Text, Peer string }
@@ -144,7 +144,7 @@
 	hasList    bool // there is a list
 	version    ListVersion
 	source     string
-	receivedAt time.Time // by the source
+	receivedAt time.Time // when the source received it, by the source's clock
 	validAt    time.Time // when the list was last known to be valid: the time of the last message less its age
 
 	watch          WatchStatus
@@ -153,20 +153,20 @@
 	tryingSince    time.Time // start of the present attempts to watch
 	retryAt        time.Time // zero: no retry is scheduled
 	failedAt       time.Time
-	olderSince     time.Time // since when the own watch has reported an older list; zero: it does not
+	olderSince     time.Time // since when this dispatcher's watch has reported an older list; zero: it does not
 	addressChanged bool
 	lastHeartbeat  time.Time
 	shownStatus    WatchStatus
 
-	heartbeats  map[string]time.Time   // by watcher: time of its last heartbeat
-	expected    map[string]time.Time   // by watcher: since when heartbeats are expected from it
-	forwarded   map[string]ListVersion // by source: the last version that was forwarded
-	unacked     map[string]pendingAck  // by peer
-	distrusted  map[string]time.Time   // by peer: end of the time in which it is ignored
-	notAsked    map[string]time.Time   // by peer: end of the time in which it is not asked, since it sent a list that lacks over half of the instances
-	suspectList Update                 // the last list that lacks over half of the instances
-	requestedAt time.Time
-	correctedAt time.Time // when a watcher with an older list was last sent the newer one
+	heartbeats     map[string]time.Time   // by watcher: time of its last heartbeat
+	expected       map[string]time.Time   // by watcher: since when heartbeats are expected from it
+	forwarded      map[string]ListVersion // by source: the last version that was forwarded
+	unacked        map[string]pendingAck  // by peer
+	distrusted     map[string]time.Time   // by peer: end of the time in which it is ignored
+	noRequestUntil map[string]time.Time   // by peer: end of the time in which it is not asked, since it sent a list that lacks over half of the instances
+	suspectList    Update                 // the last list that lacks over half of the instances
+	requestedAt    time.Time
+	correctedAt    time.Time // when a watcher with an older list was last sent the newer one
 }
 
 // pendingAck is a message that waits for its acknowledgement.
@@ -175,13 +175,13 @@
 	until time.Time
 }
 
-// New returns the view of a dispatcher that starts.
+// New returns the state of a dispatcher that starts.
 func New(c Config, now time.Time) *State {
 	c.Watchers, c.FanOut = max(1, c.Watchers), max(2, c.FanOut)
 	s := &State{
 		config: c, rng: rand.New(rand.NewPCG(rank(c.Name, "seed"), uint64(now.UnixNano()))), started: now, peersChanged: now,
 		heartbeats: map[string]time.Time{}, expected: map[string]time.Time{}, forwarded: map[string]ListVersion{}, unacked: map[string]pendingAck{}, distrusted: map[string]time.Time{},
-		notAsked: map[string]time.Time{},
+		noRequestUntil: map[string]time.Time{},
 	}
 	s.SetPeers(now, nil)
 	return s
@@ -256,7 +256,7 @@
 	s.requestedAt = now
 	var near, far []string
 	for _, p := range s.peers {
-		if now.Before(s.distrusted[p.Name]) || now.Before(s.notAsked[p.Name]) {
+		if now.Before(s.distrusted[p.Name]) || now.Before(s.noRequestUntil[p.Name]) {
 			continue
 		}
 		if p.Zone == s.config.Zone {
@@ -274,7 +274,7 @@
 	}
 }
 
-// WatchUpdate handles an update of the own watch.
+// WatchUpdate handles an update of this dispatcher's watch.
 func (s *State) WatchUpdate(now time.Time, l dispatch.InstanceUpdate) {
 	if !s.shouldWatch {
 		return // from a watch that has ended
@@ -302,7 +302,7 @@
 	s.showStatus()
 }
 
-// WatchAlive reports that the own watch is working, with or without an update.
+// WatchAlive reports that this dispatcher's watch is working, with or without an update.
 func (s *State) WatchAlive(now time.Time) {
 	if s.shouldWatch && s.olderSince.IsZero() && s.hasList {
 		s.watch, s.failures, s.validAt = Watching, 0, now
@@ -310,7 +310,7 @@
 	}
 }
 
-// WatchLost reports that the own watch, or an attempt to start one, has ended.
+// WatchLost reports that this dispatcher's watch, or an attempt to start one, has ended.
 func (s *State) WatchLost(now time.Time) {
 	if !s.shouldWatch {
 		return
@@ -376,7 +376,7 @@
 	newer := !s.hasList || s.version.Before(t.Version)
 	switch {
 	case t.Heartbeat && newer || newer && !t.Complete && (!s.hasList || s.version.Before(t.Base)): // an earlier update was missed
-		if now.Sub(s.requestedAt) >= ackTimeout && !now.Before(s.notAsked[from]) {
+		if now.Sub(s.requestedAt) >= ackTimeout && !now.Before(s.noRequestUntil[from]) {
 			s.requestedAt = now
 			s.emit(RequestList{from})
 		}
@@ -391,7 +391,7 @@
 				s.emit(RequestList{name})
 			}
 		}
-		s.suspectList, s.notAsked[from] = t, now.Add(distrustTime)
+		s.suspectList, s.noRequestUntil[from] = t, now.Add(distrustTime)
 		if !t.Response { // the others check it themselves
 			s.forward(now, t)
 		}
@@ -450,7 +450,8 @@
 	return 2*found < len(known)
 }
 
-// confirmed reports whether another watcher reports the same, or whether there is no other.
+// confirmed reports whether another watcher has also sent a suspect list, of the same or an older version, or whether
+// there is no other.
 func (s *State) confirmed(t Update) bool {
 	alone := len(s.otherWatchers(t.Source)) == 0 && s.watch != Watching
 	return alone || s.suspectList.Source != "" && s.suspectList.Source != t.Source && !t.Version.Before(s.suspectList.Version)
@@ -468,7 +469,7 @@
 }
 
 func (s *State) distrust(now time.Time, peer, why string) {
-	for _, of := range []map[string]time.Time{s.distrusted, s.notAsked} {
+	for _, of := range []map[string]time.Time{s.distrusted, s.noRequestUntil} {
 		maps.DeleteFunc(of, func(_ string, until time.Time) bool { return !now.Before(until) })
 	}
 	s.distrusted[peer] = now.Add(distrustTime)
@@ -600,7 +601,7 @@
 	return missing <= maxMissing || now.Sub(s.peersChanged) >= after || now.Sub(s.started) >= settleDeadline
 }
 
-// updateRole starts or ends the own watch: the first dispatchers of a zone watch. Failing ones come last, and those that should send
+// updateRole starts or ends this dispatcher's watch: the first dispatchers of a zone watch. Failing ones come last, and those that should send
 // heartbeats and do not are skipped.
 func (s *State) updateRole(now time.Time) {
 	failing := func(name string) bool {
@@ -686,7 +687,7 @@
 	if s.hasList {
 		v.Age = max(0, now.Sub(s.validAt))
 	}
-	for _, of := range []map[string]time.Time{s.distrusted, s.notAsked} {
+	for _, of := range []map[string]time.Time{s.distrusted, s.noRequestUntil} {
 		for name, until := range of {
 			if now.Before(until) {
 				v.Distrusted = append(v.Distrusted, name)
--- a/internal/net/accord/server.go
+++ b/internal/net/accord/server.go
@@ -41,10 +41,11 @@
 	Check(text []byte) error
 	// OwnSettings returns the settings from this dispatcher's own file, used for the first version.
 	OwnSettings() []byte
-	// Apply applies what two versions, which may be the same, both allow; nil: there is no version yet, and the own
-	// settings apply. floor: restricts it further, to the floor of the two. done is called once, from any goroutine.
+	// Apply applies what two versions, which may be the same, both allow; nil means that there is no version yet
+	// and that the own settings apply. floor restricts it further, to the floor of the two: the strictest rules, which
+	// conflict with no version. done is called once, from any goroutine.
 	Apply(low, high []byte, floor bool, done func(error))
-	// SetCordons excludes instances; only: and includes all others again.
+	// SetCordons excludes instances; if only is set, all others are included again.
 	SetCordons(ids []string, only bool)
 }
 
@@ -60,7 +61,7 @@
 	accord.EffectiveVersions
 }
 
-// Server connects a dispatcher to the root group. It is safe for concurrent use.
+// Server connects a dispatcher to the root group, which agrees on settings versions and cordons. It is safe for concurrent use.
 type Server struct {
 	o      Options
 	host   replicas.Host
@@ -75,9 +76,9 @@
 	member          *accord.Member
 	monitor         *accord.Monitor
 	texts           map[uint64][]byte         // of versions that the member may no longer hold
-	lastCordons     string                    // cordons last passed to Rules.Leave
+	lastCordons     string                    // cordons last passed to Rules.SetCordons
 	confirmed       bool                      // this process has had a lease
-	applying        *accord.EffectiveVersions // requested from Rules.Act and not done yet
+	applying        *accord.EffectiveVersions // requested from Rules.Apply and not done yet
 	applyRequested  time.Duration
 	floorDue        time.Duration // when the lease ran out; the requested change to the floor counts as late since then
 	lastChecked     uint64        // highest version whose check was started
@@ -90,7 +91,7 @@
 	heartbeatsLost  int64 // heartbeats without an answer
 	heartbeats      int64
 	floors          int64
-	refused         int64 // refused versions that this dispatcher proposed
+	refused         int64 // proposals of this dispatcher that were refused or failed
 	lastOutcomes    []accord.Outcome
 	members         int
 	nextMonitor     time.Duration
@@ -134,8 +135,8 @@
 	return s.member.Directive(0).Cordons
 }
 
-// Attach sets the rules, the host of the root group and the log. It must be called before any method but Start and
-// LeftOut.
+// Attach sets the rules, the host of the root group and the log. It must be called before any method but
+// InitialVersions and LeftOut.
 func (s *Server) Attach(r Rules, host replicas.Host, l *slog.Logger) {
 	s.rules, s.host, s.log = r, host, l
 }
@@ -329,7 +330,7 @@
 	if s.floorDue > 0 {
 		s.lateness = max(s.lateness, replicas.Now()-s.floorDue)
 		if bound := accord.LeaseExpiry + s.lateness; bound > accord.ConflictBound {
-			s.log.Error("accord: stated conflict bound exceeded; this machine is too slow", "bound", bound, "stated", accord.ConflictBound)
+			s.log.Error("accord: guaranteed conflict bound exceeded; this machine is too slow", "bound", bound, "stated", accord.ConflictBound)
 		}
 	}
 	if a.Floor {
@@ -357,7 +358,7 @@
 	why := ""
 	if err := s.rules.Check(v.Text); err != nil {
 		why = err.Error()
-		s.log.Warn("accord: version refused", "version", v.Number, "by", v.By, "err", err)
+		s.log.Warn("accord: cannot apply the proposed version", "version", v.Number, "by", v.By, "err", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -454,7 +455,7 @@
 	return err
 }
 
-// retryCordon proposes a cordon that applies here and is not agreed yet.
+// retryCordon proposes again a cordon that applies here and is not agreed yet.
 func (s *Server) retryCordon() {
 	if !s.opMu.TryLock() {
 		return
@@ -529,7 +530,7 @@
 		s.mu.Lock()
 		s.refused++
 		s.mu.Unlock()
-		s.log.Error("accord: settings not proposed", "err", err)
+		s.log.Error("accord: settings not agreed, or outcome unknown", "err", err)
 		return err
 	}
 	if a.Pending != nil {
--- a/internal/net/control/server.go
+++ b/internal/net/control/server.go
@@ -47,7 +47,7 @@
 	Daemons int // number of daemons in the configuration
 	Senders int // maximum number of senders at one time
 	Silence time.Duration
-	Life    time.Duration // of a lease
+	Life    time.Duration // duration of a lease
 	// Slots of a warm encoder by kind; "" stands for all other kinds.
 	Slots map[string]float64
 	TLS   credentials.TransportCredentials // nil: plain text
@@ -90,10 +90,10 @@
 	once       sync.Once
 }
 
-// New returns a server. Retune and Open have to be called before it serves.
+// New returns a server. SetSettings and Open have to be called before it serves.
 func New(o Options, s decide.Settings, core Core, logger *slog.Logger) (*Server, error) {
 	if o.Daemons < 1 || o.Daemon < 0 || o.Daemon >= o.Daemons || o.Senders < o.Daemons || o.Silence <= 0 || o.Life <= 0 {
-		return nil, fmt.Errorf("control: daemon %d of %d, %d senders, silence %v, life %v", o.Daemon, o.Daemons, o.Senders, o.Silence, o.Life)
+		return nil, fmt.Errorf("control: invalid options: daemon %d of %d, %d senders, silence %v, life %v", o.Daemon, o.Daemons, o.Senders, o.Silence, o.Life)
 	}
 	c := &Server{
 		options: o, core: core, log: logger, start: time.Now(), epoch: uint64(time.Now().UnixNano()), senders: map[*sender]struct{}{}, uncordonedAt: map[string]time.Duration{},
@@ -187,8 +187,8 @@
 	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_Settings{Settings: c.settings}})
 }
 
-// senderCount returns the number of senders rounded up to a power of two, since each change of the value has all
-// of them change their settings.
+// senderCount returns the number of senders, daemons included, rounded up to a power of two, since each change of
+// the value makes all senders reconfigure.
 func (c *Server) senderCount() uint32 {
 	return 1 << bits.Len(uint(max(1, len(c.senders)+c.options.Daemons)-1))
 }
@@ -202,7 +202,7 @@
 	c.broadcast(&controlv1.ToSender{Kind: &controlv1.ToSender_List{List: listMessage(l)}})
 }
 
-// updateEncoders passes the ready encoders to the granter.
+// updateEncoders passes the ready encoders to the granter, except those without a start time that were not uncordoned.
 func (c *Server) updateEncoders() {
 	now := c.now()
 	var members []lease.Encoder
@@ -237,7 +237,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	for id, at := range c.uncordonedAt { // warm for long
+	for id, at := range c.uncordonedAt { // uncordoned long enough ago that the encoder is warm again
 		if now-at > time.Hour {
 			delete(c.uncordonedAt, id)
 		}
@@ -434,8 +434,8 @@
 	return nil
 }
 
-// self is the key of the daemon's own leases.
-const self = "daemon"
+// selfKey is the key of the daemon's own leases.
+const selfKey = "daemon"
 
 // Request requests a lease for the daemon itself.
 func (c *Server) Request(instance string, process int64, work float64) {
@@ -446,7 +446,7 @@
 		return
 	}
 	requested := time.Now()
-	g := c.granter.Ask(now, self, lease.Request{Instance: instance, Process: process, Work: work})
+	g := c.granter.Ask(now, selfKey, lease.Request{Instance: instance, Process: process, Work: work})
 	if g.ID == 0 {
 		if len(c.retryAt) > 4096 {
 			clear(c.retryAt)
@@ -460,7 +460,7 @@
 	time.AfterFunc(time.Until(until)+time.Millisecond, func() { // an expired lease is not used any more
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.granter.Settle(c.now(), self, g.ID, false)
+		c.granter.Settle(c.now(), selfKey, g.ID, false)
 	})
 }
 
@@ -469,7 +469,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id, ok := l.Ref.(uint64); ok {
-		c.granter.Settle(c.now(), self, id, true)
+		c.granter.Settle(c.now(), selfKey, id, true)
 	}
 }
 
@@ -484,7 +484,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.granter.Stats
-	attached := map[string]bool{self: true}
+	attached := map[string]bool{selfKey: true}
 	for s := range c.senders {
 		attached[s.key] = true
 	}
--- a/internal/net/pipelines/pipelines.go
+++ b/internal/net/pipelines/pipelines.go
@@ -56,7 +56,7 @@
 // Jobs is the promise service in this process, which runs the stages.
 type Jobs interface {
 	// Seen returns the log index that the group of an id is known to have reached. PromiseSeen promises a job for a
-	// caller that had observed that index when it decided to; it fails with codes.Aborted if the id was dropped since.
+	// caller that had observed that index when it decided to; it fails with codes.Aborted if the promise with that id was removed since.
 	Seen(ctx context.Context, id string) (uint64, error)
 	PromiseSeen(ctx context.Context, q *promisev1.PromiseRequest, seen uint64) (*promisev1.PromiseResponse, error)
 	Await(context.Context, *promisev1.AwaitRequest) (*promisev1.AwaitResponse, error)
@@ -302,7 +302,7 @@
 	return left
 }
 
-// execute has a generation made, or continues an execution that another dispatcher started, and reports the result
+// execute produces one generation of an output, or continues an execution that another dispatcher started, and reports the result
 // to the group.
 func (s *Server) execute(ctx context.Context, g uint32, t rerun.Execute) {
 	id := jobID(t.Key, t.Gen)
@@ -355,7 +355,8 @@
 		}
 		if left := timeLeft(t); why == "" && left >= time.Millisecond {
 			job.Job.WithinMs = uint64(left.Milliseconds())
-		} else if job.Job.WithinMs, job.Job.Order = 1, noCandidates; why == "" { // it may have been promised before without an answer; that promise stays valid
+		} else if job.Job.WithinMs, job.Job.Order = 1, noCandidates; why == "" {
+			// An earlier call may have promised the job although no answer arrived; that promise stays valid.
 			why = "its time was over before it could be begun"
 		}
 		_, err = s.jobs.PromiseSeen(ctx, job, seen)
@@ -365,7 +366,7 @@
 		}
 		if code == codes.InvalidArgument {
 			end.Cause, end.Text = policy.Refused, status.Convert(err).Message()
-			if t.Once { // refused by the settings here; another dispatcher that promised it may have others
+			if t.Once { // refused by the settings here; another dispatcher with other settings may have promised it
 				end.Cause = policy.MayHaveRun
 			}
 			s.reportEnd(ctx, g, end)
--- a/internal/net/promises/recording.go
+++ b/internal/net/promises/recording.go
@@ -133,7 +133,7 @@
 func (s *Server) isRepeatable(id string) (yes bool) {
 	s.host.View(s.group(id), replica.PromisesMachine, func(m replica.Machine) {
 		e := m.(*promise.Machine).Entry(id)
-		yes = e != nil && s.repeats(e.Job.Class)
+		yes = e != nil && s.mayRepeat(e.Job.Class)
 	})
 	return yes
 }
@@ -186,12 +186,12 @@
 }
 
 // trackProposal starts tracking the sending of an attempt whose intent is about to be proposed, if its job must not
-// run twice. For a proposal that an attempt never ran it returns the attempt's send record, or nil if there is none.
+// run twice. For an OpNeverRan proposal it returns the attempt's send record, or nil if there is none.
 func (s *Server) trackProposal(g uint32, c promise.Command) (record *promise.SendRecord) {
 	switch c.Op {
 	case promise.OpIntent:
 		s.Intents.Add(1)
-		if h := s.submissions[submissionKey{c.ID, c.Submission}]; h != nil && !s.repeats(h.cmd.Class) {
+		if h := s.submissions[submissionKey{c.ID, c.Submission}]; h != nil && !s.mayRepeat(h.cmd.Class) {
 			h.sends.set(c.Attempt, s.sends.request(h.cmd.ID, c.Instance, c.Gen, c.Deadline))
 		}
 	case promise.OpNeverRan:
@@ -217,27 +217,27 @@
 }
 
 // reportUnsent reports to the groups attempts that never ran although their intents are committed, so that their
-// jobs are submitted again: those that this process withdrew and those that the process before had not begun. last:
-// this is the final call.
+// jobs are submitted again: those that this process withdrew and those that the previous process had not begun. last
+// is set on the final call, which ignores the usual delay.
 func (s *Server) reportUnsent(last bool) {
 	now := replicas.Now()
 	if now < s.lastUnsentScan+unsentScanEvery && !last {
 		return
 	}
 	s.lastUnsentScan = now
-	for _, sending := range s.sends.unreported(now, last) {
-		c, ok := sending.NeverRanCommand()
+	for _, record := range s.sends.unreported(now, last) {
+		c, ok := record.NeverRanCommand()
 		g := s.group(c.ID)
 		intended, settled := false, !ok
 		if ok { // without a local replica it is unknown which intents exist
-			s.host.View(g, replica.PromisesMachine, func(m replica.Machine) { intended, settled = m.(*promise.Machine).HasIntent(&sending) })
+			s.host.View(g, replica.PromisesMachine, func(m replica.Machine) { intended, settled = m.(*promise.Machine).HasIntent(&record) })
 		}
 		switch {
 		case settled:
-			s.sends.drop(sending)
+			s.sends.drop(record)
 		case intended:
 			s.NeverSent.Add(1)
-			s.log.Info("attempt of a promised job was never sent; reporting it to the group", "job", sending.Job, "instance", sending.Instance)
+			s.log.Info("attempt of a promised job was never sent; reporting it to the group", "job", record.Job, "instance", record.Instance)
 			s.record(g, c)
 		}
 	}
--- a/internal/net/promises/server.go
+++ b/internal/net/promises/server.go
@@ -75,7 +75,7 @@
 	lastUnsentScan time.Duration // time of the last scan for attempts that never ran
 
 	Promised, Intents, Recorded, Ends, Abandoned, DroppedRecordings atomic.Int64
-	NeverSent, Unrecorded                                           atomic.Int64 // attempts reported as never sent; callbacks that have to be made again
+	NeverSent, Unrecorded                                           atomic.Int64 // attempts reported as never sent; callbacks not answered because their commit took too long
 	acting                                                          atomic.Int64 // groups that this dispatcher owns
 	yielded                                                         atomic.Bool  // a newer process has taken over or is about to
 }
@@ -86,7 +86,7 @@
 	number int
 }
 
-// submission is a job submitted to the dispatcher: the client and the gate of its command.
+// submission is a job submitted to the dispatcher: it implements dispatch.Client and dispatch.Gate for its command.
 type submission struct {
 	server  *Server
 	group   uint32
@@ -108,7 +108,7 @@
 	}
 	s.classes.Store(&map[string]decide.Class{})
 	for range host.Groups() {
-		s.owners = append(s.owners, promise.NewOwner(s.repeats))
+		s.owners = append(s.owners, promise.NewOwner(s.mayRepeat))
 	}
 	return s
 }
@@ -124,9 +124,9 @@
 	s.classes.Store(&classes)
 }
 
-// repeats reports whether jobs of a class may be repeated freely. Keyed classes may not: workers detect duplicates
+// mayRepeat reports whether jobs of a class may be repeated freely. Keyed classes may not: workers detect duplicates
 // within one group and for a limited time only, which an owner that did not send the first attempt cannot ensure.
-func (s *Server) repeats(class string) bool {
+func (s *Server) mayRepeat(class string) bool {
 	c, ok := (*s.classes.Load())[class]
 	return ok && c.Effect == decide.Safe
 }
--- a/internal/net/replicas/link.go
+++ b/internal/net/replicas/link.go
@@ -112,8 +112,8 @@
 	l.messages, l.queuedBytes, l.hibernations, l.heartbeat, l.ack = nil, 0, nil, nil, nil
 }
 
-// sendHibernation queues a request to hibernate or an agreement. A dropped one is repeated after the leader's next
-// request.
+// sendHibernation queues a request to hibernate or an agreement. If a message is dropped, the leader's
+// next request starts over.
 func (l *link) sendHibernation(c replica.Hibernation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,7 +200,7 @@
 	for wait := redialMinDelay; ctx.Err() == nil; wait = min(redialMaxDelay, 2*wait) {
 		began := time.Now()
 		err := l.call(ctx)
-		l.down()
+		l.streamLost()
 		if time.Since(began) > redialMaxDelay {
 			wait = redialMinDelay
 		}
@@ -212,11 +212,12 @@
 		case <-t.C:
 		}
 	}
-	l.down()
+	l.streamLost()
 }
 
-// down ends all forwarded proposals when the stream is lost. The peer may have accepted those that were sent.
-func (l *link) down() {
+// streamLost fails all forwarded proposals when the stream is lost: with ErrNoLeader those not sent, with ErrUnknown the
+// others, which the peer may have accepted.
+func (l *link) streamLost() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up, l.messages, l.queuedBytes, l.hibernations = false, nil, 0, nil
@@ -235,7 +236,8 @@
 	}
 }
 
-// abandonForwards ends the proposals forwarded for groups that the peer does not lead. The peer may have accepted them.
+// abandonForwards fails with ErrUnknown the proposals forwarded for groups that the peer does not lead. The peer may have
+// accepted them.
 func (l *link) abandonForwards(leads func(group uint32) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -290,7 +292,7 @@
 			l.handleAnswers(m)
 		}
 	}()
-	// Send blocks while the stream accepts nothing, so another goroutine checks that the peer still confirms.
+	// Send blocks while the stream accepts nothing, so another goroutine checks that the peer still acknowledges messages.
 	go func() {
 		ticker := time.NewTicker(silenceTimeout / 4)
 		defer ticker.Stop()
--- a/internal/net/replicas/server.go
+++ b/internal/net/replicas/server.go
@@ -44,8 +44,8 @@
 	AddressOverrides map[string]string // addresses used instead of those in Peers, by name
 	Groups           uint32
 	Copies           int
-	// Repair is the number of repairs after the loss of a majority, and Survivors are the daemons left at the last one.
-	// See replica.Repair.
+	// Repair is the generation of the table: how many repairs after the loss of a majority operators have ordered.
+	// Survivors are the daemons left at the last one. See replica.Repair.
 	Repair        uint32
 	Survivors     []string
 	RelocateAfter time.Duration // after this silence a daemon's replicas are moved; 0: replica.RelocateTimeout
@@ -75,7 +75,7 @@
 	writing      bool
 	peers        map[string]*link
 	proposals    map[uint64]func([]byte, error)
-	fault        string // why the store accepts no writes
+	fault        string // why this daemon takes part in no group
 	refused      string // why the last store was set aside
 	counters     struct{ proposed, forwarded, read, retired, dropped int64 }
 }
@@ -259,7 +259,7 @@
 	}
 }
 
-// enqueue has the loop call f; false: ctx has ended.
+// enqueue has the loop call f. It returns false if ctx has ended.
 func (s *Server) enqueue(ctx context.Context, f func(now time.Duration)) bool {
 	select {
 	case s.events <- f:
@@ -334,7 +334,7 @@
 	}
 }
 
-// openStore opens the store; false: it is locked, or cannot be read now.
+// openStore opens the store. It returns false if the store is locked or cannot be read now.
 func (s *Server) openStore() bool {
 	st, groups, refused, err := openStore(s.opts.Dir, s.opts.Self)
 	s.mu.Lock()
@@ -371,7 +371,8 @@
 	return true
 }
 
-// repair continues without a lost majority.
+// repair continues without a lost majority. A daemon that is not among the survivors sets its store aside and starts
+// with an empty one.
 func (s *Server) repair(groups map[uint32]replica.Stored) (map[uint32]replica.Stored, error) {
 	if !slices.Contains(s.opts.Survivors, s.opts.Self.Name) {
 		s.store.close()
@@ -493,7 +494,7 @@
 	s.startNode(nil)
 }
 
-// answerOtherTable answers a peer whose table differs, or is the one before a repair.
+// answerOtherTable answers a peer whose table differs, or predates a repair.
 func (s *Server) answerOtherTable(name string) {
 	if l := s.peers[name]; l != nil && s.node != nil {
 		l.sendBootstrap(bootstrapToProto(s.bootstrapper.Message()))
@@ -590,7 +591,7 @@
 
 // retire discards the store and rejoins as a new member.
 func (s *Server) retire(why string) {
-	s.log.Error("replicas: the store cannot be trusted; this daemon rejoins as a new member", "why", why)
+	s.log.Error("replicas: the store is set aside; this daemon rejoins as a new member", "why", why)
 	if s.writing {
 		<-s.writeDone
 		s.writing = false
--- a/internal/promise/machine.go
+++ b/internal/promise/machine.go
@@ -1,4 +1,4 @@
-// Package promise implements promised jobs, which are handed in once and kept until they are done: the replicated table of a
+// Package promise implements promised jobs, which are submitted once and kept until they are done: the replicated table of a
 // group's jobs, [Machine], and the logic of the one dispatcher that acts for the group, [Owner]. It does no I/O and reads no clock.
 package promise
 
@@ -75,7 +75,7 @@
 }
 
 func (j *Job) digest() string {
-	text, _ := json.Marshal(j) // plain data: it fails only for numbers that Check refuses
+	text, _ := json.Marshal(j) // Marshal fails only for NaN and infinities, which Check rejects
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:12])
 }
@@ -190,7 +190,7 @@
 // Bytes encodes the command.
 func (c Command) Bytes() []byte {
 	c.V = Version
-	text, _ := json.Marshal(c) // plain data: it fails only for numbers that Check refuses
+	text, _ := json.Marshal(c) // Marshal fails only for NaN and infinities, which Check rejects
 	return text
 }
 
@@ -198,7 +198,7 @@
 type Answer struct {
 	OK      bool     `json:"ok"`
 	Index   uint64   `json:"index"`         // of the command
-	Code    Code     `json:"why,omitempty"` // set if the command was not done
+	Code    Code     `json:"why,omitempty"` // why OK is false; with OK it is NotEnded if the job has not ended, and is otherwise to be ignored
 	Text    string   `json:"text,omitempty"`
 	Receipt *Receipt `json:"receipt,omitempty"`
 	End     *End     `json:"end,omitempty"`
@@ -219,7 +219,7 @@
 	TooLate      Code = "late"    // the proposal was delayed for too long, or the ID was removed recently
 )
 
-// ReadAnswer decodes a result of Apply.
+// ReadAnswer decodes a result of Apply or Read.
 func ReadAnswer(text []byte) (a Answer, err error) {
 	err = json.Unmarshal(text, &a)
 	return a, err
@@ -427,7 +427,8 @@
 	return Answer{OK: true, Receipt: &e.Receipt}
 }
 
-// report applies an instance's report on an attempt. It counts whoever the owner is now.
+// report applies an instance's report on an attempt. It is accepted regardless of the current
+// owner.
 func (m *Machine) report(at time.Duration, e *Entry, c *Command) Answer {
 	if e.End != nil && !m.faults.AllowSecondEnd {
 		return Answer{Code: AlreadyEnded, End: e.End}
